--- a/cmd/lichenroad/desk.go
+++ b/cmd/lichenroad/desk.go
@@ -16,7 +16,7 @@
 	"github.com/sirupsen/logrus"
 	"github.com/spf13/cobra"
 
-	"lichenroad/internal/desk"
+	"lichenroad/internal/releasecontroller"
 	"lichenroad/plan"
 	"lichenroad/relay"
 	"lichenroad/rollout"
@@ -27,7 +27,7 @@
 	state := c.PersistentFlags().String("state", "", "the desk's directory, with its journal")
 	c.MarkPersistentFlagRequired("state")
 	c.AddCommand(t.deskRun(state), t.deskStatus(state), t.deskHistory(state),
-		t.deskVerb(state, "offer SERVICE BUILD", "Offer a new build; it begins when plan and operators let it", 2, func(r *desk.Request, args []string) error {
+		t.deskVerb(state, "offer SERVICE BUILD", "Offer a new build; it begins when plan and operators let it", 2, func(r *releasecontroller.Request, args []string) error {
 			b, err := strconv.ParseUint(args[1], 10, 16)
 			r.Service, r.Build = args[0], relay.Build(b)
 			if err != nil || b == 0 {
@@ -64,8 +64,8 @@
 		hups := make(chan os.Signal, 1)
 		signal.Notify(hups, syscall.SIGHUP)
 		defer signal.Stop(hups)
-		return failed(desk.Start(ctx, desk.Options{Plan: p, Dir: *state, Control: *address, Log: log,
-			Ready: func(d *desk.Desk, at desk.Addresses) {
+		return failed(releasecontroller.Start(ctx, releasecontroller.Options{Plan: p, Dir: *state, Control: *address, Log: log,
+			Ready: func(d *releasecontroller.Desk, at releasecontroller.Addresses) {
 				log.WithFields(logrus.Fields{"control": at.Control, "watch": at.Watch, "relays": at.Relays}).Info("desk open")
 				go func() {
 					for range hups {
@@ -85,9 +85,9 @@
 	return ""
 }
 
-func (t *tool) deskVerb(state *string, use, short string, args int, take func(*desk.Request, []string) error) *cobra.Command {
+func (t *tool) deskVerb(state *string, use, short string, args int, take func(*releasecontroller.Request, []string) error) *cobra.Command {
 	c := &cobra.Command{Use: use, Short: short, Args: cobra.ExactArgs(args)}
-	r := desk.Request{Verb: c.Name()}
+	r := releasecontroller.Request{Verb: c.Name()}
 	c.Flags().StringVar(&r.Who, "who", operator(), "who says so; kept in the journal")
 	c.Flags().StringVar(&r.Why, "why", "", "why; kept in the journal")
 	c.MarkFlagRequired("why")
@@ -111,7 +111,7 @@
 				return err
 			}
 		}
-		out, err := desk.Ask(c.Context(), *state, r)
+		out, err := releasecontroller.Ask(c.Context(), *state, r)
 		if err != nil {
 			return failed(err)
 		}
@@ -125,7 +125,7 @@
 	c := &cobra.Command{Use: "status", Short: "Show where every service stands and what it waits for", Args: cobra.NoArgs}
 	raw := c.Flags().Bool("json", false, "as JSON")
 	c.RunE = func(c *cobra.Command, _ []string) error {
-		out, err := desk.Ask(c.Context(), *state, desk.Request{Verb: "status"})
+		out, err := releasecontroller.Ask(c.Context(), *state, releasecontroller.Request{Verb: "status"})
 		if err != nil {
 			return failed(err)
 		}
@@ -140,7 +140,7 @@
 	return c
 }
 
-func (t *tool) status(r desk.Reply) {
+func (t *tool) status(r releasecontroller.Reply) {
 	w := tabwriter.NewWriter(t.out, 0, 0, 2, ' ', 0)
 	fmt.Fprintln(w, "SERVICE\tBUILD\tPHASE\tSTEP\tSINCE\tCAP\tON\tBACK\tNEXT\tWAITS FOR")
 	for _, s := range r.Status {
@@ -191,7 +191,7 @@
 		if *last < 1 || *last > 10000 {
 			return errors.New("--last: from 1 to 10000")
 		}
-		events, err := desk.History(*state, *votes, *last)
+		events, err := releasecontroller.History(*state, *votes, *last)
 		if err != nil {
 			return failed(err)
 		}
--- a/cmd/lichenroad/lab.go
+++ b/cmd/lichenroad/lab.go
@@ -16,8 +16,8 @@
 
 	"lichenroad/lab"
 	"lichenroad/lab/demo"
-	"lichenroad/lab/ledger"
-	"lichenroad/lab/standin"
+	"lichenroad/lab/fakes"
+	"lichenroad/lab/logsummary"
 )
 
 func (t *tool) labCommand() *cobra.Command {
@@ -57,7 +57,7 @@
 func (t *tool) labLedger() *cobra.Command {
 	c := &cobra.Command{Use: "ledger DIR", Short: "Add up what the relays of a fleet logged, a file *.log each: kinds of lines, relays, busiest second",
 		Args: cobra.ExactArgs(1)}
-	l := ledger.New()
+	l := logsummary.New()
 	c.Flags().Float64Var(&l.From, "from", 0, "s; earlier lines are left out")
 	c.Flags().Float64Var(&l.To, "to", 0, "s; lines from then on are left out; 0: none")
 	c.RunE = func(_ *cobra.Command, args []string) error {
@@ -110,7 +110,7 @@
 
 func (t *tool) labPlanner() *cobra.Command {
 	c := &cobra.Command{Use: "planner", Short: "Run a stand-in planner; it prints each query that it takes in", Args: cobra.NoArgs}
-	var p standin.Planner
+	var p fakes.Planner
 	listen := c.Flags().String("listen", "127.0.0.1:0", "address on loopback")
 	c.Flags().StringVar(&p.Name, "name", "planner", "it answers queries with this")
 	c.Flags().IntVar(&p.Cores, "cores", 4, "queries at a time")
--- a/cmd/lichenroad/logs.go
+++ b/cmd/lichenroad/logs.go
@@ -5,7 +5,7 @@
 	"time"
 
 	"lichenroad/internal/limits"
-	"lichenroad/internal/stats"
+	"lichenroad/internal/metrics"
 )
 
 // lines is a writer for the log that never holds its callers up: whoever reads the log may be slow, and the
@@ -13,10 +13,10 @@
 type lines struct {
 	queue chan []byte
 	done  chan struct{}
-	stats *stats.Counters
+	stats *metrics.Counters
 }
 
-func newLines(to io.Writer, counters *stats.Counters) *lines {
+func newLines(to io.Writer, counters *metrics.Counters) *lines {
 	l := &lines{make(chan []byte, limits.LogAhead), make(chan struct{}), counters}
 	go func() {
 		defer close(l.done)
@@ -32,7 +32,7 @@
 	select {
 	case l.queue <- append([]byte(nil), b...):
 	default:
-		l.stats.Add(stats.LogDropped, 1)
+		l.stats.Add(metrics.LogDropped, 1)
 	}
 	return len(b), nil
 }
--- a/cmd/lichenroad/main.go
+++ b/cmd/lichenroad/main.go
@@ -17,8 +17,8 @@
 	"github.com/spf13/cobra"
 
 	"lichenroad/internal/config"
-	"lichenroad/internal/form"
-	"lichenroad/internal/stats"
+	"lichenroad/internal/metrics"
+	"lichenroad/internal/xmlconfig"
 	"lichenroad/plan"
 )
 
@@ -75,7 +75,7 @@
 	if !errors.As(err, &f) {
 		f = fault{exitCall, err}
 	}
-	var faults *form.Faults
+	var faults *xmlconfig.Faults
 	if errors.As(err, &faults) && f.code == exitFault {
 		for _, line := range faults.Lines() {
 			fmt.Fprintln(errs, "lichenroad:", line)
@@ -151,12 +151,12 @@
 }
 
 // logger gives the log that never holds its callers up; done writes what waits.
-func (t *tool) logger() (*logrus.Logger, *stats.Counters, func(), error) {
+func (t *tool) logger() (*logrus.Logger, *metrics.Counters, func(), error) {
 	parsed, err := logrus.ParseLevel(t.level)
 	if err != nil {
 		return nil, nil, nil, err
 	}
-	counters := &stats.Counters{}
+	counters := &metrics.Counters{}
 	to := newLines(t.errs, counters)
 	log := logrus.New()
 	log.SetOutput(to)
--- a/cmd/lichenroad/serve.go
+++ b/cmd/lichenroad/serve.go
@@ -16,14 +16,14 @@
 	"lichenroad/internal/buffer"
 	"lichenroad/internal/clients"
 	"lichenroad/internal/config"
+	"lichenroad/internal/discovery"
 	"lichenroad/internal/guard"
 	"lichenroad/internal/limits"
+	"lichenroad/internal/metrics"
 	"lichenroad/internal/peers"
+	"lichenroad/internal/pipeline"
 	"lichenroad/internal/platform"
-	"lichenroad/internal/roster"
-	"lichenroad/internal/stage"
-	"lichenroad/internal/stats"
-	"lichenroad/internal/units"
+	"lichenroad/internal/upstream"
 	"lichenroad/plan"
 	"lichenroad/relay"
 )
@@ -39,9 +39,9 @@
 	config config.Config // of the loop: what holds now
 	plan   guarded
 	guard  *guard.Host // nil: no plan
-	loop   *stage.Loop
+	loop   *pipeline.Loop
 	front  *clients.Server
-	asker  *roster.Asker
+	asker  *discovery.Asker
 	desk   *platform.Desk
 	stop   chan struct{}
 	end    func() // at once; may be called again
@@ -49,7 +49,7 @@
 }
 
 // serve runs a relay until it is told to end; load reads the configuration again.
-func serve(c config.Config, load func() (config.Config, error), g guarded, log *logrus.Logger, counters *stats.Counters) error {
+func serve(c config.Config, load func() (config.Config, error), g guarded, log *logrus.Logger, counters *metrics.Counters) error {
 	got, hups := make(chan os.Signal, 4), make(chan os.Signal, 1)
 	signal.Notify(got, syscall.SIGTERM, os.Interrupt, syscall.SIGUSR1)
 	signal.Notify(hups, syscall.SIGHUP) // one that finds another waiting is covered by that one
@@ -79,15 +79,15 @@
 }
 
 // start puts the parts together and listens; what comes waits for the loop to run.
-func start(c config.Config, g guarded, log *logrus.Logger, counters *stats.Counters) (*program, error) {
+func start(c config.Config, g guarded, log *logrus.Logger, counters *metrics.Counters) (*program, error) {
 	pool := buffer.NewPool(int64(limits.BufferPart * float64(c.MemoryMB<<20)))
-	loop := stage.NewLoop(c.Site, c.Seed, pool, counters, log)
+	loop := pipeline.NewLoop(c.Site, c.Seed, pool, counters, log)
 	spare := max(limits.SpareLeast, min(limits.SpareSockets, int(limits.SparePart*float64(c.Sockets))))
 	sockets := c.Sockets - spare
 	forUnits := int(limits.UnitPart * float64(sockets))
-	legs := units.New(loop, forUnits)
-	reader := roster.NewReader(c.Site.Zones, c.Site.Kinds, loop.Clock.Unix)
-	asker := roster.New(loop, c.Discovery, reader, legs, c.Seed)
+	legs := upstream.New(loop, forUnits)
+	reader := discovery.NewReader(c.Site.Zones, c.Site.Kinds, loop.Clock.Unix)
+	asker := discovery.New(loop, c.Discovery, reader, legs, c.Seed)
 	desk := platform.New(loop, c.Platform)
 	loop.Units, loop.Roster, loop.Platform, loop.Peers = legs, asker, desk, noPeers{counters}
 	var host *guard.Host
@@ -114,7 +114,7 @@
 	} else {
 		log.WithField("peer", "roster").WithError(err).Warn("no list to start with")
 	}
-	loop.Post(stage.Call(func(l *stage.Loop) { l.Told(c.News) }))
+	loop.Post(pipeline.Call(func(l *pipeline.Loop) { l.Told(c.News) }))
 	asker.Start()
 	desk.Start()
 	if host != nil {
@@ -138,7 +138,7 @@
 // left, or when every query must have been answered.
 func (p *program) shutdownGracefully() {
 	longest := max(limits.LongestWait, p.loop.Site.Longest())
-	p.loop.Post(stage.Call(func(l *stage.Loop) {
+	p.loop.Post(pipeline.Call(func(l *pipeline.Loop) {
 		p.front.Shutdown(p.end)
 		l.At(l.Clock.Now()+longest+limits.LastWait, p.end)
 	}))
@@ -148,17 +148,17 @@
 // the addresses that it names. One that can't be read leaves everything as it is.
 func (p *program) reload(next config.Config, err error) {
 	if err != nil {
-		p.loop.Stats.Add(stats.ReloadsRefused, 1)
+		p.loop.Stats.Add(metrics.ReloadsRefused, 1)
 		p.loop.Log.WithError(err).Error("configuration refused, the old one stays")
 		return
 	}
 	p.replan()
-	p.loop.Post(stage.Call(func(l *stage.Loop) {
+	p.loop.Post(pipeline.Call(func(l *pipeline.Loop) {
 		p.asker.Move(next.Discovery)
 		if next.Platform != "" {
 			p.desk.Move(next.Platform)
 		}
-		l.Stats.Add(stats.Reloads, 1)
+		l.Stats.Add(metrics.Reloads, 1)
 		l.Log.WithFields(logrus.Fields{"discovery": next.Discovery, "platform": next.Platform,
 			"needs_restart": p.config.NeedRestart(next)}).Info("configuration reloaded")
 		p.config.Discovery, p.config.Platform = next.Discovery, next.Platform
@@ -171,12 +171,12 @@
 		return
 	}
 	next, err := plan.Load(p.plan.plan)
-	p.loop.Post(stage.Call(func(l *stage.Loop) {
+	p.loop.Post(pipeline.Call(func(l *pipeline.Loop) {
 		if err == nil {
 			err = p.guard.Replan(next)
 		}
 		if err != nil {
-			l.Stats.Add(stats.ReloadsRefused, 1)
+			l.Stats.Add(metrics.ReloadsRefused, 1)
 			l.Log.WithField("error", strings.ReplaceAll(err.Error(), "\n", "; ")).Error("plan refused, the old one stays")
 			return
 		}
@@ -203,6 +203,6 @@
 }
 
 // noPeers stands in where the configuration names no address for messages.
-type noPeers struct{ counters *stats.Counters }
+type noPeers struct{ counters *metrics.Counters }
 
-func (n noPeers) Tell(relay.Tell) { n.counters.Add(stats.PeerMessagesDropped, 1) }
+func (n noPeers) Tell(relay.SendMessage) { n.counters.Add(metrics.PeerMessagesDropped, 1) }
--- a/cmd/lichenroad/sweep.go
+++ b/cmd/lichenroad/sweep.go
@@ -146,7 +146,7 @@
 		if err != nil || n < 1 || n > 10 {
 			return nil, fmt.Errorf("legs: %q is none from 1 to 10", v)
 		}
-		return func(s *relay.Settings) { s.Limits.MaxLegs = n }, nil
+		return func(s *relay.Settings) { s.Limits.MaxAttempts = n }, nil
 	}
 	on, err := strconv.ParseBool(v)
 	if err != nil {
@@ -154,7 +154,7 @@
 	}
 	return func(s *relay.Settings) {
 		if name == "cancel" {
-			s.Limits.Cancel = on
+			s.Limits.CancelAttempts = on
 		} else {
 			s.Limits.RetryAfter = on
 		}
--- a/internal/clients/clients.go
+++ b/internal/clients/clients.go
@@ -13,16 +13,16 @@
 	"github.com/cloudwego/netpoll"
 
 	"lichenroad/internal/limits"
+	"lichenroad/internal/metrics"
 	"lichenroad/internal/pgwire"
+	"lichenroad/internal/pipeline"
 	"lichenroad/internal/sockets"
-	"lichenroad/internal/stage"
-	"lichenroad/internal/stats"
 	"lichenroad/relay"
 )
 
 // Server accepts clients.
 type Server struct {
-	loop *stage.Loop
+	loop *pipeline.Loop
 	most int64 // descriptors for clients
 	tidy int64 // connections from which on the idle ones make room
 	over int64 // and for those that are told it is full
@@ -43,7 +43,7 @@
 }
 
 // New returns a server for at most so many connections, and so many over that which are told that it is full.
-func New(l *stage.Loop, most, over int) *Server {
+func New(l *pipeline.Loop, most, over int) *Server {
 	return &Server{loop: l, most: int64(most), tidy: int64(limits.TidyPart * float64(most)), over: int64(over),
 		conns: map[*conn]struct{}{}}
 }
@@ -88,23 +88,23 @@
 	c := &conn{server: s, net: n, begun: now, idleAt: now,
 		split: pgwire.Splitter{Pool: s.loop.Pool, Startup: true, Shed: true}}
 	open := s.open.Add(1)
-	s.loop.Stats.Add(stats.ClientConns, 1)
-	s.loop.Stats.Add(stats.ClientConnsOpen, 1)
+	s.loop.Stats.Add(metrics.ClientConns, 1)
+	s.loop.Stats.Add(metrics.ClientConnsOpen, 1)
 	n.SetWriteTimeout(limits.AnswerWait)
 	n.AddCloseCallback(c.closed)
 	if open > s.most+s.over {
 		// The first query may have come already, so the client is told that nothing was done with it: a close alone
 		// says that, too, but not that trying again at once is no use.
-		s.loop.Stats.Add(stats.BoundConns, 1)
+		s.loop.Stats.Add(metrics.BoundConns, 1)
 		n.Write(pgwire.ErrorAnswer(pgwire.Fatal, pgwire.CodeFull, errFull.Error(), s.loop.ComeBack()))
-		c.end(stats.ByBound)
+		c.end(metrics.ByBound)
 		return context.Background()
 	}
-	s.loop.Post(stage.Call(func(l *stage.Loop) {
+	s.loop.Post(pipeline.Call(func(l *pipeline.Loop) {
 		s.conns[c] = struct{}{}
 		c.rests(true)
 		if room := s.open.Load() <= s.tidy || s.evictIdle(); !room && s.open.Load() > s.most {
-			s.loop.Stats.Add(stats.BoundConns, 1)
+			s.loop.Stats.Add(metrics.BoundConns, 1)
 			c.full = true
 		}
 		if s.stopping {
@@ -127,7 +127,7 @@
 			if s.loop.Clock.Now()-c.idleAt < of.least.Seconds() {
 				break
 			}
-			if c.evict(stats.ByIdle) {
+			if c.evict(metrics.ByIdle) {
 				return true
 			}
 		}
--- a/internal/clients/conn.go
+++ b/internal/clients/conn.go
@@ -14,10 +14,10 @@
 
 	"lichenroad/internal/buffer"
 	"lichenroad/internal/limits"
+	"lichenroad/internal/metrics"
 	"lichenroad/internal/pgwire"
+	"lichenroad/internal/pipeline"
 	"lichenroad/internal/sockets"
-	"lichenroad/internal/stage"
-	"lichenroad/internal/stats"
 	"lichenroad/relay"
 )
 
@@ -51,7 +51,7 @@
 
 	mu     sync.Mutex
 	gone   bool // the descriptor is about to be closed
-	reason stats.Reason
+	reason metrics.Reason
 	fault  error // what was wrong with what came
 }
 
@@ -59,7 +59,7 @@
 type item struct {
 	c     *conn
 	hello bool
-	q     *stage.Query
+	q     *pipeline.Query
 	bad   error
 }
 
@@ -75,7 +75,7 @@
 	c.mu.Lock()
 	c.gone = true
 	if c.reason == "" {
-		c.reason = stats.ByPeer
+		c.reason = metrics.ByPeer
 	}
 	why, fault := c.reason, c.fault
 	c.mu.Unlock()
@@ -85,10 +85,10 @@
 	c.split.Free()
 	s := c.server
 	s.open.Add(-1)
-	s.loop.Stats.Add(stats.ClientConnsOpen, -1)
-	stats.LogEnd(s.loop.Log, "client", c.net.RemoteAddr().String(), why, s.loop.Clock.Now()-c.begun,
+	s.loop.Stats.Add(metrics.ClientConnsOpen, -1)
+	metrics.LogEnd(s.loop.Log, "client", c.net.RemoteAddr().String(), why, s.loop.Clock.Now()-c.begun,
 		int(c.queries.Load()), fault)
-	s.loop.Post(stage.Call(func(l *stage.Loop) {
+	s.loop.Post(pipeline.Call(func(l *pipeline.Loop) {
 		delete(s.conns, c)
 		c.rests(false)
 		if c.current != nil && c.current.q != nil {
@@ -104,13 +104,13 @@
 }
 
 // end closes the connection at once.
-func (c *conn) end(why stats.Reason) {
+func (c *conn) end(why metrics.Reason) {
 	c.because(why)
 	c.deaf.Store(true)
 	c.net.Close()
 }
 
-func (c *conn) because(why stats.Reason) {
+func (c *conn) because(why metrics.Reason) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if c.reason == "" {
@@ -120,7 +120,7 @@
 
 // halfClose closes this side, so that the client reads all that was sent and then the end, and the rest when the
 // client has closed its side or is slow to. On the loop.
-func (c *conn) halfClose(why stats.Reason) {
+func (c *conn) halfClose(why metrics.Reason) {
 	c.because(why)
 	c.deaf.Store(true)
 	c.shutting = true
@@ -167,7 +167,7 @@
 // evict closes the connection if it is quiet, and says whether it was. What comes from now on is not read, so that the
 // client knows that it did not count and sends it once more elsewhere; what is read between the look and the close
 // gets lastWords. On the loop.
-func (c *conn) evict(why stats.Reason) bool {
+func (c *conn) evict(why metrics.Reason) bool {
 	if c.shutting || !c.quiet() {
 		return false
 	}
@@ -194,7 +194,7 @@
 		return
 	}
 	l := c.server.loop
-	l.Stats.Add(stats.LateRefused, owed)
+	l.Stats.Add(metrics.LateRefused, owed)
 	answer := pgwire.Ready(pgwire.ErrorAnswer(pgwire.Error, pgwire.CodeEnding, textEnding, l.ComeBack()))
 	for range owed {
 		unix.SendmsgN(n.Fd(), answer, nil, nil, unix.MSG_NOSIGNAL)
@@ -211,15 +211,15 @@
 	now := l.Clock.Now()
 	if first := c.begun + limits.FirstQuery.Seconds(); c.queries.Load() == 0 && now < first {
 		l.At(first, c.rest)
-	} else if !c.evict(stats.ByShutdown) {
+	} else if !c.evict(metrics.ByShutdown) {
 		l.At(now+limits.LookAgain.Seconds(), c.rest)
 	}
 }
 
 // late ends a connection that has said no startup in time.
 func (c *conn) late() {
-	if !c.started.Load() && !c.shutting && !c.evict(stats.ByLateConnect) {
-		c.halfClose(stats.ByLateConnect) // half of a startup has come
+	if !c.started.Load() && !c.shutting && !c.evict(metrics.ByLateConnect) {
+		c.halfClose(metrics.ByLateConnect) // half of a startup has come
 	}
 }
 
@@ -265,12 +265,12 @@
 
 // complain ends the connection over what came on it, with an ErrorResponse.
 func (c *conn) complain(err error) {
-	code, why := pgwire.CodeProtocol, stats.ByBadInput
+	code, why := pgwire.CodeProtocol, metrics.ByBadInput
 	switch {
 	case errors.Is(err, errFull):
-		code, why = pgwire.CodeFull, stats.ByBound
+		code, why = pgwire.CodeFull, metrics.ByBound
 	case errors.Is(err, errAhead):
-		code, why = pgwire.CodeTooLong, stats.ByBound
+		code, why = pgwire.CodeTooLong, metrics.ByBound
 	case errors.Is(err, errNotOffered):
 		code = pgwire.CodeNotKnown
 	case errors.Is(err, pgwire.ErrTooLong):
@@ -278,8 +278,8 @@
 	case c.started.Load():
 		code = pgwire.CodeSyntax
 	}
-	if why == stats.ByBadInput {
-		c.server.loop.Stats.Add(stats.BadInput, 1)
+	if why == metrics.ByBadInput {
+		c.server.loop.Stats.Add(metrics.BadInput, 1)
 	}
 	c.because(why)
 	c.mu.Lock()
@@ -290,7 +290,7 @@
 		later = c.server.loop.ComeBack()
 	}
 	c.send(c.server.loop.Pool.Filled(pgwire.ErrorAnswer(pgwire.Fatal, code, err.Error(), later)), func() {
-		c.server.loop.Post(stage.Call(func(*stage.Loop) { c.halfClose(why) }))
+		c.server.loop.Post(pipeline.Call(func(*pipeline.Loop) { c.halfClose(why) }))
 	})
 }
 
@@ -307,7 +307,7 @@
 	case m.Type == 0:
 		return c.startup(m.Body.Bytes())
 	case m.Type == 'X':
-		c.end(stats.ByTerminate)
+		c.end(metrics.ByTerminate)
 		return nil
 	case m.Type != 'Q':
 		return errNotOffered
@@ -331,10 +331,10 @@
 }
 
 // query makes the record of a query; there is none of an empty one.
-func (c *conn) query(m pgwire.Message, at relay.Seconds) (*stage.Query, error) {
+func (c *conn) query(m pgwire.Message, at relay.Seconds) (*pipeline.Query, error) {
 	if m.Lost {
-		c.server.loop.Stats.Add(stats.BoundBuffers, 1)
-		return stage.NoRoom("no room for the query", at), nil
+		c.server.loop.Stats.Add(metrics.BoundBuffers, 1)
+		return pipeline.NoRoom("no room for the query", at), nil
 	}
 	text, err := pgwire.Statement(m.Body.Bytes())
 	if err != nil {
@@ -344,7 +344,7 @@
 		m.Body.Free()
 		return nil, nil
 	}
-	return stage.TakeIn(&c.server.loop.Site, text, m.Body, at)
+	return pipeline.TakeIn(&c.server.loop.Site, text, m.Body, at)
 }
 
 // startup answers a startup packet.
@@ -361,7 +361,7 @@
 	case pgwire.OpenEncryption:
 		c.send(c.server.loop.Pool.Filled([]byte{pgwire.NoEncryption}), nil)
 	case pgwire.OpenCancel:
-		c.end(stats.ByCancel)
+		c.end(metrics.ByCancel)
 	case pgwire.OpenSession:
 		c.split.Startup = false
 		c.started.Store(true)
@@ -371,7 +371,7 @@
 }
 
 // Take starts an item, or lets it wait for its turn.
-func (it *item) Take(l *stage.Loop) {
+func (it *item) Take(l *pipeline.Loop) {
 	c := it.c
 	if c.shutting {
 		it.drop() // it crossed the end of the connection
@@ -425,7 +425,7 @@
 		if !it.hello {
 			c.ahead.Add(-1)
 		}
-		c.server.loop.Post(stage.Call(func(l *stage.Loop) {
+		c.server.loop.Post(pipeline.Call(func(l *pipeline.Loop) {
 			if c.current != it {
 				return
 			}
--- a/internal/clients/outbox.go
+++ b/internal/clients/outbox.go
@@ -4,7 +4,7 @@
 	"sync"
 
 	"lichenroad/internal/buffer"
-	"lichenroad/internal/stats"
+	"lichenroad/internal/metrics"
 )
 
 // outbox writes what a connection sends, in order, without ever holding its callers up.
@@ -48,7 +48,7 @@
 		})
 		p.chain.Free()
 		if err != nil {
-			c.end(stats.ByWrite)
+			c.end(metrics.ByWrite)
 		}
 		if p.after != nil {
 			p.after()
--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -30,8 +30,8 @@
 	Peers      []string
 	PeersAll   string
 	Platform   string
-	News       relay.StageNews // Valid where the configuration holds news
-	Known      json.RawMessage // the list as last held
+	News       relay.RolloutStatus // Valid where the configuration holds news
+	Known      json.RawMessage     // the list as last held
 	Site       settings.Site
 }
 
@@ -177,7 +177,7 @@
 }
 
 // news reads the state of a build, whose fields may be numbers or text.
-func news(fields map[string]json.RawMessage) (relay.StageNews, error) {
+func news(fields map[string]json.RawMessage) (relay.RolloutStatus, error) {
 	word := func(name string) string {
 		var s string
 		if json.Unmarshal(fields[name], &s) == nil {
--- a/internal/roster/bench_test.go
+++ b/internal/discovery/bench_test.go
@@ -1,4 +1,4 @@
-package roster
+package discovery
 
 import (
 	"bytes"
--- a/internal/roster/keeper.go
+++ b/internal/discovery/keeper.go
@@ -1,4 +1,4 @@
-package roster
+package discovery
 
 import (
 	"fmt"
@@ -73,15 +73,15 @@
 
 // took takes an answer, to the watch or to a call for the whole list, and says what of it the module is to be told;
 // an answer to an order always, else only news.
-func (k *keeper) took(list List, ordered, fetched bool) (List, relay.RosterForm, bool) {
+func (k *keeper) took(list List, ordered, fetched bool) (List, relay.ListUpdateKind, bool) {
 	k.stands = k.stands || !fetched
 	if fetched && list.Generation < k.version {
 		list = List{Generation: k.version} // the watch has told more meanwhile; this brings nothing new
 	}
 	k.version, k.off = list.Generation, 0
-	form := relay.RosterDelta
+	form := relay.ListDelta
 	if list.Whole {
-		form = relay.RosterFull
+		form = relay.ListFull
 	}
 	return list, form, ordered || list.Whole || len(list.Lines) > 0 || list.Bad > 0
 }
--- a/internal/roster/list.go
+++ b/internal/discovery/list.go
@@ -1,4 +1,4 @@
-package roster
+package discovery
 
 import (
 	"bytes"
@@ -26,7 +26,7 @@
 
 // Line is one entry: what the module sees of it, and where it is.
 type Line struct {
-	relay.UnitEntry
+	relay.Endpoint
 	Name, Address string
 }
 
@@ -92,7 +92,7 @@
 
 var errList = errors.New("malformed list")
 
-var states = map[string]relay.UnitState{"SERVING": relay.Ready, "DRAINING": relay.Draining, "DELETED": relay.Gone}
+var states = map[string]relay.EndpointState{"SERVING": relay.Ready, "DRAINING": relay.Draining, "DELETED": relay.Removed}
 
 // Parse reads a list. An entry that can't be read is left out and does not lose the rest, but one that says of a unit
 // that it leaves is believed with what can be read of it; of two entries with one id the later holds.
@@ -107,20 +107,20 @@
 		return List{}, fmt.Errorf("%w: %d entries", errList, len(w.Instances))
 	}
 	l := List{Generation: *w.Generation, Whole: w.Reset}
-	at := map[relay.UnitID]int{}
+	at := map[relay.EndpointID]int{}
 	for _, raw := range w.Instances {
 		line, err := r.line(raw)
 		if err != nil {
 			l.Bad++
-			if !line.Bare {
+			if !line.Partial {
 				continue
 			}
 		}
-		if i, twice := at[line.Unit]; twice {
+		if i, twice := at[line.ID]; twice {
 			l.Lines[i] = line
 			continue
 		}
-		at[line.Unit] = len(l.Lines)
+		at[line.ID] = len(l.Lines)
 		l.Lines = append(l.Lines, line)
 	}
 	return l, nil
@@ -144,27 +144,27 @@
 	if w.ID == "" || !known {
 		return Line{}, fmt.Errorf("%w: entry %.40q", errList, w.ID)
 	}
-	if _, err := netip.ParseAddrPort(w.HostPort); err != nil && fault == nil && state != relay.Gone {
+	if _, err := netip.ParseAddrPort(w.HostPort); err != nil && fault == nil && state != relay.Removed {
 		fault = fmt.Errorf("%w: address %.40q", errList, w.HostPort)
 	}
 	if fault != nil && state == relay.Ready {
 		return Line{}, fault
 	}
 	if fault != nil {
-		return Line{UnitEntry: relay.UnitEntry{Unit: idOf(w.ID), State: state, Bare: true}, Name: w.ID}, fault
+		return Line{Endpoint: relay.Endpoint{ID: idOf(w.ID), State: state, Partial: true}, Name: w.ID}, fault
 	}
-	e := relay.UnitEntry{Unit: idOf(w.ID), Zone: relay.Zone(r.zones.number(w.Zone)),
-		Kind: relay.Kind(r.kinds.number(w.Machine)), Cell: relay.Cell(w.Cell), Build: relay.Build(w.Build),
+	e := relay.Endpoint{ID: idOf(w.ID), Zone: relay.Zone(r.zones.number(w.Zone)),
+		MachineType: relay.MachineType(r.kinds.number(w.Machine)), FailureDomain: relay.FailureDomain(w.Cell), Build: relay.Build(w.Build),
 		Weight: float64(w.Weight), State: state}
 	if w.StartedMs != 0 {
-		e.Started, e.StartedAt = true, r.unix(float64(w.StartedMs)/1000)
+		e.StartKnown, e.StartedAt = true, r.unix(float64(w.StartedMs)/1000)
 	}
-	return Line{UnitEntry: e, Name: w.ID, Address: w.HostPort}, nil
+	return Line{Endpoint: e, Name: w.ID, Address: w.HostPort}, nil
 }
 
 // idOf numbers a unit by a hash of its id: relays tell one another of units, so all must use one number.
-func idOf(name string) relay.UnitID {
+func idOf(name string) relay.EndpointID {
 	h := fnv.New64a()
 	h.Write([]byte(name))
-	return relay.UnitID(h.Sum64())
+	return relay.EndpointID(h.Sum64())
 }
--- a/internal/roster/member.go
+++ b/internal/discovery/member.go
@@ -1,8 +1,8 @@
-package roster
+package discovery
 
 import (
-	"lichenroad/internal/stage"
-	"lichenroad/internal/stats"
+	"lichenroad/internal/metrics"
+	"lichenroad/internal/pipeline"
 	"lichenroad/membership"
 	"lichenroad/relay"
 )
@@ -11,7 +11,7 @@
 // All of it runs on the loop.
 type member struct {
 	asker  *Asker
-	loop   *stage.Loop
+	loop   *pipeline.Loop
 	node   *membership.Node
 	wakeAt relay.Seconds // of the wake-up that is under way; membership.Never: none
 	lease  relay.Seconds // that the module was last told
@@ -19,18 +19,18 @@
 
 func newMember(a *Asker, seed int64) *member {
 	site := a.loop.Site
-	node := membership.New(membership.Settings{Self: site.Self, Relays: site.Relays, Messages: site.Limits.Messages,
-		AskEvery: site.Rules.AskEvery, Epoch: -a.loop.Clock.Unix(0)}, seed)
+	node := membership.New(membership.Settings{Self: site.Self, Relays: site.Relays, Messages: site.Limits.PeerMessages,
+		AskEvery: site.Rules.PollInterval, Epoch: -a.loop.Clock.Unix(0)}, seed)
 	return &member{asker: a, loop: a.loop, node: node, wakeAt: membership.Never, lease: -1}
 }
 
 // list tells the node of a list, of before the start or from discovery.
 func (m *member) list(t told) {
-	given := membership.List{Generation: t.list.Generation, Whole: t.form != relay.RosterDelta}
+	given := membership.List{Generation: t.list.Generation, Whole: t.form != relay.ListDelta}
 	for _, line := range t.list.Lines {
-		given.Units = append(given.Units, line.UnitEntry)
+		given.Units = append(given.Units, line.Endpoint)
 	}
-	if t.form == relay.RosterCached {
+	if t.form == relay.ListCached {
 		m.step(membership.Held{List: given})
 		return
 	}
@@ -42,27 +42,27 @@
 	now := m.loop.Clock.Now()
 	out := m.node.Step(now, event)
 	for _, body := range out.Messages {
-		m.loop.Peers.Tell(relay.Tell{To: relay.Everyone, Body: body})
+		m.loop.Peers.Tell(relay.SendMessage{To: relay.Broadcast, Body: body})
 	}
 	m.leave(out.Left)
 	m.grant(now, out.Lease)
 	if out.Answers {
-		m.loop.Learn(relay.DiscoveryAnswers{})
+		m.loop.Learn(relay.DiscoveryRecovered{})
 	}
 	m.wake(out.WakeAt)
 }
 
 // leave tells connections and module of units that peers know to have left.
-func (m *member) leave(left []relay.UnitID) {
+func (m *member) leave(left []relay.EndpointID) {
 	if len(left) == 0 {
 		return
 	}
-	r := relay.Roster{Form: relay.RosterDelta, FromPeers: true}
+	r := relay.ListUpdate{Kind: relay.ListDelta, FromPeers: true}
 	for _, unit := range left {
 		m.asker.units.Leaving(unit, false)
-		r.Units = append(r.Units, relay.UnitEntry{Unit: unit, State: relay.Draining, Bare: true})
+		r.Endpoints = append(r.Endpoints, relay.Endpoint{ID: unit, State: relay.Draining, Partial: true})
 	}
-	m.loop.Stats.Add(stats.UnitsToldByPeers, int64(len(left)))
+	m.loop.Stats.Add(metrics.UnitsToldByPeers, int64(len(left)))
 	m.loop.Learn(r)
 }
 
@@ -70,7 +70,7 @@
 func (m *member) grant(now, lease relay.Seconds) {
 	if lease != m.lease {
 		m.lease = lease
-		m.loop.Learn(relay.RosterLease{Until: lease})
+		m.loop.Learn(relay.ListLease{ExpiresAt: lease})
 	}
 	if now < lease {
 		m.loop.Open()
@@ -92,10 +92,10 @@
 }
 
 // Heard takes a datagram of another relay, on the loop.
-func (a *Asker) Heard(from relay.RelayNo, body []byte) {
+func (a *Asker) Heard(from relay.RelayID, body []byte) {
 	unreadable := a.member.node.Counters().Unreadable
 	a.member.step(membership.Heard{From: from, Body: body})
 	if a.member.node.Counters().Unreadable > unreadable {
-		a.loop.Stats.Add(stats.BadInput, 1)
+		a.loop.Stats.Add(metrics.BadInput, 1)
 	}
 }
--- a/internal/guard/guard.go
+++ b/internal/guard/guard.go
@@ -10,8 +10,8 @@
 
 	"github.com/sirupsen/logrus"
 
+	"lichenroad/internal/pipeline"
 	"lichenroad/internal/platform"
-	"lichenroad/internal/stage"
 	"lichenroad/plan"
 	"lichenroad/relay"
 	"lichenroad/rollout"
@@ -26,8 +26,8 @@
 
 // Host is the guard of a relay. All of it is of the loop.
 type Host struct {
-	loop      *stage.Loop
-	platform  stage.Platform
+	loop      *pipeline.Loop
+	platform  pipeline.Platform
 	clock     func() plan.Unix
 	guard     *rollout.Guard
 	plan      *plan.Plan
@@ -42,7 +42,7 @@
 
 // Names gives the settings' customers by number.
 func Names(site *settings.Site) []string {
-	out := make([]string, len(site.Settings.Customers))
+	out := make([]string, len(site.Settings.Tenants))
 	for name, no := range site.Customers {
 		if int(no) < len(out) {
 			out[no] = name
@@ -52,7 +52,7 @@
 }
 
 // New returns the host of a guard for a service of a plan; clock may be nil.
-func New(l *stage.Loop, p *plan.Plan, service string, next stage.Platform, clock func() plan.Unix) (*Host, error) {
+func New(l *pipeline.Loop, p *plan.Plan, service string, next pipeline.Platform, clock func() plan.Unix) (*Host, error) {
 	no, ok := p.Service(service)
 	if !ok {
 		return nil, fmt.Errorf("the plan has no service %q", service)
@@ -94,14 +94,14 @@
 		}
 		w := platform.New(h.loop, t.Watch)
 		name := t.Name
-		w.Hear = func(l *stage.Loop, n relay.StageNews) { h.other(name, n) }
+		w.Hear = func(l *pipeline.Loop, n relay.RolloutStatus) { h.other(name, n) }
 		h.watches[name] = w
 		w.Listen()
 	}
 }
 
 // other takes a line from the desk of another service: news, or a sign of life.
-func (h *Host) other(name string, n relay.StageNews) {
+func (h *Host) other(name string, n relay.RolloutStatus) {
 	no, ok := h.plan.Service(name)
 	if !ok {
 		return
@@ -115,18 +115,18 @@
 }
 
 // Told takes what the platform tells of this relay's own service, or the answer to a vote.
-func (h *Host) Told(n relay.StageNews) {
+func (h *Host) Told(n relay.RolloutStatus) {
 	reply := n.Reply
-	if reply != relay.Unasked && len(h.asked) > 0 {
+	if reply != relay.ReplyNone && len(h.asked) > 0 {
 		if !h.asked[0] {
-			reply = relay.Unasked // the guard cast it; the module knows nothing of it
+			reply = relay.ReplyNone // the guard cast it; the module knows nothing of it
 		}
 		h.asked = h.asked[1:]
 	}
 	h.guard.Hear(h.clock(), n)
 	h.look()
-	if reply != relay.Unasked {
-		h.loop.Learn(relay.StageNews{Reply: reply})
+	if reply != relay.ReplyNone {
+		h.loop.Learn(relay.RolloutStatus{Reply: reply})
 	}
 }
 
@@ -149,8 +149,8 @@
 	now := h.clock()
 	h.events = h.guard.Look(now, h.events[:0])
 	for _, e := range h.events {
-		if n, ok := e.(relay.StageNews); ok {
-			h.loop.Log.WithFields(logrus.Fields{"build": n.Build, "stage": n.Stage, "phase": n.Phase, "cap": n.Cap}).
+		if n, ok := e.(relay.RolloutStatus); ok {
+			h.loop.Log.WithFields(logrus.Fields{"build": n.Build, "stage": n.Stage, "phase": n.Phase, "cap": n.ExposureLimit}).
 				Info("narrowed by the plan")
 		}
 		h.loop.Learn(e)
--- a/internal/stats/reasons.go
+++ b/internal/metrics/reasons.go
@@ -1,4 +1,4 @@
-package stats
+package metrics
 
 import (
 	"math"
--- a/internal/stats/stats.go
+++ b/internal/metrics/stats.go
@@ -1,6 +1,6 @@
 // Package stats counts what the program takes in, sends and answers. The counters are safe for use by any
 // goroutine; Fields gives them all, for one line of the log.
-package stats
+package metrics
 
 import (
 	"sync/atomic"
--- a/internal/peers/peers.go
+++ b/internal/peers/peers.go
@@ -11,8 +11,8 @@
 	"github.com/sirupsen/logrus"
 
 	"lichenroad/internal/limits"
-	"lichenroad/internal/stage"
-	"lichenroad/internal/stats"
+	"lichenroad/internal/metrics"
+	"lichenroad/internal/pipeline"
 	"lichenroad/membership"
 	"lichenroad/relay"
 )
@@ -22,7 +22,7 @@
 
 // Membership takes the messages about the list of units. It is called on the loop.
 type Membership interface {
-	Heard(from relay.RelayNo, body []byte)
+	Heard(from relay.RelayID, body []byte)
 }
 
 // Tier is the relays that may tell one another things.
@@ -30,24 +30,24 @@
 	// Membership is set before Start; nil: such messages are dropped by the module, as unknown.
 	Membership Membership
 
-	loop *stage.Loop
+	loop *pipeline.Loop
 	conn *net.UDPConn
 	to   []netip.AddrPort
 	all  netip.AddrPort
-	from map[netip.AddrPort]relay.RelayNo
-	out  chan relay.Tell
+	from map[netip.AddrPort]relay.RelayID
+	out  chan relay.SendMessage
 }
 
 // Open binds the address for messages; peers are the relays' addresses in the order of their numbers.
-func Open(l *stage.Loop, listen string, peers []string, all string) (*Tier, error) {
-	t := &Tier{loop: l, from: map[netip.AddrPort]relay.RelayNo{}, out: make(chan relay.Tell, limits.PeerMessagesAhead)}
+func Open(l *pipeline.Loop, listen string, peers []string, all string) (*Tier, error) {
+	t := &Tier{loop: l, from: map[netip.AddrPort]relay.RelayID{}, out: make(chan relay.SendMessage, limits.PeerMessagesAhead)}
 	for i, s := range peers {
 		a, err := parse("peers", s)
 		if err != nil {
 			return nil, err
 		}
 		t.to = append(t.to, a)
-		t.from[a] = relay.RelayNo(i)
+		t.from[a] = relay.RelayID(i)
 	}
 	if all != "" {
 		a, err := parse("peers_all", all)
@@ -82,38 +82,38 @@
 }
 
 // Tell sends a message, or drops it: a message may be lost at any time.
-func (t *Tier) Tell(m relay.Tell) {
+func (t *Tier) Tell(m relay.SendMessage) {
 	if len(m.Body) > MaxBody {
-		t.loop.Stats.Add(stats.PeerMessagesDropped, 1)
+		t.loop.Stats.Add(metrics.PeerMessagesDropped, 1)
 		t.loop.Log.WithFields(logrus.Fields{"peer": "relay", "bytes": len(m.Body)}).Error("message too long")
 		return
 	}
 	select {
 	case t.out <- m:
 	default:
-		t.loop.Stats.Add(stats.PeerMessagesDropped, 1)
+		t.loop.Stats.Add(metrics.PeerMessagesDropped, 1)
 	}
 }
 
 func (t *Tier) writing() {
 	for m := range t.out {
 		to := t.all
-		if m.To != relay.Everyone {
+		if m.To != relay.Broadcast {
 			to = netip.AddrPort{}
 			if int(m.To) < len(t.to) {
 				to = t.to[m.To]
 			}
 		}
 		if !to.IsValid() {
-			t.loop.Stats.Add(stats.PeerMessagesDropped, 1)
+			t.loop.Stats.Add(metrics.PeerMessagesDropped, 1)
 			continue
 		}
 		if _, err := t.conn.WriteToUDPAddrPort(m.Body, to); err != nil {
-			t.loop.Stats.Add(stats.PeerMessagesDropped, 1)
+			t.loop.Stats.Add(metrics.PeerMessagesDropped, 1)
 			t.loop.Log.WithField("peer", "relay").WithError(err).Debug("message not sent")
 			continue
 		}
-		t.loop.Stats.Add(stats.PeerMessagesOut, 1)
+		t.loop.Stats.Add(metrics.PeerMessagesOut, 1)
 	}
 }
 
@@ -131,18 +131,18 @@
 		}
 		no, known := t.from[netip.AddrPortFrom(addr.Addr().Unmap(), addr.Port())]
 		if !known || n > MaxBody || no == t.loop.Site.Self {
-			t.loop.Stats.Add(stats.PeerMessagesDropped, 1)
+			t.loop.Stats.Add(metrics.PeerMessagesDropped, 1)
 			continue
 		}
-		heard := relay.Heard{From: no, Body: append([]byte(nil), buf[:n]...)}
-		if t.loop.PostLoose(stage.Call(func(l *stage.Loop) { t.deliver(l, heard) })) {
-			t.loop.Stats.Add(stats.PeerMessagesIn, 1)
+		heard := relay.MessageReceived{From: no, Body: append([]byte(nil), buf[:n]...)}
+		if t.loop.PostLoose(pipeline.Call(func(l *pipeline.Loop) { t.deliver(l, heard) })) {
+			t.loop.Stats.Add(metrics.PeerMessagesIn, 1)
 		}
 	}
 }
 
 // deliver hands a message to the part that it is for, on the loop.
-func (t *Tier) deliver(l *stage.Loop, heard relay.Heard) {
+func (t *Tier) deliver(l *pipeline.Loop, heard relay.MessageReceived) {
 	if t.Membership != nil && membership.IsMessage(heard.Body) {
 		t.Membership.Heard(heard.From, heard.Body)
 		return
--- a/internal/stage/admit.go
+++ b/internal/pipeline/admit.go
@@ -1,4 +1,4 @@
-package stage
+package pipeline
 
 import (
 	"hash/fnv"
@@ -33,8 +33,8 @@
 	}
 	q.ID = l.lastID
 	l.queries[q.ID] = q
-	l.Learn(relay.Query{ID: q.ID, Until: q.Until, Work: float64(q.Work) / 1e6, HasWork: q.HasWork,
-		Again: q.Again, Key: keyOf(q.Object), Customer: q.Customer, Category: q.Category})
+	l.Learn(relay.Request{ID: q.ID, Deadline: q.Until, Work: float64(q.Work) / 1e6, HasWork: q.HasWork,
+		Retried: q.Again, Key: keyOf(q.Object), Tenant: q.Customer, Class: q.Category})
 }
 
 // keyOf gives what a query concerns as a number: the number that it is, or a hash.
@@ -56,8 +56,8 @@
 	return ""
 }
 
-func (l *Loop) deny(o relay.Deny) {
-	if q := l.queries[o.Query]; q != nil && q.Final == StillOpen {
+func (l *Loop) deny(o relay.Reject) {
+	if q := l.queries[o.Request]; q != nil && q.Final == StillOpen {
 		detail := ""
 		if o.RetryAfter > 0 {
 			detail = pgwire.Later(int64(math.Ceil(o.RetryAfter * 1000)))
@@ -66,16 +66,16 @@
 	}
 }
 
-func (l *Loop) writeOff(o relay.WriteOff) {
-	if q := l.queries[o.Query]; q != nil && q.Final == StillOpen {
+func (l *Loop) writeOff(o relay.Fail) {
+	if q := l.queries[o.Request]; q != nil && q.Final == StillOpen {
 		l.answerError(q, IsWrittenOff, pgwire.CodeFailed, textFailed, "")
 	}
 }
 
-// ClientLeft tells that the client of an open query is gone. Only on the loop.
+// ClientDisconnected tells that the client of an open query is gone. Only on the loop.
 func (l *Loop) ClientLeft(q *Query) {
 	if q.Final == StillOpen {
 		l.finish(q, HasLeft)
-		l.Learn(relay.ClientLeft{Query: q.ID})
+		l.Learn(relay.ClientDisconnected{Request: q.ID})
 	}
 }
--- a/internal/stage/book.go
+++ b/internal/pipeline/book.go
@@ -1,8 +1,8 @@
-package stage
+package pipeline
 
 import (
 	"lichenroad/internal/buffer"
-	"lichenroad/internal/stats"
+	"lichenroad/internal/metrics"
 	"lichenroad/relay"
 )
 
@@ -14,9 +14,9 @@
 	Answer *buffer.Chain // of an honoured leg: what the client gets
 }
 
-var legCounters = [...]stats.ID{relay.Honoured: stats.LegHonoured, relay.Errored: stats.LegErrored,
-	relay.TurnedAway: stats.LegTurnedAway, relay.TimedOut: stats.LegTimedOut, relay.NoConnect: stats.LegNoConnect,
-	relay.Broken: stats.LegBroken, relay.Cancelled: stats.LegCancelled, relay.NotSent: stats.LegNotSent}
+var legCounters = [...]metrics.ID{relay.Succeeded: metrics.LegHonoured, relay.Errored: metrics.LegErrored,
+	relay.RejectedByEndpoint: metrics.LegTurnedAway, relay.TimedOut: metrics.LegTimedOut, relay.ConnectFailed: metrics.LegNoConnect,
+	relay.ConnectionBroken: metrics.LegBroken, relay.Cancelled: metrics.LegCancelled, relay.NotSent: metrics.LegNotSent}
 
 // End books the end of a leg, once; a second end is ignored. Only on the loop.
 func (l *Loop) End(leg *Leg, e Ending) {
@@ -27,30 +27,30 @@
 	leg.Ended = true
 	if leg.Query == nil {
 		e.Answer.Free()
-		l.Learn(relay.Probed{Unit: leg.Unit, Took: e.Took, How: e.How, Report: e.Report})
+		l.Learn(relay.HealthCheckEnded{Endpoint: leg.Unit, Duration: e.Took, Outcome: e.How, LoadReport: e.Report})
 		return
 	}
-	l.Stats.Add(stats.LegsOpen, -1)
+	l.Stats.Add(metrics.LegsOpen, -1)
 	l.Stats.Add(legCounters[e.How], 1)
 	q := leg.Query
 	q.open--
-	if e.How == relay.Honoured && q.Final == StillOpen {
+	if e.How == relay.Succeeded && q.Final == StillOpen {
 		l.pass(q, e.Answer)
 	} else {
 		e.Answer.Free()
 	}
-	l.Learn(relay.LegEnded{Query: q.ID, Leg: leg.No, Unit: leg.Unit, How: e.How, Took: e.Took,
-		Over: q.Final != StillOpen, Report: e.Report})
+	l.Learn(relay.AttemptEnded{Request: q.ID, Attempt: leg.No, Endpoint: leg.Unit, Outcome: e.How, Duration: e.Took,
+		RequestFinished: q.Final != StillOpen, LoadReport: e.Report})
 	l.forget(q)
 }
 
-var finalCounters = [...]stats.ID{IsHonoured: stats.Honoured, IsDenied: stats.Denied,
-	IsWrittenOff: stats.WrittenOff, HasLeft: stats.Left}
+var finalCounters = [...]metrics.ID{IsHonoured: metrics.Honoured, IsDenied: metrics.Denied,
+	IsWrittenOff: metrics.WrittenOff, HasLeft: metrics.Left}
 
 // finish books the end of a query.
 func (l *Loop) finish(q *Query, how Final) {
 	q.Final = how
-	l.Stats.Add(stats.Open, -1)
+	l.Stats.Add(metrics.Open, -1)
 	l.Stats.Add(finalCounters[how], 1)
 	q.Text.Free()
 	l.forget(q)
--- a/internal/stage/loop.go
+++ b/internal/pipeline/loop.go
@@ -2,7 +2,7 @@
 // one loop that owns the decision module. Everything that happens on a socket is posted to the loop as an
 // Event; the loop steps the module over what that means and carries out its orders. The loop never blocks
 // and decides nothing.
-package stage
+package pipeline
 
 import (
 	"container/heap"
@@ -14,7 +14,7 @@
 
 	"lichenroad/internal/buffer"
 	"lichenroad/internal/limits"
-	"lichenroad/internal/stats"
+	"lichenroad/internal/metrics"
 	"lichenroad/policy"
 	"lichenroad/relay"
 	"lichenroad/settings"
@@ -41,19 +41,19 @@
 		Send(*Leg)
 		Drop(*Leg) (sent bool) // give the leg up; says whether its last byte may have gone out
 		Recall(*Leg)           // the leg is late from now on: it ends as not sent, unless its last byte is out
-		Probe(relay.UnitID)
-		CloseIdle(relay.UnitID)
+		Probe(relay.EndpointID)
+		CloseIdle(relay.EndpointID)
 	}
 	Roster interface {
 		Watch(on, anew bool) // anew: a watch that stands is given up for a new one
 		Fetch()
 	}
 	Platform interface{ Vote(relay.Vote) }
-	Peers    interface{ Tell(relay.Tell) }
+	Peers    interface{ Tell(relay.SendMessage) }
 
 	// Guard stands between platform and module where a plan of releases holds. Both are called on the loop.
 	Guard interface {
-		Told(relay.StageNews)
+		Told(relay.RolloutStatus)
 		Vote(relay.Vote)
 	}
 )
@@ -63,7 +63,7 @@
 	Clock    Clock
 	Site     settings.Site
 	Pool     *buffer.Pool
-	Stats    *stats.Counters
+	Stats    *metrics.Counters
 	Log      *logrus.Logger
 	Units    Units
 	Roster   Roster
@@ -72,9 +72,9 @@
 	Guard    Guard // nil: none
 
 	module  *policy.Policy
-	queries map[relay.QueryID]*Query
+	queries map[relay.RequestID]*Query
 	over    []*Query // ended since the last step
-	lastID  relay.QueryID
+	lastID  relay.RequestID
 	batch   []relay.Event
 	timers  timers
 	seq     uint64
@@ -88,9 +88,9 @@
 }
 
 // NewLoop returns a loop round a fresh module.
-func NewLoop(site settings.Site, seed int64, pool *buffer.Pool, counters *stats.Counters, log *logrus.Logger) *Loop {
+func NewLoop(site settings.Site, seed int64, pool *buffer.Pool, counters *metrics.Counters, log *logrus.Logger) *Loop {
 	return &Loop{Clock: NewClock(), Site: site, Pool: pool, Stats: counters, Log: log,
-		module: policy.New(site.Settings, seed), queries: map[relay.QueryID]*Query{},
+		module: policy.New(site.Settings, seed), queries: map[relay.RequestID]*Query{},
 		waiting: make(chan struct{}, 1)}
 }
 
@@ -111,7 +111,7 @@
 	full := len(l.queue) >= limits.EventQueue
 	l.mu.Unlock()
 	if full {
-		l.Stats.Add(stats.BoundQueue, 1)
+		l.Stats.Add(metrics.BoundQueue, 1)
 		return false
 	}
 	l.Post(e)
@@ -128,7 +128,7 @@
 func (l *Loop) Learn(e relay.Event) { l.batch = append(l.batch, e) }
 
 // Told takes news from the platform. Only on the loop.
-func (l *Loop) Told(n relay.StageNews) {
+func (l *Loop) Told(n relay.RolloutStatus) {
 	if l.Guard != nil {
 		l.Guard.Told(n)
 	} else {
@@ -223,37 +223,37 @@
 	l.sweep(over)
 }
 
-func (l *Loop) order(o relay.Order) {
+func (l *Loop) order(o relay.Command) {
 	switch o := o.(type) {
-	case relay.SendLeg:
+	case relay.SendAttempt:
 		l.route(o)
-	case relay.Recall:
+	case relay.CancelUnsent:
 		l.recall(o)
-	case relay.CancelLeg:
+	case relay.CancelAttempt:
 		l.cancel(o)
-	case relay.Deny:
+	case relay.Reject:
 		l.deny(o)
-	case relay.WriteOff:
+	case relay.Fail:
 		l.writeOff(o)
-	case relay.Wake:
-		l.At(o.At, func() { l.Learn(relay.Woken{ID: o.ID}) })
-	case relay.Probe:
-		l.Stats.Add(stats.Probes, 1)
-		l.Units.Probe(o.Unit)
+	case relay.SetTimer:
+		l.At(o.At, func() { l.Learn(relay.TimerFired{ID: o.ID}) })
+	case relay.HealthCheck:
+		l.Stats.Add(metrics.Probes, 1)
+		l.Units.Probe(o.Endpoint)
 	case relay.CloseIdle:
-		l.Units.CloseIdle(o.Unit)
-	case relay.Tell:
+		l.Units.CloseIdle(o.Endpoint)
+	case relay.SendMessage:
 		l.Peers.Tell(o)
 	case relay.Vote:
-		l.Stats.Add(stats.Votes, 1)
+		l.Stats.Add(metrics.Votes, 1)
 		if l.Guard != nil {
 			l.Guard.Vote(o)
 		} else {
 			l.Platform.Vote(o)
 		}
 	case relay.Watch:
-		l.Roster.Watch(o.On, o.Anew)
-	case relay.Fetch:
+		l.Roster.Watch(o.On, o.Restart)
+	case relay.FetchList:
 		l.Roster.Fetch()
 	case relay.Log:
 		l.Log.WithField("from", "module").Info(o.Line)
--- a/internal/stage/query.go
+++ b/internal/pipeline/query.go
@@ -1,4 +1,4 @@
-package stage
+package pipeline
 
 import (
 	"math"
@@ -29,13 +29,13 @@
 // Query is the one record of a query, from take in to book.
 type Query struct {
 	pgwire.Query
-	ID       relay.QueryID
+	ID       relay.RequestID
 	Client   Client
 	Text     *buffer.Chain // the body of the Query message; freed at the end
 	Arrived  relay.Seconds // when its last byte was read
 	Until    relay.Seconds // when the client gives up
-	Category relay.Category
-	Customer relay.Customer
+	Category relay.RequestClass
+	Customer relay.Tenant
 	Legs     []*Leg
 	Final    Final
 	NoRoom   string // why it is denied before the module sees it
@@ -46,8 +46,8 @@
 // Leg is a query on its way to one unit, or a probe.
 type Leg struct {
 	Query *Query // nil: a probe
-	No    relay.LegNo
-	Unit  relay.UnitID
+	No    relay.AttemptNumber
+	Unit  relay.EndpointID
 	Asked relay.Seconds // when the module ordered it
 	Until relay.Seconds // when it is given up
 	Ended bool
--- a/internal/stage/relay.go
+++ b/internal/pipeline/relay.go
@@ -1,4 +1,4 @@
-package stage
+package pipeline
 
 import (
 	"lichenroad/internal/buffer"
--- a/internal/stage/send.go
+++ b/internal/pipeline/send.go
@@ -1,18 +1,18 @@
-package stage
+package pipeline
 
 import (
 	"strconv"
 
 	"lichenroad/internal/buffer"
+	"lichenroad/internal/metrics"
 	"lichenroad/internal/pgwire"
-	"lichenroad/internal/stats"
 	"lichenroad/relay"
 )
 
 // send hands a leg to the connections of its unit, and gives it up when its time is over.
 func (l *Loop) send(leg *Leg) {
-	l.Stats.Add(stats.LegsSent, 1)
-	l.Stats.Add(stats.LegsOpen, 1)
+	l.Stats.Add(metrics.LegsSent, 1)
+	l.Stats.Add(metrics.LegsOpen, 1)
 	if leg.Query.Final != StillOpen {
 		l.End(leg, Ending{How: relay.NotSent})
 		return
@@ -23,7 +23,7 @@
 		}
 		how := relay.TimedOut
 		if !l.Units.Drop(leg) {
-			how = relay.NoConnect // it never left this relay
+			how = relay.ConnectFailed // it never left this relay
 		}
 		l.End(leg, Ending{How: how, Took: l.Clock.Now() - leg.Asked})
 	})
--- a/internal/stage/takein.go
+++ b/internal/pipeline/takein.go
@@ -1,11 +1,11 @@
-package stage
+package pipeline
 
 import (
 	"fmt"
 
 	"lichenroad/internal/buffer"
+	"lichenroad/internal/metrics"
 	"lichenroad/internal/pgwire"
-	"lichenroad/internal/stats"
 	"lichenroad/relay"
 	"lichenroad/settings"
 )
@@ -33,8 +33,8 @@
 
 // Begin starts a query whose turn on its connection has come; from is when its time began to count.
 func (l *Loop) Begin(q *Query, from relay.Seconds) {
-	l.Stats.Add(stats.TakenIn, 1)
-	l.Stats.Add(stats.Open, 1)
+	l.Stats.Add(metrics.TakenIn, 1)
+	l.Stats.Add(metrics.Open, 1)
 	q.Until = from + float64(q.Patience)/1000
 	l.admit(q)
 }
--- a/internal/platform/platform.go
+++ b/internal/platform/platform.go
@@ -12,25 +12,25 @@
 
 	"lichenroad/internal/limits"
 	"lichenroad/internal/linewire"
-	"lichenroad/internal/stage"
-	"lichenroad/internal/stats"
+	"lichenroad/internal/metrics"
+	"lichenroad/internal/pipeline"
 	"lichenroad/relay"
 )
 
 // Desk talks to the platform.
 type Desk struct {
-	loop    *stage.Loop
+	loop    *pipeline.Loop
 	address atomic.Value // string
 	wait    time.Duration
 	votes   chan relay.Vote
 	signs   chan sign
 
 	// Hear, where it is set, gets all that is told, on the loop: news, and signs of life as news that are not valid.
-	Hear func(*stage.Loop, relay.StageNews)
+	Hear func(*pipeline.Loop, relay.RolloutStatus)
 }
 
 // New returns a desk; without an address there is no platform, and votes are not counted.
-func New(l *stage.Loop, address string) *Desk {
+func New(l *pipeline.Loop, address string) *Desk {
 	d := &Desk{loop: l, wait: limits.CallFor, votes: make(chan relay.Vote, limits.VotesAhead), signs: make(chan sign)}
 	d.address.Store(address)
 	if t := l.Site.Rollout.CallTimeout; t > 0 {
@@ -72,26 +72,26 @@
 		case d.votes <- v:
 			return
 		default:
-			d.loop.Stats.Add(stats.BoundQueue, 1)
+			d.loop.Stats.Add(metrics.BoundQueue, 1)
 		}
 	}
-	d.tell(relay.StageNews{Reply: relay.NotCounted})
+	d.tell(relay.RolloutStatus{Reply: relay.ReplyNotCounted})
 }
 
-func (d *Desk) tell(n relay.StageNews) {
+func (d *Desk) tell(n relay.RolloutStatus) {
 	switch n.Reply {
-	case relay.Unasked:
-		d.loop.Stats.Add(stats.News, 1)
-	case relay.Counted:
-		d.loop.Stats.Add(stats.VotesCounted, 1)
-	case relay.NotCounted:
-		d.loop.Stats.Add(stats.VotesNotCounted, 1)
-	case relay.Moot:
-		d.loop.Stats.Add(stats.VotesMoot, 1)
-	case relay.MaybeCounted:
-		d.loop.Stats.Add(stats.VotesMaybe, 1)
+	case relay.ReplyNone:
+		d.loop.Stats.Add(metrics.News, 1)
+	case relay.ReplyCounted:
+		d.loop.Stats.Add(metrics.VotesCounted, 1)
+	case relay.ReplyNotCounted:
+		d.loop.Stats.Add(metrics.VotesNotCounted, 1)
+	case relay.ReplyStale:
+		d.loop.Stats.Add(metrics.VotesMoot, 1)
+	case relay.ReplyMaybeCounted:
+		d.loop.Stats.Add(metrics.VotesMaybe, 1)
 	}
-	d.loop.Post(stage.Call(func(l *stage.Loop) {
+	d.loop.Post(pipeline.Call(func(l *pipeline.Loop) {
 		if d.Hear != nil {
 			d.Hear(l, n)
 		} else {
@@ -114,16 +114,16 @@
 func (d *Desk) dial(where string) (*line, error) {
 	n, err := netpoll.DialConnection("tcp", where, d.wait)
 	if err != nil {
-		stats.LogEnd(d.loop.Log, "platform", where, stats.ByRefusal, 0, 0, err)
+		metrics.LogEnd(d.loop.Log, "platform", where, metrics.ByRefusal, 0, 0, err)
 		return nil, err
 	}
 	n.SetWriteTimeout(d.wait)
 	return &line{d: d, where: where, net: n, begun: time.Now()}, nil
 }
 
-func (c *line) end(why stats.Reason) {
+func (c *line) end(why metrics.Reason) {
 	c.net.Close()
-	stats.LogEnd(c.d.loop.Log, "platform", c.where, why, time.Since(c.begun).Seconds(), c.calls, nil)
+	metrics.LogEnd(c.d.loop.Log, "platform", c.where, why, time.Since(c.begun).Seconds(), c.calls, nil)
 }
 
 var errLate = errors.New("no line in time")
@@ -157,15 +157,15 @@
 }
 
 // reason sorts a failure to read.
-func (d *Desk) reason(err error) stats.Reason {
+func (d *Desk) reason(err error) metrics.Reason {
 	switch {
 	case errors.Is(err, errLate):
-		return stats.ByLateAnswer
+		return metrics.ByLateAnswer
 	case errors.Is(err, linewire.ErrMalformed), errors.Is(err, linewire.ErrTooLong):
-		d.loop.Stats.Add(stats.BadInput, 1)
-		return stats.ByBadInput
+		d.loop.Stats.Add(metrics.BadInput, 1)
+		return metrics.ByBadInput
 	}
-	return stats.ByPeer
+	return metrics.ByPeer
 }
 
 // ballot is a connection for votes: they are written one behind another, and the answers come in their order.
@@ -190,13 +190,13 @@
 			where = d.where() // it moved meanwhile; nothing was written
 		}
 		if err != nil {
-			d.tell(relay.StageNews{Reply: relay.NotCounted})
+			d.tell(relay.RolloutStatus{Reply: relay.ReplyNotCounted})
 			continue
 		}
 		b = &ballot{line: c, usedAt: time.Now()}
 		go b.answers()
 		if !b.cast(v) {
-			d.tell(relay.StageNews{Reply: relay.NotCounted}) // gone again, before anything was written
+			d.tell(relay.RolloutStatus{Reply: relay.ReplyNotCounted}) // gone again, before anything was written
 		}
 	}
 }
@@ -237,7 +237,7 @@
 // answers reads until an answer is late or can't be read, or nothing was asked for long. Votes that are open
 // then may have counted.
 func (b *ballot) answers() {
-	why, err := stats.ByIdle, error(nil)
+	why, err := metrics.ByIdle, error(nil)
 	for {
 		left, idle := b.due()
 		if left <= 0 {
@@ -245,7 +245,7 @@
 				continue // a vote was cast meanwhile
 			}
 			if !idle {
-				why = stats.ByLateAnswer
+				why = metrics.ByLateAnswer
 			}
 			break
 		}
@@ -269,7 +269,7 @@
 	b.end(why)
 	b.mu.Unlock()
 	for range open {
-		b.d.tell(relay.StageNews{Reply: relay.MaybeCounted})
+		b.d.tell(relay.RolloutStatus{Reply: relay.ReplyMaybeCounted})
 	}
 }
 
@@ -292,11 +292,11 @@
 		return linewire.ErrMalformed // nothing was asked
 	}
 	news := reply.News
-	news.Reply = relay.Counted
+	news.Reply = relay.ReplyCounted
 	if reply.Error != "" {
 		b.d.loop.Log.WithFields(logrus.Fields{"peer": "platform", "error": reply.Error}).Info("vote not counted")
-		if news.Reply = relay.NotCounted; reply.Error == linewire.Moot {
-			news.Reply = relay.Moot
+		if news.Reply = relay.ReplyNotCounted; reply.Error == linewire.Moot {
+			news.Reply = relay.ReplyStale
 		}
 	}
 	b.d.tell(news)
@@ -381,7 +381,7 @@
 	}
 	why := w.d.reason(err)
 	if w.replaced.Load() {
-		why = stats.ByNewer
+		why = metrics.ByNewer
 	}
 	c.end(why)
 }
--- a/internal/desk/control.go
+++ b/internal/releasecontroller/control.go
@@ -1,4 +1,4 @@
-package desk
+package releasecontroller
 
 import (
 	"bufio"
--- a/internal/desk/desk.go
+++ b/internal/releasecontroller/desk.go
@@ -1,4 +1,4 @@
-package desk
+package releasecontroller
 
 import (
 	"context"
@@ -10,8 +10,8 @@
 	"github.com/sirupsen/logrus"
 
 	"lichenroad/internal/linewire"
+	"lichenroad/internal/metrics"
 	"lichenroad/internal/sockets"
-	"lichenroad/internal/stats"
 	"lichenroad/plan"
 	"lichenroad/relay"
 	"lichenroad/rollout"
@@ -39,7 +39,7 @@
 	lines   map[*line]struct{}
 	events  []rollout.Event // of this batch, applied and not yet on disk
 	answers []func()        // that wait for that
-	told    []relay.StageNews
+	told    []relay.RolloutStatus
 	signAt  time.Time
 	againAt time.Time
 }
@@ -65,7 +65,7 @@
 // Start reads the journal, folds it, opens the ports and runs until the context ends.
 func Start(ctx context.Context, o Options) error {
 	d := &Desk{core: rollout.New(o.Plan), log: o.Log, clock: o.Clock, posts: make(chan func(*Desk), postsAhead),
-		done: make(chan struct{}), lines: map[*line]struct{}{}, told: make([]relay.StageNews, len(o.Plan.Services)), dir: o.Dir}
+		done: make(chan struct{}), lines: map[*line]struct{}{}, told: make([]relay.RolloutStatus, len(o.Plan.Services)), dir: o.Dir}
 	if d.clock == nil {
 		d.clock = func() plan.Unix { return float64(time.Now().UnixNano()) / 1e9 }
 	}
@@ -210,7 +210,7 @@
 				c.send(out)
 			}
 		case sign && wall.UnixNano()-c.used.Load() > int64(idleFor):
-			go c.end(stats.ByIdle, nil)
+			go c.end(metrics.ByIdle, nil)
 		}
 	}
 }
@@ -275,7 +275,7 @@
 		sockets.StopAccepting(p.ln)
 	}
 	for c := range d.lines {
-		c.end(stats.ByShutdown, nil)
+		c.end(metrics.ByShutdown, nil)
 	}
 	if d.control != nil {
 		d.control.close()
--- a/internal/desk/journal.go
+++ b/internal/releasecontroller/journal.go
@@ -1,6 +1,6 @@
 // Package desk is the release desk on sockets: it keeps the state of package rollout in a journal, speaks the
 // platform's lines to relays, and takes operators' words on a control socket. It decides nothing about releases.
-package desk
+package releasecontroller
 
 import (
 	"encoding/binary"
--- a/internal/desk/wire.go
+++ b/internal/releasecontroller/wire.go
@@ -1,4 +1,4 @@
-package desk
+package releasecontroller
 
 import (
 	"context"
@@ -12,7 +12,7 @@
 	"github.com/cloudwego/netpoll"
 
 	"lichenroad/internal/linewire"
-	"lichenroad/internal/stats"
+	"lichenroad/internal/metrics"
 	"lichenroad/plan"
 	"lichenroad/relay"
 )
@@ -54,7 +54,7 @@
 	behind  int
 	writing bool
 	over    bool
-	reason  stats.Reason
+	reason  metrics.Reason
 	fault   error
 }
 
@@ -85,7 +85,7 @@
 	n.SetWriteTimeout(writeFor)
 	n.AddCloseCallback(c.closed)
 	if p.open.Add(1) > connsEach {
-		c.end(stats.ByBound, nil)
+		c.end(metrics.ByBound, nil)
 		return context.WithValue(context.Background(), lineKey{}, c)
 	}
 	p.desk.post(func(d *Desk) { d.lines[c] = struct{}{} })
@@ -97,7 +97,7 @@
 	c.mu.Lock()
 	c.over = true
 	if c.reason == "" {
-		c.reason = stats.ByPeer
+		c.reason = metrics.ByPeer
 	}
 	why, fault := c.reason, c.fault
 	c.mu.Unlock()
@@ -105,12 +105,12 @@
 	if name == "" {
 		name = c.net.RemoteAddr().String()
 	}
-	stats.LogEnd(c.port.desk.log, "relay", name, why, time.Since(c.begun).Seconds(), int(c.calls.Load()), fault)
+	metrics.LogEnd(c.port.desk.log, "relay", name, why, time.Since(c.begun).Seconds(), int(c.calls.Load()), fault)
 	c.port.desk.post(func(d *Desk) { delete(d.lines, c) })
 	return nil
 }
 
-func (c *line) end(why stats.Reason, fault error) {
+func (c *line) end(why metrics.Reason, fault error) {
 	c.mu.Lock()
 	if c.reason == "" {
 		c.reason, c.fault = why, fault
@@ -130,7 +130,7 @@
 	err = c.split.Feed(b, c.call)
 	r.Release()
 	if err != nil {
-		c.end(stats.ByBadInput, err)
+		c.end(metrics.ByBadInput, err)
 	}
 	return nil
 }
@@ -175,7 +175,7 @@
 		return
 	}
 	if c.behind += len(text); c.behind > mostBehind {
-		go c.end(stats.ByWrite, errBehind)
+		go c.end(metrics.ByWrite, errBehind)
 		return
 	}
 	c.queue = append(c.queue, text)
@@ -197,7 +197,7 @@
 		c.queue = c.queue[1:]
 		c.mu.Unlock()
 		if _, err := c.net.Write([]byte(text)); err != nil {
-			c.end(stats.ByWrite, err)
+			c.end(metrics.ByWrite, err)
 			return
 		}
 		c.mu.Lock()
--- a/internal/units/conn.go
+++ b/internal/upstream/conn.go
@@ -1,4 +1,4 @@
-package units
+package upstream
 
 import (
 	"context"
@@ -11,10 +11,10 @@
 
 	"lichenroad/internal/buffer"
 	"lichenroad/internal/limits"
+	"lichenroad/internal/metrics"
 	"lichenroad/internal/pgwire"
+	"lichenroad/internal/pipeline"
 	"lichenroad/internal/sockets"
-	"lichenroad/internal/stage"
-	"lichenroad/internal/stats"
 	"lichenroad/relay"
 )
 
@@ -42,8 +42,8 @@
 	address string
 	net     netpoll.Connection
 	state   state
-	leg     *stage.Leg
-	partly  *stage.Leg    // whose answer has begun
+	leg     *pipeline.Leg
+	partly  *pipeline.Leg // whose answer has begun
 	since   relay.Seconds // idle since
 	last    relay.Seconds // when the last answer was read
 	up      relay.Seconds
@@ -66,9 +66,9 @@
 	begun := p.loop.Clock.Now()
 	n, err := netpoll.DialConnection("tcp", address, span(p.connect))
 	if err != nil {
-		p.loop.Post(stage.Call(func(l *stage.Loop) {
+		p.loop.Post(pipeline.Call(func(l *pipeline.Loop) {
 			u.coming--
-			p.ended(u, stats.ByRefusal, l.Clock.Now()-begun, 0, err)
+			p.ended(u, metrics.ByRefusal, l.Clock.Now()-begun, 0, err)
 			p.missed(u)
 		}))
 		return
@@ -80,21 +80,21 @@
 		// No read is under way here, and none follows.
 		c.split.Free()
 		c.answer.Free()
-		p.loop.Post(stage.Call(func(*stage.Loop) { c.close(stats.ByPeer) }))
+		p.loop.Post(pipeline.Call(func(*pipeline.Loop) { c.close(metrics.ByPeer) }))
 		return nil
 	})
 	n.SetOnRequest(func(_ context.Context, n netpoll.Connection) error { return c.read(n) })
-	p.loop.Post(stage.Call(func(l *stage.Loop) {
+	p.loop.Post(pipeline.Call(func(l *pipeline.Loop) {
 		l.At(begun+p.connect, func() {
 			if c.state == starting {
-				c.close(stats.ByLateConnect)
+				c.close(metrics.ByLateConnect)
 			}
 		})
 	}))
 	_, err = n.Write(p.hello)
-	p.loop.Post(stage.Call(func(*stage.Loop) {
+	p.loop.Post(pipeline.Call(func(*pipeline.Loop) {
 		if err != nil || !n.IsActive() {
-			c.close(stats.ByPeer)
+			c.close(metrics.ByPeer)
 		}
 		c.wrote()
 	}))
@@ -114,12 +114,12 @@
 	for len(u.waiting) > u.coming {
 		leg := u.waiting[0]
 		u.waiting = u.waiting[1:]
-		p.loop.End(leg, stage.Ending{How: relay.NoConnect, Took: p.loop.Clock.Now() - leg.Asked})
+		p.loop.End(leg, pipeline.Ending{How: relay.ConnectFailed, Took: p.loop.Clock.Now() - leg.Asked})
 	}
 }
 
 // close ends the connection, on the loop; whatever leg it carried ends by what is known of it.
-func (c *conn) close(why stats.Reason) {
+func (c *conn) close(why metrics.Reason) {
 	if c.state == dead {
 		return
 	}
@@ -143,20 +143,20 @@
 			}
 		}
 	case busy:
-		if c.leg == nil || why == stats.ByGivenUp {
+		if c.leg == nil || why == metrics.ByGivenUp {
 			break // it has ended, or whoever gave it up books it
 		}
 		if sent := c.sentAt.Load(); sent == 0 {
-			p.loop.End(c.leg, stage.Ending{How: relay.NoConnect, Took: now - c.leg.Asked})
+			p.loop.End(c.leg, pipeline.Ending{How: relay.ConnectFailed, Took: now - c.leg.Asked})
 		} else {
-			p.loop.End(c.leg, stage.Ending{How: relay.Broken, Took: now - float64(sent)/1e9})
+			p.loop.End(c.leg, pipeline.Ending{How: relay.ConnectionBroken, Took: now - float64(sent)/1e9})
 		}
 	}
 	c.leg = nil
 }
 
 // begin sends a leg on an idle connection.
-func (c *conn) begin(leg *stage.Leg) {
+func (c *conn) begin(leg *pipeline.Leg) {
 	c.state, c.leg = busy, leg
 	leg.Conn = c
 	c.queries++
@@ -176,14 +176,14 @@
 	c.writing = true
 	go func() {
 		c.write(leg, out)
-		c.pool.loop.Post(stage.Call(func(*stage.Loop) { c.wrote() }))
+		c.pool.loop.Post(pipeline.Call(func(*pipeline.Loop) { c.wrote() }))
 	}()
 }
 
 // write sends a message in two steps, all but the last byte and then that: as long as the first has not
 // succeeded, the unit has surely not begun. It uses the connection's own Write alone, which holds it against
 // being closed meanwhile; netpoll's Writer does not. A leg that has become late by then stops short of its last byte.
-func (c *conn) write(leg *stage.Leg, out *buffer.Chain) {
+func (c *conn) write(leg *pipeline.Leg, out *buffer.Chain) {
 	defer out.Free()
 	left := out.Len()
 	err := out.Each(func(b []byte) error {
@@ -210,15 +210,15 @@
 	})
 	switch {
 	case errors.Is(err, errLate):
-		c.pool.loop.Post(stage.Call(func(l *stage.Loop) {
+		c.pool.loop.Post(pipeline.Call(func(l *pipeline.Loop) {
 			if c.leg == leg {
-				c.close(stats.ByGivenUp)
-				l.Stats.Add(stats.LegsReleased, 1)
-				l.End(leg, stage.Ending{How: relay.NotSent})
+				c.close(metrics.ByGivenUp)
+				l.Stats.Add(metrics.LegsReleased, 1)
+				l.End(leg, pipeline.Ending{How: relay.NotSent})
 			}
 		}))
 	case err != nil:
-		c.pool.loop.Post(stage.Call(func(*stage.Loop) { c.close(stats.ByWrite) }))
+		c.pool.loop.Post(pipeline.Call(func(*pipeline.Loop) { c.close(metrics.ByWrite) }))
 	}
 }
 
@@ -232,7 +232,7 @@
 			err = c.split.Feed(b, func(m pgwire.Message) error { return c.take(m, at) })
 		}
 		if err != nil {
-			c.pool.loop.Stats.Add(stats.BadInput, 1)
+			c.pool.loop.Stats.Add(metrics.BadInput, 1)
 			c.pool.loop.Post(protocolError{c, err})
 			r.Skip(r.Len())
 			break
@@ -248,7 +248,7 @@
 type begun struct{ c *conn }
 
 // Take gives the rest a little time: units send an answer in one go.
-func (e begun) Take(l *stage.Loop) {
+func (e begun) Take(l *pipeline.Loop) {
 	c, leg := e.c, e.c.leg
 	if c.state == idle || c.state == settling {
 		protocolError{c, errUnasked}.Take(l) // it came behind the last answer
@@ -279,7 +279,7 @@
 		return nil
 	case 'S': // one that can't be read is passed over: the answer beside it may be good
 		if name, value, err := pgwire.ParseStatus(m.Body.Bytes()); err == nil && name == reportName {
-			c.report = pgwire.ParseReport(value, c.pool.loop.Site.Reports)
+			c.report = pgwire.ParseReport(value, c.pool.loop.Site.LoadReportFields)
 		}
 		return nil
 	case 'T':
@@ -323,7 +323,7 @@
 	c.answer.Write(pgwire.Header(nil, m.Type, m.Body.Len()))
 	c.answer.Append(m.Body, 0, m.Body.Len())
 	if m.Type == 'C' {
-		c.pool.loop.Post(answered{c: c, at: at, how: relay.Honoured, answer: c.answer, row: c.row, report: c.report})
+		c.pool.loop.Post(answered{c: c, at: at, how: relay.Succeeded, answer: c.answer, row: c.row, report: c.report})
 		c.answer = nil
 	}
 	return nil
@@ -332,7 +332,7 @@
 // outcome is what an error code says of the query.
 func outcome(code string) relay.Outcome {
 	if code == pgwire.CodeFull {
-		return relay.TurnedAway
+		return relay.RejectedByEndpoint
 	}
 	return relay.Errored
 }
@@ -350,14 +350,14 @@
 }
 
 // Take ends the leg that it answers.
-func (e answered) Take(l *stage.Loop) {
+func (e answered) Take(l *pipeline.Loop) {
 	c, leg, sent := e.c, e.c.leg, float64(e.c.sentAt.Load())/1e9
 	switch {
 	case c.state == starting:
 		c.fault = fmt.Errorf("%s %s", e.code, e.text)
-		c.close(stats.ByStartupError)
+		c.close(metrics.ByStartupError)
 	case leg == nil && e.code != "":
-		c.close(stats.ByPeer) // unasked: it is about to close
+		c.close(metrics.ByPeer) // unasked: it is about to close
 	case leg == nil || sent == 0 || e.at < sent:
 		protocolError{c, errUnasked}.Take(l)
 	}
@@ -365,10 +365,10 @@
 		e.answer.Free()
 		return
 	}
-	end := stage.Ending{How: e.how, Answer: e.answer, Report: e.report, Took: e.at - sent}
-	if leg.Query == nil && len(l.Site.Reports) > 0 {
-		end.Report = pgwire.ParseReport(e.row, l.Site.Reports)
-	} else if !l.Site.ReportInLegs {
+	end := pipeline.Ending{How: e.how, Answer: e.answer, Report: e.report, Took: e.at - sent}
+	if leg.Query == nil && len(l.Site.LoadReportFields) > 0 {
+		end.Report = pgwire.ParseReport(e.row, l.Site.LoadReportFields)
+	} else if !l.Site.LoadReportInAttempts {
 		end.Report = nil
 	}
 	if e.code == pgwire.CodeProtocol {
@@ -390,19 +390,19 @@
 }
 
 // Take ends the connection, and the leg on it as one that may have run if it was written whole.
-func (e protocolError) Take(l *stage.Loop) {
+func (e protocolError) Take(l *pipeline.Loop) {
 	e.c.fault = e.why
 	if e.c.last > 0 && e.c.leg == nil {
 		e.c.fault = fmt.Errorf("%w, %.1f ms behind the last answer", e.why, (l.Clock.Now()-e.c.last)*1000)
 	}
-	e.c.close(stats.ByBadInput)
+	e.c.close(metrics.ByBadInput)
 }
 
 // ready tells that a connection can take a query.
 type ready struct{ c *conn }
 
 // Take gives the connection to whoever waits for one.
-func (e ready) Take(l *stage.Loop) {
+func (e ready) Take(l *pipeline.Loop) {
 	c := e.c
 	switch {
 	case c.state == starting:
@@ -430,28 +430,28 @@
 	c.state, c.since = idle, c.pool.loop.Clock.Now()
 	c.unit.idle = append(c.unit.idle, c)
 	if c.address != c.unit.address {
-		c.close(stats.ByMove)
+		c.close(metrics.ByMove)
 	} else if c.unit.leaving {
-		c.close(stats.ByLeaving) // dialled before the news, or answered after it
+		c.close(metrics.ByLeaving) // dialled before the news, or answered after it
 	}
 	c.pool.serve(c.unit)
 }
 
 // unfit says why an idle connection can't take a query: it has ended, and the query might seem to have run, or
 // something has come on it that would be taken for the answer.
-func (c *conn) unfit() stats.Reason {
+func (c *conn) unfit() metrics.Reason {
 	if !c.net.IsActive() {
-		return stats.ByPeer
+		return metrics.ByPeer
 	}
 	if c.net.Reader().Len() > 0 {
-		return stats.ByBadInput
+		return metrics.ByBadInput
 	}
 	if n, ok := c.net.(netpoll.Conn); ok {
 		switch came, ended := sockets.Look(n.Fd()); {
 		case ended:
-			return stats.ByPeer
+			return metrics.ByPeer
 		case came:
-			return stats.ByBadInput
+			return metrics.ByBadInput
 		}
 	}
 	return ""
--- a/internal/units/units.go
+++ b/internal/upstream/units.go
@@ -1,21 +1,21 @@
 // Package units keeps the connections to the units: one query at a time on each, the one last used first.
 // It carries legs and probes out and says how each ended; which unit gets one is not its to choose.
-package units
+package upstream
 
 import (
 	"time"
 
 	"lichenroad/internal/limits"
+	"lichenroad/internal/metrics"
 	"lichenroad/internal/pgwire"
-	"lichenroad/internal/stage"
-	"lichenroad/internal/stats"
+	"lichenroad/internal/pipeline"
 	"lichenroad/relay"
 )
 
 // Pool holds the connections to all units. Its state belongs to the loop.
 type Pool struct {
-	loop    *stage.Loop
-	units   map[relay.UnitID]*unit
+	loop    *pipeline.Loop
+	units   map[relay.EndpointID]*unit
 	most    int // descriptors for units
 	open    int // connections, those coming up included
 	connect relay.Seconds
@@ -26,16 +26,16 @@
 
 // unit is one server as the pool sees it.
 type unit struct {
-	id      relay.UnitID
+	id      relay.EndpointID
 	name    string
 	address string
 	process process
-	leaving bool         // told as draining or gone: nothing new goes to it
-	gone    bool         // told as gone: forgotten when nothing holds it any more
-	open    int          // connections, those coming up included
-	idle    []*conn      // the one last used is last
-	coming  int          // connections coming up, or about to be idle again
-	waiting []*stage.Leg // legs without a connection, the oldest first
+	leaving bool            // told as draining or gone: nothing new goes to it
+	gone    bool            // told as gone: forgotten when nothing holds it any more
+	open    int             // connections, those coming up included
+	idle    []*conn         // the one last used is last
+	coming  int             // connections coming up, or about to be idle again
+	waiting []*pipeline.Leg // legs without a connection, the oldest first
 }
 
 // process tells one process of a unit from the next: a unit keeps its id, and may keep its address, over a restart and
@@ -46,11 +46,11 @@
 }
 
 // New returns a pool that holds at most so many connections.
-func New(l *stage.Loop, most int) *Pool {
-	p := &Pool{loop: l, units: map[relay.UnitID]*unit{}, most: most, connect: l.Site.Limits.ConnectTimeout,
+func New(l *pipeline.Loop, most int) *Pool {
+	p := &Pool{loop: l, units: map[relay.EndpointID]*unit{}, most: most, connect: l.Site.Limits.ConnectTimeout,
 		idleFor: l.Site.ConnIdle * limits.IdlePart, hello: pgwire.Startup("worker", "catalog"),
 		probe: pgwire.QueryMessage("SELECT 1")}
-	if len(l.Site.Reports) > 0 {
+	if len(l.Site.LoadReportFields) > 0 {
 		p.probe = pgwire.QueryMessage("SHOW " + reportName)
 	}
 	if p.connect <= 0 {
@@ -66,23 +66,23 @@
 // now, has started anew or runs another build is another process: connections to the old one are of no use, and legs
 // that wait for one were not meant for it. With another build such a leg would count against a cap that it was not
 // ordered under.
-func (p *Pool) Listed(e relay.UnitEntry, name, address string) {
-	u := p.units[e.Unit]
+func (p *Pool) Listed(e relay.Endpoint, name, address string) {
+	u := p.units[e.ID]
 	if u == nil {
-		u = &unit{id: e.Unit, name: name, address: address, process: process{e.Build, e.StartedAt}}
-		p.units[e.Unit] = u
+		u = &unit{id: e.ID, name: name, address: address, process: process{e.Build, e.StartedAt}}
+		p.units[e.ID] = u
 	}
 	u.leaving, u.gone = false, false
 	if u.address != address {
 		u.address = address
-		p.closeIdle(u, stats.ByMove)
+		p.closeIdle(u, metrics.ByMove)
 		p.release(u)
 	}
-	if e.Build != u.process.build || e.Started && e.StartedAt != u.process.started {
+	if e.Build != u.process.build || e.StartKnown && e.StartedAt != u.process.started {
 		p.release(u)
 	}
 	u.process.build = e.Build
-	if e.Started {
+	if e.StartKnown {
 		u.process.started = e.StartedAt
 	}
 }
@@ -90,19 +90,19 @@
 // Leaving tells that a unit drains or is gone, before the module is told of it. A leg that still waits for a connection
 // was ordered before the news and would be written after it, by as much as the connection takes to come up; it never
 // left, so the module can place it anew.
-func (p *Pool) Leaving(id relay.UnitID, gone bool) {
+func (p *Pool) Leaving(id relay.EndpointID, gone bool) {
 	u := p.units[id]
 	if u == nil {
 		return
 	}
 	u.leaving, u.gone = true, gone
-	p.closeIdle(u, stats.ByLeaving)
+	p.closeIdle(u, metrics.ByLeaving)
 	p.release(u)
 	p.forget(u)
 }
 
 // Whole tells that a whole list stands: units that it leaves out are gone.
-func (p *Pool) Whole(listed func(relay.UnitID) bool) {
+func (p *Pool) Whole(listed func(relay.EndpointID) bool) {
 	for id := range p.units {
 		if !listed(id) {
 			p.Leaving(id, true)
@@ -115,8 +115,8 @@
 	for len(u.waiting) > 0 {
 		leg := u.waiting[0]
 		u.waiting = u.waiting[1:]
-		p.loop.Stats.Add(stats.LegsReleased, 1)
-		p.loop.End(leg, stage.Ending{How: relay.NotSent})
+		p.loop.Stats.Add(metrics.LegsReleased, 1)
+		p.loop.End(leg, pipeline.Ending{How: relay.NotSent})
 	}
 }
 
@@ -129,10 +129,10 @@
 }
 
 // Send finds a connection for a leg, or opens one.
-func (p *Pool) Send(leg *stage.Leg) {
+func (p *Pool) Send(leg *pipeline.Leg) {
 	u := p.units[leg.Unit]
 	if u == nil || u.leaving { // a probe, say, or an order of the step that was under way
-		p.loop.End(leg, stage.Ending{How: relay.NotSent})
+		p.loop.End(leg, pipeline.Ending{How: relay.NotSent})
 		return
 	}
 	u.waiting = append(u.waiting, leg)
@@ -142,7 +142,7 @@
 	}
 	p.loop.At(leg.Asked+p.connect, func() {
 		if !leg.Ended && u.leave(leg) {
-			p.loop.End(leg, stage.Ending{How: relay.NoConnect, Took: p.loop.Clock.Now() - leg.Asked})
+			p.loop.End(leg, pipeline.Ending{How: relay.ConnectFailed, Took: p.loop.Clock.Now() - leg.Asked})
 		}
 	})
 	if by, ok := leg.By(); ok {
@@ -152,36 +152,36 @@
 
 // Recall ends a leg that is late as never sent, if it still waits for a connection. One that is being written is given
 // up before its last byte, by whoever writes it.
-func (p *Pool) Recall(leg *stage.Leg) {
+func (p *Pool) Recall(leg *pipeline.Leg) {
 	if u := p.units[leg.Unit]; u != nil && !leg.Ended && u.leave(leg) {
-		p.loop.Stats.Add(stats.LegsReleased, 1)
-		p.loop.End(leg, stage.Ending{How: relay.NotSent})
+		p.loop.Stats.Add(metrics.LegsReleased, 1)
+		p.loop.End(leg, pipeline.Ending{How: relay.NotSent})
 	}
 }
 
 // Probe asks a unit how it is. It takes a connection as a leg does.
-func (p *Pool) Probe(id relay.UnitID) {
+func (p *Pool) Probe(id relay.EndpointID) {
 	now := p.loop.Clock.Now()
-	leg := &stage.Leg{Unit: id, Asked: now, Until: now + p.connect}
+	leg := &pipeline.Leg{Unit: id, Asked: now, Until: now + p.connect}
 	p.loop.At(leg.Until, func() {
 		if !leg.Ended {
 			p.Drop(leg)
-			p.loop.End(leg, stage.Ending{How: relay.TimedOut, Took: p.connect})
+			p.loop.End(leg, pipeline.Ending{How: relay.TimedOut, Took: p.connect})
 		}
 	})
 	p.Send(leg)
 }
 
 // CloseIdle closes the idle connections to a unit.
-func (p *Pool) CloseIdle(id relay.UnitID) {
+func (p *Pool) CloseIdle(id relay.EndpointID) {
 	if u := p.units[id]; u != nil {
-		p.closeIdle(u, stats.ByOrder)
+		p.closeIdle(u, metrics.ByOrder)
 	}
 }
 
 // Drop gives a leg up: it loses its place, or its connection is closed. Only a leg whose last byte was handed
 // to a connection may have been sent.
-func (p *Pool) Drop(leg *stage.Leg) (sent bool) {
+func (p *Pool) Drop(leg *pipeline.Leg) (sent bool) {
 	u := p.units[leg.Unit]
 	if u == nil || u.leave(leg) {
 		return false
@@ -190,12 +190,12 @@
 	if !ok {
 		return false
 	}
-	c.close(stats.ByGivenUp)
+	c.close(metrics.ByGivenUp)
 	return c.sentAt.Load() != 0 // after the close, so that a write under way either shows or fails
 }
 
 // leave takes a leg out of those that wait, and says whether it was there.
-func (u *unit) leave(leg *stage.Leg) bool {
+func (u *unit) leave(leg *pipeline.Leg) bool {
 	for i, w := range u.waiting {
 		if w == leg {
 			u.waiting = append(u.waiting[:i], u.waiting[i+1:]...)
@@ -211,7 +211,7 @@
 		leg := u.waiting[0]
 		if leg.Void() || leg.Late(p.loop.Clock.Now()) {
 			u.waiting = u.waiting[1:]
-			p.loop.End(leg, stage.Ending{How: relay.NotSent})
+			p.loop.End(leg, pipeline.Ending{How: relay.NotSent})
 			continue
 		}
 		c := u.idle[len(u.idle)-1]
@@ -225,17 +225,17 @@
 	}
 	for u.coming < len(u.waiting) {
 		if p.open >= p.most && !p.evictIdlest() {
-			p.loop.Stats.Add(stats.BoundConns, 1)
+			p.loop.Stats.Add(metrics.BoundConns, 1)
 			leg := u.waiting[len(u.waiting)-1]
 			u.waiting = u.waiting[:len(u.waiting)-1]
-			p.loop.End(leg, stage.Ending{How: relay.NotSent})
+			p.loop.End(leg, pipeline.Ending{How: relay.NotSent})
 			continue
 		}
 		p.open++
 		u.open++
 		u.coming++
-		p.loop.Stats.Add(stats.UnitConns, 1)
-		p.loop.Stats.Add(stats.UnitConnsOpen, 1)
+		p.loop.Stats.Add(metrics.UnitConns, 1)
+		p.loop.Stats.Add(metrics.UnitConnsOpen, 1)
 		go dial(p, u, u.address)
 	}
 }
@@ -251,11 +251,11 @@
 	if oldest == nil {
 		return false
 	}
-	oldest.close(stats.ByBound)
+	oldest.close(metrics.ByBound)
 	return true
 }
 
-func (p *Pool) closeIdle(u *unit, why stats.Reason) {
+func (p *Pool) closeIdle(u *unit, why metrics.Reason) {
 	for len(u.idle) > 0 {
 		u.idle[len(u.idle)-1].close(why)
 	}
@@ -266,19 +266,19 @@
 	now := p.loop.Clock.Now()
 	for _, u := range p.units {
 		for len(u.idle) > 0 && now-u.idle[0].since > p.idleFor {
-			u.idle[0].close(stats.ByIdle)
+			u.idle[0].close(metrics.ByIdle)
 		}
 	}
 	p.loop.At(now+limits.SweepEvery.Seconds(), p.sweep)
 }
 
 // ended is the one place where a connection is given back, whether it came up or not.
-func (p *Pool) ended(u *unit, why stats.Reason, age relay.Seconds, queries int, fault error) {
+func (p *Pool) ended(u *unit, why metrics.Reason, age relay.Seconds, queries int, fault error) {
 	p.open--
 	u.open--
 	defer p.forget(u)
-	p.loop.Stats.Add(stats.UnitConnsOpen, -1)
-	stats.LogEnd(p.loop.Log, "unit", u.name, why, age, queries, fault)
+	p.loop.Stats.Add(metrics.UnitConnsOpen, -1)
+	metrics.LogEnd(p.loop.Log, "unit", u.name, why, age, queries, fault)
 }
 
 func span(s relay.Seconds) time.Duration { return time.Duration(s * float64(time.Second)) }
--- a/internal/form/form.go
+++ b/internal/xmlconfig/form.go
@@ -1,6 +1,6 @@
 // Package form reads small XML files of settings: elements and attributes against a table of forms, with every fault
 // named by line, all at once. What the elements mean is their owners' matter.
-package form
+package xmlconfig
 
 import (
 	"bytes"
