--- a/lab/standin/planner.go
+++ b/lab/fakes/planner.go
@@ -1,6 +1,6 @@
 // Package standin has small stand-ins for what stands round a relay, on loopback sockets: planners and clients that
 // speak the published part of PostgreSQL's wire protocol, and discovery.
-package standin
+package fakes
 
 import (
 	"bufio"
--- a/lab/ledger/ledger.go
+++ b/lab/logsummary/ledger.go
@@ -1,6 +1,6 @@
 // Package ledger counts what the relays of a fleet logged: of each kind of line, how many there were, at how many relays,
 // from when to when, and in which second the most. What one relay does and is harmless shows its sum here.
-package ledger
+package logsummary
 
 import (
 	"bufio"
--- a/lab/ledger/ledger_test.go
+++ b/lab/logsummary/ledger_test.go
@@ -1,4 +1,4 @@
-package ledger
+package logsummary
 
 import (
 	"fmt"
--- a/lab/replay.go
+++ b/lab/replay.go
@@ -249,7 +249,7 @@
 type Term struct {
 	Name                         string
 	Value, Due, Patience, Window float64
-	Repeat                       relay.Repeat
+	Repeat                       relay.Idempotency
 }
 
 // Terms lists them, in the order of the table.
--- a/lab/scale/load.go
+++ b/lab/scale/load.go
@@ -13,11 +13,11 @@
 	due      float64    // s
 	patience float64    // s
 	value    float64
-	repeat   relay.Repeat
+	repeat   relay.Idempotency
 }
 
 var requestKinds = []requestKind{
-	{share: 0.7, work: [2]float64{0.02, 0.04}, due: 0.8, patience: 2.5, value: 1, repeat: relay.Reissuable},
+	{share: 0.7, work: [2]float64{0.02, 0.04}, due: 0.8, patience: 2.5, value: 1, repeat: relay.Idempotent},
 	{share: 0.3, work: [2]float64{0.02, 0.06}, due: 1, patience: 3, value: 3, repeat: relay.AtMostOnce},
 }
 
@@ -28,22 +28,22 @@
 	random          *rand.Rand
 	rate            float64
 	tenants, routes int
-	lastID          relay.QueryID
+	lastID          relay.RequestID
 }
 
 // gap is the time to the next request.
 func (l *load) gap() float64 { return l.random.ExpFloat64() / l.rate }
 
 // next draws a request. Its times are the module's.
-func (l *load) next(now float64) (q relay.Query, work float64) {
+func (l *load) next(now float64) (q relay.Request, work float64) {
 	l.lastID++
 	category := drawCategory(l.random)
 	kind := &requestKinds[category]
 	work = kind.work[0] + (kind.work[1]-kind.work[0])*l.random.Float64()
-	q = relay.Query{ID: l.lastID, Until: now + kind.patience, HasWork: true, Category: relay.Category(category),
+	q = relay.Request{ID: l.lastID, Deadline: now + kind.patience, HasWork: true, Class: relay.RequestClass(category),
 		Work: work * (1 + workHint*(2*l.random.Float64()-1))}
 	if l.tenants > 0 {
-		q.Customer = relay.Customer(l.random.Intn(l.tenants))
+		q.Tenant = relay.Tenant(l.random.Intn(l.tenants))
 	}
 	if l.routes > 0 {
 		q.Key = relay.Key(1 + l.random.Intn(l.routes))
--- a/lab/scale/timers.go
+++ b/lab/scale/timers.go
@@ -20,7 +20,7 @@
 	kind     timerKind
 	attempt  int32
 	request  *request
-	wake     relay.WakeID
+	wake     relay.TimerID
 }
 
 func (t *timer) before(o *timer) bool {
--- a/lab/scale/wire.go
+++ b/lab/scale/wire.go
@@ -50,7 +50,7 @@
 var errReport = errors.New("not a report")
 
 // unitMark is the 24 bits that stand for a unit.
-func unitMark(id relay.UnitID) uint32 { return uint32(uint64(id) * 0x9e3779b97f4a7c15 >> 40) }
+func unitMark(id relay.EndpointID) uint32 { return uint32(uint64(id) * 0x9e3779b97f4a7c15 >> 40) }
 
 // paceByte puts a pace into one byte.
 func paceByte(pace float64) byte {
--- a/lab/trouble.go
+++ b/lab/trouble.go
@@ -104,10 +104,10 @@
 
 // die ends a planner with all that it holds. Relays hear of it with the list's lag.
 func (p *planner) die() {
-	p.state = relay.Gone
+	p.state = relay.Removed
 	p.f.list(p)
 	for _, l := range p.waiting {
-		p.f.w.in(l.way, func() { l.end(relay.Broken) })
+		p.f.w.in(l.way, func() { l.end(relay.ConnectionBroken) })
 	}
 	p.waiting = nil
 	p.f.launch(p.build, p.site, startFor)
--- a/lab/world.go
+++ b/lab/world.go
@@ -118,7 +118,7 @@
 	journal []rollout.Event
 	silent  bool
 	late    float64 // s that news is later than usual
-	told    []relay.StageNews
+	told    []relay.RolloutStatus
 	nextAt  float64
 	since   []plan.Unix    // for held: when the present reason began, by service
 	code    []rollout.Code // the present reason
@@ -127,7 +127,7 @@
 }
 
 func newDeskLink(w *world) *deskLink {
-	d := &deskLink{w: w, told: make([]relay.StageNews, len(w.plan.Services)), rng: w.random("desk", 0),
+	d := &deskLink{w: w, told: make([]relay.RolloutStatus, len(w.plan.Services)), rng: w.random("desk", 0),
 		since: make([]plan.Unix, len(w.plan.Services)), code: make([]rollout.Code, len(w.plan.Services)),
 		held: map[rollout.Code]float64{}}
 	for i := range d.since {
@@ -226,7 +226,7 @@
 	d.w.fleets[s].told(n, between(d.rng, 0.3, 0.8)+d.late)
 }
 
-func (d *deskLink) tellOne(x *node, s plan.ServiceNo, n relay.StageNews) {
+func (d *deskLink) tellOne(x *node, s plan.ServiceNo, n relay.RolloutStatus) {
 	lag, life := between(d.rng, 0.05, 0.8)+d.late, x.life
 	d.w.in(lag, func() {
 		if x.alive && x.life == life {
@@ -247,7 +247,7 @@
 // vote takes a vote from a relay; what is lost on the way or in a silence is answered by nobody.
 func (d *deskLink) vote(x *node, v relay.Vote, ordered bool) {
 	life := x.life
-	back := func(n relay.StageNews, after float64) {
+	back := func(n relay.RolloutStatus, after float64) {
 		d.w.in(after, func() {
 			if x.alive && x.life == life && ordered {
 				x.reply(n)
@@ -256,21 +256,21 @@
 	}
 	d.w.in(between(d.rng, 0.001, 0.02), func() {
 		if d.silent {
-			back(relay.StageNews{Reply: relay.MaybeCounted}, x.f.set.Rollout.CallTimeout)
+			back(relay.RolloutStatus{Reply: relay.ReplyMaybeCounted}, x.f.set.Rollout.CallTimeout)
 			return
 		}
 		if d.w.opt.NoVotes {
-			back(relay.StageNews{Reply: relay.Counted}, 0.01)
+			back(relay.RolloutStatus{Reply: relay.ReplyCounted}, 0.01)
 			return
 		}
 		e, refused := d.core.Vote(x.f.no, x.name, v, d.w.unix())
 		if refused != rollout.Counted {
-			back(relay.StageNews{Reply: relay.NotCounted}, 0.01)
+			back(relay.RolloutStatus{Reply: relay.ReplyNotCounted}, 0.01)
 			return
 		}
 		d.take(e)
 		n := d.core.News(x.f.no, d.w.unix())
-		n.Reply = relay.Counted
+		n.Reply = relay.ReplyCounted
 		back(n, between(d.rng, 0.001, 0.02))
 	})
 }
@@ -288,7 +288,7 @@
 		d.begin(keep)
 		d.w.check.replay(keep)
 		for i := range d.told {
-			d.told[i] = relay.StageNews{}
+			d.told[i] = relay.RolloutStatus{}
 		}
 		d.due()
 		d.again()
--- a/membership/gossip.go
+++ b/membership/gossip.go
@@ -129,7 +129,7 @@
 
 // hearNewer takes a message of a peer with a newer list: a delta from the list held here is applied, otherwise a heartbeat
 // asks for one.
-func (n *Node) hearNewer(from relay.RelayNo, m message, answered relay.Seconds) {
+func (n *Node) hearNewer(from relay.RelayID, m message, answered relay.Seconds) {
 	if m.delta == nil || m.delta.base != n.view {
 		n.gossip.soon(n, repairBackoff)
 		return
@@ -160,7 +160,7 @@
 }
 
 // assemble notes one datagram of a delta, and says whether that was the last one missing.
-func (n *Node) assemble(from relay.RelayNo, m message) (whole bool) {
+func (n *Node) assemble(from relay.RelayID, m message) (whole bool) {
 	a := n.assembly[from]
 	if a == nil || a.base != m.delta.base || a.target != m.view || a.parts != m.delta.parts {
 		if len(n.assembly) >= maxAssemblies {
--- a/membership/lease.go
+++ b/membership/lease.go
@@ -11,7 +11,7 @@
 	toldAfter = 6.0
 	// toldAfterWait is the same behind the end of the wait of a call that fell silent, if that is later (protocol).
 	toldAfterWait = 2.0
-	// failedFactor times AskEvery is how long the list holds after a failed call (protocol).
+	// failedFactor times PollInterval is how long the list holds after a failed call (protocol).
 	failedFactor = 4.0
 	// leaseMargin is how long before a change may bind the lease ends: messages and steps take some milliseconds.
 	leaseMargin = 0.25
--- a/membership/list.go
+++ b/membership/list.go
@@ -23,7 +23,7 @@
 type List struct {
 	Generation int64
 	Whole      bool // units that are not in it are gone
-	Units      []relay.UnitEntry
+	Units      []relay.Endpoint
 }
 
 // view names a list: two relays with equal views hold the same ready units.
@@ -35,33 +35,33 @@
 // change is a unit whose entry in older lists no longer holds: it left, or another process took its id.
 type change struct {
 	generation int64
-	unit       relay.UnitID
+	unit       relay.EndpointID
 }
 
 // list is what a relay knows of the units, from discovery and from peers.
 type list struct {
-	epoch      relay.Seconds           // Unix time of time zero
-	process    map[relay.UnitID]uint64 // hash of each ready unit's process
-	digest     uint64                  // of all of them
-	generation int64                   // of discovery's last answer
-	left       map[relay.UnitID]int64  // told by peers as left, with the generation that did so
-	history    []view                  // that were present ones, oldest first
-	changes    []change                // oldest first
-	since      int64                   // changes are complete for views from this generation on
+	epoch      relay.Seconds               // Unix time of time zero
+	process    map[relay.EndpointID]uint64 // hash of each ready unit's process
+	digest     uint64                      // of all of them
+	generation int64                       // of discovery's last answer
+	left       map[relay.EndpointID]int64  // told by peers as left, with the generation that did so
+	history    []view                      // that were present ones, oldest first
+	changes    []change                    // oldest first
+	since      int64                       // changes are complete for views from this generation on
 }
 
 func newList(epoch relay.Seconds) list {
-	return list{epoch: epoch, process: map[relay.UnitID]uint64{}, left: map[relay.UnitID]int64{}, generation: noGeneration}
+	return list{epoch: epoch, process: map[relay.EndpointID]uint64{}, left: map[relay.EndpointID]int64{}, generation: noGeneration}
 }
 
 // processHash tells one process of a unit from the next. Digests are exclusive ors of these, whatever the order.
-func (l *list) processHash(entry relay.UnitEntry) uint64 {
+func (l *list) processHash(entry relay.Endpoint) uint64 {
 	started := int64(0)
-	if entry.Started {
+	if entry.StartKnown {
 		started = int64(math.Round((entry.StartedAt + l.epoch) * 1000))
 	}
 	var b [24]byte
-	binary.LittleEndian.PutUint64(b[0:], uint64(entry.Unit))
+	binary.LittleEndian.PutUint64(b[0:], uint64(entry.ID))
 	binary.LittleEndian.PutUint64(b[8:], uint64(entry.Build))
 	binary.LittleEndian.PutUint64(b[16:], uint64(started))
 	return xxhash.Sum64(b[:])
@@ -69,15 +69,15 @@
 
 // apply takes a list from discovery. It returns the units that this list holds for ready though a peer has told, of a
 // later generation, that they left.
-func (l *list) apply(given List) (still []relay.UnitID) {
+func (l *list) apply(given List) (still []relay.EndpointID) {
 	l.generation = given.Generation
-	listed := map[relay.UnitID]bool{}
+	listed := map[relay.EndpointID]bool{}
 	for _, entry := range given.Units {
 		if given.Whole {
-			listed[entry.Unit] = true
+			listed[entry.ID] = true
 		}
 		if l.set(entry) {
-			still = append(still, entry.Unit)
+			still = append(still, entry.ID)
 		}
 	}
 	if given.Whole {
@@ -87,28 +87,28 @@
 }
 
 // set takes one entry, and says whether a peer knows better.
-func (l *list) set(entry relay.UnitEntry) (left bool) {
-	if generation, told := l.left[entry.Unit]; told && generation > l.generation {
+func (l *list) set(entry relay.Endpoint) (left bool) {
+	if generation, told := l.left[entry.ID]; told && generation > l.generation {
 		return entry.State == relay.Ready
 	}
-	delete(l.left, entry.Unit)
+	delete(l.left, entry.ID)
 	if entry.State != relay.Ready {
-		l.remove(entry.Unit, l.generation)
+		l.remove(entry.ID, l.generation)
 		return false
 	}
 	hash := l.processHash(entry)
-	if before, known := l.process[entry.Unit]; known && before == hash {
+	if before, known := l.process[entry.ID]; known && before == hash {
 		return false
 	}
-	l.remove(entry.Unit, l.generation)
-	l.process[entry.Unit] = hash
+	l.remove(entry.ID, l.generation)
+	l.process[entry.ID] = hash
 	l.digest ^= hash
 	return false
 }
 
 // removeOthers removes the units that a whole list leaves out.
-func (l *list) removeOthers(listed map[relay.UnitID]bool) {
-	var others []relay.UnitID
+func (l *list) removeOthers(listed map[relay.EndpointID]bool) {
+	var others []relay.EndpointID
 	for unit := range l.process {
 		if !listed[unit] {
 			others = append(others, unit)
@@ -121,7 +121,7 @@
 }
 
 // remove takes a ready unit off the list, and says whether it was on it.
-func (l *list) remove(unit relay.UnitID, generation int64) bool {
+func (l *list) remove(unit relay.EndpointID, generation int64) bool {
 	hash, known := l.process[unit]
 	if !known {
 		return false
@@ -137,7 +137,7 @@
 }
 
 // tell takes a peer's word that a unit left, and says whether that is news.
-func (l *list) tell(unit relay.UnitID, generation int64) bool {
+func (l *list) tell(unit relay.EndpointID, generation int64) bool {
 	if generation <= l.generation || !l.remove(unit, generation) {
 		return false
 	}
@@ -160,11 +160,11 @@
 }
 
 // leftSince are the units that left behind a view, in order of their ids; false if that is not known here.
-func (l *list) leftSince(base view) ([]relay.UnitID, bool) {
+func (l *list) leftSince(base view) ([]relay.EndpointID, bool) {
 	if base.generation < l.since || !slices.Contains(l.history, base) {
 		return nil, false
 	}
-	var units []relay.UnitID
+	var units []relay.EndpointID
 	for _, c := range l.changes {
 		if c.generation > base.generation {
 			units = append(units, c.unit)
--- a/membership/membership.go
+++ b/membership/membership.go
@@ -23,7 +23,7 @@
 
 // Settings are what a node is told once, at its start.
 type Settings struct {
-	Self     relay.RelayNo
+	Self     relay.RelayID
 	Relays   int
 	Messages bool          // relays may send one another datagrams
 	AskEvery relay.Seconds // for which a relay without a watch may act on its list
@@ -46,7 +46,7 @@
 	CallFailed struct{ Silent, Unreadable bool }
 	// Heard is a message of another relay.
 	Heard struct {
-		From relay.RelayNo
+		From relay.RelayID
 		Body []byte
 	}
 	// Woken is a wake-up at the time that Output asked for.
@@ -55,11 +55,11 @@
 
 // Output is what the host has to do after a step.
 type Output struct {
-	Messages [][]byte       // to send to all other relays
-	Left     []relay.UnitID // units of the list that want nothing new from now on
-	Lease    relay.Seconds  // until when the list may be acted on; 0: not yet
-	WakeAt   relay.Seconds  // when a Woken event is due
-	Answers  bool           // discovery answers a peer again, after a time without answers
+	Messages [][]byte           // to send to all other relays
+	Left     []relay.EndpointID // units of the list that want nothing new from now on
+	Lease    relay.Seconds      // until when the list may be acted on; 0: not yet
+	WakeAt   relay.Seconds      // when a Woken event is due
+	Answers  bool               // discovery answers a peer again, after a time without answers
 }
 
 // Node is one relay's part in the membership protocol.
@@ -82,7 +82,7 @@
 
 	call     call
 	gossip   gossip
-	assembly map[relay.RelayNo]*assembly
+	assembly map[relay.RelayID]*assembly
 	counters Counters
 }
 
@@ -106,7 +106,7 @@
 func New(set Settings, seed int64) *Node {
 	set.AskEvery = unlessAbsent(set.AskEvery)
 	n := &Node{set: set, random: rand.New(rand.NewSource(seed)), list: newList(set.Epoch), answered: Never, attempted: Never,
-		contact: Never, heardSince: Never, heard: Never, confirmed: Never, newest: noGeneration, assembly: map[relay.RelayNo]*assembly{}}
+		contact: Never, heardSince: Never, heard: Never, confirmed: Never, newest: noGeneration, assembly: map[relay.RelayID]*assembly{}}
 	n.view = view{generation: noGeneration}
 	n.gossip = newGossip()
 	return n
--- a/membership/message.go
+++ b/membership/message.go
@@ -46,7 +46,7 @@
 	base  view
 	part  int
 	parts int
-	units []relay.UnitID
+	units []relay.EndpointID
 }
 
 // IsMessage says whether a datagram between relays is this package's.
@@ -56,7 +56,7 @@
 
 // split makes the datagrams of a delta. One with no units is one datagram; of one that is too long only the start is
 // told, which never makes it whole.
-func split(base view, units []relay.UnitID) (deltas []delta) {
+func split(base view, units []relay.EndpointID) (deltas []delta) {
 	parts := max(1, (len(units)+maxUnits-1)/maxUnits)
 	if parts > maxParts {
 		return nil
@@ -152,7 +152,7 @@
 		return d
 	}
 	for range count {
-		d.units = append(d.units, relay.UnitID(r.uint64()))
+		d.units = append(d.units, relay.EndpointID(r.uint64()))
 	}
 	return d
 }
--- a/plan/check.go
+++ b/plan/check.go
@@ -6,13 +6,13 @@
 	"strings"
 	"time"
 
-	"lichenroad/internal/form"
+	"lichenroad/internal/xmlconfig"
 )
 
 // freeze reads a freeze. Its one-off times must be there once in their zone: nobody can tell which of two is meant.
-func (r *reader) freeze(p *Plan, n *form.Node, names map[string]bool) Freeze {
+func (r *reader) freeze(p *Plan, n *xmlconfig.Node, names map[string]bool) Freeze {
 	f := Freeze{Name: r.Name(n, names),
-		Stops: form.Word(&r.Reader, n, "stops", StopsAll, map[string]Stops{"begin": StopsBegin, "on": StopsOn, "all": StopsAll})}
+		Stops: xmlconfig.Word(&r.Reader, n, "stops", StopsAll, map[string]Stops{"begin": StopsBegin, "on": StopsOn, "all": StopsAll})}
 	for _, k := range n.All("for") {
 		if len(k.Attrs) != 1 {
 			r.Fault(k, "names a service or a site, one of the two")
@@ -46,7 +46,7 @@
 	return f
 }
 
-func (r *reader) zone(n *form.Node) *time.Location {
+func (r *reader) zone(n *xmlconfig.Node) *time.Location {
 	name, ok := n.Attrs["zone"]
 	if !ok {
 		return time.UTC
@@ -61,7 +61,7 @@
 
 var weekdays = map[string]time.Weekday{"sun": 0, "mon": 1, "tue": 2, "wed": 3, "thu": 4, "fri": 5, "sat": 6}
 
-func (r *reader) weekly(n *form.Node) Span {
+func (r *reader) weekly(n *xmlconfig.Node) Span {
 	s := Span{Zone: r.zone(n)}
 	for _, d := range strings.Fields(n.Attrs["days"]) {
 		day, ok := weekdays[d]
@@ -86,7 +86,7 @@
 	return s
 }
 
-func (r *reader) clock(n *form.Node, name string) time.Duration {
+func (r *reader) clock(n *xmlconfig.Node, name string) time.Duration {
 	s, ok := n.Attrs[name]
 	t, err := time.Parse("15:04", s)
 	if ok && (err != nil || len(s) != 5) {
@@ -95,7 +95,7 @@
 	return time.Duration(t.Hour())*time.Hour + time.Duration(t.Minute())*time.Minute
 }
 
-func (r *reader) once(n *form.Node) Span {
+func (r *reader) once(n *xmlconfig.Node) Span {
 	s := Span{Zone: r.zone(n)}
 	s.From, s.To = r.moment(n, "from", s.Zone), r.moment(n, "to", s.Zone)
 	if !s.From.IsZero() && !s.To.IsZero() && !s.To.After(s.From) {
@@ -108,7 +108,7 @@
 }
 
 // moment reads a date and time in a zone, and wants it to be there exactly once.
-func (r *reader) moment(n *form.Node, name string, zone *time.Location) time.Time {
+func (r *reader) moment(n *xmlconfig.Node, name string, zone *time.Location) time.Time {
 	s, ok := n.Attrs[name]
 	if !ok {
 		return time.Time{}
--- a/plan/read.go
+++ b/plan/read.go
@@ -5,11 +5,11 @@
 	"slices"
 	"strings"
 
-	"lichenroad/internal/form"
+	"lichenroad/internal/xmlconfig"
 )
 
 // forms say what the elements may hold. The schema plan.xsd says the same; a test holds the two together.
-var forms = map[string]form.Form{
+var forms = map[string]xmlconfig.Form{
 	"plan":     {Needs: []string{"version"}, May: []string{"clock-skew", "news-life"}, Kids: []string{"site", "group", "service", "freeze"}},
 	"site":     {Needs: []string{"name"}},
 	"group":    {Needs: []string{"name"}, Kids: []string{"customer"}},
@@ -28,7 +28,7 @@
 
 // Load reads a plan's file. Its error is *form.Faults where the file could be read but is no plan.
 func Load(path string) (*Plan, error) {
-	raw, err := form.Load(path)
+	raw, err := xmlconfig.Load(path)
 	if err != nil {
 		return nil, err
 	}
@@ -37,7 +37,7 @@
 
 // Parse reads a plan and names all of its faults.
 func Parse(file string, raw []byte) (*Plan, error) {
-	r := &reader{Reader: form.Reader{Root: "plan", Forms: forms}}
+	r := &reader{Reader: xmlconfig.Reader{Root: "plan", Forms: forms}}
 	p := &Plan{}
 	if root := r.Read(raw); root != nil {
 		p = r.plan(root)
@@ -52,13 +52,13 @@
 }
 
 type reader struct {
-	form.Reader
-	services []*form.Node
-	freezes  []*form.Node
+	xmlconfig.Reader
+	services []*xmlconfig.Node
+	freezes  []*xmlconfig.Node
 }
 
 // plan makes the plan of the elements.
-func (r *reader) plan(root *form.Node) *Plan {
+func (r *reader) plan(root *xmlconfig.Node) *Plan {
 	p := &Plan{}
 	if v, ok := root.Attrs["version"]; ok && v != "1" {
 		r.Fault(root, "version: %.20q is not known, 1 is", v)
@@ -94,7 +94,7 @@
 	return p
 }
 
-func (r *reader) service(p *Plan, s *Service, n *form.Node) {
+func (r *reader) service(p *Plan, s *Service, n *xmlconfig.Node) {
 	s.Watch, s.BackFor, s.Settle = n.Attrs["watch"], r.Span(n, "back-for", 10), r.Span(n, "settle", 30)
 	if s.Watch != "" {
 		r.Address(n, "watch")
@@ -104,7 +104,7 @@
 		if i > 0 {
 			r.Fault(v, "stands twice")
 		}
-		s.Votes = Votes{Control: form.Word(&r.Reader, v, "control", ByShare, map[string]Control{"share": ByShare, "any": ByAny, "clock": ByClock}),
+		s.Votes = Votes{Control: xmlconfig.Word(&r.Reader, v, "control", ByShare, map[string]Control{"share": ByShare, "any": ByAny, "clock": ByClock}),
 			On: r.Number(v, "on", 0.5, 0, 1), Back: r.Number(v, "back", 0.15, 0, 1), Hold: r.Number(v, "hold", 0.15, 0, 1),
 			Life: r.Span(v, "life", 10), PerSecond: r.Number(v, "per-second", 100, 1, 1e6), StepTime: r.Span(v, "step-time", 60)}
 		if s.Votes.Life <= 0 {
@@ -171,7 +171,7 @@
 }
 
 // scopes gives what an <open> opens: without a site every site, without a group every group.
-func (r *reader) scopes(p *Plan, n *form.Node) (out []Scope) {
+func (r *reader) scopes(p *Plan, n *xmlconfig.Node) (out []Scope) {
 	site, group := n.Attrs["site"], n.Attrs["group"]
 	_, bySite := n.Attrs["site"]
 	_, byGroup := n.Attrs["group"]
@@ -191,7 +191,7 @@
 	return out
 }
 
-func (r *reader) need(p *Plan, n, of *form.Node) (Need, bool) {
+func (r *reader) need(p *Plan, n, of *xmlconfig.Node) (Need, bool) {
 	name, ok := n.Attrs["service"]
 	if !ok {
 		return Need{}, false
--- a/policy/exposure.go
+++ b/policy/exposure.go
@@ -16,11 +16,11 @@
 
 func (t *trial) take(n note) {
 	switch n := n.(type) {
-	case relay.StageNews:
+	case relay.RolloutStatus:
 		if n.Valid && (!t.known || n.Build >= t.news.Build) {
 			t.hear(n)
 		}
-	case relay.Scope:
+	case relay.CanaryScope:
 		t.narrow(n)
 	case noteTick:
 		if t.p.now >= t.judgeAt && t.known {
@@ -30,7 +30,7 @@
 	}
 }
 
-func (t *trial) hear(n relay.StageNews) {
+func (t *trial) hear(n relay.RolloutStatus) {
 	if !t.known || n.Build != t.news.Build || n.Stage != t.news.Stage || n.Phase != t.news.Phase {
 		t.listedAt, t.doubted = 0, false
 		if t.p.set.Self == 0 {
@@ -38,7 +38,7 @@
 		}
 	}
 	for k, b := range t.keys {
-		if b < n.Build || b == n.Build && (n.Phase == relay.GoingBack || n.Phase == relay.Withdrawn) {
+		if b < n.Build || b == n.Build && (n.Phase == relay.PhaseRollingBack || n.Phase == relay.PhaseWithdrawn) {
 			delete(t.keys, k)
 		}
 	}
@@ -53,32 +53,32 @@
 	}
 	t.known, t.news, t.since = true, n, t.p.now-n.Age
 	x := t.limit(n.Build)
-	if n.Cap < x.cap {
+	if n.ExposureLimit < x.cap {
 		x.empty()
 		t.p.desk.recall(n.Build) // a lower cap binds legs that still wait for a connection, too
 	}
-	x.cap = n.Cap
+	x.cap = n.ExposureLimit
 }
 
 // capOf gives a build's cap and stage, and whether it is on trial. One not named yet is in the first stage.
 func (t *trial) capOf(b relay.Build) (cap float64, stage relay.Stage, onTrial bool) {
 	switch {
-	case !t.known || b < t.news.Build || b == t.news.Build && t.news.Phase == relay.Released:
+	case !t.known || b < t.news.Build || b == t.news.Build && t.news.Phase == relay.PhaseReleased:
 		return 1, 0, false
 	case b > t.news.Build:
 		return t.limit(b).cap, 0, true
 	}
-	return t.news.Cap, t.news.Stage, true
+	return t.news.ExposureLimit, t.news.Stage, true
 }
 
 // took adds a query's part to the rule's budgets, which hold no more than its uncounted legs at any time.
 func (t *trial) took(q *query) {
 	limits, g := t.budgets(q)
 	for _, x := range limits {
-		i := x.slot(q.Category)
-		x.hard[i] = math.Min(x.hard[i]+x.cap, t.p.set.Rollout.Uncounted)
+		i := x.slot(q.Class)
+		x.hard[i] = math.Min(x.hard[i]+x.cap, t.p.set.Rollout.ExposureAllowance)
 		if g >= 0 {
-			x.parts[g] = math.Min(x.parts[g]+x.cap, t.p.set.Rollout.Uncounted)
+			x.parts[g] = math.Min(x.parts[g]+x.cap, t.p.set.Rollout.ExposureAllowance)
 		}
 	}
 }
@@ -86,7 +86,7 @@
 // may is the guard's part on exposure (rule 5).
 func (t *trial) may(q *query, b relay.Build) bool {
 	ro := &t.p.set.Rollout
-	if ro.KeysForward && q.Key != 0 && b < t.keys[q.Key] {
+	if ro.StickyKeys && q.Key != 0 && b < t.keys[q.Key] {
 		return false
 	}
 	cap, stage, onTrial := t.capOf(b)
@@ -94,22 +94,22 @@
 		return true
 	}
 	x := t.limit(b)
-	if g, open := t.group(q.Customer); t.scoped {
+	if g, open := t.group(q.Tenant); t.scoped {
 		if !open || b > t.scope.Build || x.parts[g] < 1-1e-9 {
 			return false
 		}
 		stage = min(stage, t.scope.Stage)
 	}
-	if cap <= 0 || int(stage) < ro.GuardedStages && q.row.repeat != relay.Reissuable {
+	if cap <= 0 || int(stage) < ro.IdempotentOnlyStages && q.row.repeat != relay.Idempotent {
 		return false
 	}
-	return x.hard[x.slot(q.Category)] >= 1-1e-9
+	return x.hard[x.slot(q.Class)] >= 1-1e-9
 }
 
 // within says whether the design's share of the cap leaves room for a leg at a build, announced or not.
 func (t *trial) within(q *query, b relay.Build) bool {
 	x := t.limit(b)
-	return x.soft[x.slot(q.Category)] >= 1-1e-9
+	return x.soft[x.slot(q.Class)] >= 1-1e-9
 }
 
 // spend takes a leg off the budgets. The design's share is one of the legs sent: a share of all that is taken
@@ -117,8 +117,8 @@
 func (t *trial) spend(q *query, b relay.Build) {
 	limits, g := t.budgets(q)
 	for _, x := range limits {
-		i := x.slot(q.Category)
-		part, most := math.Min(capShare*x.cap, t.room), t.p.set.Rollout.Uncounted+1
+		i := x.slot(q.Class)
+		part, most := math.Min(capShare*x.cap, t.room), t.p.set.Rollout.ExposureAllowance+1
 		if !t.p.set.Rollout.InPlace {
 			most += part // a bound that this leg's part may pass: else two legs in three were the most
 		}
@@ -126,8 +126,8 @@
 	}
 	if _, _, onTrial := t.capOf(b); onTrial {
 		x := t.limit(b)
-		x.hard[x.slot(q.Category)]--
-		x.soft[x.slot(q.Category)]--
+		x.hard[x.slot(q.Class)]--
+		x.soft[x.slot(q.Class)]--
 		if g >= 0 {
 			x.parts[g]--
 		}
@@ -136,7 +136,7 @@
 
 // answered pins a key to the newest build once it has answered there.
 func (t *trial) answered(q *query, b relay.Build) {
-	if t.p.set.Rollout.KeysForward && q.Key != 0 && b > t.keys[q.Key] &&
+	if t.p.set.Rollout.StickyKeys && q.Key != 0 && b > t.keys[q.Key] &&
 		(!t.known || b > t.news.Build || b == t.news.Build && t.judging()) {
 		t.keys[q.Key] = b
 	}
@@ -144,11 +144,11 @@
 
 // judging says whether the newest build can still be sent back.
 func (t *trial) judging() bool {
-	return t.known && (t.news.Phase == relay.OnTrial || t.news.Phase == relay.Released)
+	return t.known && (t.news.Phase == relay.PhaseCanary || t.news.Phase == relay.PhaseReleased)
 }
 
 // steady says that the usual pace of each kind is held as it was before the trial, for comparison.
 func (t *trial) steady() bool {
 	return t.p.now > steadyTime/2 && t.judging() &&
-		(t.news.Phase == relay.OnTrial || t.p.now-t.since < steadyTime)
+		(t.news.Phase == relay.PhaseCanary || t.p.now-t.since < steadyTime)
 }
--- a/policy/fusion.go
+++ b/policy/fusion.go
@@ -24,14 +24,14 @@
 )
 
 // members gives the relays that aggregate: the lowest-numbered few that were heard of lately.
-func (a *aggregator) members() (nos []relay.RelayNo) {
+func (a *aggregator) members() (nos []relay.RelayID) {
 	for i := 0; i < a.p.set.Relays && len(nos) < aggregatorCount; i++ {
 		peer := &a.peers[i]
 		if peer.since == 0 {
 			peer.since = a.p.now
 		}
-		if relay.RelayNo(i) == a.p.set.Self || a.p.now-math.Max(peer.since, peer.decidedAt) < aggregatorSilence {
-			nos = append(nos, relay.RelayNo(i))
+		if relay.RelayID(i) == a.p.set.Self || a.p.now-math.Max(peer.since, peer.decidedAt) < aggregatorSilence {
+			nos = append(nos, relay.RelayID(i))
 		}
 	}
 	return nos
@@ -43,11 +43,11 @@
 		a.takeReport(n)
 	case noteDecision:
 		a.takeDecision(n)
-	case relay.StageNews:
-		if n.Reply != relay.Unasked {
+	case relay.RolloutStatus:
+		if n.Reply != relay.ReplyNone {
 			// A moot vote stays as cast: votes of all relays with old news would drown those that matter.
-			a.pending, a.sure = false, n.Reply == relay.Counted || n.Reply == relay.Moot
-			if n.Reply == relay.NotCounted {
+			a.pending, a.sure = false, n.Reply == relay.ReplyCounted || n.Reply == relay.ReplyStale
+			if n.Reply == relay.ReplyNotCounted {
 				a.nextAt = a.p.now + voteGap*(1+a.p.rng.Float64())
 			}
 		}
@@ -79,7 +79,7 @@
 	if want != a.want {
 		a.want, a.wantAt = want, a.p.now
 	}
-	if a.aggregating && a.p.set.Limits.Messages && a.p.set.Relays > 1 &&
+	if a.aggregating && a.p.set.Limits.PeerMessages && a.p.set.Relays > 1 &&
 		(a.announced != want || a.p.now-a.announcedAt >= verdictEvery) {
 		a.announced, a.announcedAt = want, a.p.now
 		a.tell(want)
--- a/policy/gate.go
+++ b/policy/gate.go
@@ -19,7 +19,7 @@
 )
 
 func (g *gate) take(n note) {
-	if n, ok := n.(noteOutcome); ok && n.how == relay.Honoured {
+	if n, ok := n.(noteOutcome); ok && n.how == relay.Succeeded {
 		g.answers.add(g.p.now, 0, n.due)
 	}
 }
@@ -40,12 +40,12 @@
 
 // denies says whether a new query is turned away, and counts it.
 func (g *gate) denies(q *query) bool {
-	n, c := len(g.p.set.Customers), int(q.Customer)
+	n, c := len(g.p.set.Tenants), int(q.Tenant)
 	g.mix.add(g.p.now, n, 1)
 	part := q.row.gate
 	if c < n {
 		g.mix.add(g.p.now, c, 1)
-		if share := g.p.set.Customers[c].Share; g.mix.all(g.p.now, c) > overShare*share*g.mix.all(g.p.now, n) {
+		if share := g.p.set.Tenants[c].TrafficShare; g.mix.all(g.p.now, c) > overShare*share*g.mix.all(g.p.now, n) {
 			part *= gateOver // value ranks beyond a share too: a burst is mostly one customer's
 		}
 	}
--- a/policy/messages.go
+++ b/policy/messages.go
@@ -29,7 +29,7 @@
 // observation is how one leg ended.
 type observation struct {
 	unit     unitHash
-	category relay.Category
+	category relay.RequestClass
 	how      relay.Outcome
 	newest   bool // the unit ran the newest build
 	young    bool // the unit had just started
@@ -49,7 +49,7 @@
 // unitHash stands for a unit's id in three bytes; two units may share one.
 type unitHash uint32
 
-func hashOf(id relay.UnitID) unitHash { return unitHash(uint64(id) * 0x9e3779b97f4a7c15 >> 40) }
+func hashOf(id relay.EndpointID) unitHash { return unitHash(uint64(id) * 0x9e3779b97f4a7c15 >> 40) }
 
 const (
 	messageMagic = 0x4c // first byte of every message, with the form's number behind it
@@ -154,7 +154,7 @@
 }
 
 // decode reads a report or a decision, as a note from a relay.
-func decode(from relay.RelayNo, body []byte) (note, error) {
+func decode(from relay.RelayID, body []byte) (note, error) {
 	if len(body) < 2 || body[0] != messageMagic || body[1] != reportForm && body[1] != decisionForm {
 		return nil, errMessage
 	}
@@ -175,7 +175,7 @@
 	for i := c.number(); i > 0 && c.err == nil; i-- {
 		s := observation{unit: c.hash()}
 		v := c.number()
-		s.category, s.young, s.newest = relay.Category(v>>2), v&2 != 0, v&1 != 0
+		s.category, s.young, s.newest = relay.RequestClass(v>>2), v&2 != 0, v&1 != 0
 		b := c.take(2)
 		s.how, s.depth = relay.Outcome(b[0]&7), int(b[0]>>3&7)
 		s.late = b[0]&128 != 0
@@ -190,7 +190,7 @@
 	s := observation{unit: hashOf(u.id), category: n.category, how: n.how, newest: u.newest(),
 		young: n.leg.age < u.p.young(), late: n.took > n.due || n.how == relay.TimedOut,
 		depth: min(n.leg.depth, depths-1)}
-	if n.leg.depth < depths && n.how != relay.Errored && n.how != relay.Broken && !n.how.NeverRan() {
+	if n.leg.depth < depths && n.how != relay.Errored && n.how != relay.ConnectionBroken && !n.how.NeverRan() {
 		s.pace = n.took / math.Max(n.work, 1e-3)
 	}
 	return s
@@ -198,13 +198,13 @@
 
 // tell sends a report with the legs not told yet to every aggregator, in as many as they need.
 func (t *trial) tell(m report) {
-	for t.p.set.Limits.Messages && t.p.set.Relays > 1 {
+	for t.p.set.Limits.PeerMessages && t.p.set.Relays > 1 {
 		n := min(len(t.unreported), reportLegs)
 		m.observations = t.unreported[:n]
 		body := m.encode()
 		for _, no := range t.p.aggregator.members() {
 			if no != t.p.set.Self {
-				t.p.do(relay.Tell{To: no, Body: body})
+				t.p.do(relay.SendMessage{To: no, Body: body})
 			}
 		}
 		if t.unreported = t.unreported[n:]; len(t.unreported) == 0 {
@@ -220,7 +220,7 @@
 	for _, k := range a.p.desk.kinds {
 		m.paces = append(m.paces, k.v)
 	}
-	a.p.do(relay.Tell{To: relay.Everyone, Body: m.encode()})
+	a.p.do(relay.SendMessage{To: relay.Broadcast, Body: m.encode()})
 }
 
 // takeReport keeps a relay's last report and passes the ends of its legs on to the units.
@@ -245,21 +245,21 @@
 	}
 	a.peers[n.from].decision, a.peers[n.from].decidedAt = n.decision, a.p.now
 	for k, pace := range n.decision.paces {
-		if m := a.p.desk.kind(relay.Kind(k)); !a.aggregating && pace > 0 {
+		if m := a.p.desk.kind(relay.MachineType(k)); !a.aggregating && pace > 0 {
 			*m = mean{pace, leastPace}
 		}
 	}
 }
 
 // count gives the aggregators heard of late, and how many of them decided for each vote for the build and stage.
-func (a *aggregator) count(want relay.Vote) (votes [relay.VoteBack + 1]int, decided int) {
+func (a *aggregator) count(want relay.Vote) (votes [relay.VoteRollBack + 1]int, decided int) {
 	for i := range a.peers {
 		peer := &a.peers[i]
-		if peer.decidedAt == 0 || a.p.now-peer.decidedAt > aggregatorSilence || peer.decision.vote > relay.VoteBack {
+		if peer.decidedAt == 0 || a.p.now-peer.decidedAt > aggregatorSilence || peer.decision.vote > relay.VoteRollBack {
 			continue
 		}
 		decided++
-		if peer.decision.build == want.Build && (peer.decision.stage == want.Stage || peer.decision.vote == relay.VoteBack) {
+		if peer.decision.build == want.Build && (peer.decision.stage == want.Stage || peer.decision.vote == relay.VoteRollBack) {
 			votes[peer.decision.vote]++
 		}
 	}
--- a/policy/queries.go
+++ b/policy/queries.go
@@ -17,15 +17,15 @@
 
 func (d *desk) take(n note) {
 	switch n := n.(type) {
-	case relay.Query:
+	case relay.Request:
 		if d.queries[n.ID] != nil {
 			return
 		}
-		if n.Category < 0 || int(n.Category) >= len(d.p.rows) {
-			d.p.do(relay.WriteOff{Query: n.ID})
+		if n.Class < 0 || int(n.Class) >= len(d.p.rows) {
+			d.p.do(relay.Fail{Request: n.ID})
 			return
 		}
-		q := &query{Query: n, row: &d.p.rows[n.Category], at: d.p.now}
+		q := &query{Request: n, row: &d.p.rows[n.Class], at: d.p.now}
 		q.due = q.at + math.Min(q.row.due+q.row.stretch*n.Work, math.Max(q.row.patience, q.row.due))
 		d.queries[n.ID] = q
 		d.open = append(d.open, q)
@@ -36,15 +36,15 @@
 			return
 		}
 		d.route(q)
-	case relay.LegEnded:
+	case relay.AttemptEnded:
 		d.ended(n)
-	case relay.Streaming:
-		if q := d.queries[n.Query]; q != nil {
+	case relay.StreamStarted:
+		if q := d.queries[n.Request]; q != nil {
 			q.stream = true
 			d.settle(q)
 		}
-	case relay.ClientLeft:
-		if q := d.queries[n.Query]; q != nil {
+	case relay.ClientDisconnected:
+		if q := d.queries[n.Request]; q != nil {
 			d.settle(q)
 		}
 	case noteTick:
@@ -52,26 +52,27 @@
 	}
 }
 
-func (d *desk) ended(n relay.LegEnded) {
-	q := d.queries[n.Query]
-	if q == nil || n.Leg < 0 || int(n.Leg) >= len(q.legs) || !q.legs[n.Leg].open {
+func (d *desk) ended(n relay.AttemptEnded) {
+	q := d.queries[n.Request]
+	if q == nil || n.Attempt < 0 || int(n.Attempt) >= len(q.legs) || !q.legs[n.Attempt].open {
 		return
 	}
-	l := &q.legs[n.Leg]
-	l.open, l.mayRan = false, !n.How.NeverRan()
-	o := noteOutcome{category: q.Category, leg: *l, how: n.How, took: n.Took, work: q.work(), due: q.due - q.at}
+	l := &q.legs[n.Attempt]
+	l.open, l.mayRan = false, !n.Outcome.NeverRan()
+	o := noteOutcome{category: q.Class, leg: *l, how: n.Outcome, took: n.Duration,
+		work: q.work(), due: q.due - q.at}
 	d.p.post(l.unit, o)
 	d.p.post(&d.p.gate, o)
-	if n.How == relay.Honoured {
-		d.usual.add(n.Took, paceFleet)
+	if n.Outcome == relay.Succeeded {
+		d.usual.add(n.Duration, paceFleet)
 		d.flow.add(d.p.now, 0, 1)
 		d.p.trial.answered(q, l.build)
 	}
 	switch {
-	case n.Over:
+	case n.RequestFinished:
 		d.settle(q)
 	case q.over || q.out() > 0:
-	case n.How == relay.TurnedAway && float64(d.inTime) > fullDenial*d.p.gate.limit():
+	case n.Outcome == relay.RejectedByEndpoint && float64(d.inTime) > fullDenial*d.p.gate.limit():
 		d.finish(q) // the fleet is full: more legs would only feed it
 	default:
 		d.route(q)
@@ -84,7 +85,7 @@
 		d.inTime--
 	}
 	q.over = true
-	if d.p.set.Limits.Cancel && !q.stream {
+	if d.p.set.Limits.CancelAttempts && !q.stream {
 		d.cancel(q)
 	}
 }
@@ -125,15 +126,15 @@
 	if q.over {
 		return
 	}
-	harmless := q.row.repeat == relay.Reissuable || !q.mayHaveRun() ||
-		q.row.repeat == relay.Numbered && q.row.group == relay.GroupAll
+	harmless := q.row.repeat == relay.Idempotent || !q.mayHaveRun() ||
+		q.row.repeat == relay.IdempotencyKeyed && q.row.group == relay.DedupAll
 	switch {
 	case !harmless:
-		d.p.do(relay.WriteOff{Query: q.ID})
+		d.p.do(relay.Fail{Request: q.ID})
 	case d.p.set.Limits.RetryAfter:
-		d.p.do(relay.Deny{Query: q.ID, RetryAfter: d.p.set.Limits.MaxRetryAfter})
+		d.p.do(relay.Reject{Request: q.ID, RetryAfter: d.p.set.Limits.MaxRetryAfter})
 	default:
-		d.p.do(relay.Deny{Query: q.ID})
+		d.p.do(relay.Reject{Request: q.ID})
 	}
 	d.settle(q)
 }
@@ -141,7 +142,7 @@
 // repeatBy is when a repeat of a numbered query must have been written to its last byte; 0: no such time.
 func (q *query) repeatBy() relay.Seconds {
 	for i := range q.legs {
-		if q.row.repeat == relay.Numbered && q.legs[i].mayRan {
+		if q.row.repeat == relay.IdempotencyKeyed && q.legs[i].mayRan {
 			return q.legs[i].at + q.row.window
 		}
 	}
--- a/policy/roster.go
+++ b/policy/roster.go
@@ -36,30 +36,31 @@
 	switch n := n.(type) {
 	case noteTick:
 		t := &r.p.trial
-		if r.p.set.RosterOnAsk && r.p.now >= r.askAt {
+		if r.p.set.ListOnRequest && r.p.now >= r.askAt {
 			r.ask()
-		} else if r.askAt == never && t.known && !t.doubted && t.listedAt == 0 && t.news.Phase == relay.OnTrial &&
-			r.p.now-t.since > listedLag+doubtSpread && r.p.rng.Float64() < tick/doubtSpread {
+		} else if r.askAt == never && t.known && !t.doubted && t.listedAt == 0 &&
+			t.news.Phase == relay.PhaseCanary && r.p.now-t.since > listedLag+doubtSpread &&
+			r.p.rng.Float64() < tick/doubtSpread {
 			// A stage whose units nobody lists: a silent watch shows in nothing else until its wait is over.
 			t.doubted = true
-			r.p.do(relay.Watch{On: true, Anew: true})
+			r.p.do(relay.Watch{On: true, Restart: true})
 		}
-	case relay.Roster:
-		if n.Form == relay.RosterFailed || n.Form == relay.RosterSilent {
+	case relay.ListUpdate:
+		if n.Kind == relay.ListFetchFailed || n.Kind == relay.ListWatchStalled {
 			// Which call failed is not said. What a silent watch missed counts as told soon: ask at once.
 			r.callDue = true
-			r.askAt = r.p.now + r.backoff.Failed(n.Form == relay.RosterSilent)
+			r.askAt = r.p.now + r.backoff.Failed(n.Kind == relay.ListWatchStalled)
 			return
 		}
 		// While a call is due the list is of another one, or of before the first.
-		if n.Form != relay.RosterCached && !n.FromPeers && !r.callDue {
+		if n.Kind != relay.ListCached && !n.FromPeers && !r.callDue {
 			r.askAt = never
 			r.backoff.Answered()
 		}
 		r.merge(n)
-	case relay.RosterLease:
-		r.leaseEnd = n.Until
-	case relay.DiscoveryAnswers:
+	case relay.ListLease:
+		r.leaseEnd = n.ExpiresAt
+	case relay.DiscoveryRecovered:
 		if r.callDue {
 			r.askAt = math.Min(r.askAt, r.p.now+r.backoff.PeerAnswered())
 		}
--- a/policy/routing.go
+++ b/policy/routing.go
@@ -20,12 +20,12 @@
 
 // route sends a query that has no leg out, holds it while it is in time and may go, or gives it up at once.
 func (d *desk) route(q *query) {
-	held := d.p.now < q.due && d.p.now < q.Until-patienceEdge
+	held := d.p.now < q.due && d.p.now < q.Deadline-patienceEdge
 	if u := d.pick(q); u != nil && held {
 		d.send(q, u)
 		return
 	}
-	if !held || d.p.roster.expired() || len(q.legs) >= d.p.set.Limits.MaxLegs ||
+	if !held || d.p.roster.expired() || len(q.legs) >= d.p.set.Limits.MaxAttempts ||
 		q.row.repeat == relay.AtMostOnce && q.mayHaveRun() {
 		d.finish(q)
 	}
@@ -103,12 +103,12 @@
 // may is the guard that every leg passes: rules 2 to 5.
 func (d *desk) may(q *query, u *unit) bool {
 	p := d.p
-	if q.over || u.State != relay.Ready || len(q.legs) >= p.set.Limits.MaxLegs || p.roster.expired() {
+	if q.over || u.State != relay.Ready || len(q.legs) >= p.set.Limits.MaxAttempts || p.roster.expired() {
 		return false
 	}
 	for i := range q.legs {
 		l := &q.legs[i]
-		if l.open && !p.set.Limits.SecondCopies {
+		if l.open && !p.set.Limits.HedgedRequests {
 			return false
 		}
 		if !l.mayRan {
@@ -117,9 +117,9 @@
 		switch q.row.repeat {
 		case relay.AtMostOnce:
 			return false
-		case relay.Numbered:
-			same := q.row.group == relay.GroupAll || q.row.group == relay.GroupZone && u.Zone == l.zone ||
-				q.row.group == relay.GroupCell && u.Cell == l.cell
+		case relay.IdempotencyKeyed:
+			same := q.row.group == relay.DedupAll || q.row.group == relay.DedupZone && u.Zone == l.zone ||
+				q.row.group == relay.DedupFailureDomain && u.FailureDomain == l.cell
 			if !same || p.now >= q.repeatBy() {
 				return false
 			}
@@ -134,12 +134,12 @@
 	if end := d.p.roster.leaseEnd; end != never && (by == 0 || end < by) {
 		by = end // it waits for a connection no longer than the list holds
 	}
-	q.legs = append(q.legs, leg{unit: u, zone: u.Zone, cell: u.Cell, build: u.Build, at: p.now,
+	q.legs = append(q.legs, leg{unit: u, zone: u.Zone, cell: u.FailureDomain, build: u.Build, at: p.now,
 		age: p.now - u.started, open: true, mayRan: true, depth: u.open})
 	if u.warmth() < 1 {
 		u.cold, u.coldAt, u.first = math.Max(0, u.coldLeft()-1), p.now, 1
 	}
 	p.trial.spend(q, u.Build)
 	p.post(u, noteSent{})
-	p.do(relay.SendLeg{Query: q.ID, Unit: u.id, By: by})
+	p.do(relay.SendAttempt{Request: q.ID, Endpoint: u.id, SendBy: by})
 }
