--- a/policy/state.go
+++ b/policy/state.go
@@ -36,7 +36,7 @@
 	p.mail = p.mail[:0]
 }
 
-func (p *Policy) do(o relay.Order) { p.out = append(p.out, o) }
+func (p *Policy) do(o relay.Command) { p.out = append(p.out, o) }
 
 // Notes.
 type (
@@ -44,7 +44,7 @@
 	noteSent    struct{}
 	noteOverdue struct{} // a leg is still out past its query's due time
 	noteOutcome struct {
-		category relay.Category
+		category relay.RequestClass
 		leg      leg
 		how      relay.Outcome
 		took     relay.Seconds
@@ -52,11 +52,11 @@
 		due      relay.Seconds // time allowed
 	}
 	noteReport struct {
-		from   relay.RelayNo
+		from   relay.RelayID
 		report report
 	}
 	noteDecision struct {
-		from     relay.RelayNo
+		from     relay.RelayID
 		decision decision
 	}
 )
@@ -65,7 +65,7 @@
 type leg struct {
 	unit   *unit
 	zone   relay.Zone
-	cell   relay.Cell
+	cell   relay.FailureDomain
 	build  relay.Build
 	at     relay.Seconds
 	age    relay.Seconds
@@ -76,7 +76,7 @@
 
 // query is one query that this relay has taken.
 type query struct {
-	relay.Query
+	relay.Request
 	row     *row
 	at      relay.Seconds
 	due     relay.Seconds
@@ -87,10 +87,10 @@
 }
 
 // openLegs goes over the legs that are still out.
-func (q *query) openLegs() iter.Seq2[relay.LegNo, *leg] {
-	return func(yield func(relay.LegNo, *leg) bool) {
+func (q *query) openLegs() iter.Seq2[relay.AttemptNumber, *leg] {
+	return func(yield func(relay.AttemptNumber, *leg) bool) {
 		for i := range q.legs {
-			if l := &q.legs[i]; l.open && !yield(relay.LegNo(i), l) {
+			if l := &q.legs[i]; l.open && !yield(relay.AttemptNumber(i), l) {
 				return
 			}
 		}
@@ -138,7 +138,7 @@
 	clear(x.soft)
 }
 
-func (x *exposure) slot(c relay.Category) int { return min(int(c), len(x.hard)-1) }
+func (x *exposure) slot(c relay.RequestClass) int { return min(int(c), len(x.hard)-1) }
 
 // peer is the last report of one relay, and its last decision where it is an aggregator.
 type peer struct {
@@ -183,8 +183,8 @@
 
 // row is what differs by category.
 type row struct {
-	repeat   relay.Repeat
-	group    relay.Group
+	repeat   relay.Idempotency
+	group    relay.DedupScope
 	window   relay.Seconds
 	due      relay.Seconds
 	stretch  float64
@@ -199,7 +199,7 @@
 	rng  *rand.Rand
 	now  relay.Seconds
 	mail []letter
-	out  []relay.Order
+	out  []relay.Command
 
 	begun      bool
 	roster     roster
@@ -210,24 +210,24 @@
 }
 
 // Step takes what has happened up to now and returns what to do about it.
-func (p *Policy) Step(now relay.Seconds, events []relay.Event) []relay.Order {
+func (p *Policy) Step(now relay.Seconds, events []relay.Event) []relay.Command {
 	p.now, p.out = math.Max(now, p.now), p.out[:0]
 	if !p.begun {
 		p.begun = true
-		p.do(relay.Wake{ID: 1, At: p.now + tick})
-		if p.set.RosterOnAsk {
+		p.do(relay.SetTimer{ID: 1, At: p.now + tick})
+		if p.set.ListOnRequest {
 			p.roster.begin(slices.ContainsFunc(events, isLease))
 		}
 	}
 	// All of a batch has happened by now: what it tells of units and builds holds for its queries too.
 	for _, e := range events {
 		switch e := e.(type) {
-		case relay.Roster, relay.RosterLease, relay.DiscoveryAnswers:
+		case relay.ListUpdate, relay.ListLease, relay.DiscoveryRecovered:
 			p.post(&p.roster, e)
-		case relay.StageNews:
+		case relay.RolloutStatus:
 			p.post(&p.trial, e)
 			p.post(&p.aggregator, e)
-		case relay.Scope:
+		case relay.CanaryScope:
 			p.post(&p.trial, e)
 		}
 		p.drain()
@@ -235,19 +235,19 @@
 	woken := false
 	for _, e := range events {
 		switch e := e.(type) {
-		case relay.Woken:
+		case relay.TimerFired:
 			woken = true
-		case relay.Heard:
+		case relay.MessageReceived:
 			if n, err := decode(e.From, e.Body); err == nil {
 				p.post(&p.aggregator, n)
 			}
-		case relay.Query, relay.LegEnded, relay.Streaming, relay.ClientLeft:
+		case relay.Request, relay.AttemptEnded, relay.StreamStarted, relay.ClientDisconnected:
 			p.post(&p.desk, e)
 		}
 		p.drain()
 	}
 	if woken {
-		p.do(relay.Wake{ID: 1, At: p.now + tick})
+		p.do(relay.SetTimer{ID: 1, At: p.now + tick})
 		for _, a := range []actor{&p.roster, &p.trial, &p.aggregator, &p.desk} {
 			p.post(a, noteTick{})
 		}
@@ -260,12 +260,12 @@
 func New(set relay.Settings, seed int64) *Policy {
 	p := &Policy{set: set, rng: rand.New(rand.NewSource(seed))}
 	most := 1e-9 // the highest value of a category
-	for _, c := range set.Categories {
-		most = math.Max(most, c.Value)
+	for _, c := range set.Classes {
+		most = math.Max(most, c.PriorityWeight)
 	}
-	for _, c := range set.Categories {
-		p.rows = append(p.rows, row{repeat: c.Repeat, group: c.Group, window: c.RepeatWindow, due: c.DueTime,
-			stretch: c.DueStretch, patience: c.Patience, gate: gatePart(c.Value, most)})
+	for _, c := range set.Classes {
+		p.rows = append(p.rows, row{repeat: c.Idempotency, group: c.DedupScope, window: c.DedupWindow, due: c.LatencyObjective,
+			stretch: c.ObjectivePerWork, patience: c.Deadline, gate: gatePart(c.PriorityWeight, most)})
 	}
 	p.assemble()
 	// Relays that start together would all look and tell at the same moments, once a second.
@@ -274,18 +274,18 @@
 }
 
 func isLease(e relay.Event) bool {
-	_, yes := e.(relay.RosterLease)
+	_, yes := e.(relay.ListLease)
 	return yes
 }
 
 // assemble makes the parts.
 func (p *Policy) assemble() {
-	p.roster = roster{p: p, byID: map[relay.UnitID]*unit{}, byHash: map[unitHash]*unit{}, leaseEnd: never,
-		backoff: membership.NewBackoff(p.set.Relays, p.set.Rules.AskEvery, p.rng)}
-	p.desk = desk{p: p, queries: map[relay.QueryID]*query{}, flow: newRing(flowWidth, flowCount, 1),
+	p.roster = roster{p: p, byID: map[relay.EndpointID]*unit{}, byHash: map[unitHash]*unit{}, leaseEnd: never,
+		backoff: membership.NewBackoff(p.set.Relays, p.set.Rules.PollInterval, p.rng)}
+	p.desk = desk{p: p, queries: map[relay.RequestID]*query{}, flow: newRing(flowWidth, flowCount, 1),
 		links: newRing(flowWidth, linkBuckets, 2)}
 	p.gate = gate{p: p, answers: newRing(flowWidth, flowCount, 1),
-		mix: newRing(flowWidth, flowCount, len(p.set.Customers)+1)}
+		mix: newRing(flowWidth, flowCount, len(p.set.Tenants)+1)}
 	p.trial = trial{p: p, keys: map[relay.Key]relay.Build{}, mine: make([]verdict, len(p.rows)),
 		legs: newRing(evidenceWidth, evidenceBuckets, len(p.rows)),
 		last: [2][]counts{make([]counts, len(p.rows)+1), make([]counts, len(p.rows)+1)}}
@@ -295,7 +295,7 @@
 // cancel ends the legs of a query that are still out.
 func (d *desk) cancel(q *query) {
 	for no := range q.openLegs() {
-		d.p.do(relay.CancelLeg{Query: q.ID, Leg: no})
+		d.p.do(relay.CancelAttempt{Request: q.ID, Attempt: no})
 	}
 }
 
@@ -304,7 +304,7 @@
 	for _, q := range d.open {
 		for no, l := range q.openLegs() {
 			if l.build == b {
-				d.p.do(relay.Recall{Query: q.ID, Leg: no})
+				d.p.do(relay.CancelUnsent{Request: q.ID, Attempt: no})
 			}
 		}
 	}
@@ -313,7 +313,7 @@
 // roster keeps the list of units and the watch on it.
 type roster struct {
 	p       *Policy
-	byID    map[relay.UnitID]*unit
+	byID    map[relay.EndpointID]*unit
 	byHash  map[unitHash]*unit
 	units   []*unit       // all ever listed, by id
 	callDue bool          // no call was made since the start, or since one failed
@@ -329,8 +329,8 @@
 // unit is one server as this relay sees it.
 type unit struct {
 	p  *Policy
-	id relay.UnitID
-	relay.UnitEntry
+	id relay.EndpointID
+	relay.Endpoint
 	started  relay.Seconds
 	met      bool
 	goneAt   relay.Seconds // when it was told as gone
@@ -357,7 +357,7 @@
 // desk takes queries, sends legs and gives final answers.
 type desk struct {
 	p        *Policy
-	queries  map[relay.QueryID]*query
+	queries  map[relay.RequestID]*query
 	open     []*query       // those with an answer owed or legs out, in order of arrival
 	inTime   int            // of these, with an answer owed that may still be in time
 	pace     mean           // the fleet's leg time over expected work
@@ -384,14 +384,14 @@
 type trial struct {
 	p          *Policy
 	known      bool
-	news       relay.StageNews
+	news       relay.RolloutStatus
 	since      relay.Seconds // when the present state began
 	offered    relay.Seconds // when the newest build was first heard of; 0: before this relay began
 	cycle      relay.Seconds // from the build before to that
 	listedAt   relay.Seconds // when the units of the present stage were first listed; 0: not yet
 	doubted    bool          // the watch was opened anew as they were not
 	limits     []*exposure
-	scope      relay.Scope
+	scope      relay.CanaryScope
 	scoped     bool                      // a scope was told
 	keys       map[relay.Key]relay.Build // answered by the newest build, or by one not announced yet
 	mine       []verdict                 // by category
@@ -428,59 +428,59 @@
 
 // list takes the unit's entry in the roster. A fresh start, or another build under an old id, is a new process:
 // nothing known of the old holds.
-func (u *unit) list(e relay.UnitEntry) {
-	if !u.met || e.Build != u.Build || e.Started && e.StartedAt != u.StartedAt {
+func (u *unit) list(e relay.Endpoint) {
+	if !u.met || e.Build != u.Build || e.StartKnown && e.StartedAt != u.StartedAt {
 		u.met, u.bad, u.pace, u.misses, u.brokenOn = true, 0, 0, 0, 0
 		u.cold, u.coldAt, u.first = u.p.rng.Float64(), u.p.now, u.p.rng.Float64()
 		u.seen[own].reset()
 		u.seen[told].reset()
 	}
-	if e.State == relay.Gone && u.State != relay.Gone {
+	if e.State == relay.Removed && u.State != relay.Removed {
 		u.goneAt = u.p.now
 	}
-	u.UnitEntry = e
+	u.Endpoint = e
 	u.started = math.Inf(-1)
-	if e.Started {
+	if e.StartKnown {
 		u.started = e.StartedAt
 	}
 }
 
 // as is what is known of the unit, in another state.
-func (u *unit) as(state relay.UnitState) relay.UnitEntry {
-	e := u.UnitEntry
+func (u *unit) as(state relay.EndpointState) relay.Endpoint {
+	e := u.Endpoint
 	e.State = state
 	return e
 }
 
 // merge applies a list of the roster: units listed are told their line, and those that a whole list leaves
 // out that they are gone.
-func (r *roster) merge(n relay.Roster) {
-	listed := map[relay.UnitID]bool{}
-	for _, e := range n.Units {
-		listed[e.Unit] = true
-		u := r.byID[e.Unit]
+func (r *roster) merge(n relay.ListUpdate) {
+	listed := map[relay.EndpointID]bool{}
+	for _, e := range n.Endpoints {
+		listed[e.ID] = true
+		u := r.byID[e.ID]
 		if u == nil {
-			u = &unit{p: r.p, id: e.Unit}
+			u = &unit{p: r.p, id: e.ID}
 			for i := range u.seen {
 				u.seen[i] = newRing(evidenceWidth, evidenceBuckets, len(r.p.rows)*figures)
 			}
-			r.byID[e.Unit] = u
-			if m := hashOf(e.Unit); r.byHash[m] == nil {
+			r.byID[e.ID] = u
+			if m := hashOf(e.ID); r.byHash[m] == nil {
 				r.byHash[m] = u
 			}
-			at := sort.Search(len(r.units), func(i int) bool { return r.units[i].id > e.Unit })
+			at := sort.Search(len(r.units), func(i int) bool { return r.units[i].id > e.ID })
 			r.units = append(r.units, nil)
 			copy(r.units[at+1:], r.units[at:])
 			r.units[at] = u
 		}
-		if e.Bare && u.met {
+		if e.Partial && u.met {
 			e = u.as(e.State)
 		}
 		r.p.post(u, e)
 	}
 	for _, u := range r.units {
-		if n.Form != relay.RosterDelta && !listed[u.id] && u.State != relay.Gone {
-			r.p.post(u, u.as(relay.Gone))
+		if n.Kind != relay.ListDelta && !listed[u.id] && u.State != relay.Removed {
+			r.p.post(u, u.as(relay.Removed))
 		}
 	}
 	r.forget()
@@ -491,7 +491,7 @@
 func (r *roster) forget() {
 	kept, vacant := r.units[:0], []unitHash(nil)
 	for _, u := range r.units {
-		if u.met && u.State == relay.Gone && u.open == 0 && r.p.now-u.goneAt > forgetGone {
+		if u.met && u.State == relay.Removed && u.open == 0 && r.p.now-u.goneAt > forgetGone {
 			delete(r.byID, u.id)
 			if m := hashOf(u.id); r.byHash[m] == u {
 				delete(r.byHash, m)
@@ -518,27 +518,27 @@
 		}
 	}
 	ro, n := &t.p.set.Rollout, 1
-	if ro.PerCategory {
+	if ro.PerClass {
 		n = len(t.p.rows)
 	}
 	x := &exposure{build: b, hard: make([]float64, n), soft: make([]float64, n)}
-	if len(ro.Caps) > 0 {
-		x.cap = ro.Caps[0]
+	if len(ro.ExposureLimits) > 0 {
+		x.cap = ro.ExposureLimits[0]
 	}
 	for i := range x.hard {
-		x.hard[i], x.soft[i] = ro.Uncounted, t.p.rng.Float64()
+		x.hard[i], x.soft[i] = ro.ExposureAllowance, t.p.rng.Float64()
 	}
-	x.parts = make([]float64, len(t.scope.Open))
+	x.parts = make([]float64, len(t.scope.GroupOpen))
 	t.limits = append(t.limits, x)
 	return x
 }
 
 // narrow takes a scope. Budgets by group start empty where the groups are others than before.
-func (t *trial) narrow(s relay.Scope) {
+func (t *trial) narrow(s relay.CanaryScope) {
 	t.scope, t.scoped = s, true
 	for _, x := range t.limits {
-		if len(x.parts) != len(s.Open) {
-			x.parts = make([]float64, len(s.Open))
+		if len(x.parts) != len(s.GroupOpen) {
+			x.parts = make([]float64, len(s.GroupOpen))
 		}
 	}
 }
@@ -546,7 +546,7 @@
 // budgets gives the budgets that a query's part counts in, none where a scope keeps it from builds on trial, and
 // its group's number; -1: no scope holds.
 func (t *trial) budgets(q *query) (limits []*exposure, g int) {
-	g, open := t.group(q.Customer)
+	g, open := t.group(q.Tenant)
 	if !open {
 		return nil, g
 	}
@@ -554,16 +554,16 @@
 }
 
 // group is the group that a customer's queries count in, and whether it may meet builds on trial.
-func (t *trial) group(c relay.Customer) (g int, open bool) {
+func (t *trial) group(c relay.Tenant) (g int, open bool) {
 	if !t.scoped {
 		return -1, true
 	}
-	if c < 0 || int(c) >= len(t.scope.Groups) {
+	if c < 0 || int(c) >= len(t.scope.GroupOfTenant) {
 		return -1, false
 	}
-	g = t.scope.Groups[c]
-	if g < 0 || g >= len(t.scope.Open) {
+	g = t.scope.GroupOfTenant[c]
+	if g < 0 || g >= len(t.scope.GroupOpen) {
 		return -1, false
 	}
-	return g, t.scope.Open[g]
+	return g, t.scope.GroupOpen[g]
 }
--- a/policy/unit.go
+++ b/policy/unit.go
@@ -27,7 +27,7 @@
 
 func (u *unit) take(n note) {
 	switch n := n.(type) {
-	case relay.UnitEntry:
+	case relay.Endpoint:
 		u.list(n)
 	case noteSent:
 		if u.open == 0 {
@@ -44,7 +44,7 @@
 
 // young is the age up to which a unit may be slow for being cold: what the site states, at most the design's.
 func (p *Policy) young() relay.Seconds {
-	if w := p.set.Rules.WarmUp; w > 0 && w < youngUnit {
+	if w := p.set.Rules.SlowStartTime; w > 0 && w < youngUnit {
 		return w
 	}
 	return youngUnit
@@ -53,9 +53,9 @@
 // miss is what an outcome adds to a failure figure. A unit that is full is no suspect for that alone.
 func miss(how relay.Outcome) float64 {
 	switch how {
-	case relay.Honoured:
+	case relay.Succeeded:
 		return 0
-	case relay.TurnedAway:
+	case relay.RejectedByEndpoint:
 		return suspectAt
 	}
 	return 1
@@ -65,13 +65,13 @@
 func (u *unit) learn(s observation, by int) {
 	m := miss(s.how)
 	if !s.how.NeverRan() { // what a full table or a refused connection shows is not the machine's doing
-		if u.misses += badStep * (m - u.misses); m == 1 && u.misses >= brokenAt || s.how == relay.Broken {
+		if u.misses += badStep * (m - u.misses); m == 1 && u.misses >= brokenAt || s.how == relay.ConnectionBroken {
 			u.brokenOn = u.p.now
 		}
 	}
-	usual := u.p.desk.usualPace(u.Kind, s.depth)
-	if s.how == relay.Honoured && s.pace > 0 {
-		u.p.desk.kind(u.Kind).add(s.pace, paceKind)
+	usual := u.p.desk.usualPace(u.MachineType, s.depth)
+	if s.how == relay.Succeeded && s.pace > 0 {
+		u.p.desk.kind(u.MachineType).add(s.pace, paceKind)
 		u.p.desk.learnPace(u, s.pace, s.depth)
 	}
 	known := s.category >= 0 && int(s.category) < len(u.p.rows)
@@ -82,7 +82,7 @@
 
 // cost is what one more leg here is expected to cost, for comparison with other units.
 func (u *unit) cost() float64 {
-	if u.Zone != u.p.set.Zone && u.p.set.Prices.CrossZone > 0 {
+	if u.Zone != u.p.set.Zone && u.p.set.Costs.CrossZone > 0 {
 		return crossCost * u.load()
 	}
 	return u.load()
@@ -101,8 +101,8 @@
 // what it can do when warm, so all relays together keep rule 4. (Legs sent won't do: a lone unit gets more.)
 func (u *unit) coldLeft() float64 {
 	r := &u.p.set.Rules
-	rate := u.p.desk.evenFlow * u.warmth() * r.FallMultiple * coldPart
-	return math.Min(math.Max(1, rate*r.FallTime*coldBurst), u.cold+rate*(u.p.now-u.coldAt))
+	rate := u.p.desk.evenFlow * u.warmth() * r.OverloadMultiple * coldPart
+	return math.Min(math.Max(1, rate*r.OverloadWindow*coldBurst), u.cold+rate*(u.p.now-u.coldAt))
 }
 
 // spared says that the unit is too cold for one more leg of this relay. By its budget alone a small relay
@@ -110,5 +110,5 @@
 func (u *unit) spared() bool {
 	r := &u.p.set.Rules
 	return u.warmth() < 1 && u.coldLeft() < 1 &&
-		u.first >= u.p.desk.choice*math.Min(1, r.FallMultiple*r.ColdFrom*coldPart)
+		u.first >= u.p.desk.choice*math.Min(1, r.OverloadMultiple*r.SlowStartFloor*coldPart)
 }
--- a/policy/votes.go
+++ b/policy/votes.go
@@ -25,7 +25,7 @@
 // decide is the vote that this aggregator wants to stand.
 func (a *aggregator) decide() relay.Verdict {
 	t, r := &a.p.trial, &a.p.set.Rollout
-	released := t.news.Phase == relay.Released
+	released := t.news.Phase == relay.PhaseReleased
 	if !t.judging() {
 		a.cleanAt, a.slowAt = a.p.now, a.p.now
 		return relay.NoVote
@@ -40,14 +40,15 @@
 	age := math.Min(a.p.now-t.since, a.p.now-t.listedAt+listedLag)
 	switch {
 	case back || a.p.now-a.slowAt > fleetPatience:
-		return relay.VoteBack
+		return relay.VoteRollBack
 	case released:
 		return relay.NoVote
-	case r.Control == relay.Clock && (pooled < leastCount || late) && a.p.now-t.since < r.StepTime+extraWait:
+	case r.Control == relay.ControlTimed && (pooled < leastCount || late) &&
+		a.p.now-t.since < r.MaxStageTime+extraWait:
 		return relay.VoteHold
-	case r.Control != relay.Clock && t.listedAt != 0 && !late && t.ripe() &&
-		(age >= r.LeastTime+extraWait || age >= r.LeastTime && pooled >= leastCount):
-		return relay.VoteOn
+	case r.Control != relay.ControlTimed && t.listedAt != 0 && !late && t.ripe() &&
+		(age >= r.MinStageTime+extraWait || age >= r.MinStageTime && pooled >= leastCount):
+		return relay.VotePromote
 	}
 	return relay.NoVote
 }
@@ -67,7 +68,11 @@
 // lost, vote at once; the rest only when that has not been enough, no faster than votes are taken.
 func (a *aggregator) turn(v relay.Verdict) relay.Seconds {
 	r := &a.p.set.Rollout
-	need := [...]int{relay.VoteOn: r.VotesOn, relay.VoteHold: r.VotesHold, relay.VoteBack: r.VotesBack}[v]
+	need := [...]int{
+		relay.VotePromote:  r.PromoteQuorum,
+		relay.VoteHold:     r.HoldQuorum,
+		relay.VoteRollBack: r.RollBackQuorum,
+	}[v]
 	extra := float64(a.p.set.Self) - math.Max(aggregatorCount, voteOver*float64(need))
 	if v == relay.NoVote || extra < 0 {
 		return 0
@@ -85,15 +90,16 @@
 		return
 	}
 	moot := a.cast.Verdict == relay.NoVote || a.cast.Build != w.Build || !a.p.trial.judging() ||
-		a.cast.Verdict != relay.VoteBack && (a.cast.Stage != w.Stage || a.p.trial.news.Phase == relay.Released)
+		a.cast.Verdict != relay.VoteRollBack &&
+			(a.cast.Stage != w.Stage || a.p.trial.news.Phase == relay.PhaseReleased)
 	if w.Verdict == relay.NoVote && moot {
 		a.cast = w
 		return
 	}
-	if w == a.cast && a.sure && (w.Verdict == relay.NoVote || now-a.castAt < voteRenew*r.VoteLife) {
+	if w == a.cast && a.sure && (w.Verdict == relay.NoVote || now-a.castAt < voteRenew*r.VoteTTL) {
 		return
 	}
-	if w.Verdict == relay.VoteBack && a.cast.Verdict != w.Verdict && a.aggregating {
+	if w.Verdict == relay.VoteRollBack && a.cast.Verdict != w.Verdict && a.aggregating {
 		a.p.do(relay.Log{Line: fmt.Sprintf("voting build %d back at stage %d: %s", w.Build, w.Stage, a.why)})
 	}
 	a.cast, a.castAt, a.nextAt, a.pending, a.sure = w, now, now+voteGap, true, false
--- a/relay/relay.go
+++ b/relay/relay.go
@@ -5,95 +5,95 @@
 
 // Ids, each a type of its own. A Unit is one server; it keeps its id over a restart of its process.
 type (
-	QueryID  uint32
-	UnitID   uint64
-	RelayNo  uint32
-	Category int
-	Customer int
-	Zone     int
-	Kind     int
-	Cell     int
-	Build    int
-	Stage    int
-	Key      uint64 // what a query concerns; 0: nothing
-	WakeID   uint64
-	LegNo    int
-	Seconds  = float64
+	RequestID     uint32
+	EndpointID    uint64
+	RelayID       uint32
+	RequestClass  int
+	Tenant        int
+	Zone          int
+	MachineType   int
+	FailureDomain int
+	Build         int
+	Stage         int
+	Key           uint64 // what a query concerns; 0: nothing
+	TimerID       uint64
+	AttemptNumber int
+	Seconds       = float64
 )
 
 // Everyone addresses a Tell to all other relays.
-const Everyone RelayNo = 1<<32 - 1
+const Broadcast RelayID = 1<<32 - 1
 
 // Repeat says whether a query of a category may run again.
-type Repeat int
+type Idempotency int
 
 const (
-	Reissuable Repeat = iota
-	Numbered          // carries a mark by which a Group of units drops a repeat
+	Idempotent       Idempotency = iota
+	IdempotencyKeyed             // carries a mark by which a Group of units drops a repeat
 	AtMostOnce
 )
 
 // Group names the units that drop a repeat of one numbered query.
-type Group int
+type DedupScope int
 
 const (
-	GroupAll Group = iota
-	GroupZone
-	GroupCell
+	DedupAll DedupScope = iota
+	DedupZone
+	DedupFailureDomain
 )
 
 // Control says what the votes on a build bring about.
-type Control int
+type RolloutControl int
 
 const (
-	AnyVote    Control = iota // one vote moves or ends a stage
-	ShareVotes                // a counted share of relays does
-	Clock                     // a stage moves by itself; votes hold it or send the build back
+	ControlSingleVote RolloutControl = iota // one vote moves or ends a stage
+	ControlQuorum                           // a counted share of relays does
+	ControlTimed                            // a stage moves by itself; votes hold it or send the build back
 )
 
 // Settings are what an instance is told once, at its start. A zero value means absent.
 type Settings struct {
-	Self           RelayNo
-	Relays         int
-	Zone           Zone
-	Categories     []CategoryTerms
-	Customers      []CustomerTerms
-	OverShareValue float64
-	Limits         Limits
-	Rules          Rules
-	Rollout        Rollout
-	RosterOnAsk    bool     // the roster answers only a Watch or a Fetch
-	Reports        []string // names of the figures in a load report
-	ReportInLegs   bool     // load reports come with outcomes too
-	Prices         Prices
+	Self                    RelayID
+	Relays                  int
+	Zone                    Zone
+	Classes                 []ClassSettings
+	Tenants                 []TenantSettings
+	OverQuotaPriorityWeight float64
+	Limits                  Limits
+	Rules                   Rules
+	Rollout                 Rollout
+	ListOnRequest           bool     // the roster answers only a Watch or a Fetch
+	LoadReportFields        []string // names of the figures in a load report
+	LoadReportInAttempts    bool     // load reports come with outcomes too
+	Costs                   Costs
 }
 
-// CategoryTerms are the terms of one category of queries.
-type CategoryTerms struct {
-	Repeat       Repeat
-	Group        Group
-	RepeatWindow Seconds
-	DueTime      Seconds
-	DueStretch   float64 // the due time grows by this multiple of the query's own work
-	Patience     Seconds
-	Value        float64
-	LateValue    float64
-	Streamed     bool
+// ClassSettings are the terms of one category of queries.
+type ClassSettings struct {
+	Idempotency        Idempotency
+	DedupScope         DedupScope
+	DedupWindow        Seconds
+	LatencyObjective   Seconds
+	ObjectivePerWork   float64 // the due time grows by this multiple of the query's own work
+	Deadline           Seconds
+	PriorityWeight     float64
+	LatePriorityWeight float64
+	Streamed           bool
 }
 
-// CustomerTerms are the terms of one customer.
-type CustomerTerms struct {
-	Share       float64
-	QuotaPerSec float64
+// TenantSettings are the terms of one customer.
+type TenantSettings struct {
+	TrafficShare float64
+	QuotaPerSec  float64
 }
 
 // Limits is what the site permits.
 type Limits struct {
-	MaxLegs        int
-	Cancel         bool
-	Probes         bool
-	Messages       bool
-	SecondCopies   bool
+	MaxAttempts    int
+	CancelAttempts bool
+	HealthChecks   bool
+	PeerMessages   bool
+	HedgedRequests bool
 	RetryAfter     bool
 	MaxRetryAfter  Seconds
 	ConnectTimeout Seconds
@@ -101,116 +101,118 @@
 
 // Rules are the figures of the five rules.
 type Rules struct {
-	AnswerSlack  Seconds
-	DrainGrace   Seconds
-	AskEvery     Seconds // to which a relay with no watch is held; infinite: no such time
-	ColdFrom     float64
-	WarmUp       Seconds
-	FallMultiple float64
-	FallTime     Seconds
+	AnswerSlack      Seconds
+	DrainGrace       Seconds
+	PollInterval     Seconds // to which a relay with no watch is held; infinite: no such time
+	SlowStartFloor   float64
+	SlowStartTime    Seconds
+	OverloadMultiple float64
+	OverloadWindow   Seconds
 }
 
 // Rollout is how new builds are brought in.
 type Rollout struct {
-	Control       Control
-	InPlace       bool // machines of the earlier build are drained as successors run
-	Caps          []float64
-	StageShares   []float64
-	Uncounted     float64
-	Window        Seconds
-	PerCategory   bool
-	GuardedStages int
-	KeysForward   bool
-	KeysWarm      bool
-	VotesOn       int
-	VotesBack     int
-	VotesHold     int
-	VoteLife      Seconds
-	CallTimeout   Seconds
-	VotesPerSec   float64
-	LeastTime     Seconds
-	StepTime      Seconds
-	ReportedShare float64
-	DelayPrice    float64
-	HarmPrice     float64
+	Control              RolloutControl
+	InPlace              bool // machines of the earlier build are drained as successors run
+	ExposureLimits       []float64
+	StageShares          []float64
+	ExposureAllowance    float64
+	ExposureWindow       Seconds
+	PerClass             bool
+	IdempotentOnlyStages int
+	StickyKeys           bool
+	KeyLocality          bool
+	PromoteQuorum        int
+	RollBackQuorum       int
+	HoldQuorum           int
+	VoteTTL              Seconds
+	CallTimeout          Seconds
+	VotesPerSec          float64
+	MinStageTime         Seconds
+	MaxStageTime         Seconds
+	ReportedShare        float64
+	DelayCost            float64
+	HarmCost             float64
 }
 
 // Prices are what costs points of service.
-type Prices struct {
-	CrossZone, Waste, Probe, Message, LateFail float64
+type Costs struct {
+	CrossZone, Waste, HealthCheck, Message, LateFailure float64
 }
 
-// UnitState is what the roster says of a unit.
-type UnitState int
+// EndpointState is what the roster says of a unit.
+type EndpointState int
 
 const (
-	Gone UnitState = iota
+	Removed EndpointState = iota
 	Draining
 	Ready
 )
 
-// UnitEntry is one line of the roster. StartedAt counts like all times and may be negative; Started is
+// Endpoint is one line of the roster. StartedAt counts like all times and may be negative; Started is
 // false when the unit has run for long.
-type UnitEntry struct {
-	Unit      UnitID
-	Zone      Zone
-	Kind      Kind
-	Cell      Cell
-	Build     Build
-	Weight    float64
-	State     UnitState
-	Started   bool
-	StartedAt Seconds
-	Bare      bool // of a unit that leaves: no more than Unit and State could be read
+type Endpoint struct {
+	ID            EndpointID
+	Zone          Zone
+	MachineType   MachineType
+	FailureDomain FailureDomain
+	Build         Build
+	Weight        float64
+	State         EndpointState
+	StartKnown    bool
+	StartedAt     Seconds
+	Partial       bool // of a unit that leaves: no more than Unit and State could be read
 }
 
-// RosterForm says how to read a Roster event.
-type RosterForm int
+// ListUpdateKind says how to read a Roster event.
+type ListUpdateKind int
 
 const (
-	RosterFailed RosterForm = iota // a call failed; the old list stands
-	RosterCached                   // the whole list as last held, maybe old
-	RosterDelta
-	RosterFull
-	RosterSilent // the watch fell silent and is broken: what it missed counts as told soon; the old list stands
+	ListFetchFailed ListUpdateKind = iota // a call failed; the old list stands
+	ListCached                            // the whole list as last held, maybe old
+	ListDelta
+	ListFull
+	ListWatchStalled // the watch fell silent and is broken: what it missed counts as told soon; the old list stands
 )
 
 // Outcome is how a leg or a probe ended.
 type Outcome int
 
 const (
-	Honoured   Outcome = iota
-	Errored            // may have run
-	TurnedAway         // never ran
-	TimedOut           // may have run
-	NoConnect          // never ran
-	Broken             // may have run
-	Cancelled          // may have run
-	NotSent            // never ran
+	Succeeded          Outcome = iota
+	Errored                    // may have run
+	RejectedByEndpoint         // never ran
+	TimedOut                   // may have run
+	ConnectFailed              // never ran
+	ConnectionBroken           // may have run
+	Cancelled                  // may have run
+	NotSent                    // never ran
 )
 
 // NeverRan tells whether the outcome proves that the leg had no effect.
-func (o Outcome) NeverRan() bool { return o == TurnedAway || o == NoConnect || o == NotSent }
+func (o Outcome) NeverRan() bool {
+	return o == RejectedByEndpoint || o == ConnectFailed || o == NotSent
+}
 
 // Phase is where the newest build stands.
 type Phase int
 
 const (
-	OnTrial Phase = iota
-	GoingBack
-	Released
-	Withdrawn
+	PhaseCanary Phase = iota
+	PhaseRollingBack
+	PhaseReleased
+	PhaseWithdrawn
 )
 
-// Reply says what came of the vote that a StageNews answers.
-type Reply int
+// Reply says what came of the vote that a RolloutStatus answers.
+type VoteReply int
 
 const (
-	Unasked Reply = iota
-	Counted
-	NotCounted // lapsed, refused or in error
-	MaybeCounted
-	Moot // not counted, as its build or stage is past: no use in casting it again
+	ReplyNone VoteReply = iota
+	ReplyCounted
+	ReplyNotCounted // lapsed, refused or in error
+	ReplyMaybeCounted
+	ReplyStale // not counted, as its build or stage is past: no use in casting it again
 )
 
 // Event is anything an instance learns.
@@ -218,80 +220,80 @@
 
 // Events in.
 type (
-	Roster struct {
-		Form      RosterForm
-		Units     []UnitEntry
+	ListUpdate struct {
+		Kind      ListUpdateKind
+		Endpoints []Endpoint
 		FromPeers bool // other relays told of it: no call to discovery was answered
 	}
-	// RosterLease tells until when the list may be acted on. Without any, it may be at all times.
-	RosterLease struct{ Until Seconds }
-	// DiscoveryAnswers tells that another relay has got its list, after a time in which calls failed.
-	DiscoveryAnswers struct{}
-	Query            struct {
-		ID       QueryID
-		Until    Seconds // when the client gives up
+	// ListLease tells until when the list may be acted on. Without any, it may be at all times.
+	ListLease struct{ ExpiresAt Seconds }
+	// DiscoveryRecovered tells that another relay has got its list, after a time in which calls failed.
+	DiscoveryRecovered struct{}
+	Request            struct {
+		ID       RequestID
+		Deadline Seconds // when the client gives up
 		Work     Seconds // expected, on a standard core
 		HasWork  bool
-		Again    bool // a client's marked repeat
+		Retried  bool // a client's marked repeat
 		Key      Key
-		Customer Customer
-		Category Category
+		Tenant   Tenant
+		Class    RequestClass
 	}
-	LegEnded struct {
-		Query  QueryID
-		Leg    LegNo
-		Unit   UnitID
-		How    Outcome
-		Took   Seconds
-		Over   bool // the query is finished
-		Report []float32
+	AttemptEnded struct {
+		Request         RequestID
+		Attempt         AttemptNumber
+		Endpoint        EndpointID
+		Outcome         Outcome
+		Duration        Seconds
+		RequestFinished bool // the query is finished
+		LoadReport      []float32
 	}
-	Streaming struct {
-		Query QueryID
-		Leg   LegNo
-		Unit  UnitID
-		Took  Seconds
+	StreamStarted struct {
+		Request  RequestID
+		Attempt  AttemptNumber
+		Endpoint EndpointID
+		Duration Seconds
 	}
-	ClientLeft struct{ Query QueryID }
-	Woken      struct{ ID WakeID }
-	Probed     struct {
-		Unit   UnitID
-		Took   Seconds
-		How    Outcome
-		Report []float32
+	ClientDisconnected struct{ Request RequestID }
+	TimerFired         struct{ ID TimerID }
+	HealthCheckEnded   struct {
+		Endpoint   EndpointID
+		Duration   Seconds
+		Outcome    Outcome
+		LoadReport []float32
 	}
-	Heard struct {
-		From RelayNo
+	MessageReceived struct {
+		From RelayID
 		Body []byte
 	}
-	StageNews struct {
-		Valid bool // the fields below hold
-		Build Build
-		Stage Stage
-		Phase Phase
-		Cap   float64
-		Age   Seconds
-		Reply Reply
+	RolloutStatus struct {
+		Valid         bool // the fields below hold
+		Build         Build
+		Stage         Stage
+		Phase         Phase
+		ExposureLimit float64
+		Age           Seconds
+		Reply         VoteReply
 	}
 	// Scope narrows the trial of a build: which customers may meet it, and by what groups their queries are counted.
 	// Builds after it are closed to all. Without any Scope every customer may meet a build on trial.
-	Scope struct {
-		Build  Build
-		Stage  Stage  // that holds here, no later than the platform's
-		Groups []int  // by customer; -1, or past the end: of no group, which is closed
-		Open   []bool // by group
+	CanaryScope struct {
+		Build         Build
+		Stage         Stage  // that holds here, no later than the platform's
+		GroupOfTenant []int  // by customer; -1, or past the end: of no group, which is closed
+		GroupOpen     []bool // by group
 	}
-	Tally struct {
-		Build    Build
-		Category Category
-		Legs     int
-		Bad      int
-		MeanTook Seconds
-		Age      Seconds
+	ReportedCounts struct {
+		Build        Build
+		Class        RequestClass
+		Attempts     int
+		Failures     int
+		MeanDuration Seconds
+		Age          Seconds
 	}
-	JudgedWrong struct {
-		Category Category
-		Unit     UnitID
+	MisreportedOutcome struct {
+		Class    RequestClass
+		Endpoint EndpointID
 		Age      Seconds // since the leg was sent
 	}
 )
@@ -301,45 +303,45 @@
 
 const (
 	NoVote Verdict = iota
-	VoteOn
+	VotePromote
 	VoteHold
-	VoteBack
+	VoteRollBack
 )
 
 // Order is anything an instance does.
-type Order interface{}
+type Command interface{}
 
 // Orders out.
 type (
-	SendLeg struct {
-		Query QueryID
-		Unit  UnitID
-		Wait  Seconds // 0: until the client gives up
-		By    Seconds // the time by which its last byte is written, or else it ends as NotSent; 0: no such time
+	SendAttempt struct {
+		Request  RequestID
+		Endpoint EndpointID
+		Timeout  Seconds // 0: until the client gives up
+		SendBy   Seconds // the time by which its last byte is written, or else it ends as NotSent; 0: no such time
 	}
 	// Recall takes a leg back that may have been ordered on what no longer holds: it ends as NotSent if its last byte is
 	// not written yet, and goes on otherwise.
-	Recall struct {
-		Query QueryID
-		Leg   LegNo
+	CancelUnsent struct {
+		Request RequestID
+		Attempt AttemptNumber
 	}
-	CancelLeg struct {
-		Query QueryID
-		Leg   LegNo
+	CancelAttempt struct {
+		Request RequestID
+		Attempt AttemptNumber
 	}
-	Deny struct {
-		Query      QueryID
+	Reject struct {
+		Request    RequestID
 		RetryAfter Seconds
 	}
-	WriteOff struct{ Query QueryID }
-	Wake     struct {
-		ID WakeID
+	Fail     struct{ Request RequestID }
+	SetTimer struct {
+		ID TimerID
 		At Seconds
 	}
-	Probe     struct{ Unit UnitID }
-	CloseIdle struct{ Unit UnitID }
-	Tell      struct {
-		To   RelayNo
+	HealthCheck struct{ Endpoint EndpointID }
+	CloseIdle   struct{ Endpoint EndpointID }
+	SendMessage struct {
+		To   RelayID
 		Body []byte
 	}
 	Vote struct {
@@ -348,7 +350,7 @@
 		Verdict Verdict
 	}
 	// Watch orders the roster's changes, or no more of them; Anew, that a watch which stands is given up for a new one.
-	Watch struct{ On, Anew bool }
-	Fetch struct{}
-	Log   struct{ Line string }
+	Watch     struct{ On, Restart bool }
+	FetchList struct{}
+	Log       struct{ Line string }
 )
--- a/rollout/core.go
+++ b/rollout/core.go
@@ -94,7 +94,7 @@
 	for i := range c.plan.Services {
 		s, name := &c.services[i], c.plan.Services[i].Name
 		to, there := p.Service(name)
-		busy := s.known && (s.newest.Phase == relay.OnTrial || s.newest.Phase == relay.GoingBack)
+		busy := s.known && (s.newest.Phase == relay.PhaseCanary || s.newest.Phase == relay.PhaseRollingBack)
 		switch {
 		case !there && (busy || s.waiting != 0):
 			return fmt.Errorf("service %s has build %d under way and is not in the new plan", name, max(s.newest.Build, s.waiting))
@@ -155,8 +155,8 @@
 	}
 	s, terms := &c.services[no], &c.plan.Services[no]
 	under := s.known && s.newest.Build == e.Build
-	trial := under && s.newest.Phase == relay.OnTrial
-	next := Release{Build: e.Build, Step: e.Step, Phase: relay.OnTrial, Since: e.At, Began: s.newest.Began}
+	trial := under && s.newest.Phase == relay.PhaseCanary
+	next := Release{Build: e.Build, Step: e.Step, Phase: relay.PhaseCanary, Since: e.At, Began: s.newest.Began}
 	switch e.Kind {
 	case Offered:
 		if e.Build <= 0 || e.Build >= mostBuild || e.Build <= s.waiting || s.known && e.Build <= s.newest.Build {
@@ -184,23 +184,23 @@
 		if !trial || int(s.newest.Step) != len(terms.Steps)-1 {
 			return wrong("not at its last step")
 		}
-		next.Step, next.Phase = s.newest.Step, relay.Released
+		next.Step, next.Phase = s.newest.Step, relay.PhaseReleased
 		s.newest = next
 	case SentBack:
-		if !under || s.newest.Phase != relay.OnTrial && s.newest.Phase != relay.Released {
+		if !under || s.newest.Phase != relay.PhaseCanary && s.newest.Phase != relay.PhaseReleased {
 			return wrong("it can't go back")
 		}
-		next.Step, next.Phase = s.newest.Step, relay.GoingBack
+		next.Step, next.Phase = s.newest.Step, relay.PhaseRollingBack
 		s.newest = next
 	case Taken:
-		if !under || s.newest.Phase != relay.GoingBack {
+		if !under || s.newest.Phase != relay.PhaseRollingBack {
 			return wrong("it was not going back")
 		}
-		next.Step, next.Phase = s.newest.Step, relay.Withdrawn
+		next.Step, next.Phase = s.newest.Step, relay.PhaseWithdrawn
 		s.newest = next
 	case Voted:
 		if e.Relay == "" || len(s.votes) >= mostVoters && s.votes[e.Relay] == (vote{}) || e.Verdict < relay.NoVote ||
-			e.Verdict > relay.VoteBack {
+			e.Verdict > relay.VoteRollBack {
 			return wrong("no vote")
 		}
 		s.votes[e.Relay] = vote{e.Build, e.Step, e.Verdict, e.At}
@@ -217,7 +217,7 @@
 
 // busy says that a build is on its way, on or back.
 func (s *service) busy() bool {
-	return s.known && (s.newest.Phase == relay.OnTrial || s.newest.Phase == relay.GoingBack)
+	return s.known && (s.newest.Phase == relay.PhaseCanary || s.newest.Phase == relay.PhaseRollingBack)
 }
 
 // need is how many relays a share asks for, one at least.
@@ -228,7 +228,7 @@
 	s := &c.services[no]
 	for _, x := range s.votes {
 		if x.verdict == v && x.build == s.newest.Build && now-x.at < c.plan.Services[no].Votes.Life &&
-			(v == relay.VoteBack || x.step == s.newest.Step && x.at >= s.newest.Since) {
+			(v == relay.VoteRollBack || x.step == s.newest.Step && x.at >= s.newest.Since) {
 			n++
 		}
 	}
@@ -241,7 +241,7 @@
 	if t.Votes.Control == plan.ByAny {
 		return 1
 	}
-	return need(map[relay.Verdict]float64{relay.VoteOn: t.Votes.On, relay.VoteBack: t.Votes.Back, relay.VoteHold: t.Votes.Hold}[v],
+	return need(map[relay.Verdict]float64{relay.VotePromote: t.Votes.On, relay.VoteRollBack: t.Votes.Back, relay.VoteHold: t.Votes.Hold}[v],
 		len(t.Relays))
 }
 
@@ -254,9 +254,9 @@
 
 func reached(n plan.Need, phase relay.Phase, step plan.StepNo) bool {
 	switch phase {
-	case relay.Released:
+	case relay.PhaseReleased:
 		return true
-	case relay.OnTrial:
+	case relay.PhaseCanary:
 		return !n.Released && step >= n.Step
 	}
 	return false
@@ -305,7 +305,7 @@
 	if w := c.closed(no, step, now); !w.Ok() {
 		return w
 	}
-	if till := s.newest.Since + t.Settle; step == 0 && s.known && s.newest.Phase == relay.Released && now < till {
+	if till := s.newest.Since + t.Settle; step == 0 && s.known && s.newest.Phase == relay.PhaseReleased && now < till {
 		// Relays and whoever runs the fleet must hear of the release and go over to it first.
 		return Wait{Settling, fmt.Sprintf("build %d was released, the next begins at %s", s.newest.Build, clockText(till)), till}
 	}
@@ -326,7 +326,7 @@
 func (c *Core) Why(no plan.ServiceNo, now plan.Unix) Wait {
 	now = c.now(now)
 	s, t := &c.services[no], &c.plan.Services[no]
-	if s.busy() && s.newest.Phase == relay.GoingBack {
+	if s.busy() && s.newest.Phase == relay.PhaseRollingBack {
 		return Wait{GoesBack, fmt.Sprintf("build %d is going back", s.newest.Build), s.newest.Since + t.BackFor}
 	}
 	if !s.busy() {
@@ -350,7 +350,7 @@
 		}
 		return Wait{}
 	}
-	if n, of := c.count(no, relay.VoteOn, now), c.needed(no, relay.VoteOn); n < of {
+	if n, of := c.count(no, relay.VotePromote, now), c.needed(no, relay.VotePromote); n < of {
 		return Wait{NeedVotes, fmt.Sprintf("%d of %d relays stand for it", n, of), 0}
 	}
 	return Wait{}
@@ -381,15 +381,15 @@
 			s, t := &c.services[no], &c.plan.Services[no]
 			before := len(out)
 			switch n := s.newest; {
-			case s.known && (n.Phase == relay.OnTrial || n.Phase == relay.Released) &&
-				c.count(no, relay.VoteBack, now) >= c.needed(no, relay.VoteBack):
+			case s.known && (n.Phase == relay.PhaseCanary || n.Phase == relay.PhaseReleased) &&
+				c.count(no, relay.VoteRollBack, now) >= c.needed(no, relay.VoteRollBack):
 				// Back is always free: no freeze, halt or need stands in its way.
-				do(no, Event{Kind: SentBack, Build: n.Build, Step: n.Step, Why: fmt.Sprintf("%d relays vote it back", c.count(no, relay.VoteBack, now))})
-			case s.known && n.Phase == relay.GoingBack && now >= n.Since+t.BackFor:
+				do(no, Event{Kind: SentBack, Build: n.Build, Step: n.Step, Why: fmt.Sprintf("%d relays vote it back", c.count(no, relay.VoteRollBack, now))})
+			case s.known && n.Phase == relay.PhaseRollingBack && now >= n.Since+t.BackFor:
 				do(no, Event{Kind: Taken, Build: n.Build, Step: n.Step})
 			case !s.busy() && s.waiting != 0 && c.May(no, 0, now).Ok():
 				do(no, Event{Kind: Began, Build: s.waiting})
-			case s.known && n.Phase == relay.OnTrial && c.Why(no, now).Ok():
+			case s.known && n.Phase == relay.PhaseCanary && c.Why(no, now).Ok():
 				if int(n.Step)+1 < len(t.Steps) {
 					do(no, Event{Kind: Moved, Build: n.Build, Step: n.Step + 1})
 				} else {
@@ -438,7 +438,7 @@
 func (c *Core) Vote(no plan.ServiceNo, from string, v relay.Vote, at plan.Unix) (Event, Refusal) {
 	now := c.now(at)
 	s, t := &c.services[no], &c.plan.Services[no]
-	if !slices.ContainsFunc(t.Relays, func(r plan.Relay) bool { return r.Name == from }) || v.Verdict < relay.NoVote || v.Verdict > relay.VoteBack {
+	if !slices.ContainsFunc(t.Relays, func(r plan.Relay) bool { return r.Name == from }) || v.Verdict < relay.NoVote || v.Verdict > relay.VoteRollBack {
 		return Event{}, Invalid
 	}
 	burst := math.Max(1, t.Votes.PerSecond*voteBurst)
@@ -450,8 +450,8 @@
 		return Event{}, Throttled
 	}
 	s.bucket--
-	if !c.off.Moot && (!s.known || v.Build != s.newest.Build || s.newest.Phase == relay.Withdrawn ||
-		v.Verdict != relay.VoteBack && v.Verdict != relay.NoVote && int(v.Stage) != int(s.newest.Step)) {
+	if !c.off.Moot && (!s.known || v.Build != s.newest.Build || s.newest.Phase == relay.PhaseWithdrawn ||
+		v.Verdict != relay.VoteRollBack && v.Verdict != relay.NoVote && int(v.Stage) != int(s.newest.Step)) {
 		return Event{}, Moot
 	}
 	return Event{At: now, Kind: Voted, Service: t.Name, Build: v.Build, Step: plan.StepNo(v.Stage), Relay: from, Verdict: v.Verdict}, Counted
@@ -507,7 +507,7 @@
 		}
 	case SentBack:
 		r := c.services[no].newest
-		if !c.services[no].known || r.Phase != relay.OnTrial && r.Phase != relay.Released {
+		if !c.services[no].known || r.Phase != relay.PhaseCanary && r.Phase != relay.PhaseReleased {
 			return Event{}, fmt.Errorf("%s has no build that could go back", service)
 		}
 		e.Build, e.Step = r.Build, r.Step
@@ -541,9 +541,9 @@
 	switch {
 	case !s.known:
 		return 0
-	case s.newest.Phase == relay.Released:
+	case s.newest.Phase == relay.PhaseReleased:
 		return 1
-	case s.newest.Phase != relay.OnTrial:
+	case s.newest.Phase != relay.PhaseCanary:
 		return 0
 	}
 	k := c.Supported(no)
@@ -555,20 +555,20 @@
 
 // News is what relays are told of a service: the newest build that has begun, with the cap of the deepest step
 // whose needs hold.
-func (c *Core) News(no plan.ServiceNo, at plan.Unix) relay.StageNews {
+func (c *Core) News(no plan.ServiceNo, at plan.Unix) relay.RolloutStatus {
 	now := c.now(at)
 	s, t := &c.services[no], &c.plan.Services[no]
 	if !s.known {
-		return relay.StageNews{}
+		return relay.RolloutStatus{}
 	}
-	n := relay.StageNews{Valid: true, Build: s.newest.Build, Stage: relay.Stage(s.newest.Step), Phase: s.newest.Phase,
+	n := relay.RolloutStatus{Valid: true, Build: s.newest.Build, Stage: relay.Stage(s.newest.Step), Phase: s.newest.Phase,
 		Age: math.Max(0, now-s.newest.Since)}
 	switch s.newest.Phase {
-	case relay.Released:
-		n.Cap = 1
-	case relay.OnTrial:
+	case relay.PhaseReleased:
+		n.ExposureLimit = 1
+	case relay.PhaseCanary:
 		if k := c.Supported(no); k >= 0 {
-			n.Cap = t.Steps[k].Cap
+			n.ExposureLimit = t.Steps[k].Cap
 		}
 	}
 	return n
@@ -594,8 +594,8 @@
 	Lost    bool        `json:"needs_lost"` // it is released or on trial past what its needs still hold
 }
 
-var phaseNames = map[relay.Phase]string{relay.OnTrial: "on trial", relay.GoingBack: "going back",
-	relay.Released: "released", relay.Withdrawn: "withdrawn"}
+var phaseNames = map[relay.Phase]string{relay.PhaseCanary: "on trial", relay.PhaseRollingBack: "going back",
+	relay.PhaseReleased: "released", relay.PhaseWithdrawn: "withdrawn"}
 
 // Status lists all services.
 func (c *Core) Status(at plan.Unix) (out []Status) {
@@ -603,15 +603,15 @@
 	for i := range c.services {
 		no, s, t := plan.ServiceNo(i), &c.services[i], &c.plan.Services[i]
 		w, n := c.Why(no, now), c.News(no, now)
-		x := Status{Service: t.Name, Build: s.newest.Build, Phase: "none", Since: s.newest.Since, Cap: n.Cap, Waiting: s.waiting,
-			Code: w.Code, Why: w.Text, Until: w.Until, Halted: s.halted, OnOf: c.needed(no, relay.VoteOn), BackOf: c.needed(no, relay.VoteBack)}
+		x := Status{Service: t.Name, Build: s.newest.Build, Phase: "none", Since: s.newest.Since, Cap: n.ExposureLimit, Waiting: s.waiting,
+			Code: w.Code, Why: w.Text, Until: w.Until, Halted: s.halted, OnOf: c.needed(no, relay.VotePromote), BackOf: c.needed(no, relay.VoteRollBack)}
 		if math.IsInf(x.Until, 0) {
 			x.Until = 0
 		}
 		if s.known {
 			x.Phase, x.Step = phaseNames[s.newest.Phase], t.StepName(s.newest.Step)
-			x.On, x.Back = c.count(no, relay.VoteOn, now), c.count(no, relay.VoteBack, now)
-			x.Lost = (s.newest.Phase == relay.OnTrial || s.newest.Phase == relay.Released) && c.Supported(no) < s.newest.Step
+			x.On, x.Back = c.count(no, relay.VotePromote, now), c.count(no, relay.VoteRollBack, now)
+			x.Lost = (s.newest.Phase == relay.PhaseCanary || s.newest.Phase == relay.PhaseReleased) && c.Supported(no) < s.newest.Step
 		}
 		out = append(out, x)
 	}
@@ -634,7 +634,7 @@
 		if s.known {
 			n := s.newest
 			began := n.Began
-			if s.newest.Step == 0 && n.Phase == relay.OnTrial {
+			if s.newest.Step == 0 && n.Phase == relay.PhaseCanary {
 				began = n.Since
 			}
 			out = append(out, Event{At: began, Kind: Offered, Service: name, Build: n.Build},
@@ -643,12 +643,12 @@
 				out = append(out, Event{At: n.Since, Kind: Moved, Service: name, Build: n.Build, Step: k})
 			}
 			switch n.Phase {
-			case relay.Released:
+			case relay.PhaseReleased:
 				out = append(out, Event{At: n.Since, Kind: Released, Service: name, Build: n.Build, Step: n.Step})
-			case relay.GoingBack, relay.Withdrawn:
+			case relay.PhaseRollingBack, relay.PhaseWithdrawn:
 				out = append(out, Event{At: n.Since, Kind: SentBack, Service: name, Build: n.Build, Step: n.Step})
 			}
-			if n.Phase == relay.Withdrawn {
+			if n.Phase == relay.PhaseWithdrawn {
 				out = append(out, Event{At: n.Since, Kind: Taken, Service: name, Build: n.Build, Step: n.Step})
 			}
 		}
--- a/rollout/guard.go
+++ b/rollout/guard.go
@@ -26,26 +26,26 @@
 
 	now     plan.Unix
 	known   bool
-	news    relay.StageNews // as last told by the platform, and kept from going backwards
-	since   plan.Unix       // when its state began, by its age
-	granted plan.StepNo     // deepest step granted of that build; -1: none; the number of steps: its release
-	ceiling float64         // that the cap may not pass while a freeze holds
-	top     plan.StepNo     // and the step
-	held    bool            // a freeze held at the last look
-	others  []heardOf       // by service
+	news    relay.RolloutStatus // as last told by the platform, and kept from going backwards
+	since   plan.Unix           // when its state began, by its age
+	granted plan.StepNo         // deepest step granted of that build; -1: none; the number of steps: its release
+	ceiling float64             // that the cap may not pass while a freeze holds
+	top     plan.StepNo         // and the step
+	held    bool                // a freeze held at the last look
+	others  []heardOf           // by service
 	started plan.Unix
 
-	told   relay.StageNews // what the module last got
-	opened opening         // of the scope that it got
-	did    bool            // told anything under this plan
-	wanted relay.Vote      // by the module
-	cast   relay.Vote      // that went to the platform for it
+	told   relay.RolloutStatus // what the module last got
+	opened opening             // of the scope that it got
+	did    bool                // told anything under this plan
+	wanted relay.Vote          // by the module
+	cast   relay.Vote          // that went to the platform for it
 	voted  bool
 }
 
 // heardOf is what was last told of another service.
 type heardOf struct {
-	news relay.StageNews
+	news relay.RolloutStatus
 	at   plan.Unix
 }
 
@@ -117,7 +117,7 @@
 }
 
 // Hear takes what the platform tells of this relay's own service.
-func (g *Guard) Hear(now plan.Unix, n relay.StageNews) {
+func (g *Guard) Hear(now plan.Unix, n relay.RolloutStatus) {
 	g.at(now)
 	if !n.Valid {
 		return
@@ -132,7 +132,7 @@
 		return // it has been on its way back: nothing that was told earlier, or by a desk that forgot, opens it again
 	}
 	g.known, g.news, g.since = true, n, g.now-n.Age
-	if stage := plan.StepNo(n.Stage); n.Phase == relay.OnTrial && g.granted > stage {
+	if stage := plan.StepNo(n.Stage); n.Phase == relay.PhaseCanary && g.granted > stage {
 		g.granted = stage // the platform stands at an earlier step than it did: the lower cap holds
 	}
 	if first {
@@ -142,10 +142,12 @@
 }
 
 // over says that a build goes back or has gone.
-func over(n relay.StageNews) bool { return n.Phase == relay.GoingBack || n.Phase == relay.Withdrawn }
+func over(n relay.RolloutStatus) bool {
+	return n.Phase == relay.PhaseRollingBack || n.Phase == relay.PhaseWithdrawn
+}
 
 // HearOf takes what was told of another service.
-func (g *Guard) HearOf(now plan.Unix, s plan.ServiceNo, n relay.StageNews) {
+func (g *Guard) HearOf(now plan.Unix, s plan.ServiceNo, n relay.RolloutStatus) {
 	g.at(now)
 	if !n.Valid || int(s) >= len(g.others) {
 		return
@@ -182,9 +184,9 @@
 func (g *Guard) stage() plan.StepNo {
 	n := plan.StepNo(len(g.terms().Steps))
 	switch g.news.Phase {
-	case relay.Released:
+	case relay.PhaseReleased:
 		return n
-	case relay.OnTrial:
+	case relay.PhaseCanary:
 		return min(plan.StepNo(g.news.Stage), n-1)
 	}
 	return -1
@@ -210,7 +212,7 @@
 func (g *Guard) grant() {
 	for g.known && g.granted < g.stage() {
 		next := g.granted + 1
-		if f, in := g.frozen(stops(next)); in && !(g.news.Phase == relay.Released && g.since < f.Since) {
+		if f, in := g.frozen(stops(next)); in && !(g.news.Phase == relay.PhaseReleased && g.since < f.Since) {
 			return
 		}
 		if !g.may(next).Ok() {
@@ -263,15 +265,15 @@
 func (g *Guard) cap() (float64, plan.StepNo) {
 	k, steps := g.supported(), g.terms().Steps
 	switch {
-	case g.news.Phase == relay.Released && int(g.granted) >= len(steps):
+	case g.news.Phase == relay.PhaseReleased && int(g.granted) >= len(steps):
 		return 1, plan.StepNo(len(steps)) // out: nothing is on trial any more, whatever its needs do
-	case k < 0 || g.news.Phase != relay.OnTrial && g.news.Phase != relay.Released:
+	case k < 0 || g.news.Phase != relay.PhaseCanary && g.news.Phase != relay.PhaseReleased:
 		return 0, -1
 	}
 	k = min(k, plan.StepNo(len(steps)-1))
 	c := steps[k].Cap
-	if g.news.Phase == relay.OnTrial {
-		c = math.Min(c, g.news.Cap)
+	if g.news.Phase == relay.PhaseCanary {
+		c = math.Min(c, g.news.ExposureLimit)
 	}
 	return c, k
 }
@@ -298,15 +300,15 @@
 	limit, step := g.bound(g.cap())
 	g.held, g.ceiling, g.top = held, limit, step
 	n := g.news
-	n.Reply, n.Cap, n.Age = relay.Unasked, limit, math.Max(0, g.now-g.since)
-	if n.Phase == relay.Released && step < plan.StepNo(len(g.terms().Steps)) { // not granted here: still on trial
-		n.Phase, n.Stage = relay.OnTrial, relay.Stage(len(g.terms().Steps)-1)
+	n.Reply, n.ExposureLimit, n.Age = relay.ReplyNone, limit, math.Max(0, g.now-g.since)
+	if n.Phase == relay.PhaseReleased && step < plan.StepNo(len(g.terms().Steps)) { // not granted here: still on trial
+		n.Phase, n.Stage = relay.PhaseCanary, relay.Stage(len(g.terms().Steps)-1)
 	}
 	if at := (opening{n.Build, step}); !g.did || at != g.opened {
 		g.opened = at
 		out = append(out, g.narrow(n.Build, step))
 	}
-	if t := g.told; !g.did || t.Build != n.Build || t.Stage != n.Stage || t.Phase != n.Phase || t.Cap != n.Cap {
+	if t := g.told; !g.did || t.Build != n.Build || t.Stage != n.Stage || t.Phase != n.Phase || t.ExposureLimit != n.ExposureLimit {
 		g.told = n
 		out = append(out, n)
 	}
@@ -315,13 +317,13 @@
 }
 
 // narrow is the scope of a build at a step.
-func (g *Guard) narrow(b relay.Build, step plan.StepNo) relay.Scope {
-	s := relay.Scope{Build: b, Stage: relay.Stage(max(step, 0)), Groups: g.groups, Open: make([]bool, len(g.plan.Groups))}
-	for i := range s.Open {
-		s.Open[i] = g.off.Groups || g.terms().Open(step, g.site, plan.GroupNo(i))
+func (g *Guard) narrow(b relay.Build, step plan.StepNo) relay.CanaryScope {
+	s := relay.CanaryScope{Build: b, Stage: relay.Stage(max(step, 0)), GroupOfTenant: g.groups, GroupOpen: make([]bool, len(g.plan.Groups))}
+	for i := range s.GroupOpen {
+		s.GroupOpen[i] = g.off.Groups || g.terms().Open(step, g.site, plan.GroupNo(i))
 	}
 	if g.off.Groups {
-		s.Groups, s.Open = make([]int, len(g.groups)), []bool{true}
+		s.GroupOfTenant, s.GroupOpen = make([]int, len(g.groups)), []bool{true}
 	}
 	return s
 }
@@ -347,7 +349,7 @@
 // OnWaits says why a vote for going on from the platform's present step has to wait, as far as this relay can tell.
 func (g *Guard) OnWaits(now plan.Unix) Wait {
 	g.at(now)
-	if g.off.All || g.off.Votes || !g.known || g.news.Phase != relay.OnTrial {
+	if g.off.All || g.off.Votes || !g.known || g.news.Phase != relay.PhaseCanary {
 		return Wait{}
 	}
 	next := plan.StepNo(g.news.Stage) + 1
@@ -374,12 +376,12 @@
 }
 
 func (g *Guard) filter(now plan.Unix, v relay.Vote) relay.Vote {
-	if v.Verdict != relay.VoteOn || g.off.All || g.off.Votes {
+	if v.Verdict != relay.VotePromote || g.off.All || g.off.Votes {
 		return v
 	}
 	// A module that is told less than the platform's news (a release that is not granted here yet) goes on voting for a
 	// step that is past.
-	if past := g.known && (g.news.Phase != relay.OnTrial || v.Build != g.news.Build); past || !g.OnWaits(now).Ok() {
+	if past := g.known && (g.news.Phase != relay.PhaseCanary || v.Build != g.news.Build); past || !g.OnWaits(now).Ok() {
 		v.Verdict = relay.VoteHold
 	}
 	return v
@@ -388,8 +390,8 @@
 // Recast gives the vote that has to be cast because the plan's word on the module's last one has changed: an on that
 // may stand again, or one that must not stand any longer. The module's own renewals make up for one that is lost.
 func (g *Guard) Recast(now plan.Unix) (relay.Vote, bool) {
-	if !g.voted || g.wanted.Verdict != relay.VoteOn || !g.known || g.wanted.Build != g.news.Build ||
-		g.wanted.Stage != g.news.Stage || g.news.Phase != relay.OnTrial {
+	if !g.voted || g.wanted.Verdict != relay.VotePromote || !g.known || g.wanted.Build != g.news.Build ||
+		g.wanted.Stage != g.news.Stage || g.news.Phase != relay.PhaseCanary {
 		return relay.Vote{}, false
 	}
 	v := g.filter(now, g.wanted)
--- a/settings/settings.go
+++ b/settings/settings.go
@@ -98,8 +98,8 @@
 // Site is what the settings tell: the module's part, and what a host on sockets needs beside it.
 type Site struct {
 	relay.Settings
-	Categories map[string]relay.Category // by name
-	Customers  map[string]relay.Customer
+	Categories map[string]relay.RequestClass // by name
+	Customers  map[string]relay.Tenant
 	Zones      []string
 	Kinds      []string
 	ConnIdle   relay.Seconds // after which an idle connection to a unit is closed
@@ -108,8 +108,8 @@
 
 // Longest is the longest patience of any category.
 func (s Site) Longest() (longest relay.Seconds) {
-	for _, t := range s.Settings.Categories {
-		longest = max(longest, t.Patience)
+	for _, t := range s.Settings.Classes {
+		longest = max(longest, t.Deadline)
 	}
 	return longest
 }
@@ -129,64 +129,64 @@
 		return Site{}, fmt.Errorf("settings: %w", err)
 	}
 	s := relay.Settings{
-		Self: relay.RelayNo(w.Self), Relays: w.Relays, Zone: relay.Zone(w.Zone), OverShareValue: w.OverWort,
-		RosterOnAsk: w.Roster == "subscribe", ReportInLegs: w.Report.Via == "inline",
-		Limits: relay.Limits{MaxLegs: w.Limits.Legs, Cancel: w.Limits.Cancel, Probes: w.Limits.Probes,
-			Messages: w.Limits.Messages, SecondCopies: w.Limits.Copies, RetryAfter: w.Limits.RetryAfter,
+		Self: relay.RelayID(w.Self), Relays: w.Relays, Zone: relay.Zone(w.Zone), OverQuotaPriorityWeight: w.OverWort,
+		ListOnRequest: w.Roster == "subscribe", LoadReportInAttempts: w.Report.Via == "inline",
+		Limits: relay.Limits{MaxAttempts: w.Limits.Legs, CancelAttempts: w.Limits.Cancel, HealthChecks: w.Limits.Probes,
+			PeerMessages: w.Limits.Messages, HedgedRequests: w.Limits.Copies, RetryAfter: w.Limits.RetryAfter,
 			MaxRetryAfter: w.Limits.MaxRetry / perSecond, ConnectTimeout: w.Limits.Connect / perSecond},
 		Rules: relay.Rules{AnswerSlack: w.Rules.Slack / perSecond, DrainGrace: w.Rules.Drain / perSecond,
-			AskEvery: unless(w.Rules.Ask) / perSecond, ColdFrom: w.Rules.ColdFrom, WarmUp: w.Rules.WarmUp / perSecond,
-			FallMultiple: w.Rules.Multiple, FallTime: w.Rules.Fall / perSecond},
-		Rollout: relay.Rollout{InPlace: w.Family.Swap == "replace", Caps: w.Family.Caps,
-			StageShares: w.Family.Waves, Uncounted: w.Family.Free, Window: w.Family.Span / perSecond,
-			PerCategory: w.Family.Counted == "each_class", GuardedStages: w.Family.Guarded,
-			KeysForward: w.Family.Forward, KeysWarm: w.Family.Warm, VotesOn: w.Family.On,
-			VotesBack: w.Family.Back, VotesHold: w.Family.Hold, VoteLife: unless(w.Family.Life) / perSecond,
+			PollInterval: unless(w.Rules.Ask) / perSecond, SlowStartFloor: w.Rules.ColdFrom, SlowStartTime: w.Rules.WarmUp / perSecond,
+			OverloadMultiple: w.Rules.Multiple, OverloadWindow: w.Rules.Fall / perSecond},
+		Rollout: relay.Rollout{InPlace: w.Family.Swap == "replace", ExposureLimits: w.Family.Caps,
+			StageShares: w.Family.Waves, ExposureAllowance: w.Family.Free, ExposureWindow: w.Family.Span / perSecond,
+			PerClass: w.Family.Counted == "each_class", IdempotentOnlyStages: w.Family.Guarded,
+			StickyKeys: w.Family.Forward, KeyLocality: w.Family.Warm, PromoteQuorum: w.Family.On,
+			RollBackQuorum: w.Family.Back, HoldQuorum: w.Family.Hold, VoteTTL: unless(w.Family.Life) / perSecond,
 			CallTimeout: w.Family.Call / perSecond, VotesPerSec: w.Family.PerSec,
-			LeastTime: w.Family.Dwell / perSecond, StepTime: w.Family.Step / perSecond,
-			ReportedShare: w.Family.Reported, DelayPrice: w.Family.Lag, HarmPrice: w.Family.Harm},
-		Prices: relay.Prices{CrossZone: w.Prices.Cross, Waste: w.Prices.Waste, Probe: w.Prices.Probe,
-			Message: w.Prices.Peer, LateFail: w.Prices.LateFail},
+			MinStageTime: w.Family.Dwell / perSecond, MaxStageTime: w.Family.Step / perSecond,
+			ReportedShare: w.Family.Reported, DelayCost: w.Family.Lag, HarmCost: w.Family.Harm},
+		Costs: relay.Costs{CrossZone: w.Prices.Cross, Waste: w.Prices.Waste, HealthCheck: w.Prices.Probe,
+			Message: w.Prices.Peer, LateFailure: w.Prices.LateFail},
 	}
-	if s.Limits.MaxLegs <= 0 {
-		s.Limits.MaxLegs = math.MaxInt32 // not limited; none at all would deny everything
+	if s.Limits.MaxAttempts <= 0 {
+		s.Limits.MaxAttempts = math.MaxInt32 // not limited; none at all would deny everything
 	}
 	if w.Report.Via != "off" {
-		s.Reports = w.Report.Fields
+		s.LoadReportFields = w.Report.Fields
 	}
 	switch w.Family.Control {
 	case "by_count":
-		s.Rollout.Control = relay.ShareVotes
+		s.Rollout.Control = relay.ControlQuorum
 	case "automatic":
-		s.Rollout.Control = relay.Clock
+		s.Rollout.Control = relay.ControlTimed
 	}
 	site := Site{Zones: w.Areas, Kinds: w.Kinds, ConnIdle: w.Limits.Idle / perSecond, MostHeld: w.Limits.MostHeld,
-		Categories: map[string]relay.Category{}, Customers: map[string]relay.Customer{}}
+		Categories: map[string]relay.RequestClass{}, Customers: map[string]relay.Tenant{}}
 	for i, g := range w.Grades {
-		site.Categories[g.Name] = relay.Category(i)
-		t := relay.CategoryTerms{RepeatWindow: g.Window / perSecond, DueTime: g.Due / perSecond,
-			DueStretch: g.Stretch, Patience: g.Until / perSecond, Value: g.Value, LateValue: g.Late,
-			Streamed: g.Stream, Repeat: relay.AtMostOnce, Group: relay.GroupCell}
-		if t.DueTime <= 0 {
-			t.DueTime = t.Patience // in time as long as the client waits; at once would deny everything
+		site.Categories[g.Name] = relay.RequestClass(i)
+		t := relay.ClassSettings{DedupWindow: g.Window / perSecond, LatencyObjective: g.Due / perSecond,
+			ObjectivePerWork: g.Stretch, Deadline: g.Until / perSecond, PriorityWeight: g.Value, LatePriorityWeight: g.Late,
+			Streamed: g.Stream, Idempotency: relay.AtMostOnce, DedupScope: relay.DedupFailureDomain}
+		if t.LatencyObjective <= 0 {
+			t.LatencyObjective = t.Deadline // in time as long as the client waits; at once would deny everything
 		}
 		switch g.Repeat {
 		case "retryable":
-			t.Repeat = relay.Reissuable
+			t.Idempotency = relay.Idempotent
 		case "dedup":
-			t.Repeat = relay.Numbered
+			t.Idempotency = relay.IdempotencyKeyed
 		}
 		switch g.Group {
 		case "all":
-			t.Group = relay.GroupAll
+			t.DedupScope = relay.DedupAll
 		case "zone":
-			t.Group = relay.GroupZone
+			t.DedupScope = relay.DedupZone
 		}
-		s.Categories = append(s.Categories, t)
+		s.Classes = append(s.Classes, t)
 	}
 	for i, c := range w.Tenants {
-		site.Customers[c.Name] = relay.Customer(i)
-		s.Customers = append(s.Customers, relay.CustomerTerms{Share: c.Share, QuotaPerSec: c.Quota})
+		site.Customers[c.Name] = relay.Tenant(i)
+		s.Tenants = append(s.Tenants, relay.TenantSettings{TrafficShare: c.Share, QuotaPerSec: c.Quota})
 	}
 	site.Settings = s
 	return site, nil
--- a/simwire/simwire.go
+++ b/simwire/simwire.go
@@ -289,7 +289,7 @@
 // Fault reports that the instance broke.
 func (w *Writer) Fault(inst uint16, line string) { w.start(66, inst); w.bytes([]byte(line)) }
 
-// CancelLeg stops waiting on a leg.
+// CancelAttempt stops waiting on a leg.
 func (w *Writer) CancelLeg(inst uint16, query uint32, leg uint8) {
 	w.start(67, inst)
 	w.u32(query)
@@ -306,7 +306,7 @@
 // Probe checks a unit.
 func (w *Writer) Probe(inst uint16, unit uint64) { w.start(69, inst); w.unit(unit) }
 
-// SendLeg launches a leg.
+// SendAttempt launches a leg.
 func (w *Writer) SendLeg(inst uint16, query uint32, unit, wait uint64) {
 	w.start(70, inst)
 	w.u32(query)
@@ -351,5 +351,5 @@
 	w.u64(after)
 }
 
-// WriteOff ends a query without a promise.
+// Fail ends a query without a promise.
 func (w *Writer) WriteOff(inst uint16, query uint32) { w.start(77, inst); w.u32(query) }
--- a/trace/mapping.go
+++ b/trace/mapping.go
@@ -9,7 +9,7 @@
 
 	"github.com/cespare/xxhash/v2"
 
-	"lichenroad/internal/form"
+	"lichenroad/internal/xmlconfig"
 )
 
 // Reasons why a task has no place. They are reported beside those of the rows.
@@ -194,7 +194,7 @@
 	return m.Thin >= 1 || part(fmt.Sprintf("%d %s %d %g", seed, t.Job, t.Line, t.At)) < m.Thin
 }
 
-var mappingForms = map[string]form.Form{
+var mappingForms = map[string]xmlconfig.Form{
 	"mapping":  {Needs: []string{"version"}, May: []string{"scale", "thin", "window"}, Kids: []string{"category", "customer", "work", "relay", "failures"}},
 	"category": {Needs: []string{"name"}, Kids: []string{"when", "hash"}},
 	"customer": {Needs: []string{"name"}, Kids: []string{"when", "hash"}},
@@ -207,7 +207,7 @@
 
 // LoadMapping reads a mapping's file. Its error is *form.Faults where the file could be read but is no mapping.
 func LoadMapping(path string) (*Mapping, error) {
-	raw, err := form.Load(path)
+	raw, err := xmlconfig.Load(path)
 	if err != nil {
 		return nil, err
 	}
@@ -216,7 +216,7 @@
 
 // ParseMapping reads a mapping and names all of its faults.
 func ParseMapping(file string, raw []byte) (*Mapping, error) {
-	r := &form.Reader{Root: "mapping", Forms: mappingForms}
+	r := &xmlconfig.Reader{Root: "mapping", Forms: mappingForms}
 	m := &Mapping{}
 	if root := r.Read(raw); root != nil {
 		m.read(r, root)
@@ -227,14 +227,14 @@
 	return m, nil
 }
 
-func (m *Mapping) read(r *form.Reader, root *form.Node) {
+func (m *Mapping) read(r *xmlconfig.Reader, root *xmlconfig.Node) {
 	if v, ok := root.Attrs["version"]; ok && v != "1" {
 		r.Fault(root, "version: %.20q is not known, 1 is", v)
 	}
 	m.Scale, m.Thin, m.Window = r.Number(root, "scale", 1, 1e-6, 1e6), r.Number(root, "thin", 1, 0, 1), r.Span(root, "window", 60)
 	m.Categories, m.categories = rules(r, root, "category")
 	m.Customers, m.customers = rules(r, root, "customer")
-	one := func(name string) *form.Node {
+	one := func(name string) *xmlconfig.Node {
 		list := root.All(name)
 		if len(list) != 1 {
 			r.Fault(root, "one <%s> is needed, %d are there", name, len(list))
@@ -250,10 +250,10 @@
 		}
 	}
 	if n := one("relay"); n != nil {
-		m.relay = form.Word(r, n, "by", ofJob, map[string]field{"machine": ofMachine, "user": ofUser, "job": ofJob})
+		m.relay = xmlconfig.Word(r, n, "by", ofJob, map[string]field{"machine": ofMachine, "user": ofUser, "job": ofJob})
 	}
 	if n := one("failures"); n != nil {
-		m.failures = form.Word(r, n, "as", FailNothing, map[string]Failures{"none": FailNothing, "legs": FailLegs, "hours": FailHours})
+		m.failures = xmlconfig.Word(r, n, "as", FailNothing, map[string]Failures{"none": FailNothing, "legs": FailLegs, "hours": FailHours})
 		m.hour.last, m.hour.part = r.Span(n, "for", 0), r.Number(n, "part", 0, 0, 1)
 		_, hasFor := n.Attrs["for"]
 		_, hasPart := n.Attrs["part"]
@@ -263,7 +263,7 @@
 	}
 }
 
-func rules(r *form.Reader, root *form.Node, kind string) (names []string, out []rule) {
+func rules(r *xmlconfig.Reader, root *xmlconfig.Node, kind string) (names []string, out []rule) {
 	taken := map[string]bool{}
 	for _, n := range root.All(kind) {
 		names = append(names, r.Name(n, taken))
@@ -280,12 +280,12 @@
 }
 
 // conditionOf reads one condition.
-func conditionOf(r *form.Reader, n *form.Node) (c condition) {
+func conditionOf(r *xmlconfig.Reader, n *xmlconfig.Node) (c condition) {
 	name := "field"
 	if c.hash = n.Name == "hash"; c.hash {
 		name = "of"
 	}
-	c.of = form.Word(r, n, name, ofJob, fields)
+	c.of = xmlconfig.Word(r, n, name, ofJob, fields)
 	c.from, c.to = r.Number(n, "from", math.Inf(-1), -1e12, 1e12), r.Number(n, "to", math.Inf(1), -1e12, 1e12)
 	is, words := n.Attrs["is"]
 	c.words = strings.Fields(is)
