--- a/cmd/lichenroad/crossing_test.go
+++ b/cmd/lichenroad/crossing_test.go
@@ -57,7 +57,7 @@
 		return
 	}
 	<-g.welcome
-	c.Write(pgwire.Welcome(1))
+	c.Write(pgwire.StartupResponse(1))
 	for {
 		if kind, _, err := fakes.ReadMessage(r, false); err != nil || kind != 'Q' {
 			return
@@ -69,7 +69,7 @@
 		}
 		g.mu.Unlock()
 		if away {
-			c.Write(pgwire.Ready(pgwire.ErrorAnswer(pgwire.Error, pgwire.CodeFull, "full", "")))
+			c.Write(pgwire.Ready(pgwire.ErrorResponse(pgwire.Error, pgwire.CodeFull, "full", "")))
 			continue
 		}
 		row := pgwire.Ready(fakes.Row("value"))
@@ -141,7 +141,7 @@
 	}},
 	{"waiting for a connection", func(x *crossing) {
 		x.c.Write(x.query)
-		settled(x.T, x.p, metrics.LegsOpen, 1)
+		settled(x.T, x.p, metrics.AttemptsOpen, 1)
 		x.wait("a connection", func() bool { return x.a.came()+x.b.came() > 0 })
 	}},
 	{"out", func(x *crossing) {
@@ -158,7 +158,7 @@
 		x.a.turns.Store(1)
 		open(x.a.welcome, x.b.welcome)
 		x.c.Write(x.query)
-		settled(x.T, x.p, metrics.LegTurnedAway, 1)
+		settled(x.T, x.p, metrics.AttemptRejected, 1)
 		x.wait("the statement", func() bool { return x.ran() == 1 })
 	}},
 }
@@ -177,7 +177,7 @@
 	}},
 	{"list news", func(x *crossing) {
 		x.f.set(0, "DRAINING")
-		x.wait("the news", func() bool { return x.p.loop.Stats.Get(metrics.RosterCalls) >= 3 }) // the next call follows it
+		x.wait("the news", func() bool { return x.p.loop.Metrics.Get(metrics.DiscoveryCalls) >= 3 }) // the next call follows it
 		x.told = true
 	}},
 	{"client close", func(x *crossing) { x.c.Close(); x.left = true }},
@@ -226,7 +226,7 @@
 	x.query = pgwire.QueryMessage(strings.Replace(read(class, int(crossingWaits.Milliseconds())), "t=acme", "t=acme,k=5c", 1))
 	x.c = dialClient(t, x.p)
 	x.c.until('Z')
-	settled(t, x.p, metrics.RosterCalls, 2) // the watch waits
+	settled(t, x.p, metrics.DiscoveryCalls, 2) // the watch waits
 	hold(x)
 	begun := time.Now()
 	come(x)
@@ -237,17 +237,17 @@
 		x.c.Write(x.unsent)
 	}
 	if x.left {
-		x.wait("the end", func() bool { return x.p.loop.Stats.Get(metrics.ClientConnsOpen) == 0 })
+		x.wait("the end", func() bool { return x.p.loop.Metrics.Get(metrics.ClientConnsOpen) == 0 })
 		settled(t, x.p, metrics.Open, 0)
 		ranBefore = x.ran()
 	}
 	open(x.a.welcome, x.b.welcome)
 	x.wait("a statement out, or an end", func() bool {
-		return x.ran() > 0 || x.p.loop.Stats.Get(metrics.Open) == 0
+		return x.ran() > 0 || x.p.loop.Metrics.Get(metrics.Open) == 0
 	})
 	open(x.a.half, x.b.half, x.a.rest, x.b.rest)
 	if x.left {
-		settled(t, x.p, metrics.LegsOpen, 0)
+		settled(t, x.p, metrics.AttemptsOpen, 0)
 		if x.ran() != ranBefore {
 			t.Errorf("%d statements behind the client's end", x.ran()-ranBefore)
 		}
@@ -270,6 +270,6 @@
 	if after := x.a.took(); x.told && after != ranAtA {
 		t.Errorf("%d statements to a unit told as draining", after-ranAtA)
 	}
-	settled(t, x.p, metrics.LegsOpen, 0)
+	settled(t, x.p, metrics.AttemptsOpen, 0)
 	sums(t, x.p)
 }
--- a/cmd/lichenroad/desk.go
+++ b/cmd/lichenroad/desk.go
@@ -65,7 +65,7 @@
 		signal.Notify(hups, syscall.SIGHUP)
 		defer signal.Stop(hups)
 		return failed(releasecontroller.Start(ctx, releasecontroller.Options{Plan: p, Dir: *state, Control: *address, Log: log,
-			Ready: func(d *releasecontroller.Desk, at releasecontroller.Addresses) {
+			Ready: func(d *releasecontroller.Controller, at releasecontroller.Addresses) {
 				log.WithFields(logrus.Fields{"control": at.Control, "watch": at.Watch, "relays": at.Relays}).Info("desk open")
 				go func() {
 					for range hups {
@@ -111,7 +111,7 @@
 				return err
 			}
 		}
-		out, err := releasecontroller.Ask(c.Context(), *state, r)
+		out, err := releasecontroller.Call(c.Context(), *state, r)
 		if err != nil {
 			return failed(err)
 		}
@@ -125,7 +125,7 @@
 	c := &cobra.Command{Use: "status", Short: "Show where every service stands and what it waits for", Args: cobra.NoArgs}
 	raw := c.Flags().Bool("json", false, "as JSON")
 	c.RunE = func(c *cobra.Command, _ []string) error {
-		out, err := releasecontroller.Ask(c.Context(), *state, releasecontroller.Request{Verb: "status"})
+		out, err := releasecontroller.Call(c.Context(), *state, releasecontroller.Request{Verb: "status"})
 		if err != nil {
 			return failed(err)
 		}
@@ -217,10 +217,10 @@
 	if e.Build != 0 {
 		words = append(words, fmt.Sprintf("build %d", e.Build))
 	}
-	if e.Kind == rollout.Moved || e.Kind == rollout.Voted {
+	if e.Kind == rollout.EventPromoted || e.Kind == rollout.EventVoted {
 		words = append(words, fmt.Sprintf("step %d", e.Step))
 	}
-	if e.Kind == rollout.Voted {
+	if e.Kind == rollout.EventVoted {
 		words = append(words, fmt.Sprintf("%s: %s", e.Relay, [...]string{"none", "on", "hold", "back"}[e.Verdict]))
 	}
 	if e.Name != "" {
--- a/cmd/lichenroad/others_test.go
+++ b/cmd/lichenroad/others_test.go
@@ -33,10 +33,10 @@
 		return "OK 2 0 canary 0.5 10\r\n"
 	})
 	p := running(t, newFleet(t, newUnit(t, always(honour))), withDesk(d))
-	settled(t, p, metrics.News, 1)
+	settled(t, p, metrics.RolloutStatuses, 1)
 	vote := func() { p.loop.Platform.Vote(relay.Vote{Build: 2, Verdict: relay.VotePromote}) }
-	for i, want := range []metrics.ID{metrics.VotesCounted, metrics.VotesNotCounted, metrics.VotesMaybe, metrics.VotesMaybe} {
-		before := p.loop.Stats.Get(want)
+	for i, want := range []metrics.ID{metrics.VotesCounted, metrics.VotesNotCounted, metrics.VotesMaybeCounted, metrics.VotesMaybeCounted} {
+		before := p.loop.Metrics.Get(want)
 		vote()
 		if got := d.line(t, "VOTE"); got != "VOTE 2 0 approve" {
 			t.Errorf("%q", got)
@@ -78,10 +78,10 @@
 	}
 	vote(3)
 	settled(t, p, metrics.VotesCounted, 2)
-	settled(t, p, metrics.VotesMoot, 1)
+	settled(t, p, metrics.VotesStale, 1)
 	vote(2)
 	(<-d.conns).Close()
-	settled(t, p, metrics.VotesMaybe, 2)
+	settled(t, p, metrics.VotesMaybeCounted, 2)
 	if len(d.conns) != 0 {
 		t.Error("more than one connection for votes")
 	}
@@ -91,7 +91,7 @@
 	d := newDesk(t, func(string) string { return "OK\r\n* news 1 0 stable 1 5000\r\n" })
 	p := running(t, newFleet(t, newUnit(t, always(honour))), withDesk(d))
 	for i := int64(1); i <= 3; i++ {
-		settled(t, p, metrics.News, i)
+		settled(t, p, metrics.RolloutStatuses, i)
 		c := <-d.conns
 		if i == 2 {
 			fmt.Fprint(c, strings.Repeat("x", 9<<10)) // a line over the bound
@@ -106,7 +106,7 @@
 	d := newDesk(t, func(string) string { return "OK\r\n* news 1 0 stable 1 5000\r\n" })
 	p := running(t, newFleet(t, newUnit(t, always(honour))), withDesk(d))
 	old := <-d.conns
-	settled(t, p, metrics.News, 2) // no sign of life came
+	settled(t, p, metrics.RolloutStatuses, 2) // no sign of life came
 	old.SetDeadline(time.Now().Add(patience))
 	if _, err := old.Read(make([]byte, 1)); err != io.EOF {
 		t.Error("the silent connection is kept:", err)
@@ -135,7 +135,7 @@
 	if n, _, err := all.ReadFromUDP(buf[:]); err != nil || n > 256 { // the module's own decision
 		t.Error(n, err)
 	}
-	p.loop.Peers.Tell(relay.SendMessage{To: 1, Body: []byte("hello")})
+	p.loop.Peers.SendMessage(relay.SendMessage{To: 1, Body: []byte("hello")})
 	if n, _, err := peer.ReadFromUDP(buf[:]); err != nil || string(buf[:n]) != "hello" {
 		t.Errorf("%q %v", buf[:n], err)
 	}
@@ -145,13 +145,13 @@
 		n    int
 		id   metrics.ID
 	}{{peer, 5, metrics.PeerMessagesIn}, {stranger, 5, metrics.PeerMessagesDropped}, {peer, 257, metrics.PeerMessagesDropped}} {
-		before := p.loop.Stats.Get(c.id)
+		before := p.loop.Metrics.Get(c.id)
 		c.from.WriteToUDP(make([]byte, c.n), to)
 		settled(t, p, c.id, before+1)
 	}
-	before := p.loop.Stats.Get(metrics.PeerMessagesDropped)
-	p.loop.Peers.Tell(relay.SendMessage{To: relay.Broadcast, Body: make([]byte, 257)})
-	p.loop.Peers.Tell(relay.SendMessage{To: 7, Body: []byte("x")})
+	before := p.loop.Metrics.Get(metrics.PeerMessagesDropped)
+	p.loop.Peers.SendMessage(relay.SendMessage{To: relay.Broadcast, Body: make([]byte, 257)})
+	p.loop.Peers.SendMessage(relay.SendMessage{To: 7, Body: []byte("x")})
 	settled(t, p, metrics.PeerMessagesDropped, before+2)
 }
 
@@ -172,5 +172,5 @@
 	d.line(t, "WATCH")
 	d.line(t, "WATCH") // the fresh one asks, and hears nothing
 	fmt.Fprint(old, "* news 2 0 canary 0.1 5\r\n")
-	settled(t, p, metrics.News, 1)
+	settled(t, p, metrics.RolloutStatuses, 1)
 }
--- a/cmd/lichenroad/plan.go
+++ b/cmd/lichenroad/plan.go
@@ -64,14 +64,14 @@
 	for _, s := range p.Services {
 		for _, st := range s.Steps {
 			var opens, needs []string
-			for _, o := range st.Opens {
+			for _, o := range st.OpenGroups {
 				opens = append(opens, p.Sites[o.Site]+"/"+p.Groups[o.Group].Name)
 			}
-			for _, n := range st.Needs {
-				needs = append(needs, p.NeedText(n))
+			for _, n := range st.Dependencies {
+				needs = append(needs, p.DependencyText(n))
 			}
-			fmt.Fprintf(w, "%s\t%s\t%g%%\t%g%%\t%s\t%s\t%s\n", s.Name, st.Name, 100*st.Share, 100*st.Cap,
-				time.Duration(st.Least*float64(time.Second)), strings.Join(opens, " "), strings.Join(needs, ", "))
+			fmt.Fprintf(w, "%s\t%s\t%g%%\t%g%%\t%s\t%s\t%s\n", s.Name, st.Name, 100*st.Share, 100*st.ExposureLimit,
+				time.Duration(st.MinTime*float64(time.Second)), strings.Join(opens, " "), strings.Join(needs, ", "))
 		}
 	}
 	w.Flush()
@@ -82,8 +82,8 @@
 	for i, s := range p.Services {
 		for j, site := range p.Sites {
 			fmt.Fprintf(w, "%s\t%s", s.Name, site)
-			for _, what := range []plan.Stops{plan.StopsBegin, plan.StopsOn} {
-				if f, in := c.Frozen(now, plan.ServiceNo(i), plan.SiteNo(j), what); in {
+			for _, what := range []plan.FreezeEffect{plan.FreezeStarts, plan.FreezePromotions} {
+				if f, in := c.Frozen(now, plan.ServiceIndex(i), plan.SiteIndex(j), what); in {
 					fmt.Fprintf(w, "\tfrozen by %s until %s", p.Freezes[f.Freeze].Name, plan.Time(f.Till).Format(time.RFC3339))
 				} else {
 					fmt.Fprint(w, "\tfree")
--- a/cmd/lichenroad/ready_test.go
+++ b/cmd/lichenroad/ready_test.go
@@ -30,7 +30,7 @@
 			begun := time.Now()
 			p := running(t, f, func(to *config.Config) {
 				if c.known != "" {
-					to.Known = json.RawMessage(c.known)
+					to.KnownList = json.RawMessage(c.known)
 				}
 			})
 			cl := dialClient(t, p, pgwire.QueryMessage("")...)
@@ -53,10 +53,10 @@
 func TestSigtermBeforeReady(t *testing.T) {
 	f := newFleet(t)
 	f.down = true
-	p := running(t, f, func(to *config.Config) { to.Known = nil })
+	p := running(t, f, func(to *config.Config) { to.KnownList = nil })
 	cl := dialClient(t, p, pgwire.QueryMessage("")...)
 	cl.until('Z')
-	settled(t, p, metrics.RosterFailed, 1)
+	settled(t, p, metrics.DiscoveryFailed, 1)
 	p.shutdownGracefully()
 	cl.until('I')
 	cl.until('Z')
--- a/cmd/lichenroad/reload_test.go
+++ b/cmd/lichenroad/reload_test.go
@@ -141,7 +141,7 @@
 	next.Platform = fresh.ln.Addr().String()
 	p.reload(next, nil)
 	fresh.line(t, "WATCH")
-	settled(t, p, metrics.News, 2)
+	settled(t, p, metrics.RolloutStatuses, 2)
 	vote()
 	fresh.line(t, "VOTE")
 	fmt.Fprint(votes, "OK 2 0 canary 0.5 10\r\n")
@@ -151,7 +151,7 @@
 	if _, err := watch.Read(make([]byte, 1)); err != io.EOF {
 		t.Error("the watch at the old address is kept:", err)
 	}
-	if len(old.lines) != 0 || p.loop.Stats.Get(metrics.VotesMaybe) != 0 {
+	if len(old.lines) != 0 || p.loop.Metrics.Get(metrics.VotesMaybeCounted) != 0 {
 		t.Error("the open vote was cast again or given up")
 	}
 }
--- a/cmd/lichenroad/serve.go
+++ b/cmd/lichenroad/serve.go
@@ -41,8 +41,8 @@
 	guard  *guard.Host // nil: no plan
 	loop   *pipeline.Loop
 	front  *clients.Server
-	asker  *discovery.Asker
-	desk   *platform.Desk
+	asker  *discovery.Client
+	desk   *platform.Client
 	stop   chan struct{}
 	end    func() // at once; may be called again
 	fault  atomic.Pointer[error]
@@ -86,10 +86,10 @@
 	sockets := c.Sockets - spare
 	forUnits := int(limits.UnitPart * float64(sockets))
 	legs := upstream.New(loop, forUnits)
-	reader := discovery.NewReader(c.Site.Zones, c.Site.Kinds, loop.Clock.Unix)
+	reader := discovery.NewReader(c.Site.Zones, c.Site.MachineTypes, loop.Clock.Unix)
 	asker := discovery.New(loop, c.Discovery, reader, legs, c.Seed)
 	desk := platform.New(loop, c.Platform)
-	loop.Units, loop.Roster, loop.Platform, loop.Peers = legs, asker, desk, noPeers{counters}
+	loop.Upstream, loop.Discovery, loop.Platform, loop.Peers = legs, asker, desk, noPeers{counters}
 	var host *guard.Host
 	if g.now != nil {
 		var err error
@@ -109,12 +109,12 @@
 	}
 
 	// The module's first step sees the list as last held, then where the newest build stands.
-	if known, err := reader.Parse(c.Known); err == nil {
-		asker.Known(known)
+	if known, err := reader.Parse(c.KnownList); err == nil {
+		asker.UseKnownList(known)
 	} else {
 		log.WithField("peer", "roster").WithError(err).Warn("no list to start with")
 	}
-	loop.Post(pipeline.Call(func(l *pipeline.Loop) { l.Told(c.News) }))
+	loop.Post(pipeline.Func(func(l *pipeline.Loop) { l.RolloutStatusReceived(c.RolloutStatus) }))
 	asker.Start()
 	desk.Start()
 	if host != nil {
@@ -137,10 +137,10 @@
 // shutdownGracefully goes on for a little while, closes each connection between its queries, and ends when none is
 // left, or when every query must have been answered.
 func (p *program) shutdownGracefully() {
-	longest := max(limits.LongestWait, p.loop.Site.Longest())
-	p.loop.Post(pipeline.Call(func(l *pipeline.Loop) {
+	longest := max(limits.LongestWait, p.loop.Site.MaxDeadline())
+	p.loop.Post(pipeline.Func(func(l *pipeline.Loop) {
 		p.front.Shutdown(p.end)
-		l.At(l.Clock.Now()+longest+limits.LastWait, p.end)
+		l.RunAt(l.Clock.Now()+longest+limits.LastWait, p.end)
 	}))
 }
 
@@ -148,17 +148,17 @@
 // the addresses that it names. One that can't be read leaves everything as it is.
 func (p *program) reload(next config.Config, err error) {
 	if err != nil {
-		p.loop.Stats.Add(metrics.ReloadsRefused, 1)
+		p.loop.Metrics.Add(metrics.ReloadsRefused, 1)
 		p.loop.Log.WithError(err).Error("configuration refused, the old one stays")
 		return
 	}
 	p.replan()
-	p.loop.Post(pipeline.Call(func(l *pipeline.Loop) {
+	p.loop.Post(pipeline.Func(func(l *pipeline.Loop) {
 		p.asker.Move(next.Discovery)
 		if next.Platform != "" {
 			p.desk.Move(next.Platform)
 		}
-		l.Stats.Add(metrics.Reloads, 1)
+		l.Metrics.Add(metrics.Reloads, 1)
 		l.Log.WithFields(logrus.Fields{"discovery": next.Discovery, "platform": next.Platform,
 			"needs_restart": p.config.NeedRestart(next)}).Info("configuration reloaded")
 		p.config.Discovery, p.config.Platform = next.Discovery, next.Platform
@@ -171,12 +171,12 @@
 		return
 	}
 	next, err := plan.Load(p.plan.plan)
-	p.loop.Post(pipeline.Call(func(l *pipeline.Loop) {
+	p.loop.Post(pipeline.Func(func(l *pipeline.Loop) {
 		if err == nil {
 			err = p.guard.Replan(next)
 		}
 		if err != nil {
-			l.Stats.Add(metrics.ReloadsRefused, 1)
+			l.Metrics.Add(metrics.ReloadsRefused, 1)
 			l.Log.WithField("error", strings.ReplaceAll(err.Error(), "\n", "; ")).Error("plan refused, the old one stays")
 			return
 		}
@@ -191,7 +191,7 @@
 	for s := range got {
 		switch {
 		case s == syscall.SIGUSR1:
-			p.loop.Log.WithFields(p.loop.Stats.Fields()).Info("counters")
+			p.loop.Log.WithFields(p.loop.Metrics.Fields()).Info("counters")
 		case ending:
 			p.end()
 		default:
@@ -205,4 +205,4 @@
 // noPeers stands in where the configuration names no address for messages.
 type noPeers struct{ counters *metrics.Counters }
 
-func (n noPeers) Tell(relay.SendMessage) { n.counters.Add(metrics.PeerMessagesDropped, 1) }
+func (n noPeers) SendMessage(relay.SendMessage) { n.counters.Add(metrics.PeerMessagesDropped, 1) }
--- a/cmd/lichenroad/serve_test.go
+++ b/cmd/lichenroad/serve_test.go
@@ -162,7 +162,7 @@
 			t.Fatal(code)
 		}
 	}
-	if p.loop.Stats.Get(metrics.LegNoConnect) == 0 {
+	if p.loop.Metrics.Get(metrics.AttemptConnectFailed) == 0 {
 		t.Error("no leg went to the unit that is not there")
 	}
 	sums(t, p)
@@ -178,8 +178,8 @@
 	if _, code := c.answer(); code != pgwire.CodeFull {
 		t.Errorf("%q: a leg without a connection never ran", code)
 	}
-	if p.loop.Stats.Get(metrics.LegNoConnect) == 0 {
-		t.Error(p.loop.Stats.Fields())
+	if p.loop.Metrics.Get(metrics.AttemptConnectFailed) == 0 {
+		t.Error(p.loop.Metrics.Fields())
 	}
 	sums(t, p)
 }
@@ -192,10 +192,10 @@
 	c.send(read("look", 1900))
 	<-u.seen
 	c.Close()
-	settled(t, p, metrics.Left, 1)
+	settled(t, p, metrics.ClientLeft, 1)
 	<-u.ended // the leg's connection is closed, not kept
-	if p.loop.Stats.Get(metrics.LegCancelled) != 1 {
-		t.Error(p.loop.Stats.Fields())
+	if p.loop.Metrics.Get(metrics.AttemptCancelled) != 1 {
+		t.Error(p.loop.Metrics.Fields())
 	}
 	sums(t, p)
 }
@@ -236,7 +236,7 @@
 			t.Fatal(code)
 		}
 		<-u.ended
-		settled(t, p, metrics.UnitConnsOpen, 0)
+		settled(t, p, metrics.EndpointConnsOpen, 0)
 	}
 	sums(t, p)
 }
@@ -251,18 +251,18 @@
 		"unknown class":     {pgwire.QueryMessage(read("none", 100)), pgwire.CodeSyntax},
 		"unknown tenant":    {pgwire.QueryMessage(strings.Replace(read("look", 1), "acme", "x", 1)), pgwire.CodeSyntax},
 		"without an id":     {pgwire.QueryMessage(strings.Replace(read("look", 1), "id=9b1f,", "", 1)), pgwire.CodeSyntax},
-		"extended protocol": {[]byte{'P', 0, 0, 0, 4}, pgwire.CodeNotKnown},
+		"extended protocol": {[]byte{'P', 0, 0, 0, 4}, pgwire.CodeUnsupported},
 		"oversized":         {[]byte{'Q', 0x7f, 0, 0, 0}, pgwire.CodeTooLong},
 		"short length":      {[]byte{'Q', 0, 0, 0, 1}, pgwire.CodeSyntax},
 	} {
-		before := p.loop.Stats.Get(metrics.BadInput)
+		before := p.loop.Metrics.Get(metrics.BadInput)
 		cl := dialClient(t, p)
 		cl.until('Z')
 		cl.Write(c.bytes)
 		if _, code := cl.answer(); code != c.code {
 			t.Errorf("%s: %q", name, code)
 		}
-		if !cl.closed() || p.loop.Stats.Get(metrics.BadInput) != before+1 {
+		if !cl.closed() || p.loop.Metrics.Get(metrics.BadInput) != before+1 {
 			t.Errorf("%s: not closed or not counted", name)
 		}
 		cl.Close()
@@ -282,12 +282,12 @@
 	c := dialClient(t, p)
 	c.until('Z')
 	c.Write(append(pgwire.QueryMessage(read("pay", 1900)), 'P', 0, 0, 0, 4))
-	settled(t, p, metrics.LegsOpen, 1)
+	settled(t, p, metrics.AttemptsOpen, 1)
 	close(release)
 	if v, code := c.answer(); v == "" {
 		t.Error("the open query was lost over what came behind it:", code)
 	}
-	if _, code := c.answer(); code != pgwire.CodeNotKnown || !c.closed() {
+	if _, code := c.answer(); code != pgwire.CodeUnsupported || !c.closed() {
 		t.Errorf("%q", code)
 	}
 	c.Close()
@@ -395,10 +395,10 @@
 	p := running(t, f, nil)
 	c := dialClient(t, p)
 	c.until('Z')
-	settled(t, p, metrics.RosterCalls, 2) // the first call has confirmed the list, and the watch waits
+	settled(t, p, metrics.DiscoveryCalls, 2) // the first call has confirmed the list, and the watch waits
 	f.set(0, "DRAINING")
-	settled(t, p, metrics.RosterCalls, 3) // the answer has been read
-	c.send(read("look", 1500))            // and is taken in before this
+	settled(t, p, metrics.DiscoveryCalls, 3) // the answer has been read
+	c.send(read("look", 1500))               // and is taken in before this
 	c.answer()
 	before, _ := a.count()
 	for range 20 {
@@ -417,7 +417,7 @@
 	f := newFleet(t, newUnit(t, always(honour)))
 	f.down = true
 	p := running(t, f, nil)
-	settled(t, p, metrics.RosterFailed, 1)
+	settled(t, p, metrics.DiscoveryFailed, 1)
 	c := dialClient(t, p, pgwire.QueryMessage(read("look", 1500))...)
 	c.until('Z')
 	if v, code := c.answer(); v == "" {
@@ -426,7 +426,7 @@
 	f.mu.Lock()
 	f.down = false
 	f.mu.Unlock()
-	settled(t, p, metrics.RosterCalls, 3) // asked again when the module ordered it: one call at once, then the watch
+	settled(t, p, metrics.DiscoveryCalls, 3) // asked again when the module ordered it: one call at once, then the watch
 }
 
 func TestGentleEnd(t *testing.T) {
--- a/cmd/lichenroad/size_test.go
+++ b/cmd/lichenroad/size_test.go
@@ -57,7 +57,7 @@
 	t.Cleanup(func() { discovery.Listener.Close(); discovery.CloseClientConnections(); discovery.Close() })
 	f := &fleet{srv: discovery}
 	p := running(t, f, func(c *config.Config) {
-		c.Known, c.MemoryMB, c.Sockets, c.PeerListen = nil, 32, 256, "127.0.0.1:0"
+		c.KnownList, c.MemoryMB, c.Sockets, c.PeerListen = nil, 32, 256, "127.0.0.1:0"
 		for i := range count {
 			c.Peers = append(c.Peers, fmt.Sprintf("127.0.%d.%d:9", 1+i/256, i%256))
 		}
@@ -85,8 +85,8 @@
 		t.Error("half of the fleet got nothing")
 	}
 	close(drain)
-	settled(t, p, metrics.RosterCalls, 3) // the next call of the watch follows the delta
-	c.send(";")                           // and this answer follows what the loop had then
+	settled(t, p, metrics.DiscoveryCalls, 3) // the next call of the watch follows the delta
+	c.send(";")                              // and this answer follows what the loop had then
 	for range 2 {
 		c.until('Z')
 		c.send(";")
--- a/cmd/lichenroad/standin_test.go
+++ b/cmd/lichenroad/standin_test.go
@@ -90,7 +90,7 @@
 	if _, _, err := fakes.ReadMessage(r, true); err != nil {
 		return
 	}
-	c.Write(pgwire.Welcome(1))
+	c.Write(pgwire.StartupResponse(1))
 	for first := true; ; first = false {
 		kind, body, err := fakes.ReadMessage(r, false)
 		if err != nil || kind != 'Q' {
@@ -119,9 +119,9 @@
 		case badLoad:
 			c.Write(append([]byte("S\x00\x00\x00\x0evitals=\xff\xff\xff"), pgwire.Ready(fakes.Row("a"))...))
 		case failing:
-			c.Write(pgwire.Ready(pgwire.ErrorAnswer(pgwire.Error, "XX000", "broken", "")))
+			c.Write(pgwire.Ready(pgwire.ErrorResponse(pgwire.Error, "XX000", "broken", "")))
 		case turnAway:
-			c.Write(pgwire.Ready(pgwire.ErrorAnswer(pgwire.Error, pgwire.CodeFull, "full", "")))
+			c.Write(pgwire.Ready(pgwire.ErrorResponse(pgwire.Error, pgwire.CodeFull, "full", "")))
 		case reset:
 			return
 		case garbage:
@@ -246,7 +246,7 @@
 func ready(t *testing.T, p *program) {
 	t.Helper()
 	listed := make(chan struct{})
-	p.loop.Post(pipeline.Call(func(l *pipeline.Loop) { l.WhenListed(func() { close(listed) }) }))
+	p.loop.Post(pipeline.Func(func(l *pipeline.Loop) { l.OnServiceOpen(func() { close(listed) }) }))
 	select {
 	case <-listed:
 	case <-time.After(patience):
@@ -327,9 +327,9 @@
 // settled waits until a counter has a value.
 func settled(t *testing.T, p *program, id metrics.ID, want int64) {
 	t.Helper()
-	for until := time.Now().Add(patience); p.loop.Stats.Get(id) != want; {
+	for until := time.Now().Add(patience); p.loop.Metrics.Get(id) != want; {
 		if time.Now().After(until) {
-			t.Fatalf("%s: want %d of counter %d", p.loop.Stats.Fields(), want, id)
+			t.Fatalf("%s: want %d of counter %d", p.loop.Metrics.Fields(), want, id)
 		}
 		time.Sleep(time.Millisecond)
 	}
@@ -339,17 +339,17 @@
 func sums(t *testing.T, p *program) {
 	t.Helper()
 	settled(t, p, metrics.Open, 0)
-	settled(t, p, metrics.LegsOpen, 0)
-	s := p.loop.Stats
-	if in, out := s.Get(metrics.TakenIn), s.Get(metrics.Honoured)+s.Get(metrics.Denied)+s.Get(metrics.WrittenOff)+s.Get(metrics.Left); in != out {
+	settled(t, p, metrics.AttemptsOpen, 0)
+	s := p.loop.Metrics
+	if in, out := s.Get(metrics.Accepted), s.Get(metrics.Succeeded)+s.Get(metrics.Rejected)+s.Get(metrics.Failed)+s.Get(metrics.ClientLeft); in != out {
 		t.Errorf("taken in %d, ended %d", in, out)
 	}
 	legs := int64(0)
-	for id := metrics.LegHonoured; id <= metrics.LegNotSent; id++ {
+	for id := metrics.AttemptSucceeded; id <= metrics.AttemptNotSent; id++ {
 		legs += s.Get(id)
 	}
-	if legs != s.Get(metrics.LegsSent) {
-		t.Errorf("%d legs sent, %d ended", s.Get(metrics.LegsSent), legs)
+	if legs != s.Get(metrics.AttemptsSent) {
+		t.Errorf("%d legs sent, %d ended", s.Get(metrics.AttemptsSent), legs)
 	}
 	for until := time.Now().Add(patience); p.loop.Pool.Out() != 0; {
 		if time.Now().After(until) {
--- a/internal/clients/clients.go
+++ b/internal/clients/clients.go
@@ -86,31 +86,31 @@
 func (s *Server) accept(n netpoll.Connection) context.Context {
 	now := s.loop.Clock.Now()
 	c := &conn{server: s, net: n, begun: now, idleAt: now,
-		split: pgwire.Splitter{Pool: s.loop.Pool, Startup: true, Shed: true}}
+		split: pgwire.Splitter{Pool: s.loop.Pool, Startup: true, Discard: true}}
 	open := s.open.Add(1)
-	s.loop.Stats.Add(metrics.ClientConns, 1)
-	s.loop.Stats.Add(metrics.ClientConnsOpen, 1)
+	s.loop.Metrics.Add(metrics.ClientConns, 1)
+	s.loop.Metrics.Add(metrics.ClientConnsOpen, 1)
 	n.SetWriteTimeout(limits.AnswerWait)
 	n.AddCloseCallback(c.closed)
 	if open > s.most+s.over {
 		// The first query may have come already, so the client is told that nothing was done with it: a close alone
 		// says that, too, but not that trying again at once is no use.
-		s.loop.Stats.Add(metrics.BoundConns, 1)
-		n.Write(pgwire.ErrorAnswer(pgwire.Fatal, pgwire.CodeFull, errFull.Error(), s.loop.ComeBack()))
-		c.end(metrics.ByBound)
+		s.loop.Metrics.Add(metrics.BoundConns, 1)
+		n.Write(pgwire.ErrorResponse(pgwire.Fatal, pgwire.CodeFull, errFull.Error(), s.loop.RetryAfterDetail()))
+		c.end(metrics.ClosedByBound)
 		return context.Background()
 	}
-	s.loop.Post(pipeline.Call(func(l *pipeline.Loop) {
+	s.loop.Post(pipeline.Func(func(l *pipeline.Loop) {
 		s.conns[c] = struct{}{}
 		c.rests(true)
 		if room := s.open.Load() <= s.tidy || s.evictIdle(); !room && s.open.Load() > s.most {
-			s.loop.Stats.Add(metrics.BoundConns, 1)
+			s.loop.Metrics.Add(metrics.BoundConns, 1)
 			c.full = true
 		}
 		if s.stopping {
 			c.rest() // it came in just before the listener went
 		}
-		l.At(now+limits.StartupWait.Seconds(), c.late)
+		l.RunAt(now+limits.StartupWait.Seconds(), c.late)
 	}))
 	return context.WithValue(context.Background(), connKey{}, c)
 }
@@ -127,7 +127,7 @@
 			if s.loop.Clock.Now()-c.idleAt < of.least.Seconds() {
 				break
 			}
-			if c.evict(metrics.ByIdle) {
+			if c.evict(metrics.ClosedByIdleTimeout) {
 				return true
 			}
 		}
@@ -139,9 +139,9 @@
 // and each connection is closed between its queries. Call it on the loop; then runs when all are closed.
 func (s *Server) Shutdown(then func()) {
 	now := s.loop.Clock.Now()
-	s.loop.Open() // whoever waits for a list hears that there is none
-	s.lastWord = now + min(s.loop.Site.Longest(), limits.LongestWait) + limits.KillAfter - limits.WordBefore
-	s.loop.At(now+limits.StillComing.Seconds(), func() {
+	s.loop.OpenService() // whoever waits for a list hears that there is none
+	s.lastWord = now + min(s.loop.Site.MaxDeadline(), limits.LongestWait) + limits.KillAfter - limits.WordBefore
+	s.loop.RunAt(now+limits.StillComing.Seconds(), func() {
 		s.stopping, s.stopped = true, then
 		s.stopAccepting()
 		for c := range s.conns {
@@ -155,7 +155,7 @@
 // it would be reset there, with a first query that may have come.
 func (s *Server) stopAccepting() {
 	if sockets.Backlog(s.ln) && s.loop.Clock.Now() < s.lastWord {
-		s.loop.At(s.loop.Clock.Now()+limits.LookAgain.Seconds(), s.stopAccepting)
+		s.loop.RunAt(s.loop.Clock.Now()+limits.LookAgain.Seconds(), s.stopAccepting)
 		return
 	}
 	s.deaf.Store(true)
--- a/internal/clients/clients_test.go
+++ b/internal/clients/clients_test.go
@@ -32,14 +32,14 @@
 
 func newDoor(t *testing.T, most, over int) door {
 	t.Helper()
-	site := settings.Site{Categories: map[string]relay.RequestClass{"look": 0}}
+	site := settings.Site{ClassByName: map[string]relay.RequestClass{"look": 0}}
 	site.Settings.Relays = 1
 	site.Settings.Classes = []relay.ClassSettings{{Deadline: 2}}
 	site.Settings.Limits = relay.Limits{RetryAfter: true, MaxRetryAfter: 0.75}
 	log := logrus.New()
 	log.SetOutput(io.Discard)
 	l := pipeline.NewLoop(site, 1, buffer.NewPool(1<<20), &metrics.Counters{}, log)
-	l.Open()
+	l.OpenService()
 	d := door{t, l, New(l, most, over)}
 	if err := d.s.Listen("127.0.0.1:0", func(error) {}); err != nil {
 		t.Fatal(err)
@@ -50,8 +50,8 @@
 
 // pump has the loop take what is in its queue.
 func (d door) pump() {
-	for _, e := range d.Pending() {
-		e.Take(d.Loop)
+	for _, e := range d.TakePosted() {
+		e.Apply(d.Loop)
 	}
 }
 
@@ -159,14 +159,14 @@
 
 func (d door) finish(c *conn) {
 	c.current.q.Text.Free()
-	c.current.Answer(d.Pool.Filled(pgwire.EmptyAnswer()))
+	c.current.Respond(d.Pool.Filled(pgwire.EmptyQueryResponse()))
 }
 
 // TestIdleCloseCrossesAQuery wants to close a connection as idle while a query is at each place on its way in: it is
 // not idle, and the query is served.
 func TestIdleCloseCrossesAQuery(t *testing.T) {
 	d := newDoor(t, 100, 10)
-	for _, why := range []metrics.Reason{metrics.ByIdle, metrics.ByShutdown} {
+	for _, why := range []metrics.CloseReason{metrics.ClosedByIdleTimeout, metrics.ClosedByShutdown} {
 		cl, c := d.session()
 		cl.Write(look)
 		d.held("the query is read", func() bool { return c.ahead.Load() == 1 })
@@ -200,8 +200,8 @@
 			t.Error("an idle connection is not closed")
 		}
 	}
-	if d.Stats.Get(metrics.LateRefused) != 0 {
-		t.Error("refused:", d.Stats.Get(metrics.LateRefused))
+	if d.Metrics.Get(metrics.RejectedAfterClose) != 0 {
+		t.Error("refused:", d.Metrics.Get(metrics.RejectedAfterClose))
 	}
 }
 
@@ -209,7 +209,7 @@
 func TestLastWords(t *testing.T) {
 	d := newDoor(t, 100, 10)
 	closeAnyway := func(c *conn) {
-		c.because(metrics.ByIdle)
+		c.because(metrics.ClosedByIdleTimeout)
 		c.evicted.Store(true)
 		c.shutting = true
 		c.rests(false)
@@ -220,7 +220,7 @@
 	d.held("two queries are read", func() bool { return c.ahead.Load() == 2 })
 	closeAnyway(c)
 	for range 2 {
-		if code := cl.hears('Z'); code != pgwire.CodeEnding {
+		if code := cl.hears('Z'); code != pgwire.CodeShuttingDown {
 			t.Errorf("%q", code)
 		}
 	}
@@ -236,11 +236,11 @@
 	d.held("the library has the query", func() bool { return c.net.Reader().Len() == len(look) })
 	closeAnyway(c)
 	close(gate)
-	if code := cl.hears('Z'); code != pgwire.CodeEnding || !cl.ends() {
+	if code := cl.hears('Z'); code != pgwire.CodeShuttingDown || !cl.ends() {
 		t.Errorf("%q", code)
 	}
 	d.until("both are forgotten", func() bool { return len(d.s.conns) == 0 && d.Pool.Out() == 0 })
-	if d.Stats.Get(metrics.LateRefused) != 3 || len(d.Learned()) != 0 {
+	if d.Metrics.Get(metrics.RejectedAfterClose) != 3 || len(d.TakeEvents()) != 0 {
 		t.Error("not counted, or shown to the module all the same")
 	}
 }
@@ -274,7 +274,7 @@
 			}
 			d.until("the end", func() bool { return len(d.s.conns) == 0 })
 			took, left := 0, 0
-			for _, e := range d.Learned() {
+			for _, e := range d.TakeEvents() {
 				switch e.(type) {
 				case relay.Request:
 					took++
@@ -381,7 +381,7 @@
 	d.s.lastWord = d.Clock.Now() + 0.5
 	cl.Write(look) // d=900
 	d.until("the query's turn", func() bool { return c.current != nil && c.current.q != nil })
-	if until := c.current.q.Until; until > d.s.lastWord+1e-9 || until < d.s.lastWord-0.4 {
+	if until := c.current.q.Deadline; until > d.s.lastWord+1e-9 || until < d.s.lastWord-0.4 {
 		t.Errorf("may take until %v, killed behind %v", until, d.s.lastWord)
 	}
 	d.finish(c)
--- a/internal/clients/conn.go
+++ b/internal/clients/conn.go
@@ -51,7 +51,7 @@
 
 	mu     sync.Mutex
 	gone   bool // the descriptor is about to be closed
-	reason metrics.Reason
+	reason metrics.CloseReason
 	fault  error // what was wrong with what came
 }
 
@@ -59,7 +59,7 @@
 type item struct {
 	c     *conn
 	hello bool
-	q     *pipeline.Query
+	q     *pipeline.Request
 	bad   error
 }
 
@@ -75,7 +75,7 @@
 	c.mu.Lock()
 	c.gone = true
 	if c.reason == "" {
-		c.reason = metrics.ByPeer
+		c.reason = metrics.ClosedByPeer
 	}
 	why, fault := c.reason, c.fault
 	c.mu.Unlock()
@@ -85,10 +85,10 @@
 	c.split.Free()
 	s := c.server
 	s.open.Add(-1)
-	s.loop.Stats.Add(metrics.ClientConnsOpen, -1)
-	metrics.LogEnd(s.loop.Log, "client", c.net.RemoteAddr().String(), why, s.loop.Clock.Now()-c.begun,
+	s.loop.Metrics.Add(metrics.ClientConnsOpen, -1)
+	metrics.LogConnectionEnd(s.loop.Log, "client", c.net.RemoteAddr().String(), why, s.loop.Clock.Now()-c.begun,
 		int(c.queries.Load()), fault)
-	s.loop.Post(pipeline.Call(func(l *pipeline.Loop) {
+	s.loop.Post(pipeline.Func(func(l *pipeline.Loop) {
 		delete(s.conns, c)
 		c.rests(false)
 		if c.current != nil && c.current.q != nil {
@@ -104,13 +104,13 @@
 }
 
 // end closes the connection at once.
-func (c *conn) end(why metrics.Reason) {
+func (c *conn) end(why metrics.CloseReason) {
 	c.because(why)
 	c.deaf.Store(true)
 	c.net.Close()
 }
 
-func (c *conn) because(why metrics.Reason) {
+func (c *conn) because(why metrics.CloseReason) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if c.reason == "" {
@@ -120,7 +120,7 @@
 
 // halfClose closes this side, so that the client reads all that was sent and then the end, and the rest when the
 // client has closed its side or is slow to. On the loop.
-func (c *conn) halfClose(why metrics.Reason) {
+func (c *conn) halfClose(why metrics.CloseReason) {
 	c.because(why)
 	c.deaf.Store(true)
 	c.shutting = true
@@ -131,7 +131,7 @@
 	}
 	c.mu.Unlock()
 	l := c.server.loop
-	l.At(l.Clock.Now()+limits.CloseWait.Seconds(), func() { c.net.Close() })
+	l.RunAt(l.Clock.Now()+limits.CloseWait.Seconds(), func() { c.net.Close() })
 }
 
 // rests notes whether the connection is idle. On the loop.
@@ -167,7 +167,7 @@
 // evict closes the connection if it is quiet, and says whether it was. What comes from now on is not read, so that the
 // client knows that it did not count and sends it once more elsewhere; what is read between the look and the close
 // gets lastWords. On the loop.
-func (c *conn) evict(why metrics.Reason) bool {
+func (c *conn) evict(why metrics.CloseReason) bool {
 	if c.shutting || !c.quiet() {
 		return false
 	}
@@ -194,8 +194,8 @@
 		return
 	}
 	l := c.server.loop
-	l.Stats.Add(metrics.LateRefused, owed)
-	answer := pgwire.Ready(pgwire.ErrorAnswer(pgwire.Error, pgwire.CodeEnding, textEnding, l.ComeBack()))
+	l.Metrics.Add(metrics.RejectedAfterClose, owed)
+	answer := pgwire.Ready(pgwire.ErrorResponse(pgwire.Error, pgwire.CodeShuttingDown, textEnding, l.RetryAfterDetail()))
 	for range owed {
 		unix.SendmsgN(n.Fd(), answer, nil, nil, unix.MSG_NOSIGNAL)
 	}
@@ -210,16 +210,16 @@
 	l := c.server.loop
 	now := l.Clock.Now()
 	if first := c.begun + limits.FirstQuery.Seconds(); c.queries.Load() == 0 && now < first {
-		l.At(first, c.rest)
-	} else if !c.evict(metrics.ByShutdown) {
-		l.At(now+limits.LookAgain.Seconds(), c.rest)
+		l.RunAt(first, c.rest)
+	} else if !c.evict(metrics.ClosedByShutdown) {
+		l.RunAt(now+limits.LookAgain.Seconds(), c.rest)
 	}
 }
 
 // late ends a connection that has said no startup in time.
 func (c *conn) late() {
-	if !c.started.Load() && !c.shutting && !c.evict(metrics.ByLateConnect) {
-		c.halfClose(metrics.ByLateConnect) // half of a startup has come
+	if !c.started.Load() && !c.shutting && !c.evict(metrics.ClosedByConnectTimeout) {
+		c.halfClose(metrics.ClosedByConnectTimeout) // half of a startup has come
 	}
 }
 
@@ -265,21 +265,21 @@
 
 // complain ends the connection over what came on it, with an ErrorResponse.
 func (c *conn) complain(err error) {
-	code, why := pgwire.CodeProtocol, metrics.ByBadInput
+	code, why := pgwire.CodeProtocol, metrics.ClosedByBadInput
 	switch {
 	case errors.Is(err, errFull):
-		code, why = pgwire.CodeFull, metrics.ByBound
+		code, why = pgwire.CodeFull, metrics.ClosedByBound
 	case errors.Is(err, errAhead):
-		code, why = pgwire.CodeTooLong, metrics.ByBound
+		code, why = pgwire.CodeTooLong, metrics.ClosedByBound
 	case errors.Is(err, errNotOffered):
-		code = pgwire.CodeNotKnown
+		code = pgwire.CodeUnsupported
 	case errors.Is(err, pgwire.ErrTooLong):
 		code = pgwire.CodeTooLong
 	case c.started.Load():
 		code = pgwire.CodeSyntax
 	}
-	if why == metrics.ByBadInput {
-		c.server.loop.Stats.Add(metrics.BadInput, 1)
+	if why == metrics.ClosedByBadInput {
+		c.server.loop.Metrics.Add(metrics.BadInput, 1)
 	}
 	c.because(why)
 	c.mu.Lock()
@@ -287,10 +287,10 @@
 	c.mu.Unlock()
 	later := ""
 	if code == pgwire.CodeFull {
-		later = c.server.loop.ComeBack()
+		later = c.server.loop.RetryAfterDetail()
 	}
-	c.send(c.server.loop.Pool.Filled(pgwire.ErrorAnswer(pgwire.Fatal, code, err.Error(), later)), func() {
-		c.server.loop.Post(pipeline.Call(func(*pipeline.Loop) { c.halfClose(why) }))
+	c.send(c.server.loop.Pool.Filled(pgwire.ErrorResponse(pgwire.Fatal, code, err.Error(), later)), func() {
+		c.server.loop.Post(pipeline.Func(func(*pipeline.Loop) { c.halfClose(why) }))
 	})
 }
 
@@ -307,7 +307,7 @@
 	case m.Type == 0:
 		return c.startup(m.Body.Bytes())
 	case m.Type == 'X':
-		c.end(metrics.ByTerminate)
+		c.end(metrics.ClosedByTerminate)
 		return nil
 	case m.Type != 'Q':
 		return errNotOffered
@@ -331,10 +331,10 @@
 }
 
 // query makes the record of a query; there is none of an empty one.
-func (c *conn) query(m pgwire.Message, at relay.Seconds) (*pipeline.Query, error) {
-	if m.Lost {
-		c.server.loop.Stats.Add(metrics.BoundBuffers, 1)
-		return pipeline.NoRoom("no room for the query", at), nil
+func (c *conn) query(m pgwire.Message, at relay.Seconds) (*pipeline.Request, error) {
+	if m.Discarded {
+		c.server.loop.Metrics.Add(metrics.BoundBuffers, 1)
+		return pipeline.NewRejected("no room for the query", at), nil
 	}
 	text, err := pgwire.Statement(m.Body.Bytes())
 	if err != nil {
@@ -344,7 +344,7 @@
 		m.Body.Free()
 		return nil, nil
 	}
-	return pipeline.TakeIn(&c.server.loop.Site, text, m.Body, at)
+	return pipeline.Accept(&c.server.loop.Site, text, m.Body, at)
 }
 
 // startup answers a startup packet.
@@ -361,7 +361,7 @@
 	case pgwire.OpenEncryption:
 		c.send(c.server.loop.Pool.Filled([]byte{pgwire.NoEncryption}), nil)
 	case pgwire.OpenCancel:
-		c.end(metrics.ByCancel)
+		c.end(metrics.ClosedByCancelRequest)
 	case pgwire.OpenSession:
 		c.split.Startup = false
 		c.started.Store(true)
@@ -371,7 +371,7 @@
 }
 
 // Take starts an item, or lets it wait for its turn.
-func (it *item) Take(l *pipeline.Loop) {
+func (it *item) Apply(l *pipeline.Loop) {
 	c := it.c
 	if c.shutting {
 		it.drop() // it crossed the end of the connection
@@ -393,7 +393,7 @@
 			c.complain(errFull)
 		} else {
 			c.greeted.Store(true)
-			it.Answer(l.Pool.Filled(pgwire.Welcome(c.server.last.Add(1))))
+			it.Respond(l.Pool.Filled(pgwire.StartupResponse(c.server.last.Add(1))))
 		}
 		return
 	}
@@ -404,18 +404,18 @@
 	if it.q != nil {
 		from := math.Max(it.q.Arrived, c.idleAt)
 		if left := c.server.lastWord - from; c.server.lastWord > 0 { // the program may be killed behind that
-			it.q.Patience = min(it.q.Patience, int64(math.Max(left, 0)*1000))
+			it.q.DeadlineMillis = min(it.q.DeadlineMillis, int64(math.Max(left, 0)*1000))
 		}
-		l.Begin(it.q, from)
+		l.BeginRequest(it.q, from)
 		return
 	}
-	l.WhenListed(func() {
-		it.Answer(l.Pool.Filled(pgwire.EmptyAnswer()))
+	l.OnServiceOpen(func() {
+		it.Respond(l.Pool.Filled(pgwire.EmptyQueryResponse()))
 	})
 }
 
 // Answer sends the answer to an item, and lets the next one have its turn when it is written.
-func (it *item) Answer(answer *buffer.Chain) {
+func (it *item) Respond(answer *buffer.Chain) {
 	c := it.c
 	if c.current != it {
 		answer.Free() // the client is gone
@@ -425,7 +425,7 @@
 		if !it.hello {
 			c.ahead.Add(-1)
 		}
-		c.server.loop.Post(pipeline.Call(func(l *pipeline.Loop) {
+		c.server.loop.Post(pipeline.Func(func(l *pipeline.Loop) {
 			if c.current != it {
 				return
 			}
--- a/internal/clients/outbox.go
+++ b/internal/clients/outbox.go
@@ -48,7 +48,7 @@
 		})
 		p.chain.Free()
 		if err != nil {
-			c.end(metrics.ByWrite)
+			c.end(metrics.ClosedByWriteError)
 		}
 		if p.after != nil {
 			p.after()
--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -19,20 +19,20 @@
 
 // Config is the whole configuration of one relay.
 type Config struct {
-	Name       string
-	Listen     string
-	Discovery  string
-	Seed       int64
-	Cores      float64
-	MemoryMB   int64
-	Sockets    int
-	PeerListen string
-	Peers      []string
-	PeersAll   string
-	Platform   string
-	News       relay.RolloutStatus // Valid where the configuration holds news
-	Known      json.RawMessage     // the list as last held
-	Site       settings.Site
+	Name          string
+	Listen        string
+	Discovery     string
+	Seed          int64
+	Cores         float64
+	MemoryMB      int64
+	Sockets       int
+	PeerListen    string
+	Peers         []string
+	PeersAll      string
+	Platform      string
+	RolloutStatus relay.RolloutStatus // Valid where the configuration holds news
+	KnownList     json.RawMessage     // the list as last held
+	Site          settings.Site
 }
 
 type wire struct {
@@ -122,7 +122,7 @@
 	}
 	c := Config{Name: w.Name, Listen: w.Listen, Discovery: w.Discovery, Cores: w.Limits.Cores,
 		MemoryMB: int64(w.Limits.Memory), Sockets: w.Limits.Sockets, PeerListen: w.PeerListen, Peers: w.Peers,
-		PeersAll: w.PeersAll, Platform: w.Platform.Address, Known: w.Known}
+		PeersAll: w.PeersAll, Platform: w.Platform.Address, KnownList: w.Known}
 	if c.MemoryMB == 0 {
 		c.MemoryMB = limits.NormalMemory
 	}
@@ -162,16 +162,16 @@
 		fault("settings: missing")
 	} else if c.Site, err = settings.Parse(w.Settings); err != nil {
 		fault("%w", err)
-	} else if len(c.Site.Categories) == 0 {
+	} else if len(c.Site.ClassByName) == 0 {
 		fault("settings: no categories (grades)")
 	}
 	if len(w.Platform.News) > 0 {
-		if c.News, err = news(w.Platform.News); err != nil {
+		if c.RolloutStatus, err = news(w.Platform.News); err != nil {
 			fault("platform.news: %w", err)
 		}
 	}
-	if string(c.Known) == "null" {
-		c.Known = nil
+	if string(c.KnownList) == "null" {
+		c.KnownList = nil
 	}
 	return c, errors.Join(faults...)
 }
@@ -185,5 +185,5 @@
 		}
 		return string(fields[name])
 	}
-	return linewire.News(word("image"), word("ring"), word("progress"), word("ceiling"), word("lag_ms"))
+	return linewire.ParseStatus(word("image"), word("ring"), word("progress"), word("ceiling"), word("lag_ms"))
 }
--- a/internal/config/config_test.go
+++ b/internal/config/config_test.go
@@ -20,16 +20,16 @@
 	env := map[string]string{"BALANCER_LISTEN": "127.0.0.2:5433"}
 	c, err := Parse([]byte(good), func(s string) string { return env[s] })
 	if err != nil || c.Name != "n3" || c.Listen != "127.0.0.2:5433" || uint64(c.Seed) != 0x8c1f30d27a5be964 ||
-		c.Sockets != 1024 || c.News.Build != 42 || c.News.Stage != 1 || c.News.Phase != relay.PhaseCanary ||
-		c.Site.Categories["basket"] != 0 {
+		c.Sockets != 1024 || c.RolloutStatus.Build != 42 || c.RolloutStatus.Stage != 1 || c.RolloutStatus.Phase != relay.PhaseCanary ||
+		c.Site.ClassByName["basket"] != 0 {
 		t.Errorf("%+v %v", c, err)
 	}
 }
 
 func TestNoListIsNoFault(t *testing.T) {
 	c, err := Parse([]byte(strings.Replace(good, `{"generation":41,"reset":true,"instances":[]}`, "null", 1)), none)
-	if err != nil || c.Known != nil {
-		t.Errorf("%s %v", c.Known, err)
+	if err != nil || c.KnownList != nil {
+		t.Errorf("%s %v", c.KnownList, err)
 	}
 }
 
@@ -38,8 +38,8 @@
 func TestKnownThatCantBeReadIsNoFault(t *testing.T) {
 	raw := strings.Replace(good, `"generation":41`, `"generation":"x"`, 1)
 	c, err := Parse([]byte(raw), none)
-	if err != nil || !strings.Contains(string(c.Known), `"x"`) {
-		t.Errorf("%s %v", c.Known, err)
+	if err != nil || !strings.Contains(string(c.KnownList), `"x"`) {
+		t.Errorf("%s %v", c.KnownList, err)
 	}
 	path := filepath.Join(t.TempDir(), "config.json")
 	if err := os.WriteFile(path, []byte(raw), 0o600); err != nil {
--- a/internal/discovery/bench_test.go
+++ b/internal/discovery/bench_test.go
@@ -38,8 +38,8 @@
 			before := inUse()
 			for b.Loop() {
 				var err error
-				if list, err = r.Parse(raw); err != nil || len(list.Lines) != units {
-					b.Fatal(len(list.Lines), err)
+				if list, err = r.Parse(raw); err != nil || len(list.Endpoints) != units {
+					b.Fatal(len(list.Endpoints), err)
 				}
 			}
 			b.ReportMetric(inUse()-before, "heap-B")
--- a/internal/discovery/drain_test.go
+++ b/internal/discovery/drain_test.go
@@ -222,7 +222,7 @@
 		c.list = List{Generation: int64(d.version)}
 		for i, u := range d.units {
 			if d.changed[i] > c.after {
-				c.list.Lines = append(c.list.Lines, Line{Endpoint: u})
+				c.list.Endpoints = append(c.list.Endpoints, ListedEndpoint{Endpoint: u})
 			}
 		}
 		d.tells(c.after, d.now)
@@ -266,7 +266,7 @@
 // roster takes a list as the asker does: the connections to units hear of it first.
 func (d *day) roster(list List, form relay.ListUpdateKind) relay.ListUpdate {
 	r := relay.ListUpdate{Kind: form}
-	for _, line := range list.Lines {
+	for _, line := range list.Endpoints {
 		r.Endpoints = append(r.Endpoints, line.Endpoint)
 		if line.State != relay.Ready && !d.faults.holds {
 			d.release(line.ID)
--- a/internal/discovery/fleet_discovery_test.go
+++ b/internal/discovery/fleet_discovery_test.go
@@ -94,7 +94,7 @@
 		if d.leftAt[i] == 0 || c.after >= int64(d.version) {
 			continue
 		}
-		list.Lines = append(list.Lines, Line{Endpoint: unit})
+		list.Endpoints = append(list.Endpoints, ListedEndpoint{Endpoint: unit})
 		if d.told[r.no][i] == 0 {
 			d.told[r.no][i] = f.now
 		}
--- a/internal/discovery/fleet_relay_test.go
+++ b/internal/discovery/fleet_relay_test.go
@@ -122,7 +122,7 @@
 func (r *fleetRelay) makeCall() {
 	f, c := r.fleet, &fleetCall{request: r.keeper.next(), from: r, at: r.fleet.now, after: r.keeper.version}
 	r.call = c
-	r.member(membership.CallBegun{Wait: c.wait.Seconds(), Continues: c.continues})
+	r.member(membership.PollStarted{Wait: c.wait.Seconds(), Continues: c.continues})
 	r.at(f.now+c.limit.Seconds(), func() { r.failed(c, true) })
 	f.discovery.take(c)
 }
@@ -133,16 +133,16 @@
 		return
 	}
 	list, form, news := r.keeper.took(list, r.ordered, false)
-	given := membership.List{Generation: list.Generation, Whole: form != relay.ListDelta}
-	for _, line := range list.Lines {
+	given := membership.List{Generation: list.Generation, Full: form != relay.ListDelta}
+	for _, line := range list.Endpoints {
 		r.leaving(line.ID)
-		given.Units = append(given.Units, line.Endpoint)
+		given.Endpoints = append(given.Endpoints, line.Endpoint)
 	}
 	if news {
-		r.learn(relay.ListUpdate{Kind: form, Endpoints: given.Units})
+		r.learn(relay.ListUpdate{Kind: form, Endpoints: given.Endpoints})
 	}
-	r.hold(given.Units)
-	r.member(membership.Answered{List: given})
+	r.hold(given.Endpoints)
+	r.member(membership.PollAnswered{List: given})
 	if !r.listed && r.startedAt >= restartAt && list.Generation == int64(r.fleet.discovery.version) {
 		r.fleet.found.listLast = math.Max(r.fleet.found.listLast, r.fleet.now-r.startedAt)
 	}
@@ -172,7 +172,7 @@
 	}
 	r.call, c.closed = nil, true
 	r.keeper.failed(silent)
-	r.member(membership.CallFailed{Silent: silent})
+	r.member(membership.PollFailed{Stalled: silent})
 	form := relay.ListFetchFailed
 	if silent {
 		form = relay.ListWatchStalled
@@ -194,9 +194,9 @@
 	for _, body := range out.Messages {
 		r.fleet.broadcast(relay.RelayID(r.no), body)
 	}
-	if len(out.Left) > 0 {
+	if len(out.Removed) > 0 {
 		left := relay.ListUpdate{Kind: relay.ListDelta, FromPeers: true}
-		for _, unit := range out.Left {
+		for _, unit := range out.Removed {
 			r.leaving(unit)
 			left.Endpoints = append(left.Endpoints, relay.Endpoint{ID: unit, State: relay.Draining, Partial: true})
 		}
@@ -206,14 +206,14 @@
 	if out.Answers {
 		r.learn(relay.DiscoveryRecovered{})
 	}
-	if out.WakeAt < r.wakeAt {
-		at := out.WakeAt
+	if out.TimerAt < r.wakeAt {
+		at := out.TimerAt
 		r.wakeAt = at
 		r.at(at, func() {
 			if r.wakeAt == at {
 				r.wakeAt = membership.Never
 			}
-			r.member(membership.Woken{})
+			r.member(membership.TimerFired{})
 		})
 	}
 	if now < r.lease && r.leasedAt == 0 {
--- a/internal/discovery/fleet_test.go
+++ b/internal/discovery/fleet_test.go
@@ -155,12 +155,12 @@
 	r := &fleetRelay{fleet: f, no: no, startedAt: f.now, module: policy.New(set, seed),
 		keeper: newKeeper(seed, usual(false, fleetGrace)),
 		node: membership.New(membership.Settings{Self: set.Self, Relays: fleetRelays, Messages: !f.faults.noMessages,
-			AskEvery: set.Rules.PollInterval, Epoch: 1e9}, seed),
+			PollInterval: set.Rules.PollInterval, Epoch: 1e9}, seed),
 		wakeAt: membership.Never, lease: -1, held: held, legsOf: map[relay.RequestID]relay.AttemptNumber{}}
 	r.keeper.version = generation
 	f.relays[no] = r
 	r.learn(relay.ListUpdate{Kind: relay.ListCached, Endpoints: held})
-	r.member(membership.Held{List: membership.List{Generation: generation, Whole: true, Units: held}})
+	r.member(membership.CachedList{List: membership.List{Generation: generation, Full: true, Endpoints: held}})
 	if f.faults.fixedRetry {
 		r.ask()
 	}
@@ -177,7 +177,7 @@
 		}
 		f.at(f.now+0.001+0.038*f.Float64(), func() {
 			if r := f.relays[no]; r != nil && !r.dead {
-				r.member(membership.Heard{From: from, Body: body})
+				r.member(membership.MessageReceived{From: from, Body: body})
 				r.flush()
 			}
 		})
--- a/internal/discovery/keeper.go
+++ b/internal/discovery/keeper.go
@@ -80,10 +80,10 @@
 	}
 	k.version, k.off = list.Generation, 0
 	form := relay.ListDelta
-	if list.Whole {
+	if list.Full {
 		form = relay.ListFull
 	}
-	return list, form, ordered || list.Whole || len(list.Lines) > 0 || list.Bad > 0
+	return list, form, ordered || list.Full || len(list.Endpoints) > 0 || list.Unreadable > 0
 }
 
 // failed says whether the watch is opened again from here, and after how long: longer from time to time, but at once
--- a/internal/discovery/keeper_test.go
+++ b/internal/discovery/keeper_test.go
@@ -23,7 +23,7 @@
 		if r := k.next(); r.path != target || r.wait != 0 || toldBy(r)-r.limit < anew {
 			t.Fatalf("%+v", r)
 		}
-		k.took(List{Generation: 7, Whole: true}, true, false)
+		k.took(List{Generation: 7, Full: true}, true, false)
 		r := k.next()
 		if r.path != fmt.Sprintf("%s?after=7&wait_ms=%d", target, r.wait.Milliseconds()) {
 			t.Fatalf("%+v", r)
@@ -78,18 +78,18 @@
 // TestNewsKeepsItsOrder has a whole list cross a watch's answer: what the watch told stands.
 func TestNewsKeepsItsOrder(t *testing.T) {
 	k := newKeeper(1, usual(false, 0.25))
-	k.took(List{Generation: 5, Whole: true}, true, false)
+	k.took(List{Generation: 5, Full: true}, true, false)
 	if _, _, news := k.took(List{Generation: 5}, false, false); news {
 		t.Error("a watch that brought nothing is no news")
 	}
-	if _, form, news := k.took(List{Generation: 6, Lines: make([]Line, 1)}, false, false); !news || form != relay.ListDelta {
+	if _, form, news := k.took(List{Generation: 6, Endpoints: make([]ListedEndpoint, 1)}, false, false); !news || form != relay.ListDelta {
 		t.Error("a change is news")
 	}
-	if l, form, news := k.took(List{Generation: 5, Whole: true, Lines: make([]Line, 2)}, true, true); !news ||
-		form != relay.ListDelta || len(l.Lines) != 0 || k.version != 6 {
+	if l, form, news := k.took(List{Generation: 5, Full: true, Endpoints: make([]ListedEndpoint, 2)}, true, true); !news ||
+		form != relay.ListDelta || len(l.Endpoints) != 0 || k.version != 6 {
 		t.Errorf("an older whole list undid the change: %+v %v, version %d", l, form, k.version)
 	}
-	if _, form, news := k.took(List{Generation: 2, Whole: true}, false, false); !news || form != relay.ListFull || k.version != 2 {
+	if _, form, news := k.took(List{Generation: 2, Full: true}, false, false); !news || form != relay.ListFull || k.version != 2 {
 		t.Error("a whole list on the watch begins anew, whatever its version")
 	}
 }
--- a/internal/discovery/list.go
+++ b/internal/discovery/list.go
@@ -19,13 +19,13 @@
 // List is one answer of discovery.
 type List struct {
 	Generation int64
-	Whole      bool
-	Lines      []Line
-	Bad        int // entries that could not be read, and were left out or are bare
+	Full       bool
+	Endpoints  []ListedEndpoint
+	Unreadable int // entries that could not be read, and were left out or are bare
 }
 
 // Line is one entry: what the module sees of it, and where it is.
-type Line struct {
+type ListedEndpoint struct {
 	relay.Endpoint
 	Name, Address string
 }
@@ -106,27 +106,27 @@
 	if w.Generation == nil || len(w.Instances) > maxUnits {
 		return List{}, fmt.Errorf("%w: %d entries", errList, len(w.Instances))
 	}
-	l := List{Generation: *w.Generation, Whole: w.Reset}
+	l := List{Generation: *w.Generation, Full: w.Reset}
 	at := map[relay.EndpointID]int{}
 	for _, raw := range w.Instances {
 		line, err := r.line(raw)
 		if err != nil {
-			l.Bad++
+			l.Unreadable++
 			if !line.Partial {
 				continue
 			}
 		}
 		if i, twice := at[line.ID]; twice {
-			l.Lines[i] = line
+			l.Endpoints[i] = line
 			continue
 		}
-		at[line.ID] = len(l.Lines)
-		l.Lines = append(l.Lines, line)
+		at[line.ID] = len(l.Endpoints)
+		l.Endpoints = append(l.Endpoints, line)
 	}
 	return l, nil
 }
 
-func (r *Reader) line(raw []byte) (Line, error) {
+func (r *Reader) line(raw []byte) (ListedEndpoint, error) {
 	var w wireLine
 	fault := json.Unmarshal(raw, &w)
 	if fault != nil {
@@ -136,22 +136,22 @@
 			Lifecycle string `json:"lifecycle"`
 		}
 		if json.Unmarshal(raw, &bare) != nil {
-			return Line{}, fault
+			return ListedEndpoint{}, fault
 		}
 		w = wireLine{ID: bare.ID, Lifecycle: bare.Lifecycle}
 	}
 	state, known := states[w.Lifecycle]
 	if w.ID == "" || !known {
-		return Line{}, fmt.Errorf("%w: entry %.40q", errList, w.ID)
+		return ListedEndpoint{}, fmt.Errorf("%w: entry %.40q", errList, w.ID)
 	}
 	if _, err := netip.ParseAddrPort(w.HostPort); err != nil && fault == nil && state != relay.Removed {
 		fault = fmt.Errorf("%w: address %.40q", errList, w.HostPort)
 	}
 	if fault != nil && state == relay.Ready {
-		return Line{}, fault
+		return ListedEndpoint{}, fault
 	}
 	if fault != nil {
-		return Line{Endpoint: relay.Endpoint{ID: idOf(w.ID), State: state, Partial: true}, Name: w.ID}, fault
+		return ListedEndpoint{Endpoint: relay.Endpoint{ID: idOf(w.ID), State: state, Partial: true}, Name: w.ID}, fault
 	}
 	e := relay.Endpoint{ID: idOf(w.ID), Zone: relay.Zone(r.zones.number(w.Zone)),
 		MachineType: relay.MachineType(r.kinds.number(w.Machine)), FailureDomain: relay.FailureDomain(w.Cell), Build: relay.Build(w.Build),
@@ -159,7 +159,7 @@
 	if w.StartedMs != 0 {
 		e.StartKnown, e.StartedAt = true, r.unix(float64(w.StartedMs)/1000)
 	}
-	return Line{Endpoint: e, Name: w.ID, Address: w.HostPort}, nil
+	return ListedEndpoint{Endpoint: e, Name: w.ID, Address: w.HostPort}, nil
 }
 
 // idOf numbers a unit by a hash of its id: relays tell one another of units, so all must use one number.
--- a/internal/discovery/list_test.go
+++ b/internal/discovery/list_test.go
@@ -23,10 +23,10 @@
 		{"instanceId":"s-6","hostPort":17,"zone":["b"],"cell":{},"build":"new","lifecycle":"DRAINING"},
 		{"instanceId":"s-7","hostPort":"nowhere","lifecycle":"DRAINING"},
 		{"instanceId":"s-8","startedAtMs":"then","lifecycle":"DELETED"}]}`))
-	if err != nil || list.Generation != 41 || !list.Whole || list.Bad != 6 || len(list.Lines) != 6 {
+	if err != nil || list.Generation != 41 || !list.Full || list.Unreadable != 6 || len(list.Endpoints) != 6 {
 		t.Fatalf("%+v %v", list, err)
 	}
-	one, four, five := list.Lines[0], list.Lines[1], list.Lines[2]
+	one, four, five := list.Endpoints[0], list.Endpoints[1], list.Endpoints[2]
 	want := relay.Endpoint{ID: idOf("s-1"), Zone: 1, MachineType: 1, FailureDomain: 3, Build: 41, Weight: 1.5, State: relay.Ready,
 		StartKnown: true, StartedAt: -1}
 	if one.Endpoint != want || one.Address != "10.1.0.18:5433" || one.Name != "s-1" {
@@ -40,13 +40,13 @@
 	}
 	// Whatever else is wrong with it, an entry that says of a unit that it leaves is believed.
 	for i, want := range []relay.EndpointState{relay.Draining, relay.Draining, relay.Removed} {
-		if l := list.Lines[3+i]; l.Endpoint != (relay.Endpoint{ID: idOf(fmt.Sprint("s-", 6+i)), State: want, Partial: true}) {
+		if l := list.Endpoints[3+i]; l.Endpoint != (relay.Endpoint{ID: idOf(fmt.Sprint("s-", 6+i)), State: want, Partial: true}) {
 			t.Errorf("%+v", l)
 		}
 	}
 	again, err := r.Parse([]byte(`{"generation":42,"instances":[{"instanceId":"s-1","hostPort":"10.1.0.18:5433",
 		"zone":"c","lifecycle":"SERVING"}]}`))
-	if err != nil || again.Lines[0].Zone != 2 || again.Lines[0].ID != one.ID {
+	if err != nil || again.Endpoints[0].Zone != 2 || again.Endpoints[0].ID != one.ID {
 		t.Errorf("numbers should stay: %+v %v", again, err)
 	}
 	for _, bad := range []string{``, `{`, `[]`, `{"instances":[]}`, `{"generation":"x","instances":[]}`,
--- a/internal/discovery/member.go
+++ b/internal/discovery/member.go
@@ -10,31 +10,31 @@
 // member hosts the relay's part in the membership protocol: it hands over what happens, and carries out what comes of it.
 // All of it runs on the loop.
 type member struct {
-	asker  *Asker
+	asker  *Client
 	loop   *pipeline.Loop
 	node   *membership.Node
 	wakeAt relay.Seconds // of the wake-up that is under way; membership.Never: none
 	lease  relay.Seconds // that the module was last told
 }
 
-func newMember(a *Asker, seed int64) *member {
+func newMember(a *Client, seed int64) *member {
 	site := a.loop.Site
 	node := membership.New(membership.Settings{Self: site.Self, Relays: site.Relays, Messages: site.Limits.PeerMessages,
-		AskEvery: site.Rules.PollInterval, Epoch: -a.loop.Clock.Unix(0)}, seed)
+		PollInterval: site.Rules.PollInterval, Epoch: -a.loop.Clock.Unix(0)}, seed)
 	return &member{asker: a, loop: a.loop, node: node, wakeAt: membership.Never, lease: -1}
 }
 
 // list tells the node of a list, of before the start or from discovery.
 func (m *member) list(t told) {
-	given := membership.List{Generation: t.list.Generation, Whole: t.form != relay.ListDelta}
-	for _, line := range t.list.Lines {
-		given.Units = append(given.Units, line.Endpoint)
+	given := membership.List{Generation: t.list.Generation, Full: t.form != relay.ListDelta}
+	for _, line := range t.list.Endpoints {
+		given.Endpoints = append(given.Endpoints, line.Endpoint)
 	}
 	if t.form == relay.ListCached {
-		m.step(membership.Held{List: given})
+		m.step(membership.CachedList{List: given})
 		return
 	}
-	m.step(membership.Answered{List: given})
+	m.step(membership.PollAnswered{List: given})
 }
 
 // step lets the node see an event, and carries out what it returns.
@@ -42,14 +42,14 @@
 	now := m.loop.Clock.Now()
 	out := m.node.Step(now, event)
 	for _, body := range out.Messages {
-		m.loop.Peers.Tell(relay.SendMessage{To: relay.Broadcast, Body: body})
+		m.loop.Peers.SendMessage(relay.SendMessage{To: relay.Broadcast, Body: body})
 	}
-	m.leave(out.Left)
+	m.leave(out.Removed)
 	m.grant(now, out.Lease)
 	if out.Answers {
-		m.loop.Learn(relay.DiscoveryRecovered{})
+		m.loop.AddEvent(relay.DiscoveryRecovered{})
 	}
-	m.wake(out.WakeAt)
+	m.wake(out.TimerAt)
 }
 
 // leave tells connections and module of units that peers know to have left.
@@ -59,21 +59,21 @@
 	}
 	r := relay.ListUpdate{Kind: relay.ListDelta, FromPeers: true}
 	for _, unit := range left {
-		m.asker.units.Leaving(unit, false)
+		m.asker.units.EndpointLeaving(unit, false)
 		r.Endpoints = append(r.Endpoints, relay.Endpoint{ID: unit, State: relay.Draining, Partial: true})
 	}
-	m.loop.Stats.Add(metrics.UnitsToldByPeers, int64(len(left)))
-	m.loop.Learn(r)
+	m.loop.Metrics.Add(metrics.EndpointsRemovedByPeers, int64(len(left)))
+	m.loop.AddEvent(r)
 }
 
 // grant tells the module until when its list holds. The first lease that is not over lets clients in.
 func (m *member) grant(now, lease relay.Seconds) {
 	if lease != m.lease {
 		m.lease = lease
-		m.loop.Learn(relay.ListLease{ExpiresAt: lease})
+		m.loop.AddEvent(relay.ListLease{ExpiresAt: lease})
 	}
 	if now < lease {
-		m.loop.Open()
+		m.loop.OpenService()
 	}
 }
 
@@ -83,19 +83,19 @@
 		return
 	}
 	m.wakeAt = at
-	m.loop.At(at, func() {
+	m.loop.RunAt(at, func() {
 		if m.wakeAt == at {
 			m.wakeAt = membership.Never
 		}
-		m.step(membership.Woken{})
+		m.step(membership.TimerFired{})
 	})
 }
 
 // Heard takes a datagram of another relay, on the loop.
-func (a *Asker) Heard(from relay.RelayID, body []byte) {
+func (a *Client) MembershipMessage(from relay.RelayID, body []byte) {
 	unreadable := a.member.node.Counters().Unreadable
-	a.member.step(membership.Heard{From: from, Body: body})
+	a.member.step(membership.MessageReceived{From: from, Body: body})
 	if a.member.node.Counters().Unreadable > unreadable {
-		a.loop.Stats.Add(metrics.BadInput, 1)
+		a.loop.Metrics.Add(metrics.BadInput, 1)
 	}
 }
--- a/internal/discovery/roster.go
+++ b/internal/discovery/roster.go
@@ -1,4 +1,4 @@
-// Package roster asks discovery for the list of units, when the module orders it, and by itself where lists are pushed.
+// Package discovery asks discovery for the list of units, when the module orders it, and by itself where lists are pushed.
 package discovery
 
 import (
@@ -20,17 +20,17 @@
 )
 
 // Units are told of a list before the module is, on the loop: where each unit is, and which want nothing new.
-type Units interface {
-	Listed(e relay.Endpoint, name, address string)
-	Leaving(id relay.EndpointID, gone bool)
-	Whole(listed func(relay.EndpointID) bool) // a whole list stands: units that it leaves out are gone
+type EndpointListener interface {
+	EndpointsListed(e relay.Endpoint, name, address string)
+	EndpointLeaving(id relay.EndpointID, gone bool)
+	FullListReceived(listed func(relay.EndpointID) bool) // a whole list stands: units that it leaves out are gone
 }
 
 // Asker talks to discovery. Its fields belong to the loop.
-type Asker struct {
+type Client struct {
 	loop   *pipeline.Loop
 	reader *Reader
-	units  Units
+	units  EndpointListener
 	seed   int64
 	at     *endpoint
 	before *endpoint // the address before a move, up to a moment behind the first list of the new one; nil: none
@@ -43,15 +43,15 @@
 }
 
 // New returns an asker; units are told of each list. The seed spreads the calls of relays that run alike.
-func New(l *pipeline.Loop, address string, r *Reader, units Units, seed int64) *Asker {
-	a := &Asker{loop: l, reader: r, units: units, seed: seed, waits: usual(!l.Site.ListOnRequest, l.Site.Rules.DrainGrace)}
+func New(l *pipeline.Loop, address string, r *Reader, units EndpointListener, seed int64) *Client {
+	a := &Client{loop: l, reader: r, units: units, seed: seed, waits: usual(!l.Site.ListOnRequest, l.Site.Rules.DrainGrace)}
 	a.member = newMember(a, seed)
 	a.at = a.endpoint(address)
 	return a
 }
 
 // Known hands over the list that the relay had last.
-func (a *Asker) Known(list List) {
+func (a *Client) UseKnownList(list List) {
 	a.at.keeper.version = list.Generation
 	a.loop.Post(told{from: a.at, list: list, form: relay.ListCached, news: true})
 }
@@ -59,20 +59,20 @@
 // Start serves the module's orders until the program ends. What an agent that pushes has counts as told from the
 // first moment, so clients wait a moment for it rather than be served by the list as last held. Where there is no
 // list at all they are let in after a while, too: a denial with a time to come back is more than no answer.
-func (a *Asker) Start() {
+func (a *Client) Start() {
 	a.at.start()
 	first := a.waits.none
 	if a.waits.pushed {
 		a.Watch(true, false) // before the loop runs
 		first = a.waits.first
 	}
-	a.loop.Post(pipeline.Call(func(l *pipeline.Loop) { l.At(l.Clock.Now()+first.Seconds(), l.Open) }))
+	a.loop.Post(pipeline.Func(func(l *pipeline.Loop) { l.RunAt(l.Clock.Now()+first.Seconds(), l.OpenService) }))
 }
 
 // Move goes over to another address, on the loop. The list is asked for whole there, as the generations need not be
 // those known here. Up to its first answer the watch at the old address goes on: what is written there is told. It
 // ends unsaid.
-func (a *Asker) Move(address string) {
+func (a *Client) Move(address string) {
 	if a.at.address == address {
 		return
 	}
@@ -82,12 +82,12 @@
 	if a.on {
 		a.Watch(true, false)
 	} else {
-		a.Fetch()
+		a.FetchList()
 	}
 }
 
 // moved ends what is left at the address before a move.
-func (a *Asker) moved() {
+func (a *Client) moved() {
 	if a.before != nil {
 		a.before.leave()
 		a.before = nil
@@ -96,13 +96,13 @@
 
 // part lets the address before a move go. A drain that it wrote may still be on its way, and counts as told though the
 // new address' list, written before that, does not have it.
-func (a *Asker) part() {
+func (a *Client) part() {
 	if a.before == nil || a.parts {
 		return
 	}
 	a.parts = true
 	old := a.before
-	a.loop.At(a.loop.Clock.Now()+limits.PartFor.Seconds(), func() {
+	a.loop.RunAt(a.loop.Clock.Now()+limits.PartFor.Seconds(), func() {
 		if a.before == old {
 			a.moved()
 		}
@@ -111,9 +111,9 @@
 
 // leaving are the entries of a list that tell of units that leave.
 func (l List) leaving() (out List) {
-	for _, line := range l.Lines {
+	for _, line := range l.Endpoints {
 		if line.State != relay.Ready {
-			out.Lines = append(out.Lines, line)
+			out.Endpoints = append(out.Endpoints, line)
 		}
 	}
 	return out
@@ -121,7 +121,7 @@
 
 // Watch orders the watch on or off; the last order holds. Anew, a call that waits is given up for a new one, as it may
 // have fallen silent; where none waits the next one is new anyway.
-func (a *Asker) Watch(on, anew bool) {
+func (a *Client) Watch(on, anew bool) {
 	if a.on = on; anew && on {
 		a.at.renew()
 		return
@@ -134,7 +134,7 @@
 }
 
 // Fetch orders the whole list once.
-func (a *Asker) Fetch() {
+func (a *Client) FetchList() {
 	select {
 	case a.at.fetch <- struct{}{}:
 	default: // one is waiting; its answer will do for both
@@ -144,7 +144,7 @@
 // endpoint is discovery at one address, up to a move. The orders reach its goroutines through channels that never
 // block the loop.
 type endpoint struct {
-	a       *Asker
+	a       *Client
 	address string
 	watch   chan bool
 	fetch   chan struct{}
@@ -157,7 +157,7 @@
 	open    map[netpoll.Connection]struct{}
 }
 
-func (a *Asker) endpoint(address string) *endpoint {
+func (a *Client) endpoint(address string) *endpoint {
 	return &endpoint{a: a, address: address, watch: make(chan bool, 1), fetch: make(chan struct{}, 1),
 		left: make(chan struct{}), open: map[netpoll.Connection]struct{}{},
 		keeper: newKeeper(a.seed, a.waits)}
@@ -214,9 +214,9 @@
 }
 
 // Take tells it to the membership, which counts the calls at the address that holds.
-func (b begun) Take(*pipeline.Loop) {
+func (b begun) Apply(*pipeline.Loop) {
 	if a := b.from.a; b.from == a.at {
-		a.member.step(membership.CallBegun{Wait: b.call.wait.Seconds(), Continues: b.call.continues})
+		a.member.step(membership.PollStarted{Wait: b.call.wait.Seconds(), Continues: b.call.continues})
 	}
 }
 
@@ -230,7 +230,7 @@
 }
 
 // Take tells the connections to units, then the module.
-func (t told) Take(l *pipeline.Loop) {
+func (t told) Apply(l *pipeline.Loop) {
 	a, list, form := t.from.a, t.list, t.form
 	failed := form == relay.ListFetchFailed || form == relay.ListWatchStalled
 	switch {
@@ -240,7 +240,7 @@
 		}
 	case t.from == a.before && !failed && !a.parts: // the new address has told nothing yet, so this still holds
 	case t.from == a.before && !failed:
-		if list, form = list.leaving(), relay.ListDelta; len(list.Lines) == 0 {
+		if list, form = list.leaving(), relay.ListDelta; len(list.Endpoints) == 0 {
 			return
 		}
 	case t.from == a.before:
@@ -250,9 +250,9 @@
 		return // it crossed a move, and the new address has told more
 	}
 	if failed {
-		a.member.step(membership.CallFailed{Silent: t.form == relay.ListWatchStalled, Unreadable: t.unread})
+		a.member.step(membership.PollFailed{Stalled: t.form == relay.ListWatchStalled, Unreadable: t.unread})
 		if !a.waits.pushed {
-			l.Learn(relay.ListUpdate{Kind: t.form})
+			l.AddEvent(relay.ListUpdate{Kind: t.form})
 		}
 		return
 	}
@@ -267,38 +267,38 @@
 func (t told) tell(l *pipeline.Loop) {
 	a, r := t.from.a, relay.ListUpdate{Kind: t.form}
 	listed := map[relay.EndpointID]bool{}
-	for _, line := range t.list.Lines {
+	for _, line := range t.list.Endpoints {
 		listed[line.ID] = true
 		if line.State != relay.Removed && line.Address != "" {
-			a.units.Listed(line.Endpoint, line.Name, line.Address)
+			a.units.EndpointsListed(line.Endpoint, line.Name, line.Address)
 		}
 		if line.State != relay.Ready {
-			a.units.Leaving(line.ID, line.State == relay.Removed)
+			a.units.EndpointLeaving(line.ID, line.State == relay.Removed)
 		}
 		r.Endpoints = append(r.Endpoints, line.Endpoint)
 	}
 	if t.form != relay.ListDelta {
-		a.units.Whole(func(id relay.EndpointID) bool { return listed[id] })
+		a.units.FullListReceived(func(id relay.EndpointID) bool { return listed[id] })
 	}
-	if t.list.Bad > 0 {
-		l.Stats.Add(metrics.BadInput, int64(t.list.Bad))
-		l.Log.WithFields(logrus.Fields{"peer": "roster", "entries": t.list.Bad}).Warn("entries that can't be read")
+	if t.list.Unreadable > 0 {
+		l.Metrics.Add(metrics.BadInput, int64(t.list.Unreadable))
+		l.Log.WithFields(logrus.Fields{"peer": "roster", "entries": t.list.Unreadable}).Warn("entries that can't be read")
 	}
-	l.Learn(r)
+	l.AddEvent(r)
 }
 
-func (p *endpoint) failed(why metrics.Reason, err error) {
+func (p *endpoint) failed(why metrics.CloseReason, err error) {
 	if p.isLeft() {
 		return
 	}
 	l, form := p.a.loop, relay.ListFetchFailed
-	l.Stats.Add(metrics.RosterFailed, 1)
-	if why == metrics.ByLateAnswer {
+	l.Metrics.Add(metrics.DiscoveryFailed, 1)
+	if why == metrics.ClosedByResponseTimeout {
 		form = relay.ListWatchStalled
-		l.Stats.Add(metrics.RosterSilent, 1)
+		l.Metrics.Add(metrics.DiscoveryStalled, 1)
 	}
 	l.Log.WithFields(logrus.Fields{"peer": "roster", "reason": string(why)}).WithError(err).Warn("call failed")
-	l.Post(told{from: p, form: form, unread: why == metrics.ByBadInput})
+	l.Post(told{from: p, form: form, unread: why == metrics.ClosedByBadInput})
 }
 
 // got passes an answer on. Lists are handed over in the order of their versions, under one lock: a whole list that
@@ -351,7 +351,7 @@
 		for first := true; on; first = false {
 			list, why, err := c.get(p.ask())
 			if p.calls(nil) && err != nil {
-				c.end(metrics.ByNewer)
+				c.end(metrics.ClosedByReplacement)
 				p.broken()
 				continue
 			}
@@ -368,7 +368,7 @@
 			default:
 			}
 		}
-		c.end(metrics.ByOrder)
+		c.end(metrics.ClosedByCommand)
 	}
 }
 
@@ -380,9 +380,9 @@
 }
 
 // again says whether the watch goes on after a failure, when it is time to.
-func (p *endpoint) again(why metrics.Reason) bool {
+func (p *endpoint) again(why metrics.CloseReason) bool {
 	p.mu.Lock()
-	again, after := p.keeper.failed(why == metrics.ByLateAnswer)
+	again, after := p.keeper.failed(why == metrics.ClosedByResponseTimeout)
 	p.mu.Unlock()
 	if !again {
 		return false
@@ -410,7 +410,7 @@
 			continue
 		}
 		p.got(list, true, true)
-		c.end(metrics.ByOrder)
+		c.end(metrics.ClosedByCommand)
 	}
 }
 
@@ -423,27 +423,27 @@
 	watch bool // its calls are the watch's
 }
 
-func (c *call) end(why metrics.Reason) {
+func (c *call) end(why metrics.CloseReason) {
 	if c.net == nil {
 		return
 	}
 	if c.p.isLeft() {
-		why = metrics.ByMove
+		why = metrics.ClosedByAddressChange
 	}
 	c.p.holds(c.net, false)
 	c.net.Close()
 	c.net = nil
-	metrics.LogEnd(c.p.a.loop.Log, "roster", c.p.address, why, time.Since(c.begun).Seconds(), c.calls, nil)
+	metrics.LogConnectionEnd(c.p.a.loop.Log, "roster", c.p.address, why, time.Since(c.begun).Seconds(), c.calls, nil)
 }
 
 // get makes one call, on the connection that stands or on a new one. One that crosses the end of a connection which
 // discovery had kept from an earlier call has not reached it, and is made on a new one; any other is made once,
 // whatever comes of it.
-func (c *call) get(r request) (List, metrics.Reason, error) {
-	c.p.a.loop.Stats.Add(metrics.RosterCalls, 1)
+func (c *call) get(r request) (List, metrics.CloseReason, error) {
+	c.p.a.loop.Metrics.Add(metrics.DiscoveryCalls, 1)
 	list, why, err := c.make(r)
 	if errors.Is(err, errCrossed) {
-		c.end(metrics.ByPeer)
+		c.end(metrics.ClosedByPeer)
 		list, why, err = c.make(r)
 	}
 	return list, why, err
@@ -452,14 +452,14 @@
 // errCrossed is of a call that was written as the connection kept from the one before ended.
 var errCrossed = errors.New("the connection had ended")
 
-func (c *call) make(r request) (List, metrics.Reason, error) {
+func (c *call) make(r request) (List, metrics.CloseReason, error) {
 	if c.net != nil && !c.net.IsActive() {
-		c.end(metrics.ByPeer)
+		c.end(metrics.ClosedByPeer)
 	}
 	if c.net == nil {
 		n, err := netpoll.DialConnection("tcp", c.p.address, limits.DialFor)
 		if err != nil {
-			return List{}, metrics.ByRefusal, err
+			return List{}, metrics.ClosedByConnectError, err
 		}
 		c.net, c.begun, c.calls = n, time.Now(), 0
 		n.SetWriteTimeout(limits.DialFor)
@@ -472,37 +472,37 @@
 	written := time.Now()
 	_, err := c.net.Write([]byte(httpwire.Get(c.p.address, r.path)))
 	var resp httpwire.Response
-	why := metrics.ByPeer
+	why := metrics.ClosedByPeer
 	if err == nil {
 		resp, why, err = c.answer(written.Add(r.limit))
 	}
-	if err != nil && why == metrics.ByPeer && c.calls > 1 && !resp.Begun() && time.Since(written) < limits.CrossFor {
+	if err != nil && why == metrics.ClosedByPeer && c.calls > 1 && !resp.Begun() && time.Since(written) < limits.CrossFor {
 		err = fmt.Errorf("%w: %w", errCrossed, err)
 	}
 	if err != nil {
 		return List{}, why, err
 	}
 	if resp.Close {
-		defer c.end(metrics.ByPeer)
+		defer c.end(metrics.ClosedByPeer)
 	}
 	if resp.Status != 200 {
-		return List{}, metrics.ByStatus, fmt.Errorf("status %d", resp.Status)
+		return List{}, metrics.ClosedByStatusCode, fmt.Errorf("status %d", resp.Status)
 	}
 	list, err := c.p.a.reader.Parse(resp.Body)
 	if err != nil {
-		c.p.a.loop.Stats.Add(metrics.BadInput, 1)
-		return List{}, metrics.ByBadInput, err
+		c.p.a.loop.Metrics.Add(metrics.BadInput, 1)
+		return List{}, metrics.ClosedByBadInput, err
 	}
 	return list, "", nil
 }
 
-func (c *call) answer(until time.Time) (httpwire.Response, metrics.Reason, error) {
+func (c *call) answer(until time.Time) (httpwire.Response, metrics.CloseReason, error) {
 	var resp httpwire.Response
 	r := c.net.Reader()
 	for !resp.Done() {
 		left := time.Until(until)
 		if left <= 0 {
-			return resp, metrics.ByLateAnswer, fmt.Errorf("no answer in time")
+			return resp, metrics.ClosedByResponseTimeout, fmt.Errorf("no answer in time")
 		}
 		if resp.Begun() {
 			left = min(left, c.p.a.waits.rest) // one that stalls is as silent as one that never begins
@@ -510,10 +510,10 @@
 		c.net.SetReadTimeout(left)
 		if _, err := r.Peek(1); err != nil {
 			if errors.Is(err, netpoll.ErrReadTimeout) {
-				return resp, metrics.ByLateAnswer, err
+				return resp, metrics.ClosedByResponseTimeout, err
 			}
 			if e := resp.End(); e != nil {
-				return resp, metrics.ByPeer, err
+				return resp, metrics.ClosedByPeer, err
 			}
 			break
 		}
@@ -521,8 +521,8 @@
 		_, err := resp.Feed(b)
 		r.Release()
 		if err != nil {
-			c.p.a.loop.Stats.Add(metrics.BadInput, 1)
-			return resp, metrics.ByBadInput, err
+			c.p.a.loop.Metrics.Add(metrics.BadInput, 1)
+			return resp, metrics.ClosedByBadInput, err
 		}
 	}
 	return resp, "", nil
--- a/internal/discovery/roster_test.go
+++ b/internal/discovery/roster_test.go
@@ -95,29 +95,29 @@
 type heard struct {
 	t       *testing.T
 	loop    *pipeline.Loop
-	asker   *Asker
+	asker   *Client
 	leaving int
 	open    bool
 	events  []relay.ListUpdate
 	all     []relay.ListUpdate // those that were taken already, too
 }
 
-func (h *heard) Listed(relay.Endpoint, string, string) {}
-func (h *heard) Leaving(relay.EndpointID, bool)        { h.leaving++ }
-func (h *heard) Whole(func(relay.EndpointID) bool)     {}
+func (h *heard) EndpointsListed(relay.Endpoint, string, string) {}
+func (h *heard) EndpointLeaving(relay.EndpointID, bool)         { h.leaving++ }
+func (h *heard) FullListReceived(func(relay.EndpointID) bool)   {}
 
 // idle carries out no order: a loop that runs for long enough gives some, and these tests give their own.
 type idle struct{}
 
-func (idle) Send(*pipeline.Leg)         {}
-func (idle) Drop(*pipeline.Leg) bool    { return false }
-func (idle) Recall(*pipeline.Leg)       {}
-func (idle) Probe(relay.EndpointID)     {}
-func (idle) CloseIdle(relay.EndpointID) {}
-func (idle) Watch(bool, bool)           {}
-func (idle) Fetch()                     {}
-func (idle) Vote(relay.Vote)            {}
-func (idle) Tell(relay.SendMessage)     {}
+func (idle) Send(*pipeline.Attempt)         {}
+func (idle) Cancel(*pipeline.Attempt) bool  { return false }
+func (idle) CancelUnsent(*pipeline.Attempt) {}
+func (idle) HealthCheck(relay.EndpointID)   {}
+func (idle) CloseIdle(relay.EndpointID)     {}
+func (idle) Watch(bool, bool)               {}
+func (idle) FetchList()                     {}
+func (idle) Vote(relay.Vote)                {}
+func (idle) SendMessage(relay.SendMessage)  {}
 
 func newHeard(t *testing.T, address string, pushed bool) *heard {
 	site := settings.Site{}
@@ -128,10 +128,10 @@
 	log := logrus.New()
 	log.SetOutput(io.Discard)
 	l := pipeline.NewLoop(site, 1, buffer.NewPool(1<<20), &metrics.Counters{}, log)
-	l.Units, l.Roster, l.Platform, l.Peers = idle{}, idle{}, idle{}, idle{}
+	l.Upstream, l.Discovery, l.Platform, l.Peers = idle{}, idle{}, idle{}, idle{}
 	h := &heard{t: t, loop: l}
 	h.asker = New(l, address, NewReader(nil, nil, func(s float64) relay.Seconds { return s }), h, 1)
-	l.WhenListed(func() { h.open = true })
+	l.OnServiceOpen(func() { h.open = true })
 	return h
 }
 
@@ -148,7 +148,7 @@
 	if err != nil {
 		h.t.Fatal(err)
 	}
-	h.asker.Known(known)
+	h.asker.UseKnownList(known)
 	h.asker.Start()
 	if !h.asker.waits.pushed {
 		h.asker.Watch(true, false)
@@ -159,10 +159,10 @@
 func (h *heard) until(form relay.ListUpdateKind) relay.ListUpdate {
 	h.t.Helper()
 	for end := time.Now().Add(patience); time.Now().Before(end); time.Sleep(time.Millisecond) {
-		for _, e := range h.loop.Pending() {
-			e.Take(h.loop)
+		for _, e := range h.loop.TakePosted() {
+			e.Apply(h.loop)
 		}
-		for _, e := range h.loop.Learned() {
+		for _, e := range h.loop.TakeEvents() {
 			if r, ok := e.(relay.ListUpdate); ok {
 				h.events, h.all = append(h.events, r), append(h.all, r)
 			}
@@ -182,7 +182,7 @@
 func (h *heard) letsIn(or ...any) {
 	h.t.Helper()
 	stop := make(chan struct{})
-	h.loop.WhenListed(func() { close(stop) })
+	h.loop.OnServiceOpen(func() { close(stop) })
 	go h.loop.Run(stop)
 	select {
 	case <-stop:
@@ -222,7 +222,7 @@
 				if len(r.Endpoints) != 1 || r.Endpoints[0].State != relay.Draining || h.leaving == 0 {
 					t.Errorf("%+v, %d told to the connections", r, h.leaving)
 				}
-				if n := h.loop.Stats.Get(metrics.RosterSilent); n == 0 {
+				if n := h.loop.Metrics.Get(metrics.DiscoveryStalled); n == 0 {
 					t.Error("not counted")
 				}
 			})
@@ -309,8 +309,8 @@
 			next := fresh.next()
 			next.answer(body(41, false, entry("SERVING")))
 			h.until(relay.ListDelta)
-			if len(h.events) != 0 || h.loop.Stats.Get(metrics.RosterFailed) != 0 {
-				t.Errorf("%+v, %d failures", h.events, h.loop.Stats.Get(metrics.RosterFailed))
+			if len(h.events) != 0 || h.loop.Metrics.Get(metrics.DiscoveryFailed) != 0 {
+				t.Errorf("%+v, %d failures", h.events, h.loop.Metrics.Get(metrics.DiscoveryFailed))
 			}
 			stop := make(chan struct{})
 			defer close(stop)
@@ -342,7 +342,7 @@
 	h.asker.Watch(true, true)
 	s.next().Close() // this one was not given up
 	h.until(relay.ListFetchFailed)
-	if n := h.loop.Stats.Get(metrics.RosterFailed); n != 1 {
+	if n := h.loop.Metrics.Get(metrics.DiscoveryFailed); n != 1 {
 		t.Errorf("%d failures", n)
 	}
 }
@@ -365,7 +365,7 @@
 	again.answer(body(3, false, entry("DRAINING")))
 	for r := h.until(relay.ListDelta); r.Endpoints[0].State != relay.Draining; r = h.until(relay.ListDelta) {
 	}
-	if n := h.loop.Stats.Get(metrics.RosterFailed); n != 0 || len(h.events) != 0 {
+	if n := h.loop.Metrics.Get(metrics.DiscoveryFailed); n != 0 || len(h.events) != 0 {
 		t.Errorf("%d failures, %+v", n, h.events)
 	}
 	s.next()
--- a/internal/guard/guard.go
+++ b/internal/guard/guard.go
@@ -33,17 +33,17 @@
 	plan      *plan.Plan
 	service   string
 	customers []string
-	watches   map[string]*platform.Desk // by service
-	asked     []bool                    // votes cast and not answered: whether the module ordered it
+	watches   map[string]*platform.Client // by service
+	asked     []bool                      // votes cast and not answered: whether the module ordered it
 	events    []relay.Event
 	wakeAt    relay.Seconds
-	last      rollout.Wait
+	last      rollout.BlockReason
 }
 
 // Names gives the settings' customers by number.
 func Names(site *settings.Site) []string {
 	out := make([]string, len(site.Settings.Tenants))
-	for name, no := range site.Customers {
+	for name, no := range site.TenantByName {
 		if int(no) < len(out) {
 			out[no] = name
 		}
@@ -69,8 +69,8 @@
 		clock = func() plan.Unix { return float64(time.Now().UnixNano()) / 1e9 }
 	}
 	h := &Host{loop: l, platform: next, clock: clock, plan: p, service: service, customers: Names(&l.Site),
-		watches: map[string]*platform.Desk{}}
-	groups := make([]plan.GroupNo, len(h.customers))
+		watches: map[string]*platform.Client{}}
+	groups := make([]plan.GroupIndex, len(h.customers))
 	for i, c := range h.customers {
 		groups[i] = p.GroupOf(c)
 	}
@@ -81,7 +81,7 @@
 // Start opens the watches on the services that this one needs.
 func (h *Host) Start() {
 	no, _ := h.plan.Service(h.service)
-	for _, s := range rollout.Needed(h.plan, no) {
+	for _, s := range rollout.DependenciesOf(h.plan, no) {
 		t := &h.plan.Services[s]
 		if w := h.watches[t.Name]; w != nil {
 			w.Move(t.Watch)
@@ -94,7 +94,7 @@
 		}
 		w := platform.New(h.loop, t.Watch)
 		name := t.Name
-		w.Hear = func(l *pipeline.Loop, n relay.RolloutStatus) { h.other(name, n) }
+		w.OnStatus = func(l *pipeline.Loop, n relay.RolloutStatus) { h.other(name, n) }
 		h.watches[name] = w
 		w.Listen()
 	}
@@ -107,7 +107,7 @@
 		return
 	}
 	if n.Valid {
-		h.guard.HearOf(h.clock(), no, n)
+		h.guard.DependencyStatusReceived(h.clock(), no, n)
 	} else {
 		h.guard.Alive(h.clock(), no)
 	}
@@ -115,7 +115,7 @@
 }
 
 // Told takes what the platform tells of this relay's own service, or the answer to a vote.
-func (h *Host) Told(n relay.RolloutStatus) {
+func (h *Host) RolloutStatusReceived(n relay.RolloutStatus) {
 	reply := n.Reply
 	if reply != relay.ReplyNone && len(h.asked) > 0 {
 		if !h.asked[0] {
@@ -123,10 +123,10 @@
 		}
 		h.asked = h.asked[1:]
 	}
-	h.guard.Hear(h.clock(), n)
+	h.guard.StatusReceived(h.clock(), n)
 	h.look()
 	if reply != relay.ReplyNone {
-		h.loop.Learn(relay.RolloutStatus{Reply: reply})
+		h.loop.AddEvent(relay.RolloutStatus{Reply: reply})
 	}
 }
 
@@ -147,25 +147,25 @@
 // look hands the module what it is to know, casts again a vote whose meaning has changed, and looks again in time.
 func (h *Host) look() {
 	now := h.clock()
-	h.events = h.guard.Look(now, h.events[:0])
+	h.events = h.guard.Evaluate(now, h.events[:0])
 	for _, e := range h.events {
 		if n, ok := e.(relay.RolloutStatus); ok {
 			h.loop.Log.WithFields(logrus.Fields{"build": n.Build, "stage": n.Stage, "phase": n.Phase, "cap": n.ExposureLimit}).
 				Info("narrowed by the plan")
 		}
-		h.loop.Learn(e)
+		h.loop.AddEvent(e)
 	}
 	if v, ok := h.guard.Recast(now); ok {
 		h.cast(v, false)
 	}
-	if w := h.guard.OnWaits(now); w.Code != h.last.Code {
+	if w := h.guard.PromotionBlocked(now); w.Code != h.last.Code {
 		h.last = w
 		h.loop.Log.WithFields(logrus.Fields{"code": string(w.Code), "why": w.Text}).Info("plan")
 	}
 	at := h.loop.Clock.Now() + math.Min(math.Max(h.guard.Next(now)-now, 0.001), lookEvery)
 	if h.wakeAt <= h.loop.Clock.Now() || at < h.wakeAt {
 		h.wakeAt = at
-		h.loop.At(at, func() {
+		h.loop.RunAt(at, func() {
 			if h.wakeAt == at {
 				h.wakeAt = 0
 				h.look()
--- a/internal/guard/guard_test.go
+++ b/internal/guard/guard_test.go
@@ -58,7 +58,7 @@
 }
 
 func (h *hosted) learned() (news []relay.RolloutStatus, scopes []relay.CanaryScope) {
-	for _, e := range h.loop.Learned() {
+	for _, e := range h.loop.TakeEvents() {
 		switch e := e.(type) {
 		case relay.RolloutStatus:
 			news = append(news, e)
@@ -75,7 +75,7 @@
 
 func TestNewsIsNarrowed(t *testing.T) {
 	h := newHosted(t)
-	h.loop.Told(trial(3, 0, 0.9))
+	h.loop.RolloutStatusReceived(trial(3, 0, 0.9))
 	news, scopes := h.learned()
 	if len(news) != 1 || news[0].ExposureLimit != 0 || len(scopes) != 1 || scopes[0].GroupOpen[0] {
 		t.Fatalf("a was never heard of: %+v %+v", news, scopes)
@@ -88,7 +88,7 @@
 	if g := scopes[0].GroupOfTenant; len(g) != 3 || g[0] != 1 || g[1] != 0 || g[2] != -1 {
 		t.Errorf("groups by the settings' numbers: %v", g)
 	}
-	h.loop.Told(trial(3, 0, 0.9))
+	h.loop.RolloutStatusReceived(trial(3, 0, 0.9))
 	if news, _ := h.learned(); len(news) != 0 {
 		t.Errorf("the same again: %+v", news)
 	}
@@ -101,7 +101,7 @@
 func TestAnswersGoToWhoCast(t *testing.T) {
 	h := newHosted(t)
 	h.other("a", relay.RolloutStatus{Valid: true, Build: 1, Phase: relay.PhaseReleased, ExposureLimit: 1})
-	h.loop.Told(trial(3, 0, 0.2))
+	h.loop.RolloutStatusReceived(trial(3, 0, 0.2))
 	on := relay.Vote{Build: 3, Stage: 0, Verdict: relay.VotePromote}
 	h.now = day + 3600 - 10
 	h.other("a", relay.RolloutStatus{}) // a sign of life
@@ -114,8 +114,8 @@
 	h.learned()
 	own, guards := trial(3, 0, 0.2), trial(3, 0, 0.2)
 	own.Reply, guards.Reply = relay.ReplyCounted, relay.ReplyNotCounted
-	h.loop.Told(own)
-	h.loop.Told(guards)
+	h.loop.RolloutStatusReceived(own)
+	h.loop.RolloutStatusReceived(guards)
 	news, _ := h.learned()
 	if len(news) != 1 || news[0].Reply != relay.ReplyCounted || news[0].Valid {
 		t.Errorf("the module is owed one answer: %+v", news)
@@ -130,7 +130,7 @@
 func TestBadPlanAtReloadLeavesTheOldOne(t *testing.T) {
 	h := newHosted(t)
 	h.other("a", relay.RolloutStatus{Valid: true, Build: 1, Phase: relay.PhaseReleased, ExposureLimit: 1})
-	h.loop.Told(trial(3, 0, 0.2))
+	h.loop.RolloutStatusReceived(trial(3, 0, 0.2))
 	h.learned()
 	bad, err := plan.Parse("p", []byte(strings.NewReplacer(`name="b"`, `name="c"`).Replace(planText)))
 	if err != nil {
--- a/internal/linewire/linewire.go
+++ b/internal/linewire/linewire.go
@@ -14,7 +14,7 @@
 )
 
 // Moot is the error that answers a vote on a build or stage that is past.
-const Moot = "ConditionFailed"
+const CodeStale = "ConditionFailed"
 
 // MaxLine is the longest line read; the platform ends a connection at lines of 8 KiB.
 const MaxLine = 8 << 10
@@ -53,40 +53,40 @@
 }
 
 // Watch asks to be told things.
-const Watch = "WATCH\r\n"
+const WatchLine = "WATCH\r\n"
 
 var verdicts = [...]string{relay.NoVote: "clear", relay.VotePromote: "approve", relay.VoteHold: "wait",
 	relay.VoteRollBack: "reject"}
 
 // Vote is the line of a vote.
-func Vote(v relay.Vote) string {
+func VoteLine(v relay.Vote) string {
 	return fmt.Sprintf("VOTE %d %d %s\r\n", v.Build, v.Stage, verdicts[v.Verdict])
 }
 
 // Reply is one line from the platform.
 type Reply struct {
-	Told  bool                // unasked; News is set where it brought any
-	News  relay.RolloutStatus // Valid where the line holds the state of a build
-	Error string              // the code behind ERR
+	Unsolicited bool                // unasked; News is set where it brought any
+	Status      relay.RolloutStatus // Valid where the line holds the state of a build
+	Error       string              // the code behind ERR
 }
 
 // Parse reads one line.
-func Parse(line string) (Reply, error) {
+func ParseReply(line string) (Reply, error) {
 	words := strings.Split(line, " ")
 	switch {
 	case words[0] == "*":
-		r := Reply{Told: true}
+		r := Reply{Unsolicited: true}
 		if len(words) == 1 || words[1] != "news" {
 			return r, nil // a sign of life, or a kind of news that is not known here
 		}
 		var err error
-		r.News, err = news(words[2:])
+		r.Status, err = news(words[2:])
 		return r, err
 	case words[0] == "OK" && len(words) == 1:
 		return Reply{}, nil
 	case words[0] == "OK":
 		n, err := news(words[1:])
-		return Reply{News: n}, err
+		return Reply{Status: n}, err
 	case words[0] == "ERR" && len(words) >= 2:
 		return Reply{Error: words[1]}, nil
 	}
@@ -97,14 +97,14 @@
 	if len(w) < 5 {
 		return relay.RolloutStatus{}, fmt.Errorf("%w: %d fields of news", ErrMalformed, len(w))
 	}
-	return News(w[0], w[1], w[2], w[3], w[4])
+	return ParseStatus(w[0], w[1], w[2], w[3], w[4])
 }
 
 var phases = map[string]relay.Phase{"canary": relay.PhaseCanary, "reverting": relay.PhaseRollingBack,
 	"stable": relay.PhaseReleased, "reverted": relay.PhaseWithdrawn}
 
 // News puts the five fields of a build's state together: build, stage, phase, cap, age in milliseconds.
-func News(build, stage, phase, limit, age string) (relay.RolloutStatus, error) {
+func ParseStatus(build, stage, phase, limit, age string) (relay.RolloutStatus, error) {
 	b, err1 := strconv.ParseUint(build, 10, 16)
 	s, err2 := strconv.ParseUint(stage, 10, 8)
 	c, err3 := strconv.ParseFloat(limit, 64)
@@ -153,14 +153,14 @@
 
 // The lines of a desk.
 const (
-	Okay = "OK\r\n"
-	Sign = "*\r\n" // of life
+	OKLine        = "OK\r\n"
+	KeepAliveLine = "*\r\n" // of life
 )
 
 // Answer is the answer to a vote that counts, Tell what is told of a build unasked, Refuse the answer to a call
 // that was not carried out.
-func Answer(n relay.RolloutStatus) string { return "OK " + state(n) }
+func StatusReplyLine(n relay.RolloutStatus) string { return "OK " + state(n) }
 
-func Tell(n relay.RolloutStatus) string { return "* news " + state(n) }
+func StatusNoticeLine(n relay.RolloutStatus) string { return "* news " + state(n) }
 
-func Refuse(code string) string { return "ERR " + code + "\r\n" }
+func ErrorLine(code string) string { return "ERR " + code + "\r\n" }
--- a/internal/linewire/linewire_test.go
+++ b/internal/linewire/linewire_test.go
@@ -40,7 +40,7 @@
 	}
 	for _, line := range []string{"", "HELLO", "ERR", "OK 42", "OK 42 1 canary 0.28 x", "OK 42 1 flying 0.28 310", "* news 42",
 		"OK -1 1 canary 0.28 310", "OK 42 1 canary NaN 310", "OK 42 1 canary 1.5 310", "OK 99999 1 canary 0.1 310"} {
-		if r, err := Parse(line); err == nil {
+		if r, err := ParseReply(line); err == nil {
 			t.Errorf("%q: %+v", line, r)
 		}
 	}
@@ -49,14 +49,14 @@
 func TestParse(t *testing.T) {
 	news := relay.RolloutStatus{Valid: true, Build: 42, Stage: 1, Phase: relay.PhaseRollingBack, ExposureLimit: 0.25, Age: 0.31}
 	for line, want := range map[string]Reply{
-		"*": {Told: true}, "* counts 1 2": {Told: true}, "OK": {}, "ERR ConditionFailed": {Error: "ConditionFailed"},
-		"* news 42 1 reverting 0.25 310": {Told: true, News: news}, "OK 42 1 reverting 0.25 310": {News: news},
+		"*": {Unsolicited: true}, "* counts 1 2": {Unsolicited: true}, "OK": {}, "ERR ConditionFailed": {Error: "ConditionFailed"},
+		"* news 42 1 reverting 0.25 310": {Unsolicited: true, Status: news}, "OK 42 1 reverting 0.25 310": {Status: news},
 	} {
-		if got, err := Parse(line); got != want || err != nil {
+		if got, err := ParseReply(line); got != want || err != nil {
 			t.Errorf("%q: %+v %v", line, got, err)
 		}
 	}
-	if got := Vote(relay.Vote{Build: 42, Stage: 1, Verdict: relay.VoteRollBack}); got != "VOTE 42 1 reject\r\n" {
+	if got := VoteLine(relay.Vote{Build: 42, Stage: 1, Verdict: relay.VoteRollBack}); got != "VOTE 42 1 reject\r\n" {
 		t.Errorf("%q", got)
 	}
 }
@@ -70,6 +70,6 @@
 		if a, b := split(stream, cut), split(stream, 0); a != b {
 			t.Errorf("cut at %d: %s\nwhole: %s", cut, a, b)
 		}
-		Parse(strings.TrimSuffix(stream, "\r\n"))
+		ParseReply(strings.TrimSuffix(stream, "\r\n"))
 	})
 }
--- a/internal/metrics/stats.go
+++ b/internal/metrics/stats.go
@@ -1,4 +1,4 @@
-// Package stats counts what the program takes in, sends and answers. The counters are safe for use by any
+// Package metrics counts what the program takes in, sends and answers. The counters are safe for use by any
 // goroutine; Fields gives them all, for one line of the log.
 package metrics
 
@@ -15,40 +15,40 @@
 const (
 	ClientConns ID = iota
 	ClientConnsOpen
-	UnitConns
-	UnitConnsOpen
-	TakenIn
-	Honoured
-	Denied
-	WrittenOff
-	Left
+	EndpointConns
+	EndpointConnsOpen
+	Accepted
+	Succeeded
+	Rejected
+	Failed
+	ClientLeft
 	Open
-	LegsSent
-	LegsOpen
-	LegHonoured
-	LegErrored
-	LegTurnedAway
-	LegTimedOut
-	LegNoConnect
-	LegBroken
-	LegCancelled
-	LegNotSent
-	LegsReleased
-	LateRefused
-	Probes
+	AttemptsSent
+	AttemptsOpen
+	AttemptSucceeded
+	AttemptErrored
+	AttemptRejected
+	AttemptTimedOut
+	AttemptConnectFailed
+	AttemptConnectionBroken
+	AttemptCancelled
+	AttemptNotSent
+	AttemptsReleased
+	RejectedAfterClose
+	HealthChecks
 	Votes
 	VotesCounted
 	VotesNotCounted
-	VotesMoot
-	VotesMaybe
-	News
+	VotesStale
+	VotesMaybeCounted
+	RolloutStatuses
 	PeerMessagesOut
 	PeerMessagesIn
 	PeerMessagesDropped
-	RosterCalls
-	RosterFailed
-	RosterSilent
-	UnitsToldByPeers
+	DiscoveryCalls
+	DiscoveryFailed
+	DiscoveryStalled
+	EndpointsRemovedByPeers
 	BadInput
 	BoundConns
 	BoundBuffers
@@ -60,16 +60,16 @@
 )
 
 var names = [counters]string{
-	ClientConns: "client_conns", ClientConnsOpen: "client_conns_open", UnitConns: "unit_conns",
-	UnitConnsOpen: "unit_conns_open", TakenIn: "taken_in", Honoured: "honoured", Denied: "denied",
-	WrittenOff: "written_off", Left: "left", Open: "open", LegsSent: "legs_sent", LegsOpen: "legs_open",
-	LegHonoured: "leg_honoured", LegErrored: "leg_errored", LegTurnedAway: "leg_turned_away",
-	LegTimedOut: "leg_timed_out", LegNoConnect: "leg_no_connect", LegBroken: "leg_broken",
-	LegCancelled: "leg_cancelled", LegNotSent: "leg_not_sent", LegsReleased: "legs_released", LateRefused: "late_refused", Probes: "probes", Votes: "votes",
-	VotesCounted: "votes_counted", VotesNotCounted: "votes_not_counted", VotesMoot: "votes_moot", VotesMaybe: "votes_maybe_counted",
-	News: "news", PeerMessagesOut: "peer_messages_out", PeerMessagesIn: "peer_messages_in", PeerMessagesDropped: "peer_messages_dropped",
-	RosterCalls: "roster_calls", RosterFailed: "roster_failed", RosterSilent: "roster_silent",
-	UnitsToldByPeers: "units_told_by_peers", BadInput: "bad_input",
+	ClientConns: "client_conns", ClientConnsOpen: "client_conns_open", EndpointConns: "unit_conns",
+	EndpointConnsOpen: "unit_conns_open", Accepted: "taken_in", Succeeded: "honoured", Rejected: "denied",
+	Failed: "written_off", ClientLeft: "left", Open: "open", AttemptsSent: "legs_sent", AttemptsOpen: "legs_open",
+	AttemptSucceeded: "leg_honoured", AttemptErrored: "leg_errored", AttemptRejected: "leg_turned_away",
+	AttemptTimedOut: "leg_timed_out", AttemptConnectFailed: "leg_no_connect", AttemptConnectionBroken: "leg_broken",
+	AttemptCancelled: "leg_cancelled", AttemptNotSent: "leg_not_sent", AttemptsReleased: "legs_released", RejectedAfterClose: "late_refused", HealthChecks: "probes", Votes: "votes",
+	VotesCounted: "votes_counted", VotesNotCounted: "votes_not_counted", VotesStale: "votes_moot", VotesMaybeCounted: "votes_maybe_counted",
+	RolloutStatuses: "news", PeerMessagesOut: "peer_messages_out", PeerMessagesIn: "peer_messages_in", PeerMessagesDropped: "peer_messages_dropped",
+	DiscoveryCalls: "roster_calls", DiscoveryFailed: "roster_failed", DiscoveryStalled: "roster_silent",
+	EndpointsRemovedByPeers: "units_told_by_peers", BadInput: "bad_input",
 	BoundConns: "bound_conns", BoundBuffers: "bound_buffers", BoundQueue: "bound_queue", LogDropped: "log_dropped",
 	Reloads: "reloads", ReloadsRefused: "reloads_refused",
 }
--- a/internal/peers/peers.go
+++ b/internal/peers/peers.go
@@ -22,11 +22,11 @@
 
 // Membership takes the messages about the list of units. It is called on the loop.
 type Membership interface {
-	Heard(from relay.RelayID, body []byte)
+	MembershipMessage(from relay.RelayID, body []byte)
 }
 
 // Tier is the relays that may tell one another things.
-type Tier struct {
+type Transport struct {
 	// Membership is set before Start; nil: such messages are dropped by the module, as unknown.
 	Membership Membership
 
@@ -39,8 +39,8 @@
 }
 
 // Open binds the address for messages; peers are the relays' addresses in the order of their numbers.
-func Open(l *pipeline.Loop, listen string, peers []string, all string) (*Tier, error) {
-	t := &Tier{loop: l, from: map[netip.AddrPort]relay.RelayID{}, out: make(chan relay.SendMessage, limits.PeerMessagesAhead)}
+func Open(l *pipeline.Loop, listen string, peers []string, all string) (*Transport, error) {
+	t := &Transport{loop: l, from: map[netip.AddrPort]relay.RelayID{}, out: make(chan relay.SendMessage, limits.PeerMessagesAhead)}
 	for i, s := range peers {
 		a, err := parse("peers", s)
 		if err != nil {
@@ -76,26 +76,26 @@
 }
 
 // Start serves until the program ends.
-func (t *Tier) Start() {
+func (t *Transport) Start() {
 	go t.reading()
 	go t.writing()
 }
 
 // Tell sends a message, or drops it: a message may be lost at any time.
-func (t *Tier) Tell(m relay.SendMessage) {
+func (t *Transport) SendMessage(m relay.SendMessage) {
 	if len(m.Body) > MaxBody {
-		t.loop.Stats.Add(metrics.PeerMessagesDropped, 1)
+		t.loop.Metrics.Add(metrics.PeerMessagesDropped, 1)
 		t.loop.Log.WithFields(logrus.Fields{"peer": "relay", "bytes": len(m.Body)}).Error("message too long")
 		return
 	}
 	select {
 	case t.out <- m:
 	default:
-		t.loop.Stats.Add(metrics.PeerMessagesDropped, 1)
+		t.loop.Metrics.Add(metrics.PeerMessagesDropped, 1)
 	}
 }
 
-func (t *Tier) writing() {
+func (t *Transport) writing() {
 	for m := range t.out {
 		to := t.all
 		if m.To != relay.Broadcast {
@@ -105,19 +105,19 @@
 			}
 		}
 		if !to.IsValid() {
-			t.loop.Stats.Add(metrics.PeerMessagesDropped, 1)
+			t.loop.Metrics.Add(metrics.PeerMessagesDropped, 1)
 			continue
 		}
 		if _, err := t.conn.WriteToUDPAddrPort(m.Body, to); err != nil {
-			t.loop.Stats.Add(metrics.PeerMessagesDropped, 1)
+			t.loop.Metrics.Add(metrics.PeerMessagesDropped, 1)
 			t.loop.Log.WithField("peer", "relay").WithError(err).Debug("message not sent")
 			continue
 		}
-		t.loop.Stats.Add(metrics.PeerMessagesOut, 1)
+		t.loop.Metrics.Add(metrics.PeerMessagesOut, 1)
 	}
 }
 
-func (t *Tier) reading() {
+func (t *Transport) reading() {
 	var buf [MaxBody + 1]byte
 	for {
 		n, addr, err := t.conn.ReadFromUDPAddrPort(buf[:])
@@ -131,21 +131,21 @@
 		}
 		no, known := t.from[netip.AddrPortFrom(addr.Addr().Unmap(), addr.Port())]
 		if !known || n > MaxBody || no == t.loop.Site.Self {
-			t.loop.Stats.Add(metrics.PeerMessagesDropped, 1)
+			t.loop.Metrics.Add(metrics.PeerMessagesDropped, 1)
 			continue
 		}
 		heard := relay.MessageReceived{From: no, Body: append([]byte(nil), buf[:n]...)}
-		if t.loop.PostLoose(pipeline.Call(func(l *pipeline.Loop) { t.deliver(l, heard) })) {
-			t.loop.Stats.Add(metrics.PeerMessagesIn, 1)
+		if t.loop.TryPost(pipeline.Func(func(l *pipeline.Loop) { t.deliver(l, heard) })) {
+			t.loop.Metrics.Add(metrics.PeerMessagesIn, 1)
 		}
 	}
 }
 
 // deliver hands a message to the part that it is for, on the loop.
-func (t *Tier) deliver(l *pipeline.Loop, heard relay.MessageReceived) {
+func (t *Transport) deliver(l *pipeline.Loop, heard relay.MessageReceived) {
 	if t.Membership != nil && membership.IsMessage(heard.Body) {
-		t.Membership.Heard(heard.From, heard.Body)
+		t.Membership.MembershipMessage(heard.From, heard.Body)
 		return
 	}
-	l.Learn(heard)
+	l.AddEvent(heard)
 }
--- a/internal/peers/peers_test.go
+++ b/internal/peers/peers_test.go
@@ -33,7 +33,7 @@
 // relay's loop, too.
 type fleet struct {
 	t      *testing.T
-	tier   *Tier
+	tier   *Transport
 	loop   *pipeline.Loop
 	others [others]*net.UDPConn
 	all    *net.UDPConn // where what is told to everyone goes
@@ -126,15 +126,15 @@
 
 // tell has the tier send a message.
 func (f *fleet) tell(to relay.RelayID, body string) {
-	f.tier.Tell(relay.SendMessage{To: to, Body: []byte(body)})
+	f.tier.SendMessage(relay.SendMessage{To: to, Body: []byte(body)})
 }
 
 // wait waits until a counter has reached a value, which it must not pass.
 func (f *fleet) wait(counter metrics.ID, want int64) {
 	f.t.Helper()
-	for end := time.Now().Add(patience); f.loop.Stats.Get(counter) < want; time.Sleep(time.Millisecond) {
+	for end := time.Now().Add(patience); f.loop.Metrics.Get(counter) < want; time.Sleep(time.Millisecond) {
 		if time.Now().After(end) {
-			f.t.Fatalf("counter %d at %d, not %d", counter, f.loop.Stats.Get(counter), want)
+			f.t.Fatalf("counter %d at %d, not %d", counter, f.loop.Metrics.Get(counter), want)
 		}
 	}
 	f.hold(counter, want)
@@ -143,17 +143,17 @@
 // hold fails the test where a counter has another value.
 func (f *fleet) hold(counter metrics.ID, want int64) {
 	f.t.Helper()
-	if got := f.loop.Stats.Get(counter); got != want {
+	if got := f.loop.Metrics.Get(counter); got != want {
 		f.t.Errorf("counter %d at %d, not %d", counter, got, want)
 	}
 }
 
 // learned takes the events that wait for the loop, and gives what the module would hear of.
 func (f *fleet) learned() []relay.Event {
-	for _, e := range f.loop.Pending() {
-		e.Take(f.loop)
+	for _, e := range f.loop.TakePosted() {
+		e.Apply(f.loop)
 	}
-	return f.loop.Learned()
+	return f.loop.TakeEvents()
 }
 
 // hears fails the test unless exactly these were heard, in this order.
@@ -308,7 +308,7 @@
 func TestHeardDropsAtAFullQueue(t *testing.T) {
 	f := newFleet(t)
 	for range limits.EventQueue {
-		f.loop.Post(pipeline.Call(func(*pipeline.Loop) {}))
+		f.loop.Post(pipeline.Func(func(*pipeline.Loop) {}))
 	}
 	f.tier.Start()
 	f.send(f.others[0], "too much")
--- a/internal/pgwire/pgwire.go
+++ b/internal/pgwire/pgwire.go
@@ -14,17 +14,17 @@
 
 // Bounds, in bytes.
 const (
-	MaxValue   = 64 << 10             // of a value, by the protocol page
-	MaxMessage = 2*MaxValue + 4096    // of a message: a value in hex with the statement round it
-	MaxAnswer  = MaxValue + 1024      // of a message from a unit
-	MaxStartup = 4096                 // of a startup message
-	headLen    = 5                    // type and length
-	maxErrText = 200                  // of a peer's error text that is kept
-	sslCode    = 80877103             // SSLRequest
-	gssCode    = 80877104             // GSSENCRequest
-	cancelCode = 80877102             // CancelRequest
-	version3   = 3 << 16              // the protocol's version
-	versionTop = version3 + 1<<16 - 1 // any minor version
+	MaxValue    = 64 << 10             // of a value, by the protocol page
+	MaxMessage  = 2*MaxValue + 4096    // of a message: a value in hex with the statement round it
+	MaxResponse = MaxValue + 1024      // of a message from a unit
+	MaxStartup  = 4096                 // of a startup message
+	headLen     = 5                    // type and length
+	maxErrText  = 200                  // of a peer's error text that is kept
+	sslCode     = 80877103             // SSLRequest
+	gssCode     = 80877104             // GSSENCRequest
+	cancelCode  = 80877102             // CancelRequest
+	version3    = 3 << 16              // the protocol's version
+	versionTop  = version3 + 1<<16 - 1 // any minor version
 )
 
 // Complaints about what came in.
@@ -35,9 +35,9 @@
 
 // Message is one message; the body is whole, and belongs to whoever gets it.
 type Message struct {
-	Type byte // 0: a startup packet
-	Body *buffer.Chain
-	Lost bool // the pool was full when it came: the body was passed over
+	Type      byte // 0: a startup packet
+	Body      *buffer.Chain
+	Discarded bool // the pool was full when it came: the body was passed over
 }
 
 // FromUnits are the types of the messages that units send.
@@ -45,11 +45,11 @@
 
 // Splitter cuts a stream into messages, fed in any pieces.
 type Splitter struct {
-	Pool    *buffer.Pool
-	Startup bool   // the next message has no type byte
-	Shed    bool   // pass over the bodies of queries that come while the pool is full
-	Types   string // those that may come; empty: any
-	Most    int    // bytes of a message; 0: MaxMessage
+	Pool      *buffer.Pool
+	Startup   bool   // the next message has no type byte
+	Discard   bool   // pass over the bodies of queries that come while the pool is full
+	Types     string // those that may come; empty: any
+	MaxLength int    // bytes of a message; 0: MaxMessage
 
 	head  [headLen]byte
 	got   int
@@ -72,8 +72,8 @@
 				return nil
 			}
 			n, most := int(binary.BigEndian.Uint32(s.head[1:])), MaxMessage
-			if s.Most > 0 {
-				most = s.Most
+			if s.MaxLength > 0 {
+				most = s.MaxLength
 			}
 			s.msg = Message{Type: s.head[0]}
 			if s.Startup {
@@ -88,12 +88,12 @@
 				return fmt.Errorf("%w: %d bytes", ErrTooLong, n)
 			}
 			s.left, s.begun, s.got = n-4, true, 0
-			if s.msg.Lost = s.Shed && s.msg.Type == 'Q' && s.Pool.Full(); !s.msg.Lost {
+			if s.msg.Discarded = s.Discard && s.msg.Type == 'Q' && s.Pool.Full(); !s.msg.Discarded {
 				s.msg.Body = s.Pool.Chain()
 			}
 		}
 		k := min(s.left, len(p))
-		if !s.msg.Lost {
+		if !s.msg.Discarded {
 			s.msg.Body.Write(p[:k])
 		}
 		p = p[k:]
@@ -167,7 +167,7 @@
 }
 
 // Welcome is the answer to a startup packet, up to and with ReadyForQuery.
-func Welcome(session uint32) []byte {
+func StartupResponse(session uint32) []byte {
 	b, at := begin(nil, 'R')
 	b = end(binary.BigEndian.AppendUint32(b, 0), at)
 	for _, kv := range [...][2]string{{"server_version", "15.0"}, {"server_encoding", "UTF8"},
@@ -184,8 +184,8 @@
 // Ready appends ReadyForQuery.
 func Ready(b []byte) []byte { return append(b, 'Z', 0, 0, 0, 5, 'I') }
 
-// EmptyAnswer answers an empty query.
-func EmptyAnswer() []byte { return Ready([]byte{'I', 0, 0, 0, 4}) }
+// EmptyQueryResponse answers an empty query.
+func EmptyQueryResponse() []byte { return Ready([]byte{'I', 0, 0, 0, 4}) }
 
 // Severities.
 const (
@@ -195,17 +195,17 @@
 
 // Codes of ErrorResponses, from PostgreSQL's list.
 const (
-	CodeFull     = "53300" // too_many_connections: trying again is harmless
-	CodeEnding   = "57P03" // cannot_connect_now: the same
-	CodeFailed   = "58000" // system_error: no promise about what was done
-	CodeProtocol = "08P01" // protocol_violation
-	CodeSyntax   = "42601" // syntax_error
-	CodeTooLong  = "54000" // program_limit_exceeded
-	CodeNotKnown = "0A000" // feature_not_supported
+	CodeFull         = "53300" // too_many_connections: trying again is harmless
+	CodeShuttingDown = "57P03" // cannot_connect_now: the same
+	CodeFailed       = "58000" // system_error: no promise about what was done
+	CodeProtocol     = "08P01" // protocol_violation
+	CodeSyntax       = "42601" // syntax_error
+	CodeTooLong      = "54000" // program_limit_exceeded
+	CodeUnsupported  = "0A000" // feature_not_supported
 )
 
-// ErrorAnswer builds an ErrorResponse; detail may be empty.
-func ErrorAnswer(severity, code, text, detail string) []byte {
+// ErrorResponse builds an ErrorResponse; detail may be empty.
+func ErrorResponse(severity, code, text, detail string) []byte {
 	b, at := begin(nil, 'E')
 	b = str(append(b, 'S'), severity)
 	b = str(append(b, 'V'), severity)
@@ -218,7 +218,7 @@
 }
 
 // Later is the detail field that names a time to come back, in milliseconds.
-func Later(ms int64) string { return strconv.FormatInt(ms, 10) }
+func RetryAfterDetail(ms int64) string { return strconv.FormatInt(ms, 10) }
 
 // QueryMessage builds a simple query.
 func QueryMessage(text string) []byte {
--- a/internal/pgwire/pgwire_test.go
+++ b/internal/pgwire/pgwire_test.go
@@ -98,28 +98,28 @@
 func TestSplitterShedsWhenFull(t *testing.T) {
 	pool := buffer.NewPool(1)
 	pool.Chain().Write([]byte("x"))
-	s := Splitter{Pool: pool, Shed: true}
+	s := Splitter{Pool: pool, Discard: true}
 	var got []Message
 	s.Feed(append(QueryMessage(readText), 'X', 0, 0, 0, 4), func(m Message) error { got = append(got, m); return nil })
-	if len(got) != 2 || !got[0].Lost || got[0].Body != nil || got[1].Type != 'X' || got[1].Lost {
+	if len(got) != 2 || !got[0].Discarded || got[0].Body != nil || got[1].Type != 'X' || got[1].Discarded {
 		t.Errorf("%+v", got)
 	}
 	s.Startup = true
 	s.Feed(Startup("worker", "catalog"), func(m Message) error { got = append(got, m); return nil })
-	if len(got) != 3 || got[2].Lost {
+	if len(got) != 3 || got[2].Discarded {
 		t.Error("a startup was passed over")
 	}
 }
 
 func TestParseQuery(t *testing.T) {
 	q, err := ParseQuery([]byte(readText))
-	if err != nil || q.ID != "9b1f" || q.Category != "basket" || q.Customer != "acme" || q.Patience != 480 || q.Write ||
-		q.Object != "7f3a" || readText[q.PatienceAt:q.PatienceEnd] != "480" {
+	if err != nil || q.ID != "9b1f" || q.Class != "basket" || q.Tenant != "acme" || q.DeadlineMillis != 480 || q.Write ||
+		q.Object != "7f3a" || readText[q.DeadlineStart:q.DeadlineEnd] != "480" {
 		t.Errorf("%+v %v", q, err)
 	}
 	q, err = ParseQuery([]byte(writeText))
-	if err != nil || !q.Write || q.Number != "5c0f" || !q.Again || !q.HasWork || q.Work != 1500 ||
-		writeText[q.PatienceAt:q.PatienceEnd] != "480" {
+	if err != nil || !q.Write || q.Number != "5c0f" || !q.Retried || !q.HasWork || q.Work != 1500 ||
+		writeText[q.DeadlineStart:q.DeadlineEnd] != "480" {
 		t.Errorf("%+v %v", q, err)
 	}
 	for _, change := range [][2]string{
@@ -147,7 +147,7 @@
 	f.Add([]byte(writeText))
 	f.Fuzz(func(t *testing.T, text []byte) {
 		q, err := ParseQuery(text)
-		if err == nil && (q.PatienceAt <= 0 || q.PatienceEnd > len(text) || q.PatienceEnd <= q.PatienceAt) {
+		if err == nil && (q.DeadlineStart <= 0 || q.DeadlineEnd > len(text) || q.DeadlineEnd <= q.DeadlineStart) {
 			t.Errorf("%q: %+v", text, q)
 		}
 	})
@@ -181,7 +181,7 @@
 }
 
 func TestErrorAnswer(t *testing.T) {
-	b := ErrorAnswer(Error, CodeFull, "no room", Later(250))
+	b := ErrorResponse(Error, CodeFull, "no room", RetryAfterDetail(250))
 	severity, code, text, err := ParseError(b[headLen:])
 	if severity != Error || code != CodeFull || text != "no room" || err != nil || !bytes.Contains(b, []byte("D250\x00")) {
 		t.Errorf("%q %q %q %v", severity, code, text, err)
@@ -221,14 +221,14 @@
 		t.Error("a cut ParameterStatus was taken")
 	}
 	fields := []string{"recent_ms", "outstanding"}
-	if got := ParseReport("outstanding=7, recent_ms=0.5,more=1", fields); len(got) != 2 || got[0] != 0.5 || got[1] != 7 {
+	if got := ParseLoadReport("outstanding=7, recent_ms=0.5,more=1", fields); len(got) != 2 || got[0] != 0.5 || got[1] != 7 {
 		t.Error(got)
 	}
-	if ParseReport("outstanding=7", fields) != nil || ParseReport("outstanding=7,recent_ms=x", fields) != nil {
+	if ParseLoadReport("outstanding=7", fields) != nil || ParseLoadReport("outstanding=7,recent_ms=x", fields) != nil {
 		t.Error("a report with a field missing was taken")
 	}
 	for _, absurd := range []string{"NaN", "Inf", "-1", "1e300", "\xff\x00"} {
-		if got := ParseReport("outstanding=7,recent_ms="+absurd, fields); got != nil {
+		if got := ParseLoadReport("outstanding=7,recent_ms="+absurd, fields); got != nil {
 			t.Errorf("%q was taken as %v", absurd, got)
 		}
 	}
--- a/internal/pgwire/query.go
+++ b/internal/pgwire/query.go
@@ -8,18 +8,18 @@
 
 // Query is what a statement of one of the two published forms holds.
 type Query struct {
-	ID       string
-	Category string // its name in the settings
-	Customer string // the same
-	Number   string // of a query that may come twice: units know it by that
-	Object   string
-	Patience int64 // ms that the client waits
-	Work     int64 // expected, in microseconds
-	HasWork  bool
-	Again    bool // marked as a repeat by the client
-	Write    bool
+	ID             string
+	Class          string // its name in the settings
+	Tenant         string // the same
+	Number         string // of a query that may come twice: units know it by that
+	Object         string
+	DeadlineMillis int64 // ms that the client waits
+	Work           int64 // expected, in microseconds
+	HasWork        bool
+	Retried        bool // marked as a repeat by the client
+	Write          bool
 	// Where the digits of the patience stand in the statement.
-	PatienceAt, PatienceEnd int
+	DeadlineStart, DeadlineEnd int
 }
 
 const (
@@ -107,7 +107,7 @@
 		at += len(pair) + 1
 		note = after
 	}
-	if q.ID == "" || q.Category == "" || q.PatienceEnd == 0 {
+	if q.ID == "" || q.Class == "" || q.DeadlineEnd == 0 {
 		return bad("comment without id, c or d")
 	}
 	return q, nil
@@ -125,15 +125,15 @@
 	case "id":
 		q.ID = value
 	case "c":
-		q.Category = value
+		q.Class = value
 	case "t":
-		q.Customer = value
+		q.Tenant = value
 	case "k":
 		q.Number = value
 	case "r":
-		q.Again = value == "1"
+		q.Retried = value == "1"
 	case "d":
-		q.Patience, q.PatienceAt, q.PatienceEnd = number(maxWait), at, at+len(value)
+		q.DeadlineMillis, q.DeadlineStart, q.DeadlineEnd = number(maxWait), at, at+len(value)
 	case "h":
 		q.Work, q.HasWork = number(mostWork), true
 	}
--- a/internal/pgwire/report.go
+++ b/internal/pgwire/report.go
@@ -7,9 +7,9 @@
 
 const mostLoad = 1e9 // of any figure of load
 
-// ParseReport reads a load report, name=value pairs with commas between, into the order of fields. It is
+// ParseLoadReport reads a load report, name=value pairs with commas between, into the order of fields. It is
 // nil where one of them is missing, can't be read or can't be a figure of load.
-func ParseReport(report string, fields []string) []float32 {
+func ParseLoadReport(report string, fields []string) []float32 {
 	values := make([]float32, len(fields))
 	found := 0
 	for _, pair := range strings.Split(report, ",") {
--- a/internal/pipeline/book.go
+++ b/internal/pipeline/book.go
@@ -7,59 +7,59 @@
 )
 
 // Ending is how a leg ended.
-type Ending struct {
-	How    relay.Outcome
-	Took   relay.Seconds
-	Report []float32
-	Answer *buffer.Chain // of an honoured leg: what the client gets
+type AttemptResult struct {
+	Outcome    relay.Outcome
+	Duration   relay.Seconds
+	LoadReport []float32
+	Response   *buffer.Chain // of an honoured leg: what the client gets
 }
 
-var legCounters = [...]metrics.ID{relay.Succeeded: metrics.LegHonoured, relay.Errored: metrics.LegErrored,
-	relay.RejectedByEndpoint: metrics.LegTurnedAway, relay.TimedOut: metrics.LegTimedOut, relay.ConnectFailed: metrics.LegNoConnect,
-	relay.ConnectionBroken: metrics.LegBroken, relay.Cancelled: metrics.LegCancelled, relay.NotSent: metrics.LegNotSent}
+var legCounters = [...]metrics.ID{relay.Succeeded: metrics.AttemptSucceeded, relay.Errored: metrics.AttemptErrored,
+	relay.RejectedByEndpoint: metrics.AttemptRejected, relay.TimedOut: metrics.AttemptTimedOut, relay.ConnectFailed: metrics.AttemptConnectFailed,
+	relay.ConnectionBroken: metrics.AttemptConnectionBroken, relay.Cancelled: metrics.AttemptCancelled, relay.NotSent: metrics.AttemptNotSent}
 
 // End books the end of a leg, once; a second end is ignored. Only on the loop.
-func (l *Loop) End(leg *Leg, e Ending) {
+func (l *Loop) EndAttempt(leg *Attempt, e AttemptResult) {
 	if leg.Ended {
-		e.Answer.Free()
+		e.Response.Free()
 		return
 	}
 	leg.Ended = true
-	if leg.Query == nil {
-		e.Answer.Free()
-		l.Learn(relay.HealthCheckEnded{Endpoint: leg.Unit, Duration: e.Took, Outcome: e.How, LoadReport: e.Report})
+	if leg.Request == nil {
+		e.Response.Free()
+		l.AddEvent(relay.HealthCheckEnded{Endpoint: leg.Endpoint, Duration: e.Duration, Outcome: e.Outcome, LoadReport: e.LoadReport})
 		return
 	}
-	l.Stats.Add(metrics.LegsOpen, -1)
-	l.Stats.Add(legCounters[e.How], 1)
-	q := leg.Query
+	l.Metrics.Add(metrics.AttemptsOpen, -1)
+	l.Metrics.Add(legCounters[e.Outcome], 1)
+	q := leg.Request
 	q.open--
-	if e.How == relay.Succeeded && q.Final == StillOpen {
-		l.pass(q, e.Answer)
+	if e.Outcome == relay.Succeeded && q.Status == StatusOpen {
+		l.pass(q, e.Response)
 	} else {
-		e.Answer.Free()
+		e.Response.Free()
 	}
-	l.Learn(relay.AttemptEnded{Request: q.ID, Attempt: leg.No, Endpoint: leg.Unit, Outcome: e.How, Duration: e.Took,
-		RequestFinished: q.Final != StillOpen, LoadReport: e.Report})
+	l.AddEvent(relay.AttemptEnded{Request: q.ID, Attempt: leg.Number, Endpoint: leg.Endpoint, Outcome: e.Outcome, Duration: e.Duration,
+		RequestFinished: q.Status != StatusOpen, LoadReport: e.LoadReport})
 	l.forget(q)
 }
 
-var finalCounters = [...]metrics.ID{IsHonoured: metrics.Honoured, IsDenied: metrics.Denied,
-	IsWrittenOff: metrics.WrittenOff, HasLeft: metrics.Left}
+var finalCounters = [...]metrics.ID{StatusSucceeded: metrics.Succeeded, StatusRejected: metrics.Rejected,
+	StatusFailed: metrics.Failed, StatusClientLeft: metrics.ClientLeft}
 
 // finish books the end of a query.
-func (l *Loop) finish(q *Query, how Final) {
-	q.Final = how
-	l.Stats.Add(metrics.Open, -1)
-	l.Stats.Add(finalCounters[how], 1)
+func (l *Loop) finish(q *Request, how RequestStatus) {
+	q.Status = how
+	l.Metrics.Add(metrics.Open, -1)
+	l.Metrics.Add(finalCounters[how], 1)
 	q.Text.Free()
 	l.forget(q)
 }
 
 // forget lists the record of a query that is over and has no leg out. It goes once the module has seen the
 // end: orders of the step that is under way may still be about it.
-func (l *Loop) forget(q *Query) {
-	if q.Final != StillOpen && q.open == 0 && !q.over {
+func (l *Loop) forget(q *Request) {
+	if q.Status != StatusOpen && q.open == 0 && !q.over {
 		q.over = true
 		l.over = append(l.over, q)
 	}
--- a/internal/pipeline/loop.go
+++ b/internal/pipeline/loop.go
@@ -1,4 +1,4 @@
-// Package stage takes a query through its stages (take in, admit, route, send, relay, book) and holds the
+// Package pipeline takes a query through its stages (take in, admit, route, send, relay, book) and holds the
 // one loop that owns the decision module. Everything that happens on a socket is posted to the loop as an
 // Event; the loop steps the module over what that means and carries out its orders. The loop never blocks
 // and decides nothing.
@@ -33,47 +33,47 @@
 func (c Clock) Unix(s float64) relay.Seconds { return s - float64(c.start.UnixNano())/1e9 }
 
 // Event is something that happened outside. Take runs on the loop.
-type Event interface{ Take(l *Loop) }
+type Event interface{ Apply(l *Loop) }
 
 // Units, Roster, Platform and Peers carry out orders; none of their methods blocks. All are called on the loop.
 type (
-	Units interface {
-		Send(*Leg)
-		Drop(*Leg) (sent bool) // give the leg up; says whether its last byte may have gone out
-		Recall(*Leg)           // the leg is late from now on: it ends as not sent, unless its last byte is out
-		Probe(relay.EndpointID)
+	Upstream interface {
+		Send(*Attempt)
+		Cancel(*Attempt) (sent bool) // give the leg up; says whether its last byte may have gone out
+		CancelUnsent(*Attempt)       // the leg is late from now on: it ends as not sent, unless its last byte is out
+		HealthCheck(relay.EndpointID)
 		CloseIdle(relay.EndpointID)
 	}
-	Roster interface {
+	Discovery interface {
 		Watch(on, anew bool) // anew: a watch that stands is given up for a new one
-		Fetch()
+		FetchList()
 	}
 	Platform interface{ Vote(relay.Vote) }
-	Peers    interface{ Tell(relay.SendMessage) }
+	Peers    interface{ SendMessage(relay.SendMessage) }
 
 	// Guard stands between platform and module where a plan of releases holds. Both are called on the loop.
 	Guard interface {
-		Told(relay.RolloutStatus)
+		RolloutStatusReceived(relay.RolloutStatus)
 		Vote(relay.Vote)
 	}
 )
 
 // Loop owns the module.
 type Loop struct {
-	Clock    Clock
-	Site     settings.Site
-	Pool     *buffer.Pool
-	Stats    *metrics.Counters
-	Log      *logrus.Logger
-	Units    Units
-	Roster   Roster
-	Platform Platform
-	Peers    Peers
-	Guard    Guard // nil: none
+	Clock     Clock
+	Site      settings.Site
+	Pool      *buffer.Pool
+	Metrics   *metrics.Counters
+	Log       *logrus.Logger
+	Upstream  Upstream
+	Discovery Discovery
+	Platform  Platform
+	Peers     Peers
+	Guard     Guard // nil: none
 
 	module  *policy.Policy
-	queries map[relay.RequestID]*Query
-	over    []*Query // ended since the last step
+	queries map[relay.RequestID]*Request
+	over    []*Request // ended since the last step
 	lastID  relay.RequestID
 	batch   []relay.Event
 	timers  timers
@@ -89,8 +89,8 @@
 
 // NewLoop returns a loop round a fresh module.
 func NewLoop(site settings.Site, seed int64, pool *buffer.Pool, counters *metrics.Counters, log *logrus.Logger) *Loop {
-	return &Loop{Clock: NewClock(), Site: site, Pool: pool, Stats: counters, Log: log,
-		module: policy.New(site.Settings, seed), queries: map[relay.RequestID]*Query{},
+	return &Loop{Clock: NewClock(), Site: site, Pool: pool, Metrics: counters, Log: log,
+		module: policy.New(site.Settings, seed), queries: map[relay.RequestID]*Request{},
 		waiting: make(chan struct{}, 1)}
 }
 
@@ -105,13 +105,13 @@
 	}
 }
 
-// PostLoose posts an event that may be lost, and says whether it was taken.
-func (l *Loop) PostLoose(e Event) bool {
+// TryPost posts an event that may be lost, and says whether it was taken.
+func (l *Loop) TryPost(e Event) bool {
 	l.mu.Lock()
 	full := len(l.queue) >= limits.EventQueue
 	l.mu.Unlock()
 	if full {
-		l.Stats.Add(metrics.BoundQueue, 1)
+		l.Metrics.Add(metrics.BoundQueue, 1)
 		return false
 	}
 	l.Post(e)
@@ -119,31 +119,31 @@
 }
 
 // Call is an event that runs a function on the loop.
-type Call func(l *Loop)
+type Func func(l *Loop)
 
 // Take runs it.
-func (f Call) Take(l *Loop) { f(l) }
+func (f Func) Apply(l *Loop) { f(l) }
 
 // Learn adds an event of the module to the batch of the next step. Only on the loop.
-func (l *Loop) Learn(e relay.Event) { l.batch = append(l.batch, e) }
+func (l *Loop) AddEvent(e relay.Event) { l.batch = append(l.batch, e) }
 
 // Told takes news from the platform. Only on the loop.
-func (l *Loop) Told(n relay.RolloutStatus) {
+func (l *Loop) RolloutStatusReceived(n relay.RolloutStatus) {
 	if l.Guard != nil {
-		l.Guard.Told(n)
+		l.Guard.RolloutStatusReceived(n)
 	} else {
-		l.Learn(n)
+		l.AddEvent(n)
 	}
 }
 
 // At runs a function on the loop at or after a time. Only on the loop.
-func (l *Loop) At(at relay.Seconds, f func()) {
+func (l *Loop) RunAt(at relay.Seconds, f func()) {
 	l.seq++
 	heap.Push(&l.timers, timer{at, l.seq, f})
 }
 
-// WhenListed runs a function once a list of units stands. Only on the loop.
-func (l *Loop) WhenListed(f func()) {
+// OnServiceOpen runs a function once a list of units stands. Only on the loop.
+func (l *Loop) OnServiceOpen(f func()) {
 	if l.listed {
 		f()
 		return
@@ -152,7 +152,7 @@
 }
 
 // Open begins service: a list of units stands that may be served by. Only on the loop.
-func (l *Loop) Open() {
+func (l *Loop) OpenService() {
 	if l.listed {
 		return
 	}
@@ -168,8 +168,8 @@
 	alarm := time.NewTimer(0)
 	defer alarm.Stop()
 	for {
-		for _, e := range l.Pending() {
-			e.Take(l)
+		for _, e := range l.TakePosted() {
+			e.Apply(l)
 		}
 		l.alarms()
 		if len(l.batch) > 0 {
@@ -189,7 +189,7 @@
 }
 
 // Pending empties the queue. Only on the loop; what it gives is good until the next call.
-func (l *Loop) Pending() []Event {
+func (l *Loop) TakePosted() []Event {
 	clear(l.taken)
 	if cap(l.taken) > limits.EventsKept {
 		l.taken = nil
@@ -201,7 +201,7 @@
 }
 
 // Learned empties the batch. Only on the loop.
-func (l *Loop) Learned() []relay.Event {
+func (l *Loop) TakeEvents() []relay.Event {
 	events := l.batch
 	l.batch = nil
 	return events
@@ -216,7 +216,7 @@
 
 // step lets the module see all that has happened, and carries out its orders.
 func (l *Loop) step() {
-	events, over := l.Learned(), len(l.over)
+	events, over := l.TakeEvents(), len(l.over)
 	for _, o := range l.module.Step(l.Clock.Now(), events) {
 		l.order(o)
 	}
@@ -236,25 +236,25 @@
 	case relay.Fail:
 		l.writeOff(o)
 	case relay.SetTimer:
-		l.At(o.At, func() { l.Learn(relay.TimerFired{ID: o.ID}) })
+		l.RunAt(o.At, func() { l.AddEvent(relay.TimerFired{ID: o.ID}) })
 	case relay.HealthCheck:
-		l.Stats.Add(metrics.Probes, 1)
-		l.Units.Probe(o.Endpoint)
+		l.Metrics.Add(metrics.HealthChecks, 1)
+		l.Upstream.HealthCheck(o.Endpoint)
 	case relay.CloseIdle:
-		l.Units.CloseIdle(o.Endpoint)
+		l.Upstream.CloseIdle(o.Endpoint)
 	case relay.SendMessage:
-		l.Peers.Tell(o)
+		l.Peers.SendMessage(o)
 	case relay.Vote:
-		l.Stats.Add(metrics.Votes, 1)
+		l.Metrics.Add(metrics.Votes, 1)
 		if l.Guard != nil {
 			l.Guard.Vote(o)
 		} else {
 			l.Platform.Vote(o)
 		}
 	case relay.Watch:
-		l.Roster.Watch(o.On, o.Restart)
+		l.Discovery.Watch(o.On, o.Restart)
 	case relay.FetchList:
-		l.Roster.Fetch()
+		l.Discovery.FetchList()
 	case relay.Log:
 		l.Log.WithField("from", "module").Info(o.Line)
 	}
--- a/internal/pipeline/route.go
+++ b/internal/pipeline/route.go
@@ -14,32 +14,32 @@
 		return
 	}
 	now := l.Clock.Now()
-	leg := &Leg{Query: q, No: relay.AttemptNumber(len(q.Legs)), Unit: o.Endpoint, Asked: now, Until: q.Until}
+	leg := &Attempt{Request: q, Number: relay.AttemptNumber(len(q.Attempts)), Endpoint: o.Endpoint, StartedAt: now, Deadline: q.Deadline}
 	if o.Timeout > 0 {
-		leg.Until = math.Min(leg.Until, now+o.Timeout)
+		leg.Deadline = math.Min(leg.Deadline, now+o.Timeout)
 	}
 	if o.SendBy > 0 {
-		leg.SendBy(o.SendBy)
+		leg.SetSendBy(o.SendBy)
 	}
-	q.Legs = append(q.Legs, leg)
+	q.Attempts = append(q.Attempts, leg)
 	q.open++
 	l.send(leg)
 }
 
 func (l *Loop) recall(o relay.CancelUnsent) {
-	if q := l.queries[o.Request]; q != nil && o.Attempt >= 0 && int(o.Attempt) < len(q.Legs) {
-		if leg := q.Legs[o.Attempt]; !leg.Ended {
-			leg.SendBy(l.Clock.Now())
-			l.Units.Recall(leg)
+	if q := l.queries[o.Request]; q != nil && o.Attempt >= 0 && int(o.Attempt) < len(q.Attempts) {
+		if leg := q.Attempts[o.Attempt]; !leg.Ended {
+			leg.SetSendBy(l.Clock.Now())
+			l.Upstream.CancelUnsent(leg)
 		}
 	}
 }
 
 func (l *Loop) cancel(o relay.CancelAttempt) {
-	if q := l.queries[o.Request]; q != nil && o.Attempt >= 0 && int(o.Attempt) < len(q.Legs) {
-		if leg := q.Legs[o.Attempt]; !leg.Ended {
-			l.Units.Drop(leg)
-			l.End(leg, Ending{How: relay.Cancelled, Took: l.Clock.Now() - leg.Asked})
+	if q := l.queries[o.Request]; q != nil && o.Attempt >= 0 && int(o.Attempt) < len(q.Attempts) {
+		if leg := q.Attempts[o.Attempt]; !leg.Ended {
+			l.Upstream.Cancel(leg)
+			l.EndAttempt(leg, AttemptResult{Outcome: relay.Cancelled, Duration: l.Clock.Now() - leg.StartedAt})
 		}
 	}
 }
--- a/internal/platform/platform.go
+++ b/internal/platform/platform.go
@@ -18,7 +18,7 @@
 )
 
 // Desk talks to the platform.
-type Desk struct {
+type Client struct {
 	loop    *pipeline.Loop
 	address atomic.Value // string
 	wait    time.Duration
@@ -26,12 +26,12 @@
 	signs   chan sign
 
 	// Hear, where it is set, gets all that is told, on the loop: news, and signs of life as news that are not valid.
-	Hear func(*pipeline.Loop, relay.RolloutStatus)
+	OnStatus func(*pipeline.Loop, relay.RolloutStatus)
 }
 
 // New returns a desk; without an address there is no platform, and votes are not counted.
-func New(l *pipeline.Loop, address string) *Desk {
-	d := &Desk{loop: l, wait: limits.CallFor, votes: make(chan relay.Vote, limits.VotesAhead), signs: make(chan sign)}
+func New(l *pipeline.Loop, address string) *Client {
+	d := &Client{loop: l, wait: limits.CallFor, votes: make(chan relay.Vote, limits.VotesAhead), signs: make(chan sign)}
 	d.address.Store(address)
 	if t := l.Site.Rollout.CallTimeout; t > 0 {
 		d.wait = time.Duration(t * float64(time.Second))
@@ -40,7 +40,7 @@
 }
 
 // Start serves until the program ends.
-func (d *Desk) Start() {
+func (d *Client) Start() {
 	if d.where() == "" {
 		return
 	}
@@ -49,13 +49,13 @@
 }
 
 // Listen only listens to what is told, until the program ends.
-func (d *Desk) Listen() { go d.watching() }
+func (d *Client) Listen() { go d.watching() }
 
-func (d *Desk) where() string { return d.address.Load().(string) }
+func (d *Client) where() string { return d.address.Load().(string) }
 
 // Move goes over to another address. Votes that are open at the old one still get their answers there; a fresh
 // watch is opened at the new one at once and takes the old one's place when it stands.
-func (d *Desk) Move(address string) {
+func (d *Client) Move(address string) {
 	switch old := d.address.Swap(address).(string); {
 	case old == address:
 	case old == "":
@@ -66,43 +66,43 @@
 }
 
 // Vote casts a vote; the answer reaches the module as news.
-func (d *Desk) Vote(v relay.Vote) {
+func (d *Client) Vote(v relay.Vote) {
 	if d.where() != "" {
 		select {
 		case d.votes <- v:
 			return
 		default:
-			d.loop.Stats.Add(metrics.BoundQueue, 1)
+			d.loop.Metrics.Add(metrics.BoundQueue, 1)
 		}
 	}
 	d.tell(relay.RolloutStatus{Reply: relay.ReplyNotCounted})
 }
 
-func (d *Desk) tell(n relay.RolloutStatus) {
+func (d *Client) tell(n relay.RolloutStatus) {
 	switch n.Reply {
 	case relay.ReplyNone:
-		d.loop.Stats.Add(metrics.News, 1)
+		d.loop.Metrics.Add(metrics.RolloutStatuses, 1)
 	case relay.ReplyCounted:
-		d.loop.Stats.Add(metrics.VotesCounted, 1)
+		d.loop.Metrics.Add(metrics.VotesCounted, 1)
 	case relay.ReplyNotCounted:
-		d.loop.Stats.Add(metrics.VotesNotCounted, 1)
+		d.loop.Metrics.Add(metrics.VotesNotCounted, 1)
 	case relay.ReplyStale:
-		d.loop.Stats.Add(metrics.VotesMoot, 1)
+		d.loop.Metrics.Add(metrics.VotesStale, 1)
 	case relay.ReplyMaybeCounted:
-		d.loop.Stats.Add(metrics.VotesMaybe, 1)
+		d.loop.Metrics.Add(metrics.VotesMaybeCounted, 1)
 	}
-	d.loop.Post(pipeline.Call(func(l *pipeline.Loop) {
-		if d.Hear != nil {
-			d.Hear(l, n)
+	d.loop.Post(pipeline.Func(func(l *pipeline.Loop) {
+		if d.OnStatus != nil {
+			d.OnStatus(l, n)
 		} else {
-			l.Told(n)
+			l.RolloutStatusReceived(n)
 		}
 	}))
 }
 
 // line is a connection that is read line by line.
 type line struct {
-	d     *Desk
+	d     *Client
 	where string
 	net   netpoll.Connection
 	split linewire.Splitter
@@ -111,19 +111,19 @@
 	calls int
 }
 
-func (d *Desk) dial(where string) (*line, error) {
+func (d *Client) dial(where string) (*line, error) {
 	n, err := netpoll.DialConnection("tcp", where, d.wait)
 	if err != nil {
-		metrics.LogEnd(d.loop.Log, "platform", where, metrics.ByRefusal, 0, 0, err)
+		metrics.LogConnectionEnd(d.loop.Log, "platform", where, metrics.ClosedByConnectError, 0, 0, err)
 		return nil, err
 	}
 	n.SetWriteTimeout(d.wait)
 	return &line{d: d, where: where, net: n, begun: time.Now()}, nil
 }
 
-func (c *line) end(why metrics.Reason) {
+func (c *line) end(why metrics.CloseReason) {
 	c.net.Close()
-	metrics.LogEnd(c.d.loop.Log, "platform", c.where, why, time.Since(c.begun).Seconds(), c.calls, nil)
+	metrics.LogConnectionEnd(c.d.loop.Log, "platform", c.where, why, time.Since(c.begun).Seconds(), c.calls, nil)
 }
 
 var errLate = errors.New("no line in time")
@@ -157,15 +157,15 @@
 }
 
 // reason sorts a failure to read.
-func (d *Desk) reason(err error) metrics.Reason {
+func (d *Client) reason(err error) metrics.CloseReason {
 	switch {
 	case errors.Is(err, errLate):
-		return metrics.ByLateAnswer
+		return metrics.ClosedByResponseTimeout
 	case errors.Is(err, linewire.ErrMalformed), errors.Is(err, linewire.ErrTooLong):
-		d.loop.Stats.Add(metrics.BadInput, 1)
-		return metrics.ByBadInput
+		d.loop.Metrics.Add(metrics.BadInput, 1)
+		return metrics.ClosedByBadInput
 	}
-	return metrics.ByPeer
+	return metrics.ClosedByPeer
 }
 
 // ballot is a connection for votes: they are written one behind another, and the answers come in their order.
@@ -178,7 +178,7 @@
 }
 
 // voting casts votes as the module orders them.
-func (d *Desk) voting() {
+func (d *Client) voting() {
 	var b *ballot
 	for v := range d.votes {
 		where := d.where()
@@ -212,7 +212,7 @@
 	b.usedAt = time.Now()
 	b.open = append(b.open, b.usedAt)
 	b.calls++
-	b.net.Write([]byte(linewire.Vote(v))) // where it fails, the reader sees the end of the connection
+	b.net.Write([]byte(linewire.VoteLine(v))) // where it fails, the reader sees the end of the connection
 	return true
 }
 
@@ -237,7 +237,7 @@
 // answers reads until an answer is late or can't be read, or nothing was asked for long. Votes that are open
 // then may have counted.
 func (b *ballot) answers() {
-	why, err := metrics.ByIdle, error(nil)
+	why, err := metrics.ClosedByIdleTimeout, error(nil)
 	for {
 		left, idle := b.due()
 		if left <= 0 {
@@ -245,7 +245,7 @@
 				continue // a vote was cast meanwhile
 			}
 			if !idle {
-				why = metrics.ByLateAnswer
+				why = metrics.ClosedByResponseTimeout
 			}
 			break
 		}
@@ -275,11 +275,11 @@
 
 // answer matches a line to the oldest open vote.
 func (b *ballot) answer(s string) error {
-	reply, err := linewire.Parse(s)
-	if err != nil || reply.Told {
+	reply, err := linewire.ParseReply(s)
+	if err != nil || reply.Unsolicited {
 		return err
 	}
-	if reply.Error == "" && !reply.News.Valid {
+	if reply.Error == "" && !reply.Status.Valid {
 		return linewire.ErrMalformed
 	}
 	b.mu.Lock()
@@ -291,11 +291,11 @@
 	if !known {
 		return linewire.ErrMalformed // nothing was asked
 	}
-	news := reply.News
+	news := reply.Status
 	news.Reply = relay.ReplyCounted
 	if reply.Error != "" {
 		b.d.loop.Log.WithFields(logrus.Fields{"peer": "platform", "error": reply.Error}).Info("vote not counted")
-		if news.Reply = relay.ReplyNotCounted; reply.Error == linewire.Moot {
+		if news.Reply = relay.ReplyNotCounted; reply.Error == linewire.CodeStale {
 			news.Reply = relay.ReplyStale
 		}
 	}
@@ -319,14 +319,14 @@
 // watch is a connection that is told things, on a goroutine of its own: news must not wait while another
 // connection comes up.
 type watch struct {
-	d        *Desk
+	d        *Client
 	where    string
 	replaced atomic.Bool
 }
 
 // watching keeps a watch. When it has been silent for long, or the platform has moved, a fresh one is opened
 // beside it and takes its place once it stands.
-func (d *Desk) watching() {
+func (d *Client) watching() {
 	var standing, coming *watch
 	off := time.Duration(limits.BackOff)
 	begin := func(after time.Duration) {
@@ -376,12 +376,12 @@
 		return
 	}
 	c.calls++
-	if _, err = c.net.Write([]byte(linewire.Watch)); err == nil {
+	if _, err = c.net.Write([]byte(linewire.WatchLine)); err == nil {
 		err = w.read(c)
 	}
 	why := w.d.reason(err)
 	if w.replaced.Load() {
-		why = metrics.ByNewer
+		why = metrics.ClosedByReplacement
 	}
 	c.end(why)
 }
@@ -408,13 +408,13 @@
 }
 
 // heard takes a line that was told.
-func (d *Desk) heard(s string) error {
-	reply, err := linewire.Parse(s)
-	if err == nil && !reply.Told {
+func (d *Client) heard(s string) error {
+	reply, err := linewire.ParseReply(s)
+	if err == nil && !reply.Unsolicited {
 		return linewire.ErrMalformed // nothing was asked
 	}
-	if err == nil && (reply.News.Valid || d.Hear != nil) {
-		d.tell(reply.News)
+	if err == nil && (reply.Status.Valid || d.OnStatus != nil) {
+		d.tell(reply.Status)
 	}
 	return err
 }
--- a/internal/platform/platform_test.go
+++ b/internal/platform/platform_test.go
@@ -56,12 +56,12 @@
 		t.Fatal(s, err)
 	}
 	fmt.Fprint(peer, "OK 2 0 canary 0.5 10\r\n")
-	for end := time.Now().Add(10 * time.Second); l.Stats.Get(metrics.VotesCounted) == 0; time.Sleep(time.Millisecond) {
+	for end := time.Now().Add(10 * time.Second); l.Metrics.Get(metrics.VotesCounted) == 0; time.Sleep(time.Millisecond) {
 		if time.Now().After(end) {
 			t.Fatal("not counted")
 		}
 	}
-	if n := l.Stats.Get(metrics.VotesMaybe); n != 0 {
+	if n := l.Metrics.Get(metrics.VotesMaybeCounted); n != 0 {
 		t.Errorf("%d may have counted", n)
 	}
 	if !b.rest() || b.cast(relay.Vote{Build: 2}) {
--- a/internal/releasecontroller/control.go
+++ b/internal/releasecontroller/control.go
@@ -32,16 +32,16 @@
 
 // Request is one operator's word. A request is a line of JSON and so is its answer.
 type Request struct {
-	Word    string      `json:"word"` // what the control file holds
-	Verb    string      `json:"verb"` // status, history, offer, freeze, thaw, halt, resume, back
-	Service string      `json:"service,omitempty"`
-	Build   relay.Build `json:"build,omitempty"`
-	Name    string      `json:"name,omitempty"`
-	Until   plan.Unix   `json:"until,omitempty"`
-	Who     string      `json:"who,omitempty"`
-	Why     string      `json:"why,omitempty"`
-	Votes   bool        `json:"votes,omitempty"`
-	Last    int         `json:"last,omitempty"`
+	Argument string      `json:"word"` // what the control file holds
+	Verb     string      `json:"verb"` // status, history, offer, freeze, thaw, halt, resume, back
+	Service  string      `json:"service,omitempty"`
+	Build    relay.Build `json:"build,omitempty"`
+	Name     string      `json:"name,omitempty"`
+	Until    plan.Unix   `json:"until,omitempty"`
+	Who      string      `json:"who,omitempty"`
+	Why      string      `json:"why,omitempty"`
+	Votes    bool        `json:"votes,omitempty"`
+	Last     int         `json:"last,omitempty"`
 }
 
 // Reply is the answer to it.
@@ -54,14 +54,14 @@
 }
 
 type control struct {
-	desk *Desk
+	desk *Controller
 	ln   net.Listener
 	word string
 	slot chan struct{}
 }
 
 // openControl listens on loopback and writes down where, with a word that only who may read the file knows.
-func openControl(d *Desk, address string) (*control, error) {
+func openControl(d *Controller, address string) (*control, error) {
 	if address == "" {
 		address = "127.0.0.1:0"
 	}
@@ -119,7 +119,7 @@
 	switch {
 	case err != nil:
 		out.Error = "the request can't be read"
-	case subtle.ConstantTimeCompare([]byte(r.Word), []byte(c.word)) != 1:
+	case subtle.ConstantTimeCompare([]byte(r.Argument), []byte(c.word)) != 1:
 		out.Error = "the word is wrong"
 	default:
 		out = c.desk.operate(r)
@@ -128,7 +128,7 @@
 }
 
 // operate carries out a request and waits until it is on disk.
-func (d *Desk) operate(r Request) Reply {
+func (d *Controller) operate(r Request) Reply {
 	if r.Verb == "history" { // read beside the loop; a record that is being written is not whole yet, and left out
 		events, err := History(d.dir, r.Votes, min(max(r.Last, 1), mostHistory))
 		if err != nil {
@@ -137,7 +137,7 @@
 		return Reply{Events: events}
 	}
 	got := make(chan Reply, 1)
-	d.post(func(d *Desk) {
+	d.post(func(d *Controller) {
 		var out Reply
 		if err := d.word(r); err != nil {
 			out.Error = oneLine(err)
@@ -156,10 +156,10 @@
 	}
 }
 
-var verbs = map[string]rollout.Kind{"freeze": rollout.Froze, "thaw": rollout.Thawed, "halt": rollout.Halted,
-	"resume": rollout.Resumed, "back": rollout.SentBack}
+var verbs = map[string]rollout.EventKind{"freeze": rollout.EventFrozen, "thaw": rollout.EventUnfrozen, "halt": rollout.EventHalted,
+	"resume": rollout.EventResumed, "back": rollout.EventRollingBack}
 
-func (d *Desk) word(r Request) error {
+func (d *Controller) word(r Request) error {
 	switch kind := verbs[r.Verb]; {
 	case r.Verb == "status":
 		return nil
@@ -185,12 +185,12 @@
 	default:
 		return fmt.Errorf("%q is no verb", r.Verb)
 	}
-	d.events = append(d.events, d.core.Due(d.now())...)
+	d.events = append(d.events, d.core.Advance(d.now())...)
 	return nil
 }
 
 // Ask sends a request to the desk that has a directory open.
-func Ask(ctx context.Context, dir string, r Request) (Reply, error) {
+func Call(ctx context.Context, dir string, r Request) (Reply, error) {
 	raw, err := os.ReadFile(filepath.Join(dir, controlName))
 	if err != nil {
 		return Reply{}, fmt.Errorf("no desk runs with %s: %w", dir, err)
@@ -199,7 +199,7 @@
 	if len(words) != 2 {
 		return Reply{}, fmt.Errorf("%s: can't be read", filepath.Join(dir, controlName))
 	}
-	r.Word = words[1]
+	r.Argument = words[1]
 	var dial net.Dialer
 	ctx, cancel := context.WithTimeout(ctx, controlFor)
 	defer cancel()
--- a/internal/releasecontroller/desk.go
+++ b/internal/releasecontroller/desk.go
@@ -24,12 +24,12 @@
 )
 
 // Desk is a release desk that runs. One goroutine, Run, owns the state; the others post to it.
-type Desk struct {
+type Controller struct {
 	core    *rollout.Core
 	journal *Journal
 	log     *logrus.Logger
 	clock   func() plan.Unix
-	posts   chan func(*Desk)
+	posts   chan func(*Controller)
 	done    chan struct{}
 	ports   []*port
 	control *control
@@ -50,9 +50,9 @@
 	Dir     string // of the journal
 	Control string // address of the control socket; a free port of 127.0.0.1 where empty
 	Log     *logrus.Logger
-	Clock   func() plan.Unix                   // the machine's where nil
-	Crash   func(place string) error           // for tests, see Journal
-	Ready   func(d *Desk, addresses Addresses) // called once all ports are open
+	Clock   func() plan.Unix                         // the machine's where nil
+	Crash   func(place string) error                 // for tests, see Journal
+	Ready   func(d *Controller, addresses Addresses) // called once all ports are open
 }
 
 // Addresses lists where the ports are.
@@ -64,7 +64,7 @@
 
 // Start reads the journal, folds it, opens the ports and runs until the context ends.
 func Start(ctx context.Context, o Options) error {
-	d := &Desk{core: rollout.New(o.Plan), log: o.Log, clock: o.Clock, posts: make(chan func(*Desk), postsAhead),
+	d := &Controller{core: rollout.New(o.Plan), log: o.Log, clock: o.Clock, posts: make(chan func(*Controller), postsAhead),
 		done: make(chan struct{}), lines: map[*line]struct{}{}, told: make([]relay.RolloutStatus, len(o.Plan.Services)), dir: o.Dir}
 	if d.clock == nil {
 		d.clock = func() plan.Unix { return float64(time.Now().UnixNano()) / 1e9 }
@@ -75,12 +75,12 @@
 		return err
 	}
 	defer d.journal.Close()
-	d.journal.Crash = o.Crash
-	if d.journal.Cut > 0 {
-		d.log.WithField("bytes", d.journal.Cut).Warn("a torn last record was cut off the journal")
+	d.journal.CrashPoint = o.Crash
+	if d.journal.TruncatedBytes > 0 {
+		d.log.WithField("bytes", d.journal.TruncatedBytes).Warn("a torn last record was cut off the journal")
 	}
 	d.log.WithField("events", events).Info("journal read")
-	d.do(rollout.Event{At: d.now(), Kind: rollout.Started})
+	d.do(rollout.Event{At: d.now(), Kind: rollout.EventControllerStarted})
 	if err := d.flush(); err != nil {
 		return err
 	}
@@ -96,7 +96,7 @@
 }
 
 // open listens on every address.
-func (d *Desk) open(o Options) (Addresses, error) {
+func (d *Controller) open(o Options) (Addresses, error) {
 	at := Addresses{Relays: map[string]map[string]string{}, Watch: map[string]string{}}
 	var err error
 	if d.control, err = openControl(d, o.Control); err != nil {
@@ -110,7 +110,7 @@
 			if r.Listen == "" {
 				continue
 			}
-			p, err := d.listen(plan.ServiceNo(i), r.Name, r.Listen)
+			p, err := d.listen(plan.ServiceIndex(i), r.Name, r.Listen)
 			if err != nil {
 				return at, fmt.Errorf("service %s, relay %s: %w", s.Name, r.Name, err)
 			}
@@ -120,7 +120,7 @@
 		if s.Watch == "" {
 			continue
 		}
-		p, err := d.listen(plan.ServiceNo(i), "", s.Watch)
+		p, err := d.listen(plan.ServiceIndex(i), "", s.Watch)
 		if err != nil {
 			return at, fmt.Errorf("service %s, watch: %w", s.Name, err)
 		}
@@ -130,11 +130,11 @@
 	return at, nil
 }
 
-func (d *Desk) now() plan.Unix { return d.clock() }
+func (d *Controller) now() plan.Unix { return d.clock() }
 
 // post hands something to the loop. It waits where the loop is behind: the caller is a connection's goroutine, whose
 // peer then waits too.
-func (d *Desk) post(f func(*Desk)) {
+func (d *Controller) post(f func(*Controller)) {
 	select {
 	case d.posts <- f:
 	case <-d.done:
@@ -142,7 +142,7 @@
 }
 
 // do folds an event in; it goes to disk with the batch.
-func (d *Desk) do(e rollout.Event) {
+func (d *Controller) do(e rollout.Event) {
 	if err := d.core.Apply(e); err != nil {
 		d.log.WithError(err).Error("event refused") // Core made it of its own state
 		return
@@ -151,18 +151,18 @@
 }
 
 // later sends an answer once the batch is on disk.
-func (d *Desk) later(c *line, text func() string) {
+func (d *Controller) later(c *line, text func() string) {
 	d.answers = append(d.answers, func() { c.send(text()) })
 }
 
 // flush puts the batch on disk, then sends the answers and tells what has changed.
-func (d *Desk) flush() error {
+func (d *Controller) flush() error {
 	if len(d.events) > 0 {
 		if err := d.journal.Append(d.events); err != nil {
 			return fmt.Errorf("journal: %w", err)
 		}
 		for _, e := range d.events {
-			if e.Kind != rollout.Voted {
+			if e.Kind != rollout.EventVoted {
 				d.log.WithFields(logrus.Fields{"event": string(e.Kind), "service": e.Service, "build": e.Build, "step": e.Step,
 					"name": e.Name, "who": e.Who, "why": e.Why}).Info("release")
 			}
@@ -178,18 +178,18 @@
 }
 
 // tell tells watches what has changed, and now and then all of it, with signs of life between.
-func (d *Desk) tell() {
+func (d *Controller) tell() {
 	now, wall := d.now(), time.Now()
 	again, sign := wall.Sub(d.againAt) >= againEvery, wall.Sub(d.signAt) >= signEvery
 	text := make([]string, len(d.told))
 	for i := range d.told {
-		n := d.core.News(plan.ServiceNo(i), now)
+		n := d.core.Statuses(plan.ServiceIndex(i), now)
 		same := d.told[i]
 		same.Age = n.Age
 		if n != same || again {
 			d.told[i] = n
 			if n.Valid {
-				text[i] = linewire.Tell(n)
+				text[i] = linewire.StatusNoticeLine(n)
 			}
 		}
 	}
@@ -204,19 +204,19 @@
 		case c.watching:
 			out := text[c.port.service]
 			if sign {
-				out += linewire.Sign
+				out += linewire.KeepAliveLine
 			}
 			if out != "" {
 				c.send(out)
 			}
 		case sign && wall.UnixNano()-c.used.Load() > int64(idleFor):
-			go c.end(metrics.ByIdle, nil)
+			go c.end(metrics.ClosedByIdleTimeout, nil)
 		}
 	}
 }
 
 // run is the loop.
-func (d *Desk) run(ctx context.Context) error {
+func (d *Controller) run(ctx context.Context) error {
 	defer close(d.done)
 	alarm := time.NewTimer(0)
 	defer alarm.Stop()
@@ -231,7 +231,7 @@
 			}
 		case <-alarm.C:
 		}
-		d.events = append(d.events, d.core.Due(d.now())...)
+		d.events = append(d.events, d.core.Advance(d.now())...)
 		if err := d.flush(); err != nil {
 			return err
 		}
@@ -247,8 +247,8 @@
 }
 
 // Replan puts another plan in place. Ports stay as they are: new relays and services get theirs at the next start.
-func (d *Desk) Replan(p *plan.Plan, err error) {
-	d.post(func(d *Desk) {
+func (d *Controller) Replan(p *plan.Plan, err error) {
+	d.post(func(d *Controller) {
 		if err == nil {
 			if len(p.Services) != len(d.told) {
 				err = errors.New("services come and go only at a start")
@@ -270,12 +270,12 @@
 	})
 }
 
-func (d *Desk) shut() {
+func (d *Controller) shut() {
 	for _, p := range d.ports {
 		sockets.StopAccepting(p.ln)
 	}
 	for c := range d.lines {
-		c.end(metrics.ByShutdown, nil)
+		c.end(metrics.ClosedByShutdown, nil)
 	}
 	if d.control != nil {
 		d.control.close()
--- a/internal/releasecontroller/desk_test.go
+++ b/internal/releasecontroller/desk_test.go
@@ -43,7 +43,7 @@
 	t    *testing.T
 	dir  string
 	at   Addresses
-	desk *Desk
+	desk *Controller
 	over chan error
 	mu   sync.Mutex
 	now  plan.Unix
@@ -58,7 +58,7 @@
 	ready := make(chan struct{})
 	go func() {
 		r.over <- Start(ctx, Options{Plan: testPlan(t), Dir: dir, Log: log, Crash: crash, Clock: r.clock,
-			Ready: func(d *Desk, at Addresses) { r.desk, r.at = d, at; close(ready) }})
+			Ready: func(d *Controller, at Addresses) { r.desk, r.at = d, at; close(ready) }})
 	}()
 	select {
 	case <-ready:
@@ -87,7 +87,7 @@
 	if q.Who == "" {
 		q.Who, q.Why = "ops", "a test"
 	}
-	return Ask(context.Background(), r.dir, q)
+	return Call(context.Background(), r.dir, q)
 }
 
 func (r *running) must(q Request) Reply {
@@ -223,7 +223,7 @@
 	if s := b.call("VOTE 7 0 approve"); !strings.HasPrefix(s, "OK 7 0 ") {
 		t.Error("it went on in the freeze: ", s)
 	}
-	if out := r.must(Request{Verb: "status"}); out.Status[0].Code != rollout.IsClosed || len(out.Freezes) != 1 {
+	if out := r.must(Request{Verb: "status"}); out.Status[0].Code != rollout.BlockedByOperatorFreeze || len(out.Freezes) != 1 {
 		t.Errorf("%+v", out)
 	}
 	if out := r.must(Request{Verb: "thaw", Name: "audit"}); out.Status[0].Step != "two" {
@@ -242,14 +242,14 @@
 	var kinds []string
 	for _, e := range events {
 		kinds = append(kinds, string(e.Kind))
-		if (e.Kind == rollout.Froze || e.Kind == rollout.SentBack) && (e.Who != "ops" || e.Why != "a test") {
+		if (e.Kind == rollout.EventFrozen || e.Kind == rollout.EventRollingBack) && (e.Who != "ops" || e.Why != "a test") {
 			t.Errorf("%+v", e)
 		}
 	}
 	if got := strings.Join(kinds, " "); err != nil || got != "started offered began froze thawed moved sent_back" {
 		t.Error(got, err)
 	}
-	if _, err := Ask(context.Background(), t.TempDir(), Request{Verb: "status"}); err == nil {
+	if _, err := Call(context.Background(), t.TempDir(), Request{Verb: "status"}); err == nil {
 		t.Error("no desk answered")
 	}
 	raw, _ := os.ReadFile(filepath.Join(dir, controlName))
@@ -266,7 +266,7 @@
 // nobody could reach it, so it must be refused.
 func TestNoControlWithoutItsFile(t *testing.T) {
 	missing := filepath.Join(t.TempDir(), "missing")
-	if c, err := openControl(&Desk{dir: missing}, ""); !errors.Is(err, fs.ErrNotExist) {
+	if c, err := openControl(&Controller{dir: missing}, ""); !errors.Is(err, fs.ErrNotExist) {
 		t.Errorf("opened: %v, error: %v", c != nil, err)
 	}
 }
@@ -309,7 +309,7 @@
 		events, _ := History(dir, false, 100)
 		moves := 0
 		for _, e := range events {
-			if e.Kind == rollout.Moved {
+			if e.Kind == rollout.EventPromoted {
 				moves++
 			}
 		}
@@ -328,7 +328,7 @@
 			t.Fatal(err)
 		}
 		out = append(out, e)
-		out = append(out, c.Due(e.At)...)
+		out = append(out, c.Advance(e.At)...)
 	}
 	for b := relay.Build(1); b <= 3; b++ {
 		at := 1000 * float64(b)
@@ -344,7 +344,7 @@
 				}
 			}
 		}
-		e, err = c.Operate(rollout.Froze, "b", fmt.Sprint("f", b), "ops", "why", 0, at+5)
+		e, err = c.Operate(rollout.EventFrozen, "b", fmt.Sprint("f", b), "ops", "why", 0, at+5)
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -444,7 +444,7 @@
 		for _, e := range events {
 			c.Apply(e)
 		}
-		j.Crash = func(at string) error {
+		j.CrashPoint = func(at string) error {
 			if at == place {
 				return errKilled
 			}
@@ -487,7 +487,7 @@
 	if got := step(); got != 0.1 {
 		t.Error("a bad plan changed the cap to ", got)
 	}
-	more.Services[0].Steps[0].Cap = 0.05
+	more.Services[0].Steps[0].ExposureLimit = 0.05
 	r.desk.Replan(more, nil)
 	if got := step(); got != 0.05 {
 		t.Error("the good plan does not hold: ", got)
--- a/internal/releasecontroller/journal.go
+++ b/internal/releasecontroller/journal.go
@@ -1,4 +1,4 @@
-// Package desk is the release desk on sockets: it keeps the state of package rollout in a journal, speaks the
+// Package releasecontroller is the release desk on sockets: it keeps the state of package rollout in a journal, speaks the
 // platform's lines to relays, and takes operators' words on a control socket. It decides nothing about releases.
 package releasecontroller
 
@@ -38,14 +38,14 @@
 
 // Journal is the desk's record on disk.
 type Journal struct {
-	dir  string
-	file *os.File
-	lock *os.File
-	size int64
-	Cut  int64 // bytes of a torn last record that were cut off at the start
+	dir            string
+	file           *os.File
+	lock           *os.File
+	size           int64
+	TruncatedBytes int64 // bytes of a torn last record that were cut off at the start
 
 	// Crash is called at named places, for tests that end the process or the writing there.
-	Crash func(place string) error
+	CrashPoint func(place string) error
 }
 
 // errDamaged says that a record in the middle can't be read while later ones can: not the work of a crash.
@@ -87,7 +87,7 @@
 		return err
 	}
 	if len(raw) < len(journalHead) && strings.HasPrefix(journalHead, string(raw)) {
-		j.Cut = int64(len(raw))
+		j.TruncatedBytes = int64(len(raw))
 		if err := j.start(file); err != nil {
 			return err
 		}
@@ -98,7 +98,7 @@
 	if err != nil {
 		return fmt.Errorf("%s: %w", j.path(journalName), err)
 	}
-	if j.Cut = int64(len(raw) - whole); j.Cut > 0 {
+	if j.TruncatedBytes = int64(len(raw) - whole); j.TruncatedBytes > 0 {
 		if err := file.Truncate(int64(whole)); err != nil {
 			return err
 		}
@@ -184,8 +184,8 @@
 }
 
 func (j *Journal) crash(place string) error {
-	if j.Crash != nil {
-		return j.Crash(place)
+	if j.CrashPoint != nil {
+		return j.CrashPoint(place)
 	}
 	return nil
 }
@@ -315,14 +315,14 @@
 		}
 		if i > 0 { // it begins with a snapshot of what was said before
 			for k, e := range events {
-				if e.Kind == rollout.Started && e.Why == "snapshot" {
+				if e.Kind == rollout.EventControllerStarted && e.Why == "snapshot" {
 					events = events[k+1:]
 					break
 				}
 			}
 		}
 		for _, e := range events {
-			if votes || e.Kind != rollout.Voted {
+			if votes || e.Kind != rollout.EventVoted {
 				out = append(out, e)
 			}
 		}
--- a/internal/releasecontroller/wire.go
+++ b/internal/releasecontroller/wire.go
@@ -30,8 +30,8 @@
 
 // port is one address of the desk: of one relay, or for whoever watches a service.
 type port struct {
-	desk    *Desk
-	service plan.ServiceNo
+	desk    *Controller
+	service plan.ServiceIndex
 	relay   string // none: votes are not taken here
 	ln      net.Listener
 	open    atomic.Int64
@@ -54,14 +54,14 @@
 	behind  int
 	writing bool
 	over    bool
-	reason  metrics.Reason
+	reason  metrics.CloseReason
 	fault   error
 }
 
 type lineKey struct{}
 
 // listen opens a port.
-func (d *Desk) listen(service plan.ServiceNo, relay, address string) (*port, error) {
+func (d *Controller) listen(service plan.ServiceIndex, relay, address string) (*port, error) {
 	p := &port{desk: d, service: service, relay: relay}
 	ln, err := net.Listen("tcp", address)
 	if err != nil {
@@ -85,10 +85,10 @@
 	n.SetWriteTimeout(writeFor)
 	n.AddCloseCallback(c.closed)
 	if p.open.Add(1) > connsEach {
-		c.end(metrics.ByBound, nil)
+		c.end(metrics.ClosedByBound, nil)
 		return context.WithValue(context.Background(), lineKey{}, c)
 	}
-	p.desk.post(func(d *Desk) { d.lines[c] = struct{}{} })
+	p.desk.post(func(d *Controller) { d.lines[c] = struct{}{} })
 	return context.WithValue(context.Background(), lineKey{}, c)
 }
 
@@ -97,7 +97,7 @@
 	c.mu.Lock()
 	c.over = true
 	if c.reason == "" {
-		c.reason = metrics.ByPeer
+		c.reason = metrics.ClosedByPeer
 	}
 	why, fault := c.reason, c.fault
 	c.mu.Unlock()
@@ -105,12 +105,12 @@
 	if name == "" {
 		name = c.net.RemoteAddr().String()
 	}
-	metrics.LogEnd(c.port.desk.log, "relay", name, why, time.Since(c.begun).Seconds(), int(c.calls.Load()), fault)
-	c.port.desk.post(func(d *Desk) { delete(d.lines, c) })
+	metrics.LogConnectionEnd(c.port.desk.log, "relay", name, why, time.Since(c.begun).Seconds(), int(c.calls.Load()), fault)
+	c.port.desk.post(func(d *Controller) { delete(d.lines, c) })
 	return nil
 }
 
-func (c *line) end(why metrics.Reason, fault error) {
+func (c *line) end(why metrics.CloseReason, fault error) {
 	c.mu.Lock()
 	if c.reason == "" {
 		c.reason, c.fault = why, fault
@@ -130,7 +130,7 @@
 	err = c.split.Feed(b, c.call)
 	r.Release()
 	if err != nil {
-		c.end(metrics.ByBadInput, err)
+		c.end(metrics.ClosedByBadInput, err)
 	}
 	return nil
 }
@@ -141,21 +141,21 @@
 	c.used.Store(time.Now().UnixNano())
 	if c.ahead.Add(1) > callsAhead {
 		c.ahead.Add(-1)
-		c.send(linewire.Refuse("Throttling"))
+		c.send(linewire.ErrorLine("Throttling"))
 		return
 	}
 	call, err := linewire.ParseCall(text)
-	c.port.desk.post(func(d *Desk) {
+	c.port.desk.post(func(d *Controller) {
 		c.ahead.Add(-1)
 		switch {
 		case err != nil:
-			d.later(c, func() string { return linewire.Refuse("ValidationError") })
+			d.later(c, func() string { return linewire.ErrorLine("ValidationError") })
 		case call.Watch:
 			d.later(c, func() string {
 				c.watching = true
-				out := linewire.Okay
-				if n := d.core.News(c.port.service, d.now()); n.Valid {
-					out += linewire.Tell(n)
+				out := linewire.OKLine
+				if n := d.core.Statuses(c.port.service, d.now()); n.Valid {
+					out += linewire.StatusNoticeLine(n)
 				}
 				return out
 			})
@@ -175,7 +175,7 @@
 		return
 	}
 	if c.behind += len(text); c.behind > mostBehind {
-		go c.end(metrics.ByWrite, errBehind)
+		go c.end(metrics.ClosedByWriteError, errBehind)
 		return
 	}
 	c.queue = append(c.queue, text)
@@ -197,7 +197,7 @@
 		c.queue = c.queue[1:]
 		c.mu.Unlock()
 		if _, err := c.net.Write([]byte(text)); err != nil {
-			c.end(metrics.ByWrite, err)
+			c.end(metrics.ClosedByWriteError, err)
 			return
 		}
 		c.mu.Lock()
@@ -207,16 +207,16 @@
 }
 
 // vote counts a vote, if it may count. The answer goes out once it is on disk.
-func (d *Desk) vote(c *line, v relay.Vote) {
+func (d *Controller) vote(c *line, v relay.Vote) {
 	if c.port.relay == "" {
-		d.later(c, func() string { return linewire.Refuse("ValidationError") })
+		d.later(c, func() string { return linewire.ErrorLine("ValidationError") })
 		return
 	}
 	e, refused := d.core.Vote(c.port.service, c.port.relay, v, d.now())
 	if refused != "" {
-		d.later(c, func() string { return linewire.Refuse(string(refused)) })
+		d.later(c, func() string { return linewire.ErrorLine(string(refused)) })
 		return
 	}
 	d.do(e)
-	d.later(c, func() string { return linewire.Answer(d.core.News(c.port.service, d.now())) })
+	d.later(c, func() string { return linewire.StatusReplyLine(d.core.Statuses(c.port.service, d.now())) })
 }
--- a/internal/upstream/bench_test.go
+++ b/internal/upstream/bench_test.go
@@ -30,7 +30,7 @@
 			before := inUse()
 			for b.Loop() {
 				for i := range units {
-					p.Listed(relay.Endpoint{ID: relay.EndpointID(i), Build: 41}, names[i], addresses[i])
+					p.EndpointsListed(relay.Endpoint{ID: relay.EndpointID(i), Build: 41}, names[i], addresses[i])
 				}
 			}
 			b.ReportMetric(inUse()-before, "heap-B")
--- a/internal/upstream/conn.go
+++ b/internal/upstream/conn.go
@@ -42,10 +42,10 @@
 	address string
 	net     netpoll.Connection
 	state   state
-	leg     *pipeline.Leg
-	partly  *pipeline.Leg // whose answer has begun
-	since   relay.Seconds // idle since
-	last    relay.Seconds // when the last answer was read
+	leg     *pipeline.Attempt
+	partly  *pipeline.Attempt // whose answer has begun
+	since   relay.Seconds     // idle since
+	last    relay.Seconds     // when the last answer was read
 	up      relay.Seconds
 	queries int
 	fault   error // what was wrong with what came
@@ -66,35 +66,35 @@
 	begun := p.loop.Clock.Now()
 	n, err := netpoll.DialConnection("tcp", address, span(p.connect))
 	if err != nil {
-		p.loop.Post(pipeline.Call(func(l *pipeline.Loop) {
+		p.loop.Post(pipeline.Func(func(l *pipeline.Loop) {
 			u.coming--
-			p.ended(u, metrics.ByRefusal, l.Clock.Now()-begun, 0, err)
+			p.ended(u, metrics.ClosedByConnectError, l.Clock.Now()-begun, 0, err)
 			p.missed(u)
 		}))
 		return
 	}
 	c := &conn{pool: p, unit: u, address: address, net: n, up: begun, writing: true,
-		split: pgwire.Splitter{Pool: p.loop.Pool, Types: pgwire.FromUnits, Most: pgwire.MaxAnswer}}
+		split: pgwire.Splitter{Pool: p.loop.Pool, Types: pgwire.FromUnits, MaxLength: pgwire.MaxResponse}}
 	n.SetWriteTimeout(span(p.connect))
 	n.AddCloseCallback(func(netpoll.Connection) error {
 		// No read is under way here, and none follows.
 		c.split.Free()
 		c.answer.Free()
-		p.loop.Post(pipeline.Call(func(*pipeline.Loop) { c.close(metrics.ByPeer) }))
+		p.loop.Post(pipeline.Func(func(*pipeline.Loop) { c.close(metrics.ClosedByPeer) }))
 		return nil
 	})
 	n.SetOnRequest(func(_ context.Context, n netpoll.Connection) error { return c.read(n) })
-	p.loop.Post(pipeline.Call(func(l *pipeline.Loop) {
-		l.At(begun+p.connect, func() {
+	p.loop.Post(pipeline.Func(func(l *pipeline.Loop) {
+		l.RunAt(begun+p.connect, func() {
 			if c.state == starting {
-				c.close(metrics.ByLateConnect)
+				c.close(metrics.ClosedByConnectTimeout)
 			}
 		})
 	}))
 	_, err = n.Write(p.hello)
-	p.loop.Post(pipeline.Call(func(*pipeline.Loop) {
+	p.loop.Post(pipeline.Func(func(*pipeline.Loop) {
 		if err != nil || !n.IsActive() {
-			c.close(metrics.ByPeer)
+			c.close(metrics.ClosedByPeer)
 		}
 		c.wrote()
 	}))
@@ -114,12 +114,12 @@
 	for len(u.waiting) > u.coming {
 		leg := u.waiting[0]
 		u.waiting = u.waiting[1:]
-		p.loop.End(leg, pipeline.Ending{How: relay.ConnectFailed, Took: p.loop.Clock.Now() - leg.Asked})
+		p.loop.EndAttempt(leg, pipeline.AttemptResult{Outcome: relay.ConnectFailed, Duration: p.loop.Clock.Now() - leg.StartedAt})
 	}
 }
 
 // close ends the connection, on the loop; whatever leg it carried ends by what is known of it.
-func (c *conn) close(why metrics.Reason) {
+func (c *conn) close(why metrics.CloseReason) {
 	if c.state == dead {
 		return
 	}
@@ -143,26 +143,26 @@
 			}
 		}
 	case busy:
-		if c.leg == nil || why == metrics.ByGivenUp {
+		if c.leg == nil || why == metrics.ClosedByAttemptEnd {
 			break // it has ended, or whoever gave it up books it
 		}
 		if sent := c.sentAt.Load(); sent == 0 {
-			p.loop.End(c.leg, pipeline.Ending{How: relay.ConnectFailed, Took: now - c.leg.Asked})
+			p.loop.EndAttempt(c.leg, pipeline.AttemptResult{Outcome: relay.ConnectFailed, Duration: now - c.leg.StartedAt})
 		} else {
-			p.loop.End(c.leg, pipeline.Ending{How: relay.ConnectionBroken, Took: now - float64(sent)/1e9})
+			p.loop.EndAttempt(c.leg, pipeline.AttemptResult{Outcome: relay.ConnectionBroken, Duration: now - float64(sent)/1e9})
 		}
 	}
 	c.leg = nil
 }
 
 // begin sends a leg on an idle connection.
-func (c *conn) begin(leg *pipeline.Leg) {
+func (c *conn) begin(leg *pipeline.Attempt) {
 	c.state, c.leg = busy, leg
 	leg.Conn = c
 	c.queries++
 	c.sentAt.Store(0)
 	var out *buffer.Chain
-	if leg.Query != nil {
+	if leg.Request != nil {
 		out = leg.Message(c.pool.loop.Pool, c.pool.loop.Clock.Now())
 	} else {
 		out = c.pool.loop.Pool.Filled(c.pool.probe)
@@ -176,14 +176,14 @@
 	c.writing = true
 	go func() {
 		c.write(leg, out)
-		c.pool.loop.Post(pipeline.Call(func(*pipeline.Loop) { c.wrote() }))
+		c.pool.loop.Post(pipeline.Func(func(*pipeline.Loop) { c.wrote() }))
 	}()
 }
 
 // write sends a message in two steps, all but the last byte and then that: as long as the first has not
 // succeeded, the unit has surely not begun. It uses the connection's own Write alone, which holds it against
 // being closed meanwhile; netpoll's Writer does not. A leg that has become late by then stops short of its last byte.
-func (c *conn) write(leg *pipeline.Leg, out *buffer.Chain) {
+func (c *conn) write(leg *pipeline.Attempt, out *buffer.Chain) {
 	defer out.Free()
 	left := out.Len()
 	err := out.Each(func(b []byte) error {
@@ -198,7 +198,7 @@
 			}
 		}
 		now := c.pool.loop.Clock.Now()
-		if leg.Late(now) {
+		if leg.SendExpired(now) {
 			return errLate
 		}
 		c.sentAt.Store(int64(now * 1e9))
@@ -210,15 +210,15 @@
 	})
 	switch {
 	case errors.Is(err, errLate):
-		c.pool.loop.Post(pipeline.Call(func(l *pipeline.Loop) {
+		c.pool.loop.Post(pipeline.Func(func(l *pipeline.Loop) {
 			if c.leg == leg {
-				c.close(metrics.ByGivenUp)
-				l.Stats.Add(metrics.LegsReleased, 1)
-				l.End(leg, pipeline.Ending{How: relay.NotSent})
+				c.close(metrics.ClosedByAttemptEnd)
+				l.Metrics.Add(metrics.AttemptsReleased, 1)
+				l.EndAttempt(leg, pipeline.AttemptResult{Outcome: relay.NotSent})
 			}
 		}))
 	case err != nil:
-		c.pool.loop.Post(pipeline.Call(func(*pipeline.Loop) { c.close(metrics.ByWrite) }))
+		c.pool.loop.Post(pipeline.Func(func(*pipeline.Loop) { c.close(metrics.ClosedByWriteError) }))
 	}
 }
 
@@ -232,7 +232,7 @@
 			err = c.split.Feed(b, func(m pgwire.Message) error { return c.take(m, at) })
 		}
 		if err != nil {
-			c.pool.loop.Stats.Add(metrics.BadInput, 1)
+			c.pool.loop.Metrics.Add(metrics.BadInput, 1)
 			c.pool.loop.Post(protocolError{c, err})
 			r.Skip(r.Len())
 			break
@@ -248,18 +248,18 @@
 type begun struct{ c *conn }
 
 // Take gives the rest a little time: units send an answer in one go.
-func (e begun) Take(l *pipeline.Loop) {
+func (e begun) Apply(l *pipeline.Loop) {
 	c, leg := e.c, e.c.leg
 	if c.state == idle || c.state == settling {
-		protocolError{c, errUnasked}.Take(l) // it came behind the last answer
+		protocolError{c, errUnasked}.Apply(l) // it came behind the last answer
 	}
 	if leg == nil || leg == c.partly {
 		return
 	}
 	c.partly = leg
-	l.At(l.Clock.Now()+limits.AnswerRest.Seconds(), func() {
+	l.RunAt(l.Clock.Now()+limits.AnswerRest.Seconds(), func() {
 		if c.leg == leg {
-			protocolError{c, errCut}.Take(l)
+			protocolError{c, errCut}.Apply(l)
 		}
 	})
 }
@@ -279,7 +279,7 @@
 		return nil
 	case 'S': // one that can't be read is passed over: the answer beside it may be good
 		if name, value, err := pgwire.ParseStatus(m.Body.Bytes()); err == nil && name == reportName {
-			c.report = pgwire.ParseReport(value, c.pool.loop.Site.LoadReportFields)
+			c.report = pgwire.ParseLoadReport(value, c.pool.loop.Site.LoadReportFields)
 		}
 		return nil
 	case 'T':
@@ -350,37 +350,37 @@
 }
 
 // Take ends the leg that it answers.
-func (e answered) Take(l *pipeline.Loop) {
+func (e answered) Apply(l *pipeline.Loop) {
 	c, leg, sent := e.c, e.c.leg, float64(e.c.sentAt.Load())/1e9
 	switch {
 	case c.state == starting:
 		c.fault = fmt.Errorf("%s %s", e.code, e.text)
-		c.close(metrics.ByStartupError)
+		c.close(metrics.ClosedByStartupError)
 	case leg == nil && e.code != "":
-		c.close(metrics.ByPeer) // unasked: it is about to close
+		c.close(metrics.ClosedByPeer) // unasked: it is about to close
 	case leg == nil || sent == 0 || e.at < sent:
-		protocolError{c, errUnasked}.Take(l)
+		protocolError{c, errUnasked}.Apply(l)
 	}
 	if c.state == dead {
 		e.answer.Free()
 		return
 	}
-	end := pipeline.Ending{How: e.how, Answer: e.answer, Report: e.report, Took: e.at - sent}
-	if leg.Query == nil && len(l.Site.LoadReportFields) > 0 {
-		end.Report = pgwire.ParseReport(e.row, l.Site.LoadReportFields)
+	end := pipeline.AttemptResult{Outcome: e.how, Response: e.answer, LoadReport: e.report, Duration: e.at - sent}
+	if leg.Request == nil && len(l.Site.LoadReportFields) > 0 {
+		end.LoadReport = pgwire.ParseLoadReport(e.row, l.Site.LoadReportFields)
 	} else if !l.Site.LoadReportInAttempts {
-		end.Report = nil
+		end.LoadReport = nil
 	}
 	if e.code == pgwire.CodeProtocol {
 		l.Log.WithField("unit", c.unit.name).Error("a unit did not understand a query: " + e.text)
 	}
 	c.leg, c.last = nil, e.at
-	l.At(l.Clock.Now()+limits.AnswerRest.Seconds(), func() {
+	l.RunAt(l.Clock.Now()+limits.AnswerRest.Seconds(), func() {
 		if c.state == busy && c.leg == nil && c.last == e.at {
-			protocolError{c, errCut}.Take(l) // it never said that it is ready, and would stay for good
+			protocolError{c, errCut}.Apply(l) // it never said that it is ready, and would stay for good
 		}
 	})
-	l.End(leg, end)
+	l.EndAttempt(leg, end)
 }
 
 // protocolError is what could not be read, or came unasked. The connection is of no further use.
@@ -390,19 +390,19 @@
 }
 
 // Take ends the connection, and the leg on it as one that may have run if it was written whole.
-func (e protocolError) Take(l *pipeline.Loop) {
+func (e protocolError) Apply(l *pipeline.Loop) {
 	e.c.fault = e.why
 	if e.c.last > 0 && e.c.leg == nil {
 		e.c.fault = fmt.Errorf("%w, %.1f ms behind the last answer", e.why, (l.Clock.Now()-e.c.last)*1000)
 	}
-	e.c.close(metrics.ByBadInput)
+	e.c.close(metrics.ClosedByBadInput)
 }
 
 // ready tells that a connection can take a query.
 type ready struct{ c *conn }
 
 // Take gives the connection to whoever waits for one.
-func (e ready) Take(l *pipeline.Loop) {
+func (e ready) Apply(l *pipeline.Loop) {
 	c := e.c
 	switch {
 	case c.state == starting:
@@ -410,13 +410,13 @@
 	case c.state == busy && c.leg == nil:
 		c.state = settling
 		c.unit.coming++
-		l.At(l.Clock.Now()+limits.SettleFor.Seconds(), func() {
+		l.RunAt(l.Clock.Now()+limits.SettleFor.Seconds(), func() {
 			if c.state == settling {
 				c.rest()
 			}
 		})
 	case c.state == busy || c.state == idle || c.state == settling:
-		protocolError{c, errUnasked}.Take(l) // no answer, no error, or no query
+		protocolError{c, errUnasked}.Apply(l) // no answer, no error, or no query
 	}
 }
 
@@ -430,28 +430,28 @@
 	c.state, c.since = idle, c.pool.loop.Clock.Now()
 	c.unit.idle = append(c.unit.idle, c)
 	if c.address != c.unit.address {
-		c.close(metrics.ByMove)
+		c.close(metrics.ClosedByAddressChange)
 	} else if c.unit.leaving {
-		c.close(metrics.ByLeaving) // dialled before the news, or answered after it
+		c.close(metrics.ClosedByDrain) // dialled before the news, or answered after it
 	}
 	c.pool.serve(c.unit)
 }
 
 // unfit says why an idle connection can't take a query: it has ended, and the query might seem to have run, or
 // something has come on it that would be taken for the answer.
-func (c *conn) unfit() metrics.Reason {
+func (c *conn) unfit() metrics.CloseReason {
 	if !c.net.IsActive() {
-		return metrics.ByPeer
+		return metrics.ClosedByPeer
 	}
 	if c.net.Reader().Len() > 0 {
-		return metrics.ByBadInput
+		return metrics.ClosedByBadInput
 	}
 	if n, ok := c.net.(netpoll.Conn); ok {
 		switch came, ended := sockets.Look(n.Fd()); {
 		case ended:
-			return metrics.ByPeer
+			return metrics.ClosedByPeer
 		case came:
-			return metrics.ByBadInput
+			return metrics.ClosedByBadInput
 		}
 	}
 	return ""
--- a/internal/upstream/conn_test.go
+++ b/internal/upstream/conn_test.go
@@ -56,7 +56,7 @@
 
 func newBench(t *testing.T, change func(*settings.Site)) bench {
 	t.Helper()
-	site := settings.Site{ConnIdle: 10}
+	site := settings.Site{EndpointIdleTimeout: 10}
 	site.Settings.Relays = 1
 	site.Settings.Classes = make([]relay.ClassSettings, 1)
 	if change != nil {
@@ -66,8 +66,8 @@
 	log.SetOutput(io.Discard)
 	l := pipeline.NewLoop(site, 1, buffer.NewPool(1<<20), &metrics.Counters{}, log)
 	p := New(l, 4)
-	l.Units = p
-	p.Listed(relay.Endpoint{ID: 1}, "s-1", "127.0.0.1:1")
+	l.Upstream = p
+	p.EndpointsListed(relay.Endpoint{ID: 1}, "s-1", "127.0.0.1:1")
 	return bench{l, p, p.units[1]}
 }
 
@@ -77,16 +77,16 @@
 	b.pool.open++
 	b.unit.open++
 	b.unit.coming++
-	ready{c}.Take(b.Loop)
+	ready{c}.Apply(b.Loop)
 	return c
 }
 
 // told drains the loop's queue of what connections posted, and gives the ends that the module would see.
 func (b bench) told() (ends []relay.AttemptEnded) {
-	for _, e := range b.Pending() {
-		e.Take(b.Loop)
+	for _, e := range b.TakePosted() {
+		e.Apply(b.Loop)
 	}
-	for _, e := range b.Learned() {
+	for _, e := range b.TakeEvents() {
 		if end, ok := e.(relay.AttemptEnded); ok {
 			ends = append(ends, end)
 		}
@@ -94,13 +94,13 @@
 	return ends
 }
 
-func (b bench) leg() *pipeline.Leg {
+func (b bench) leg() *pipeline.Attempt {
 	text := b.Pool.Chain()
 	text.Write([]byte("SELECT /* d=500 */\x00"))
-	q := &pipeline.Query{Text: text, Until: b.Clock.Now() + 60}
-	q.PatienceAt, q.PatienceEnd = 12, 15
-	leg := &pipeline.Leg{Query: q, Unit: 1, Asked: b.Clock.Now(), Until: q.Until}
-	q.Legs = append(q.Legs, leg)
+	q := &pipeline.Request{Text: text, Deadline: b.Clock.Now() + 60}
+	q.DeadlineStart, q.DeadlineEnd = 12, 15
+	leg := &pipeline.Attempt{Request: q, Endpoint: 1, StartedAt: b.Clock.Now(), Deadline: q.Deadline}
+	q.Attempts = append(q.Attempts, leg)
 	return leg
 }
 
@@ -133,12 +133,12 @@
 	c := b.conn(&pipe{takes: 1 << 20})
 	leg := b.leg()
 	b.pool.Send(leg)
-	if !b.pool.Drop(leg) {
+	if !b.pool.Cancel(leg) {
 		t.Error("written whole, and said to have never left")
 	}
-	b.End(leg, pipeline.Ending{How: relay.Cancelled})
-	answered{c: c, how: relay.Succeeded, answer: b.Pool.Chain()}.Take(b.Loop) // it was on its way
-	ready{c}.Take(b.Loop)
+	b.EndAttempt(leg, pipeline.AttemptResult{Outcome: relay.Cancelled})
+	answered{c: c, how: relay.Succeeded, answer: b.Pool.Chain()}.Apply(b.Loop) // it was on its way
+	ready{c}.Apply(b.Loop)
 	if ends := b.told(); len(ends) != 1 || ends[0].Outcome != relay.Cancelled || len(b.unit.idle) != 0 {
 		t.Errorf("%+v, %d idle", ends, len(b.unit.idle))
 	}
@@ -159,7 +159,7 @@
 		n := &pipe{takes: 1 << 20}
 		c := b.conn(n)
 		first, second := b.leg(), b.leg()
-		first.Query.Client, second.Query.ID = nobody{}, 1
+		first.Request.Client, second.Request.ID = nobody{}, 1
 		b.pool.Send(first)
 		b.unit.coming++ // one is coming up for the second, and never does
 		b.pool.Send(second)
@@ -181,7 +181,7 @@
 	c := b.conn(&pipe{takes: 1 << 20})
 	at := b.Clock.Now()
 	b.pool.Send(b.leg())
-	answered{c: c, at: at, how: relay.Succeeded, answer: b.Loop.Pool.Chain()}.Take(b.Loop)
+	answered{c: c, at: at, how: relay.Succeeded, answer: b.Loop.Pool.Chain()}.Apply(b.Loop)
 	if ends := b.told(); len(ends) != 1 || ends[0].Outcome != relay.ConnectionBroken || c.state != dead {
 		t.Errorf("%+v", ends)
 	}
@@ -207,9 +207,9 @@
 		if why := c.unfit(); why != "" {
 			t.Error("nothing has come:", why)
 		}
-		want := metrics.ByBadInput
+		want := metrics.ClosedByBadInput
 		if peer.Write([]byte("x")); end {
-			want = metrics.ByPeer
+			want = metrics.ClosedByPeer
 			peer.Close()
 		}
 		for until := time.Now().Add(10 * time.Second); c.unfit() != want; time.Sleep(time.Millisecond) {
@@ -223,14 +223,14 @@
 // nobody is a client that is not looked at.
 type nobody struct{}
 
-func (nobody) Answer(a *buffer.Chain) { a.Free() }
+func (nobody) Respond(a *buffer.Chain) { a.Free() }
 
 func TestLegWithoutAConnectionNeverLeft(t *testing.T) {
 	b := newBench(t, nil)
 	b.unit.coming = 1 // one is coming up
 	leg := b.leg()
 	b.pool.Send(leg)
-	if b.pool.Drop(leg) || len(b.unit.waiting) != 0 {
+	if b.pool.Cancel(leg) || len(b.unit.waiting) != 0 {
 		t.Error("said to have been sent, or still waiting")
 	}
 }
@@ -253,7 +253,7 @@
 	b.conn(third)
 	b.pool.CloseIdle(1)
 	b.conn(fourth)
-	b.pool.Listed(relay.Endpoint{ID: 1}, "s-1", "127.0.0.1:2")
+	b.pool.EndpointsListed(relay.Endpoint{ID: 1}, "s-1", "127.0.0.1:2")
 	if third.closed == 0 || fourth.closed == 0 {
 		t.Error("ordered closed, or moved, and kept")
 	}
@@ -265,9 +265,9 @@
 	c := b.conn(n)
 	leg := b.leg()
 	b.pool.Send(leg)
-	b.pool.Listed(relay.Endpoint{ID: 1}, "s-1", "127.0.0.1:2")
-	answered{c: c, how: relay.Errored, code: "XX000"}.Take(b.Loop)
-	ready{c}.Take(b.Loop)
+	b.pool.EndpointsListed(relay.Endpoint{ID: 1}, "s-1", "127.0.0.1:2")
+	answered{c: c, how: relay.Errored, code: "XX000"}.Apply(b.Loop)
+	ready{c}.Apply(b.Loop)
 	if n.closed == 0 || len(b.unit.idle) != 0 {
 		t.Error("kept")
 	}
@@ -278,9 +278,9 @@
 	b.pool.most = 1
 	idle := &pipe{takes: 1 << 20}
 	b.conn(idle)
-	b.pool.Listed(relay.Endpoint{ID: 2}, "s-2", "127.0.0.1:1")
+	b.pool.EndpointsListed(relay.Endpoint{ID: 2}, "s-2", "127.0.0.1:1")
 	leg := b.leg()
-	leg.Unit = 2
+	leg.Endpoint = 2
 	b.pool.Send(leg)
 	if idle.closed == 0 || b.pool.open != 1 {
 		t.Error("no room made by closing an idle connection:", b.pool.open)
@@ -296,9 +296,9 @@
 	b := newBench(t, func(s *settings.Site) { s.LoadReportFields = []string{"recent_ms", "outstanding"} })
 	n := &pipe{takes: 1 << 20}
 	c := b.conn(n)
-	b.pool.Probe(1)
-	answered{c: c, at: b.Clock.Now(), how: relay.Succeeded, row: "outstanding=3,recent_ms=2.5"}.Take(b.Loop)
-	got, ok := b.Learned()[0].(relay.HealthCheckEnded)
+	b.pool.HealthCheck(1)
+	answered{c: c, at: b.Clock.Now(), how: relay.Succeeded, row: "outstanding=3,recent_ms=2.5"}.Apply(b.Loop)
+	got, ok := b.TakeEvents()[0].(relay.HealthCheckEnded)
 	if !ok || string(n.got[5:len(n.got)-1]) != "SHOW vitals" || got.Endpoint != 1 || len(got.LoadReport) != 2 || got.LoadReport[0] != 2.5 {
 		t.Errorf("%q %+v", n.got, got)
 	}
@@ -313,7 +313,7 @@
 	address := ln.Addr().String()
 	ln.Close()
 	b := newBench(t, nil)
-	b.pool.Listed(relay.Endpoint{ID: 1}, "s-1", address)
+	b.pool.EndpointsListed(relay.Endpoint{ID: 1}, "s-1", address)
 	b.pool.Send(b.leg())
 	for until := time.Now().Add(10 * time.Second); ; time.Sleep(time.Millisecond) {
 		if ends := b.told(); len(ends) == 1 {
--- a/internal/upstream/late_test.go
+++ b/internal/upstream/late_test.go
@@ -16,9 +16,9 @@
 // TestLegThatIsLateForItsWindow has the connection come up, or the last byte about to be written, when the time by
 // which the leg had to be out is over or was taken back: the unit gets no whole query, and the leg never ran.
 func TestLegThatIsLateForItsWindow(t *testing.T) {
-	for name, late := range map[string]func(b bench, leg *pipeline.Leg){
-		"its window ends": func(b bench, leg *pipeline.Leg) { leg.SendBy(b.Clock.Now()) },
-		"it is recalled":  func(b bench, leg *pipeline.Leg) { b.recall(leg) },
+	for name, late := range map[string]func(b bench, leg *pipeline.Attempt){
+		"its window ends": func(b bench, leg *pipeline.Attempt) { leg.SetSendBy(b.Clock.Now()) },
+		"it is recalled":  func(b bench, leg *pipeline.Attempt) { b.recall(leg) },
 	} {
 		t.Run(name+" while it waits", func(t *testing.T) {
 			b := newBench(t, nil)
@@ -26,7 +26,7 @@
 			c, leg := b.coming(n), b.leg()
 			b.pool.Send(leg)
 			late(b, leg)
-			ready{c}.Take(b.Loop)
+			ready{c}.Apply(b.Loop)
 			if ends := b.told(); len(ends) != 1 || ends[0].Outcome != relay.NotSent || len(n.got) != 0 {
 				t.Errorf("%+v, %q", ends, n.got)
 			}
@@ -59,9 +59,9 @@
 }
 
 // recall does what the loop does with that order.
-func (b bench) recall(leg *pipeline.Leg) {
-	leg.SendBy(b.Clock.Now())
-	b.pool.Recall(leg)
+func (b bench) recall(leg *pipeline.Attempt) {
+	leg.SetSendBy(b.Clock.Now())
+	b.pool.CancelUnsent(leg)
 }
 
 // TestLegForAnotherProcess lists the unit with another build, or a fresh start, under the same id and address while a
@@ -75,13 +75,13 @@
 		n := &pipe{takes: 1 << 20}
 		c := b.coming(n)
 		b.pool.Send(b.leg())
-		b.pool.Listed(relay.Endpoint{ID: 1}, "s-1", "127.0.0.1:1")
+		b.pool.EndpointsListed(relay.Endpoint{ID: 1}, "s-1", "127.0.0.1:1")
 		if ends := b.told(); len(ends) != 0 {
 			t.Errorf("the same once more: %+v", ends)
 		}
-		b.pool.Listed(e, "s-1", "127.0.0.1:1")
+		b.pool.EndpointsListed(e, "s-1", "127.0.0.1:1")
 		ends := b.told()
-		ready{c}.Take(b.Loop)
+		ready{c}.Apply(b.Loop)
 		if len(ends) != 1 || ends[0].Outcome != relay.NotSent || len(n.got) != 0 {
 			t.Errorf("%s: %+v, %q", name, ends, n.got)
 		}
@@ -124,7 +124,7 @@
 		}
 		b.pool.Send(b.leg())
 		if c.state = was; was == starting {
-			ready{c}.Take(b.Loop)
+			ready{c}.Apply(b.Loop)
 		} else {
 			c.rest() // it has settled
 		}
@@ -151,8 +151,8 @@
 	b := newBench(t, nil)
 	n := &pipe{takes: 1 << 20}
 	c := b.coming(n)
-	c.split = pgwire.Splitter{Pool: b.Loop.Pool, Types: pgwire.FromUnits, Most: pgwire.MaxAnswer}
-	ready{c}.Take(b.Loop)
+	c.split = pgwire.Splitter{Pool: b.Loop.Pool, Types: pgwire.FromUnits, MaxLength: pgwire.MaxResponse}
+	ready{c}.Apply(b.Loop)
 	b.pool.Send(b.leg())
 	whole := append(pgwire.Header(nil, 'T', 25), "\x00\x01body\x00"...)
 	whole = append(whole, make([]byte, 18)...)
@@ -160,7 +160,7 @@
 	end := len(whole)
 	whole = append(pgwire.Header(whole, 'C', 9), "SELECT 1\x00"...)
 	b.feed(c, whole[:end])
-	b.feed(c, pgwire.Ready(pgwire.ErrorAnswer(pgwire.Error, "XX000", "late", "")))
+	b.feed(c, pgwire.Ready(pgwire.ErrorResponse(pgwire.Error, "XX000", "late", "")))
 	if ends := b.told(); len(ends) != 1 || ends[0].Outcome != relay.Errored {
 		t.Fatalf("%+v", ends)
 	}
@@ -179,11 +179,11 @@
 	n := &pipe{takes: 1 << 20}
 	c := b.conn(n)
 	leg := b.leg()
-	leg.Query.Client = nobody{}
+	leg.Request.Client = nobody{}
 	b.pool.Send(leg)
-	answered{c: c, at: b.Clock.Now(), how: relay.Succeeded, answer: b.Loop.Pool.Chain()}.Take(b.Loop)
+	answered{c: c, at: b.Clock.Now(), how: relay.Succeeded, answer: b.Loop.Pool.Chain()}.Apply(b.Loop)
 	stop := make(chan struct{})
-	b.At(b.Clock.Now()+limits.AnswerRest.Seconds()+0.01, func() { close(stop) })
+	b.RunAt(b.Clock.Now()+limits.AnswerRest.Seconds()+0.01, func() { close(stop) })
 	b.told()
 	b.Run(stop)
 	if n.closed == 0 || b.pool.open != 0 {
--- a/internal/upstream/leaving_test.go
+++ b/internal/upstream/leaving_test.go
@@ -20,13 +20,13 @@
 // news or at the latest then.
 func TestNewsForALegThatWaits(t *testing.T) {
 	for name, news := range map[string]func(*Pool){
-		"drains":                func(p *Pool) { p.Leaving(1, false) },
-		"is gone":               func(p *Pool) { p.Leaving(1, true) },
-		"left out of the list":  func(p *Pool) { p.Whole(func(id relay.EndpointID) bool { return id != 1 }) },
-		"is at another address": func(p *Pool) { p.Listed(relay.Endpoint{ID: 1}, "s-1", "127.0.0.1:2") },
+		"drains":                func(p *Pool) { p.EndpointLeaving(1, false) },
+		"is gone":               func(p *Pool) { p.EndpointLeaving(1, true) },
+		"left out of the list":  func(p *Pool) { p.FullListReceived(func(id relay.EndpointID) bool { return id != 1 }) },
+		"is at another address": func(p *Pool) { p.EndpointsListed(relay.Endpoint{ID: 1}, "s-1", "127.0.0.1:2") },
 		"goes, and comes back elsewhere": func(p *Pool) {
-			p.Leaving(1, true)
-			p.Listed(relay.Endpoint{ID: 1}, "s-1", "127.0.0.1:2")
+			p.EndpointLeaving(1, true)
+			p.EndpointsListed(relay.Endpoint{ID: 1}, "s-1", "127.0.0.1:2")
 		},
 	} {
 		t.Run(name, func(t *testing.T) {
@@ -39,7 +39,7 @@
 			}
 			news(b.pool)
 			ends := b.told()
-			ready{c}.Take(b.Loop) // late
+			ready{c}.Apply(b.Loop) // late
 			ends = append(ends, b.told()...)
 			if len(ends) != 1 || ends[0].Outcome != relay.NotSent || !ends[0].Outcome.NeverRan() {
 				t.Errorf("%+v", ends)
@@ -61,7 +61,7 @@
 	b.conn(spare)
 	c := b.conn(n)
 	b.pool.Send(b.leg())
-	b.pool.Leaving(1, false)
+	b.pool.EndpointLeaving(1, false)
 	if spare.closed == 0 || n.closed != 0 {
 		t.Errorf("idle closed %d, busy closed %d times", spare.closed, n.closed)
 	}
@@ -70,14 +70,14 @@
 	if ends := b.told(); len(ends) != 1 || ends[0].Outcome != relay.NotSent || len(n.got) != sent {
 		t.Errorf("%+v, %q", ends, n.got[sent:])
 	}
-	b.pool.Probe(1)
-	answered{c: c, at: b.Clock.Now(), how: relay.Errored, code: "XX000"}.Take(b.Loop)
-	ready{c}.Take(b.Loop)
+	b.pool.HealthCheck(1)
+	answered{c: c, at: b.Clock.Now(), how: relay.Errored, code: "XX000"}.Apply(b.Loop)
+	ready{c}.Apply(b.Loop)
 	c.rest() // settled
 	if ends := b.told(); len(ends) != 1 || ends[0].Outcome != relay.Errored || n.closed == 0 || len(n.got) != sent {
 		t.Errorf("%+v, closed %d times", ends, n.closed)
 	}
-	b.pool.Listed(relay.Endpoint{ID: 1}, "s-1", "127.0.0.1:1") // it stays after all
+	b.pool.EndpointsListed(relay.Endpoint{ID: 1}, "s-1", "127.0.0.1:1") // it stays after all
 	again := &pipe{takes: 1 << 20}
 	b.conn(again)
 	b.pool.Send(b.leg())
@@ -90,10 +90,10 @@
 func TestUnitsThatAreGoneAreForgotten(t *testing.T) {
 	b := newBench(t, nil)
 	for id := relay.EndpointID(2); id < 1026; id++ {
-		b.pool.Listed(relay.Endpoint{ID: id}, "s", "127.0.0.1:1")
+		b.pool.EndpointsListed(relay.Endpoint{ID: id}, "s", "127.0.0.1:1")
 	}
 	b.pool.units[2].open++ // one that still holds a connection
-	b.pool.Whole(func(id relay.EndpointID) bool { return id == 1 })
+	b.pool.FullListReceived(func(id relay.EndpointID) bool { return id == 1 })
 	if len(b.pool.units) != 2 {
 		t.Errorf("%d kept", len(b.pool.units))
 	}
@@ -104,4 +104,4 @@
 	}
 }
 
-var _ pipeline.Units = (*Pool)(nil)
+var _ pipeline.Upstream = (*Pool)(nil)
--- a/internal/upstream/units.go
+++ b/internal/upstream/units.go
@@ -1,4 +1,4 @@
-// Package units keeps the connections to the units: one query at a time on each, the one last used first.
+// Package upstream keeps the connections to the units: one query at a time on each, the one last used first.
 // It carries legs and probes out and says how each ended; which unit gets one is not its to choose.
 package upstream
 
@@ -30,12 +30,12 @@
 	name    string
 	address string
 	process process
-	leaving bool            // told as draining or gone: nothing new goes to it
-	gone    bool            // told as gone: forgotten when nothing holds it any more
-	open    int             // connections, those coming up included
-	idle    []*conn         // the one last used is last
-	coming  int             // connections coming up, or about to be idle again
-	waiting []*pipeline.Leg // legs without a connection, the oldest first
+	leaving bool                // told as draining or gone: nothing new goes to it
+	gone    bool                // told as gone: forgotten when nothing holds it any more
+	open    int                 // connections, those coming up included
+	idle    []*conn             // the one last used is last
+	coming  int                 // connections coming up, or about to be idle again
+	waiting []*pipeline.Attempt // legs without a connection, the oldest first
 }
 
 // process tells one process of a unit from the next: a unit keeps its id, and may keep its address, over a restart and
@@ -48,7 +48,7 @@
 // New returns a pool that holds at most so many connections.
 func New(l *pipeline.Loop, most int) *Pool {
 	p := &Pool{loop: l, units: map[relay.EndpointID]*unit{}, most: most, connect: l.Site.Limits.ConnectTimeout,
-		idleFor: l.Site.ConnIdle * limits.IdlePart, hello: pgwire.Startup("worker", "catalog"),
+		idleFor: l.Site.EndpointIdleTimeout * limits.IdlePart, hello: pgwire.Startup("worker", "catalog"),
 		probe: pgwire.QueryMessage("SELECT 1")}
 	if len(l.Site.LoadReportFields) > 0 {
 		p.probe = pgwire.QueryMessage("SHOW " + reportName)
@@ -57,7 +57,7 @@
 		p.connect = limits.ConnectWait.Seconds()
 	}
 	if p.idleFor > 0 {
-		l.At(l.Clock.Now()+limits.SweepEvery.Seconds(), p.sweep)
+		l.RunAt(l.Clock.Now()+limits.SweepEvery.Seconds(), p.sweep)
 	}
 	return p
 }
@@ -66,7 +66,7 @@
 // now, has started anew or runs another build is another process: connections to the old one are of no use, and legs
 // that wait for one were not meant for it. With another build such a leg would count against a cap that it was not
 // ordered under.
-func (p *Pool) Listed(e relay.Endpoint, name, address string) {
+func (p *Pool) EndpointsListed(e relay.Endpoint, name, address string) {
 	u := p.units[e.ID]
 	if u == nil {
 		u = &unit{id: e.ID, name: name, address: address, process: process{e.Build, e.StartedAt}}
@@ -75,7 +75,7 @@
 	u.leaving, u.gone = false, false
 	if u.address != address {
 		u.address = address
-		p.closeIdle(u, metrics.ByMove)
+		p.closeIdle(u, metrics.ClosedByAddressChange)
 		p.release(u)
 	}
 	if e.Build != u.process.build || e.StartKnown && e.StartedAt != u.process.started {
@@ -90,22 +90,22 @@
 // Leaving tells that a unit drains or is gone, before the module is told of it. A leg that still waits for a connection
 // was ordered before the news and would be written after it, by as much as the connection takes to come up; it never
 // left, so the module can place it anew.
-func (p *Pool) Leaving(id relay.EndpointID, gone bool) {
+func (p *Pool) EndpointLeaving(id relay.EndpointID, gone bool) {
 	u := p.units[id]
 	if u == nil {
 		return
 	}
 	u.leaving, u.gone = true, gone
-	p.closeIdle(u, metrics.ByLeaving)
+	p.closeIdle(u, metrics.ClosedByDrain)
 	p.release(u)
 	p.forget(u)
 }
 
 // Whole tells that a whole list stands: units that it leaves out are gone.
-func (p *Pool) Whole(listed func(relay.EndpointID) bool) {
+func (p *Pool) FullListReceived(listed func(relay.EndpointID) bool) {
 	for id := range p.units {
 		if !listed(id) {
-			p.Leaving(id, true)
+			p.EndpointLeaving(id, true)
 		}
 	}
 }
@@ -115,8 +115,8 @@
 	for len(u.waiting) > 0 {
 		leg := u.waiting[0]
 		u.waiting = u.waiting[1:]
-		p.loop.Stats.Add(metrics.LegsReleased, 1)
-		p.loop.End(leg, pipeline.Ending{How: relay.NotSent})
+		p.loop.Metrics.Add(metrics.AttemptsReleased, 1)
+		p.loop.EndAttempt(leg, pipeline.AttemptResult{Outcome: relay.NotSent})
 	}
 }
 
@@ -129,10 +129,10 @@
 }
 
 // Send finds a connection for a leg, or opens one.
-func (p *Pool) Send(leg *pipeline.Leg) {
-	u := p.units[leg.Unit]
+func (p *Pool) Send(leg *pipeline.Attempt) {
+	u := p.units[leg.Endpoint]
 	if u == nil || u.leaving { // a probe, say, or an order of the step that was under way
-		p.loop.End(leg, pipeline.Ending{How: relay.NotSent})
+		p.loop.EndAttempt(leg, pipeline.AttemptResult{Outcome: relay.NotSent})
 		return
 	}
 	u.waiting = append(u.waiting, leg)
@@ -140,33 +140,33 @@
 	if leg.Ended || len(u.waiting) == 0 || u.waiting[len(u.waiting)-1] != leg {
 		return // it has a connection
 	}
-	p.loop.At(leg.Asked+p.connect, func() {
+	p.loop.RunAt(leg.StartedAt+p.connect, func() {
 		if !leg.Ended && u.leave(leg) {
-			p.loop.End(leg, pipeline.Ending{How: relay.ConnectFailed, Took: p.loop.Clock.Now() - leg.Asked})
+			p.loop.EndAttempt(leg, pipeline.AttemptResult{Outcome: relay.ConnectFailed, Duration: p.loop.Clock.Now() - leg.StartedAt})
 		}
 	})
-	if by, ok := leg.By(); ok {
-		p.loop.At(by, func() { p.Recall(leg) })
+	if by, ok := leg.SendBy(); ok {
+		p.loop.RunAt(by, func() { p.CancelUnsent(leg) })
 	}
 }
 
 // Recall ends a leg that is late as never sent, if it still waits for a connection. One that is being written is given
 // up before its last byte, by whoever writes it.
-func (p *Pool) Recall(leg *pipeline.Leg) {
-	if u := p.units[leg.Unit]; u != nil && !leg.Ended && u.leave(leg) {
-		p.loop.Stats.Add(metrics.LegsReleased, 1)
-		p.loop.End(leg, pipeline.Ending{How: relay.NotSent})
+func (p *Pool) CancelUnsent(leg *pipeline.Attempt) {
+	if u := p.units[leg.Endpoint]; u != nil && !leg.Ended && u.leave(leg) {
+		p.loop.Metrics.Add(metrics.AttemptsReleased, 1)
+		p.loop.EndAttempt(leg, pipeline.AttemptResult{Outcome: relay.NotSent})
 	}
 }
 
 // Probe asks a unit how it is. It takes a connection as a leg does.
-func (p *Pool) Probe(id relay.EndpointID) {
+func (p *Pool) HealthCheck(id relay.EndpointID) {
 	now := p.loop.Clock.Now()
-	leg := &pipeline.Leg{Unit: id, Asked: now, Until: now + p.connect}
-	p.loop.At(leg.Until, func() {
+	leg := &pipeline.Attempt{Endpoint: id, StartedAt: now, Deadline: now + p.connect}
+	p.loop.RunAt(leg.Deadline, func() {
 		if !leg.Ended {
-			p.Drop(leg)
-			p.loop.End(leg, pipeline.Ending{How: relay.TimedOut, Took: p.connect})
+			p.Cancel(leg)
+			p.loop.EndAttempt(leg, pipeline.AttemptResult{Outcome: relay.TimedOut, Duration: p.connect})
 		}
 	})
 	p.Send(leg)
@@ -175,14 +175,14 @@
 // CloseIdle closes the idle connections to a unit.
 func (p *Pool) CloseIdle(id relay.EndpointID) {
 	if u := p.units[id]; u != nil {
-		p.closeIdle(u, metrics.ByOrder)
+		p.closeIdle(u, metrics.ClosedByCommand)
 	}
 }
 
 // Drop gives a leg up: it loses its place, or its connection is closed. Only a leg whose last byte was handed
 // to a connection may have been sent.
-func (p *Pool) Drop(leg *pipeline.Leg) (sent bool) {
-	u := p.units[leg.Unit]
+func (p *Pool) Cancel(leg *pipeline.Attempt) (sent bool) {
+	u := p.units[leg.Endpoint]
 	if u == nil || u.leave(leg) {
 		return false
 	}
@@ -190,12 +190,12 @@
 	if !ok {
 		return false
 	}
-	c.close(metrics.ByGivenUp)
+	c.close(metrics.ClosedByAttemptEnd)
 	return c.sentAt.Load() != 0 // after the close, so that a write under way either shows or fails
 }
 
 // leave takes a leg out of those that wait, and says whether it was there.
-func (u *unit) leave(leg *pipeline.Leg) bool {
+func (u *unit) leave(leg *pipeline.Attempt) bool {
 	for i, w := range u.waiting {
 		if w == leg {
 			u.waiting = append(u.waiting[:i], u.waiting[i+1:]...)
@@ -209,9 +209,9 @@
 func (p *Pool) serve(u *unit) {
 	for len(u.waiting) > 0 && len(u.idle) > 0 {
 		leg := u.waiting[0]
-		if leg.Void() || leg.Late(p.loop.Clock.Now()) {
+		if leg.RequestFinished() || leg.SendExpired(p.loop.Clock.Now()) {
 			u.waiting = u.waiting[1:]
-			p.loop.End(leg, pipeline.Ending{How: relay.NotSent})
+			p.loop.EndAttempt(leg, pipeline.AttemptResult{Outcome: relay.NotSent})
 			continue
 		}
 		c := u.idle[len(u.idle)-1]
@@ -225,17 +225,17 @@
 	}
 	for u.coming < len(u.waiting) {
 		if p.open >= p.most && !p.evictIdlest() {
-			p.loop.Stats.Add(metrics.BoundConns, 1)
+			p.loop.Metrics.Add(metrics.BoundConns, 1)
 			leg := u.waiting[len(u.waiting)-1]
 			u.waiting = u.waiting[:len(u.waiting)-1]
-			p.loop.End(leg, pipeline.Ending{How: relay.NotSent})
+			p.loop.EndAttempt(leg, pipeline.AttemptResult{Outcome: relay.NotSent})
 			continue
 		}
 		p.open++
 		u.open++
 		u.coming++
-		p.loop.Stats.Add(metrics.UnitConns, 1)
-		p.loop.Stats.Add(metrics.UnitConnsOpen, 1)
+		p.loop.Metrics.Add(metrics.EndpointConns, 1)
+		p.loop.Metrics.Add(metrics.EndpointConnsOpen, 1)
 		go dial(p, u, u.address)
 	}
 }
@@ -251,11 +251,11 @@
 	if oldest == nil {
 		return false
 	}
-	oldest.close(metrics.ByBound)
+	oldest.close(metrics.ClosedByBound)
 	return true
 }
 
-func (p *Pool) closeIdle(u *unit, why metrics.Reason) {
+func (p *Pool) closeIdle(u *unit, why metrics.CloseReason) {
 	for len(u.idle) > 0 {
 		u.idle[len(u.idle)-1].close(why)
 	}
@@ -266,19 +266,19 @@
 	now := p.loop.Clock.Now()
 	for _, u := range p.units {
 		for len(u.idle) > 0 && now-u.idle[0].since > p.idleFor {
-			u.idle[0].close(metrics.ByIdle)
+			u.idle[0].close(metrics.ClosedByIdleTimeout)
 		}
 	}
-	p.loop.At(now+limits.SweepEvery.Seconds(), p.sweep)
+	p.loop.RunAt(now+limits.SweepEvery.Seconds(), p.sweep)
 }
 
 // ended is the one place where a connection is given back, whether it came up or not.
-func (p *Pool) ended(u *unit, why metrics.Reason, age relay.Seconds, queries int, fault error) {
+func (p *Pool) ended(u *unit, why metrics.CloseReason, age relay.Seconds, queries int, fault error) {
 	p.open--
 	u.open--
 	defer p.forget(u)
-	p.loop.Stats.Add(metrics.UnitConnsOpen, -1)
-	metrics.LogEnd(p.loop.Log, "unit", u.name, why, age, queries, fault)
+	p.loop.Metrics.Add(metrics.EndpointConnsOpen, -1)
+	metrics.LogConnectionEnd(p.loop.Log, "unit", u.name, why, age, queries, fault)
 }
 
 func span(s relay.Seconds) time.Duration { return time.Duration(s * float64(time.Second)) }
--- a/internal/xmlconfig/form.go
+++ b/internal/xmlconfig/form.go
@@ -1,4 +1,4 @@
-// Package form reads small XML files of settings: elements and attributes against a table of forms, with every fault
+// Package xmlconfig reads small XML files of settings: elements and attributes against a table of forms, with every fault
 // named by line, all at once. What the elements mean is their owners' matter.
 package xmlconfig
 
@@ -18,10 +18,10 @@
 
 // Bounds of a file: a plan for hundreds of relays takes a tenth of them.
 const (
-	MostBytes    = 1 << 20
-	MostElements = 20000
-	mostDepth    = 8
-	mostFaults   = 100 // that are listed; the rest is counted
+	MaxBytes    = 1 << 20
+	MaxElements = 20000
+	mostDepth   = 8
+	mostFaults  = 100 // that are listed; the rest is counted
 )
 
 // Fault is one thing that is wrong, and where.
@@ -60,24 +60,24 @@
 
 // Node is an element as it stands in the file.
 type Node struct {
-	Name  string
-	Line  int
-	Attrs map[string]string
-	Kids  []*Node
+	Name     string
+	Line     int
+	Attrs    map[string]string
+	Children []*Node
 }
 
 // Form says what an element may hold.
-type Form struct {
-	Needs []string // attributes
-	May   []string
-	Kids  []string
+type ElementSchema struct {
+	Required []string // attributes
+	Optional []string
+	Children []string
 }
 
 // Reader reads one file and gathers its faults.
 type Reader struct {
-	Root  string
-	Forms map[string]Form
-	List  []Fault
+	Root    string
+	Schemas map[string]ElementSchema
+	List    []Fault
 }
 
 // Load reads a file, no more of it than may be.
@@ -87,7 +87,7 @@
 		return nil, err
 	}
 	defer f.Close()
-	return io.ReadAll(io.LimitReader(f, MostBytes+1))
+	return io.ReadAll(io.LimitReader(f, MaxBytes+1))
 }
 
 // Err is all that was found in a file, by line; nil where it was nothing.
@@ -101,8 +101,8 @@
 
 // Read reads the elements of a file.
 func (r *Reader) Read(raw []byte) *Node {
-	if len(raw) > MostBytes {
-		r.List = append(r.List, Fault{1, "", fmt.Sprintf("over %d bytes", MostBytes)})
+	if len(raw) > MaxBytes {
+		r.List = append(r.List, Fault{1, "", fmt.Sprintf("over %d bytes", MaxBytes)})
 		return nil
 	}
 	return r.tree(raw)
@@ -141,8 +141,8 @@
 		case xml.Directive: // a DOCTYPE could bring entities that expand
 			return end("no DOCTYPE or other declarations are taken")
 		case xml.StartElement:
-			if elements++; elements > MostElements || len(path) >= mostDepth {
-				return end(fmt.Sprintf("over %d elements, or %d deep", MostElements, mostDepth))
+			if elements++; elements > MaxElements || len(path) >= mostDepth {
+				return end(fmt.Sprintf("over %d elements, or %d deep", MaxElements, mostDepth))
 			}
 			n := &Node{Name: t.Name.Local, Line: line, Attrs: map[string]string{}}
 			for _, a := range t.Attr {
@@ -158,7 +158,7 @@
 			switch {
 			case len(path) > 0:
 				up := path[len(path)-1]
-				up.Kids = append(up.Kids, n)
+				up.Children = append(up.Children, n)
 			case root != nil:
 				return end("more than one root")
 			default:
@@ -186,8 +186,8 @@
 
 // shape holds an element against its form, and those in it.
 func (r *Reader) shape(n *Node) {
-	f := r.Forms[n.Name]
-	for _, a := range f.Needs {
+	f := r.Schemas[n.Name]
+	for _, a := range f.Required {
 		if _, ok := n.Attrs[a]; !ok {
 			r.Fault(n, "attribute %s is missing", a)
 		}
@@ -198,25 +198,25 @@
 	}
 	sort.Strings(names)
 	for _, a := range names {
-		if !slices.Contains(f.Needs, a) && !slices.Contains(f.May, a) {
+		if !slices.Contains(f.Required, a) && !slices.Contains(f.Optional, a) {
 			r.Fault(n, "attribute %s is not known", a)
 		}
 	}
-	kept := n.Kids[:0]
-	for _, k := range n.Kids {
-		if !slices.Contains(f.Kids, k.Name) {
+	kept := n.Children[:0]
+	for _, k := range n.Children {
+		if !slices.Contains(f.Children, k.Name) {
 			r.Fault(k, "not known in <%s>", n.Name)
 			continue
 		}
 		r.shape(k)
 		kept = append(kept, k)
 	}
-	n.Kids = kept
+	n.Children = kept
 }
 
 // All lists the elements of a name in this one.
 func (n *Node) All(name string) (out []*Node) {
-	for _, k := range n.Kids {
+	for _, k := range n.Children {
 		if k.Name == name {
 			out = append(out, k)
 		}
@@ -269,7 +269,7 @@
 }
 
 // Word reads an attribute that is one of some words.
-func Word[T ~int](r *Reader, n *Node, name string, usual T, words map[string]T) T {
+func Enum[T ~int](r *Reader, n *Node, name string, usual T, words map[string]T) T {
 	s, ok := n.Attrs[name]
 	if !ok {
 		return usual
