--- a/lab/check.go
+++ b/lab/check.go
@@ -45,7 +45,7 @@
 
 // useKey is a service and ten minutes.
 type useKey struct {
-	service plan.ServiceNo
+	service plan.ServiceIndex
 	part    int
 }
 
@@ -118,10 +118,10 @@
 }
 
 // isFrozen says whether a freeze stops a service's move, at a site or (site < 0) at any that the step touches.
-func (c *checker) isFrozen(at float64, s plan.ServiceNo, site plan.SiteNo, what plan.Stops, step int) bool {
+func (c *checker) isFrozen(at float64, s plan.ServiceIndex, site plan.SiteIndex, what plan.FreezeEffect, step int) bool {
 	for i := range c.w.plan.Freezes {
 		f := &c.w.plan.Freezes[i]
-		if f.Stops&what == 0 || len(f.Services) > 0 && !contains(f.Services, s) {
+		if f.Effect&what == 0 || len(f.Services) > 0 && !contains(f.Services, s) {
 			continue
 		}
 		if len(f.Sites) > 0 {
@@ -151,13 +151,13 @@
 	return false
 }
 
-func (c *checker) touches(s plan.ServiceNo, step int, site plan.SiteNo) bool {
+func (c *checker) touches(s plan.ServiceIndex, step int, site plan.SiteIndex) bool {
 	steps := c.w.plan.Services[s].Steps
 	if step >= len(steps) {
 		return true
 	}
 	for k := 0; k <= step; k++ {
-		for _, o := range steps[k].Opens {
+		for _, o := range steps[k].OpenGroups {
 			if o.Site == site {
 				return true
 			}
@@ -181,11 +181,11 @@
 
 // Move is a step of the desk, for the report.
 type Move struct {
-	Time    float64      `json:"time"`
-	Service string       `json:"service"`
-	Kind    rollout.Kind `json:"kind"`
-	Build   relay.Build  `json:"build"`
-	Step    int          `json:"step"`
+	Time    float64           `json:"time"`
+	Service string            `json:"service"`
+	Kind    rollout.EventKind `json:"kind"`
+	Build   relay.Build       `json:"build"`
+	Step    int               `json:"step"`
 }
 
 // moved holds a move of the desk against the plan.
@@ -197,25 +197,25 @@
 	s := &c.state[no]
 	steps := c.w.plan.Services[no].Steps
 	c.moves = append(c.moves, Move{c.w.now, e.Service, e.Kind, e.Build, int(e.Step)})
-	onto, what := -1, plan.StopsOn
+	onto, what := -1, plan.FreezePromotions
 	switch e.Kind {
-	case rollout.Began:
-		onto, what = 0, plan.StopsBegin
+	case rollout.EventBegan:
+		onto, what = 0, plan.FreezeStarts
 		*s = stood{true, e.Build, 0, relay.PhaseCanary}
-	case rollout.Moved:
+	case rollout.EventPromoted:
 		onto = int(e.Step)
 		if s.build != e.Build || s.phase != relay.PhaseCanary || onto != s.step+1 {
 			c.fail("desk", "moved twice", float64(onto), "%s build %d from step %d to %d", e.Service, e.Build, s.step, onto)
 		}
 		s.step = onto
-	case rollout.Released:
+	case rollout.EventReleased:
 		onto = len(steps)
 		s.phase = relay.PhaseReleased
 		c.rel[e.Service][e.Build] = true
-	case rollout.SentBack:
+	case rollout.EventRollingBack:
 		s.phase = relay.PhaseRollingBack
 		c.rel[e.Service][e.Build] = false
-	case rollout.Taken:
+	case rollout.EventWithdrawn:
 		s.phase = relay.PhaseWithdrawn
 	}
 	if onto < 0 {
@@ -225,7 +225,7 @@
 		c.fail("desk", "moved in a freeze", float64(onto), "%s build %d to step %d", e.Service, e.Build, onto)
 	}
 	for k := 0; k <= onto && k < len(steps); k++ {
-		for _, n := range steps[k].Needs {
+		for _, n := range steps[k].Dependencies {
 			if o := c.state[n.Service]; !reaches(o, n) {
 				c.fail("desk", "moved without its need", float64(onto), "%s build %d to step %d, %s stands at %d", e.Service, e.Build, onto,
 					c.w.plan.Services[n.Service].Name, o.step)
@@ -247,21 +247,21 @@
 		}
 		s := &c.state[no]
 		switch e.Kind {
-		case rollout.Began:
+		case rollout.EventBegan:
 			*s = stood{true, e.Build, 0, relay.PhaseCanary}
-		case rollout.Moved:
+		case rollout.EventPromoted:
 			s.step = int(e.Step)
-		case rollout.Released:
+		case rollout.EventReleased:
 			s.phase = relay.PhaseReleased
-		case rollout.SentBack:
+		case rollout.EventRollingBack:
 			s.phase = relay.PhaseRollingBack
-		case rollout.Taken:
+		case rollout.EventWithdrawn:
 			s.phase = relay.PhaseWithdrawn
 		}
 	}
 }
 
-func reaches(s stood, n plan.Need) bool {
+func reaches(s stood, n plan.Dependency) bool {
 	if !s.known {
 		return false
 	}
@@ -270,7 +270,7 @@
 
 // cast holds a vote that a relay sends against the plan: none for on in a freeze.
 func (c *checker) cast(x *node, v relay.Vote) {
-	if v.Verdict == relay.VotePromote && c.isFrozen(c.w.now, x.f.no, -1, plan.StopsOn, int(v.Stage)+1) {
+	if v.Verdict == relay.VotePromote && c.isFrozen(c.w.now, x.f.no, -1, plan.FreezePromotions, int(v.Stage)+1) {
 		c.fail(x.name, "vote for on in a freeze", float64(v.Stage), "build %d step %d", v.Build, v.Stage)
 	}
 }
@@ -282,7 +282,7 @@
 }
 
 // told notes what a relay is told. A lower cap binds after the grace.
-func (c *checker) told(x *node, s plan.ServiceNo, n relay.RolloutStatus) {
+func (c *checker) told(x *node, s plan.ServiceIndex, n relay.RolloutStatus) {
 	r := c.relays[x]
 	if r == nil || !n.Valid {
 		return
@@ -334,16 +334,16 @@
 	cap := 0.0
 	open := false
 	for k := 0; k <= own.step && k < len(steps); k++ {
-		for _, n := range steps[k].Needs {
+		for _, n := range steps[k].Dependencies {
 			if !reaches(r.told[n.Service], n) {
 				return c.inFreeze(r, group, cap)
 			}
 		}
-		for _, o := range steps[k].Opens {
+		for _, o := range steps[k].OpenGroups {
 			open = open || o.Site == r.x.site && int(o.Group) == group
 		}
 		if open {
-			cap = math.Min(steps[k].Cap, r.limit)
+			cap = math.Min(steps[k].ExposureLimit, r.limit)
 		}
 	}
 	return c.inFreeze(r, group, cap)
@@ -365,7 +365,7 @@
 		if r == nil {
 			continue
 		}
-		in := c.isFrozen(c.w.now, x.f.no, x.site, plan.StopsAll, 0)
+		in := c.isFrozen(c.w.now, x.f.no, x.site, plan.FreezeAll, 0)
 		if in && r.inCap == nil {
 			caps := make([]float64, len(r.groups))
 			for g := range caps {
--- a/lab/demo/demo.go
+++ b/lab/demo/demo.go
@@ -273,15 +273,15 @@
 			time.Sleep(100 * time.Millisecond)
 			continue
 		}
-		fmt.Fprint(c, linewire.Watch)
+		fmt.Fprint(c, linewire.WatchLine)
 		stop := context.AfterFunc(ctx, func() { c.Close() })
 		var last relay.RolloutStatus
 		for r := bufio.NewScanner(c); r.Scan(); {
-			reply, err := linewire.Parse(strings.TrimRight(r.Text(), "\r"))
-			if err != nil || !reply.News.Valid {
+			reply, err := linewire.ParseReply(strings.TrimRight(r.Text(), "\r"))
+			if err != nil || !reply.Status.Valid {
 				continue
 			}
-			n := reply.News
+			n := reply.Status
 			same := n
 			same.Age = last.Age
 			if same == last {
@@ -442,14 +442,14 @@
 	go s.follow(life)
 	word := func(q releasecontroller.Request) error {
 		q.Who, q.Why = "demo", "a demonstration"
-		_, err := releasecontroller.Ask(ctx, state, q)
+		_, err := releasecontroller.Call(ctx, state, q)
 		return err
 	}
 	s.say("offering build 2 of the planners, which is good; it needs map-data to be released")
 	if err := word(releasecontroller.Request{Verb: "offer", Service: "planner", Build: 2}); err != nil {
 		return err
 	}
-	if err := s.until(ctx, state, func(x rollout.Status) bool { return x.Code == rollout.NeedsOther }, "planner waits"); err != nil {
+	if err := s.until(ctx, state, func(x rollout.Status) bool { return x.Code == rollout.BlockedByDependency }, "planner waits"); err != nil {
 		return err
 	}
 	s.say("planner waits: map-data released is needed; offering it")
@@ -496,7 +496,7 @@
 		return fmt.Errorf("the desk: %w", err)
 	}
 	for { // its control file is written last
-		if _, err := releasecontroller.Ask(context.Background(), state, releasecontroller.Request{Verb: "status"}); err == nil {
+		if _, err := releasecontroller.Call(context.Background(), state, releasecontroller.Request{Verb: "status"}); err == nil {
 			return nil
 		}
 		select {
@@ -510,7 +510,7 @@
 // until asks the desk until the planners' service stands as wanted.
 func (s *show) until(ctx context.Context, state string, is func(rollout.Status) bool, what string) error {
 	for {
-		out, err := releasecontroller.Ask(ctx, state, releasecontroller.Request{Verb: "status"})
+		out, err := releasecontroller.Call(ctx, state, releasecontroller.Request{Verb: "status"})
 		if err == nil && is(out.Status[1]) {
 			return nil
 		}
--- a/lab/fakes/planner.go
+++ b/lab/fakes/planner.go
@@ -1,4 +1,4 @@
-// Package standin has small stand-ins for what stands round a relay, on loopback sockets: planners and clients that
+// Package fakes has small stand-ins for what stands round a relay, on loopback sockets: planners and clients that
 // speak the published part of PostgreSQL's wire protocol, and discovery.
 package fakes
 
@@ -79,7 +79,7 @@
 	if _, _, err := ReadMessage(r, true); err != nil {
 		return
 	}
-	if _, err := c.Write(pgwire.Welcome(1)); err != nil {
+	if _, err := c.Write(pgwire.StartupResponse(1)); err != nil {
 		return
 	}
 	for {
@@ -89,7 +89,7 @@
 		}
 		text := strings.TrimRight(string(body), "\x00")
 		if text == "" {
-			c.Write(pgwire.EmptyAnswer())
+			c.Write(pgwire.EmptyQueryResponse())
 			continue
 		}
 		if p.Seen != nil {
@@ -99,14 +99,14 @@
 		}
 		if n := p.held.Add(1); p.Most > 0 && n > int64(p.Most) {
 			p.held.Add(-1)
-			c.Write(pgwire.Ready(pgwire.ErrorAnswer(pgwire.Error, pgwire.CodeFull, "full", "")))
+			c.Write(pgwire.Ready(pgwire.ErrorResponse(pgwire.Error, pgwire.CodeFull, "full", "")))
 			continue
 		}
 		fails := p.work(text)
 		p.held.Add(-1)
 		answer := Row(p.Name)
 		if fails {
-			answer = pgwire.ErrorAnswer(pgwire.Error, "XX000", "the build is bad", "")
+			answer = pgwire.ErrorResponse(pgwire.Error, "XX000", "the build is bad", "")
 		}
 		if _, err := c.Write(pgwire.Ready(answer)); err != nil {
 			return
--- a/lab/fleet.go
+++ b/lab/fleet.go
@@ -76,7 +76,7 @@
 type planner struct {
 	f       *fleet
 	id      relay.EndpointID
-	site    plan.SiteNo
+	site    plan.SiteIndex
 	build   relay.Build
 	speed   float64
 	state   relay.EndpointState
@@ -172,7 +172,7 @@
 // fleet is one service: its planners, what lists them, what starts and drains them, and its relays.
 type fleet struct {
 	w       *world
-	no      plan.ServiceNo
+	no      plan.ServiceIndex
 	name    string
 	set     relay.Settings
 	units   []*planner
@@ -227,20 +227,20 @@
 	}
 	switch n.Phase {
 	case relay.PhaseCanary, relay.PhaseReleased:
-		step := plan.StepNo(n.Stage)
+		step := plan.StepIndex(n.Stage)
 		if n.Phase == relay.PhaseReleased {
-			step = plan.StepNo(len(t.Steps) - 1)
+			step = plan.StepIndex(len(t.Steps) - 1)
 		}
 		touched := 0.0
 		for s := range bySite {
-			if t.Touches(step, plan.SiteNo(s)) {
+			if t.Touches(step, plan.SiteIndex(s)) {
 				touched++
 			}
 		}
 		for s := range bySite { // the share is one of the whole fleet, at the sites that are open
 			each := float64(f.size) / float64(len(bySite))
 			want := 0
-			if t.Touches(step, plan.SiteNo(s)) {
+			if t.Touches(step, plan.SiteIndex(s)) {
 				want = int(math.Ceil(float64(f.size)*t.Steps[step].Share/touched - 1e-9))
 			}
 			if n.Phase == relay.PhaseReleased {
@@ -250,7 +250,7 @@
 				want = 0
 			}
 			for k := bySite[s]; k < want; k++ {
-				f.launch(n.Build, plan.SiteNo(s), between(f.rng, 0, 1)+startFor)
+				f.launch(n.Build, plan.SiteIndex(s), between(f.rng, 0, 1)+startFor)
 			}
 		}
 		if n.Phase == relay.PhaseReleased && f.stable < n.Build {
@@ -262,7 +262,7 @@
 			f.stable = f.before(n.Build)
 			for s := range bySite {
 				for range int(math.Ceil(float64(f.size) / float64(len(bySite)))) {
-					f.launch(f.stable, plan.SiteNo(s), between(f.rng, 0, 1)+startFor)
+					f.launch(f.stable, plan.SiteIndex(s), between(f.rng, 0, 1)+startFor)
 				}
 			}
 			f.drain(func(u *planner) bool { return u.build >= n.Build }, 6)
@@ -298,7 +298,7 @@
 }
 
 // launch starts a planner.
-func (f *fleet) launch(b relay.Build, site plan.SiteNo, after float64) *planner {
+func (f *fleet) launch(b relay.Build, site plan.SiteIndex, after float64) *planner {
 	f.nextID++
 	u := &planner{f: f, id: f.nextID, site: site, build: b, state: relay.Removed, cold: after > 0,
 		rng: f.w.random("planner"+f.name, int(f.nextID))}
@@ -377,13 +377,13 @@
 
 // moved notes what the desk did.
 func (f *fleet) moved(e rollout.Event) {
-	if e.Kind == rollout.Offered || e.Kind == rollout.Overtook {
+	if e.Kind == rollout.EventOffered || e.Kind == rollout.EventSuperseded {
 		return
 	}
-	if f.w.opt.Faults.Early > 0 && e.Kind == rollout.Began && f.rng.Float64() < f.w.opt.Faults.Early {
+	if f.w.opt.Faults.Early > 0 && e.Kind == rollout.EventBegan && f.rng.Float64() < f.w.opt.Faults.Early {
 		// The deployer errs: a planner of a build that nobody has announced yet is there already.
 		f.builds[e.Build+1] = fault{name: "unannounced", fails: 0.5, only: -1, slower: 1}
-		f.launch(e.Build+1, plan.SiteNo(f.rng.Intn(len(f.w.plan.Sites))), startFor)
+		f.launch(e.Build+1, plan.SiteIndex(f.rng.Intn(len(f.w.plan.Sites))), startFor)
 		f.drain(func(u *planner) bool { return u.build == e.Build+1 && f.builds[u.build].name == "unannounced" }, 45) // it is noticed
 	}
 }
@@ -397,7 +397,7 @@
 	legs    []*leg
 	over    bool
 	until   float64
-	group   plan.GroupNo
+	group   plan.GroupIndex
 	fails   int // legs of it that fail, as a trace has it
 }
 
@@ -417,7 +417,7 @@
 	f        *fleet
 	no       relay.RelayID
 	name     string
-	site     plan.SiteNo
+	site     plan.SiteIndex
 	offset   float64 // of its clock
 	weight   float64
 	hears    []bool // by service: whose desk it watches
--- a/lab/live/live_test.go
+++ b/lab/live/live_test.go
@@ -19,7 +19,7 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		if q.Category != term.Name || q.Customer != "dairy" || q.Patience != 1500 || !q.HasWork || q.Work != 125000 || q.Write != (term.Repeat != relay.Idempotent) ||
+		if q.Class != term.Name || q.Tenant != "dairy" || q.DeadlineMillis != 1500 || !q.HasWork || q.Work != 125000 || q.Write != (term.Repeat != relay.Idempotent) ||
 			(q.Number != "") != (term.Repeat == relay.IdempotencyKeyed) {
 			t.Errorf("%d: %+v", i, q)
 		}
--- a/lab/live/units.go
+++ b/lab/live/units.go
@@ -61,7 +61,7 @@
 	fails := r.fails > 0
 	r.fails--
 	r.legs++
-	if r.legs > 1 && b.once(q.Category) {
+	if r.legs > 1 && b.once(q.Class) {
 		b.twice = append(b.twice, r.id)
 	}
 	return time.Duration(q.Work) * time.Microsecond, fails
--- a/lab/logsummary/ledger.go
+++ b/lab/logsummary/ledger.go
@@ -1,4 +1,4 @@
-// Package ledger counts what the relays of a fleet logged: of each kind of line, how many there were, at how many relays,
+// Package logsummary counts what the relays of a fleet logged: of each kind of line, how many there were, at how many relays,
 // from when to when, and in which second the most. What one relay does and is harmless shows its sum here.
 package logsummary
 
--- a/lab/node.go
+++ b/lab/node.go
@@ -11,14 +11,14 @@
 )
 
 // settings are a fleet's, as its relays are told them.
-func (w *world) settings(no plan.ServiceNo, relays int) relay.Settings {
+func (w *world) settings(no plan.ServiceIndex, relays int) relay.Settings {
 	t := &w.plan.Services[no]
 	s := relay.Settings{Relays: relays,
 		Limits: relay.Limits{MaxAttempts: 3, CancelAttempts: true, PeerMessages: true, RetryAfter: true, MaxRetryAfter: 1, ConnectTimeout: 0.5},
 		Rules: relay.Rules{DrainGrace: 0.25, SlowStartFloor: coldFrom, SlowStartTime: warmUp, OverloadMultiple: fallTimes, OverloadWindow: fallAfter,
 			AnswerSlack: 0.01, PollInterval: 30},
 		Rollout: relay.Rollout{Control: relay.ControlQuorum, ExposureAllowance: 1, ExposureWindow: 2, IdempotentOnlyStages: 1,
-			PromoteQuorum: need(t.Votes.On, relays), RollBackQuorum: need(t.Votes.Back, relays), HoldQuorum: 1, VoteTTL: t.Votes.Life,
+			PromoteQuorum: need(t.Votes.Promote, relays), RollBackQuorum: need(t.Votes.RollBack, relays), HoldQuorum: 1, VoteTTL: t.Votes.TTL,
 			CallTimeout: 1, VotesPerSec: t.Votes.PerSecond, MinStageTime: 4}}
 	for _, c := range categories {
 		s.Classes = append(s.Classes, relay.ClassSettings{Idempotency: c.repeat, DedupScope: relay.DedupZone, DedupWindow: c.window,
@@ -28,7 +28,7 @@
 		s.Tenants = append(s.Tenants, relay.TenantSettings{TrafficShare: 1 / float64(len(w.customers()))})
 	}
 	for _, st := range t.Steps {
-		s.Rollout.ExposureLimits = append(s.Rollout.ExposureLimits, st.Cap)
+		s.Rollout.ExposureLimits = append(s.Rollout.ExposureLimits, st.ExposureLimit)
 		s.Rollout.StageShares = append(s.Rollout.StageShares, st.Share)
 	}
 	return s
@@ -39,7 +39,7 @@
 // customers are all of the plan's, and one who is in no group.
 func (w *world) customers() (out []string) {
 	for _, g := range w.plan.Groups {
-		out = append(out, g.Customers...)
+		out = append(out, g.Tenants...)
 	}
 	return append(out, "nobody-in-a-group")
 }
@@ -55,7 +55,7 @@
 	x.queries, x.unitTold = map[relay.RequestID]*query{}, map[relay.EndpointID]float64{}
 	x.guard, x.guardAt = nil, 0
 	if !w.opt.Guard.All {
-		var groups []plan.GroupNo
+		var groups []plan.GroupIndex
 		for _, c := range w.customers() {
 			groups = append(groups, w.plan.GroupOf(c))
 		}
@@ -70,12 +70,12 @@
 		}
 	}
 	x.list(relay.ListUpdate{Kind: relay.ListCached, Endpoints: list})
-	if n := w.desk.core.News(x.f.no, w.unix()); n.Valid { // its configuration holds it at each start
+	if n := w.desk.core.Statuses(x.f.no, w.unix()); n.Valid { // its configuration holds it at each start
 		x.hear(x.f.no, n)
 	}
 	for s, yes := range x.hears {
 		if yes {
-			w.desk.tellOne(x, plan.ServiceNo(s), w.desk.core.News(plan.ServiceNo(s), w.unix()))
+			w.desk.tellOne(x, plan.ServiceIndex(s), w.desk.core.Statuses(plan.ServiceIndex(s), w.unix()))
 		}
 	}
 	x.signs()
@@ -106,7 +106,7 @@
 		if x.f.w.awake && !x.f.w.desk.silent && x.guard != nil {
 			for s, yes := range x.hears {
 				if yes {
-					x.guard.Alive(x.clock(), plan.ServiceNo(s))
+					x.guard.Alive(x.clock(), plan.ServiceIndex(s))
 				}
 			}
 			x.look()
@@ -120,17 +120,17 @@
 }
 
 // hear takes news of a service, its own or one that it needs.
-func (x *node) hear(s plan.ServiceNo, n relay.RolloutStatus) {
+func (x *node) hear(s plan.ServiceIndex, n relay.RolloutStatus) {
 	x.f.w.check.told(x, s, n)
 	switch {
 	case x.guard == nil && s == x.f.no:
 		x.step(n)
 	case x.guard == nil:
 	case s == x.f.no:
-		x.guard.Hear(x.clock(), n)
+		x.guard.StatusReceived(x.clock(), n)
 		x.look()
 	default:
-		x.guard.HearOf(x.clock(), s, n)
+		x.guard.DependencyStatusReceived(x.clock(), s, n)
 		x.look()
 	}
 }
@@ -143,7 +143,7 @@
 	}
 	if n.Valid {
 		x.f.w.check.told(x, x.f.no, n)
-		x.guard.Hear(x.clock(), n)
+		x.guard.StatusReceived(x.clock(), n)
 		x.look()
 	}
 	x.step(relay.RolloutStatus{Reply: n.Reply})
@@ -154,7 +154,7 @@
 	if x.guard == nil || !x.alive {
 		return
 	}
-	x.buffer = x.guard.Look(x.clock(), x.buffer[:0])
+	x.buffer = x.guard.Evaluate(x.clock(), x.buffer[:0])
 	if len(x.buffer) > 0 {
 		x.step(append([]relay.Event(nil), x.buffer...)...)
 	}
--- a/lab/replay.go
+++ b/lab/replay.go
@@ -283,11 +283,11 @@
 		}
 		r.places = append(r.places, at)
 	}
-	p := &plan.Plan{Sites: []string{"bole", "kality"}, Groups: []plan.Group{{Name: "all", Customers: o.Customers}},
-		Services: []plan.Service{{Name: "replay", Votes: plan.Votes{On: 0.5, Back: 0.15, Life: 10, PerSecond: 100},
-			Steps: []plan.Step{{Name: "all", Share: 1, Cap: 1, Opens: []plan.Scope{{Site: 0, Group: 0}, {Site: 1, Group: 0}}}}}}}
+	p := &plan.Plan{Sites: []string{"bole", "kality"}, Groups: []plan.Group{{Name: "all", Tenants: o.Customers}},
+		Services: []plan.Service{{Name: "replay", Votes: plan.Votes{Promote: 0.5, RollBack: 0.15, TTL: 10, PerSecond: 100},
+			Steps: []plan.Step{{Name: "all", Share: 1, ExposureLimit: 1, OpenGroups: []plan.Scope{{Site: 0, Group: 0}, {Site: 1, Group: 0}}}}}}}
 	opt := Options{Plan: p, Seed: o.Seed, Days: 1, Start: 1, Relays: o.Relays, Units: o.Units, Module: o.Module, Change: o.Change,
-		Guard: rollout.GuardDefences{All: true}}
+		Guard: rollout.GuardSafeguards{All: true}}
 	w := &world{opt: opt, plan: withRelays(p, o.Relays), epoch: 1, log: sha256.New(), awake: true}
 	w.rng = rand.New(rand.NewSource(o.Seed))
 	w.check = newChecker(w)
--- a/lab/report.go
+++ b/lab/report.go
@@ -103,14 +103,14 @@
 		}
 		x := m.Time / hour
 		switch m.Kind {
-		case rollout.Offered, rollout.Overtook:
+		case rollout.EventOffered, rollout.EventSuperseded:
 			offered = append(offered, plotter.XY{X: x, Y: 0.2})
-		case rollout.Began, rollout.Moved:
+		case rollout.EventBegan, rollout.EventPromoted:
 			line = append(line, plotter.XY{X: x, Y: float64(m.Step) + 1})
-		case rollout.Released:
+		case rollout.EventReleased:
 			line = append(line, plotter.XY{X: x, Y: 0})
 			released = append(released, plotter.XY{X: x, Y: float64(len(s.Steps)) + 1})
-		case rollout.SentBack:
+		case rollout.EventRollingBack:
 			line = append(line, plotter.XY{X: x, Y: 0})
 			back = append(back, plotter.XY{X: x, Y: float64(m.Step) + 1})
 		}
--- a/lab/scale/control.go
+++ b/lab/scale/control.go
@@ -30,7 +30,7 @@
 
 // tellNews has the platform tell a service's relays how its newest build stands.
 func (w *world) tellNews(now float64, s *service) {
-	line := linewire.Tell(s.platform.state(now))
+	line := linewire.StatusNoticeLine(s.platform.state(now))
 	for _, h := range s.hollows {
 		if h.alive && w.reachesPlatform(h.identity) {
 			w.mail = append(w.mail, parcel{at: now + newsDelay, to: h, news: &newsIn{h.life, line}})
@@ -92,9 +92,9 @@
 		return
 	}
 	p := h.service.platform
-	answer := linewire.Refuse(linewire.Moot)
+	answer := linewire.ErrorLine(linewire.CodeStale)
 	if p.vote(now, h.number, h.weight, call.Vote) == relay.ReplyCounted {
-		answer = linewire.Answer(p.state(now))
+		answer = linewire.StatusReplyLine(p.state(now))
 	}
 	w.mail = append(w.mail, parcel{at: now + newsDelay, to: h, news: &newsIn{h.life, answer}})
 }
--- a/lab/scale/hollow.go
+++ b/lab/scale/hollow.go
@@ -125,7 +125,7 @@
 	// The configuration holds the list and the news as of the start.
 	h.calling = 0
 	h.answers = append(h.answers[:0], answerIn{0, h.known})
-	h.news = append(h.news[:0], newsIn{h.life, linewire.Tell(h.service.platform.state(now))})
+	h.news = append(h.news[:0], newsIn{h.life, linewire.StatusNoticeLine(h.service.platform.state(now))})
 	h.timers.set(timer{at: now + h.load.gap(), kind: arrivalTimer})
 }
 
@@ -197,7 +197,7 @@
 	for _, d := range h.inbox {
 		h.meter.received(d.class, len(d.body)+datagramOverhead)
 		if h.member != nil && membership.IsMessage(d.body) {
-			h.member.step(now, membership.Heard{From: d.from.number, Body: d.body})
+			h.member.step(now, membership.MessageReceived{From: d.from.number, Body: d.body})
 			continue
 		}
 		events = append(events, relay.MessageReceived{From: d.from.number, Body: d.body})
@@ -240,7 +240,7 @@
 		case relay.SendMessage:
 			h.tell(verdictClass, o.To, o.Body)
 		case relay.Vote:
-			line := linewire.Vote(o)
+			line := linewire.VoteLine(o)
 			h.meter.sent(newsClass, len(line))
 			h.out.votes = append(h.out.votes, line)
 		case relay.Watch:
--- a/lab/scale/hollow_control.go
+++ b/lab/scale/hollow_control.go
@@ -46,7 +46,7 @@
 	h.calling = h.calls
 	h.out.calls = append(h.out.calls, listCall{from: h, number: h.calls, after: after, until: now + wait, continues: h.stands})
 	if h.member != nil {
-		h.member.step(now, membership.CallBegun{Wait: wait, Continues: h.stands})
+		h.member.step(now, membership.PollStarted{Wait: wait, Continues: h.stands})
 	}
 }
 
@@ -59,7 +59,7 @@
 	if in.answer == nil {
 		h.stands = false
 		if h.member != nil {
-			h.member.step(now, membership.CallFailed{})
+			h.member.step(now, membership.PollFailed{})
 		}
 		h.step(now, relay.ListUpdate{Kind: relay.ListFetchFailed})
 		return
@@ -106,18 +106,18 @@
 	if h.member != nil {
 		defer func() { h.member.list(now, list, held) }()
 	}
-	if !list.Whole && len(list.Lines) == 0 && !h.ordered {
+	if !list.Full && len(list.Endpoints) == 0 && !h.ordered {
 		return // nothing new
 	}
 	form := relay.ListDelta
 	switch {
-	case h.first && list.Whole:
+	case h.first && list.Full:
 		form = relay.ListCached
-	case list.Whole:
+	case list.Full:
 		form = relay.ListFull
 	}
-	event := relay.ListUpdate{Kind: form, Endpoints: make([]relay.Endpoint, 0, len(list.Lines))}
-	for _, line := range list.Lines {
+	event := relay.ListUpdate{Kind: form, Endpoints: make([]relay.Endpoint, 0, len(list.Endpoints))}
+	for _, line := range list.Endpoints {
 		u := h.service.byID[line.ID]
 		if u == nil {
 			h.unknown++
@@ -146,7 +146,7 @@
 	var reply linewire.Reply
 	err := h.lines.Feed([]byte(in.line), func(line string) {
 		var fault error
-		if reply, fault = linewire.Parse(line); fault != nil {
+		if reply, fault = linewire.ParseReply(line); fault != nil {
 			h.meter.unreadable++
 		}
 	})
@@ -155,8 +155,8 @@
 		h.meter.unreadable++
 		return
 	}
-	n := reply.News
-	if !reply.Told {
+	n := reply.Status
+	if !reply.Unsolicited {
 		n.Reply = voteReply(reply)
 	}
 	if n.Valid {
@@ -170,7 +170,7 @@
 
 func voteReply(r linewire.Reply) relay.VoteReply {
 	switch {
-	case strings.HasPrefix(r.Error, linewire.Moot):
+	case strings.HasPrefix(r.Error, linewire.CodeStale):
 		return relay.ReplyStale
 	case r.Error != "":
 		return relay.ReplyNotCounted
--- a/lab/scale/member.go
+++ b/lab/scale/member.go
@@ -23,21 +23,21 @@
 func newMember(h *hollow) *member {
 	set := &h.service.settings
 	node := membership.New(membership.Settings{Self: h.number, Relays: len(h.service.hollows), Messages: set.Limits.PeerMessages,
-		AskEvery: set.Rules.PollInterval, Epoch: epoch + h.started}, h.random.Int63())
+		PollInterval: set.Rules.PollInterval, Epoch: epoch + h.started}, h.random.Int63())
 	return &member{relay: h, node: node, wakeAt: membership.Never, lease: -1}
 }
 
 // list tells the node of a list, of before the start or from discovery.
 func (m *member) list(now float64, list discovery.List, held bool) {
-	given := membership.List{Generation: list.Generation, Whole: list.Whole}
-	for _, line := range list.Lines {
-		given.Units = append(given.Units, line.Endpoint)
+	given := membership.List{Generation: list.Generation, Full: list.Full}
+	for _, line := range list.Endpoints {
+		given.Endpoints = append(given.Endpoints, line.Endpoint)
 	}
 	if held {
-		m.step(now, membership.Held{List: given})
+		m.step(now, membership.CachedList{List: given})
 		return
 	}
-	m.step(now, membership.Answered{List: given})
+	m.step(now, membership.PollAnswered{List: given})
 }
 
 // step has the node see an event, and carries out what it returns.
@@ -49,7 +49,7 @@
 	for _, body := range out.Messages {
 		h.tell(membershipClass, relay.Broadcast, body)
 	}
-	m.leave(now, out.Left)
+	m.leave(now, out.Removed)
 	if out.Lease != m.lease {
 		m.lease = out.Lease
 		h.step(now, relay.ListLease{ExpiresAt: out.Lease})
@@ -57,9 +57,9 @@
 	if out.Answers {
 		h.step(now, relay.DiscoveryRecovered{})
 	}
-	if out.WakeAt < m.wakeAt {
-		m.wakeAt = out.WakeAt
-		h.timers.set(timer{at: h.started + out.WakeAt, kind: membershipTimer})
+	if out.TimerAt < m.wakeAt {
+		m.wakeAt = out.TimerAt
+		h.timers.set(timer{at: h.started + out.TimerAt, kind: membershipTimer})
 	}
 }
 
@@ -84,5 +84,5 @@
 	if now-m.relay.started+clockGrain >= m.wakeAt {
 		m.wakeAt = membership.Never
 	}
-	m.step(now, membership.Woken{})
+	m.step(now, membership.TimerFired{})
 }
--- a/lab/scale/wire_test.go
+++ b/lab/scale/wire_test.go
@@ -61,10 +61,10 @@
 	young := newUnit("s0-b2-1", place{}, 0, 2, 4.25)
 	r := newRegistry(5, []*unit{old})
 	whole, err := reader().Parse(r.answer(-1).body)
-	if err != nil || !whole.Whole || whole.Generation != 1 || len(whole.Lines) != 1 || whole.Bad != 0 {
+	if err != nil || !whole.Full || whole.Generation != 1 || len(whole.Endpoints) != 1 || whole.Unreadable != 0 {
 		t.Fatalf("%+v %v", whole, err)
 	}
-	if got, want := whole.Lines[0].Endpoint, (relay.Endpoint{ID: old.id, Zone: 1, MachineType: 1, FailureDomain: 3, Build: 1, Weight: 1,
+	if got, want := whole.Endpoints[0].Endpoint, (relay.Endpoint{ID: old.id, Zone: 1, MachineType: 1, FailureDomain: 3, Build: 1, Weight: 1,
 		State: relay.Ready, StartKnown: true, StartedAt: -longRunning}); got != want {
 		t.Errorf("%+v, not %+v", got, want)
 	}
@@ -81,11 +81,11 @@
 		t.Errorf("generation %d, leaving since %g", r.generation, old.leaving)
 	}
 	delta, err := reader().Parse(r.answer(1).body)
-	if err != nil || delta.Whole || delta.Generation != 3 || len(delta.Lines) != 2 {
+	if err != nil || delta.Full || delta.Generation != 3 || len(delta.Endpoints) != 2 {
 		t.Fatalf("%+v %v", delta, err)
 	}
-	if a, b := delta.Lines[0], delta.Lines[1]; a.ID != old.id || a.State != relay.Draining || b.ID != young.id || b.StartedAt != 4.25 {
-		t.Errorf("%+v", delta.Lines)
+	if a, b := delta.Endpoints[0], delta.Endpoints[1]; a.ID != old.id || a.State != relay.Draining || b.ID != young.id || b.StartedAt != 4.25 {
+		t.Errorf("%+v", delta.Endpoints)
 	}
 	if got := r.since(2); len(got) != 1 || got[0] != old {
 		t.Errorf("%v", got)
@@ -105,10 +105,10 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		if list.Whole {
+		if list.Full {
 			whole++
 		}
-		for _, line := range list.Lines {
+		for _, line := range list.Endpoints {
 			seen[line.ID] = true
 		}
 	}
--- a/lab/trouble.go
+++ b/lab/trouble.go
@@ -116,7 +116,7 @@
 
 // hour has the planner that a machine of the trace stands for fail for a while.
 func (f *fleet) hour(machine uint64, d, fails float64) {
-	site := plan.SiteNo(machine >> 32 % uint64(len(f.w.plan.Sites)))
+	site := plan.SiteIndex(machine >> 32 % uint64(len(f.w.plan.Sites)))
 	var at []*planner
 	for _, u := range f.live() {
 		if u.site == site {
--- a/lab/week.go
+++ b/lab/week.go
@@ -67,14 +67,14 @@
 		"guard-unheard": &o.Guard.Unheard, "guard-groups": &o.Guard.Groups, "guard-ceiling": &o.Guard.Ceiling,
 		"guard-skew": &o.Guard.Skew, "guard-votes": &o.Guard.Votes, "guard-start": &o.Guard.StartProof,
 		"guard-backward": &o.Guard.Backward, "desk-freezes": &o.Desk.Freezes, "desk-needs": &o.Desk.Needs,
-		"desk-least": &o.Desk.LeastTime, "desk-narrow": &o.Desk.NarrowLost}[name]
+		"desk-least": &o.Desk.MinStageTime, "desk-narrow": &o.Desk.NarrowLost}[name]
 	if ok {
 		*d = true
 	}
 	return ok
 }
 
-// ByClock makes the run a baseline in which time alone moves steps, and nobody's vote counts.
+// ControlTimed makes the run a baseline in which time alone moves steps, and nobody's vote counts.
 func (o *Options) ByClock() {
 	p := *o.Plan
 	p.Services = append([]plan.Service(nil), p.Services...)
@@ -82,9 +82,9 @@
 		s := &p.Services[i]
 		longest := 0.0
 		for _, st := range s.Steps {
-			longest = math.Max(longest, st.Least)
+			longest = math.Max(longest, st.MinTime)
 		}
-		s.Votes.Control, s.Votes.StepTime = plan.ByClock, longest
+		s.Votes.Control, s.Votes.StepTime = plan.ControlTimed, longest
 	}
 	o.Plan, o.NoVotes = &p, true
 }
@@ -101,8 +101,8 @@
 	BadPart float64 // of the builds that are bad
 	Load    float64 // times the ordinary day's
 
-	Guard   rollout.GuardDefences
-	Desk    rollout.Defences
+	Guard   rollout.GuardSafeguards
+	Desk    rollout.Safeguards
 	NoVotes bool // votes are dropped: with a clock that moves steps, the baseline
 	Module  func(relay.Settings, int64) module
 	Change  func(*relay.Settings) // of what relays are told, where given
@@ -191,13 +191,13 @@
 // busy says whether a release is under way that may go on within half a minute.
 func (s *spell) busy() bool {
 	for i := range s.w.fleets {
-		w := s.w.desk.core.Why(plan.ServiceNo(i), s.w.unix())
+		w := s.w.desk.core.Why(plan.ServiceIndex(i), s.w.unix())
 		switch w.Code {
-		case rollout.NeedVotes, rollout.GoesBack, rollout.Free, rollout.HeldByVotes:
+		case rollout.BlockedByMissingVotes, rollout.BlockedByRollback, rollout.Unblocked, rollout.BlockedByHoldVotes:
 			return true
-		case rollout.TooYoung, rollout.Settling:
+		case rollout.BlockedByMinTime, rollout.BlockedBySettleTime:
 			return true
-		case rollout.IsFrozen, rollout.IsClosed:
+		case rollout.BlockedByPlanFreeze, rollout.BlockedByOperatorFreeze:
 			if w.Until > 0 && w.Until-s.w.unix() < 30 {
 				return true
 			}
@@ -374,7 +374,7 @@
 		}
 		q.Services[i].Relays = nil
 		for k := range n {
-			q.Services[i].Relays = append(q.Services[i].Relays, plan.Relay{Name: nodeName(k), Site: plan.SiteNo(k % len(q.Sites))})
+			q.Services[i].Relays = append(q.Services[i].Relays, plan.Relay{Name: nodeName(k), Site: plan.SiteIndex(k % len(q.Sites))})
 		}
 	}
 	return &q
@@ -384,7 +384,7 @@
 func (w *world) build(o Options) {
 	for i := range w.plan.Services {
 		s := &w.plan.Services[i]
-		f := &fleet{w: w, no: plan.ServiceNo(i), name: s.Name, builds: map[relay.Build]fault{1: {name: "good", only: -1, slower: 1}},
+		f := &fleet{w: w, no: plan.ServiceIndex(i), name: s.Name, builds: map[relay.Build]fault{1: {name: "good", only: -1, slower: 1}},
 			stable: 1, size: o.Units / len(w.plan.Services), rng: w.random("fleet", i)}
 		f.set = w.settings(f.no, len(s.Relays))
 		if o.Change != nil {
@@ -392,10 +392,10 @@
 		}
 		w.fleets = append(w.fleets, f)
 		for k := range f.size {
-			f.launch(1, plan.SiteNo(k%len(w.plan.Sites)), 0)
+			f.launch(1, plan.SiteIndex(k%len(w.plan.Sites)), 0)
 		}
 		hears := make([]bool, len(w.plan.Services))
-		for _, n := range rollout.Needed(w.plan, f.no) {
+		for _, n := range rollout.DependenciesOf(w.plan, f.no) {
 			hears[n] = true
 		}
 		for k, r := range s.Relays {
@@ -541,7 +541,7 @@
 		out.Broken = []Broken{}
 	}
 	for code, d := range w.desk.held {
-		if code == rollout.Free {
+		if code == rollout.Unblocked {
 			code = "free"
 		}
 		out.Held[string(code)] = math.Round(d)
@@ -584,15 +584,15 @@
 			order = append(order, k)
 		}
 		switch m.Kind {
-		case rollout.Offered, rollout.Overtook:
+		case rollout.EventOffered, rollout.EventSuperseded:
 			r.Offered = m.Time
-		case rollout.Began:
+		case rollout.EventBegan:
 			r.Began = m.Time
-		case rollout.Moved:
+		case rollout.EventPromoted:
 			r.Steps++
-		case rollout.Released:
+		case rollout.EventReleased:
 			r.Released, r.Steps = m.Time, r.Steps+1
-		case rollout.SentBack:
+		case rollout.EventRollingBack:
 			r.Back = m.Time
 		}
 	}
--- a/lab/world.go
+++ b/lab/world.go
@@ -120,16 +120,16 @@
 	late    float64 // s that news is later than usual
 	told    []relay.RolloutStatus
 	nextAt  float64
-	since   []plan.Unix    // for held: when the present reason began, by service
-	code    []rollout.Code // the present reason
-	held    map[rollout.Code]float64
+	since   []plan.Unix         // for held: when the present reason began, by service
+	code    []rollout.BlockCode // the present reason
+	held    map[rollout.BlockCode]float64
 	rng     *rand.Rand
 }
 
 func newDeskLink(w *world) *deskLink {
 	d := &deskLink{w: w, told: make([]relay.RolloutStatus, len(w.plan.Services)), rng: w.random("desk", 0),
-		since: make([]plan.Unix, len(w.plan.Services)), code: make([]rollout.Code, len(w.plan.Services)),
-		held: map[rollout.Code]float64{}}
+		since: make([]plan.Unix, len(w.plan.Services)), code: make([]rollout.BlockCode, len(w.plan.Services)),
+		held: map[rollout.BlockCode]float64{}}
 	for i := range d.since {
 		d.since[i] = w.epoch
 	}
@@ -160,7 +160,7 @@
 
 func (d *deskLink) keep(e rollout.Event) {
 	d.journal = append(d.journal, e)
-	if e.Kind == rollout.Voted {
+	if e.Kind == rollout.EventVoted {
 		return
 	}
 	d.w.mark("desk %s %s build %d step %d", e.Service, e.Kind, e.Build, e.Step)
@@ -176,22 +176,22 @@
 
 // due does what the core finds due, tells what changed and looks again when the core says.
 func (d *deskLink) due() {
-	for _, e := range d.core.Due(d.w.unix()) {
+	for _, e := range d.core.Advance(d.w.unix()) {
 		d.keep(e)
 	}
 	for i := range d.told {
-		w := d.core.Why(plan.ServiceNo(i), d.w.unix())
+		w := d.core.Why(plan.ServiceIndex(i), d.w.unix())
 		if w.Code != d.code[i] {
 			d.held[d.code[i]] += d.w.unix() - d.since[i]
 			d.code[i], d.since[i] = w.Code, d.w.unix()
 			d.w.mark("%s waits: %s", d.w.plan.Services[i].Name, w)
 		}
-		n := d.core.News(plan.ServiceNo(i), d.w.unix())
+		n := d.core.Statuses(plan.ServiceIndex(i), d.w.unix())
 		same := d.told[i]
 		same.Age = n.Age
 		if n != same {
 			d.told[i] = n
-			d.tell(plan.ServiceNo(i))
+			d.tell(plan.ServiceIndex(i))
 		}
 	}
 	next := d.core.Next(d.w.unix()) - d.w.epoch
@@ -210,11 +210,11 @@
 }
 
 // tell tells every relay that wants to hear of a service where it stands, each a little later; nothing while silent.
-func (d *deskLink) tell(s plan.ServiceNo) {
+func (d *deskLink) tell(s plan.ServiceIndex) {
 	if d.silent {
 		return
 	}
-	n := d.core.News(s, d.w.unix())
+	n := d.core.Statuses(s, d.w.unix())
 	if !n.Valid {
 		return
 	}
@@ -226,7 +226,7 @@
 	d.w.fleets[s].told(n, between(d.rng, 0.3, 0.8)+d.late)
 }
 
-func (d *deskLink) tellOne(x *node, s plan.ServiceNo, n relay.RolloutStatus) {
+func (d *deskLink) tellOne(x *node, s plan.ServiceIndex, n relay.RolloutStatus) {
 	lag, life := between(d.rng, 0.05, 0.8)+d.late, x.life
 	d.w.in(lag, func() {
 		if x.alive && x.life == life {
@@ -240,7 +240,7 @@
 // again tells everything again, as after a break.
 func (d *deskLink) again() {
 	for i := range d.told {
-		d.tell(plan.ServiceNo(i))
+		d.tell(plan.ServiceIndex(i))
 	}
 }
 
@@ -264,12 +264,12 @@
 			return
 		}
 		e, refused := d.core.Vote(x.f.no, x.name, v, d.w.unix())
-		if refused != rollout.Counted {
+		if refused != rollout.VoteCounted {
 			back(relay.RolloutStatus{Reply: relay.ReplyNotCounted}, 0.01)
 			return
 		}
 		d.take(e)
-		n := d.core.News(x.f.no, d.w.unix())
+		n := d.core.Statuses(x.f.no, d.w.unix())
 		n.Reply = relay.ReplyCounted
 		back(n, between(d.rng, 0.001, 0.02))
 	})
--- a/membership/bench_test.go
+++ b/membership/bench_test.go
@@ -63,17 +63,17 @@
 	f := &benchFleet{random: rand.New(rand.NewSource(1)), generation: 1, units: units, wakeAt: make([]relay.Seconds, nodes)}
 	list := listOf(units, f.generation)
 	for i := range nodes {
-		f.nodes = append(f.nodes, New(Settings{Self: relay.RelayID(i), Relays: nodes, Messages: true, AskEvery: 10, Epoch: 1.7e9}, int64(i)))
+		f.nodes = append(f.nodes, New(Settings{Self: relay.RelayID(i), Relays: nodes, Messages: true, PollInterval: 10, Epoch: 1.7e9}, int64(i)))
 		f.wakeAt[i] = Never
-		f.at(watchWait*f.random.Float64(), i, Answered{list})
+		f.at(watchWait*f.random.Float64(), i, PollAnswered{list})
 	}
 	return f
 }
 
 func listOf(units int, generation int64) List {
-	l := List{Generation: generation, Whole: true}
+	l := List{Generation: generation, Full: true}
 	for i := range units {
-		l.Units = append(l.Units, relay.Endpoint{ID: relay.EndpointID(uint64(i+1) * 0x9e3779b97f4a7c15), Build: 41, State: relay.Ready})
+		l.Endpoints = append(l.Endpoints, relay.Endpoint{ID: relay.EndpointID(uint64(i+1) * 0x9e3779b97f4a7c15), Build: 41, State: relay.Ready})
 	}
 	return l
 }
@@ -87,9 +87,9 @@
 func (f *benchFleet) change(now relay.Seconds) {
 	f.generation++
 	unit := relay.EndpointID(uint64(f.random.Intn(f.units)+1) * 0x9e3779b97f4a7c15)
-	list := List{Generation: f.generation, Units: []relay.Endpoint{{ID: unit, Build: 41, State: relay.Draining}}}
+	list := List{Generation: f.generation, Endpoints: []relay.Endpoint{{ID: unit, Build: 41, State: relay.Draining}}}
 	for i := range f.nodes {
-		f.at(now+0.2*f.random.Float64(), i, Answered{list})
+		f.at(now+0.2*f.random.Float64(), i, PollAnswered{list})
 	}
 }
 
@@ -97,27 +97,27 @@
 func (f *benchFleet) run(until relay.Seconds) {
 	for len(f.queue) > 0 && f.queue[0].at < until {
 		a := heap.Pop(&f.queue).(arrival)
-		if _, woken := a.event.(Woken); woken && a.at < f.wakeAt[a.to] {
+		if _, woken := a.event.(TimerFired); woken && a.at < f.wakeAt[a.to] {
 			continue // it was put off
 		}
 		out := f.nodes[a.to].Step(a.at, a.event)
 		f.steps++
-		if _, answered := a.event.(Answered); answered {
-			f.nodes[a.to].Step(a.at, CallBegun{Wait: watchWait, Continues: true})
+		if _, answered := a.event.(PollAnswered); answered {
+			f.nodes[a.to].Step(a.at, PollStarted{Wait: watchWait, Continues: true})
 		}
 		for _, body := range out.Messages {
 			f.messages++
 			f.bytes += float64(len(body) + datagramHeaders)
 			for i := range f.nodes {
 				if i != a.to {
-					f.at(a.at+leastDelay+(mostDelay-leastDelay)*f.random.Float64(), i, Heard{relay.RelayID(a.to), body})
+					f.at(a.at+leastDelay+(mostDelay-leastDelay)*f.random.Float64(), i, MessageReceived{relay.RelayID(a.to), body})
 				}
 			}
 		}
-		if out.WakeAt != f.wakeAt[a.to] && out.WakeAt != Never {
-			f.at(out.WakeAt, a.to, Woken{})
+		if out.TimerAt != f.wakeAt[a.to] && out.TimerAt != Never {
+			f.at(out.TimerAt, a.to, TimerFired{})
 		}
-		f.wakeAt[a.to] = out.WakeAt
+		f.wakeAt[a.to] = out.TimerAt
 	}
 }
 
@@ -137,7 +137,7 @@
 				}
 				for i := range f.nodes { // each watch comes back once in its wait
 					if i%int(watchWait) == int(now)%int(watchWait) {
-						f.at(now+f.random.Float64(), i, Answered{List{Generation: f.generation}})
+						f.at(now+f.random.Float64(), i, PollAnswered{List{Generation: f.generation}})
 					}
 				}
 				now++
@@ -160,8 +160,8 @@
 			var n *Node
 			before := inUse()
 			for b.Loop() {
-				n = New(Settings{Relays: 4300, Messages: true, AskEvery: 10}, 1)
-				n.Step(1, Answered{list})
+				n = New(Settings{Relays: 4300, Messages: true, PollInterval: 10}, 1)
+				n.Step(1, PollAnswered{list})
 			}
 			b.ReportMetric(inUse()-before, "heap-B")
 			runtime.KeepAlive(n)
@@ -174,17 +174,17 @@
 func BenchmarkChange(b *testing.B) {
 	for _, units := range []int{150, 1000, 4096, 12_000, 42_000} {
 		b.Run(fmt.Sprintf("units=%d", units), func(b *testing.B) {
-			n := New(Settings{Relays: 4300, Messages: true, AskEvery: 10}, 1)
+			n := New(Settings{Relays: 4300, Messages: true, PollInterval: 10}, 1)
 			list := listOf(units, 1)
-			n.Step(1, Answered{list})
+			n.Step(1, PollAnswered{list})
 			no := 0
 			for b.Loop() {
-				e := list.Units[no%units]
+				e := list.Endpoints[no%units]
 				if no/units%2 == 0 {
 					e.State = relay.Draining
 				}
 				no++
-				n.Step(1+float64(no), Answered{List{Generation: int64(1 + no), Units: []relay.Endpoint{e}}})
+				n.Step(1+float64(no), PollAnswered{List{Generation: int64(1 + no), Endpoints: []relay.Endpoint{e}}})
 			}
 		})
 	}
@@ -192,11 +192,11 @@
 
 // BenchmarkHeartbeat is a heartbeat of a peer with the same list, read and taken in.
 func BenchmarkHeartbeat(b *testing.B) {
-	n := New(Settings{Relays: 4300, Messages: true, AskEvery: 10, Epoch: 1.7e9}, 1)
-	n.Step(1, Answered{listOf(150, 1)})
+	n := New(Settings{Relays: 4300, Messages: true, PollInterval: 10, Epoch: 1.7e9}, 1)
+	n.Step(1, PollAnswered{listOf(150, 1)})
 	body := message{view: n.view, answered: n.toWire(1)}.encode()
 	for b.Loop() {
-		n.Step(2, Heard{From: 7, Body: body})
+		n.Step(2, MessageReceived{From: 7, Body: body})
 	}
 	b.ReportMetric(float64(len(body)+datagramHeaders), "wire-B")
 }
--- a/membership/bus_test.go
+++ b/membership/bus_test.go
@@ -15,14 +15,14 @@
 
 // testSettings are those of a node of a fleet that may send messages.
 func testSettings(self, relays int) Settings {
-	return Settings{Self: relay.RelayID(self), Relays: relays, Messages: true, AskEvery: 60, Epoch: testEpoch}
+	return Settings{Self: relay.RelayID(self), Relays: relays, Messages: true, PollInterval: 60, Epoch: testEpoch}
 }
 
 // wholeList is a whole list of ready units with the given ids.
 func wholeList(generation int64, units ...relay.EndpointID) List {
-	list := List{Generation: generation, Whole: true}
+	list := List{Generation: generation, Full: true}
 	for _, unit := range units {
-		list.Units = append(list.Units, relay.Endpoint{ID: unit, Build: 1, State: relay.Ready})
+		list.Endpoints = append(list.Endpoints, relay.Endpoint{ID: unit, Build: 1, State: relay.Ready})
 	}
 	return list
 }
@@ -142,7 +142,7 @@
 	node := b.nodes[i]
 	out := node.Step(b.now, event)
 	node.lease = out.Lease
-	for _, unit := range out.Left {
+	for _, unit := range out.Removed {
 		node.left[unit] = true
 	}
 	for _, body := range out.Messages {
@@ -153,12 +153,12 @@
 		b.sent = append(b.sent, busMessage{b.now, i, body})
 		b.push(busEvent{at: b.now + busDelay, node: i, body: body})
 	}
-	if out.WakeAt != node.wakeAt {
-		if out.WakeAt <= b.now {
-			b.t.Fatalf("a wake-up at %v was asked for at %v", out.WakeAt, b.now)
+	if out.TimerAt != node.wakeAt {
+		if out.TimerAt <= b.now {
+			b.t.Fatalf("a wake-up at %v was asked for at %v", out.TimerAt, b.now)
 		}
-		if node.wakeAt = out.WakeAt; out.WakeAt != Never {
-			b.push(busEvent{at: out.WakeAt, node: i})
+		if node.wakeAt = out.TimerAt; out.TimerAt != Never {
+			b.push(busEvent{at: out.TimerAt, node: i})
 		}
 	}
 	return out
@@ -175,7 +175,7 @@
 		case event.body != nil:
 			b.deliver(event)
 		case b.nodes[event.node].wakeAt == event.at:
-			b.step(event.node, Woken{})
+			b.step(event.node, TimerFired{})
 		}
 	}
 	b.now = until
@@ -184,7 +184,7 @@
 func (b *bus) deliver(event busEvent) {
 	for i := range b.nodes {
 		if i != event.node && (b.lost == nil || !b.lost(event.node, i)) {
-			b.step(i, Heard{From: relay.RelayID(event.node), Body: event.body})
+			b.step(i, MessageReceived{From: relay.RelayID(event.node), Body: event.body})
 		}
 	}
 }
--- a/membership/gossip.go
+++ b/membership/gossip.go
@@ -83,13 +83,13 @@
 }
 
 // hear takes a message of a peer.
-func (n *Node) hear(event Heard) {
+func (n *Node) hear(event MessageReceived) {
 	m, err := decode(event.Body)
 	if err != nil || event.From == n.set.Self {
 		n.counters.Unreadable++
 		return
 	}
-	n.counters.Heard++
+	n.counters.Received++
 	if n.heard == Never || n.now-n.heard >= contactFor {
 		n.heardSince = n.now
 	}
@@ -136,7 +136,7 @@
 	}
 	for _, unit := range m.delta.units {
 		if n.list.tell(unit, m.view.generation) {
-			n.out.Left = append(n.out.Left, unit)
+			n.out.Removed = append(n.out.Removed, unit)
 		}
 	}
 	if !n.assemble(from, m) {
--- a/membership/history_test.go
+++ b/membership/history_test.go
@@ -290,7 +290,7 @@
 			w.silence(host)
 			continue
 		}
-		w.fail(host, w.between(0, 0.05), CallFailed{})
+		w.fail(host, w.between(0, 0.05), PollFailed{})
 	}
 }
 
@@ -309,7 +309,7 @@
 	w.hosts[no] = host
 	if kept != nil {
 		host.listed, host.generation, host.incarnation = maps.Clone(kept.listed), kept.generation, kept.incarnation
-		w.step(host, Held{host.list()})
+		w.step(host, CachedList{host.list()})
 	}
 	w.after(w.between(0, 0.5), func() { w.call(host, false) })
 }
@@ -320,9 +320,9 @@
 }
 
 func (h *historyHost) list() List {
-	given := List{Generation: h.generation, Whole: true}
+	given := List{Generation: h.generation, Full: true}
 	for _, unit := range slices.Sorted(maps.Keys(h.listed)) {
-		given.Units = append(given.Units, entryOf(unit, h.listed[unit]))
+		given.Endpoints = append(given.Endpoints, entryOf(unit, h.listed[unit]))
 	}
 	return given
 }
@@ -336,17 +336,17 @@
 	if host.lease = out.Lease; w.believe != nil {
 		host.lease = w.believe(out.Lease)
 	}
-	for _, unit := range out.Left {
+	for _, unit := range out.Removed {
 		delete(host.listed, unit)
 	}
 	for _, body := range out.Messages {
 		w.send(host, body)
 	}
-	if host.wakeAt != out.WakeAt {
-		if host.wakeAt = out.WakeAt; out.WakeAt != Never {
-			w.after(out.WakeAt-w.now, func() {
-				if !host.dead && host.wakeAt == out.WakeAt {
-					w.step(host, Woken{})
+	if host.wakeAt != out.TimerAt {
+		if host.wakeAt = out.TimerAt; out.TimerAt != Never {
+			w.after(out.TimerAt-w.now, func() {
+				if !host.dead && host.wakeAt == out.TimerAt {
+					w.step(host, TimerFired{})
 				}
 			})
 		}
@@ -366,7 +366,7 @@
 			}
 			w.after(delay, func() {
 				if host := w.hosts[to]; !host.dead {
-					w.step(host, Heard{relay.RelayID(from.no), body})
+					w.step(host, MessageReceived{relay.RelayID(from.no), body})
 				}
 			})
 		}
@@ -380,18 +380,18 @@
 	}
 	host.calls++
 	host.begun, host.wait = w.now, w.between(1, 4)
-	w.step(host, CallBegun{Wait: host.wait, Continues: continues})
+	w.step(host, PollStarted{Wait: host.wait, Continues: continues})
 	call := host.calls
 	reached := w.up && !w.isolated[host.no]
 	switch {
 	case !reached && w.fallsSilent(0.2):
 		w.silence(host)
 	case !reached:
-		w.fail(host, w.between(0.001, 1), CallFailed{})
+		w.fail(host, w.between(0.001, 1), PollFailed{})
 	case w.refused[host.no] && continues:
-		w.fail(host, w.between(0.001, 0.05), CallFailed{})
+		w.fail(host, w.between(0.001, 0.05), PollFailed{})
 	case w.refused[host.no]:
-		w.fail(host, w.between(0.001, 2), CallFailed{})
+		w.fail(host, w.between(0.001, 2), PollFailed{})
 	case host.generation != w.generation || host.incarnation != w.incarnation || !continues:
 		w.reply(host)
 	default:
@@ -411,15 +411,15 @@
 		w.silence(host)
 		return
 	}
-	given := List{Generation: w.generation, Whole: host.incarnation != w.incarnation || host.generation == noGeneration}
+	given := List{Generation: w.generation, Full: host.incarnation != w.incarnation || host.generation == noGeneration}
 	for _, unit := range slices.Sorted(maps.Keys(w.ready)) {
-		if given.Whole || w.changed[unit] > host.generation {
-			given.Units = append(given.Units, entryOf(unit, w.ready[unit]))
+		if given.Full || w.changed[unit] > host.generation {
+			given.Endpoints = append(given.Endpoints, entryOf(unit, w.ready[unit]))
 		}
 	}
 	for _, unit := range slices.Sorted(maps.Keys(w.changed)) {
-		if _, ready := w.ready[unit]; !ready && !given.Whole && w.changed[unit] > host.generation {
-			given.Units = append(given.Units, relay.Endpoint{ID: unit, State: relay.Draining})
+		if _, ready := w.ready[unit]; !ready && !given.Full && w.changed[unit] > host.generation {
+			given.Endpoints = append(given.Endpoints, relay.Endpoint{ID: unit, State: relay.Draining})
 		}
 	}
 	incarnation := w.incarnation
@@ -431,17 +431,17 @@
 	if host.dead {
 		return
 	}
-	if given.Whole {
+	if given.Full {
 		clear(host.listed)
 	}
-	for _, entry := range given.Units {
+	for _, entry := range given.Endpoints {
 		delete(host.listed, entry.ID)
 		if entry.State == relay.Ready {
 			host.listed[entry.ID] = int(entry.StartedAt)
 		}
 	}
 	host.generation, host.incarnation = given.Generation, incarnation
-	w.step(host, Answered{given})
+	w.step(host, PollAnswered{given})
 	if w.random.Float64() < 0.3 {
 		host.kept = &historyHost{listed: maps.Clone(host.listed), generation: given.Generation, incarnation: incarnation}
 	}
@@ -459,10 +459,10 @@
 
 // silence has a call end by its own clock.
 func (w *historyWorld) silence(host *historyHost) {
-	w.fail(host, host.begun+host.wait+1-w.now, CallFailed{Silent: true})
+	w.fail(host, host.begun+host.wait+1-w.now, PollFailed{Stalled: true})
 }
 
-func (w *historyWorld) fail(host *historyHost, wait relay.Seconds, event CallFailed) {
+func (w *historyWorld) fail(host *historyHost, wait relay.Seconds, event PollFailed) {
 	w.after(wait, func() {
 		if !host.dead {
 			w.step(host, event)
@@ -506,7 +506,7 @@
 
 // changeHeard changes a heard message before the node sees it.
 func changeHeard(event any, change func(*message)) any {
-	heard, is := event.(Heard)
+	heard, is := event.(MessageReceived)
 	if !is {
 		return event
 	}
@@ -515,7 +515,7 @@
 		return event
 	}
 	change(&m)
-	return Heard{heard.From, m.encode()}
+	return MessageReceived{heard.From, m.encode()}
 }
 
 // mutants are nodes of which one defence is missing each.
@@ -546,14 +546,14 @@
 		})
 	}},
 	"a list of before the start is confirmed": {before: func(n *Node, event any) any {
-		if held, is := event.(Held); is {
-			return Answered(held)
+		if held, is := event.(CachedList); is {
+			return PollAnswered(held)
 		}
 		return event
 	}},
 	"a silent call is taken for a watch that stood": {before: func(n *Node, event any) any {
-		if failed, is := event.(CallFailed); is && failed.Silent {
-			return CallFailed{}
+		if failed, is := event.(PollFailed); is && failed.Stalled {
+			return PollFailed{}
 		}
 		return event
 	}},
--- a/membership/lease.go
+++ b/membership/lease.go
@@ -28,7 +28,7 @@
 	n.confirmed = later(n.confirmed, n.verified())
 	until := 0.0
 	if n.confirmed != Never {
-		until = n.confirmed + math.Min(toldAfter, failedFactor*n.set.AskEvery) - leaseMargin
+		until = n.confirmed + math.Min(toldAfter, failedFactor*n.set.PollInterval) - leaseMargin
 	}
 	if c := n.call; c.pending && c.Continues {
 		until = math.Max(until, c.begun+math.Max(toldAfter, c.Wait+toldAfterWait)-leaseMargin)
--- a/membership/list.go
+++ b/membership/list.go
@@ -22,8 +22,8 @@
 // List is discovery's list, or a change of it.
 type List struct {
 	Generation int64
-	Whole      bool // units that are not in it are gone
-	Units      []relay.Endpoint
+	Full       bool // units that are not in it are gone
+	Endpoints  []relay.Endpoint
 }
 
 // view names a list: two relays with equal views hold the same ready units.
@@ -72,15 +72,15 @@
 func (l *list) apply(given List) (still []relay.EndpointID) {
 	l.generation = given.Generation
 	listed := map[relay.EndpointID]bool{}
-	for _, entry := range given.Units {
-		if given.Whole {
+	for _, entry := range given.Endpoints {
+		if given.Full {
 			listed[entry.ID] = true
 		}
 		if l.set(entry) {
 			still = append(still, entry.ID)
 		}
 	}
-	if given.Whole {
+	if given.Full {
 		l.removeOthers(listed)
 	}
 	return still
--- a/membership/membership.go
+++ b/membership/membership.go
@@ -23,42 +23,42 @@
 
 // Settings are what a node is told once, at its start.
 type Settings struct {
-	Self     relay.RelayID
-	Relays   int
-	Messages bool          // relays may send one another datagrams
-	AskEvery relay.Seconds // for which a relay without a watch may act on its list
-	Epoch    relay.Seconds // Unix time of the node's time zero: all relays read one clock
+	Self         relay.RelayID
+	Relays       int
+	Messages     bool          // relays may send one another datagrams
+	PollInterval relay.Seconds // for which a relay without a watch may act on its list
+	Epoch        relay.Seconds // Unix time of the node's time zero: all relays read one clock
 }
 
 // Events that Step takes.
 type (
 	// Held is the list that the relay held before its start. Its age is not known.
-	Held struct{ List List }
-	// CallBegun is a call to discovery. A call that continues a watch follows an answer without a gap.
-	CallBegun struct {
+	CachedList struct{ List List }
+	// PollStarted is a call to discovery. A call that continues a watch follows an answer without a gap.
+	PollStarted struct {
 		Wait      relay.Seconds // that discovery may hold the call until something changes
 		Continues bool
 	}
 	// Answered is discovery's answer to a call.
-	Answered struct{ List List }
-	// CallFailed is the end of a call without an answer. Silent means that nothing came at all, not even the end of
+	PollAnswered struct{ List List }
+	// PollFailed is the end of a call without an answer. Silent means that nothing came at all, not even the end of
 	// the connection; Unreadable, that something came which was no list.
-	CallFailed struct{ Silent, Unreadable bool }
+	PollFailed struct{ Stalled, Unreadable bool }
 	// Heard is a message of another relay.
-	Heard struct {
+	MessageReceived struct {
 		From relay.RelayID
 		Body []byte
 	}
 	// Woken is a wake-up at the time that Output asked for.
-	Woken struct{}
+	TimerFired struct{}
 )
 
 // Output is what the host has to do after a step.
 type Output struct {
 	Messages [][]byte           // to send to all other relays
-	Left     []relay.EndpointID // units of the list that want nothing new from now on
+	Removed  []relay.EndpointID // units of the list that want nothing new from now on
 	Lease    relay.Seconds      // until when the list may be acted on; 0: not yet
-	WakeAt   relay.Seconds      // when a Woken event is due
+	TimerAt  relay.Seconds      // when a Woken event is due
 	Answers  bool               // discovery answers a peer again, after a time without answers
 }
 
@@ -90,21 +90,21 @@
 type call struct {
 	pending bool
 	begun   relay.Seconds
-	CallBegun
+	PollStarted
 }
 
 // Counters count what a node took and sent since its start.
 type Counters struct {
 	Heartbeats int // sent
 	Deltas     int // datagrams sent with units that left
-	Heard      int // messages taken
+	Received   int // messages taken
 	Unreadable int // messages dropped
 	Conflicts  int // messages of a list with this node's generation and another content
 }
 
 // New returns the node of one relay, ready for its first step.
 func New(set Settings, seed int64) *Node {
-	set.AskEvery = unlessAbsent(set.AskEvery)
+	set.PollInterval = unlessAbsent(set.PollInterval)
 	n := &Node{set: set, random: rand.New(rand.NewSource(seed)), list: newList(set.Epoch), answered: Never, attempted: Never,
 		contact: Never, heardSince: Never, heard: Never, confirmed: Never, newest: noGeneration, assembly: map[relay.RelayID]*assembly{}}
 	n.view = view{generation: noGeneration}
@@ -126,22 +126,22 @@
 // Step takes one event at a time that never goes back. The output's slices are good until the next step.
 func (n *Node) Step(now relay.Seconds, event any) Output {
 	n.now = math.Max(now, n.now)
-	n.out = Output{Messages: n.out.Messages[:0], Left: n.out.Left[:0]}
+	n.out = Output{Messages: n.out.Messages[:0], Removed: n.out.Removed[:0]}
 	switch event := event.(type) {
-	case Held:
+	case CachedList:
 		n.held(event.List)
-	case CallBegun:
-		n.call = call{pending: true, begun: n.now, CallBegun: event}
-	case Answered:
+	case PollStarted:
+		n.call = call{pending: true, begun: n.now, PollStarted: event}
+	case PollAnswered:
 		n.answer(event.List)
-	case CallFailed:
+	case PollFailed:
 		n.failed(event)
-	case Heard:
+	case MessageReceived:
 		n.hear(event)
 	}
 	n.send()
 	n.out.Lease = n.lease()
-	n.out.WakeAt = n.gossip.wakeAt()
+	n.out.TimerAt = n.gossip.wakeAt()
 	return n.out
 }
 
@@ -162,13 +162,13 @@
 // answer takes a list from discovery itself.
 func (n *Node) answer(given List) {
 	n.call.pending = false
-	if given.Whole && given.Generation < n.view.generation {
+	if given.Full && given.Generation < n.view.generation {
 		n.list.forget() // discovery counts its generations anew
 		n.view = view{generation: noGeneration}
 		n.newest = noGeneration
 	}
 	still := n.list.apply(given)
-	n.out.Left = append(n.out.Left, still...)
+	n.out.Removed = append(n.out.Removed, still...)
 	if given.Generation < n.view.generation {
 		return // written before what a peer told
 	}
@@ -184,13 +184,13 @@
 }
 
 // failed takes the end of a call that brought nothing.
-func (n *Node) failed(event CallFailed) {
+func (n *Node) failed(event PollFailed) {
 	if !n.call.pending {
 		return
 	}
 	n.call.pending = false
 	ended := n.call
-	if ended.Continues && !event.Silent && !event.Unreadable && !n.behind() {
+	if ended.Continues && !event.Stalled && !event.Unreadable && !n.behind() {
 		n.answered = n.now // the watch stood until now, and would have told of a change
 		return
 	}
--- a/membership/membership_test.go
+++ b/membership/membership_test.go
@@ -37,7 +37,7 @@
 // restarted is a node of four that holds the units 1 to 100 of generation 5 from before its start.
 func restarted(now relay.Seconds) *Node {
 	n := New(testSettings(0, 4), 1)
-	n.Step(now, Held{wholeList(5, unitRange(1, 100)...)})
+	n.Step(now, CachedList{wholeList(5, unitRange(1, 100)...)})
 	return n
 }
 
@@ -45,13 +45,13 @@
 	b := newBus(t, 3)
 	older, newer := wholeList(5, unitRange(1, 100)...), wholeList(6, unitRange(61, 100)...)
 	for i := range 3 {
-		b.step(i, Answered{older})
+		b.step(i, PollAnswered{older})
 	}
-	b.at(20, func() { b.step(1, Answered{newer}) })
-	b.at(20.5, func() { b.step(2, Answered{newer}) })
+	b.at(20, func() { b.step(1, PollAnswered{newer}) })
+	b.at(20.5, func() { b.step(2, PollAnswered{newer}) })
 	b.at(21, func() {
 		b.restart(0)
-		if out := b.step(0, Held{older}); out.Lease != 0 {
+		if out := b.step(0, CachedList{older}); out.Lease != 0 {
 			t.Fatalf("a lease until %v on a list that nobody confirmed", out.Lease)
 		}
 	})
@@ -71,8 +71,8 @@
 	for _, order := range [][]int{{0, 1, 2}, {0, 2, 1}, {1, 0, 2}, {1, 2, 0}, {2, 0, 1}, {2, 1, 0}, {0, 0, 2, 0, 2, 1}} {
 		n, left := restarted(10), []relay.EndpointID{}
 		for i, part := range order {
-			out := n.Step(10.1+0.1*relay.Seconds(i), Heard{From: 1, Body: bodies[part]})
-			left = append(left, out.Left...)
+			out := n.Step(10.1+0.1*relay.Seconds(i), MessageReceived{From: 1, Body: bodies[part]})
+			left = append(left, out.Removed...)
 			if last := i == len(order)-1; !last && out.Lease != 0 {
 				t.Fatalf("order %v: a lease with %d datagrams", order, i+1)
 			} else if last {
@@ -90,12 +90,12 @@
 	one := deltas(base, viewOf(wholeList(6, unitRange(41, 100)...)), 10, unitRange(1, 40)...)
 	two := deltas(base, viewOf(wholeList(7, unitRange(46, 100)...)), 10, unitRange(1, 45)...)
 	n := restarted(10)
-	for _, heard := range []Heard{{1, one[0]}, {1, two[1]}, {2, one[1]}} {
+	for _, heard := range []MessageReceived{{1, one[0]}, {1, two[1]}, {2, one[1]}} {
 		if out := n.Step(10.1, heard); out.Lease != 0 {
 			t.Fatal("a lease by parts of different deltas or peers")
 		}
 	}
-	if out := n.Step(10.2, Heard{2, one[0]}); out.Lease == 0 {
+	if out := n.Step(10.2, MessageReceived{2, one[0]}); out.Lease == 0 {
 		t.Fatal("no lease by a whole delta")
 	}
 }
@@ -103,67 +103,67 @@
 func TestDeltaFromAnotherListGivesNothing(t *testing.T) {
 	n := restarted(10)
 	base := viewOf(wholeList(5, unitRange(1, 99)...))
-	out := n.Step(10.1, Heard{1, deltas(base, viewOf(wholeList(6, 100)), 10, unitRange(1, 99)...)[0]})
-	if out.Lease != 0 || len(out.Left) != 0 {
+	out := n.Step(10.1, MessageReceived{1, deltas(base, viewOf(wholeList(6, 100)), 10, unitRange(1, 99)...)[0]})
+	if out.Lease != 0 || len(out.Removed) != 0 {
 		t.Fatalf("%+v", out)
 	}
 }
 
 func TestEqualHeldListIsConfirmedByOneHeartbeat(t *testing.T) {
 	n := restarted(10)
-	out := n.Step(10.2, Heard{1, heartbeat(n.view, 8.5, Never)})
+	out := n.Step(10.2, MessageReceived{1, heartbeat(n.view, 8.5, Never)})
 	wantLease(t, out.Lease, 8.5+leaseTime)
-	if len(out.Left) != 0 {
-		t.Fatalf("left: %v", out.Left)
+	if len(out.Removed) != 0 {
+		t.Fatalf("left: %v", out.Removed)
 	}
 }
 
 // failedCall makes a call and has it fail.
-func failedCall(n *Node, begun, ended relay.Seconds, event CallFailed) Output {
-	n.Step(begun, CallBegun{Wait: 2})
+func failedCall(n *Node, begun, ended relay.Seconds, event PollFailed) Output {
+	n.Step(begun, PollStarted{Wait: 2})
 	return n.Step(ended, event)
 }
 
 func TestFailedCallCountsOnlyInContact(t *testing.T) {
 	n := restarted(10)
-	if out := failedCall(n, 10, 10.5, CallFailed{}); out.Lease != 0 {
+	if out := failedCall(n, 10, 10.5, PollFailed{}); out.Lease != 0 {
 		t.Fatalf("a lease until %v without a peer", out.Lease)
 	}
-	if out := n.Step(11, Heard{1, heartbeat(n.view, Never, Never)}); out.Lease != 0 {
+	if out := n.Step(11, MessageReceived{1, heartbeat(n.view, Never, Never)}); out.Lease != 0 {
 		t.Fatalf("a lease until %v on the first word of a peer", out.Lease)
 	}
-	out := n.Step(11+firstContact, Heard{1, heartbeat(n.view, Never, Never)})
+	out := n.Step(11+firstContact, MessageReceived{1, heartbeat(n.view, Never, Never)})
 	wantLease(t, out.Lease, 10+leaseTime)
-	out = failedCall(n, 13, 13.5, CallFailed{})
+	out = failedCall(n, 13, 13.5, PollFailed{})
 	wantLease(t, out.Lease, 11+firstContact+leaseTime) // as of the last contact, not of the call
-	out = n.Step(13.6, Heard{1, heartbeat(n.view, Never, Never)})
+	out = n.Step(13.6, MessageReceived{1, heartbeat(n.view, Never, Never)})
 	wantLease(t, out.Lease, 13+leaseTime)
-	out = failedCall(n, 17, 17.5, CallFailed{}) // the peer was last heard at 13.6
+	out = failedCall(n, 17, 17.5, PollFailed{}) // the peer was last heard at 13.6
 	wantLease(t, out.Lease, 13+leaseTime)
 }
 
 func TestPeersAreHeardForAWhileBehindASilenceBeforeAFailedCallCounts(t *testing.T) {
 	n := restarted(10)
-	n.Step(11, Heard{1, heartbeat(n.view, 10.5, Never)})
-	n.Step(11+firstContact, Heard{1, heartbeat(n.view, 10.5, Never)})
-	failedCall(n, 29, 29.5, CallFailed{})
-	out := n.Step(30, Heard{1, heartbeat(n.view, 10.5, Never)})
+	n.Step(11, MessageReceived{1, heartbeat(n.view, 10.5, Never)})
+	n.Step(11+firstContact, MessageReceived{1, heartbeat(n.view, 10.5, Never)})
+	failedCall(n, 29, 29.5, PollFailed{})
+	out := n.Step(30, MessageReceived{1, heartbeat(n.view, 10.5, Never)})
 	wantLease(t, out.Lease, 10.5+leaseTime)
-	out = n.Step(30+firstContact, Heard{1, heartbeat(n.view, 10.5, Never)})
+	out = n.Step(30+firstContact, MessageReceived{1, heartbeat(n.view, 10.5, Never)})
 	wantLease(t, out.Lease, 29+leaseTime)
 }
 
 // TestRelaysStartedTogetherDoNotVouchForTheirOldList: one more of them is no sign that the list still holds.
 func TestRelaysStartedTogetherDoNotVouchForTheirOldList(t *testing.T) {
 	n := restarted(10)
-	failedCall(n, 10, 10.05, CallFailed{})
-	n.Step(10.1, Heard{1, heartbeat(n.view, Never, 10)})
-	n.Step(10.2, Heard{2, heartbeat(n.view, Never, 10)})
-	out := n.Step(10.4, Heard{3, heartbeat(viewOf(wholeList(6, 1)), 9, Never)})
+	failedCall(n, 10, 10.05, PollFailed{})
+	n.Step(10.1, MessageReceived{1, heartbeat(n.view, Never, 10)})
+	n.Step(10.2, MessageReceived{2, heartbeat(n.view, Never, 10)})
+	out := n.Step(10.4, MessageReceived{3, heartbeat(viewOf(wholeList(6, 1)), 9, Never)})
 	if out.Lease != 0 {
 		t.Fatalf("a lease until %v before the peer with the newer list spoke", out.Lease)
 	}
-	out = n.Step(20, Heard{1, heartbeat(n.view, Never, 19.9)})
+	out = n.Step(20, MessageReceived{1, heartbeat(n.view, Never, 19.9)})
 	wantLease(t, out.Lease, 0)
 }
 
@@ -172,9 +172,9 @@
 func TestANodeHelpsOnlyFromListsThatItHeldWhole(t *testing.T) {
 	n := restarted(10)
 	six := viewOf(wholeList(6, unitRange(2, 101)...))
-	n.Step(10.1, Heard{1, deltas(n.view, six, 10, 1)[0]})
+	n.Step(10.1, MessageReceived{1, deltas(n.view, six, 10, 1)[0]})
 	gone := relay.Endpoint{ID: 101, State: relay.Draining}
-	n.Step(11, Answered{List{Generation: 7, Units: append(wholeList(7, 102).Units, gone, relay.Endpoint{ID: 1})}})
+	n.Step(11, PollAnswered{List{Generation: 7, Endpoints: append(wholeList(7, 102).Endpoints, gone, relay.Endpoint{ID: 1})}})
 	if want := viewOf(wholeList(7, append(unitRange(2, 100), 102)...)); n.view != want {
 		t.Fatalf("view %v, want %v", n.view, want)
 	}
@@ -190,8 +190,8 @@
 func TestAnAnswerMakesAToldListWhole(t *testing.T) {
 	n := restarted(10)
 	six := viewOf(wholeList(6, unitRange(2, 101)...))
-	n.Step(10.1, Heard{1, deltas(n.view, six, 10, 1)[0]})
-	n.Step(11, Answered{List{Generation: 6, Units: append(wholeList(6, 101).Units, relay.Endpoint{ID: 1})}})
+	n.Step(10.1, MessageReceived{1, deltas(n.view, six, 10, 1)[0]})
+	n.Step(11, PollAnswered{List{Generation: 6, Endpoints: append(wholeList(6, 101).Endpoints, relay.Endpoint{ID: 1})}})
 	if _, known := n.list.leftSince(six); !known || n.view != six {
 		t.Fatalf("view %v, want %v; helps from it: %v", n.view, six, known)
 	}
@@ -199,59 +199,59 @@
 
 func TestFailedCallOfAPeerCounts(t *testing.T) {
 	n := restarted(10)
-	n.Step(11, Heard{1, heartbeat(n.view, Never, 10.5)})
-	out := n.Step(11+firstContact, Heard{2, heartbeat(n.view, Never, Never)})
+	n.Step(11, MessageReceived{1, heartbeat(n.view, Never, 10.5)})
+	out := n.Step(11+firstContact, MessageReceived{2, heartbeat(n.view, Never, Never)})
 	wantLease(t, out.Lease, 10.5+leaseTime)
 }
 
 func TestFailedCallNoLongerCountsOnceAPeerHasNews(t *testing.T) {
 	n := restarted(10)
-	n.Step(10, Heard{1, heartbeat(n.view, Never, Never)})
-	n.Step(11, Heard{1, heartbeat(n.view, 11, Never)})
+	n.Step(10, MessageReceived{1, heartbeat(n.view, Never, Never)})
+	n.Step(11, MessageReceived{1, heartbeat(n.view, 11, Never)})
 	newer := viewOf(wholeList(6, unitRange(2, 100)...))
-	n.Step(12, Heard{2, heartbeat(newer, 12, Never)})
-	out := failedCall(n, 12.5, 13, CallFailed{})
+	n.Step(12, MessageReceived{2, heartbeat(newer, 12, Never)})
+	out := failedCall(n, 12.5, 13, PollFailed{})
 	wantLease(t, out.Lease, 11+leaseTime)
-	n.Step(13, Heard{1, heartbeat(n.view, Never, 12.8)})
-	out = n.Step(13.1, Heard{1, heartbeat(n.view, Never, 13)})
+	n.Step(13, MessageReceived{1, heartbeat(n.view, Never, 12.8)})
+	out = n.Step(13.1, MessageReceived{1, heartbeat(n.view, Never, 13)})
 	wantLease(t, out.Lease, 11+leaseTime)
 }
 
 func TestUnreadableAnswerIsNoSignOfDiscoveryBeingDown(t *testing.T) {
 	n := restarted(10)
-	n.Step(10.1, Heard{1, heartbeat(n.view, Never, Never)})
-	n.Step(10.1+firstContact, Heard{1, heartbeat(n.view, Never, Never)})
-	if out := failedCall(n, 12, 12.5, CallFailed{Unreadable: true}); out.Lease != 0 {
+	n.Step(10.1, MessageReceived{1, heartbeat(n.view, Never, Never)})
+	n.Step(10.1+firstContact, MessageReceived{1, heartbeat(n.view, Never, Never)})
+	if out := failedCall(n, 12, 12.5, PollFailed{Unreadable: true}); out.Lease != 0 {
 		t.Fatalf("a lease until %v", out.Lease)
 	}
-	out := failedCall(n, 13, 13.5, CallFailed{})
+	out := failedCall(n, 13, 13.5, PollFailed{})
 	wantLease(t, out.Lease, 10.1+firstContact+leaseTime)
 }
 
 func TestFirstAnswerOfAPeerBehindFailuresIsTold(t *testing.T) {
 	n := restarted(10)
-	failedCall(n, 10, 10.5, CallFailed{})
-	if n.Step(11, Heard{1, heartbeat(n.view, 9, Never)}).Answers {
+	failedCall(n, 10, 10.5, PollFailed{})
+	if n.Step(11, MessageReceived{1, heartbeat(n.view, 9, Never)}).Answers {
 		t.Fatal("an answer of before the failed call was told")
 	}
-	if !n.Step(12, Heard{1, heartbeat(n.view, 11.5, Never)}).Answers {
+	if !n.Step(12, MessageReceived{1, heartbeat(n.view, 11.5, Never)}).Answers {
 		t.Fatal("the first answer was not told")
 	}
-	if n.Step(13, Heard{2, heartbeat(n.view, 12.5, Never)}).Answers {
+	if n.Step(13, MessageReceived{2, heartbeat(n.view, 12.5, Never)}).Answers {
 		t.Fatal("the second answer was told")
 	}
 }
 
 func TestRelayAloneInItsFleet(t *testing.T) {
 	n := New(testSettings(0, 1), 1)
-	if out := n.Step(0, Held{wholeList(5, 1, 2)}); out.Lease != 0 {
+	if out := n.Step(0, CachedList{wholeList(5, 1, 2)}); out.Lease != 0 {
 		t.Fatal("a lease on a held list")
 	}
-	out := failedCall(n, 1, 3, CallFailed{})
+	out := failedCall(n, 1, 3, PollFailed{})
 	wantLease(t, out.Lease, 1+leaseTime)
-	out = n.Step(4, Answered{wholeList(6, 1)})
+	out = n.Step(4, PollAnswered{wholeList(6, 1)})
 	wantLease(t, out.Lease, 4+leaseTime)
-	if out.WakeAt != Never || len(out.Messages) != 0 {
+	if out.TimerAt != Never || len(out.Messages) != 0 {
 		t.Fatalf("messages to nobody: %+v", out)
 	}
 }
@@ -259,13 +259,13 @@
 func TestRelayCutOffFromItsPeersLosesItsLease(t *testing.T) {
 	b := newBus(t, 3)
 	for i := range 3 {
-		b.step(i, Answered{wholeList(5, 1, 2)})
+		b.step(i, PollAnswered{wholeList(5, 1, 2)})
 	}
 	b.lost = func(from, to int) bool { return b.now >= 10 && (from == 0 || to == 0) }
 	for at := 1.0; at < 30; at++ { // discovery answers node 1 alone
-		b.at(at, func() { b.step(1, Answered{List{Generation: 5}}) })
-		b.at(at, func() { b.step(0, CallBegun{Wait: 2}) })
-		b.at(at+0.5, func() { b.step(0, CallFailed{}) })
+		b.at(at, func() { b.step(1, PollAnswered{List{Generation: 5}}) })
+		b.at(at, func() { b.step(0, PollStarted{Wait: 2}) })
+		b.at(at+0.5, func() { b.step(0, PollFailed{}) })
 	}
 	b.run(9.9)
 	if b.nodes[0].lease < 12 {
@@ -282,51 +282,51 @@
 
 func TestLeaseOfAStandingWatch(t *testing.T) {
 	n := New(testSettings(0, 4), 1)
-	n.Step(10, Answered{wholeList(5, 1, 2)})
-	out := n.Step(10, CallBegun{Wait: 25, Continues: true})
+	n.Step(10, PollAnswered{wholeList(5, 1, 2)})
+	out := n.Step(10, PollStarted{Wait: 25, Continues: true})
 	wantLease(t, out.Lease, 10+25+toldAfterWait-leaseMargin)
-	out = n.Step(30, CallFailed{})
+	out = n.Step(30, PollFailed{})
 	wantLease(t, out.Lease, 30+leaseTime) // it stood until then
-	out = n.Step(30, CallBegun{Wait: 1, Continues: true})
+	out = n.Step(30, PollStarted{Wait: 1, Continues: true})
 	wantLease(t, out.Lease, 30+leaseTime)
 }
 
 func TestFirstCallGivesNoLease(t *testing.T) {
 	n := restarted(10)
-	if out := n.Step(10, CallBegun{Wait: 25}); out.Lease != 0 {
+	if out := n.Step(10, PollStarted{Wait: 25}); out.Lease != 0 {
 		t.Fatalf("a lease until %v", out.Lease)
 	}
 }
 
 func TestSilentCallProlongsNothing(t *testing.T) {
 	n := New(testSettings(0, 4), 1)
-	n.Step(10, Answered{wholeList(5, 1, 2)})
-	standing := n.Step(10, CallBegun{Wait: 25, Continues: true}).Lease
-	if out := n.Step(36.9, CallFailed{Silent: true}); out.Lease > standing || out.Lease > 36.9 {
+	n.Step(10, PollAnswered{wholeList(5, 1, 2)})
+	standing := n.Step(10, PollStarted{Wait: 25, Continues: true}).Lease
+	if out := n.Step(36.9, PollFailed{Stalled: true}); out.Lease > standing || out.Lease > 36.9 {
 		t.Fatalf("a lease until %v behind a silent call, %v before", out.Lease, standing)
 	}
 }
 
 func TestFailedWatchOfARelayThatIsBehindProlongsNothing(t *testing.T) {
 	n := New(testSettings(0, 4), 1)
-	n.Step(10, Answered{wholeList(5, 1, 2)})
-	n.Step(10, CallBegun{Wait: 2, Continues: true})
-	n.Step(11, Heard{1, heartbeat(viewOf(wholeList(6, 1)), 11, Never)})
-	out := n.Step(11.5, CallFailed{})
+	n.Step(10, PollAnswered{wholeList(5, 1, 2)})
+	n.Step(10, PollStarted{Wait: 2, Continues: true})
+	n.Step(11, MessageReceived{1, heartbeat(viewOf(wholeList(6, 1)), 11, Never)})
+	out := n.Step(11.5, PollFailed{})
 	wantLease(t, out.Lease, 10+leaseTime)
 }
 
 func TestDiscoveryThatStartsAnew(t *testing.T) {
 	n := New(testSettings(0, 4), 1)
-	n.Step(10, Answered{wholeList(50, unitRange(1, 10)...)})
-	n.Step(11, Heard{1, deltas(n.view, viewOf(wholeList(51, unitRange(2, 10)...)), 11, 1)[0]})
+	n.Step(10, PollAnswered{wholeList(50, unitRange(1, 10)...)})
+	n.Step(11, MessageReceived{1, deltas(n.view, viewOf(wholeList(51, unitRange(2, 10)...)), 11, 1)[0]})
 	anew := wholeList(2, unitRange(1, 5)...)
-	out := n.Step(20, Answered{anew})
+	out := n.Step(20, PollAnswered{anew})
 	wantLease(t, out.Lease, 20+leaseTime)
-	if n.view != viewOf(anew) || len(out.Left) != 0 || n.behind() {
-		t.Fatalf("view %v, left %v", n.view, out.Left)
+	if n.view != viewOf(anew) || len(out.Removed) != 0 || n.behind() {
+		t.Fatalf("view %v, left %v", n.view, out.Removed)
 	}
-	out = n.Step(21, Answered{List{Generation: 3, Units: []relay.Endpoint{{ID: 3, State: relay.Draining}}}})
+	out = n.Step(21, PollAnswered{List{Generation: 3, Endpoints: []relay.Endpoint{{ID: 3, State: relay.Draining}}}})
 	if wantLease(t, out.Lease, 21+leaseTime); n.view != viewOf(wholeList(3, 1, 2, 4, 5)) {
 		t.Fatalf("view %v", n.view)
 	}
@@ -334,18 +334,18 @@
 
 func TestOlderAnswerDoesNotBringBackAUnitThatLeft(t *testing.T) {
 	n := New(testSettings(0, 4), 1)
-	n.Step(10, Answered{wholeList(5, 1, 2, 3)})
-	n.Step(11, Heard{1, deltas(n.view, viewOf(wholeList(8, 1, 2)), 11, 3)[0]})
+	n.Step(10, PollAnswered{wholeList(5, 1, 2, 3)})
+	n.Step(11, MessageReceived{1, deltas(n.view, viewOf(wholeList(8, 1, 2)), 11, 3)[0]})
 	known := n.view
-	ready := wholeList(6, 3).Units
-	out := n.Step(12, Answered{List{Generation: 6, Units: ready}})
-	if !slices.Equal(out.Left, []relay.EndpointID{3}) || n.view != known {
-		t.Fatalf("left %v, view %v", out.Left, n.view)
+	ready := wholeList(6, 3).Endpoints
+	out := n.Step(12, PollAnswered{List{Generation: 6, Endpoints: ready}})
+	if !slices.Equal(out.Removed, []relay.EndpointID{3}) || n.view != known {
+		t.Fatalf("left %v, view %v", out.Removed, n.view)
 	}
 	wantLease(t, out.Lease, 11+leaseTime)
-	out = n.Step(13, Answered{List{Generation: 9, Units: ready}})
-	if len(out.Left) != 0 || n.view != viewOf(wholeList(9, 1, 2, 3)) {
-		t.Fatalf("left %v, view %v", out.Left, n.view)
+	out = n.Step(13, PollAnswered{List{Generation: 9, Endpoints: ready}})
+	if len(out.Removed) != 0 || n.view != viewOf(wholeList(9, 1, 2, 3)) {
+		t.Fatalf("left %v, view %v", out.Removed, n.view)
 	}
 	wantLease(t, out.Lease, 13+leaseTime)
 }
@@ -353,15 +353,15 @@
 func TestConflictConfirmsNothing(t *testing.T) {
 	n := restarted(10)
 	other := viewOf(wholeList(5, 1, 2))
-	out := n.Step(10.5, Heard{1, heartbeat(other, 10.5, 10.2)})
-	if out.Lease != 0 || n.Counters().Conflicts != 1 || len(out.Left) != 0 {
+	out := n.Step(10.5, MessageReceived{1, heartbeat(other, 10.5, 10.2)})
+	if out.Lease != 0 || n.Counters().Conflicts != 1 || len(out.Removed) != 0 {
 		t.Fatalf("%+v, %+v", out, n.Counters())
 	}
 }
 
 func TestMessagesThatAreDropped(t *testing.T) {
 	good := heartbeat(restarted(10).view, 10, Never)
-	for name, heard := range map[string]Heard{
+	for name, heard := range map[string]MessageReceived{
 		"of itself":    {0, good},
 		"empty":        {1, nil},
 		"of no form":   {1, []byte{messageMark, 7}},
@@ -372,7 +372,7 @@
 	} {
 		n := restarted(10)
 		out := n.Step(10.5, heard)
-		if c := n.Counters(); out.Lease != 0 || c.Unreadable != 1 || c.Heard != 0 {
+		if c := n.Counters(); out.Lease != 0 || c.Unreadable != 1 || c.Received != 0 {
 			t.Errorf("%s: %+v, %+v", name, out, c)
 		}
 	}
@@ -380,10 +380,10 @@
 
 func TestTimeInTheFutureIsNow(t *testing.T) {
 	n := restarted(10)
-	out := n.Step(10.5, Heard{1, heartbeat(n.view, 1e9, 2e9)})
+	out := n.Step(10.5, MessageReceived{1, heartbeat(n.view, 1e9, 2e9)})
 	wantLease(t, out.Lease, 10.5+leaseTime)
 	n = restarted(10)
-	out = n.Step(10.5, Heard{1, message{view: n.view, answered: math.MaxInt64}.encode()})
+	out = n.Step(10.5, MessageReceived{1, message{view: n.view, answered: math.MaxInt64}.encode()})
 	wantLease(t, out.Lease, 10.5+leaseTime)
 }
 
@@ -391,11 +391,11 @@
 	set := testSettings(0, 4)
 	set.Messages = false
 	n := New(set, 1)
-	n.Step(0, Held{wholeList(5, 1, 2)})
-	n.Step(1, Answered{wholeList(6, 1)})
+	n.Step(0, CachedList{wholeList(5, 1, 2)})
+	n.Step(1, PollAnswered{wholeList(6, 1)})
 	for i := range 100 {
-		out := n.Step(2+relay.Seconds(i), Heard{1, heartbeat(viewOf(wholeList(5, 1, 2)), Never, Never)})
-		if len(out.Messages) != 0 || out.WakeAt != Never {
+		out := n.Step(2+relay.Seconds(i), MessageReceived{1, heartbeat(viewOf(wholeList(5, 1, 2)), Never, Never)})
+		if len(out.Messages) != 0 || out.TimerAt != Never {
 			t.Fatalf("%+v", out)
 		}
 	}
@@ -405,11 +405,11 @@
 	const seconds = 30
 	random := rand.New(rand.NewSource(1))
 	n := New(testSettings(0, 300), 1)
-	n.Step(0, Answered{wholeList(1, unitRange(1, 2000)...)})
+	n.Step(0, PollAnswered{wholeList(1, unitRange(1, 2000)...)})
 	var older []view
 	for generation := int64(2); generation < 12; generation++ {
 		older = append(older, n.view)
-		n.Step(0, Answered{wholeList(generation, unitRange(relay.EndpointID(generation*60), 2000)...)})
+		n.Step(0, PollAnswered{wholeList(generation, unitRange(relay.EndpointID(generation*60), 2000)...)})
 	}
 	bodies := [][]byte{heartbeat(n.view, Never, Never), heartbeat(view{1000, 1}, 1, 1), heartbeat(view{n.view.generation, 1}, 1, 1)}
 	for _, v := range older {
@@ -417,7 +417,7 @@
 	}
 	sent, datagrams := 0, 0
 	for ms := range seconds * 1000 {
-		heard := Heard{relay.RelayID(1 + random.Intn(299)), bodies[random.Intn(len(bodies))]}
+		heard := MessageReceived{relay.RelayID(1 + random.Intn(299)), bodies[random.Intn(len(bodies))]}
 		for _, body := range n.Step(relay.Seconds(ms)/1000, heard).Messages {
 			sent += len(body) + headerBytes
 			datagrams++
@@ -437,7 +437,7 @@
 			if round == 0 {
 				given = list
 			}
-			b.at(at, func() { b.step(i, Answered{given}) })
+			b.at(at, func() { b.step(i, PollAnswered{given}) })
 		}
 	}
 }
@@ -459,15 +459,15 @@
 	b := newBus(t, 300)
 	older, newer := wholeList(5, unitRange(1, 100)...), wholeList(6, unitRange(34, 100)...)
 	for i := range b.nodes {
-		b.step(i, Answered{older})
+		b.step(i, PollAnswered{older})
 	}
 	for i := 210; i < 300; i++ {
-		b.at(10+relay.Seconds(i)/100, func() { b.step(i, Answered{newer}) })
+		b.at(10+relay.Seconds(i)/100, func() { b.step(i, PollAnswered{newer}) })
 	}
 	b.at(15, func() {
 		for i := range 210 {
 			b.restart(i)
-			b.step(i, Held{older})
+			b.step(i, CachedList{older})
 		}
 	})
 	b.run(17)
--- a/plan/calendar.go
+++ b/plan/calendar.go
@@ -169,22 +169,22 @@
 
 // Frozen is a freeze that holds, and from when to when.
 type Frozen struct {
-	Freeze      FreezeNo
+	Freeze      FreezeIndex
 	Since, Till Unix
 }
 
 // Frozen says whether what stops is stopped for a service at a site (NoSite: at any), and until when: the longest
 // of the freezes that hold.
-func (c *Calendar) Frozen(at Unix, s ServiceNo, site SiteNo, what Stops) (Frozen, bool) {
+func (c *Calendar) Frozen(at Unix, s ServiceIndex, site SiteIndex, what FreezeEffect) (Frozen, bool) {
 	c.look(at)
 	best, found := Frozen{Since: math.Inf(1)}, false
 	for i := range c.plan.Freezes {
 		f := &c.plan.Freezes[i]
-		if !c.in[i] || f.Stops&what == 0 || !f.Holds(s, site) {
+		if !c.in[i] || f.Effect&what == 0 || !f.Holds(s, site) {
 			continue
 		}
 		if !found || c.span[i].to > best.Till {
-			best.Freeze, best.Till = FreezeNo(i), c.span[i].to
+			best.Freeze, best.Till = FreezeIndex(i), c.span[i].to
 		}
 		best.Since, found = math.Min(best.Since, c.span[i].from), true
 	}
--- a/plan/check.go
+++ b/plan/check.go
@@ -12,7 +12,7 @@
 // freeze reads a freeze. Its one-off times must be there once in their zone: nobody can tell which of two is meant.
 func (r *reader) freeze(p *Plan, n *xmlconfig.Node, names map[string]bool) Freeze {
 	f := Freeze{Name: r.Name(n, names),
-		Stops: xmlconfig.Word(&r.Reader, n, "stops", StopsAll, map[string]Stops{"begin": StopsBegin, "on": StopsOn, "all": StopsAll})}
+		Effect: xmlconfig.Enum(&r.Reader, n, "stops", FreezeAll, map[string]FreezeEffect{"begin": FreezeStarts, "on": FreezePromotions, "all": FreezeAll})}
 	for _, k := range n.All("for") {
 		if len(k.Attrs) != 1 {
 			r.Fault(k, "names a service or a site, one of the two")
@@ -32,7 +32,7 @@
 			f.Sites = append(f.Sites, s)
 		}
 	}
-	for _, k := range n.Kids {
+	for _, k := range n.Children {
 		switch k.Name {
 		case "weekly":
 			f.Spans = append(f.Spans, r.weekly(k))
@@ -136,8 +136,8 @@
 
 // place is a step of a service, or its release behind the last step.
 type place struct {
-	service ServiceNo
-	step    StepNo
+	service ServiceIndex
+	step    StepIndex
 }
 
 // cycles finds steps that wait for one another. A step waits for the one before it and for what it needs.
@@ -172,10 +172,10 @@
 			found = visit(place{at.service, at.step - 1})
 		}
 		if int(at.step) < len(s.Steps) {
-			for _, n := range s.Steps[at.step].Needs {
+			for _, n := range s.Steps[at.step].Dependencies {
 				to := place{n.Service, n.Step}
 				if n.Released {
-					to.step = StepNo(len(p.Services[n.Service].Steps))
+					to.step = StepIndex(len(p.Services[n.Service].Steps))
 				}
 				found = found || visit(to)
 			}
@@ -185,7 +185,7 @@
 		return found
 	}
 	for i := range p.Services {
-		if visit(place{ServiceNo(i), StepNo(len(p.Services[i].Steps))}) {
+		if visit(place{ServiceIndex(i), StepIndex(len(p.Services[i].Steps))}) {
 			return // one is enough to say: the others mostly go through it
 		}
 	}
@@ -210,11 +210,11 @@
 		}
 	}
 	for s := range p.Services {
-		for _, what := range []Stops{StopsBegin, StopsOn} {
+		for _, what := range []FreezeEffect{FreezeStarts, FreezePromotions} {
 			c := NewCalendar(weekly, true)
 			at, last := start, Frozen{}
 			for at < start+10*86400 {
-				f, in := c.Frozen(at, ServiceNo(s), NoSite, what)
+				f, in := c.Frozen(at, ServiceIndex(s), NoSite, what)
 				if !in {
 					break
 				}
@@ -230,7 +230,7 @@
 }
 
 // String tells a need in words.
-func (p *Plan) NeedText(n Need) string {
+func (p *Plan) DependencyText(n Dependency) string {
 	s := &p.Services[n.Service]
 	if n.Released {
 		return fmt.Sprintf("%s released", s.Name)
--- a/plan/plan.go
+++ b/plan/plan.go
@@ -8,117 +8,117 @@
 
 // Ids, each a type of its own: places in the plan's lists.
 type (
-	ServiceNo int
-	SiteNo    int
-	GroupNo   int
-	StepNo    int
-	FreezeNo  int
-	Seconds   = float64
-	Unix      = float64 // seconds since 1970, UTC
+	ServiceIndex int
+	SiteIndex    int
+	GroupIndex   int
+	StepIndex    int
+	FreezeIndex  int
+	Seconds      = float64
+	Unix         = float64 // seconds since 1970, UTC
 )
 
 const (
-	NoSite  SiteNo  = -1
-	NoGroup GroupNo = -1 // a customer of no group meets no build on trial
+	NoSite  SiteIndex  = -1
+	NoGroup GroupIndex = -1 // a customer of no group meets no build on trial
 )
 
 // Plan is a whole plan, checked.
 type Plan struct {
-	Skew     Seconds // that clocks of relays and desk may differ by; freezes are longer by it at both ends
-	NewsLife Seconds // after which news of a dependency is too old to open anything
-	Sites    []string
-	Groups   []Group
-	Services []Service
-	Freezes  []Freeze
+	Skew      Seconds // that clocks of relays and desk may differ by; freezes are longer by it at both ends
+	StatusTTL Seconds // after which news of a dependency is too old to open anything
+	Sites     []string
+	Groups    []Group
+	Services  []Service
+	Freezes   []Freeze
 }
 
 // Group is a group of customers.
 type Group struct {
-	Name      string
-	Customers []string
+	Name    string
+	Tenants []string
 }
 
 // Control says what moves a service's steps.
 type Control int
 
 const (
-	ByShare Control = iota // a share of its relays that stand for it
-	ByAny                  // any relay
-	ByClock                // time; relays hold it or send it back
+	ControlQuorum     Control = iota // a share of its relays that stand for it
+	ControlSingleVote                // any relay
+	ControlTimed                     // time; relays hold it or send it back
 )
 
 // Votes are a service's terms of voting.
 type Votes struct {
 	Control   Control
-	On        float64 // share of its relays, one at least
-	Back      float64
+	Promote   float64 // share of its relays, one at least
+	RollBack  float64
 	Hold      float64
-	Life      Seconds
+	TTL       Seconds
 	PerSecond float64 // that are taken from all relays together
 	StepTime  Seconds // after which the clock moves a step
 }
 
 // Service is one fleet whose builds are released by steps.
 type Service struct {
-	Name    string
-	Watch   string  // address at which the desk tells of it to whoever depends on it
-	BackFor Seconds // that the way back takes
-	Settle  Seconds // after a release before the next build begins
-	Votes   Votes
-	Steps   []Step
-	Relays  []Relay
+	Name         string
+	Watch        string  // address at which the desk tells of it to whoever depends on it
+	RollbackTime Seconds // that the way back takes
+	SettleTime   Seconds // after a release before the next build begins
+	Votes        Votes
+	Steps        []Step
+	Relays       []Relay
 }
 
 // Relay is a voter, known to the desk by the address that is kept for it.
 type Relay struct {
 	Name   string
-	Site   SiteNo
+	Site   SiteIndex
 	Listen string
 }
 
 // Step is one stage of a release.
 type Step struct {
-	Name  string
-	Share float64 // of the fleet that runs the build
-	Cap   float64 // of the queries of each group that is open
-	Least Seconds
-	Opens []Scope
-	Needs []Need
+	Name          string
+	Share         float64 // of the fleet that runs the build
+	ExposureLimit float64 // of the queries of each group that is open
+	MinTime       Seconds
+	OpenGroups    []Scope
+	Dependencies  []Dependency
 }
 
 // Scope is one group of customers at one site.
 type Scope struct {
-	Site  SiteNo
-	Group GroupNo
+	Site  SiteIndex
+	Group GroupIndex
 }
 
 // Need is what a step waits for: another service's newest build at a step, or released.
-type Need struct {
-	Service  ServiceNo
-	Step     StepNo
+type Dependency struct {
+	Service  ServiceIndex
+	Step     StepIndex
 	Released bool
 }
 
 // Stops says what a freeze stops. Going back is never stopped.
-type Stops int
+type FreezeEffect int
 
 const (
-	StopsBegin Stops = 1 << iota // the first step of a build
-	StopsOn                      // each further step, and the release
-	StopsAll   = StopsBegin | StopsOn
+	FreezeStarts     FreezeEffect = 1 << iota // the first step of a build
+	FreezePromotions                          // each further step, and the release
+	FreezeAll        = FreezeStarts | FreezePromotions
 )
 
 // Freeze is a time in which nothing moves on.
 type Freeze struct {
 	Name     string
-	Stops    Stops
-	Services []ServiceNo // none: all
-	Sites    []SiteNo    // none: all
+	Effect   FreezeEffect
+	Services []ServiceIndex // none: all
+	Sites    []SiteIndex    // none: all
 	Spans    []Span
 }
 
 // Holds says whether the freeze is about a service, at a site. NoSite asks about any site.
-func (f *Freeze) Holds(s ServiceNo, at SiteNo) bool {
+func (f *Freeze) Holds(s ServiceIndex, at SiteIndex) bool {
 	return has(f.Services, s) && (at == NoSite || has(f.Sites, at))
 }
 
@@ -132,9 +132,9 @@
 }
 
 // Open says whether a group at a site is open at a step.
-func (s *Service) Open(step StepNo, site SiteNo, group GroupNo) bool {
-	for k := StepNo(0); k <= step && int(k) < len(s.Steps); k++ {
-		for _, o := range s.Steps[k].Opens {
+func (s *Service) Open(step StepIndex, site SiteIndex, group GroupIndex) bool {
+	for k := StepIndex(0); k <= step && int(k) < len(s.Steps); k++ {
+		for _, o := range s.Steps[k].OpenGroups {
 			if o.Site == site && o.Group == group {
 				return true
 			}
@@ -144,9 +144,9 @@
 }
 
 // Touches says whether anything at a site is open at a step.
-func (s *Service) Touches(step StepNo, site SiteNo) bool {
-	for k := StepNo(0); k <= step && int(k) < len(s.Steps); k++ {
-		for _, o := range s.Steps[k].Opens {
+func (s *Service) Touches(step StepIndex, site SiteIndex) bool {
+	for k := StepIndex(0); k <= step && int(k) < len(s.Steps); k++ {
+		for _, o := range s.Steps[k].OpenGroups {
 			if o.Site == site {
 				return true
 			}
@@ -156,7 +156,7 @@
 }
 
 // StepName names a step, and what lies past the last one.
-func (s *Service) StepName(k StepNo) string {
+func (s *Service) StepName(k StepIndex) string {
 	switch {
 	case int(k) == len(s.Steps):
 		return "released"
@@ -167,31 +167,31 @@
 }
 
 // Service finds a service by name.
-func (p *Plan) Service(name string) (ServiceNo, bool) {
+func (p *Plan) Service(name string) (ServiceIndex, bool) {
 	for i := range p.Services {
 		if p.Services[i].Name == name {
-			return ServiceNo(i), true
+			return ServiceIndex(i), true
 		}
 	}
 	return 0, false
 }
 
 // Site finds a site by name.
-func (p *Plan) Site(name string) (SiteNo, bool) {
+func (p *Plan) Site(name string) (SiteIndex, bool) {
 	for i, s := range p.Sites {
 		if s == name {
-			return SiteNo(i), true
+			return SiteIndex(i), true
 		}
 	}
 	return NoSite, false
 }
 
 // GroupOf finds the group of a customer.
-func (p *Plan) GroupOf(customer string) GroupNo {
+func (p *Plan) GroupOf(customer string) GroupIndex {
 	for i := range p.Groups {
-		for _, c := range p.Groups[i].Customers {
+		for _, c := range p.Groups[i].Tenants {
 			if c == customer {
-				return GroupNo(i)
+				return GroupIndex(i)
 			}
 		}
 	}
@@ -200,24 +200,24 @@
 
 // Order lists the services so that each stands behind those that it needs, as far as that goes; where two need
 // steps of each other the plan's own order holds.
-func (p *Plan) Order() []ServiceNo {
-	var out []ServiceNo
+func (p *Plan) Order() []ServiceIndex {
+	var out []ServiceIndex
 	state := make([]int, len(p.Services))
-	var visit func(s ServiceNo)
-	visit = func(s ServiceNo) {
+	var visit func(s ServiceIndex)
+	visit = func(s ServiceIndex) {
 		if state[s] != 0 {
 			return
 		}
 		state[s] = 1
 		for _, st := range p.Services[s].Steps {
-			for _, n := range st.Needs {
+			for _, n := range st.Dependencies {
 				visit(n.Service)
 			}
 		}
 		out = append(out, s)
 	}
 	for i := range p.Services {
-		visit(ServiceNo(i))
+		visit(ServiceIndex(i))
 	}
 	return out
 }
--- a/plan/plan_test.go
+++ b/plan/plan_test.go
@@ -79,7 +79,7 @@
 	{"entities that expand", `<!DOCTYPE p [<!ENTITY a "aaaaaaaaaa"><!ENTITY b "&a;&a;&a;">]>` + head + serviceA + foot, 1, "no DOCTYPE", false},
 	{"an unknown entity", head + strings.Replace(serviceA, `"one"`, `"&lol;"`, 1) + foot, 3, "no XML", true},
 	{"many MB", head + strings.Repeat(" ", 3<<20) + serviceA + foot, 1, "over 1048576 bytes", false},
-	{"many elements", head + strings.Repeat(`<site name="x"/>`, xmlconfig.MostElements+1) + foot, 3, "over 20000 elements", true},
+	{"many elements", head + strings.Repeat(`<site name="x"/>`, xmlconfig.MaxElements+1) + foot, 3, "over 20000 elements", true},
 	{"deep", head + strings.Repeat("<group name='x'>", 20) + strings.Repeat("</group>", 20) + foot, 3, "deep", true},
 }
 
@@ -169,7 +169,7 @@
 	c, wide := NewCalendar(p, false), NewCalendar(p, true)
 	for _, x := range []struct {
 		at   string
-		site SiteNo
+		site SiteIndex
 		in   bool
 		wide bool
 	}{
@@ -192,14 +192,14 @@
 		{"2026-10-25T02:29:59", 0, true, true},
 		{"2026-10-25T02:30:05", 0, false, false},
 	} {
-		if _, in := c.Frozen(utc(x.at), 0, x.site, StopsOn); in != x.in {
+		if _, in := c.Frozen(utc(x.at), 0, x.site, FreezePromotions); in != x.in {
 			t.Errorf("%s at site %d: frozen %v", x.at, x.site, in)
 		}
-		if _, in := wide.Frozen(utc(x.at), 0, x.site, StopsOn); in != x.wide {
+		if _, in := wide.Frozen(utc(x.at), 0, x.site, FreezePromotions); in != x.wide {
 			t.Errorf("%s at site %d with skew: frozen %v", x.at, x.site, in)
 		}
 	}
-	if f, in := c.Frozen(utc("2026-12-04T20:00:00"), 0, NoSite, StopsBegin); !in || f.Since != utc("2026-12-04T19:00:00") || f.Till != utc("2026-12-05T03:00:00") {
+	if f, in := c.Frozen(utc("2026-12-04T20:00:00"), 0, NoSite, FreezeStarts); !in || f.Since != utc("2026-12-04T19:00:00") || f.Till != utc("2026-12-05T03:00:00") {
 		t.Errorf("%+v %v", f, in)
 	}
 	if next := c.Next(utc("2026-12-04T18:00:00")); next != utc("2026-12-04T19:00:00") {
@@ -216,8 +216,8 @@
 	c, start := NewCalendar(p, true), utc("2026-12-28T00:00:00")
 	changes := 0
 	for at, was := start, false; at < start+14*86400; at += 97 {
-		_, in := c.Frozen(at, 1, 0, StopsOn)
-		if _, fresh := NewCalendar(p, true).Frozen(at, 1, 0, StopsOn); fresh != in {
+		_, in := c.Frozen(at, 1, 0, FreezePromotions)
+		if _, fresh := NewCalendar(p, true).Frozen(at, 1, 0, FreezePromotions); fresh != in {
 			t.Fatalf("%s: %v, fresh %v", Time(at), in, fresh)
 		}
 		if in != was {
--- a/plan/read.go
+++ b/plan/read.go
@@ -9,21 +9,21 @@
 )
 
 // forms say what the elements may hold. The schema plan.xsd says the same; a test holds the two together.
-var forms = map[string]xmlconfig.Form{
-	"plan":     {Needs: []string{"version"}, May: []string{"clock-skew", "news-life"}, Kids: []string{"site", "group", "service", "freeze"}},
-	"site":     {Needs: []string{"name"}},
-	"group":    {Needs: []string{"name"}, Kids: []string{"customer"}},
-	"customer": {Needs: []string{"name"}},
-	"service":  {Needs: []string{"name"}, May: []string{"watch", "back-for", "settle"}, Kids: []string{"votes", "step", "relay"}},
-	"votes":    {May: []string{"control", "on", "back", "hold", "life", "per-second", "step-time"}},
-	"step":     {Needs: []string{"name", "share", "cap", "least"}, Kids: []string{"open", "needs"}},
-	"open":     {May: []string{"site", "group"}},
-	"needs":    {Needs: []string{"service"}, May: []string{"step"}},
-	"relay":    {Needs: []string{"name"}, May: []string{"site", "listen"}},
-	"freeze":   {Needs: []string{"name"}, May: []string{"stops"}, Kids: []string{"for", "weekly", "once"}},
-	"for":      {May: []string{"service", "site"}},
-	"weekly":   {Needs: []string{"days", "from", "to", "zone"}},
-	"once":     {Needs: []string{"from", "to", "zone"}},
+var forms = map[string]xmlconfig.ElementSchema{
+	"plan":     {Required: []string{"version"}, Optional: []string{"clock-skew", "news-life"}, Children: []string{"site", "group", "service", "freeze"}},
+	"site":     {Required: []string{"name"}},
+	"group":    {Required: []string{"name"}, Children: []string{"customer"}},
+	"customer": {Required: []string{"name"}},
+	"service":  {Required: []string{"name"}, Optional: []string{"watch", "back-for", "settle"}, Children: []string{"votes", "step", "relay"}},
+	"votes":    {Optional: []string{"control", "on", "back", "hold", "life", "per-second", "step-time"}},
+	"step":     {Required: []string{"name", "share", "cap", "least"}, Children: []string{"open", "needs"}},
+	"open":     {Optional: []string{"site", "group"}},
+	"needs":    {Required: []string{"service"}, Optional: []string{"step"}},
+	"relay":    {Required: []string{"name"}, Optional: []string{"site", "listen"}},
+	"freeze":   {Required: []string{"name"}, Optional: []string{"stops"}, Children: []string{"for", "weekly", "once"}},
+	"for":      {Optional: []string{"service", "site"}},
+	"weekly":   {Required: []string{"days", "from", "to", "zone"}},
+	"once":     {Required: []string{"from", "to", "zone"}},
 }
 
 // Load reads a plan's file. Its error is *form.Faults where the file could be read but is no plan.
@@ -37,7 +37,7 @@
 
 // Parse reads a plan and names all of its faults.
 func Parse(file string, raw []byte) (*Plan, error) {
-	r := &reader{Reader: xmlconfig.Reader{Root: "plan", Forms: forms}}
+	r := &reader{Reader: xmlconfig.Reader{Root: "plan", Schemas: forms}}
 	p := &Plan{}
 	if root := r.Read(raw); root != nil {
 		p = r.plan(root)
@@ -63,7 +63,7 @@
 	if v, ok := root.Attrs["version"]; ok && v != "1" {
 		r.Fault(root, "version: %.20q is not known, 1 is", v)
 	}
-	p.Skew, p.NewsLife = r.Span(root, "clock-skew", 2), r.Span(root, "news-life", 10)
+	p.Skew, p.StatusTTL = r.Span(root, "clock-skew", 2), r.Span(root, "news-life", 10)
 	sites, groups, customers, services := map[string]bool{}, map[string]bool{}, map[string]bool{}, map[string]bool{}
 	for _, n := range root.All("site") {
 		p.Sites = append(p.Sites, r.Name(n, sites))
@@ -71,7 +71,7 @@
 	for _, n := range root.All("group") {
 		g := Group{Name: r.Name(n, groups)}
 		for _, c := range n.All("customer") {
-			g.Customers = append(g.Customers, r.Name(c, customers))
+			g.Tenants = append(g.Tenants, r.Name(c, customers))
 		}
 		p.Groups = append(p.Groups, g)
 	}
@@ -95,26 +95,26 @@
 }
 
 func (r *reader) service(p *Plan, s *Service, n *xmlconfig.Node) {
-	s.Watch, s.BackFor, s.Settle = n.Attrs["watch"], r.Span(n, "back-for", 10), r.Span(n, "settle", 30)
+	s.Watch, s.RollbackTime, s.SettleTime = n.Attrs["watch"], r.Span(n, "back-for", 10), r.Span(n, "settle", 30)
 	if s.Watch != "" {
 		r.Address(n, "watch")
 	}
-	s.Votes = Votes{On: 0.5, Back: 0.15, Hold: 0.15, Life: 10, PerSecond: 100, StepTime: 60}
+	s.Votes = Votes{Promote: 0.5, RollBack: 0.15, Hold: 0.15, TTL: 10, PerSecond: 100, StepTime: 60}
 	for i, v := range n.All("votes") {
 		if i > 0 {
 			r.Fault(v, "stands twice")
 		}
-		s.Votes = Votes{Control: xmlconfig.Word(&r.Reader, v, "control", ByShare, map[string]Control{"share": ByShare, "any": ByAny, "clock": ByClock}),
-			On: r.Number(v, "on", 0.5, 0, 1), Back: r.Number(v, "back", 0.15, 0, 1), Hold: r.Number(v, "hold", 0.15, 0, 1),
-			Life: r.Span(v, "life", 10), PerSecond: r.Number(v, "per-second", 100, 1, 1e6), StepTime: r.Span(v, "step-time", 60)}
-		if s.Votes.Life <= 0 {
+		s.Votes = Votes{Control: xmlconfig.Enum(&r.Reader, v, "control", ControlQuorum, map[string]Control{"share": ControlQuorum, "any": ControlSingleVote, "clock": ControlTimed}),
+			Promote: r.Number(v, "on", 0.5, 0, 1), RollBack: r.Number(v, "back", 0.15, 0, 1), Hold: r.Number(v, "hold", 0.15, 0, 1),
+			TTL: r.Span(v, "life", 10), PerSecond: r.Number(v, "per-second", 100, 1, 1e6), StepTime: r.Span(v, "step-time", 60)}
+		if s.Votes.TTL <= 0 {
 			r.Fault(v, "life: no time at all")
 		}
 	}
 	names := map[string]bool{}
 	for _, k := range n.All("step") {
 		s.Steps = append(s.Steps, Step{Name: r.Name(k, names), Share: r.Number(k, "share", math.NaN(), 0, 1),
-			Cap: r.Number(k, "cap", math.NaN(), 0, 1), Least: r.Span(k, "least", 0)})
+			ExposureLimit: r.Number(k, "cap", math.NaN(), 0, 1), MinTime: r.Span(k, "least", 0)})
 		if k.Attrs["name"] == "released" {
 			r.Fault(k, "name: released is what comes after the last step")
 		}
@@ -127,8 +127,8 @@
 	opened := map[Scope]string{}
 	for i, k := range n.All("step") {
 		st := &s.Steps[i]
-		if i > 0 && st.Cap < s.Steps[i-1].Cap {
-			r.Fault(k, "cap: %g falls below the %g of the step before", st.Cap, s.Steps[i-1].Cap)
+		if i > 0 && st.ExposureLimit < s.Steps[i-1].ExposureLimit {
+			r.Fault(k, "cap: %g falls below the %g of the step before", st.ExposureLimit, s.Steps[i-1].ExposureLimit)
 		}
 		if i > 0 && st.Share < s.Steps[i-1].Share {
 			r.Fault(k, "share: %g falls below the %g of the step before", st.Share, s.Steps[i-1].Share)
@@ -140,7 +140,7 @@
 					continue
 				}
 				opened[sc] = st.Name
-				st.Opens = append(st.Opens, sc)
+				st.OpenGroups = append(st.OpenGroups, sc)
 			}
 		}
 		if i == 0 && len(k.All("open")) == 0 {
@@ -148,7 +148,7 @@
 		}
 		for _, d := range k.All("needs") {
 			if need, ok := r.need(p, d, n); ok {
-				st.Needs = append(st.Needs, need)
+				st.Dependencies = append(st.Dependencies, need)
 			}
 		}
 	}
@@ -178,7 +178,7 @@
 	for i, s := range p.Sites {
 		for j, g := range p.Groups {
 			if (!bySite || s == site) && (!byGroup || g.Name == group) {
-				out = append(out, Scope{SiteNo(i), GroupNo(j)})
+				out = append(out, Scope{SiteIndex(i), GroupIndex(j)})
 			}
 		}
 	}
@@ -191,30 +191,30 @@
 	return out
 }
 
-func (r *reader) need(p *Plan, n, of *xmlconfig.Node) (Need, bool) {
+func (r *reader) need(p *Plan, n, of *xmlconfig.Node) (Dependency, bool) {
 	name, ok := n.Attrs["service"]
 	if !ok {
-		return Need{}, false
+		return Dependency{}, false
 	}
 	s, known := p.Service(name)
 	if !known {
 		r.Fault(n, "service: there is no %.20q", name)
-		return Need{}, false
+		return Dependency{}, false
 	}
 	if name == of.Attrs["name"] {
 		r.Fault(n, "service: %s needs itself", name)
-		return Need{}, false
+		return Dependency{}, false
 	}
 	step, given := n.Attrs["step"]
 	if !given || step == "released" {
-		return Need{Service: s, Released: true}, true
+		return Dependency{Service: s, Released: true}, true
 	}
 	// The other service's steps may not be made yet: its name is looked up among the elements.
 	for i, k := range r.services[s].All("step") {
 		if k.Attrs["name"] == step {
-			return Need{Service: s, Step: StepNo(i)}, true
+			return Dependency{Service: s, Step: StepIndex(i)}, true
 		}
 	}
 	r.Fault(n, "step: %s has no %.20q", name, step)
-	return Need{}, false
+	return Dependency{}, false
 }
--- a/rollout/core.go
+++ b/rollout/core.go
@@ -24,7 +24,7 @@
 // Release is where a build stands.
 type Release struct {
 	Build relay.Build
-	Step  plan.StepNo
+	Step  plan.StepIndex
 	Phase relay.Phase
 	Since plan.Unix // when the present step or phase began
 	Began plan.Unix
@@ -33,7 +33,7 @@
 // vote is one relay's, which stands for a while.
 type vote struct {
 	build   relay.Build
-	step    plan.StepNo
+	step    plan.StepIndex
 	verdict relay.Verdict
 	at      plan.Unix
 }
@@ -61,15 +61,15 @@
 type Core struct {
 	plan     *plan.Plan
 	calendar *plan.Calendar
-	order    []plan.ServiceNo
+	order    []plan.ServiceIndex
 	services []service
 	closures []closure
 	last     plan.Unix // the latest time seen: the core's time never goes back
-	off      Defences
+	off      Safeguards
 }
 
 // Defences that tests take out, to show what each is for. All stand by default.
-type Defences struct{ Freezes, Needs, LeastTime, NarrowLost, Moot bool }
+type Safeguards struct{ Freezes, Needs, MinStageTime, NarrowLost, StaleVotes bool }
 
 // New returns the state before any event.
 func New(p *plan.Plan) *Core {
@@ -81,7 +81,7 @@
 }
 
 // Without takes defences out. Only for tests and for experiments that show what a defence is worth.
-func (c *Core) Without(d Defences) { c.off = d }
+func (c *Core) Without(d Safeguards) { c.off = d }
 
 // Plan is the plan that holds.
 func (c *Core) Plan() *plan.Plan { return c.plan }
@@ -127,10 +127,10 @@
 		return wrong("no time")
 	}
 	switch e.Kind {
-	case Started:
+	case EventControllerStarted:
 		c.now(e.At)
 		return nil
-	case Froze:
+	case EventFrozen:
 		if e.Name == "" || slices.ContainsFunc(c.closures, func(x closure) bool { return x.Name == e.Name }) {
 			return wrong("the freeze has no name of its own")
 		}
@@ -140,7 +140,7 @@
 		c.closures = append(c.closures, closure{e})
 		c.now(e.At)
 		return nil
-	case Thawed:
+	case EventUnfrozen:
 		at := slices.IndexFunc(c.closures, func(x closure) bool { return x.Name == e.Name })
 		if at < 0 {
 			return wrong("there is no such freeze")
@@ -158,55 +158,55 @@
 	trial := under && s.newest.Phase == relay.PhaseCanary
 	next := Release{Build: e.Build, Step: e.Step, Phase: relay.PhaseCanary, Since: e.At, Began: s.newest.Began}
 	switch e.Kind {
-	case Offered:
+	case EventOffered:
 		if e.Build <= 0 || e.Build >= mostBuild || e.Build <= s.waiting || s.known && e.Build <= s.newest.Build {
 			return wrong("no later build")
 		}
 		s.waiting, s.offered = e.Build, e.At
-	case Overtook:
+	case EventSuperseded:
 		if s.waiting == 0 || e.Build <= s.waiting {
 			return wrong("none was waiting")
 		}
 		s.waiting, s.offered = e.Build, e.At
-	case Began:
+	case EventBegan:
 		if s.waiting != e.Build || e.Step != 0 || s.busy() {
 			return wrong("it can't begin")
 		}
 		next.Began = e.At
 		s.newest, s.known, s.waiting = next, true, 0
 		clear(s.votes)
-	case Moved:
+	case EventPromoted:
 		if !trial || e.Step != s.newest.Step+1 || int(e.Step) >= len(terms.Steps) {
 			return wrong("not the next step")
 		}
 		s.newest = next
-	case Released:
+	case EventReleased:
 		if !trial || int(s.newest.Step) != len(terms.Steps)-1 {
 			return wrong("not at its last step")
 		}
 		next.Step, next.Phase = s.newest.Step, relay.PhaseReleased
 		s.newest = next
-	case SentBack:
+	case EventRollingBack:
 		if !under || s.newest.Phase != relay.PhaseCanary && s.newest.Phase != relay.PhaseReleased {
 			return wrong("it can't go back")
 		}
 		next.Step, next.Phase = s.newest.Step, relay.PhaseRollingBack
 		s.newest = next
-	case Taken:
+	case EventWithdrawn:
 		if !under || s.newest.Phase != relay.PhaseRollingBack {
 			return wrong("it was not going back")
 		}
 		next.Step, next.Phase = s.newest.Step, relay.PhaseWithdrawn
 		s.newest = next
-	case Voted:
+	case EventVoted:
 		if e.Relay == "" || len(s.votes) >= mostVoters && s.votes[e.Relay] == (vote{}) || e.Verdict < relay.NoVote ||
 			e.Verdict > relay.VoteRollBack {
 			return wrong("no vote")
 		}
 		s.votes[e.Relay] = vote{e.Build, e.Step, e.Verdict, e.At}
-	case Halted:
+	case EventHalted:
 		s.halted, s.haltWhy = true, e
-	case Resumed:
+	case EventResumed:
 		s.halted = false
 	default:
 		return wrong("of no known kind")
@@ -224,10 +224,10 @@
 func need(share float64, of int) int { return max(1, int(math.Ceil(share*float64(of)-1e-9))) }
 
 // count gives the relays whose votes stand for a verdict on the newest build: at its present step, or at any for back.
-func (c *Core) count(no plan.ServiceNo, v relay.Verdict, now plan.Unix) (n int) {
+func (c *Core) count(no plan.ServiceIndex, v relay.Verdict, now plan.Unix) (n int) {
 	s := &c.services[no]
 	for _, x := range s.votes {
-		if x.verdict == v && x.build == s.newest.Build && now-x.at < c.plan.Services[no].Votes.Life &&
+		if x.verdict == v && x.build == s.newest.Build && now-x.at < c.plan.Services[no].Votes.TTL &&
 			(v == relay.VoteRollBack || x.step == s.newest.Step && x.at >= s.newest.Since) {
 			n++
 		}
@@ -236,23 +236,23 @@
 }
 
 // needed is how many votes a verdict takes.
-func (c *Core) needed(no plan.ServiceNo, v relay.Verdict) int {
+func (c *Core) needed(no plan.ServiceIndex, v relay.Verdict) int {
 	t := &c.plan.Services[no]
-	if t.Votes.Control == plan.ByAny {
+	if t.Votes.Control == plan.ControlSingleVote {
 		return 1
 	}
-	return need(map[relay.Verdict]float64{relay.VotePromote: t.Votes.On, relay.VoteRollBack: t.Votes.Back, relay.VoteHold: t.Votes.Hold}[v],
+	return need(map[relay.Verdict]float64{relay.VotePromote: t.Votes.Promote, relay.VoteRollBack: t.Votes.RollBack, relay.VoteHold: t.Votes.Hold}[v],
 		len(t.Relays))
 }
 
 // met says whether a need holds: the other service's newest build is at the step or past it and on its way on. An
 // earlier build that stays out does not count, since the one that waits may have been made for the newer.
-func (c *Core) met(n plan.Need) bool {
+func (c *Core) met(n plan.Dependency) bool {
 	s := &c.services[n.Service]
 	return s.known && reached(n, s.newest.Phase, s.newest.Step)
 }
 
-func reached(n plan.Need, phase relay.Phase, step plan.StepNo) bool {
+func reached(n plan.Dependency, phase relay.Phase, step plan.StepIndex) bool {
 	switch phase {
 	case relay.PhaseReleased:
 		return true
@@ -264,32 +264,32 @@
 
 // closed looks for a freeze, of the plan or an operator's, that stops a service from opening or raising anything at
 // any site that a step touches. A release touches every site.
-func (c *Core) closed(no plan.ServiceNo, step plan.StepNo, now plan.Unix) Wait {
+func (c *Core) closed(no plan.ServiceIndex, step plan.StepIndex, now plan.Unix) BlockReason {
 	if c.off.Freezes {
-		return Wait{}
+		return BlockReason{}
 	}
 	t := &c.plan.Services[no]
 	for _, x := range c.closures {
 		if (x.Service == "" || x.Service == t.Name) && (x.Until == 0 || now < x.Until) {
-			return Wait{IsClosed, fmt.Sprintf("freeze %s by %s: %s", x.Name, x.Who, x.Why), x.Until}
+			return BlockReason{BlockedByOperatorFreeze, fmt.Sprintf("freeze %s by %s: %s", x.Name, x.Who, x.Why), x.Until}
 		}
 	}
-	what := plan.StopsOn
+	what := plan.FreezePromotions
 	if step == 0 {
-		what = plan.StopsBegin
+		what = plan.FreezeStarts
 	}
 	return frozen(c.plan, c.calendar, no, step, what, now)
 }
 
-func frozen(p *plan.Plan, cal *plan.Calendar, no plan.ServiceNo, step plan.StepNo, what plan.Stops, now plan.Unix) (w Wait) {
+func frozen(p *plan.Plan, cal *plan.Calendar, no plan.ServiceIndex, step plan.StepIndex, what plan.FreezeEffect, now plan.Unix) (w BlockReason) {
 	t := &p.Services[no]
 	for i := range p.Sites {
-		site := plan.SiteNo(i)
+		site := plan.SiteIndex(i)
 		if int(step) < len(t.Steps) && !t.Touches(step, site) {
 			continue
 		}
 		if f, in := cal.Frozen(now, no, site, what); in && f.Till > w.Until {
-			w = Wait{IsFrozen, fmt.Sprintf("freeze %s until %s", p.Freezes[f.Freeze].Name, clockText(f.Till)), f.Till}
+			w = BlockReason{BlockedByPlanFreeze, fmt.Sprintf("freeze %s until %s", p.Freezes[f.Freeze].Name, clockText(f.Till)), f.Till}
 		}
 	}
 	return w
@@ -297,70 +297,70 @@
 
 // May says whether a service may go to a step (0: begin; the number of its steps: be released) as far as plan and
 // operators go. Votes and time are another matter.
-func (c *Core) May(no plan.ServiceNo, step plan.StepNo, now plan.Unix) Wait {
+func (c *Core) CanPromote(no plan.ServiceIndex, step plan.StepIndex, now plan.Unix) BlockReason {
 	s, t := &c.services[no], &c.plan.Services[no]
 	if s.halted {
-		return Wait{IsHalted, fmt.Sprintf("halted by %s: %s", s.haltWhy.Who, s.haltWhy.Why), 0}
+		return BlockReason{BlockedByHalt, fmt.Sprintf("halted by %s: %s", s.haltWhy.Who, s.haltWhy.Why), 0}
 	}
 	if w := c.closed(no, step, now); !w.Ok() {
 		return w
 	}
-	if till := s.newest.Since + t.Settle; step == 0 && s.known && s.newest.Phase == relay.PhaseReleased && now < till {
+	if till := s.newest.Since + t.SettleTime; step == 0 && s.known && s.newest.Phase == relay.PhaseReleased && now < till {
 		// Relays and whoever runs the fleet must hear of the release and go over to it first.
-		return Wait{Settling, fmt.Sprintf("build %d was released, the next begins at %s", s.newest.Build, clockText(till)), till}
+		return BlockReason{BlockedBySettleTime, fmt.Sprintf("build %d was released, the next begins at %s", s.newest.Build, clockText(till)), till}
 	}
 	if c.off.Needs {
-		return Wait{}
+		return BlockReason{}
 	}
-	for k := plan.StepNo(0); k <= step && int(k) < len(t.Steps); k++ { // what an earlier step needed must still hold
-		for _, n := range t.Steps[k].Needs {
+	for k := plan.StepIndex(0); k <= step && int(k) < len(t.Steps); k++ { // what an earlier step needed must still hold
+		for _, n := range t.Steps[k].Dependencies {
 			if !c.met(n) {
-				return Wait{NeedsOther, c.plan.NeedText(n), 0}
+				return BlockReason{BlockedByDependency, c.plan.DependencyText(n), 0}
 			}
 		}
 	}
-	return Wait{}
+	return BlockReason{}
 }
 
 // Why says what the service waits for.
-func (c *Core) Why(no plan.ServiceNo, now plan.Unix) Wait {
+func (c *Core) Why(no plan.ServiceIndex, now plan.Unix) BlockReason {
 	now = c.now(now)
 	s, t := &c.services[no], &c.plan.Services[no]
 	if s.busy() && s.newest.Phase == relay.PhaseRollingBack {
-		return Wait{GoesBack, fmt.Sprintf("build %d is going back", s.newest.Build), s.newest.Since + t.BackFor}
+		return BlockReason{BlockedByRollback, fmt.Sprintf("build %d is going back", s.newest.Build), s.newest.Since + t.RollbackTime}
 	}
 	if !s.busy() {
 		if s.waiting == 0 {
-			return Wait{NoBuild, "no build is on trial or waiting", 0}
+			return BlockReason{BlockedNoBuild, "no build is on trial or waiting", 0}
 		}
-		return c.May(no, 0, now)
+		return c.CanPromote(no, 0, now)
 	}
-	if w := c.May(no, s.newest.Step+1, now); !w.Ok() {
+	if w := c.CanPromote(no, s.newest.Step+1, now); !w.Ok() {
 		return w
 	}
-	if till := s.newest.Since + t.Steps[s.newest.Step].Least; now < till && !c.off.LeastTime {
-		return Wait{TooYoung, fmt.Sprintf("step %s lasts until %s at least", t.StepName(s.newest.Step), clockText(till)), till}
+	if till := s.newest.Since + t.Steps[s.newest.Step].MinTime; now < till && !c.off.MinStageTime {
+		return BlockReason{BlockedByMinTime, fmt.Sprintf("step %s lasts until %s at least", t.StepName(s.newest.Step), clockText(till)), till}
 	}
-	if t.Votes.Control == plan.ByClock {
+	if t.Votes.Control == plan.ControlTimed {
 		if n := c.count(no, relay.VoteHold, now); n >= c.needed(no, relay.VoteHold) {
-			return Wait{HeldByVotes, fmt.Sprintf("%d relays hold it", n), 0}
+			return BlockReason{BlockedByHoldVotes, fmt.Sprintf("%d relays hold it", n), 0}
 		}
 		if till := s.newest.Since + t.Votes.StepTime; now < till {
-			return Wait{TooYoung, "the clock moves it at " + clockText(till), till}
+			return BlockReason{BlockedByMinTime, "the clock moves it at " + clockText(till), till}
 		}
-		return Wait{}
+		return BlockReason{}
 	}
 	if n, of := c.count(no, relay.VotePromote, now), c.needed(no, relay.VotePromote); n < of {
-		return Wait{NeedVotes, fmt.Sprintf("%d of %d relays stand for it", n, of), 0}
+		return BlockReason{BlockedByMissingVotes, fmt.Sprintf("%d of %d relays stand for it", n, of), 0}
 	}
-	return Wait{}
+	return BlockReason{}
 }
 
 // Due gives the events that follow at a time, already folded in, in the order in which they happen: services that
 // others need first, so that what begins in the same moment sees it.
-func (c *Core) Due(at plan.Unix) (out []Event) {
+func (c *Core) Advance(at plan.Unix) (out []Event) {
 	now := c.now(at)
-	do := func(no plan.ServiceNo, e Event) {
+	do := func(no plan.ServiceIndex, e Event) {
 		e.At, e.Service = now, c.plan.Services[no].Name
 		if err := c.Apply(e); err != nil {
 			panic("rollout: " + err.Error()) // Due only makes events that follow
@@ -369,7 +369,7 @@
 	}
 	for i := len(c.closures) - 1; i >= 0; i-- {
 		if x := c.closures[i]; x.Until > 0 && now >= x.Until {
-			e := Event{At: now, Kind: Thawed, Service: x.Service, Name: x.Name, Who: "desk", Why: "its time is over"}
+			e := Event{At: now, Kind: EventUnfrozen, Service: x.Service, Name: x.Name, Who: "desk", Why: "its time is over"}
 			if c.Apply(e) == nil {
 				out = append(out, e)
 			}
@@ -384,16 +384,16 @@
 			case s.known && (n.Phase == relay.PhaseCanary || n.Phase == relay.PhaseReleased) &&
 				c.count(no, relay.VoteRollBack, now) >= c.needed(no, relay.VoteRollBack):
 				// Back is always free: no freeze, halt or need stands in its way.
-				do(no, Event{Kind: SentBack, Build: n.Build, Step: n.Step, Why: fmt.Sprintf("%d relays vote it back", c.count(no, relay.VoteRollBack, now))})
-			case s.known && n.Phase == relay.PhaseRollingBack && now >= n.Since+t.BackFor:
-				do(no, Event{Kind: Taken, Build: n.Build, Step: n.Step})
-			case !s.busy() && s.waiting != 0 && c.May(no, 0, now).Ok():
-				do(no, Event{Kind: Began, Build: s.waiting})
+				do(no, Event{Kind: EventRollingBack, Build: n.Build, Step: n.Step, Why: fmt.Sprintf("%d relays vote it back", c.count(no, relay.VoteRollBack, now))})
+			case s.known && n.Phase == relay.PhaseRollingBack && now >= n.Since+t.RollbackTime:
+				do(no, Event{Kind: EventWithdrawn, Build: n.Build, Step: n.Step})
+			case !s.busy() && s.waiting != 0 && c.CanPromote(no, 0, now).Ok():
+				do(no, Event{Kind: EventBegan, Build: s.waiting})
 			case s.known && n.Phase == relay.PhaseCanary && c.Why(no, now).Ok():
 				if int(n.Step)+1 < len(t.Steps) {
-					do(no, Event{Kind: Moved, Build: n.Build, Step: n.Step + 1})
+					do(no, Event{Kind: EventPromoted, Build: n.Build, Step: n.Step + 1})
 				} else {
-					do(no, Event{Kind: Released, Build: n.Build, Step: n.Step})
+					do(no, Event{Kind: EventReleased, Build: n.Build, Step: n.Step})
 				}
 			}
 			again = again || len(out) > before
@@ -408,7 +408,7 @@
 	now = c.now(now)
 	next := c.calendar.Next(now)
 	for i := range c.services {
-		if w := c.Why(plan.ServiceNo(i), now); w.Until > now {
+		if w := c.Why(plan.ServiceIndex(i), now); w.Until > now {
 			next = math.Min(next, w.Until)
 		} else if c.services[i].busy() {
 			next = math.Min(next, now+lookAgain) // votes lapse
@@ -423,23 +423,23 @@
 }
 
 // Refusal is why a vote was not counted, in the protocol's words.
-type Refusal string
+type Rejection string
 
 // The platform's errors.
 const (
-	Counted   Refusal = ""
-	Throttled Refusal = "Throttling"
-	Moot      Refusal = "ConditionFailed"
-	Invalid   Refusal = "ValidationError"
+	VoteCounted       Rejection = ""
+	RejectedThrottled Rejection = "Throttling"
+	RejectedStale     Rejection = "ConditionFailed"
+	RejectedInvalid   Rejection = "ValidationError"
 )
 
 // Vote checks a relay's vote and gives the event that counts it. The caller keeps the event before it folds it in
 // and tells anybody.
-func (c *Core) Vote(no plan.ServiceNo, from string, v relay.Vote, at plan.Unix) (Event, Refusal) {
+func (c *Core) Vote(no plan.ServiceIndex, from string, v relay.Vote, at plan.Unix) (Event, Rejection) {
 	now := c.now(at)
 	s, t := &c.services[no], &c.plan.Services[no]
 	if !slices.ContainsFunc(t.Relays, func(r plan.Relay) bool { return r.Name == from }) || v.Verdict < relay.NoVote || v.Verdict > relay.VoteRollBack {
-		return Event{}, Invalid
+		return Event{}, RejectedInvalid
 	}
 	burst := math.Max(1, t.Votes.PerSecond*voteBurst)
 	s.bucket = math.Min(burst, s.bucket+(now-s.bucketAt)*t.Votes.PerSecond)
@@ -447,26 +447,26 @@
 		s.bucket = burst
 	}
 	if s.bucketAt = now; s.bucket < 1 {
-		return Event{}, Throttled
+		return Event{}, RejectedThrottled
 	}
 	s.bucket--
-	if !c.off.Moot && (!s.known || v.Build != s.newest.Build || s.newest.Phase == relay.PhaseWithdrawn ||
+	if !c.off.StaleVotes && (!s.known || v.Build != s.newest.Build || s.newest.Phase == relay.PhaseWithdrawn ||
 		v.Verdict != relay.VoteRollBack && v.Verdict != relay.NoVote && int(v.Stage) != int(s.newest.Step)) {
-		return Event{}, Moot
+		return Event{}, RejectedStale
 	}
-	return Event{At: now, Kind: Voted, Service: t.Name, Build: v.Build, Step: plan.StepNo(v.Stage), Relay: from, Verdict: v.Verdict}, Counted
+	return Event{At: now, Kind: EventVoted, Service: t.Name, Build: v.Build, Step: plan.StepIndex(v.Stage), Relay: from, Verdict: v.Verdict}, VoteCounted
 }
 
 // Offer gives the event of a new build, which takes the place of one that has not begun.
-func (c *Core) Offer(no plan.ServiceNo, b relay.Build, who, why string, at plan.Unix) (Event, error) {
+func (c *Core) Offer(no plan.ServiceIndex, b relay.Build, who, why string, at plan.Unix) (Event, error) {
 	now := c.now(at)
 	s, t := &c.services[no], &c.plan.Services[no]
 	if b <= 0 || b >= mostBuild || s.known && b <= s.newest.Build || b <= s.waiting {
 		return Event{}, fmt.Errorf("build %d is not later than build %d of %s", b, max(s.newest.Build, s.waiting), t.Name)
 	}
-	e := Event{At: now, Kind: Offered, Service: t.Name, Build: b, Who: who, Why: clip(why)}
+	e := Event{At: now, Kind: EventOffered, Service: t.Name, Build: b, Who: who, Why: clip(why)}
 	if s.waiting != 0 {
-		e.Kind = Overtook
+		e.Kind = EventSuperseded
 	}
 	return e, nil
 }
@@ -474,18 +474,18 @@
 func clip(s string) string { return s[:min(len(s), mostText)] }
 
 // Operate gives the event of an operator's word; who and why are kept with it.
-func (c *Core) Operate(kind Kind, service, name, who, why string, until, at plan.Unix) (Event, error) {
+func (c *Core) Operate(kind EventKind, service, name, who, why string, until, at plan.Unix) (Event, error) {
 	now := c.now(at)
 	e := Event{At: now, Kind: kind, Service: service, Name: name, Until: until, Who: clip(who), Why: clip(why)}
 	if who == "" || why == "" {
 		return Event{}, errors.New("who and why must be said")
 	}
 	no, ok := c.plan.Service(service)
-	if !ok && (service != "" || kind != Froze && kind != Thawed) {
+	if !ok && (service != "" || kind != EventFrozen && kind != EventUnfrozen) {
 		return Event{}, fmt.Errorf("there is no service %q", service)
 	}
 	switch kind {
-	case Froze:
+	case EventFrozen:
 		if until != 0 && until <= now {
 			return Event{}, errors.New("the freeze would be over already")
 		}
@@ -495,17 +495,17 @@
 		if len(c.closures) >= mostFreezes {
 			return Event{}, fmt.Errorf("%d freezes are set, no more are kept", mostFreezes)
 		}
-	case Thawed:
+	case EventUnfrozen:
 		at := slices.IndexFunc(c.closures, func(x closure) bool { return x.Name == name })
 		if at < 0 {
 			return Event{}, fmt.Errorf("no operator set a freeze %q (those of the plan end as it says)", name)
 		}
 		e.Service = c.closures[at].Service
-	case Halted, Resumed:
-		if c.services[no].halted == (kind == Halted) {
+	case EventHalted, EventResumed:
+		if c.services[no].halted == (kind == EventHalted) {
 			return Event{}, fmt.Errorf("%s is %s already", service, kind)
 		}
-	case SentBack:
+	case EventRollingBack:
 		r := c.services[no].newest
 		if !c.services[no].known || r.Phase != relay.PhaseCanary && r.Phase != relay.PhaseReleased {
 			return Event{}, fmt.Errorf("%s has no build that could go back", service)
@@ -519,13 +519,13 @@
 
 // Supported is the deepest step that the newest build stands at and whose needs, and those of the steps before it,
 // hold; -1 where not even those of the first do. A dependency that turned bad takes it back, at once.
-func (c *Core) Supported(no plan.ServiceNo) plan.StepNo {
+func (c *Core) Supported(no plan.ServiceIndex) plan.StepIndex {
 	s, t := &c.services[no], &c.plan.Services[no]
 	if c.off.NarrowLost {
 		return s.newest.Step
 	}
-	for k := plan.StepNo(0); k <= s.newest.Step && int(k) < len(t.Steps); k++ {
-		for _, n := range t.Steps[k].Needs {
+	for k := plan.StepIndex(0); k <= s.newest.Step && int(k) < len(t.Steps); k++ {
+		for _, n := range t.Steps[k].Dependencies {
 			if !c.met(n) {
 				return k - 1
 			}
@@ -535,7 +535,7 @@
 }
 
 // Cap is the cap that holds for a group at a site.
-func (c *Core) Cap(no plan.ServiceNo, site plan.SiteNo, group plan.GroupNo, at plan.Unix) float64 {
+func (c *Core) ExposureLimit(no plan.ServiceIndex, site plan.SiteIndex, group plan.GroupIndex, at plan.Unix) float64 {
 	c.now(at)
 	s, t := &c.services[no], &c.plan.Services[no]
 	switch {
@@ -550,12 +550,12 @@
 	if k < 0 || !t.Open(k, site, group) {
 		return 0
 	}
-	return t.Steps[k].Cap
+	return t.Steps[k].ExposureLimit
 }
 
 // News is what relays are told of a service: the newest build that has begun, with the cap of the deepest step
 // whose needs hold.
-func (c *Core) News(no plan.ServiceNo, at plan.Unix) relay.RolloutStatus {
+func (c *Core) Statuses(no plan.ServiceIndex, at plan.Unix) relay.RolloutStatus {
 	now := c.now(at)
 	s, t := &c.services[no], &c.plan.Services[no]
 	if !s.known {
@@ -568,7 +568,7 @@
 		n.ExposureLimit = 1
 	case relay.PhaseCanary:
 		if k := c.Supported(no); k >= 0 {
-			n.ExposureLimit = t.Steps[k].Cap
+			n.ExposureLimit = t.Steps[k].ExposureLimit
 		}
 	}
 	return n
@@ -583,7 +583,7 @@
 	Since   plan.Unix   `json:"since"`
 	Cap     float64     `json:"cap"`
 	Waiting relay.Build `json:"waiting,omitempty"`
-	Code    Code        `json:"code"`
+	Code    BlockCode   `json:"code"`
 	Why     string      `json:"why"`
 	Until   plan.Unix   `json:"until,omitempty"`
 	On      int         `json:"votes_on"`
@@ -601,8 +601,8 @@
 func (c *Core) Status(at plan.Unix) (out []Status) {
 	now := c.now(at)
 	for i := range c.services {
-		no, s, t := plan.ServiceNo(i), &c.services[i], &c.plan.Services[i]
-		w, n := c.Why(no, now), c.News(no, now)
+		no, s, t := plan.ServiceIndex(i), &c.services[i], &c.plan.Services[i]
+		w, n := c.Why(no, now), c.Statuses(no, now)
 		x := Status{Service: t.Name, Build: s.newest.Build, Phase: "none", Since: s.newest.Since, Cap: n.ExposureLimit, Waiting: s.waiting,
 			Code: w.Code, Why: w.Text, Until: w.Until, Halted: s.halted, OnOf: c.needed(no, relay.VotePromote), BackOf: c.needed(no, relay.VoteRollBack)}
 		if math.IsInf(x.Until, 0) {
@@ -637,23 +637,23 @@
 			if s.newest.Step == 0 && n.Phase == relay.PhaseCanary {
 				began = n.Since
 			}
-			out = append(out, Event{At: began, Kind: Offered, Service: name, Build: n.Build},
-				Event{At: began, Kind: Began, Service: name, Build: n.Build})
-			for k := plan.StepNo(1); k <= n.Step; k++ {
-				out = append(out, Event{At: n.Since, Kind: Moved, Service: name, Build: n.Build, Step: k})
+			out = append(out, Event{At: began, Kind: EventOffered, Service: name, Build: n.Build},
+				Event{At: began, Kind: EventBegan, Service: name, Build: n.Build})
+			for k := plan.StepIndex(1); k <= n.Step; k++ {
+				out = append(out, Event{At: n.Since, Kind: EventPromoted, Service: name, Build: n.Build, Step: k})
 			}
 			switch n.Phase {
 			case relay.PhaseReleased:
-				out = append(out, Event{At: n.Since, Kind: Released, Service: name, Build: n.Build, Step: n.Step})
+				out = append(out, Event{At: n.Since, Kind: EventReleased, Service: name, Build: n.Build, Step: n.Step})
 			case relay.PhaseRollingBack, relay.PhaseWithdrawn:
-				out = append(out, Event{At: n.Since, Kind: SentBack, Service: name, Build: n.Build, Step: n.Step})
+				out = append(out, Event{At: n.Since, Kind: EventRollingBack, Service: name, Build: n.Build, Step: n.Step})
 			}
 			if n.Phase == relay.PhaseWithdrawn {
-				out = append(out, Event{At: n.Since, Kind: Taken, Service: name, Build: n.Build, Step: n.Step})
+				out = append(out, Event{At: n.Since, Kind: EventWithdrawn, Service: name, Build: n.Build, Step: n.Step})
 			}
 		}
 		if s.waiting != 0 {
-			out = append(out, Event{At: s.offered, Kind: Offered, Service: name, Build: s.waiting})
+			out = append(out, Event{At: s.offered, Kind: EventOffered, Service: name, Build: s.waiting})
 		}
 		var voters []string
 		for r := range s.votes {
@@ -662,7 +662,7 @@
 		sort.Strings(voters)
 		for _, r := range voters {
 			v := s.votes[r]
-			out = append(out, Event{At: v.at, Kind: Voted, Service: name, Build: v.build, Step: v.step, Relay: r, Verdict: v.verdict})
+			out = append(out, Event{At: v.at, Kind: EventVoted, Service: name, Build: v.build, Step: v.step, Relay: r, Verdict: v.verdict})
 		}
 		if s.halted {
 			out = append(out, s.haltWhy)
@@ -671,5 +671,5 @@
 	for _, x := range c.closures {
 		out = append(out, x.Event)
 	}
-	return append(out, Event{At: c.last, Kind: Started, Why: "snapshot"})
+	return append(out, Event{At: c.last, Kind: EventControllerStarted, Why: "snapshot"})
 }
--- a/rollout/events.go
+++ b/rollout/events.go
@@ -15,71 +15,71 @@
 )
 
 // Kind is what an event is about.
-type Kind string
+type EventKind string
 
 // The kinds of event. Their names stand in journals: they never change their meaning.
 const (
-	Offered  Kind = "offered"   // a build is there to be tried
-	Overtook Kind = "overtook"  // a later build took the place of one that had not begun
-	Began    Kind = "began"     // the first step
-	Moved    Kind = "moved"     // on to Step
-	Released Kind = "released"  // past the last step
-	SentBack Kind = "sent_back" // going back
-	Taken    Kind = "taken_off" // back for good
-	Voted    Kind = "voted"     // a vote that counts
-	Froze    Kind = "froze"     // an operator's freeze, for a service or for all
-	Thawed   Kind = "thawed"    // its end
-	Halted   Kind = "halted"    // an operator's halt of one service
-	Resumed  Kind = "resumed"
-	Started  Kind = "started" // the desk's process
+	EventOffered           EventKind = "offered"   // a build is there to be tried
+	EventSuperseded        EventKind = "overtook"  // a later build took the place of one that had not begun
+	EventBegan             EventKind = "began"     // the first step
+	EventPromoted          EventKind = "moved"     // on to Step
+	EventReleased          EventKind = "released"  // past the last step
+	EventRollingBack       EventKind = "sent_back" // going back
+	EventWithdrawn         EventKind = "taken_off" // back for good
+	EventVoted             EventKind = "voted"     // a vote that counts
+	EventFrozen            EventKind = "froze"     // an operator's freeze, for a service or for all
+	EventUnfrozen          EventKind = "thawed"    // its end
+	EventHalted            EventKind = "halted"    // an operator's halt of one service
+	EventResumed           EventKind = "resumed"
+	EventControllerStarted EventKind = "started" // the desk's process
 )
 
 // Event is one thing that happened, as a journal keeps it.
 type Event struct {
-	At      plan.Unix     `json:"at"`
-	Kind    Kind          `json:"kind"`
-	Service string        `json:"service,omitempty"` // none: all
-	Build   relay.Build   `json:"build,omitempty"`
-	Step    plan.StepNo   `json:"step,omitempty"`
-	Relay   string        `json:"relay,omitempty"`
-	Verdict relay.Verdict `json:"verdict,omitempty"`
-	Name    string        `json:"name,omitempty"` // of a freeze
-	Until   plan.Unix     `json:"until,omitempty"`
-	Who     string        `json:"who,omitempty"`
-	Why     string        `json:"why,omitempty"`
+	At      plan.Unix      `json:"at"`
+	Kind    EventKind      `json:"kind"`
+	Service string         `json:"service,omitempty"` // none: all
+	Build   relay.Build    `json:"build,omitempty"`
+	Step    plan.StepIndex `json:"step,omitempty"`
+	Relay   string         `json:"relay,omitempty"`
+	Verdict relay.Verdict  `json:"verdict,omitempty"`
+	Name    string         `json:"name,omitempty"` // of a freeze
+	Until   plan.Unix      `json:"until,omitempty"`
+	Who     string         `json:"who,omitempty"`
+	Why     string         `json:"why,omitempty"`
 }
 
 // Code is a reason why something waits, from a fixed list (docs/releases.md).
-type Code string
+type BlockCode string
 
 // The reasons.
 const (
-	Free        Code = ""            // nothing stands in the way
-	NoBuild     Code = "no_build"    // nothing is on trial or waiting
-	IsFrozen    Code = "freeze"      // a freeze of the plan
-	IsClosed    Code = "closed"      // a freeze that an operator set
-	IsHalted    Code = "halted"      // an operator halted the service
-	NeedsOther  Code = "needs"       // a service that it depends on is not as far
-	NeedUnheard Code = "needs_news"  // nothing, or nothing lately, was heard of it
-	TooYoung    Code = "least_time"  // the step has not lasted long enough
-	NeedVotes   Code = "votes"       // too few relays stand for it
-	HeldByVotes Code = "held"        // relays hold the clock
-	GoesBack    Code = "going_back"  // it is on its way back
-	Settling    Code = "settling"    // the build before was released just now
-	NotGranted  Code = "not_granted" // this relay has not opened the present step itself yet
+	Unblocked               BlockCode = ""            // nothing stands in the way
+	BlockedNoBuild          BlockCode = "no_build"    // nothing is on trial or waiting
+	BlockedByPlanFreeze     BlockCode = "freeze"      // a freeze of the plan
+	BlockedByOperatorFreeze BlockCode = "closed"      // a freeze that an operator set
+	BlockedByHalt           BlockCode = "halted"      // an operator halted the service
+	BlockedByDependency     BlockCode = "needs"       // a service that it depends on is not as far
+	BlockedByStaleStatus    BlockCode = "needs_news"  // nothing, or nothing lately, was heard of it
+	BlockedByMinTime        BlockCode = "least_time"  // the step has not lasted long enough
+	BlockedByMissingVotes   BlockCode = "votes"       // too few relays stand for it
+	BlockedByHoldVotes      BlockCode = "held"        // relays hold the clock
+	BlockedByRollback       BlockCode = "going_back"  // it is on its way back
+	BlockedBySettleTime     BlockCode = "settling"    // the build before was released just now
+	BlockedByLocalStep      BlockCode = "not_granted" // this relay has not opened the present step itself yet
 )
 
 // Wait is why something does not go on.
-type Wait struct {
-	Code  Code
+type BlockReason struct {
+	Code  BlockCode
 	Text  string
 	Until plan.Unix // when that may change by time alone; 0: not by time
 }
 
 // Ok says that nothing stands in the way.
-func (w Wait) Ok() bool { return w.Code == Free }
+func (w BlockReason) Ok() bool { return w.Code == Unblocked }
 
-func (w Wait) String() string {
+func (w BlockReason) String() string {
 	if w.Ok() {
 		return "free to go on"
 	}
--- a/rollout/guard.go
+++ b/rollout/guard.go
@@ -19,18 +19,18 @@
 type Guard struct {
 	plan     *plan.Plan
 	calendar *plan.Calendar
-	service  plan.ServiceNo
-	site     plan.SiteNo
+	service  plan.ServiceIndex
+	site     plan.SiteIndex
 	groups   []int // by customer, -1: none
-	off      GuardDefences
+	off      GuardSafeguards
 
 	now     plan.Unix
 	known   bool
 	news    relay.RolloutStatus // as last told by the platform, and kept from going backwards
 	since   plan.Unix           // when its state began, by its age
-	granted plan.StepNo         // deepest step granted of that build; -1: none; the number of steps: its release
+	granted plan.StepIndex      // deepest step granted of that build; -1: none; the number of steps: its release
 	ceiling float64             // that the cap may not pass while a freeze holds
-	top     plan.StepNo         // and the step
+	top     plan.StepIndex      // and the step
 	held    bool                // a freeze held at the last look
 	others  []heardOf           // by service
 	started plan.Unix
@@ -49,8 +49,8 @@
 	at   plan.Unix
 }
 
-// GuardDefences that tests take out, to show what each is for. All stand by default.
-type GuardDefences struct {
+// GuardSafeguards that tests take out, to show what each is for. All stand by default.
+type GuardSafeguards struct {
 	All        bool // no guard at all
 	Freezes    bool // no look at freezes
 	Needs      bool // needs of steps are not looked at
@@ -64,7 +64,7 @@
 }
 
 // NewGuard returns the guard of a relay. Groups holds the group of each customer, by the module's numbers.
-func NewGuard(p *plan.Plan, service plan.ServiceNo, site plan.SiteNo, groups []plan.GroupNo) *Guard {
+func NewGuard(p *plan.Plan, service plan.ServiceIndex, site plan.SiteIndex, groups []plan.GroupIndex) *Guard {
 	g := &Guard{plan: p, calendar: plan.NewCalendar(p, true), service: service, site: site, granted: -1,
 		ceiling: math.Inf(1), others: make([]heardOf, len(p.Services))}
 	for _, n := range groups {
@@ -74,7 +74,7 @@
 }
 
 // Without takes defences out. Only for tests and experiments.
-func (g *Guard) Without(d GuardDefences) {
+func (g *Guard) Without(d GuardSafeguards) {
 	g.off = d
 	if d.Skew {
 		g.calendar = plan.NewCalendar(g.plan, false)
@@ -95,7 +95,7 @@
 			others[i] = g.others[no]
 		}
 	}
-	if n := plan.StepNo(len(p.Services[service].Steps)); g.granted > n || int(g.granted) == len(g.plan.Services[g.service].Steps) {
+	if n := plan.StepIndex(len(p.Services[service].Steps)); g.granted > n || int(g.granted) == len(g.plan.Services[g.service].Steps) {
 		g.granted = min(g.granted, n)
 	}
 	g.plan, g.service, g.site, g.others, g.calendar = p, service, site, others, plan.NewCalendar(p, !g.off.Skew)
@@ -117,7 +117,7 @@
 }
 
 // Hear takes what the platform tells of this relay's own service.
-func (g *Guard) Hear(now plan.Unix, n relay.RolloutStatus) {
+func (g *Guard) StatusReceived(now plan.Unix, n relay.RolloutStatus) {
 	g.at(now)
 	if !n.Valid {
 		return
@@ -132,7 +132,7 @@
 		return // it has been on its way back: nothing that was told earlier, or by a desk that forgot, opens it again
 	}
 	g.known, g.news, g.since = true, n, g.now-n.Age
-	if stage := plan.StepNo(n.Stage); n.Phase == relay.PhaseCanary && g.granted > stage {
+	if stage := plan.StepIndex(n.Stage); n.Phase == relay.PhaseCanary && g.granted > stage {
 		g.granted = stage // the platform stands at an earlier step than it did: the lower cap holds
 	}
 	if first {
@@ -146,8 +146,8 @@
 	return n.Phase == relay.PhaseRollingBack || n.Phase == relay.PhaseWithdrawn
 }
 
-// HearOf takes what was told of another service.
-func (g *Guard) HearOf(now plan.Unix, s plan.ServiceNo, n relay.RolloutStatus) {
+// DependencyStatusReceived takes what was told of another service.
+func (g *Guard) DependencyStatusReceived(now plan.Unix, s plan.ServiceIndex, n relay.RolloutStatus) {
 	g.at(now)
 	if !n.Valid || int(s) >= len(g.others) {
 		return
@@ -160,7 +160,7 @@
 }
 
 // Alive says that the watch on another service stands: what was last told of it still holds.
-func (g *Guard) Alive(now plan.Unix, s plan.ServiceNo) {
+func (g *Guard) Alive(now plan.Unix, s plan.ServiceIndex) {
 	g.at(now)
 	if int(s) < len(g.others) && g.others[s].news.Valid {
 		g.others[s].at = g.now
@@ -171,7 +171,7 @@
 // that it stood before the freeze: every relay that ran then was at it. What began within the freeze, or too near to
 // its start for clocks to tell, is not taken on trust.
 func (g *Guard) prove() {
-	f, in := g.frozen(plan.StopsAll)
+	f, in := g.frozen(plan.FreezeAll)
 	if !in {
 		return
 	}
@@ -181,18 +181,18 @@
 }
 
 // stage is the step that the platform stands at, its release counting as one more.
-func (g *Guard) stage() plan.StepNo {
-	n := plan.StepNo(len(g.terms().Steps))
+func (g *Guard) stage() plan.StepIndex {
+	n := plan.StepIndex(len(g.terms().Steps))
 	switch g.news.Phase {
 	case relay.PhaseReleased:
 		return n
 	case relay.PhaseCanary:
-		return min(plan.StepNo(g.news.Stage), n-1)
+		return min(plan.StepIndex(g.news.Stage), n-1)
 	}
 	return -1
 }
 
-func (g *Guard) frozen(what plan.Stops) (plan.Frozen, bool) {
+func (g *Guard) frozen(what plan.FreezeEffect) (plan.Frozen, bool) {
 	if g.off.Freezes {
 		return plan.Frozen{}, false
 	}
@@ -200,11 +200,11 @@
 }
 
 // stops is what stands for a step to be granted here: begin for the first, on for each further one.
-func stops(step plan.StepNo) plan.Stops {
+func stops(step plan.StepIndex) plan.FreezeEffect {
 	if step == 0 {
-		return plan.StopsBegin
+		return plan.FreezeStarts
 	}
-	return plan.StopsOn
+	return plan.FreezePromotions
 }
 
 // grant opens the steps up to the platform's, one after another, as far as nothing stands in the way. News of a
@@ -223,37 +223,37 @@
 }
 
 // may says whether all that a step needs was heard of lately.
-func (g *Guard) may(step plan.StepNo) Wait {
+func (g *Guard) may(step plan.StepIndex) BlockReason {
 	if g.off.Needs || int(step) >= len(g.terms().Steps) {
-		return Wait{}
+		return BlockReason{}
 	}
-	for _, n := range g.terms().Steps[step].Needs {
+	for _, n := range g.terms().Steps[step].Dependencies {
 		o := &g.others[n.Service]
 		switch {
 		case !o.news.Valid && g.off.Unheard:
 		case !o.news.Valid:
-			return Wait{NeedUnheard, g.plan.NeedText(n) + ": nothing was heard of it", 0}
-		case g.now-o.at > g.plan.NewsLife && !g.off.Unheard:
-			return Wait{NeedUnheard, fmt.Sprintf("%s: last heard of %.0f s ago", g.plan.NeedText(n), g.now-o.at), 0}
-		case !reached(n, o.news.Phase, plan.StepNo(o.news.Stage)):
-			return Wait{NeedsOther, g.plan.NeedText(n), 0}
+			return BlockReason{BlockedByStaleStatus, g.plan.DependencyText(n) + ": nothing was heard of it", 0}
+		case g.now-o.at > g.plan.StatusTTL && !g.off.Unheard:
+			return BlockReason{BlockedByStaleStatus, fmt.Sprintf("%s: last heard of %.0f s ago", g.plan.DependencyText(n), g.now-o.at), 0}
+		case !reached(n, o.news.Phase, plan.StepIndex(o.news.Stage)):
+			return BlockReason{BlockedByDependency, g.plan.DependencyText(n), 0}
 		}
 	}
-	return Wait{}
+	return BlockReason{}
 }
 
 // supported is the deepest granted step whose needs, and those of the steps before it, are not known to be lost. A
 // watch that breaks takes nothing back: what was granted was true, and a trial that ends with every desk's silence
 // would cost the capacity of its units. What was never heard of counts as lost.
-func (g *Guard) supported() plan.StepNo {
+func (g *Guard) supported() plan.StepIndex {
 	top := min(g.granted, g.stage())
 	if g.off.Needs {
 		return top
 	}
-	for k := plan.StepNo(0); k <= top && int(k) < len(g.terms().Steps); k++ {
-		for _, n := range g.terms().Steps[k].Needs {
+	for k := plan.StepIndex(0); k <= top && int(k) < len(g.terms().Steps); k++ {
+		for _, n := range g.terms().Steps[k].Dependencies {
 			o := &g.others[n.Service]
-			if !o.news.Valid && !g.off.Unheard || o.news.Valid && !reached(n, o.news.Phase, plan.StepNo(o.news.Stage)) {
+			if !o.news.Valid && !g.off.Unheard || o.news.Valid && !reached(n, o.news.Phase, plan.StepIndex(o.news.Stage)) {
 				return k - 1
 			}
 		}
@@ -262,16 +262,16 @@
 }
 
 // cap is the cap that holds here now, and the step that it is of.
-func (g *Guard) cap() (float64, plan.StepNo) {
+func (g *Guard) cap() (float64, plan.StepIndex) {
 	k, steps := g.supported(), g.terms().Steps
 	switch {
 	case g.news.Phase == relay.PhaseReleased && int(g.granted) >= len(steps):
-		return 1, plan.StepNo(len(steps)) // out: nothing is on trial any more, whatever its needs do
+		return 1, plan.StepIndex(len(steps)) // out: nothing is on trial any more, whatever its needs do
 	case k < 0 || g.news.Phase != relay.PhaseCanary && g.news.Phase != relay.PhaseReleased:
 		return 0, -1
 	}
-	k = min(k, plan.StepNo(len(steps)-1))
-	c := steps[k].Cap
+	k = min(k, plan.StepIndex(len(steps)-1))
+	c := steps[k].ExposureLimit
 	if g.news.Phase == relay.PhaseCanary {
 		c = math.Min(c, g.news.ExposureLimit)
 	}
@@ -280,7 +280,7 @@
 
 // bound keeps cap and step from rising in a freeze above what held at the look before, as a need that comes back would
 // have them. Only a release that came before the freeze is taken in it.
-func (g *Guard) bound(limit float64, step plan.StepNo) (float64, plan.StepNo) {
+func (g *Guard) bound(limit float64, step plan.StepIndex) (float64, plan.StepIndex) {
 	if !g.held || g.off.Ceiling || int(step) >= len(g.terms().Steps) {
 		return limit, step
 	}
@@ -289,19 +289,19 @@
 
 // Look gives what the module is to be told by now: nothing, or its scope and the news, narrowed. To be called
 // whenever something was heard, and at Next.
-func (g *Guard) Look(now plan.Unix, out []relay.Event) []relay.Event {
+func (g *Guard) Evaluate(now plan.Unix, out []relay.Event) []relay.Event {
 	g.at(now)
 	if !g.known {
 		return out
 	}
 	g.grant()
-	_, held := g.frozen(plan.StopsAll)
+	_, held := g.frozen(plan.FreezeAll)
 	g.held = g.held && held
 	limit, step := g.bound(g.cap())
 	g.held, g.ceiling, g.top = held, limit, step
 	n := g.news
 	n.Reply, n.ExposureLimit, n.Age = relay.ReplyNone, limit, math.Max(0, g.now-g.since)
-	if n.Phase == relay.PhaseReleased && step < plan.StepNo(len(g.terms().Steps)) { // not granted here: still on trial
+	if n.Phase == relay.PhaseReleased && step < plan.StepIndex(len(g.terms().Steps)) { // not granted here: still on trial
 		n.Phase, n.Stage = relay.PhaseCanary, relay.Stage(len(g.terms().Steps)-1)
 	}
 	if at := (opening{n.Build, step}); !g.did || at != g.opened {
@@ -317,10 +317,10 @@
 }
 
 // narrow is the scope of a build at a step.
-func (g *Guard) narrow(b relay.Build, step plan.StepNo) relay.CanaryScope {
+func (g *Guard) narrow(b relay.Build, step plan.StepIndex) relay.CanaryScope {
 	s := relay.CanaryScope{Build: b, Stage: relay.Stage(max(step, 0)), GroupOfTenant: g.groups, GroupOpen: make([]bool, len(g.plan.Groups))}
 	for i := range s.GroupOpen {
-		s.GroupOpen[i] = g.off.Groups || g.terms().Open(step, g.site, plan.GroupNo(i))
+		s.GroupOpen[i] = g.off.Groups || g.terms().Open(step, g.site, plan.GroupIndex(i))
 	}
 	if g.off.Groups {
 		s.GroupOfTenant, s.GroupOpen = make([]int, len(g.groups)), []bool{true}
@@ -331,11 +331,11 @@
 // opening is what a scope depends on: a plan, a build and a step.
 type opening struct {
 	build relay.Build
-	step  plan.StepNo
+	step  plan.StepIndex
 }
 
 // Cap is the cap that holds for a group at this relay.
-func (g *Guard) Cap(group plan.GroupNo) float64 {
+func (g *Guard) ExposureLimit(group plan.GroupIndex) float64 {
 	limit, step := g.bound(g.cap())
 	if int(step) >= len(g.terms().Steps) {
 		return 1
@@ -346,23 +346,23 @@
 	return limit
 }
 
-// OnWaits says why a vote for going on from the platform's present step has to wait, as far as this relay can tell.
-func (g *Guard) OnWaits(now plan.Unix) Wait {
+// PromotionBlocked says why a vote for going on from the platform's present step has to wait, as far as this relay can tell.
+func (g *Guard) PromotionBlocked(now plan.Unix) BlockReason {
 	g.at(now)
 	if g.off.All || g.off.Votes || !g.known || g.news.Phase != relay.PhaseCanary {
-		return Wait{}
+		return BlockReason{}
 	}
-	next := plan.StepNo(g.news.Stage) + 1
+	next := plan.StepIndex(g.news.Stage) + 1
 	if !g.off.Freezes {
-		if w := frozen(g.plan, g.calendar, g.service, next, plan.StopsOn, g.now); !w.Ok() {
+		if w := frozen(g.plan, g.calendar, g.service, next, plan.FreezePromotions, g.now); !w.Ok() {
 			return w
 		}
 	}
 	if g.granted < g.stage() {
-		return Wait{NotGranted, fmt.Sprintf("step %s is not open here yet", g.terms().StepName(g.stage())), 0}
+		return BlockReason{BlockedByLocalStep, fmt.Sprintf("step %s is not open here yet", g.terms().StepName(g.stage())), 0}
 	}
 	if k := g.supported(); k < g.stage() {
-		return Wait{NeedsOther, "a need of the present step was lost", 0}
+		return BlockReason{BlockedByDependency, "a need of the present step was lost", 0}
 	}
 	return g.may(next)
 }
@@ -381,7 +381,7 @@
 	}
 	// A module that is told less than the platform's news (a release that is not granted here yet) goes on voting for a
 	// step that is past.
-	if past := g.known && (g.news.Phase != relay.PhaseCanary || v.Build != g.news.Build); past || !g.OnWaits(now).Ok() {
+	if past := g.known && (g.news.Phase != relay.PhaseCanary || v.Build != g.news.Build); past || !g.PromotionBlocked(now).Ok() {
 		v.Verdict = relay.VoteHold
 	}
 	return v
@@ -407,24 +407,24 @@
 	g.at(now)
 	next := g.calendar.Next(g.now)
 	for s := range g.others { // news that turn too old
-		if o := &g.others[s]; o.news.Valid && g.now-o.at <= g.plan.NewsLife {
-			next = math.Min(next, o.at+g.plan.NewsLife+1e-3)
+		if o := &g.others[s]; o.news.Valid && g.now-o.at <= g.plan.StatusTTL {
+			next = math.Min(next, o.at+g.plan.StatusTTL+1e-3)
 		}
 	}
 	return math.Max(next, g.now)
 }
 
 // Needed lists the services that this one needs, in the plan's order: those whose news it must hear.
-func Needed(p *plan.Plan, s plan.ServiceNo) (out []plan.ServiceNo) {
+func DependenciesOf(p *plan.Plan, s plan.ServiceIndex) (out []plan.ServiceIndex) {
 	seen := make([]bool, len(p.Services))
 	for _, st := range p.Services[s].Steps {
-		for _, n := range st.Needs {
+		for _, n := range st.Dependencies {
 			seen[n.Service] = true
 		}
 	}
 	for i, yes := range seen {
 		if yes {
-			out = append(out, plan.ServiceNo(i))
+			out = append(out, plan.ServiceIndex(i))
 		}
 	}
 	return out
--- a/rollout/rollout_test.go
+++ b/rollout/rollout_test.go
@@ -79,33 +79,33 @@
 	d.log = append(d.log, e)
 }
 
-func (d *desk) offer(s plan.ServiceNo, b relay.Build, at plan.Unix) []Event {
+func (d *desk) offer(s plan.ServiceIndex, b relay.Build, at plan.Unix) []Event {
 	d.take(d.c.Offer(s, b, "ops", "new", at))
 	return d.due(at)
 }
 
 func (d *desk) due(at plan.Unix) []Event {
-	out := d.c.Due(at)
+	out := d.c.Advance(at)
 	d.log = append(d.log, out...)
 	return out
 }
 
-func (d *desk) vote(s plan.ServiceNo, r int, v relay.Verdict, at plan.Unix) ([]Event, Refusal) {
-	n := d.c.News(s, at)
+func (d *desk) vote(s plan.ServiceIndex, r int, v relay.Verdict, at plan.Unix) ([]Event, Rejection) {
+	n := d.c.Statuses(s, at)
 	return d.voteAs(s, r, relay.Vote{Build: n.Build, Stage: n.Stage, Verdict: v}, at)
 }
 
-func (d *desk) voteAs(s plan.ServiceNo, r int, v relay.Vote, at plan.Unix) ([]Event, Refusal) {
+func (d *desk) voteAs(s plan.ServiceIndex, r int, v relay.Vote, at plan.Unix) ([]Event, Rejection) {
 	e, refused := d.c.Vote(s, fmt.Sprintf("r%d", r), v, at)
-	if refused != Counted {
+	if refused != VoteCounted {
 		return nil, refused
 	}
 	d.take(e, nil)
-	return d.due(at), Counted
+	return d.due(at), VoteCounted
 }
 
 // on has two of four relays stand for the next step.
-func (d *desk) on(s plan.ServiceNo, at plan.Unix) []Event {
+func (d *desk) on(s plan.ServiceIndex, at plan.Unix) []Event {
 	out, _ := d.vote(s, 0, relay.VotePromote, at)
 	more, _ := d.vote(s, 1, relay.VotePromote, at)
 	return append(out, more...)
@@ -131,10 +131,10 @@
 	want(t, d.offer(0, 7, day), "a:began")
 	want(t, d.on(0, day+9.9), "") // the votes are there, the time is not
 	want(t, d.due(day+10), "a:moved")
-	if w := d.c.Why(0, day+21); w.Code != NeedVotes {
+	if w := d.c.Why(0, day+21); w.Code != BlockedByMissingVotes {
 		t.Error(w)
 	}
-	if _, r := d.voteAs(0, 2, relay.Vote{Build: 7, Stage: 0, Verdict: relay.VotePromote}, day+22); r != Moot {
+	if _, r := d.voteAs(0, 2, relay.Vote{Build: 7, Stage: 0, Verdict: relay.VotePromote}, day+22); r != RejectedStale {
 		t.Error("a vote for a step that is past was taken: ", r)
 	}
 	if out, _ := d.vote(0, 0, relay.VotePromote, day+22); len(out) > 0 {
@@ -145,7 +145,7 @@
 	want(t, d.due(day+40), "")
 	want(t, d.on(0, day+41), "a:moved")
 	want(t, d.on(0, day+60), "a:released")
-	if d.c.Cap(0, 1, 1, day+61) != 1 {
+	if d.c.ExposureLimit(0, 1, 1, day+61) != 1 {
 		t.Error("a released build has a cap")
 	}
 	want(t, d.due(day+61), "")
@@ -154,11 +154,11 @@
 func TestBackIsAlwaysFree(t *testing.T) {
 	d := newDesk(t)
 	d.offer(0, 7, freezeFrom-5)
-	d.take(d.c.Operate(Halted, "a", "", "ops", "a look", 0, freezeFrom-1))
-	d.take(d.c.Operate(Froze, "", "all", "ops", "a look", 0, freezeFrom-1))
+	d.take(d.c.Operate(EventHalted, "a", "", "ops", "a look", 0, freezeFrom-1))
+	d.take(d.c.Operate(EventFrozen, "", "all", "ops", "a look", 0, freezeFrom-1))
 	out, _ := d.vote(0, 3, relay.VoteRollBack, freezeFrom+1)
 	want(t, out, "a:sent_back")
-	if n := d.c.News(0, freezeFrom+1); n.ExposureLimit != 0 || n.Phase != relay.PhaseRollingBack {
+	if n := d.c.Statuses(0, freezeFrom+1); n.ExposureLimit != 0 || n.Phase != relay.PhaseRollingBack {
 		t.Errorf("%+v", n)
 	}
 	want(t, d.due(freezeFrom+6), "a:taken_off")
@@ -172,11 +172,11 @@
 		d.vote(0, 0, relay.VotePromote, freezeFrom-5)
 		out, r := d.vote(0, 1, relay.VotePromote, at)
 		want(t, out, says)
-		if r != Counted {
+		if r != VoteCounted {
 			t.Error("the vote itself is not refused: ", r)
 		}
 		if says == "" {
-			if w := d.c.Why(0, at); w.Code != IsFrozen || w.Until != freezeTo {
+			if w := d.c.Why(0, at); w.Code != BlockedByPlanFreeze || w.Until != freezeTo {
 				t.Errorf("%+v", w)
 			}
 			want(t, d.due(freezeTo-0.001), "")
@@ -189,7 +189,7 @@
 func TestDependencies(t *testing.T) {
 	d := newDesk(t)
 	want(t, d.offer(1, 3, day), "") // b waits for a
-	if w := d.c.Why(1, day); w.Code != NeedsOther || w.Text != "a at step s0" {
+	if w := d.c.Why(1, day); w.Code != BlockedByDependency || w.Text != "a at step s0" {
 		t.Errorf("%+v", w)
 	}
 	want(t, d.offer(3, 2, day), "")
@@ -199,18 +199,18 @@
 	want(t, d.on(0, day+12), "a:moved b:moved")
 	want(t, d.on(0, day+23), "a:moved")
 	want(t, d.on(1, day+24), "b:moved")
-	if c := d.c.Cap(1, 1, 0, day+24); c != 0.6 {
+	if c := d.c.ExposureLimit(1, 1, 0, day+24); c != 0.6 {
 		t.Error("cap", c)
 	}
 	// a goes back under b, which is two steps on: all that b opened by a's leave is closed at once, and so is c's.
 	d.vote(0, 3, relay.VoteRollBack, day+25)
-	for s := plan.ServiceNo(1); s <= 3; s++ {
-		if n := d.c.News(s, day+25); n.ExposureLimit != 0 && s == 1 || n.Phase != relay.PhaseCanary {
+	for s := plan.ServiceIndex(1); s <= 3; s++ {
+		if n := d.c.Statuses(s, day+25); n.ExposureLimit != 0 && s == 1 || n.Phase != relay.PhaseCanary {
 			t.Errorf("service %d: %+v", s, n)
 		}
 	}
 	want(t, d.on(1, day+40), "a:taken_off")
-	if w := d.c.Why(1, day+41); w.Code != NeedsOther {
+	if w := d.c.Why(1, day+41); w.Code != BlockedByDependency {
 		t.Errorf("%+v", w)
 	}
 	// b's own way back stays open, also while a is going back.
@@ -233,11 +233,11 @@
 			d.on(0, at)
 			d.on(1, at)
 		}
-		if n := d.c.News(1, at); int(n.Stage) != steps || n.ExposureLimit <= 0 {
+		if n := d.c.Statuses(1, at); int(n.Stage) != steps || n.ExposureLimit <= 0 {
 			t.Fatalf("%+v", n)
 		}
 		d.vote(0, 0, relay.VoteRollBack, at+1)
-		if n := d.c.News(1, at+1); n.ExposureLimit != 0 || int(n.Stage) != steps || n.Phase != relay.PhaseCanary {
+		if n := d.c.Statuses(1, at+1); n.ExposureLimit != 0 || int(n.Stage) != steps || n.Phase != relay.PhaseCanary {
 			t.Errorf("after %d steps: %+v", steps, n)
 		}
 		want(t, d.on(1, at+12), "a:taken_off")
@@ -253,12 +253,12 @@
 	}
 	out := d.offer(0, 7, day+3)
 	want(t, out, "a:began b:began")
-	if out[1].Build != 4 || d.log[1].Kind != Overtook {
+	if out[1].Build != 4 || d.log[1].Kind != EventSuperseded {
 		t.Errorf("%+v", d.log)
 	}
 	// While one is on trial the next waits, and begins when the other is off.
 	d.offer(1, 5, day+4)
-	if d.c.News(1, day+4).Build != 4 {
+	if d.c.Statuses(1, day+4).Build != 4 {
 		t.Error("it took the place of one on trial")
 	}
 	d.vote(1, 0, relay.VoteRollBack, day+5)
@@ -271,13 +271,13 @@
 	for _, c := range []struct {
 		from string
 		vote relay.Vote
-		says Refusal
+		says Rejection
 	}{
-		{"r9", relay.Vote{Build: 7, Verdict: relay.VotePromote}, Invalid},
-		{"r1", relay.Vote{Build: 7, Verdict: 9}, Invalid},
-		{"r1", relay.Vote{Build: 6, Verdict: relay.VotePromote}, Moot},
-		{"r1", relay.Vote{Build: 7, Stage: 1, Verdict: relay.VotePromote}, Moot},
-		{"r1", relay.Vote{Build: 7, Stage: 1, Verdict: relay.VoteRollBack}, Counted},
+		{"r9", relay.Vote{Build: 7, Verdict: relay.VotePromote}, RejectedInvalid},
+		{"r1", relay.Vote{Build: 7, Verdict: 9}, RejectedInvalid},
+		{"r1", relay.Vote{Build: 6, Verdict: relay.VotePromote}, RejectedStale},
+		{"r1", relay.Vote{Build: 7, Stage: 1, Verdict: relay.VotePromote}, RejectedStale},
+		{"r1", relay.Vote{Build: 7, Stage: 1, Verdict: relay.VoteRollBack}, VoteCounted},
 	} {
 		if _, r := d.c.Vote(0, c.from, c.vote, day+1); r != c.says {
 			t.Errorf("%+v: %q", c, r)
@@ -285,9 +285,9 @@
 	}
 	taken := 0
 	for range 1000 {
-		if _, r := d.c.Vote(0, "r1", relay.Vote{Build: 7, Verdict: relay.VotePromote}, day+2); r == Counted {
+		if _, r := d.c.Vote(0, "r1", relay.Vote{Build: 7, Verdict: relay.VotePromote}, day+2); r == VoteCounted {
 			taken++
-		} else if r != Throttled {
+		} else if r != RejectedThrottled {
 			t.Fatal(r)
 		}
 	}
@@ -308,32 +308,32 @@
 func TestOperators(t *testing.T) {
 	d := newDesk(t)
 	d.offer(0, 7, day)
-	d.take(d.c.Operate(Froze, "a", "audit", "ops", "figures are looked at", day+100, day))
+	d.take(d.c.Operate(EventFrozen, "a", "audit", "ops", "figures are looked at", day+100, day))
 	want(t, d.on(0, day+11), "")
-	if w := d.c.Why(0, day+11); w.Code != IsClosed || w.Until != day+100 {
+	if w := d.c.Why(0, day+11); w.Code != BlockedByOperatorFreeze || w.Until != day+100 {
 		t.Errorf("%+v", w)
 	}
-	d.take(d.c.Operate(Thawed, "", "audit", "ops", "done", 0, day+12))
+	d.take(d.c.Operate(EventUnfrozen, "", "audit", "ops", "done", 0, day+12))
 	want(t, d.due(day+12), "a:moved")
-	d.take(d.c.Operate(Halted, "a", "", "ops", "odd", 0, day+13))
+	d.take(d.c.Operate(EventHalted, "a", "", "ops", "odd", 0, day+13))
 	want(t, d.on(0, day+30), "")
-	d.take(d.c.Operate(Resumed, "a", "", "ops", "fine", 0, day+31))
+	d.take(d.c.Operate(EventResumed, "a", "", "ops", "fine", 0, day+31))
 	want(t, d.due(day+31), "a:moved")
-	d.take(d.c.Operate(Froze, "", "short", "ops", "lunch", day+40, day+32))
+	d.take(d.c.Operate(EventFrozen, "", "short", "ops", "lunch", day+40, day+32))
 	want(t, d.on(0, day+39), "")
 	want(t, d.due(day+47), ":thawed a:released") // the votes of 39 still stand
-	d.take(d.c.Operate(SentBack, "a", "", "ops", "wrong colour", 0, day+50))
-	if d.c.News(0, day+50).Phase != relay.PhaseRollingBack {
+	d.take(d.c.Operate(EventRollingBack, "a", "", "ops", "wrong colour", 0, day+50))
+	if d.c.Statuses(0, day+50).Phase != relay.PhaseRollingBack {
 		t.Error("not back")
 	}
 	for _, bad := range []func() (Event, error){
-		func() (Event, error) { return d.c.Operate(Froze, "a", "x", "", "why", 0, day+60) },
-		func() (Event, error) { return d.c.Operate(Froze, "z", "x", "me", "why", 0, day+60) },
-		func() (Event, error) { return d.c.Operate(Froze, "a", "x", "me", "why", day, day+60) },
-		func() (Event, error) { return d.c.Operate(Thawed, "", "f", "me", "why", 0, day+60) },
-		func() (Event, error) { return d.c.Operate(Resumed, "a", "", "me", "why", 0, day+60) },
-		func() (Event, error) { return d.c.Operate(SentBack, "a", "", "me", "why", 0, day+60) },
-		func() (Event, error) { return d.c.Operate(Moved, "a", "", "me", "why", 0, day+60) },
+		func() (Event, error) { return d.c.Operate(EventFrozen, "a", "x", "", "why", 0, day+60) },
+		func() (Event, error) { return d.c.Operate(EventFrozen, "z", "x", "me", "why", 0, day+60) },
+		func() (Event, error) { return d.c.Operate(EventFrozen, "a", "x", "me", "why", day, day+60) },
+		func() (Event, error) { return d.c.Operate(EventUnfrozen, "", "f", "me", "why", 0, day+60) },
+		func() (Event, error) { return d.c.Operate(EventResumed, "a", "", "me", "why", 0, day+60) },
+		func() (Event, error) { return d.c.Operate(EventRollingBack, "a", "", "me", "why", 0, day+60) },
+		func() (Event, error) { return d.c.Operate(EventPromoted, "a", "", "me", "why", 0, day+60) },
 	} {
 		if e, err := bad(); err == nil {
 			t.Errorf("%+v was taken", e)
@@ -364,7 +364,7 @@
 		at, builds := plan.Unix(day+rapid.Float64Range(0, 1500).Draw(t, "start")), [4]relay.Build{}
 		for range rapid.IntRange(1, 120).Draw(t, "n") {
 			at += rapid.Float64Range(0, 15).Draw(t, "dt")
-			s := plan.ServiceNo(rapid.IntRange(0, 3).Draw(t, "s"))
+			s := plan.ServiceIndex(rapid.IntRange(0, 3).Draw(t, "s"))
 			before := len(d.log)
 			switch rapid.IntRange(0, 9).Draw(t, "what") {
 			case 0:
@@ -373,7 +373,7 @@
 			case 1:
 				d.vote(s, rapid.IntRange(0, 3).Draw(t, "r"), relay.VoteRollBack, at)
 			case 2:
-				if e, err := d.c.Operate(Froze, "", "own", "me", "why", at+20, at); err == nil {
+				if e, err := d.c.Operate(EventFrozen, "", "own", "me", "why", at+20, at); err == nil {
 					d.take(e, nil)
 				}
 			default:
@@ -381,7 +381,7 @@
 			}
 			d.due(at)
 			for _, e := range d.log[before:] {
-				on := e.Kind == Began || e.Kind == Moved || e.Kind == Released
+				on := e.Kind == EventBegan || e.Kind == EventPromoted || e.Kind == EventReleased
 				if on && e.At >= freezeFrom && e.At < freezeTo {
 					t.Fatal("went on in the freeze: ", e)
 				}
@@ -405,7 +405,7 @@
 		if a, b := d.c.Status(at), short.Status(at); !reflect.DeepEqual(a, b) {
 			t.Fatalf("snapshot: %+v\n%+v", a, b)
 		}
-		if a, b := d.c.Due(at+30), again.Due(at+30); !reflect.DeepEqual(a, b) {
+		if a, b := d.c.Advance(at+30), again.Advance(at+30); !reflect.DeepEqual(a, b) {
 			t.Fatalf("%+v\n%+v", a, b)
 		}
 	})
@@ -416,11 +416,11 @@
 	d.offer(0, 7, day)
 	before := d.c.Status(day)
 	for _, e := range []Event{
-		{At: day, Kind: Moved, Service: "a", Build: 7, Step: 2}, {At: day, Kind: Moved, Service: "a", Build: 6, Step: 1},
-		{At: day, Kind: Released, Service: "a", Build: 7}, {At: day, Kind: Began, Service: "a", Build: 7},
-		{At: day, Kind: Taken, Service: "a", Build: 7}, {At: day, Kind: Offered, Service: "a", Build: 7},
-		{At: day, Kind: "danced", Service: "a"}, {At: day, Kind: Began, Service: "z"}, {At: math.NaN(), Kind: Started},
-		{At: day, Kind: Voted, Service: "a"}, {At: day, Kind: Thawed, Name: "x"}, {At: day, Kind: Froze},
+		{At: day, Kind: EventPromoted, Service: "a", Build: 7, Step: 2}, {At: day, Kind: EventPromoted, Service: "a", Build: 6, Step: 1},
+		{At: day, Kind: EventReleased, Service: "a", Build: 7}, {At: day, Kind: EventBegan, Service: "a", Build: 7},
+		{At: day, Kind: EventWithdrawn, Service: "a", Build: 7}, {At: day, Kind: EventOffered, Service: "a", Build: 7},
+		{At: day, Kind: "danced", Service: "a"}, {At: day, Kind: EventBegan, Service: "z"}, {At: math.NaN(), Kind: EventControllerStarted},
+		{At: day, Kind: EventVoted, Service: "a"}, {At: day, Kind: EventUnfrozen, Name: "x"}, {At: day, Kind: EventFrozen},
 	} {
 		if err := d.c.Apply(e); err == nil {
 			t.Errorf("%+v was taken", e)
@@ -437,10 +437,10 @@
 	d.on(0, day+11)
 	p := chain(t)
 	p.Services[0].Steps = p.Services[0].Steps[:1]
-	if err := d.c.Replan(p); err == nil || d.c.News(0, day+12).Stage != 1 {
+	if err := d.c.Replan(p); err == nil || d.c.Statuses(0, day+12).Stage != 1 {
 		t.Error("a plan without the present step was taken: ", err)
 	}
-	if err := d.c.Replan(chain(t)); err != nil || d.c.News(0, day+12).Stage != 1 {
+	if err := d.c.Replan(chain(t)); err != nil || d.c.Statuses(0, day+12).Stage != 1 {
 		t.Error(err)
 	}
 }
@@ -454,7 +454,7 @@
 	d.on(0, day+22)
 	d.offer(0, 8, day+25)
 	want(t, d.on(0, day+33), "a:released")
-	if w := d.c.Why(0, day+34); w.Code != Settling || w.Until != day+63 {
+	if w := d.c.Why(0, day+34); w.Code != BlockedBySettleTime || w.Until != day+63 {
 		t.Errorf("%+v", w)
 	}
 	want(t, d.due(day+63), "a:began")
@@ -464,20 +464,20 @@
 // d's cap falls once and stays down, and d itself may go back in the middle of it.
 func TestDiamondLosesOneSide(t *testing.T) {
 	d := newDesk(t)
-	for s := range plan.ServiceNo(4) {
+	for s := range plan.ServiceIndex(4) {
 		d.offer(s, 5, day)
 	}
-	for s := range plan.ServiceNo(4) {
+	for s := range plan.ServiceIndex(4) {
 		d.on(s, day+11)
 	}
-	if n := d.c.News(3, day+11); n.Stage != 1 || n.ExposureLimit != 0.3 {
+	if n := d.c.Statuses(3, day+11); n.Stage != 1 || n.ExposureLimit != 0.3 {
 		t.Fatalf("%+v", n)
 	}
 	d.vote(2, 0, relay.VoteRollBack, day+12)
-	if n := d.c.News(3, day+12); n.ExposureLimit != 0 {
+	if n := d.c.Statuses(3, day+12); n.ExposureLimit != 0 {
 		t.Errorf("%+v", n)
 	}
-	if d.c.News(1, day+12).ExposureLimit != 0.3 {
+	if d.c.Statuses(1, day+12).ExposureLimit != 0.3 {
 		t.Error("b needs nothing of c")
 	}
 	d.vote(1, 0, relay.VoteRollBack, day+13)
@@ -485,8 +485,8 @@
 	want(t, out, "d:sent_back")
 	d.vote(0, 0, relay.VoteRollBack, day+15) // and what all of them stand on
 	want(t, d.due(day+40), "a:taken_off b:taken_off c:taken_off d:taken_off")
-	for s := range plan.ServiceNo(4) {
-		if n := d.c.News(s, day+41); n.Phase != relay.PhaseWithdrawn || n.ExposureLimit != 0 {
+	for s := range plan.ServiceIndex(4) {
+		if n := d.c.Statuses(s, day+41); n.Phase != relay.PhaseWithdrawn || n.ExposureLimit != 0 {
 			t.Errorf("%+v", n)
 		}
 	}
--- a/settings/settings.go
+++ b/settings/settings.go
@@ -98,16 +98,16 @@
 // Site is what the settings tell: the module's part, and what a host on sockets needs beside it.
 type Site struct {
 	relay.Settings
-	Categories map[string]relay.RequestClass // by name
-	Customers  map[string]relay.Tenant
-	Zones      []string
-	Kinds      []string
-	ConnIdle   relay.Seconds // after which an idle connection to a unit is closed
-	MostHeld   int           // queries held at a time
+	ClassByName         map[string]relay.RequestClass // by name
+	TenantByName        map[string]relay.Tenant
+	Zones               []string
+	MachineTypes        []string
+	EndpointIdleTimeout relay.Seconds // after which an idle connection to a unit is closed
+	MaxInFlight         int           // queries held at a time
 }
 
 // Longest is the longest patience of any category.
-func (s Site) Longest() (longest relay.Seconds) {
+func (s Site) MaxDeadline() (longest relay.Seconds) {
 	for _, t := range s.Settings.Classes {
 		longest = max(longest, t.Deadline)
 	}
@@ -160,10 +160,10 @@
 	case "automatic":
 		s.Rollout.Control = relay.ControlTimed
 	}
-	site := Site{Zones: w.Areas, Kinds: w.Kinds, ConnIdle: w.Limits.Idle / perSecond, MostHeld: w.Limits.MostHeld,
-		Categories: map[string]relay.RequestClass{}, Customers: map[string]relay.Tenant{}}
+	site := Site{Zones: w.Areas, MachineTypes: w.Kinds, EndpointIdleTimeout: w.Limits.Idle / perSecond, MaxInFlight: w.Limits.MostHeld,
+		ClassByName: map[string]relay.RequestClass{}, TenantByName: map[string]relay.Tenant{}}
 	for i, g := range w.Grades {
-		site.Categories[g.Name] = relay.RequestClass(i)
+		site.ClassByName[g.Name] = relay.RequestClass(i)
 		t := relay.ClassSettings{DedupWindow: g.Window / perSecond, LatencyObjective: g.Due / perSecond,
 			ObjectivePerWork: g.Stretch, Deadline: g.Until / perSecond, PriorityWeight: g.Value, LatePriorityWeight: g.Late,
 			Streamed: g.Stream, Idempotency: relay.AtMostOnce, DedupScope: relay.DedupFailureDomain}
@@ -185,7 +185,7 @@
 		s.Classes = append(s.Classes, t)
 	}
 	for i, c := range w.Tenants {
-		site.Customers[c.Name] = relay.Tenant(i)
+		site.TenantByName[c.Name] = relay.Tenant(i)
 		s.Tenants = append(s.Tenants, relay.TenantSettings{TrafficShare: c.Share, QuotaPerSec: c.Quota})
 	}
 	site.Settings = s
--- a/trace/mapping.go
+++ b/trace/mapping.go
@@ -194,15 +194,15 @@
 	return m.Thin >= 1 || part(fmt.Sprintf("%d %s %d %g", seed, t.Job, t.Line, t.At)) < m.Thin
 }
 
-var mappingForms = map[string]xmlconfig.Form{
-	"mapping":  {Needs: []string{"version"}, May: []string{"scale", "thin", "window"}, Kids: []string{"category", "customer", "work", "relay", "failures"}},
-	"category": {Needs: []string{"name"}, Kids: []string{"when", "hash"}},
-	"customer": {Needs: []string{"name"}, Kids: []string{"when", "hash"}},
-	"when":     {Needs: []string{"field"}, May: []string{"is", "from", "to"}},
-	"hash":     {Needs: []string{"of", "from", "to"}},
-	"work":     {Needs: []string{"scale", "least", "most"}},
-	"relay":    {Needs: []string{"by"}},
-	"failures": {Needs: []string{"as"}, May: []string{"for", "part"}},
+var mappingForms = map[string]xmlconfig.ElementSchema{
+	"mapping":  {Required: []string{"version"}, Optional: []string{"scale", "thin", "window"}, Children: []string{"category", "customer", "work", "relay", "failures"}},
+	"category": {Required: []string{"name"}, Children: []string{"when", "hash"}},
+	"customer": {Required: []string{"name"}, Children: []string{"when", "hash"}},
+	"when":     {Required: []string{"field"}, Optional: []string{"is", "from", "to"}},
+	"hash":     {Required: []string{"of", "from", "to"}},
+	"work":     {Required: []string{"scale", "least", "most"}},
+	"relay":    {Required: []string{"by"}},
+	"failures": {Required: []string{"as"}, Optional: []string{"for", "part"}},
 }
 
 // LoadMapping reads a mapping's file. Its error is *form.Faults where the file could be read but is no mapping.
@@ -216,7 +216,7 @@
 
 // ParseMapping reads a mapping and names all of its faults.
 func ParseMapping(file string, raw []byte) (*Mapping, error) {
-	r := &xmlconfig.Reader{Root: "mapping", Forms: mappingForms}
+	r := &xmlconfig.Reader{Root: "mapping", Schemas: mappingForms}
 	m := &Mapping{}
 	if root := r.Read(raw); root != nil {
 		m.read(r, root)
@@ -250,10 +250,10 @@
 		}
 	}
 	if n := one("relay"); n != nil {
-		m.relay = xmlconfig.Word(r, n, "by", ofJob, map[string]field{"machine": ofMachine, "user": ofUser, "job": ofJob})
+		m.relay = xmlconfig.Enum(r, n, "by", ofJob, map[string]field{"machine": ofMachine, "user": ofUser, "job": ofJob})
 	}
 	if n := one("failures"); n != nil {
-		m.failures = xmlconfig.Word(r, n, "as", FailNothing, map[string]Failures{"none": FailNothing, "legs": FailLegs, "hours": FailHours})
+		m.failures = xmlconfig.Enum(r, n, "as", FailNothing, map[string]Failures{"none": FailNothing, "legs": FailLegs, "hours": FailHours})
 		m.hour.last, m.hour.part = r.Span(n, "for", 0), r.Number(n, "part", 0, 0, 1)
 		_, hasFor := n.Attrs["for"]
 		_, hasPart := n.Attrs["part"]
@@ -268,7 +268,7 @@
 	for _, n := range root.All(kind) {
 		names = append(names, r.Name(n, taken))
 		var x rule
-		for _, k := range n.Kids {
+		for _, k := range n.Children {
 			x.when = append(x.when, conditionOf(r, k))
 		}
 		out = append(out, x)
@@ -285,7 +285,7 @@
 	if c.hash = n.Name == "hash"; c.hash {
 		name = "of"
 	}
-	c.of = xmlconfig.Word(r, n, name, ofJob, fields)
+	c.of = xmlconfig.Enum(r, n, name, ofJob, fields)
 	c.from, c.to = r.Number(n, "from", math.Inf(-1), -1e12, 1e12), r.Number(n, "to", math.Inf(1), -1e12, 1e12)
 	is, words := n.Attrs["is"]
 	c.words = strings.Fields(is)
