--- a/internal/discovery/bench_test.go
+++ b/internal/discovery/bench_test.go
@@ -9,8 +9,8 @@
 	"lichenroad/relay"
 )
 
-// listOf is discovery's answer with so many units, with names and addresses as long as those of a site of many services.
-func listOf(units int, whole bool) []byte {
+// encodeList is discovery's answer with so many units, with names and addresses as long as those of a site of many services.
+func encodeList(units int, whole bool) []byte {
 	var b bytes.Buffer
 	fmt.Fprintf(&b, `{"generation":41,"reset":%v,"instances":[`, whole)
 	for i := range units {
@@ -31,18 +31,18 @@
 
 // BenchmarkParse reads whole lists up to the most entries that are taken; heap-B is what the list holds once it is read.
 func BenchmarkParse(b *testing.B) {
-	for _, units := range []int{300, 1024, 2048, 4096, 8192, maxUnits} {
+	for _, units := range []int{300, 1024, 2048, 4096, 8192, maxEndpoints} {
 		b.Run(fmt.Sprintf("units=%d", units), func(b *testing.B) {
-			raw, r := listOf(units, true), benchReader()
+			raw, r := encodeList(units, true), benchReader()
 			var list List
-			before := inUse()
+			before := heapInUse()
 			for b.Loop() {
 				var err error
 				if list, err = r.Parse(raw); err != nil || len(list.Endpoints) != units {
 					b.Fatal(len(list.Endpoints), err)
 				}
 			}
-			b.ReportMetric(inUse()-before, "heap-B")
+			b.ReportMetric(heapInUse()-before, "heap-B")
 			b.ReportMetric(float64(len(raw)), "wire-B")
 			runtime.KeepAlive(list)
 			runtime.KeepAlive(raw)
@@ -54,7 +54,7 @@
 func BenchmarkParseChanges(b *testing.B) {
 	for _, changes := range []int{1, 4, 16, 64, 256} {
 		b.Run(fmt.Sprintf("changes=%d", changes), func(b *testing.B) {
-			raw, r := listOf(changes, false), benchReader()
+			raw, r := encodeList(changes, false), benchReader()
 			for b.Loop() {
 				if _, err := r.Parse(raw); err != nil {
 					b.Fatal(err)
@@ -65,7 +65,7 @@
 	}
 }
 
-func inUse() float64 {
+func heapInUse() float64 {
 	var m runtime.MemStats
 	runtime.GC()
 	runtime.ReadMemStats(&m)
--- a/internal/discovery/roster.go
+++ b/internal/discovery/client.go
@@ -28,43 +28,43 @@
 
 // Asker talks to discovery. Its fields belong to the loop.
 type Client struct {
-	loop   *pipeline.Loop
-	reader *Reader
-	units  EndpointListener
-	seed   int64
-	at     *endpoint
-	before *endpoint // the address before a move, up to a moment behind the first list of the new one; nil: none
-	parts  bool      // the new one has told a list
-	on     bool      // the watch is wanted
-	member *member
+	loop            *pipeline.Loop
+	reader          *Reader
+	listener        EndpointListener
+	seed            int64
+	current         *server
+	previous        *server // the address before a move, up to a moment behind the first list of the new one; nil: none
+	previousClosing bool    // the new one has told a list
+	watchWanted     bool    // the watch is wanted
+	membership      *membershipHost
 	// Where lists are pushed the module is promised changes that come by themselves, and orders no watch. On sockets
 	// a list comes to a watch alone, so the watch is this package's to keep.
-	waits waits
+	timeouts timeouts
 }
 
 // New returns an asker; units are told of each list. The seed spreads the calls of relays that run alike.
 func New(l *pipeline.Loop, address string, r *Reader, units EndpointListener, seed int64) *Client {
-	a := &Client{loop: l, reader: r, units: units, seed: seed, waits: usual(!l.Site.ListOnRequest, l.Site.Rules.DrainGrace)}
-	a.member = newMember(a, seed)
-	a.at = a.endpoint(address)
+	a := &Client{loop: l, reader: r, listener: units, seed: seed, timeouts: siteTimeouts(!l.Site.ListOnRequest, l.Site.Rules.DrainGrace)}
+	a.membership = newMembershipHost(a, seed)
+	a.current = a.newServer(address)
 	return a
 }
 
 // Known hands over the list that the relay had last.
 func (a *Client) UseKnownList(list List) {
-	a.at.keeper.version = list.Generation
-	a.loop.Post(told{from: a.at, list: list, form: relay.ListCached, news: true})
+	a.current.schedule.generation = list.Generation
+	a.loop.Post(told{from: a.current, list: list, form: relay.ListCached, news: true})
 }
 
 // Start serves the module's orders until the program ends. What an agent that pushes has counts as told from the
 // first moment, so clients wait a moment for it rather than be served by the list as last held. Where there is no
 // list at all they are let in after a while, too: a denial with a time to come back is more than no answer.
 func (a *Client) Start() {
-	a.at.start()
-	first := a.waits.none
-	if a.waits.pushed {
+	a.current.start()
+	first := a.timeouts.firstList
+	if a.timeouts.pushed {
 		a.Watch(true, false) // before the loop runs
-		first = a.waits.first
+		first = a.timeouts.firstPushedList
 	}
 	a.loop.Post(pipeline.Func(func(l *pipeline.Loop) { l.RunAt(l.Clock.Now()+first.Seconds(), l.OpenService) }))
 }
@@ -73,13 +73,13 @@
 // those known here. Up to its first answer the watch at the old address goes on: what is written there is told. It
 // ends unsaid.
 func (a *Client) Move(address string) {
-	if a.at.address == address {
+	if a.current.address == address {
 		return
 	}
-	a.moved()
-	a.before, a.parts, a.at = a.at, false, a.endpoint(address)
-	a.at.start()
-	if a.on {
+	a.closePrevious()
+	a.previous, a.previousClosing, a.current = a.current, false, a.newServer(address)
+	a.current.start()
+	if a.watchWanted {
 		a.Watch(true, false)
 	} else {
 		a.FetchList()
@@ -87,30 +87,30 @@
 }
 
 // moved ends what is left at the address before a move.
-func (a *Client) moved() {
-	if a.before != nil {
-		a.before.leave()
-		a.before = nil
+func (a *Client) closePrevious() {
+	if a.previous != nil {
+		a.previous.close()
+		a.previous = nil
 	}
 }
 
 // part lets the address before a move go. A drain that it wrote may still be on its way, and counts as told though the
 // new address' list, written before that, does not have it.
-func (a *Client) part() {
-	if a.before == nil || a.parts {
+func (a *Client) closePreviousSoon() {
+	if a.previous == nil || a.previousClosing {
 		return
 	}
-	a.parts = true
-	old := a.before
+	a.previousClosing = true
+	old := a.previous
 	a.loop.RunAt(a.loop.Clock.Now()+limits.PartFor.Seconds(), func() {
-		if a.before == old {
-			a.moved()
+		if a.previous == old {
+			a.closePrevious()
 		}
 	})
 }
 
 // leaving are the entries of a list that tell of units that leave.
-func (l List) leaving() (out List) {
+func (l List) leavingEndpoints() (out List) {
 	for _, line := range l.Endpoints {
 		if line.State != relay.Ready {
 			out.Endpoints = append(out.Endpoints, line)
@@ -122,65 +122,65 @@
 // Watch orders the watch on or off; the last order holds. Anew, a call that waits is given up for a new one, as it may
 // have fallen silent; where none waits the next one is new anyway.
 func (a *Client) Watch(on, anew bool) {
-	if a.on = on; anew && on {
-		a.at.renew()
+	if a.watchWanted = on; anew && on {
+		a.current.restartWatch()
 		return
 	}
 	select {
-	case <-a.at.watch:
+	case <-a.current.watchOrders:
 	default:
 	}
-	a.at.watch <- on
+	a.current.watchOrders <- on
 }
 
 // Fetch orders the whole list once.
 func (a *Client) FetchList() {
 	select {
-	case a.at.fetch <- struct{}{}:
+	case a.current.fetchOrders <- struct{}{}:
 	default: // one is waiting; its answer will do for both
 	}
 }
 
 // endpoint is discovery at one address, up to a move. The orders reach its goroutines through channels that never
 // block the loop.
-type endpoint struct {
-	a       *Client
-	address string
-	watch   chan bool
-	fetch   chan struct{}
-	left    chan struct{}
+type server struct {
+	client      *Client
+	address     string
+	watchOrders chan bool
+	fetchOrders chan struct{}
+	closed      chan struct{}
 
-	mu      sync.Mutex
-	waiting netpoll.Connection // of the watch, while its call waits
-	anew    bool               // that call is given up by order
-	keeper  *keeper
-	open    map[netpoll.Connection]struct{}
+	mu             sync.Mutex
+	watchConn      netpoll.Connection // of the watch, while its call waits
+	restartOrdered bool               // that call is given up by order
+	schedule       *pollSchedule
+	conns          map[netpoll.Connection]struct{}
 }
 
-func (a *Client) endpoint(address string) *endpoint {
-	return &endpoint{a: a, address: address, watch: make(chan bool, 1), fetch: make(chan struct{}, 1),
-		left: make(chan struct{}), open: map[netpoll.Connection]struct{}{},
-		keeper: newKeeper(a.seed, a.waits)}
+func (a *Client) newServer(address string) *server {
+	return &server{client: a, address: address, watchOrders: make(chan bool, 1), fetchOrders: make(chan struct{}, 1),
+		closed: make(chan struct{}), conns: map[netpoll.Connection]struct{}{},
+		schedule: newPollSchedule(a.seed, a.timeouts)}
 }
 
-func (p *endpoint) start() {
-	go p.watching()
-	go p.fetching()
+func (p *server) start() {
+	go p.runWatch()
+	go p.runFetches()
 }
 
 // leave wakes whatever waits here. The connections are shut, not closed: their readers close them.
-func (p *endpoint) leave() {
+func (p *server) close() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	close(p.left)
-	for n := range p.open {
-		shut(n)
+	close(p.closed)
+	for n := range p.conns {
+		shutdown(n)
 	}
 }
 
-func (p *endpoint) isLeft() bool {
+func (p *server) isClosed() bool {
 	select {
-	case <-p.left:
+	case <-p.closed:
 		return true
 	default:
 		return false
@@ -188,20 +188,20 @@
 }
 
 // holds notes a connection that stands, or no longer does.
-func (p *endpoint) holds(n netpoll.Connection, stands bool) {
+func (p *server) trackConn(n netpoll.Connection, stands bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if !stands {
-		delete(p.open, n)
+		delete(p.conns, n)
 		return
 	}
-	p.open[n] = struct{}{}
-	if p.isLeft() {
-		shut(n)
+	p.conns[n] = struct{}{}
+	if p.isClosed() {
+		shutdown(n)
 	}
 }
 
-func shut(n netpoll.Connection) {
+func shutdown(n netpoll.Connection) {
 	if c, ok := n.(netpoll.Conn); ok {
 		syscall.Shutdown(c.Fd(), syscall.SHUT_RDWR)
 	}
@@ -209,20 +209,20 @@
 
 // begun is a call of the watch that is about to be made.
 type begun struct {
-	from *endpoint
-	call request
+	from *server
+	call poll
 }
 
 // Take tells it to the membership, which counts the calls at the address that holds.
 func (b begun) Apply(*pipeline.Loop) {
-	if a := b.from.a; b.from == a.at {
-		a.member.step(membership.PollStarted{Wait: b.call.wait.Seconds(), Continues: b.call.continues})
+	if a := b.from.client; b.from == a.current {
+		a.membership.step(membership.PollStarted{Wait: b.call.wait.Seconds(), Continues: b.call.continues})
 	}
 }
 
 // told is a list, or the end of a call without one.
 type told struct {
-	from   *endpoint
+	from   *server
 	list   List
 	form   relay.ListUpdateKind
 	news   bool // the module is to hear of it
@@ -231,27 +231,27 @@
 
 // Take tells the connections to units, then the module.
 func (t told) Apply(l *pipeline.Loop) {
-	a, list, form := t.from.a, t.list, t.form
+	a, list, form := t.from.client, t.list, t.form
 	failed := form == relay.ListFetchFailed || form == relay.ListWatchStalled
 	switch {
-	case t.from == a.at:
+	case t.from == a.current:
 		if !failed {
-			a.part()
+			a.closePreviousSoon()
 		}
-	case t.from == a.before && !failed && !a.parts: // the new address has told nothing yet, so this still holds
-	case t.from == a.before && !failed:
-		if list, form = list.leaving(), relay.ListDelta; len(list.Endpoints) == 0 {
+	case t.from == a.previous && !failed && !a.previousClosing: // the new address has told nothing yet, so this still holds
+	case t.from == a.previous && !failed:
+		if list, form = list.leavingEndpoints(), relay.ListDelta; len(list.Endpoints) == 0 {
 			return
 		}
-	case t.from == a.before:
-		a.moved()
+	case t.from == a.previous:
+		a.closePrevious()
 		return
 	default:
 		return // it crossed a move, and the new address has told more
 	}
 	if failed {
-		a.member.step(membership.PollFailed{Stalled: t.form == relay.ListWatchStalled, Unreadable: t.unread})
-		if !a.waits.pushed {
+		a.membership.step(membership.PollFailed{Stalled: t.form == relay.ListWatchStalled, Unreadable: t.unread})
+		if !a.timeouts.pushed {
 			l.AddEvent(relay.ListUpdate{Kind: t.form})
 		}
 		return
@@ -260,25 +260,25 @@
 	if t.news {
 		taken.tell(l)
 	}
-	a.member.list(taken)
+	a.membership.listReceived(taken)
 }
 
 // tell hands a list to the connections to units and to the module.
 func (t told) tell(l *pipeline.Loop) {
-	a, r := t.from.a, relay.ListUpdate{Kind: t.form}
+	a, r := t.from.client, relay.ListUpdate{Kind: t.form}
 	listed := map[relay.EndpointID]bool{}
 	for _, line := range t.list.Endpoints {
 		listed[line.ID] = true
 		if line.State != relay.Removed && line.Address != "" {
-			a.units.EndpointsListed(line.Endpoint, line.Name, line.Address)
+			a.listener.EndpointsListed(line.Endpoint, line.Name, line.Address)
 		}
 		if line.State != relay.Ready {
-			a.units.EndpointLeaving(line.ID, line.State == relay.Removed)
+			a.listener.EndpointLeaving(line.ID, line.State == relay.Removed)
 		}
 		r.Endpoints = append(r.Endpoints, line.Endpoint)
 	}
 	if t.form != relay.ListDelta {
-		a.units.FullListReceived(func(id relay.EndpointID) bool { return listed[id] })
+		a.listener.FullListReceived(func(id relay.EndpointID) bool { return listed[id] })
 	}
 	if t.list.Unreadable > 0 {
 		l.Metrics.Add(metrics.BadInput, int64(t.list.Unreadable))
@@ -287,11 +287,11 @@
 	l.AddEvent(r)
 }
 
-func (p *endpoint) failed(why metrics.CloseReason, err error) {
-	if p.isLeft() {
+func (p *server) pollFailed(why metrics.CloseReason, err error) {
+	if p.isClosed() {
 		return
 	}
-	l, form := p.a.loop, relay.ListFetchFailed
+	l, form := p.client.loop, relay.ListFetchFailed
 	l.Metrics.Add(metrics.DiscoveryFailed, 1)
 	if why == metrics.ClosedByResponseTimeout {
 		form = relay.ListWatchStalled
@@ -303,86 +303,86 @@
 
 // got passes an answer on. Lists are handed over in the order of their versions, under one lock: a whole list that
 // crosses a watch's answer would else undo what that told.
-func (p *endpoint) got(list List, ordered, fetched bool) {
+func (p *server) listReceived(list List, ordered, fetched bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	list, form, news := p.keeper.took(list, ordered, fetched)
-	p.a.loop.Post(told{from: p, list: list, form: form, news: news})
+	list, form, news := p.schedule.accept(list, ordered, fetched)
+	p.client.loop.Post(told{from: p, list: list, form: form, news: news})
 }
 
 // renew gives up the call of the watch that waits.
-func (p *endpoint) renew() {
+func (p *server) restartWatch() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if _, stands := p.open[p.waiting]; stands && !p.anew {
-		p.anew = true
-		shut(p.waiting)
+	if _, stands := p.conns[p.watchConn]; stands && !p.restartOrdered {
+		p.restartOrdered = true
+		shutdown(p.watchConn)
 	}
 }
 
 // calls notes the connection on which the watch's call waits, or that it does no longer; it says whether the call was
 // given up by order.
-func (p *endpoint) calls(n netpoll.Connection) (anew bool) {
+func (p *server) setWatchConn(n netpoll.Connection) (anew bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	anew, p.waiting, p.anew = p.anew, n, false
+	anew, p.watchConn, p.restartOrdered = p.restartOrdered, n, false
 	return anew
 }
 
 // ask draws up the watch's next call.
-func (p *endpoint) ask() request {
+func (p *server) startPoll() poll {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	next := p.keeper.next()
-	p.a.loop.Post(begun{p, next})
+	next := p.schedule.nextPoll()
+	p.client.loop.Post(begun{p, next})
 	return next
 }
 
 // watching makes one call after the other while the watch is on.
-func (p *endpoint) watching() {
+func (p *server) runWatch() {
 	for {
 		var on bool
 		select {
-		case on = <-p.watch:
-		case <-p.left:
+		case on = <-p.watchOrders:
+		case <-p.closed:
 			return
 		}
-		c := &call{p: p, watch: true}
+		c := &conn{server: p, forWatch: true}
 		for first := true; on; first = false {
-			list, why, err := c.get(p.ask())
-			if p.calls(nil) && err != nil {
-				c.end(metrics.ClosedByReplacement)
-				p.broken()
+			list, why, err := c.get(p.startPoll())
+			if p.setWatchConn(nil) && err != nil {
+				c.close(metrics.ClosedByReplacement)
+				p.watchInterrupted()
 				continue
 			}
 			if err != nil {
-				c.end(why)
-				p.failed(why, err)
-				on = p.again(why)
+				c.close(why)
+				p.pollFailed(why, err)
+				on = p.retryAfterFailure(why)
 				continue
 			}
-			p.got(list, first, false)
+			p.listReceived(list, first, false)
 			select {
-			case on = <-p.watch:
+			case on = <-p.watchOrders:
 				first = on
 			default:
 			}
 		}
-		c.end(metrics.ClosedByCommand)
+		c.close(metrics.ClosedByCommand)
 	}
 }
 
 // broken notes that the next call begins a new watch.
-func (p *endpoint) broken() {
+func (p *server) watchInterrupted() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.keeper.stands = false
+	p.schedule.established = false
 }
 
 // again says whether the watch goes on after a failure, when it is time to.
-func (p *endpoint) again(why metrics.CloseReason) bool {
+func (p *server) retryAfterFailure(why metrics.CloseReason) bool {
 	p.mu.Lock()
-	again, after := p.keeper.failed(why == metrics.ClosedByResponseTimeout)
+	again, after := p.schedule.pollFailed(why == metrics.ClosedByResponseTimeout)
 	p.mu.Unlock()
 	if !again {
 		return false
@@ -390,113 +390,113 @@
 	select {
 	case <-time.After(after):
 		return true
-	case <-p.left:
+	case <-p.closed:
 		return false
 	}
 }
 
-func (p *endpoint) fetching() {
+func (p *server) runFetches() {
 	for {
 		select {
-		case <-p.fetch:
-		case <-p.left:
+		case <-p.fetchOrders:
+		case <-p.closed:
 			return
 		}
-		c := &call{p: p}
-		list, why, err := c.get(p.keeper.whole())
+		c := &conn{server: p}
+		list, why, err := c.get(p.schedule.fullListPoll())
 		if err != nil {
-			c.end(why)
-			p.failed(why, err)
+			c.close(why)
+			p.pollFailed(why, err)
 			continue
 		}
-		p.got(list, true, true)
-		c.end(metrics.ClosedByCommand)
+		p.listReceived(list, true, true)
+		c.close(metrics.ClosedByCommand)
 	}
 }
 
 // call is a connection to discovery, good for one call after the other.
-type call struct {
-	p     *endpoint
-	net   netpoll.Connection
-	begun time.Time
-	calls int
-	watch bool // its calls are the watch's
+type conn struct {
+	server   *server
+	net      netpoll.Connection
+	openedAt time.Time
+	requests int
+	forWatch bool // its calls are the watch's
 }
 
-func (c *call) end(why metrics.CloseReason) {
+func (c *conn) close(why metrics.CloseReason) {
 	if c.net == nil {
 		return
 	}
-	if c.p.isLeft() {
+	if c.server.isClosed() {
 		why = metrics.ClosedByAddressChange
 	}
-	c.p.holds(c.net, false)
+	c.server.trackConn(c.net, false)
 	c.net.Close()
 	c.net = nil
-	metrics.LogConnectionEnd(c.p.a.loop.Log, "roster", c.p.address, why, time.Since(c.begun).Seconds(), c.calls, nil)
+	metrics.LogConnectionEnd(c.server.client.loop.Log, "roster", c.server.address, why, time.Since(c.openedAt).Seconds(), c.requests, nil)
 }
 
 // get makes one call, on the connection that stands or on a new one. One that crosses the end of a connection which
 // discovery had kept from an earlier call has not reached it, and is made on a new one; any other is made once,
 // whatever comes of it.
-func (c *call) get(r request) (List, metrics.CloseReason, error) {
-	c.p.a.loop.Metrics.Add(metrics.DiscoveryCalls, 1)
-	list, why, err := c.make(r)
-	if errors.Is(err, errCrossed) {
-		c.end(metrics.ClosedByPeer)
-		list, why, err = c.make(r)
+func (c *conn) get(r poll) (List, metrics.CloseReason, error) {
+	c.server.client.loop.Metrics.Add(metrics.DiscoveryCalls, 1)
+	list, why, err := c.roundTrip(r)
+	if errors.Is(err, errServerClosedIdle) {
+		c.close(metrics.ClosedByPeer)
+		list, why, err = c.roundTrip(r)
 	}
 	return list, why, err
 }
 
-// errCrossed is of a call that was written as the connection kept from the one before ended.
-var errCrossed = errors.New("the connection had ended")
+// errServerClosedIdle is of a call that was written as the connection kept from the one before ended.
+var errServerClosedIdle = errors.New("the connection had ended")
 
-func (c *call) make(r request) (List, metrics.CloseReason, error) {
+func (c *conn) roundTrip(r poll) (List, metrics.CloseReason, error) {
 	if c.net != nil && !c.net.IsActive() {
-		c.end(metrics.ClosedByPeer)
+		c.close(metrics.ClosedByPeer)
 	}
 	if c.net == nil {
-		n, err := netpoll.DialConnection("tcp", c.p.address, limits.DialFor)
+		n, err := netpoll.DialConnection("tcp", c.server.address, limits.DialFor)
 		if err != nil {
 			return List{}, metrics.ClosedByConnectError, err
 		}
-		c.net, c.begun, c.calls = n, time.Now(), 0
+		c.net, c.openedAt, c.requests = n, time.Now(), 0
 		n.SetWriteTimeout(limits.DialFor)
-		c.p.holds(n, true)
+		c.server.trackConn(n, true)
 	}
-	c.calls++
-	if c.watch {
-		c.p.calls(c.net)
+	c.requests++
+	if c.forWatch {
+		c.server.setWatchConn(c.net)
 	}
 	written := time.Now()
-	_, err := c.net.Write([]byte(httpwire.Get(c.p.address, r.path)))
+	_, err := c.net.Write([]byte(httpwire.Get(c.server.address, r.path)))
 	var resp httpwire.Response
 	why := metrics.ClosedByPeer
 	if err == nil {
-		resp, why, err = c.answer(written.Add(r.limit))
+		resp, why, err = c.readResponse(written.Add(r.timeout))
 	}
-	if err != nil && why == metrics.ClosedByPeer && c.calls > 1 && !resp.Begun() && time.Since(written) < limits.CrossFor {
-		err = fmt.Errorf("%w: %w", errCrossed, err)
+	if err != nil && why == metrics.ClosedByPeer && c.requests > 1 && !resp.Begun() && time.Since(written) < limits.CrossFor {
+		err = fmt.Errorf("%w: %w", errServerClosedIdle, err)
 	}
 	if err != nil {
 		return List{}, why, err
 	}
 	if resp.Close {
-		defer c.end(metrics.ClosedByPeer)
+		defer c.close(metrics.ClosedByPeer)
 	}
 	if resp.Status != 200 {
 		return List{}, metrics.ClosedByStatusCode, fmt.Errorf("status %d", resp.Status)
 	}
-	list, err := c.p.a.reader.Parse(resp.Body)
+	list, err := c.server.client.reader.Parse(resp.Body)
 	if err != nil {
-		c.p.a.loop.Metrics.Add(metrics.BadInput, 1)
+		c.server.client.loop.Metrics.Add(metrics.BadInput, 1)
 		return List{}, metrics.ClosedByBadInput, err
 	}
 	return list, "", nil
 }
 
-func (c *call) answer(until time.Time) (httpwire.Response, metrics.CloseReason, error) {
+func (c *conn) readResponse(until time.Time) (httpwire.Response, metrics.CloseReason, error) {
 	var resp httpwire.Response
 	r := c.net.Reader()
 	for !resp.Done() {
@@ -505,7 +505,7 @@
 			return resp, metrics.ClosedByResponseTimeout, fmt.Errorf("no answer in time")
 		}
 		if resp.Begun() {
-			left = min(left, c.p.a.waits.rest) // one that stalls is as silent as one that never begins
+			left = min(left, c.server.client.timeouts.nextChunk) // one that stalls is as silent as one that never begins
 		}
 		c.net.SetReadTimeout(left)
 		if _, err := r.Peek(1); err != nil {
@@ -521,7 +521,7 @@
 		_, err := resp.Feed(b)
 		r.Release()
 		if err != nil {
-			c.p.a.loop.Metrics.Add(metrics.BadInput, 1)
+			c.server.client.loop.Metrics.Add(metrics.BadInput, 1)
 			return resp, metrics.ClosedByBadInput, err
 		}
 	}
--- a/internal/discovery/fleet_discovery_test.go
+++ b/internal/discovery/fleet_discovery_test.go
@@ -8,81 +8,81 @@
 
 // fleetDiscovery answers new calls in turn, and fails those that waited too long but works on them all the same.
 type fleetDiscovery struct {
-	fleet    *fleet
-	down     bool
-	version  int
-	units    []relay.Endpoint
-	leftAt   []relay.Seconds   // when each unit left; 0: it has not
-	told     [][]relay.Seconds // by relay and unit, when a change was written to it; 0: it was not
-	lastAt   []relay.Seconds   // by relay, when a call was last answered
-	queue    []*fleetCall
-	working  bool
-	standing map[*fleetCall]bool
+	fleet        *fleet
+	down         bool
+	version      int
+	endpoints    []relay.Endpoint
+	leftAt       []relay.Seconds   // when each unit left; 0: it has not
+	notifiedAt   [][]relay.Seconds // by relay and unit, when a change was written to it; 0: it was not
+	lastAnswerAt []relay.Seconds   // by relay, when a call was last answered
+	queue        []*fleetPoll
+	working      bool
+	standing     map[*fleetPoll]bool
 }
 
-// fleetCall is a call to discovery.
-type fleetCall struct {
-	request
-	from   *fleetRelay
-	at     relay.Seconds
-	after  int64
-	closed bool // answered or failed
+// fleetPoll is a call to discovery.
+type fleetPoll struct {
+	poll
+	from            *fleetRelay
+	startedAt       relay.Seconds
+	afterGeneration int64
+	closed          bool // answered or failed
 }
 
 func newFleetDiscovery(f *fleet) *fleetDiscovery {
-	d := &fleetDiscovery{fleet: f, leftAt: make([]relay.Seconds, fleetUnits), told: make([][]relay.Seconds, fleetRelays),
-		lastAt: make([]relay.Seconds, fleetRelays), standing: map[*fleetCall]bool{}}
-	for i := range fleetUnits {
-		d.units = append(d.units, relay.Endpoint{ID: relay.EndpointID(i + 1), Build: 1, Weight: 1, State: relay.Ready})
+	d := &fleetDiscovery{fleet: f, leftAt: make([]relay.Seconds, fleetEndpoints), notifiedAt: make([][]relay.Seconds, fleetRelays),
+		lastAnswerAt: make([]relay.Seconds, fleetRelays), standing: map[*fleetPoll]bool{}}
+	for i := range fleetEndpoints {
+		d.endpoints = append(d.endpoints, relay.Endpoint{ID: relay.EndpointID(i + 1), Build: 1, Weight: 1, State: relay.Ready})
 	}
-	for i := range d.told {
-		d.told[i], d.lastAt[i] = make([]relay.Seconds, fleetUnits), -1
+	for i := range d.notifiedAt {
+		d.notifiedAt[i], d.lastAnswerAt[i] = make([]relay.Seconds, fleetEndpoints), -1
 	}
 	return d
 }
 
 // take takes a call.
-func (d *fleetDiscovery) take(c *fleetCall) {
+func (d *fleetDiscovery) receive(c *fleetPoll) {
 	f := d.fleet
-	if !d.down && c.continues && f.now <= d.lastAt[c.from.no]+continuesFor {
+	if !d.down && c.continues && f.now <= d.lastAnswerAt[c.from.id]+continuesFor {
 		d.standing[c] = true
-		if int64(d.version) > c.after {
+		if int64(d.version) > c.afterGeneration {
 			d.answer(c)
 			return
 		}
-		f.at(f.now+c.wait.Seconds(), func() {
+		f.runAt(f.now+c.wait.Seconds(), func() {
 			if !c.closed {
 				d.answer(c)
 			}
 		})
 		return
 	}
-	f.found.calls[int(f.now)]++
-	f.at(c.at+discoveryWait, func() { d.fail(c) })
+	f.findings.pollsBySecond[int(f.now)]++
+	f.runAt(c.startedAt+discoveryWait, func() { d.fail(c) })
 	if !d.down {
 		d.queue = append(d.queue, c)
-		d.work()
+		d.serveQueue()
 	}
 }
 
 // work takes the next turn of the queue.
-func (d *fleetDiscovery) work() {
+func (d *fleetDiscovery) serveQueue() {
 	if d.working || len(d.queue) == 0 {
 		return
 	}
 	c := d.queue[0]
 	d.queue, d.working = d.queue[1:], true
-	d.fleet.at(d.fleet.now+1/discoveryPace, func() {
+	d.fleet.runAt(d.fleet.now+1/discoveryRate, func() {
 		d.working = false
 		if !c.closed && !d.down {
 			d.answer(c)
 		}
-		d.work()
+		d.serveQueue()
 	})
 }
 
 // answer writes a call what changed since its list.
-func (d *fleetDiscovery) answer(c *fleetCall) {
+func (d *fleetDiscovery) answer(c *fleetPoll) {
 	f, r := d.fleet, c.from
 	c.closed = true
 	delete(d.standing, c)
@@ -90,36 +90,36 @@
 		return
 	}
 	list := List{Generation: int64(d.version)}
-	for i, unit := range d.units {
-		if d.leftAt[i] == 0 || c.after >= int64(d.version) {
+	for i, unit := range d.endpoints {
+		if d.leftAt[i] == 0 || c.afterGeneration >= int64(d.version) {
 			continue
 		}
 		list.Endpoints = append(list.Endpoints, ListedEndpoint{Endpoint: unit})
-		if d.told[r.no][i] == 0 {
-			d.told[r.no][i] = f.now
+		if d.notifiedAt[r.id][i] == 0 {
+			d.notifiedAt[r.id][i] = f.now
 		}
 	}
-	d.lastAt[r.no] = f.now
-	r.at(f.now+0.001+0.029*f.Float64(), func() { r.answered(c, list) })
+	d.lastAnswerAt[r.id] = f.now
+	r.runAt(f.now+0.001+0.029*f.Float64(), func() { r.pollAnswered(c, list) })
 }
 
-func (d *fleetDiscovery) fail(c *fleetCall) {
+func (d *fleetDiscovery) fail(c *fleetPoll) {
 	if c.closed {
 		return
 	}
 	c.closed = true
 	delete(d.standing, c)
 	if r := c.from; !r.dead {
-		r.at(d.fleet.now, func() { r.failed(c, false) })
+		r.runAt(d.fleet.now, func() { r.pollFailed(c, false) })
 	}
 }
 
 // fall ends all watches and loses the queue, whose calls fail in their time.
-func (d *fleetDiscovery) fall() {
+func (d *fleetDiscovery) goDown() {
 	d.down, d.queue = true, nil
 	for _, r := range d.fleet.relays { // in an order that the seed fixes
-		if r != nil && d.standing[r.call] {
-			d.fail(r.call)
+		if r != nil && d.standing[r.poll] {
+			d.fail(r.poll)
 		}
 	}
 }
@@ -128,15 +128,15 @@
 func (d *fleetDiscovery) comeBack() {
 	d.down = false
 	d.version++
-	for _, i := range d.fleet.Perm(fleetUnits)[:fleetUnits/3] {
-		d.units[i].State, d.leftAt[i] = relay.Draining, d.fleet.now
+	for _, i := range d.fleet.Perm(fleetEndpoints)[:fleetEndpoints/3] {
+		d.endpoints[i].State, d.leftAt[i] = relay.Draining, d.fleet.now
 	}
 }
 
-// toldBy is when a relay counts as told that a unit left.
-func (d *fleetDiscovery) toldBy(no, unit int) relay.Seconds {
-	by := d.leftAt[unit] + mostToldAfter
-	if written := d.told[no][unit]; written > 0 {
+// notifiedBy is when a relay counts as told that a unit left.
+func (d *fleetDiscovery) notifiedBy(no, unit int) relay.Seconds {
+	by := d.leftAt[unit] + maxNotifyDelay
+	if written := d.notifiedAt[no][unit]; written > 0 {
 		by = math.Min(by, written)
 	}
 	return by
--- a/internal/discovery/list_test.go
+++ b/internal/discovery/list_test.go
@@ -27,7 +27,7 @@
 		t.Fatalf("%+v %v", list, err)
 	}
 	one, four, five := list.Endpoints[0], list.Endpoints[1], list.Endpoints[2]
-	want := relay.Endpoint{ID: idOf("s-1"), Zone: 1, MachineType: 1, FailureDomain: 3, Build: 41, Weight: 1.5, State: relay.Ready,
+	want := relay.Endpoint{ID: endpointID("s-1"), Zone: 1, MachineType: 1, FailureDomain: 3, Build: 41, Weight: 1.5, State: relay.Ready,
 		StartKnown: true, StartedAt: -1}
 	if one.Endpoint != want || one.Address != "10.1.0.18:5433" || one.Name != "s-1" {
 		t.Errorf("%+v", one)
@@ -40,7 +40,7 @@
 	}
 	// Whatever else is wrong with it, an entry that says of a unit that it leaves is believed.
 	for i, want := range []relay.EndpointState{relay.Draining, relay.Draining, relay.Removed} {
-		if l := list.Endpoints[3+i]; l.Endpoint != (relay.Endpoint{ID: idOf(fmt.Sprint("s-", 6+i)), State: want, Partial: true}) {
+		if l := list.Endpoints[3+i]; l.Endpoint != (relay.Endpoint{ID: endpointID(fmt.Sprint("s-", 6+i)), State: want, Partial: true}) {
 			t.Errorf("%+v", l)
 		}
 	}
@@ -50,7 +50,7 @@
 		t.Errorf("numbers should stay: %+v %v", again, err)
 	}
 	for _, bad := range []string{``, `{`, `[]`, `{"instances":[]}`, `{"generation":"x","instances":[]}`,
-		`{"generation":1,"instances":[` + strings.Repeat(`{},`, maxUnits) + `{}]}`} {
+		`{"generation":1,"instances":[` + strings.Repeat(`{},`, maxEndpoints) + `{}]}`} {
 		if _, err := r.Parse([]byte(bad)); err == nil {
 			t.Errorf("%.40q was taken", bad)
 		}
--- a/internal/sockets/sockets_test.go
+++ b/internal/sockets/sockets_test.go
@@ -7,7 +7,7 @@
 )
 
 // patience is how long a test waits for what should come at once.
-const patience = 10 * time.Second
+const testTimeout = 10 * time.Second
 
 // TestReadableSeesWhatTheKernelHolds is the last place on the way in.
 func TestReadableSeesWhatTheKernelHolds(t *testing.T) {
@@ -24,7 +24,7 @@
 		t.Fatal(err)
 	}
 	defer n.Close()
-	for end := time.Now().Add(patience); !Backlog(ln); time.Sleep(time.Millisecond) {
+	for end := time.Now().Add(testTimeout); !Backlog(ln); time.Sleep(time.Millisecond) {
 		if time.Now().After(end) {
 			t.Fatal("a connection in the backlog is not seen")
 		}
@@ -37,7 +37,7 @@
 		t.Error("nothing has come")
 	}
 	n.Write([]byte{'Q'})
-	for end := time.Now().Add(patience); !seen(); time.Sleep(time.Millisecond) {
+	for end := time.Now().Add(testTimeout); !seen(); time.Sleep(time.Millisecond) {
 		if time.Now().After(end) {
 			t.Fatal("a byte in the socket's buffer is not seen")
 		}
