--- a/internal/discovery/client.go
+++ b/internal/discovery/client.go
@@ -39,12 +39,12 @@
 	membership      *membershipHost
 	// Where lists are pushed the module is promised changes that come by themselves, and orders no watch. On sockets
 	// a list comes to a watch alone, so the watch is this package's to keep.
-	timeouts timeouts
+	settings pollSettings
 }
 
 // New returns an asker; units are told of each list. The seed spreads the calls of relays that run alike.
 func New(l *pipeline.Loop, address string, r *Reader, units EndpointListener, seed int64) *Client {
-	a := &Client{loop: l, reader: r, listener: units, seed: seed, timeouts: siteTimeouts(!l.Site.ListOnRequest, l.Site.Rules.DrainGrace)}
+	a := &Client{loop: l, reader: r, listener: units, seed: seed, settings: newPollSettings(!l.Site.ListOnRequest, l.Site.Rules.DrainGrace)}
 	a.membership = newMembershipHost(a, seed)
 	a.current = a.newServer(address)
 	return a
@@ -61,10 +61,10 @@
 // list at all they are let in after a while, too: a denial with a time to come back is more than no answer.
 func (a *Client) Start() {
 	a.current.start()
-	first := a.timeouts.firstList
-	if a.timeouts.pushed {
+	first := a.settings.firstList
+	if a.settings.pushed {
 		a.Watch(true, false) // before the loop runs
-		first = a.timeouts.firstPushedList
+		first = a.settings.firstPushedList
 	}
 	a.loop.Post(pipeline.Func(func(l *pipeline.Loop) { l.RunAt(l.Clock.Now()+first.Seconds(), l.OpenService) }))
 }
@@ -160,7 +160,7 @@
 func (a *Client) newServer(address string) *server {
 	return &server{client: a, address: address, watchOrders: make(chan bool, 1), fetchOrders: make(chan struct{}, 1),
 		closed: make(chan struct{}), conns: map[netpoll.Connection]struct{}{},
-		schedule: newPollSchedule(a.seed, a.timeouts)}
+		schedule: newPollSchedule(a.seed, a.settings)}
 }
 
 func (p *server) start() {
@@ -251,7 +251,7 @@
 	}
 	if failed {
 		a.membership.step(membership.PollFailed{Stalled: t.form == relay.ListWatchStalled, Unreadable: t.unread})
-		if !a.timeouts.pushed {
+		if !a.settings.pushed {
 			l.AddEvent(relay.ListUpdate{Kind: t.form})
 		}
 		return
@@ -505,7 +505,7 @@
 			return resp, metrics.ClosedByResponseTimeout, fmt.Errorf("no answer in time")
 		}
 		if resp.Begun() {
-			left = min(left, c.server.client.timeouts.nextChunk) // one that stalls is as silent as one that never begins
+			left = min(left, c.server.client.settings.nextChunk) // one that stalls is as silent as one that never begins
 		}
 		c.net.SetReadTimeout(left)
 		if _, err := r.Peek(1); err != nil {
--- a/internal/discovery/client_test.go
+++ b/internal/discovery/client_test.go
@@ -137,8 +137,8 @@
 
 // brief shortens the waits, so that silence shows soon.
 func (h *testHost) shortTimeouts() *testHost {
-	h.client.timeouts.maxWait, h.client.timeouts.answerGrace, h.client.timeouts.immediateAnswer, h.client.timeouts.nextChunk = shortTimeout, shortTimeout, shortTimeout, shortTimeout
-	h.client.current.schedule.timeouts = h.client.timeouts
+	h.client.settings.maxWatchWait, h.client.settings.answerGrace, h.client.settings.immediateAnswer, h.client.settings.nextChunk = shortTimeout, shortTimeout, shortTimeout, shortTimeout
+	h.client.current.schedule.settings = h.client.settings
 	return h
 }
 
@@ -150,7 +150,7 @@
 	}
 	h.client.UseKnownList(known)
 	h.client.Start()
-	if !h.client.timeouts.pushed {
+	if !h.client.settings.pushed {
 		h.client.Watch(true, false)
 	}
 }
@@ -200,8 +200,8 @@
 				s := newFakeDiscovery(t)
 				h := newTestHost(t, s.listener.Addr().String(), pushed).shortTimeouts()
 				if silence != "" {
-					h.client.timeouts.maxWait = 3 * testTimeout // one that stalls is not waited for to the end
-					h.client.current.schedule.timeouts = h.client.timeouts
+					h.client.settings.maxWatchWait = 3 * testTimeout // one that stalls is not waited for to the end
+					h.client.current.schedule.settings = h.client.settings
 				}
 				h.start()
 				first := s.nextPoll()
@@ -235,7 +235,7 @@
 func TestPushedListsNeedNoWatchCommand(t *testing.T) {
 	s := newFakeDiscovery(t)
 	h := newTestHost(t, s.listener.Addr().String(), true)
-	h.client.timeouts.firstPushedList = testTimeout
+	h.client.settings.firstPushedList = testTimeout
 	h.start()
 	first := s.nextPoll()
 	h.waitForUpdate(relay.ListCached)
@@ -265,9 +265,9 @@
 		t.Run(name, func(t *testing.T) {
 			s := newFakeDiscovery(t)
 			h := newTestHost(t, s.listener.Addr().String(), true)
-			h.client.timeouts.firstPushedList = testTimeout
+			h.client.settings.firstPushedList = testTimeout
 			if silent {
-				h.client.timeouts.firstPushedList = shortTimeout
+				h.client.settings.firstPushedList = shortTimeout
 			}
 			h.start()
 			c := s.nextPoll()
@@ -380,14 +380,14 @@
 	for _, pushed := range []bool{false, true} {
 		s := newFakeDiscovery(t)
 		h := newTestHost(t, s.listener.Addr().String(), pushed)
-		h.client.timeouts.firstList, h.client.timeouts.firstPushedList = shortTimeout, shortTimeout
+		h.client.settings.firstList, h.client.settings.firstPushedList = shortTimeout, shortTimeout
 		h.client.Start()
 		if !pushed {
 			h.client.Watch(true, false)
 		}
 		h.checkServiceOpens("clients wait for good, pushed:", pushed)
 	}
-	if w := siteTimeouts(false, 0.25); w.firstList >= 10*time.Second || w.firstPushedList >= 10*time.Second {
+	if w := newPollSettings(false, 0.25); w.firstList >= 10*time.Second || w.firstPushedList >= 10*time.Second {
 		t.Error("not ready within 10 s")
 	}
 }
--- a/internal/discovery/drain_simulation_test.go
+++ b/internal/discovery/drain_simulation_test.go
@@ -102,7 +102,7 @@
 		Rules:  relay.Rules{DrainGrace: d.grace, PollInterval: d.pollInterval, OverloadMultiple: 2.5, OverloadWindow: 3, SlowStartFloor: 0.5},
 		Limits: relay.Limits{MaxAttempts: 3, ConnectTimeout: d.connectTimeout, HedgedRequests: true}}
 	d.module = policy.New(set, seed)
-	w := siteTimeouts(pushed, d.grace)
+	w := newPollSettings(pushed, d.grace)
 	if f.lateStallDetection {
 		w.answerGrace = 2 * time.Second
 	}
@@ -238,7 +238,7 @@
 			d.notifiedAt[i] = math.Max(d.notifiedAt[i], d.now+4)
 		}
 	}
-	d.schedule = newPollSchedule(1, d.previousSchedule.timeouts)
+	d.schedule = newPollSchedule(1, d.previousSchedule.settings)
 	d.startPoll()
 }
 
--- a/internal/discovery/fleet_test.go
+++ b/internal/discovery/fleet_test.go
@@ -153,7 +153,7 @@
 		Rules:   relay.Rules{DrainGrace: fleetGrace, PollInterval: 30, OverloadMultiple: 2.5, OverloadWindow: 3, SlowStartFloor: 0.5},
 		Limits:  relay.Limits{MaxAttempts: 3, ConnectTimeout: connectTimeout, HedgedRequests: true, RetryAfter: true, MaxRetryAfter: 1}}
 	r := &fleetRelay{fleet: f, id: no, startedAt: f.now, module: policy.New(set, seed),
-		schedule: newPollSchedule(seed, siteTimeouts(false, fleetGrace)),
+		schedule: newPollSchedule(seed, newPollSettings(false, fleetGrace)),
 		node: membership.New(membership.Settings{Self: set.Self, Relays: fleetRelays, Messages: !f.disabled.noMessages,
 			PollInterval: set.Rules.PollInterval, Epoch: 1e9}, seed),
 		timerAt: membership.Never, lease: -1, cachedList: held, attemptsOf: map[relay.RequestID]relay.AttemptNumber{}}
--- a/internal/discovery/schedule.go
+++ b/internal/discovery/schedule.go
@@ -25,14 +25,14 @@
 type pollSchedule struct {
 	random      *rand.Rand
 	generation  int64 // of the list that stands; -1: none
-	timeouts    timeouts
+	settings    pollSettings
 	backoff     time.Duration // that was last let pass between two tries; 0: none failed since an answer
 	established bool          // the last call of the watch was answered, and the next one continues it
 }
 
 // waits are how long things may take, and how a list comes to be told.
-type timeouts struct {
-	maxWait         time.Duration // a watch's longest wait
+type pollSettings struct {
+	maxWatchWait    time.Duration // a watch's longest wait
 	answerGrace     time.Duration // an answer beyond that
 	immediateAnswer time.Duration // an answer to a call that does not wait
 	nextChunk       time.Duration // the next piece of an answer that has begun
@@ -44,14 +44,14 @@
 
 // usual are the waits of a site. Where lists are pushed what comes while no watch stands has to be in hand before the
 // drain grace is over, so a relay tries again within a part of it.
-func siteTimeouts(pushed bool, grace relay.Seconds) timeouts {
+func newPollSettings(pushed bool, grace relay.Seconds) pollSettings {
 	most := time.Duration(limits.PushPart * grace * float64(time.Second))
-	return timeouts{limits.WatchFor, limits.AnswerFor, limits.PlainFor, limits.ListRest, limits.FirstList, limits.NoList, pushed,
+	return pollSettings{limits.WatchFor, limits.AnswerFor, limits.PlainFor, limits.ListRest, limits.FirstList, limits.NoList, pushed,
 		max(limits.LeastOff, min(most, limits.MostOff))}
 }
 
-func newPollSchedule(seed int64, w timeouts) *pollSchedule {
-	return &pollSchedule{random: rand.New(rand.NewSource(seed)), timeouts: w, generation: -1}
+func newPollSchedule(seed int64, w pollSettings) *pollSchedule {
+	return &pollSchedule{random: rand.New(rand.NewSource(seed)), settings: w, generation: -1}
 }
 
 // next is the watch's next call. The first call of a watch does not wait: its answer, even an empty one, confirms the list,
@@ -62,15 +62,15 @@
 		return k.fullListPoll()
 	}
 	if !k.established {
-		return poll{fmt.Sprintf("%s?after=%d&wait_ms=0", listPath, k.generation), 0, k.timeouts.immediateAnswer, false}
+		return poll{fmt.Sprintf("%s?after=%d&wait_ms=0", listPath, k.generation), 0, k.settings.immediateAnswer, false}
 	}
-	wait := time.Duration((limits.WatchPart + (1-limits.WatchPart)*k.random.Float64()) * float64(k.timeouts.maxWait))
-	return poll{fmt.Sprintf("%s?after=%d&wait_ms=%d", listPath, k.generation, wait.Milliseconds()), wait, wait + k.timeouts.answerGrace, true}
+	wait := time.Duration((limits.WatchPart + (1-limits.WatchPart)*k.random.Float64()) * float64(k.settings.maxWatchWait))
+	return poll{fmt.Sprintf("%s?after=%d&wait_ms=%d", listPath, k.generation, wait.Milliseconds()), wait, wait + k.settings.answerGrace, true}
 }
 
 // whole is a call for the whole list, which does not wait.
 func (k *pollSchedule) fullListPoll() poll {
-	return poll{listPath, 0, k.timeouts.immediateAnswer, false}
+	return poll{listPath, 0, k.settings.immediateAnswer, false}
 }
 
 // took takes an answer, to the watch or to a call for the whole list, and says what of it the module is to be told;
@@ -92,9 +92,9 @@
 // after silence, as what was missed is about to count as told.
 func (k *pollSchedule) pollFailed(silent bool) (again bool, after time.Duration) {
 	k.established = false
-	if k.timeouts.pushed && !silent {
-		k.backoff = min(max(2*k.backoff, limits.BackOff), k.timeouts.maxBackoff)
+	if k.settings.pushed && !silent {
+		k.backoff = min(max(2*k.backoff, limits.BackOff), k.settings.maxBackoff)
 		after = time.Duration((1 + k.random.Float64()) / 2 * float64(k.backoff))
 	}
-	return k.timeouts.pushed, after
+	return k.settings.pushed, after
 }
--- a/internal/discovery/schedule_test.go
+++ b/internal/discovery/schedule_test.go
@@ -19,7 +19,7 @@
 func TestStalledWatchIsDetectedInTime(t *testing.T) {
 	const anew = 1500 * time.Millisecond // a call that discovery fails after its second, and half of one for the next
 	for seed := range int64(1000) {
-		k := newPollSchedule(seed, siteTimeouts(false, 0.25))
+		k := newPollSchedule(seed, newPollSettings(false, 0.25))
 		if r := k.nextPoll(); r.path != listPath || r.wait != 0 || notifiedBy(r)-r.timeout < anew {
 			t.Fatalf("%+v", r)
 		}
@@ -38,7 +38,7 @@
 func TestFleetSpreadsItsPollsAfterAStall(t *testing.T) {
 	var at []time.Duration
 	for seed := range int64(350) {
-		k := newPollSchedule(seed, siteTimeouts(false, 0.25))
+		k := newPollSchedule(seed, newPollSettings(false, 0.25))
 		k.generation, k.established = 1, true
 		at = append(at, k.nextPoll().timeout)
 	}
@@ -59,7 +59,7 @@
 // drain grace, however often it fails.
 func TestPushedWatchIsRetriedWithBackoff(t *testing.T) {
 	for _, grace := range []relay.Seconds{0.05, 0.25, 1, 10} {
-		k := newPollSchedule(1, siteTimeouts(true, grace))
+		k := newPollSchedule(1, newPollSettings(true, grace))
 		if again, after := k.pollFailed(true); !again || after != 0 {
 			t.Error("after silence:", again, after)
 		}
@@ -70,14 +70,14 @@
 			}
 		}
 	}
-	if again, _ := newPollSchedule(1, siteTimeouts(false, 0.25)).pollFailed(true); again {
+	if again, _ := newPollSchedule(1, newPollSettings(false, 0.25)).pollFailed(true); again {
 		t.Error("a watch that the module orders was opened again unasked")
 	}
 }
 
 // TestOlderFullListDoesNotUndoAChange has a whole list cross a watch's answer: what the watch told stands.
 func TestOlderFullListDoesNotUndoAChange(t *testing.T) {
-	k := newPollSchedule(1, siteTimeouts(false, 0.25))
+	k := newPollSchedule(1, newPollSettings(false, 0.25))
 	k.accept(List{Generation: 5, Full: true}, true, false)
 	if _, _, news := k.accept(List{Generation: 5}, false, false); news {
 		t.Error("a watch that brought nothing is no news")
