--- a/internal/discovery/bench_test.go
+++ b/internal/discovery/bench_test.go
@@ -9,11 +9,11 @@
 	"lichenroad/relay"
 )
 
-// encodeList is discovery's answer with so many units, with names and addresses as long as those of a site of many services.
-func encodeList(units int, whole bool) []byte {
+// encodeList is an answer with so many endpoints, with names and addresses as long as those of a site of many services.
+func encodeList(endpoints int, full bool) []byte {
 	var b bytes.Buffer
-	fmt.Fprintf(&b, `{"generation":41,"reset":%v,"instances":[`, whole)
-	for i := range units {
+	fmt.Fprintf(&b, `{"generation":41,"reset":%v,"instances":[`, full)
+	for i := range endpoints {
 		if i > 0 {
 			b.WriteByte(',')
 		}
@@ -25,20 +25,20 @@
 	return b.Bytes()
 }
 
-func benchReader() *Reader {
+func newTestReader() *Reader {
 	return NewReader(nil, nil, func(s float64) relay.Seconds { return s })
 }
 
-// BenchmarkParse reads whole lists up to the most entries that are taken; heap-B is what the list holds once it is read.
+// BenchmarkParse reads full lists up to the largest one that is taken; heap-B is what the list holds once it is read.
 func BenchmarkParse(b *testing.B) {
-	for _, units := range []int{300, 1024, 2048, 4096, 8192, maxEndpoints} {
-		b.Run(fmt.Sprintf("units=%d", units), func(b *testing.B) {
-			raw, r := encodeList(units, true), benchReader()
+	for _, endpoints := range []int{300, 1024, 2048, 4096, 8192, maxEndpoints} {
+		b.Run(fmt.Sprintf("units=%d", endpoints), func(b *testing.B) {
+			raw, reader := encodeList(endpoints, true), newTestReader()
 			var list List
 			before := heapInUse()
 			for b.Loop() {
 				var err error
-				if list, err = r.Parse(raw); err != nil || len(list.Endpoints) != units {
+				if list, err = reader.Parse(raw); err != nil || len(list.Endpoints) != endpoints {
 					b.Fatal(len(list.Endpoints), err)
 				}
 			}
@@ -54,9 +54,9 @@
 func BenchmarkParseChanges(b *testing.B) {
 	for _, changes := range []int{1, 4, 16, 64, 256} {
 		b.Run(fmt.Sprintf("changes=%d", changes), func(b *testing.B) {
-			raw, r := encodeList(changes, false), benchReader()
+			raw, reader := encodeList(changes, false), newTestReader()
 			for b.Loop() {
-				if _, err := r.Parse(raw); err != nil {
+				if _, err := reader.Parse(raw); err != nil {
 					b.Fatal(err)
 				}
 			}
--- a/internal/discovery/fleet_discovery_test.go
+++ b/internal/discovery/fleet_discovery_test.go
@@ -6,21 +6,22 @@
 	"lichenroad/relay"
 )
 
-// fleetDiscovery answers new calls in turn, and fails those that waited too long but works on them all the same.
+// fleetDiscovery is the discovery service. It answers new polls in turn, and fails those that waited too long but works on
+// them all the same.
 type fleetDiscovery struct {
 	fleet        *fleet
 	down         bool
 	version      int
 	endpoints    []relay.Endpoint
-	leftAt       []relay.Seconds   // when each unit left; 0: it has not
-	notifiedAt   [][]relay.Seconds // by relay and unit, when a change was written to it; 0: it was not
-	lastAnswerAt []relay.Seconds   // by relay, when a call was last answered
+	leftAt       []relay.Seconds   // when each endpoint left; 0: it has not
+	notifiedAt   [][]relay.Seconds // by relay and endpoint, when the change was written; 0: it was not
+	lastAnswerAt []relay.Seconds   // by relay, when a poll was last answered
 	queue        []*fleetPoll
-	working      bool
-	standing     map[*fleetPoll]bool
+	busy         bool
+	waiting      map[*fleetPoll]bool
 }
 
-// fleetPoll is a call to discovery.
+// fleetPoll is a poll of a relay.
 type fleetPoll struct {
 	poll
 	from            *fleetRelay
@@ -30,8 +31,13 @@
 }
 
 func newFleetDiscovery(f *fleet) *fleetDiscovery {
-	d := &fleetDiscovery{fleet: f, leftAt: make([]relay.Seconds, fleetEndpoints), notifiedAt: make([][]relay.Seconds, fleetRelays),
-		lastAnswerAt: make([]relay.Seconds, fleetRelays), standing: map[*fleetPoll]bool{}}
+	d := &fleetDiscovery{
+		fleet:        f,
+		leftAt:       make([]relay.Seconds, fleetEndpoints),
+		notifiedAt:   make([][]relay.Seconds, fleetRelays),
+		lastAnswerAt: make([]relay.Seconds, fleetRelays),
+		waiting:      map[*fleetPoll]bool{},
+	}
 	for i := range fleetEndpoints {
 		d.endpoints = append(d.endpoints, relay.Endpoint{ID: relay.EndpointID(i + 1), Build: 1, Weight: 1, State: relay.Ready})
 	}
@@ -41,90 +47,90 @@
 	return d
 }
 
-// take takes a call.
-func (d *fleetDiscovery) receive(c *fleetPoll) {
-	f := d.fleet
-	if !d.down && c.continues && f.now <= d.lastAnswerAt[c.from.id]+continuesFor {
-		d.standing[c] = true
-		if int64(d.version) > c.afterGeneration {
-			d.answer(c)
+// receive receives a poll: one that continues a watch waits, any other one queues.
+func (d *fleetDiscovery) receive(poll *fleetPoll) {
+	fleet := d.fleet
+	if !d.down && poll.continues && fleet.now <= d.lastAnswerAt[poll.from.id]+continuesFor {
+		d.waiting[poll] = true
+		if int64(d.version) > poll.afterGeneration {
+			d.answer(poll)
 			return
 		}
-		f.runAt(f.now+c.wait.Seconds(), func() {
-			if !c.closed {
-				d.answer(c)
+		fleet.runAt(fleet.now+poll.wait.Seconds(), func() {
+			if !poll.closed {
+				d.answer(poll)
 			}
 		})
 		return
 	}
-	f.findings.pollsBySecond[int(f.now)]++
-	f.runAt(c.startedAt+discoveryWait, func() { d.fail(c) })
+	fleet.findings.pollsBySecond[int(fleet.now)]++
+	fleet.runAt(poll.startedAt+discoveryWait, func() { d.fail(poll) })
 	if !d.down {
-		d.queue = append(d.queue, c)
+		d.queue = append(d.queue, poll)
 		d.serveQueue()
 	}
 }
 
-// work takes the next turn of the queue.
+// serveQueue works on the first poll of the queue, then on the next.
 func (d *fleetDiscovery) serveQueue() {
-	if d.working || len(d.queue) == 0 {
+	if d.busy || len(d.queue) == 0 {
 		return
 	}
-	c := d.queue[0]
-	d.queue, d.working = d.queue[1:], true
+	poll := d.queue[0]
+	d.queue, d.busy = d.queue[1:], true
 	d.fleet.runAt(d.fleet.now+1/discoveryRate, func() {
-		d.working = false
-		if !c.closed && !d.down {
-			d.answer(c)
+		d.busy = false
+		if !poll.closed && !d.down {
+			d.answer(poll)
 		}
 		d.serveQueue()
 	})
 }
 
-// answer writes a call what changed since its list.
-func (d *fleetDiscovery) answer(c *fleetPoll) {
-	f, r := d.fleet, c.from
-	c.closed = true
-	delete(d.standing, c)
+// answer answers a poll by what changed since the relay's list.
+func (d *fleetDiscovery) answer(poll *fleetPoll) {
+	fleet, r := d.fleet, poll.from
+	poll.closed = true
+	delete(d.waiting, poll)
 	if r.dead {
 		return
 	}
 	list := List{Generation: int64(d.version)}
-	for i, unit := range d.endpoints {
-		if d.leftAt[i] == 0 || c.afterGeneration >= int64(d.version) {
+	for i, endpoint := range d.endpoints {
+		if d.leftAt[i] == 0 || poll.afterGeneration >= int64(d.version) {
 			continue
 		}
-		list.Endpoints = append(list.Endpoints, ListedEndpoint{Endpoint: unit})
+		list.Endpoints = append(list.Endpoints, ListedEndpoint{Endpoint: endpoint})
 		if d.notifiedAt[r.id][i] == 0 {
-			d.notifiedAt[r.id][i] = f.now
+			d.notifiedAt[r.id][i] = fleet.now
 		}
 	}
-	d.lastAnswerAt[r.id] = f.now
-	r.runAt(f.now+0.001+0.029*f.Float64(), func() { r.pollAnswered(c, list) })
+	d.lastAnswerAt[r.id] = fleet.now
+	r.runAt(fleet.now+0.001+0.029*fleet.Float64(), func() { r.pollAnswered(poll, list) })
 }
 
-func (d *fleetDiscovery) fail(c *fleetPoll) {
-	if c.closed {
+func (d *fleetDiscovery) fail(poll *fleetPoll) {
+	if poll.closed {
 		return
 	}
-	c.closed = true
-	delete(d.standing, c)
-	if r := c.from; !r.dead {
-		r.runAt(d.fleet.now, func() { r.pollFailed(c, false) })
+	poll.closed = true
+	delete(d.waiting, poll)
+	if r := poll.from; !r.dead {
+		r.runAt(d.fleet.now, func() { r.pollFailed(poll, false) })
 	}
 }
 
-// fall ends all watches and loses the queue, whose calls fail in their time.
+// goDown ends all watches and loses the queue, whose polls fail in their time.
 func (d *fleetDiscovery) goDown() {
 	d.down, d.queue = true, nil
 	for _, r := range d.fleet.relays { // in an order that the seed fixes
-		if r != nil && d.standing[r.poll] {
+		if r != nil && d.waiting[r.poll] {
 			d.fail(r.poll)
 		}
 	}
 }
 
-// comeBack takes calls again; a third of the units leave at that moment.
+// comeBack takes polls again; a third of the endpoints leave at that moment.
 func (d *fleetDiscovery) comeBack() {
 	d.down = false
 	d.version++
@@ -133,11 +139,11 @@
 	}
 }
 
-// notifiedBy is when a relay counts as told that a unit left.
-func (d *fleetDiscovery) notifiedBy(no, unit int) relay.Seconds {
-	by := d.leftAt[unit] + maxNotifyDelay
-	if written := d.notifiedAt[no][unit]; written > 0 {
-		by = math.Min(by, written)
+// notifiedBy is when a relay counts as notified that an endpoint left.
+func (d *fleetDiscovery) notifiedBy(relayID, index int) relay.Seconds {
+	at := d.leftAt[index] + maxNotifyDelay
+	if written := d.notifiedAt[relayID][index]; written > 0 {
+		at = math.Min(at, written)
 	}
-	return by
+	return at
 }
--- a/internal/discovery/fleet_relay_test.go
+++ b/internal/discovery/fleet_relay_test.go
@@ -9,7 +9,7 @@
 	"lichenroad/relay"
 )
 
-// fleetRelay is one process of a relay, wired as on sockets.
+// fleetRelay is one process of a relay, wired as Client and membershipHost wire it.
 type fleetRelay struct {
 	fleet     *fleet
 	id        int
@@ -18,16 +18,16 @@
 	module    *policy.Policy
 	schedule  *pollSchedule
 	node      *membership.Node
-	events    []relay.Event // that the module has not seen yet
+	events    []relay.Event // that the decision module has not seen yet
 
-	poll         *fleetPoll // to discovery; nil: none
-	commanded    bool       // the call was ordered by the module, and does not continue the watch
-	watchPending bool       // a watch was ordered meanwhile
+	poll         *fleetPoll // of the watch; nil: none
+	commanded    bool       // the poll answers a command, and does not continue the watch
+	watchPending bool       // a watch was commanded meanwhile
 
-	timerAt    relay.Seconds // of the node; membership.Never: none
+	timerAt    relay.Seconds // of the membership node; membership.Never: none
 	lease      relay.Seconds
 	leasedAt   relay.Seconds // when the first lease came; 0: none yet
-	listed     bool          // discovery's own list came since the start
+	listed     bool          // the discovery service's own list came since the start
 	cachedList []relay.Endpoint
 
 	requests   relay.RequestID
@@ -35,7 +35,7 @@
 	waiting    []*fleetAttempt
 }
 
-// fleetAttempt is a leg that waits for its connection.
+// fleetAttempt is an attempt, which may have to wait for its connection.
 type fleetAttempt struct {
 	command relay.SendAttempt
 	number  relay.AttemptNumber
@@ -43,7 +43,7 @@
 	ended   bool
 }
 
-// at runs something of this process, and lets the module see what came of it.
+// runAt runs something of this process at a time, and lets the decision module see what came of it.
 func (r *fleetRelay) runAt(at relay.Seconds, run func()) {
 	r.fleet.runAt(at, func() {
 		if r.dead {
@@ -56,54 +56,60 @@
 
 func (r *fleetRelay) addEvents(events ...relay.Event) { r.events = append(r.events, events...) }
 
-// flush lets the module see what happened, and carries out its orders.
+// flush lets the decision module see what happened, and carries out its commands.
 func (r *fleetRelay) flush() {
 	for len(r.events) > 0 {
 		events, leased := r.events, r.fleet.now < r.lease
 		r.events = nil
-		orders := r.module.Step(r.fleet.now, events)
+		commands := r.module.Step(r.fleet.now, events)
 		if !leased {
-			r.checkRejections(events, orders)
+			r.checkRejections(events, commands)
 		}
-		for _, order := range orders {
-			r.carryOut(order)
+		for _, command := range commands {
+			r.carryOut(command)
 		}
 	}
 }
 
-// checkRejections holds the module to denying at once what comes without a lease.
-func (r *fleetRelay) checkRejections(events []relay.Event, orders []relay.Command) {
-	denied := map[relay.RequestID]bool{}
-	for _, order := range orders {
-		if deny, is := order.(relay.Reject); is && deny.RetryAfter > 0 {
-			denied[deny.Request] = true
+// checkRejections counts the requests without a lease that are rejected at once, as all should be.
+func (r *fleetRelay) checkRejections(events []relay.Event, commands []relay.Command) {
+	rejected := map[relay.RequestID]bool{}
+	for _, command := range commands {
+		if reject, is := command.(relay.Reject); is && reject.RetryAfter > 0 {
+			rejected[reject.Request] = true
 		}
 	}
 	for _, event := range events {
-		if query, is := event.(relay.Request); is && denied[query.ID] {
+		request, is := event.(relay.Request)
+		switch {
+		case !is:
+		case rejected[request.ID]:
 			r.fleet.findings.rejected++
-		} else if is {
+		default:
 			r.fleet.findings.unrejected++
 		}
 	}
 }
 
-func (r *fleetRelay) carryOut(order relay.Command) {
-	switch o := order.(type) {
+func (r *fleetRelay) carryOut(command relay.Command) {
+	switch command := command.(type) {
 	case relay.SetTimer:
-		r.runAt(o.At, func() { r.addEvents(relay.TimerFired{ID: o.ID}) })
+		r.runAt(command.At, func() { r.addEvents(relay.TimerFired{ID: command.ID}) })
 	case relay.Watch:
-		if r.fleet.disabled.fixedRetry || !o.On {
-			return
-		}
-		if r.poll != nil {
-			r.watchPending = true
-			return
+		if command.On && !r.fleet.disabled.fixedRetry {
+			r.commandWatch()
 		}
-		r.startWatch()
 	case relay.SendAttempt:
-		r.startAttempt(o)
+		r.startAttempt(command)
+	}
+}
+
+func (r *fleetRelay) commandWatch() {
+	if r.poll != nil {
+		r.watchPending = true
+		return
 	}
+	r.startWatch()
 }
 
 func (r *fleetRelay) sendRequest() {
@@ -113,69 +119,75 @@
 	r.runAt(r.fleet.now+requestInterval, r.sendRequest)
 }
 
-// ask makes the watch's next call, behind a failure or by order.
+// startWatch starts a poll after a failure or by command.
 func (r *fleetRelay) startWatch() {
 	r.commanded = true
 	r.startPoll()
 }
 
 func (r *fleetRelay) startPoll() {
-	f, c := r.fleet, &fleetPoll{poll: r.schedule.nextPoll(), from: r, startedAt: r.fleet.now, afterGeneration: r.schedule.generation}
-	r.poll = c
-	r.stepMembership(membership.PollStarted{Wait: c.wait.Seconds(), Continues: c.continues})
-	r.runAt(f.now+c.timeout.Seconds(), func() { r.pollFailed(c, true) })
-	f.discovery.receive(c)
+	next := r.schedule.nextPoll()
+	poll := &fleetPoll{poll: next, from: r, startedAt: r.fleet.now, afterGeneration: r.schedule.generation}
+	r.poll = poll
+	r.stepMembership(membership.PollStarted{Wait: poll.wait.Seconds(), Continues: poll.continues})
+	r.runAt(r.fleet.now+poll.timeout.Seconds(), func() { r.pollFailed(poll, true) })
+	r.fleet.discovery.receive(poll)
 }
 
-// answered takes a list from discovery, and goes on with the watch.
-func (r *fleetRelay) pollAnswered(c *fleetPoll, list List) {
-	if r.poll != c {
+// pollAnswered takes a list from the discovery service, and goes on with the watch.
+func (r *fleetRelay) pollAnswered(poll *fleetPoll, list List) {
+	if r.poll != poll {
 		return
 	}
-	list, form, news := r.schedule.accept(list, r.commanded, false)
-	given := membership.List{Generation: list.Generation, Full: form != relay.ListDelta}
-	for _, line := range list.Endpoints {
-		r.endpointLeaving(line.ID)
-		given.Endpoints = append(given.Endpoints, line.Endpoint)
+	origin := watchContinued
+	if r.commanded {
+		origin = watchCommanded
 	}
-	if news {
-		r.addEvents(relay.ListUpdate{Kind: form, Endpoints: given.Endpoints})
+	update := r.schedule.accept(list, origin)
+	list = update.list
+	given := membership.List{Generation: list.Generation, Full: update.kind != relay.ListDelta}
+	for _, endpoint := range list.Endpoints {
+		r.endpointLeaving(endpoint.ID)
+		given.Endpoints = append(given.Endpoints, endpoint.Endpoint)
+	}
+	if update.notify {
+		r.addEvents(relay.ListUpdate{Kind: update.kind, Endpoints: given.Endpoints})
 	}
 	r.updateCachedList(given.Endpoints)
 	r.stepMembership(membership.PollAnswered{List: given})
 	if !r.listed && r.startedAt >= restartAt && list.Generation == int64(r.fleet.discovery.version) {
-		r.fleet.findings.listLast = math.Max(r.fleet.findings.listLast, r.fleet.now-r.startedAt)
+		r.fleet.findings.maxListDelaySeen = math.Max(r.fleet.findings.maxListDelaySeen, r.fleet.now-r.startedAt)
 	}
 	r.listed = r.listed || list.Generation == int64(r.fleet.discovery.version)
 	r.commanded, r.watchPending = r.watchPending, false
 	r.startPoll()
 }
 
-// hold notes the list as the relay would find it behind a restart.
+// updateCachedList keeps the list that the relay would find after a restart: of what changes, all leaves.
 func (r *fleetRelay) updateCachedList(changed []relay.Endpoint) {
-	var held []relay.Endpoint
+	var remaining []relay.Endpoint
 	gone := map[relay.EndpointID]bool{}
-	for _, unit := range changed {
-		gone[unit.ID] = true
+	for _, endpoint := range changed {
+		gone[endpoint.ID] = true
 	}
-	for _, unit := range r.cachedList {
-		if !gone[unit.ID] {
-			held = append(held, unit)
+	for _, endpoint := range r.cachedList {
+		if !gone[endpoint.ID] {
+			remaining = append(remaining, endpoint)
 		}
 	}
-	r.cachedList = held
+	r.cachedList = remaining
 }
 
-func (r *fleetRelay) pollFailed(c *fleetPoll, silent bool) {
-	if r.poll != c {
+func (r *fleetRelay) pollFailed(poll *fleetPoll, stalled bool) {
+	if r.poll != poll {
 		return
 	}
-	r.poll, c.closed = nil, true
-	r.schedule.pollFailed(silent)
-	r.stepMembership(membership.PollFailed{Stalled: silent})
-	form := relay.ListFetchFailed
-	if silent {
-		form = relay.ListWatchStalled
+	r.poll, poll.closed = nil, true
+	r.schedule.pollFailed(stalled)
+	r.stepMembership(membership.PollFailed{Stalled: stalled})
+	kind := relay.ListFetchFailed
+	if stalled {
+		kind = relay.ListWatchStalled
 	}
 	switch {
 	case r.fleet.disabled.fixedRetry:
@@ -185,29 +197,29 @@
 		r.watchPending = false
 		r.startWatch()
 	}
-	r.addEvents(relay.ListUpdate{Kind: form})
+	r.addEvents(relay.ListUpdate{Kind: kind})
 }
 
-// member lets the node see an event, and carries out what it returns.
+// stepMembership hands an event to the membership node, and carries out what it returns.
 func (r *fleetRelay) stepMembership(event any) {
-	now, out := r.fleet.now, r.node.Step(r.fleet.now, event)
-	for _, body := range out.Messages {
+	now, output := r.fleet.now, r.node.Step(r.fleet.now, event)
+	for _, body := range output.Messages {
 		r.fleet.broadcast(relay.RelayID(r.id), body)
 	}
-	if len(out.Removed) > 0 {
-		left := relay.ListUpdate{Kind: relay.ListDelta, FromPeers: true}
-		for _, unit := range out.Removed {
-			r.endpointLeaving(unit)
-			left.Endpoints = append(left.Endpoints, relay.Endpoint{ID: unit, State: relay.Draining, Partial: true})
+	if len(output.Removed) > 0 {
+		update := relay.ListUpdate{Kind: relay.ListDelta, FromPeers: true}
+		for _, id := range output.Removed {
+			r.endpointLeaving(id)
+			update.Endpoints = append(update.Endpoints, relay.Endpoint{ID: id, State: relay.Draining, Partial: true})
 		}
-		r.addEvents(left)
+		r.addEvents(update)
 	}
-	r.setLease(out.Lease)
-	if out.Answers {
+	r.setLease(output.Lease)
+	if output.Answers {
 		r.addEvents(relay.DiscoveryRecovered{})
 	}
-	if out.TimerAt < r.timerAt {
-		at := out.TimerAt
+	if output.TimerAt < r.timerAt {
+		at := output.TimerAt
 		r.timerAt = at
 		r.runAt(at, func() {
 			if r.timerAt == at {
@@ -219,7 +231,7 @@
 	if now < r.lease && r.leasedAt == 0 {
 		r.leasedAt = now
 		if r.startedAt >= restartAt {
-			r.fleet.findings.leaseLast = math.Max(r.fleet.findings.leaseLast, now-r.startedAt)
+			r.fleet.findings.maxLeaseDelaySeen = math.Max(r.fleet.findings.maxLeaseDelaySeen, now-r.startedAt)
 		}
 	}
 }
@@ -234,64 +246,81 @@
 	}
 }
 
-// leg sends a leg, on a connection that stands or on a new one, some of which don't come up in time.
-func (r *fleetRelay) startAttempt(order relay.SendAttempt) {
-	f, l := r.fleet, &fleetAttempt{command: order, number: r.attemptsOf[order.Request]}
-	r.attemptsOf[order.Request]++
-	if f.Intn(3) > 0 {
-		r.sendAttempt(l)
+// startAttempt sends an attempt on an open connection, or on a new one, some of which don't come up in time.
+func (r *fleetRelay) startAttempt(command relay.SendAttempt) {
+	fleet := r.fleet
+	attempt := &fleetAttempt{command: command, number: r.attemptsOf[command.Request]}
+	r.attemptsOf[command.Request]++
+	if fleet.Intn(3) > 0 {
+		r.sendAttempt(attempt)
 		return
 	}
-	r.waiting = append(r.waiting, l)
-	up := f.now + 1.5*connectTimeout*f.Float64()
-	r.runAt(math.Min(up, f.now+connectTimeout), func() {
-		if up > f.now {
-			r.endAttempt(l, relay.ConnectFailed)
+	r.waiting = append(r.waiting, attempt)
+	connectedAt := fleet.now + 1.5*connectTimeout*fleet.Float64()
+	r.runAt(math.Min(connectedAt, fleet.now+connectTimeout), func() {
+		if connectedAt > fleet.now {
+			r.endAttempt(attempt, relay.ConnectFailed)
 			return
 		}
-		r.sendAttempt(l)
+		r.sendAttempt(attempt)
 	})
 }
 
-func (r *fleetRelay) endAttempt(l *fleetAttempt, how relay.Outcome) {
-	if l.ended {
+func (r *fleetRelay) endAttempt(attempt *fleetAttempt, outcome relay.Outcome) {
+	if attempt.ended {
 		return
 	}
-	l.ended = true
-	r.addEvents(relay.AttemptEnded{Request: l.command.Request, Attempt: l.number, Endpoint: l.command.Endpoint, Outcome: how, Duration: 0.1, RequestFinished: how == relay.Succeeded})
+	attempt.ended = true
+	r.addEvents(relay.AttemptEnded{
+		Request:         attempt.command.Request,
+		Attempt:         attempt.number,
+		Endpoint:        attempt.command.Endpoint,
+		Outcome:         outcome,
+		Duration:        0.1,
+		RequestFinished: outcome == relay.Succeeded,
+	})
 }
 
-// leaving ends the legs that wait for a connection to a unit, as the pool does at the news.
-func (r *fleetRelay) endpointLeaving(unit relay.EndpointID) {
-	var left []*fleetAttempt
-	for _, l := range r.waiting {
-		if l.command.Endpoint == unit && !l.sent {
-			r.endAttempt(l, relay.NotSent)
+// endpointLeaving ends the attempts that wait for a connection to an endpoint, as the pool does when it leaves.
+func (r *fleetRelay) endpointLeaving(id relay.EndpointID) {
+	var waiting []*fleetAttempt
+	for _, attempt := range r.waiting {
+		if attempt.command.Endpoint == id && !attempt.sent {
+			r.endAttempt(attempt, relay.NotSent)
 		}
-		if !l.ended && !l.sent {
-			left = append(left, l)
+		if !attempt.ended && !attempt.sent {
+			waiting = append(waiting, attempt)
 		}
 	}
-	r.waiting = left
+	r.waiting = waiting
 }
 
-// write sends a leg to its unit, which the check sees.
-func (r *fleetRelay) sendAttempt(l *fleetAttempt) {
-	f, unit := r.fleet, int(l.command.Endpoint)-1
-	if l.ended {
+// sendAttempt sends an attempt to its endpoint, which is checked.
+func (r *fleetRelay) sendAttempt(attempt *fleetAttempt) {
+	fleet := r.fleet
+	if attempt.ended {
 		return
 	}
-	if l.command.SendBy > 0 && f.now > l.command.SendBy {
-		r.endAttempt(l, relay.NotSent)
+	if attempt.command.SendBy > 0 && fleet.now > attempt.command.SendBy {
+		r.endAttempt(attempt, relay.NotSent)
 		return
 	}
-	l.sent = true
-	f.findings.attempts++
-	if f.discovery.leftAt[unit] > 0 && f.now > f.discovery.notifiedBy(r.id, unit)+fleetGrace+graceSlack {
-		if f.findings.violations++; f.findings.violations == 1 {
-			f.findings.firstViolation = fmt.Sprintf("%.3f: relay %d, started at %.3f, sent a leg to unit %d, which counts as told as leaving at %.3f",
-				f.now, r.id, r.startedAt, unit+1, f.discovery.notifiedBy(r.id, unit))
-		}
+	attempt.sent = true
+	fleet.findings.attempts++
+	r.checkAttempt(attempt)
+	r.runAt(fleet.now+0.02+0.2*fleet.Float64(), func() { r.endAttempt(attempt, relay.Succeeded) })
+}
+
+// checkAttempt holds an attempt against the rule on draining endpoints.
+func (r *fleetRelay) checkAttempt(attempt *fleetAttempt) {
+	fleet, index := r.fleet, int(attempt.command.Endpoint)-1
+	notifiedBy := fleet.discovery.notifiedBy(r.id, index)
+	if fleet.discovery.leftAt[index] == 0 || fleet.now <= notifiedBy+fleetGrace+graceSlack {
+		return
+	}
+	if fleet.findings.violations++; fleet.findings.violations == 1 {
+		fleet.findings.firstViolation = fmt.Sprintf(
+			"%.3f: relay %d, started at %.3f, sent an attempt to endpoint %d, which counts as notified as leaving at %.3f",
+			fleet.now, r.id, r.startedAt, index+1, notifiedBy)
 	}
-	r.runAt(f.now+0.02+0.2*f.Float64(), func() { r.endAttempt(l, relay.Succeeded) })
 }
--- a/internal/discovery/fleet_test.go
+++ b/internal/discovery/fleet_test.go
@@ -1,261 +1,71 @@
 package discovery
 
-import (
-	"container/heap"
-	"math"
-	"math/rand"
-	"testing"
+import "testing"
 
-	"lichenroad/membership"
-	"lichenroad/policy"
-	"lichenroad/relay"
-)
-
-// This file plays a whole fleet in virtual time before a discovery that is overbooked: each relay is the real module, the
-// real keeper of the watch and the real membership node, wired as Asker and member wire them. Discovery is down for some
-// seconds; at its return a third of the units leave, and most relays die and start together with the list that they held.
-// What counts as told to a relay is kept by the discovery of this file, apart from all that is tested.
-
-const (
-	fleetRelays    = 300
-	fleetEndpoints = 60
-	fleetGrace     = 0.25
-	graceSlack     = 0.05 // of the check, for what is on its way
-
-	discoveryRate   = 37.5 // calls a second: one of each relay in 8 s
-	discoveryWait   = 2.0  // s after which a call that has not had its turn is failed
-	continuesFor    = 0.2  // s after an answer in which the next call continues the watch
-	maxNotifyDelay  = 6.0  // s after which a change counts as told to every relay
-	requestInterval = 0.25 // s between two queries of one relay
-	messageLossRate = 0.02
-	connectTimeout  = 0.25
-
-	firstStarts = 8.5  // s over which the relays start on an ordinary day
-	outageAt    = 17.0 // all of them have a watch by then
-	returnAt    = 25.0
-	killAt      = returnAt + 2
-	restartAt   = killAt + 1.6
-	fleetEnd    = restartAt + 16
-	restarted   = fleetRelays * 7 / 10
-	cutOff      = 10 // relays that live on and hear nothing of the others from the outage on
-)
-
-// fleetSafeguards is what is left out of the defences, to show that the checks see it.
-type fleetSafeguards struct {
-	noLease    bool // the module is not told of the lease
-	noMessages bool // relays tell one another nothing
-	fixedRetry bool // calls are made at once at the start, and 1 to 2 s after each failure
-}
-
-// timed is something that is due in the fleet.
-type timedEvent struct {
-	at    relay.Seconds
-	order int // of things due at one time
-	run   func()
-}
-
-type eventHeap []timedEvent
-
-func (h eventHeap) Len() int      { return len(h) }
-func (h eventHeap) Swap(i, j int) { h[i], h[j] = h[j], h[i] }
-func (h eventHeap) Less(i, j int) bool {
-	return h[i].at < h[j].at || h[i].at == h[j].at && h[i].order < h[j].order
-}
-func (h *eventHeap) Push(x any) { *h = append(*h, x.(timedEvent)) }
-func (h *eventHeap) Pop() any {
-	last := len(*h) - 1
-	x := (*h)[last]
-	*h = (*h)[:last]
-	return x
-}
-
-// fleet is all relays, their units and their discovery.
-type fleet struct {
-	*rand.Rand
-	disabled  fleetSafeguards
-	now       relay.Seconds
-	events    eventHeap
-	scheduled int
-	discovery *fleetDiscovery
-	relays    []*fleetRelay
-	shuffled  []int // of the relays, by chance: the first ones are restarted, the last ones cut off
-	findings  fleetFindings
-}
-
-// fleetFindings is what the checks saw.
-type fleetFindings struct {
-	violations     int // legs to units that had counted as told as leaving for longer than the grace
-	firstViolation string
-	unrejected     int // queries to a relay without a lease that were not denied at once
-	rejected       int // those that were
-	requests       int
-	attempts       int           // legs
-	noList         int           // restarted relays that never had discovery's own list
-	noLease        int           // or a lease
-	leaseLast      relay.Seconds // the longest time from a start of the restarted relays to its lease
-	listLast       relay.Seconds // and to discovery's own list
-	pollsBySecond  []int         // new calls at discovery in each second
-}
-
-func newFleet(seed int64, faults fleetSafeguards) *fleet {
-	f := &fleet{Rand: rand.New(rand.NewSource(seed)), disabled: faults, relays: make([]*fleetRelay, fleetRelays)}
-	f.findings.pollsBySecond = make([]int, int(math.Ceil(fleetEnd)))
-	f.discovery, f.shuffled = newFleetDiscovery(f), f.Perm(fleetRelays)
-	for i := range f.relays {
-		f.runAt(firstStarts*float64(i)/fleetRelays, func() { f.startRelay(i, 0, append([]relay.Endpoint(nil), f.discovery.endpoints...)) })
-	}
-	f.runAt(outageAt, f.discovery.goDown)
-	f.runAt(returnAt, f.discovery.comeBack)
-	f.runAt(killAt, f.killRelays)
-	return f
-}
-
-func (f *fleet) runAt(at relay.Seconds, run func()) {
-	f.scheduled++
-	heap.Push(&f.events, timedEvent{math.Max(at, f.now), f.scheduled, run})
-}
-
-// play runs the day.
-func (f *fleet) run() fleetFindings {
-	for len(f.events) > 0 && f.events[0].at <= fleetEnd {
-		next := heap.Pop(&f.events).(timedEvent)
-		f.now = next.at
-		next.run()
-	}
-	for _, r := range f.relays {
-		if r.startedAt < restartAt {
-			continue
-		}
-		if !r.listed {
-			f.findings.noList++
-		}
-		if r.leasedAt == 0 {
-			f.findings.noLease++
-		}
-	}
-	return f.findings
-}
-
-// kill ends most relays at one moment; they start together with the list that they held.
-func (f *fleet) killRelays() {
-	for _, i := range f.shuffled[:restarted] {
-		r := f.relays[i]
-		r.dead = true
-		f.runAt(restartAt, func() { f.startRelay(i, r.schedule.generation, r.cachedList) })
-	}
-}
-
-// start starts a relay's process.
-func (f *fleet) startRelay(no int, generation int64, held []relay.Endpoint) {
-	seed := f.Int63()
-	set := relay.Settings{Self: relay.RelayID(no), Relays: fleetRelays, ListOnRequest: true,
-		Classes: []relay.ClassSettings{{LatencyObjective: 0.4, Deadline: 2, PriorityWeight: 1}},
-		Rules:   relay.Rules{DrainGrace: fleetGrace, PollInterval: 30, OverloadMultiple: 2.5, OverloadWindow: 3, SlowStartFloor: 0.5},
-		Limits:  relay.Limits{MaxAttempts: 3, ConnectTimeout: connectTimeout, HedgedRequests: true, RetryAfter: true, MaxRetryAfter: 1}}
-	r := &fleetRelay{fleet: f, id: no, startedAt: f.now, module: policy.New(set, seed),
-		schedule: newPollSchedule(seed, newPollSettings(false, fleetGrace)),
-		node: membership.New(membership.Settings{Self: set.Self, Relays: fleetRelays, Messages: !f.disabled.noMessages,
-			PollInterval: set.Rules.PollInterval, Epoch: 1e9}, seed),
-		timerAt: membership.Never, lease: -1, cachedList: held, attemptsOf: map[relay.RequestID]relay.AttemptNumber{}}
-	r.schedule.generation = generation
-	f.relays[no] = r
-	r.addEvents(relay.ListUpdate{Kind: relay.ListCached, Endpoints: held})
-	r.stepMembership(membership.CachedList{List: membership.List{Generation: generation, Full: true, Endpoints: held}})
-	if f.disabled.fixedRetry {
-		r.startWatch()
-	}
-	r.flush()
-	r.runAt(f.now+requestInterval*f.Float64(), r.sendRequest)
-}
-
-// broadcast carries a message to all other relays that live when it arrives.
-func (f *fleet) broadcast(from relay.RelayID, body []byte) {
-	for place, no := range f.shuffled {
-		deaf := f.now >= outageAt && place >= fleetRelays-cutOff
-		if no == int(from) || deaf || f.Float64() < messageLossRate {
-			continue
-		}
-		f.runAt(f.now+0.001+0.038*f.Float64(), func() {
-			if r := f.relays[no]; r != nil && !r.dead {
-				r.stepMembership(membership.MessageReceived{From: from, Body: body})
-				r.flush()
-			}
-		})
-	}
-}
-
-// calm is how long behind the restart discovery last had more new calls in a second than it takes.
-func (g fleetFindings) recoverySeconds() int {
-	first := int(math.Floor(restartAt))
-	last := first
-	for second, calls := range g.pollsBySecond {
-		if second >= first && float64(calls) >= discoveryRate {
-			last = second + 1
-		}
-	}
-	return last - first
-}
-
-// The bounds are one and a half times the most that was measured over the seeds 1 to 20, three of which are played here.
+// The bounds are one and a half times the most that was measured over the seeds 1 to 20, three of which are run here.
 const (
 	maxLeaseDelay       = 0.7   // s from the start; measured: 0.45
-	maxListDelay        = 12.0  // s from the start; measured: 8.15, as first calls are spread over 8 s
+	maxListDelay        = 12.0  // s from the start; measured: 8.15, as first polls are spread over 8 s
 	maxRecoverySeconds  = 9     // s from the restart; measured: 6
-	maxRejectedFraction = 0.025 // of all queries; measured: 0.0152
+	maxRejectedFraction = 0.025 // of all requests; measured: 0.0152
 )
 
 var fleetSeeds = []int64{1, 2, 3}
 
-// TestFleetRestartWithOverloadedDiscovery holds the fleet to the rule on units that leave, and to its recovery.
+// TestFleetRestartWithOverloadedDiscovery checks the rule on draining endpoints, and how soon the fleet recovers.
 func TestFleetRestartWithOverloadedDiscovery(t *testing.T) {
 	for _, seed := range fleetSeeds {
-		g := newFleet(seed, fleetSafeguards{}).run()
-		t.Logf("seed %d: lease %.2f s, list %.2f s, calm %d s behind the restart; %d of %d queries denied", seed, g.leaseLast,
-			g.listLast, g.recoverySeconds(), g.rejected, g.requests)
-		if g.violations > 0 {
-			t.Errorf("seed %d: %d legs to units told as leaving, first at %s", seed, g.violations, g.firstViolation)
+		findings := newFleet(seed, fleetSafeguards{}).run()
+		t.Logf("seed %d: lease %.2f s, list %.2f s, recovered %d s after the restart; %d of %d requests rejected", seed, findings.maxLeaseDelaySeen,
+			findings.maxListDelaySeen, findings.recoverySeconds(), findings.rejected, findings.requests)
+		if findings.violations > 0 {
+			t.Errorf("seed %d: %d attempts to draining endpoints, first at %s", seed, findings.violations, findings.firstViolation)
 		}
-		if g.noLease > 0 || g.leaseLast > maxLeaseDelay {
-			t.Errorf("seed %d: %d relays never had a lease, others within %.2f s", seed, g.noLease, g.leaseLast)
+		if findings.noLease > 0 || findings.maxLeaseDelaySeen > maxLeaseDelay {
+			t.Errorf("seed %d: %d relays never had a lease, others within %.2f s", seed, findings.noLease, findings.maxLeaseDelaySeen)
 		}
-		if g.noList > 0 || g.listLast > maxListDelay {
-			t.Errorf("seed %d: %d relays never had the list, others within %.2f s", seed, g.noList, g.listLast)
+		if findings.noList > 0 || findings.maxListDelaySeen > maxListDelay {
+			t.Errorf("seed %d: %d relays never had the list, others within %.2f s", seed, findings.noList, findings.maxListDelaySeen)
 		}
-		if g.recoverySeconds() > maxRecoverySeconds {
-			t.Errorf("seed %d: new calls stayed above discovery's pace for %d s: %v", seed, g.recoverySeconds(), g.pollsBySecond)
+		if findings.recoverySeconds() > maxRecoverySeconds {
+			t.Errorf("seed %d: new polls stayed above the service's rate for %d s: %v", seed, findings.recoverySeconds(), findings.pollsBySecond)
 		}
-		if g.unrejected > 0 || g.rejected == 0 {
-			t.Errorf("seed %d: without a lease %d queries were not denied at once, %d were", seed, g.unrejected, g.rejected)
+		if findings.unrejected > 0 || findings.rejected == 0 {
+			t.Errorf("seed %d: without a lease %d requests were not rejected at once, %d were", seed, findings.unrejected, findings.rejected)
 		}
-		if queries := float64(g.requests); float64(g.rejected) > maxRejectedFraction*queries || float64(g.attempts) < (1-2*maxRejectedFraction)*queries {
-			t.Errorf("seed %d: of %d queries %d denied, %d legs sent", seed, g.requests, g.rejected, g.attempts)
+		requests := float64(findings.requests)
+		tooManyRejected := float64(findings.rejected) > maxRejectedFraction*requests
+		if tooManyRejected || float64(findings.attempts) < (1-2*maxRejectedFraction)*requests {
+			t.Errorf("seed %d: of %d requests %d rejected, %d attempts sent", seed, findings.requests, findings.rejected, findings.attempts)
 		}
 	}
 }
 
-// TestFleetCheckDetectsDisabledSafeguards takes defences away: the same days show the fault then.
+// TestFleetCheckDetectsDisabledSafeguards disables safeguards: the same simulations show the fault then.
 func TestFleetCheckDetectsDisabledSafeguards(t *testing.T) {
-	breaks := func(g fleetFindings) bool { return g.violations > 0 && g.unrejected > 0 }
-	noList := func(g fleetFindings) bool { return g.noList > 0 && g.recoverySeconds() > maxRecoverySeconds }
-	for _, c := range []struct {
-		name   string
-		faults fleetSafeguards
-		shows  func(fleetFindings) bool
+	violations := func(findings fleetFindings) bool { return findings.violations > 0 && findings.unrejected > 0 }
+	noList := func(findings fleetFindings) bool {
+		return findings.noList > 0 && findings.recoverySeconds() > maxRecoverySeconds
+	}
+	for _, test := range []struct {
+		name     string
+		disabled fleetSafeguards
+		shows    func(fleetFindings) bool
 	}{
-		{"the lease ignored", fleetSafeguards{noLease: true}, breaks},
-		{"the lease ignored, no messages", fleetSafeguards{noLease: true, noMessages: true}, breaks},
+		{"the lease ignored", fleetSafeguards{noLease: true}, violations},
+		{"the lease ignored, no messages", fleetSafeguards{noLease: true, noMessages: true}, violations},
 		{"retries at a fixed pace, no messages", fleetSafeguards{fixedRetry: true, noMessages: true}, noList},
 	} {
 		found := false
 		for _, seed := range fleetSeeds {
-			g := newFleet(seed, c.faults).run()
-			t.Logf("%s, seed %d: %d breaks, %d relays without the list", c.name, seed, g.violations, g.noList)
-			if found = c.shows(g); found {
+			findings := newFleet(seed, test.disabled).run()
+			t.Logf("%s, seed %d: %d violations, %d relays without the list", test.name, seed, findings.violations, findings.noList)
+			if found = test.shows(findings); found {
 				break
 			}
 		}
 		if !found {
-			t.Error("not found:", c.name)
+			t.Error("not found:", test.name)
 		}
 	}
 }
--- a/internal/discovery/list.go
+++ b/internal/discovery/list.go
@@ -1,13 +1,10 @@
 package discovery
 
 import (
-	"bytes"
 	"encoding/json"
 	"errors"
 	"fmt"
-	"hash/fnv"
 	"net/netip"
-	"strconv"
 	"sync"
 
 	"lichenroad/relay"
@@ -16,155 +13,113 @@
 // maxEndpoints bounds a list: a thousand times what one relay sends to.
 const maxEndpoints = 1 << 14
 
-// List is one answer of discovery.
+// errMalformedList is of an answer, or an entry of one, that can't be read.
+var errMalformedList = errors.New("malformed list")
+
+// List is one answer of the discovery service.
 type List struct {
 	Generation int64
-	Full       bool
+	Full       bool // it holds all endpoints, not the changes alone
 	Endpoints  []ListedEndpoint
-	Unreadable int // entries that could not be read, and were left out or are bare
+	Unreadable int // entries that could not be read; of those, Endpoints has the ones that leave, as partial
 }
 
-// Line is one entry: what the module sees of it, and where it is.
+// ListedEndpoint is one entry of a list: what the decision module sees of it, and where it is.
 type ListedEndpoint struct {
 	relay.Endpoint
 	Name, Address string
 }
 
-// number takes a JSON number that may stand in quotes.
-type quotableNumber float64
-
-func (n *quotableNumber) UnmarshalJSON(b []byte) error {
-	v, err := strconv.ParseFloat(string(bytes.Trim(b, `"`)), 64)
-	*n = quotableNumber(v)
-	return err
-}
-
-type wireList struct {
-	Generation *int64            `json:"generation"`
-	Reset      bool              `json:"reset"`
-	Instances  []json.RawMessage `json:"instances"`
-}
-
-type wireEndpoint struct {
-	ID            string         `json:"instanceId"`
-	HostPort      string         `json:"hostPort"`
-	Zone          string         `json:"zone"`
-	MachineType   string         `json:"machineType"`
-	FailureDomain quotableNumber `json:"cell"`
-	Lifecycle     string         `json:"lifecycle"`
-	Weight        quotableNumber `json:"weight"`
-	StartedMs     quotableNumber `json:"startedAtMs"`
-	Build         quotableNumber `json:"build"`
-}
-
-// names numbers words: those that the settings list by their place there, others behind them as they come.
-type numbering struct{ numbers map[string]int }
-
-func newNumbering(known []string) *numbering {
-	n := &numbering{numbers: map[string]int{}}
-	for _, w := range known {
-		n.numberOf(w)
-	}
-	return n
-}
-
-func (n *numbering) numberOf(word string) int {
-	i, ok := n.numbers[word]
-	if !ok {
-		i = len(n.numbers)
-		n.numbers[word] = i
-	}
-	return i
-}
-
-// Reader reads lists. It remembers the numbers that it gave to names, so there is one for the life of the
-// process.
+// Reader reads lists. It remembers the numbers that it gave to zones and machine types, so there is one for the life of
+// the process. It may be used by several goroutines.
 type Reader struct {
-	mu                  sync.Mutex
-	zones, machineTypes *numbering
-	fromUnix            func(float64) relay.Seconds
+	mu           sync.Mutex // guards what follows
+	zones        *numbering
+	machineTypes *numbering
+	fromUnix     func(float64) relay.Seconds
 }
 
-// NewReader returns a reader; unix turns Unix time in seconds into the program's.
-func NewReader(zones, kinds []string, unix func(float64) relay.Seconds) *Reader {
-	return &Reader{zones: newNumbering(zones), machineTypes: newNumbering(kinds), fromUnix: unix}
+// NewReader returns a reader. The zones and machine types of the settings are numbered by their place there; fromUnix
+// turns a Unix time in seconds into the program's.
+func NewReader(zones, machineTypes []string, fromUnix func(float64) relay.Seconds) *Reader {
+	return &Reader{zones: newNumbering(zones), machineTypes: newNumbering(machineTypes), fromUnix: fromUnix}
 }
 
-var errMalformedList = errors.New("malformed list")
-
-var lifecycleStates = map[string]relay.EndpointState{"SERVING": relay.Ready, "DRAINING": relay.Draining, "DELETED": relay.Removed}
-
-// Parse reads a list. An entry that can't be read is left out and does not lose the rest, but one that says of a unit
-// that it leaves is believed with what can be read of it; of two entries with one id the later holds.
+// Parse reads a list. An entry that can't be read is left out and does not lose the rest, but one that says of an endpoint
+// that it leaves is believed with what can be read of it. Of two entries with one id the later holds.
 func (r *Reader) Parse(raw []byte) (List, error) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	var w wireList
-	if err := json.Unmarshal(raw, &w); err != nil {
+	var wire wireList
+	if err := json.Unmarshal(raw, &wire); err != nil {
 		return List{}, fmt.Errorf("%w: %w", errMalformedList, err)
 	}
-	if w.Generation == nil || len(w.Instances) > maxEndpoints {
-		return List{}, fmt.Errorf("%w: %d entries", errMalformedList, len(w.Instances))
+	if wire.Generation == nil || len(wire.Instances) > maxEndpoints {
+		return List{}, fmt.Errorf("%w: %d entries", errMalformedList, len(wire.Instances))
 	}
-	l := List{Generation: *w.Generation, Full: w.Reset}
-	at := map[relay.EndpointID]int{}
-	for _, raw := range w.Instances {
-		line, err := r.parseEndpoint(raw)
+	list := List{Generation: *wire.Generation, Full: wire.Reset}
+	indexOf := map[relay.EndpointID]int{}
+	for _, entry := range wire.Instances {
+		endpoint, err := r.parseEndpoint(entry)
 		if err != nil {
-			l.Unreadable++
-			if !line.Partial {
+			list.Unreadable++
+			if !endpoint.Partial {
 				continue
 			}
 		}
-		if i, twice := at[line.ID]; twice {
-			l.Endpoints[i] = line
+		if i, duplicate := indexOf[endpoint.ID]; duplicate {
+			list.Endpoints[i] = endpoint
 			continue
 		}
-		at[line.ID] = len(l.Endpoints)
-		l.Endpoints = append(l.Endpoints, line)
+		indexOf[endpoint.ID] = len(list.Endpoints)
+		list.Endpoints = append(list.Endpoints, endpoint)
 	}
-	return l, nil
+	return list, nil
 }
 
+// parseEndpoint reads one entry. With an error, the endpoint is partial if the entry says that it leaves, else empty.
 func (r *Reader) parseEndpoint(raw []byte) (ListedEndpoint, error) {
-	var w wireEndpoint
-	fault := json.Unmarshal(raw, &w)
-	if fault != nil {
-		// Whatever else is wrong with it: a unit that is said to leave gets nothing new.
-		var bare struct {
-			ID        string `json:"instanceId"`
-			Lifecycle string `json:"lifecycle"`
-		}
-		if json.Unmarshal(raw, &bare) != nil {
-			return ListedEndpoint{}, fault
-		}
-		w = wireEndpoint{ID: bare.ID, Lifecycle: bare.Lifecycle}
+	wire, fault, err := decodeEndpoint(raw)
+	if err != nil {
+		return ListedEndpoint{}, err
 	}
-	state, known := lifecycleStates[w.Lifecycle]
-	if w.ID == "" || !known {
-		return ListedEndpoint{}, fmt.Errorf("%w: entry %.40q", errMalformedList, w.ID)
+	state, known := lifecycleStates[wire.Lifecycle]
+	if wire.ID == "" || !known {
+		return ListedEndpoint{}, fmt.Errorf("%w: entry %.40q", errMalformedList, wire.ID)
 	}
-	if _, err := netip.ParseAddrPort(w.HostPort); err != nil && fault == nil && state != relay.Removed {
-		fault = fmt.Errorf("%w: address %.40q", errMalformedList, w.HostPort)
+	if fault == nil && state != relay.Removed {
+		fault = checkAddress(wire.HostPort)
 	}
-	if fault != nil && state == relay.Ready {
-		return ListedEndpoint{}, fault
+	if fault == nil {
+		return r.listedEndpoint(wire, state), nil
 	}
-	if fault != nil {
-		return ListedEndpoint{Endpoint: relay.Endpoint{ID: endpointID(w.ID), State: state, Partial: true}, Name: w.ID}, fault
+	if state == relay.Ready {
+		return ListedEndpoint{}, fault
 	}
-	e := relay.Endpoint{ID: endpointID(w.ID), Zone: relay.Zone(r.zones.numberOf(w.Zone)),
-		MachineType: relay.MachineType(r.machineTypes.numberOf(w.MachineType)), FailureDomain: relay.FailureDomain(w.FailureDomain), Build: relay.Build(w.Build),
-		Weight: float64(w.Weight), State: state}
-	if w.StartedMs != 0 {
-		e.StartKnown, e.StartedAt = true, r.fromUnix(float64(w.StartedMs)/1000)
+	partial := relay.Endpoint{ID: endpointID(wire.ID), State: state, Partial: true}
+	return ListedEndpoint{Endpoint: partial, Name: wire.ID}, fault
+}
+
+func checkAddress(hostPort string) error {
+	if _, err := netip.ParseAddrPort(hostPort); err != nil {
+		return fmt.Errorf("%w: address %.40q", errMalformedList, hostPort)
 	}
-	return ListedEndpoint{Endpoint: e, Name: w.ID, Address: w.HostPort}, nil
+	return nil
 }
 
-// endpointID numbers a unit by a hash of its id: relays tell one another of units, so all must use one number.
-func endpointID(name string) relay.EndpointID {
-	h := fnv.New64a()
-	h.Write([]byte(name))
-	return relay.EndpointID(h.Sum64())
+// listedEndpoint turns an entry without faults into an endpoint.
+func (r *Reader) listedEndpoint(wire wireEndpoint, state relay.EndpointState) ListedEndpoint {
+	endpoint := relay.Endpoint{
+		ID:            endpointID(wire.ID),
+		Zone:          relay.Zone(r.zones.numberOf(wire.Zone)),
+		MachineType:   relay.MachineType(r.machineTypes.numberOf(wire.MachineType)),
+		FailureDomain: relay.FailureDomain(wire.FailureDomain),
+		Build:         relay.Build(wire.Build),
+		Weight:        float64(wire.Weight),
+		State:         state,
+	}
+	if wire.StartedMs != 0 {
+		endpoint.StartKnown, endpoint.StartedAt = true, r.fromUnix(float64(wire.StartedMs)/1000)
+	}
+	return ListedEndpoint{Endpoint: endpoint, Name: wire.ID, Address: wire.HostPort}
 }
--- a/internal/discovery/list_test.go
+++ b/internal/discovery/list_test.go
@@ -9,8 +9,8 @@
 )
 
 func TestParse(t *testing.T) {
-	r := NewReader([]string{"a", "b"}, []string{"m1"}, func(s float64) relay.Seconds { return s - 100 })
-	list, err := r.Parse([]byte(`{"generation":41,"reset":true,"instances":[
+	reader := NewReader([]string{"a", "b"}, []string{"m1"}, func(s float64) relay.Seconds { return s - 100 })
+	list, err := reader.Parse([]byte(`{"generation":41,"reset":true,"instances":[
 		{"instanceId":"s-1","hostPort":"10.1.0.18:5433","zone":"b","machineType":"m2","cell":3,"lifecycle":"SERVING",
 		 "weight":1.5,"startedAtMs":99000,"build":41},
 		{"instanceId":"s-2","hostPort":"10.1.0.19:5433","lifecycle":"ASLEEP"},
@@ -38,21 +38,22 @@
 	if five.State != relay.Removed {
 		t.Errorf("%+v", five)
 	}
-	// Whatever else is wrong with it, an entry that says of a unit that it leaves is believed.
-	for i, want := range []relay.EndpointState{relay.Draining, relay.Draining, relay.Removed} {
-		if l := list.Endpoints[3+i]; l.Endpoint != (relay.Endpoint{ID: endpointID(fmt.Sprint("s-", 6+i)), State: want, Partial: true}) {
-			t.Errorf("%+v", l)
+	// Whatever else is wrong with it, an entry that says of an endpoint that it leaves is believed.
+	for i, state := range []relay.EndpointState{relay.Draining, relay.Draining, relay.Removed} {
+		want := relay.Endpoint{ID: endpointID(fmt.Sprint("s-", 6+i)), State: state, Partial: true}
+		if endpoint := list.Endpoints[3+i]; endpoint.Endpoint != want {
+			t.Errorf("%+v", endpoint)
 		}
 	}
-	again, err := r.Parse([]byte(`{"generation":42,"instances":[{"instanceId":"s-1","hostPort":"10.1.0.18:5433",
+	next, err := reader.Parse([]byte(`{"generation":42,"instances":[{"instanceId":"s-1","hostPort":"10.1.0.18:5433",
 		"zone":"c","lifecycle":"SERVING"}]}`))
-	if err != nil || again.Endpoints[0].Zone != 2 || again.Endpoints[0].ID != one.ID {
-		t.Errorf("numbers should stay: %+v %v", again, err)
+	if err != nil || next.Endpoints[0].Zone != 2 || next.Endpoints[0].ID != one.ID {
+		t.Errorf("numbers should stay: %+v %v", next, err)
 	}
-	for _, bad := range []string{``, `{`, `[]`, `{"instances":[]}`, `{"generation":"x","instances":[]}`,
+	for _, malformed := range []string{``, `{`, `[]`, `{"instances":[]}`, `{"generation":"x","instances":[]}`,
 		`{"generation":1,"instances":[` + strings.Repeat(`{},`, maxEndpoints) + `{}]}`} {
-		if _, err := r.Parse([]byte(bad)); err == nil {
-			t.Errorf("%.40q was taken", bad)
+		if _, err := reader.Parse([]byte(malformed)); err == nil {
+			t.Errorf("%.40q was taken", malformed)
 		}
 	}
 }
--- a/internal/discovery/membership.go
+++ b/internal/discovery/membership.go
@@ -7,66 +7,74 @@
 	"lichenroad/relay"
 )
 
-// member hosts the relay's part in the membership protocol: it hands over what happens, and carries out what comes of it.
-// All of it runs on the loop.
+// noLease is a lease that no node returns: the decision module has not been notified of any yet.
+const noLease relay.Seconds = -1
+
+// membershipHost hosts the relay's node of the membership protocol: it hands over what happens, and carries out what the
+// node returns. All of it runs on the loop.
 type membershipHost struct {
 	client  *Client
 	loop    *pipeline.Loop
 	node    *membership.Node
-	timerAt relay.Seconds // of the wake-up that is under way; membership.Never: none
-	lease   relay.Seconds // that the module was last told
+	timerAt relay.Seconds // of the timer that is set; membership.Never: none
+	lease   relay.Seconds // of which the decision module was notified last
 }
 
-func newMembershipHost(a *Client, seed int64) *membershipHost {
-	site := a.loop.Site
-	node := membership.New(membership.Settings{Self: site.Self, Relays: site.Relays, Messages: site.Limits.PeerMessages,
-		PollInterval: site.Rules.PollInterval, Epoch: -a.loop.Clock.Unix(0)}, seed)
-	return &membershipHost{client: a, loop: a.loop, node: node, timerAt: membership.Never, lease: -1}
+func newMembershipHost(c *Client, seed int64) *membershipHost {
+	site := c.loop.Site
+	node := membership.New(membership.Settings{
+		Self:         site.Self,
+		Relays:       site.Relays,
+		Messages:     site.Limits.PeerMessages,
+		PollInterval: site.Rules.PollInterval,
+		Epoch:        -c.loop.Clock.Unix(0),
+	}, seed)
+	return &membershipHost{client: c, loop: c.loop, node: node, timerAt: membership.Never, lease: noLease}
 }
 
-// list tells the node of a list, of before the start or from discovery.
-func (m *membershipHost) listReceived(t told) {
-	given := membership.List{Generation: t.list.Generation, Full: t.form != relay.ListDelta}
-	for _, line := range t.list.Endpoints {
-		given.Endpoints = append(given.Endpoints, line.Endpoint)
+// listReceived tells the node of a list, received or cached before the start.
+func (m *membershipHost) listReceived(update listUpdate) {
+	list := membership.List{Generation: update.list.Generation, Full: update.kind != relay.ListDelta}
+	for _, endpoint := range update.list.Endpoints {
+		list.Endpoints = append(list.Endpoints, endpoint.Endpoint)
 	}
-	if t.form == relay.ListCached {
-		m.step(membership.CachedList{List: given})
+	if update.kind == relay.ListCached {
+		m.step(membership.CachedList{List: list})
 		return
 	}
-	m.step(membership.PollAnswered{List: given})
+	m.step(membership.PollAnswered{List: list})
 }
 
-// step lets the node see an event, and carries out what it returns.
+// step hands an event to the node, and carries out what it returns.
 func (m *membershipHost) step(event any) {
 	now := m.loop.Clock.Now()
-	out := m.node.Step(now, event)
-	for _, body := range out.Messages {
+	output := m.node.Step(now, event)
+	for _, body := range output.Messages {
 		m.loop.Peers.SendMessage(relay.SendMessage{To: relay.Broadcast, Body: body})
 	}
-	m.endpointsLeaving(out.Removed)
-	m.setLease(now, out.Lease)
-	if out.Answers {
+	m.endpointsLeaving(output.Removed)
+	m.setLease(now, output.Lease)
+	if output.Answers {
 		m.loop.AddEvent(relay.DiscoveryRecovered{})
 	}
-	m.setTimer(out.TimerAt)
+	m.setTimer(output.TimerAt)
 }
 
-// leave tells connections and module of units that peers know to have left.
-func (m *membershipHost) endpointsLeaving(left []relay.EndpointID) {
-	if len(left) == 0 {
+// endpointsLeaving tells the listener and the decision module of endpoints that peers know to be leaving.
+func (m *membershipHost) endpointsLeaving(leaving []relay.EndpointID) {
+	if len(leaving) == 0 {
 		return
 	}
-	r := relay.ListUpdate{Kind: relay.ListDelta, FromPeers: true}
-	for _, unit := range left {
-		m.client.listener.EndpointLeaving(unit, false)
-		r.Endpoints = append(r.Endpoints, relay.Endpoint{ID: unit, State: relay.Draining, Partial: true})
+	update := relay.ListUpdate{Kind: relay.ListDelta, FromPeers: true}
+	for _, id := range leaving {
+		m.client.listener.EndpointLeaving(id, false)
+		update.Endpoints = append(update.Endpoints, relay.Endpoint{ID: id, State: relay.Draining, Partial: true})
 	}
-	m.loop.Metrics.Add(metrics.EndpointsRemovedByPeers, int64(len(left)))
-	m.loop.AddEvent(r)
+	m.loop.Metrics.Add(metrics.EndpointsRemovedByPeers, int64(len(leaving)))
+	m.loop.AddEvent(update)
 }
 
-// grant tells the module until when its list holds. The first lease that is not over lets clients in.
+// setLease tells the decision module until when its list may be used. The first lease that has not expired opens service.
 func (m *membershipHost) setLease(now, lease relay.Seconds) {
 	if lease != m.lease {
 		m.lease = lease
@@ -77,7 +85,7 @@
 	}
 }
 
-// wake asks for a wake-up, unless one comes early enough.
+// setTimer sets a timer for the node, unless one that is set fires early enough.
 func (m *membershipHost) setTimer(at relay.Seconds) {
 	if at >= m.timerAt {
 		return
@@ -91,11 +99,12 @@
 	})
 }
 
-// Heard takes a datagram of another relay, on the loop.
-func (a *Client) MembershipMessage(from relay.RelayID, body []byte) {
-	unreadable := a.membership.node.Counters().Unreadable
-	a.membership.step(membership.MessageReceived{From: from, Body: body})
-	if a.membership.node.Counters().Unreadable > unreadable {
-		a.loop.Metrics.Add(metrics.BadInput, 1)
+// MembershipMessage takes a datagram of another relay, on the loop.
+func (c *Client) MembershipMessage(from relay.RelayID, body []byte) {
+	node := c.membership.node
+	unreadable := node.Counters().Unreadable
+	c.membership.step(membership.MessageReceived{From: from, Body: body})
+	if node.Counters().Unreadable > unreadable {
+		c.loop.Metrics.Add(metrics.BadInput, 1)
 	}
 }
--- /dev/null
+++ b/internal/discovery/move_test.go
@@ -0,0 +1,94 @@
+package discovery
+
+import (
+	"fmt"
+	"io"
+	"strings"
+	"testing"
+	"time"
+
+	"lichenroad/internal/metrics"
+	"lichenroad/relay"
+)
+
+// TestAddressChangeKeepsThePreviousWatchUntilTheNewAddressAnswers changes the address: what the old one sends meanwhile
+// holds, of what it sends after the new one's first answer only that endpoints leave, and its end is no failure.
+func TestAddressChangeKeepsThePreviousWatchUntilTheNewAddressAnswers(t *testing.T) {
+	for _, pushed := range []bool{false, true} {
+		t.Run(fmt.Sprint("pushed ", pushed), func(t *testing.T) {
+			previous, current := newFakeDiscovery(t), newFakeDiscovery(t)
+			host := newTestHost(t, previous.address(), pushed)
+			host.start()
+			watch := previous.nextPoll()
+			host.waitForUpdate(relay.ListCached)
+			host.client.Move(current.address())
+			full := current.nextPoll()
+			if full.path != listPath {
+				t.Error("not polled for the full list:", full.path)
+			}
+			watch.answer(listBody(2, false, listEntry("DRAINING")))
+			if update := host.waitForUpdate(relay.ListDelta); update.Endpoints[0].State != relay.Draining {
+				t.Errorf("%+v", update)
+			}
+			watch = previous.nextPoll()
+			full.answer(listBody(40, true, listEntry("DELETED")))
+			host.waitForUpdate(relay.ListFull)
+			watch.answer(listBody(3, false, listEntry("SERVING")))
+			otherEntry := strings.Replace(listEntry("SERVING"), "s-1", "s-2", 1)
+			previous.nextPoll().answer(listBody(4, false, listEntry("DRAINING"), otherEntry))
+			update := host.waitForUpdate(relay.ListDelta)
+			if len(update.Endpoints) != 1 || update.Endpoints[0].State != relay.Draining {
+				t.Errorf("%+v", update)
+			}
+			current.nextPoll().answer(listBody(41, false, listEntry("SERVING")))
+			host.waitForUpdate(relay.ListDelta)
+			if failures := host.loop.Metrics.Get(metrics.DiscoveryFailed); len(host.updates) != 0 || failures != 0 {
+				t.Errorf("%+v, %d failures", host.updates, failures)
+			}
+			stop := make(chan struct{})
+			defer close(stop)
+			go host.loop.Run(stop)
+			watch = previous.nextPoll()
+			watch.SetReadDeadline(time.Now().Add(testTimeout))
+			if _, err := watch.Read(make([]byte, 1)); err != io.EOF {
+				t.Error("the previous watch is kept:", err)
+			}
+		})
+	}
+}
+
+// TestSuccessiveAddressChanges changes the address again before the new one has answered, and back to the first one: each
+// time the full list is polled for, what happens at the address before is no failure, and its late answer is not taken.
+func TestSuccessiveAddressChanges(t *testing.T) {
+	for _, pushed := range []bool{false, true} {
+		t.Run(fmt.Sprint("pushed ", pushed), func(t *testing.T) {
+			first, second, third := newFakeDiscovery(t), newFakeDiscovery(t), newFakeDiscovery(t)
+			host := newTestHost(t, first.address(), pushed)
+			host.start()
+			first.nextPoll()
+			host.waitForUpdate(relay.ListCached)
+			host.client.Move(second.address())
+			unanswered := second.nextPoll()
+			host.client.Move(third.address())
+			full := third.nextPoll()
+			if full.path != listPath {
+				t.Error("not polled for the full list:", full.path)
+			}
+			unanswered.Close()
+			full.answer(listBody(7, true, listEntry("SERVING")))
+			host.waitForUpdate(relay.ListFull)
+			third.nextPoll()
+			host.client.Move(first.address())
+			back := first.nextPoll()
+			if back.path != listPath {
+				t.Error("not polled for the full list on the way back:", back.path)
+			}
+			back.answer(listBody(3, true, listEntry("DRAINING"))) // its generations are its own
+			update := host.waitForUpdate(relay.ListFull)
+			if len(update.Endpoints) != 1 || update.Endpoints[0].State != relay.Draining {
+				t.Errorf("%+v", update)
+			}
+			host.checkNoFailures(host.allUpdates)
+		})
+	}
+}
--- a/internal/discovery/schedule.go
+++ b/internal/discovery/schedule.go
@@ -9,92 +9,126 @@
 	"lichenroad/relay"
 )
 
-// target is the path of the list.
+// listPath is the path of the list at the discovery service.
 const listPath = "/api/targets"
 
-// request is one call to discovery.
+// noGeneration is the generation of a relay that has no list.
+const noGeneration = -1
+
+// poll is one request to the discovery service.
 type poll struct {
 	path      string
-	wait      time.Duration // that the call may wait for something new
-	timeout   time.Duration // after which it is given up as silent
-	continues bool          // the watch, without a gap behind the answer before
+	wait      time.Duration // for which the service may hold the poll until something changes
+	timeout   time.Duration // after which the poll counts as stalled
+	continues bool          // it continues the watch, without a gap after the answer before
 }
 
-// keeper keeps the watch on one address: what it asks next, what of an answer is news, and when it asks again. It has
-// no clock, no goroutine and no socket, so that a test can play it in virtual time.
-type pollSchedule struct {
-	random      *rand.Rand
-	generation  int64 // of the list that stands; -1: none
-	settings    pollSettings
-	backoff     time.Duration // that was last let pass between two tries; 0: none failed since an answer
-	established bool          // the last call of the watch was answered, and the next one continues it
-}
+// pollOrigin says why a poll was sent.
+type pollOrigin int
+
+const (
+	watchContinued pollOrigin = iota // after another poll of the watch
+	watchCommanded                   // the first after the watch was turned on
+	fetchCommanded                   // a fetch of the full list
+)
 
-// waits are how long things may take, and how a list comes to be told.
+// pollSettings are how the lists of a site are polled.
 type pollSettings struct {
-	maxWatchWait    time.Duration // a watch's longest wait
-	answerGrace     time.Duration // an answer beyond that
-	immediateAnswer time.Duration // an answer to a call that does not wait
-	nextChunk       time.Duration // the next piece of an answer that has begun
-	firstPushedList time.Duration // clients, at the start, for a list that is pushed
-	firstList       time.Duration // clients, at the start, for any list where none is known
-	pushed          bool          // the module orders no watch: one that ends is opened again from here
-	maxBackoff      time.Duration // between two tries to open it then: what the agent has counts as told all the same
+	pushed          bool          // no command orders the watch: the client retries it by itself
+	maxWatchWait    time.Duration // for which a poll of the watch waits at most
+	answerGrace     time.Duration // beyond its wait, for the answer to a poll of the watch
+	immediateAnswer time.Duration // for the answer to a poll that does not wait
+	nextChunk       time.Duration // for the next part of an answer that has begun
+	firstPushedList time.Duration // after the start, until service opens without the pushed list
+	firstList       time.Duration // after the start, until service opens without any list
+	maxBackoff      time.Duration // between two attempts to open a pushed watch
+}
+
+// newPollSettings returns the settings of a site. Changes that are pushed while no watch stands bind the relay after the
+// drain grace, so the backoff is bounded by a part of that.
+func newPollSettings(pushed bool, drainGrace relay.Seconds) pollSettings {
+	partOfGrace := time.Duration(limits.PushPart * drainGrace * float64(time.Second))
+	return pollSettings{
+		pushed:          pushed,
+		maxWatchWait:    limits.WatchFor,
+		answerGrace:     limits.AnswerFor,
+		immediateAnswer: limits.PlainFor,
+		nextChunk:       limits.ListRest,
+		firstPushedList: limits.FirstList,
+		firstList:       limits.NoList,
+		maxBackoff:      max(limits.LeastOff, min(partOfGrace, limits.MostOff)),
+	}
 }
 
-// usual are the waits of a site. Where lists are pushed what comes while no watch stands has to be in hand before the
-// drain grace is over, so a relay tries again within a part of it.
-func newPollSettings(pushed bool, grace relay.Seconds) pollSettings {
-	most := time.Duration(limits.PushPart * grace * float64(time.Second))
-	return pollSettings{limits.WatchFor, limits.AnswerFor, limits.PlainFor, limits.ListRest, limits.FirstList, limits.NoList, pushed,
-		max(limits.LeastOff, min(most, limits.MostOff))}
+// pollSchedule decides what the watch at one address polls for next, what of an answer is new, and when a failed watch is
+// retried. It has no clock, goroutine or socket, so that tests run it in virtual time. The caller guards it.
+type pollSchedule struct {
+	settings    pollSettings
+	random      *rand.Rand
+	generation  int64         // of the list that holds, or noGeneration
+	backoff     time.Duration // bound of the last wait before a retry; 0: no failure since an answer
+	established bool          // the last poll of the watch was answered, and the next one continues it
 }
 
-func newPollSchedule(seed int64, w pollSettings) *pollSchedule {
-	return &pollSchedule{random: rand.New(rand.NewSource(seed)), settings: w, generation: -1}
+func newPollSchedule(seed int64, settings pollSettings) *pollSchedule {
+	return &pollSchedule{settings: settings, random: rand.New(rand.NewSource(seed)), generation: noGeneration}
 }
 
-// next is the watch's next call. The first call of a watch does not wait: its answer, even an empty one, confirms the list,
-// for this relay and for its peers. How long the others wait is drawn, so that relays whose watches fell silent together
-// don't find out together and all ask anew at one moment.
-func (k *pollSchedule) nextPoll() poll {
-	if k.generation < 0 {
-		return k.fullListPoll()
+// nextPoll returns the next poll of the watch. The first one does not wait: its answer, even an empty one, confirms the
+// list for this relay and for its peers. The wait of the others is random, so that relays whose watches stalled together
+// don't all notice and poll again at one moment.
+func (s *pollSchedule) nextPoll() poll {
+	if s.generation < 0 {
+		return s.fullListPoll()
+	}
+	if !s.established {
+		return poll{path: changesPath(s.generation, 0), timeout: s.settings.immediateAnswer}
 	}
-	if !k.established {
-		return poll{fmt.Sprintf("%s?after=%d&wait_ms=0", listPath, k.generation), 0, k.settings.immediateAnswer, false}
+	part := limits.WatchPart + (1-limits.WatchPart)*s.random.Float64()
+	wait := time.Duration(part * float64(s.settings.maxWatchWait))
+	return poll{
+		path:      changesPath(s.generation, wait),
+		wait:      wait,
+		timeout:   wait + s.settings.answerGrace,
+		continues: true,
 	}
-	wait := time.Duration((limits.WatchPart + (1-limits.WatchPart)*k.random.Float64()) * float64(k.settings.maxWatchWait))
-	return poll{fmt.Sprintf("%s?after=%d&wait_ms=%d", listPath, k.generation, wait.Milliseconds()), wait, wait + k.settings.answerGrace, true}
 }
 
-// whole is a call for the whole list, which does not wait.
-func (k *pollSchedule) fullListPoll() poll {
-	return poll{listPath, 0, k.settings.immediateAnswer, false}
+// fullListPoll returns a poll for the full list, which does not wait.
+func (s *pollSchedule) fullListPoll() poll {
+	return poll{path: listPath, timeout: s.settings.immediateAnswer}
+}
+
+// changesPath is the path of the changes since a generation, for which the service may wait.
+func changesPath(since int64, wait time.Duration) string {
+	return fmt.Sprintf("%s?after=%d&wait_ms=%d", listPath, since, wait.Milliseconds())
 }
 
-// took takes an answer, to the watch or to a call for the whole list, and says what of it the module is to be told;
-// an answer to an order always, else only news.
-func (k *pollSchedule) accept(list List, ordered, fetched bool) (List, relay.ListUpdateKind, bool) {
-	k.established = k.established || !fetched
-	if fetched && list.Generation < k.generation {
-		list = List{Generation: k.generation} // the watch has told more meanwhile; this brings nothing new
+// accept takes the answer to a poll, and says what of it is new. The decision module learns of each answer to a command,
+// and of others only if they change something.
+func (s *pollSchedule) accept(list List, origin pollOrigin) listUpdate {
+	if origin != fetchCommanded {
+		s.established = true
+	} else if list.Generation < s.generation {
+		list = List{Generation: s.generation} // the watch has brought a newer list meanwhile
 	}
-	k.generation, k.backoff = list.Generation, 0
-	form := relay.ListDelta
+	s.generation, s.backoff = list.Generation, 0
+	kind := relay.ListDelta
 	if list.Full {
-		form = relay.ListFull
+		kind = relay.ListFull
 	}
-	return list, form, ordered || list.Full || len(list.Endpoints) > 0 || list.Unreadable > 0
+	changes := list.Full || len(list.Endpoints) > 0 || list.Unreadable > 0
+	return listUpdate{list: list, kind: kind, notify: changes || origin != watchContinued}
 }
 
-// failed says whether the watch is opened again from here, and after how long: longer from time to time, but at once
-// after silence, as what was missed is about to count as told.
-func (k *pollSchedule) pollFailed(silent bool) (again bool, after time.Duration) {
-	k.established = false
-	if k.settings.pushed && !silent {
-		k.backoff = min(max(2*k.backoff, limits.BackOff), k.settings.maxBackoff)
-		after = time.Duration((1 + k.random.Float64()) / 2 * float64(k.backoff))
+// pollFailed says whether the client retries the watch by itself, and after which wait: exponential backoff with jitter,
+// but none after a stall, as what was missed in it is about to bind the relay.
+func (s *pollSchedule) pollFailed(stalled bool) (retry bool, wait time.Duration) {
+	s.established = false
+	if !s.settings.pushed || stalled {
+		return s.settings.pushed, 0
 	}
-	return k.settings.pushed, after
+	s.backoff = min(max(2*s.backoff, limits.BackOff), s.settings.maxBackoff)
+	jitter := (1 + s.random.Float64()) / 2
+	return true, time.Duration(jitter * float64(s.backoff))
 }
--- a/internal/discovery/schedule_test.go
+++ b/internal/discovery/schedule_test.go
@@ -10,86 +10,93 @@
 	"lichenroad/relay"
 )
 
-// notifiedBy is when what a call missed counts as told, counted from its start: 6 s after it fell silent, or 2 s after its
-// wait is over if that is later. A call falls silent at its start at the earliest.
-func notifiedBy(r poll) time.Duration { return max(6*time.Second, r.wait+2*time.Second) }
+// notifiedBy is when what a poll missed counts as notified, counted from its start: 6 s after it stalled, or 2 s after its
+// wait is over if that is later. A poll stalls at its start at the earliest.
+func notifiedBy(p poll) time.Duration { return max(6*time.Second, p.wait+2*time.Second) }
 
-// TestStalledWatchIsDetectedInTime holds each call to what is left when it is given up: the list has to be asked for anew, and
-// once more if that fails, before what was missed counts as told.
+// TestStalledWatchIsDetectedInTime checks how much time is left when a poll counts as stalled: the list has to be polled for
+// again, and once more if that fails, before what was missed counts as notified.
 func TestStalledWatchIsDetectedInTime(t *testing.T) {
-	const anew = 1500 * time.Millisecond // a call that discovery fails after its second, and half of one for the next
+	const timeToRetry = 1500 * time.Millisecond // for a poll that fails after a second, and half of one for the next
 	for seed := range int64(1000) {
-		k := newPollSchedule(seed, newPollSettings(false, 0.25))
-		if r := k.nextPoll(); r.path != listPath || r.wait != 0 || notifiedBy(r)-r.timeout < anew {
-			t.Fatalf("%+v", r)
+		schedule := newPollSchedule(seed, newPollSettings(false, 0.25))
+		if first := schedule.nextPoll(); first.path != listPath || first.wait != 0 || notifiedBy(first)-first.timeout < timeToRetry {
+			t.Fatalf("%+v", first)
 		}
-		k.accept(List{Generation: 7, Full: true}, true, false)
-		r := k.nextPoll()
-		if r.path != fmt.Sprintf("%s?after=7&wait_ms=%d", listPath, r.wait.Milliseconds()) {
-			t.Fatalf("%+v", r)
+		schedule.accept(List{Generation: 7, Full: true}, watchCommanded)
+		next := schedule.nextPoll()
+		if next.path != fmt.Sprintf("%s?after=7&wait_ms=%d", listPath, next.wait.Milliseconds()) {
+			t.Fatalf("%+v", next)
 		}
-		if r.timeout <= r.wait || notifiedBy(r)-r.timeout < anew || r.wait > limits.WatchFor || r.wait < limits.WatchFor/2 {
-			t.Fatalf("seed %d: given up after %v, told after %v", seed, r.timeout, notifiedBy(r))
+		if next.timeout <= next.wait || notifiedBy(next)-next.timeout < timeToRetry {
+			t.Fatalf("seed %d: given up after %v, notified after %v", seed, next.timeout, notifiedBy(next))
+		}
+		if next.wait > limits.WatchFor || next.wait < limits.WatchFor/2 {
+			t.Fatalf("seed %d: waits %v", seed, next.wait)
 		}
 	}
 }
 
-// TestFleetSpreadsItsPollsAfterAStall lets the watches of 350 relays, begun at one moment, all fall silent.
+// TestFleetSpreadsItsPollsAfterAStall stalls the watches of 350 relays, begun at one moment, all at once.
 func TestFleetSpreadsItsPollsAfterAStall(t *testing.T) {
-	var at []time.Duration
+	const maxPerSecond = 70
+	var detectedAt []time.Duration
 	for seed := range int64(350) {
-		k := newPollSchedule(seed, newPollSettings(false, 0.25))
-		k.generation, k.established = 1, true
-		at = append(at, k.nextPoll().timeout)
+		schedule := newPollSchedule(seed, newPollSettings(false, 0.25))
+		schedule.generation, schedule.established = 1, true
+		detectedAt = append(detectedAt, schedule.nextPoll().timeout)
 	}
-	sort.Slice(at, func(i, j int) bool { return at[i] < at[j] })
+	sort.Slice(detectedAt, func(i, j int) bool { return detectedAt[i] < detectedAt[j] })
 	most := 0
-	for i, j := 0, 0; j < len(at); j++ {
-		for at[j]-at[i] > time.Second {
-			i++
+	for first, last := 0, 0; last < len(detectedAt); last++ {
+		for detectedAt[last]-detectedAt[first] > time.Second {
+			first++
 		}
-		most = max(most, j-i+1)
+		most = max(most, last-first+1)
 	}
-	if most > 70 {
-		t.Errorf("%d of %d relays ask anew within one second", most, len(at))
+	if most > maxPerSecond {
+		t.Errorf("%d of %d relays poll again within one second", most, len(detectedAt))
 	}
 }
 
-// TestPushedWatchIsRetriedWithBackoff opens a watch again that nobody orders: at once after silence, else within the
+// TestPushedWatchIsRetriedWithBackoff retries a watch that nobody orders: at once after a stall, else within a part of the
 // drain grace, however often it fails.
 func TestPushedWatchIsRetriedWithBackoff(t *testing.T) {
 	for _, grace := range []relay.Seconds{0.05, 0.25, 1, 10} {
-		k := newPollSchedule(1, newPollSettings(true, grace))
-		if again, after := k.pollFailed(true); !again || after != 0 {
-			t.Error("after silence:", again, after)
+		schedule := newPollSchedule(1, newPollSettings(true, grace))
+		if retry, wait := schedule.pollFailed(true); !retry || wait != 0 {
+			t.Error("after a stall:", retry, wait)
 		}
 		for range 20 {
-			again, after := k.pollFailed(false)
-			if !again || after <= 0 || after > limits.MostOff || after.Seconds() > grace*limits.PushPart {
-				t.Errorf("grace %v: %v after %v", grace, again, after)
+			retry, wait := schedule.pollFailed(false)
+			if !retry || wait <= 0 || wait > limits.MostOff || wait.Seconds() > grace*limits.PushPart {
+				t.Errorf("grace %v: %v after %v", grace, retry, wait)
 			}
 		}
 	}
-	if again, _ := newPollSchedule(1, newPollSettings(false, 0.25)).pollFailed(true); again {
-		t.Error("a watch that the module orders was opened again unasked")
+	if retry, _ := newPollSchedule(1, newPollSettings(false, 0.25)).pollFailed(true); retry {
+		t.Error("a watch that the decision module orders was retried without a command")
 	}
 }
 
-// TestOlderFullListDoesNotUndoAChange has a whole list cross a watch's answer: what the watch told stands.
+// TestOlderFullListDoesNotUndoAChange has a full list cross an answer to the watch: the change in that holds.
 func TestOlderFullListDoesNotUndoAChange(t *testing.T) {
-	k := newPollSchedule(1, newPollSettings(false, 0.25))
-	k.accept(List{Generation: 5, Full: true}, true, false)
-	if _, _, news := k.accept(List{Generation: 5}, false, false); news {
-		t.Error("a watch that brought nothing is no news")
+	schedule := newPollSchedule(1, newPollSettings(false, 0.25))
+	schedule.accept(List{Generation: 5, Full: true}, watchCommanded)
+	if update := schedule.accept(List{Generation: 5}, watchContinued); update.notify {
+		t.Error("notified of a poll without changes")
 	}
-	if _, form, news := k.accept(List{Generation: 6, Endpoints: make([]ListedEndpoint, 1)}, false, false); !news || form != relay.ListDelta {
-		t.Error("a change is news")
+	change := List{Generation: 6, Endpoints: make([]ListedEndpoint, 1)}
+	if update := schedule.accept(change, watchContinued); !update.notify || update.kind != relay.ListDelta {
+		t.Error("not notified of a change")
 	}
-	if l, form, news := k.accept(List{Generation: 5, Full: true, Endpoints: make([]ListedEndpoint, 2)}, true, true); !news ||
-		form != relay.ListDelta || len(l.Endpoints) != 0 || k.generation != 6 {
-		t.Errorf("an older whole list undid the change: %+v %v, version %d", l, form, k.generation)
+	older := List{Generation: 5, Full: true, Endpoints: make([]ListedEndpoint, 2)}
+	update := schedule.accept(older, fetchCommanded)
+	if !update.notify || update.kind != relay.ListDelta || len(update.list.Endpoints) != 0 || schedule.generation != 6 {
+		t.Errorf("an older full list undid the change: %+v, generation %d", update, schedule.generation)
 	}
-	if _, form, news := k.accept(List{Generation: 2, Full: true}, false, false); !news || form != relay.ListFull || k.generation != 2 {
-		t.Error("a whole list on the watch begins anew, whatever its version")
+	update = schedule.accept(List{Generation: 2, Full: true}, watchContinued)
+	if !update.notify || update.kind != relay.ListFull || schedule.generation != 2 {
+		t.Error("a full list on the watch does not begin anew with its generation")
 	}
 }
