--- a/cmd/lichenroad/serve.go
+++ b/cmd/lichenroad/serve.go
@@ -154,7 +154,7 @@
 	}
 	p.replan()
 	p.loop.Post(pipeline.Func(func(l *pipeline.Loop) {
-		p.asker.Move(next.Discovery)
+		p.asker.ChangeAddress(next.Discovery)
 		if next.Platform != "" {
 			p.desk.Move(next.Platform)
 		}
--- a/internal/discovery/move.go
+++ b/internal/discovery/address.go
@@ -5,10 +5,10 @@
 	"lichenroad/relay"
 )
 
-// Move changes the address of the discovery service, on the loop. The new address is asked for the full list, as its
+// ChangeAddress changes the address of the discovery service, on the loop. The new address is asked for the full list, as its
 // generations need not be those of the old one. The watch at the old address goes on until the first list of the new one,
 // and what it brings holds until then. The end of the old watch is no failure.
-func (c *Client) Move(address string) {
+func (c *Client) ChangeAddress(address string) {
 	if c.current.address == address {
 		return
 	}
--- a/internal/discovery/move_test.go
+++ b/internal/discovery/address_test.go
@@ -21,7 +21,7 @@
 			host.start()
 			watch := previous.nextPoll()
 			host.waitForUpdate(relay.ListCached)
-			host.client.Move(current.address())
+			host.client.ChangeAddress(current.address())
 			full := current.nextPoll()
 			if full.path != listPath {
 				t.Error("not polled for the full list:", full.path)
@@ -67,9 +67,9 @@
 			host.start()
 			first.nextPoll()
 			host.waitForUpdate(relay.ListCached)
-			host.client.Move(second.address())
+			host.client.ChangeAddress(second.address())
 			unanswered := second.nextPoll()
-			host.client.Move(third.address())
+			host.client.ChangeAddress(third.address())
 			full := third.nextPoll()
 			if full.path != listPath {
 				t.Error("not polled for the full list:", full.path)
@@ -78,7 +78,7 @@
 			full.answer(listBody(7, true, listEntry("SERVING")))
 			host.waitForUpdate(relay.ListFull)
 			third.nextPoll()
-			host.client.Move(first.address())
+			host.client.ChangeAddress(first.address())
 			back := first.nextPoll()
 			if back.path != listPath {
 				t.Error("not polled for the full list on the way back:", back.path)
