--- a/internal/buffer/buffer_test.go
+++ b/internal/buffer/buffer_test.go
@@ -9,36 +9,55 @@
 func TestChain(t *testing.T) {
 	pool := NewPool(3 * Size)
 	text := bytes.Repeat([]byte("0123456789"), Size/4) // two and a half buffers
-	c := pool.Chain()
+	chain := pool.Chain()
 	for i := 0; i < len(text); i += 7 {
-		c.Write(text[i:min(i+7, len(text))])
+		chain.Write(text[i:min(i+7, len(text))])
 	}
-	if c.Len() != len(text) || !bytes.Equal(c.Bytes(), text) || pool.Out() != 3*Size || !pool.Full() {
-		t.Fatal(c.Len(), pool.Out())
+	if chain.Len() != len(text) || !bytes.Equal(chain.Bytes(), text) || pool.Out() != 3*Size || !pool.Full() {
+		t.Fatal(chain.Len(), pool.Out())
 	}
-	for _, cut := range [][2]int{{0, 0}, {0, Size}, {1, Size + 1}, {Size - 1, len(text)}, {2 * Size, len(text)}} {
-		d := pool.Chain()
-		d.Write([]byte("x"))
-		d.Append(c, cut[0], cut[1])
-		if want := append([]byte("x"), text[cut[0]:cut[1]]...); !bytes.Equal(d.Bytes(), want) {
-			t.Errorf("%v: %d bytes", cut, d.Len())
-		}
-		d.Free()
+	t.Run("append", func(t *testing.T) { checkAppend(t, pool, chain, text) })
+	t.Run("each", func(t *testing.T) { checkEach(t, chain) })
+	chain.Free()
+	chain.Free()
+	(*Chain)(nil).Free()
+	if pool.Out() != 0 || pool.Full() || chain.Bytes() != nil {
+		t.Error(pool.Out())
+	}
+}
+
+func checkAppend(t *testing.T, pool *Pool, chain *Chain, text []byte) {
+	t.Helper()
+	for name, part := range map[string]struct{ start, end int }{
+		"nothing":                      {0, 0},
+		"the first buffer":             {0, Size},
+		"as long as a buffer, shifted": {1, Size + 1},
+		"from the end of a buffer":     {Size - 1, len(text)},
+		"the last buffer":              {2 * Size, len(text)},
+	} {
+		t.Run(name, func(t *testing.T) {
+			target := pool.Chain()
+			target.Write([]byte("x"))
+			defer target.Free()
+			target.Append(chain, part.start, part.end)
+			if want := append([]byte("x"), text[part.start:part.end]...); !bytes.Equal(target.Bytes(), want) {
+				t.Errorf("%d bytes", target.Len())
+			}
+		})
 	}
+}
+
+func checkEach(t *testing.T, chain *Chain) {
+	t.Helper()
 	var parts int
-	stop := errors.New("stop")
-	if err := c.Each(func(b []byte) error {
+	errStop := errors.New("stop")
+	err := chain.Each(func([]byte) error {
 		if parts++; parts == 2 {
-			return stop
+			return errStop
 		}
 		return nil
-	}); err != stop || parts != 2 {
+	})
+	if err != errStop || parts != 2 {
 		t.Error(err, parts)
 	}
-	c.Free()
-	c.Free()
-	(*Chain)(nil).Free()
-	if pool.Out() != 0 || pool.Full() || c.Bytes() != nil {
-		t.Error(pool.Out())
-	}
 }
--- a/internal/clients/clients.go
+++ b/internal/clients/clients.go
@@ -154,7 +154,7 @@
 // stopAccepting takes the listening socket out of service. What the kernel has accepted is taken out of its backlog first, as
 // it would be reset there, with a first query that may have come.
 func (s *Server) stopAccepting() {
-	if sockets.Backlog(s.ln) && s.loop.Clock.Now() < s.lastWord {
+	if sockets.HasBacklog(s.ln) && s.loop.Clock.Now() < s.lastWord {
 		s.loop.RunAt(s.loop.Clock.Now()+limits.LookAgain.Seconds(), s.stopAccepting)
 		return
 	}
--- a/internal/discovery/conn.go
+++ b/internal/discovery/conn.go
@@ -131,7 +131,7 @@
 		return response, failure
 	}
 	wasIdle := c.requests > 1
-	if wasIdle && !response.Begun() && time.Since(writtenAt) < limits.CrossFor {
+	if wasIdle && !response.Started() && time.Since(writtenAt) < limits.CrossFor {
 		failure.err = fmt.Errorf("%w: %w", errServerClosedIdle, failure.err)
 	}
 	return response, failure
@@ -146,7 +146,7 @@
 		if timeout <= 0 {
 			return response, &pollError{metrics.ClosedByResponseTimeout, errResponseTimeout}
 		}
-		if response.Begun() {
+		if response.Started() {
 			timeout = min(timeout, c.server.client.settings.nextChunk)
 		}
 		_ = c.net.SetReadTimeout(timeout) // it stores the value and has no error to report
--- a/internal/sockets/sockets.go
+++ b/internal/sockets/sockets.go
@@ -1,4 +1,6 @@
-// Package sockets has what connections need to know of their descriptors that the library does not tell.
+// Package sockets asks the kernel about descriptors what the network library does not tell: whether input waits on a
+// socket, whether connections wait at a listener, and how to take a listener out of service without closing it. It owns no
+// state, may be called on any goroutine, never blocks, and imports golang.org/x/sys/unix alone.
 package sockets
 
 import (
@@ -7,38 +9,46 @@
 	"golang.org/x/sys/unix"
 )
 
-// Look says what has come on a socket: bytes or a connection, and its end.
-func Look(fd int) (came, ended bool) {
+// Poll says what waits on a socket: input or a connection (readable), and its end or an error (ended). The caller sees to
+// it that the descriptor is not closed meanwhile.
+func Poll(fd int) (readable, ended bool) {
 	fds := [1]unix.PollFd{{Fd: int32(fd), Events: unix.POLLIN | unix.POLLRDHUP}}
-	unix.Poll(fds[:], 0)
-	got := fds[0].Revents
-	return got&unix.POLLIN != 0, got&^unix.POLLIN != 0
+	_, _ = unix.Poll(fds[:], 0) // an interrupted call finds nothing, as one a moment earlier would
+	events := fds[0].Revents
+	return events&unix.POLLIN != 0, events&^unix.POLLIN != 0
 }
 
-// Readable says that something has come on a socket, whatever it is. The descriptor has to be held against being closed
-// meanwhile.
+// Readable says whether anything waits on a socket: input, a connection, its end or an error. The caller sees to it that
+// the descriptor is not closed meanwhile.
 func Readable(fd int) bool {
-	came, ended := Look(fd)
-	return came || ended
+	readable, ended := Poll(fd)
+	return readable || ended
 }
 
-// Backlog says that connections wait to be accepted.
-func Backlog(ln net.Listener) (is bool) {
-	control(ln, func(fd uintptr) { is = Readable(int(fd)) })
-	return is
+// HasBacklog says whether connections wait to be accepted. Of a listener that is not TCP it says no.
+func HasBacklog(listener net.Listener) (waiting bool) {
+	control(listener, func(fd uintptr) { waiting = Readable(int(fd)) })
+	return waiting
 }
 
-// StopAccepting takes a listening socket out of service without closing it: its number can't be taken by another socket while
-// the library's poller still knows it. The library's own way closes the number it polls twice, and may so close what
-// another part of the program has opened in between.
-func StopAccepting(ln net.Listener) {
-	control(ln, func(fd uintptr) { unix.Shutdown(int(fd), unix.SHUT_RDWR) })
+// StopAccepting takes a listening TCP socket out of service without closing it, so that no other socket gets its descriptor
+// while the library's poller still knows it. The library's own way closes the descriptor that it polls twice, and the second
+// time may close what another part of the program has opened in between.
+func StopAccepting(listener net.Listener) {
+	control(listener, func(fd uintptr) {
+		_ = unix.Shutdown(int(fd), unix.SHUT_RDWR) // fails only where the socket is out of service already
+	})
 }
 
-func control(ln net.Listener, f func(fd uintptr)) {
-	if t, ok := ln.(*net.TCPListener); ok {
-		if raw, err := t.SyscallConn(); err == nil {
-			raw.Control(f)
-		}
+// control calls a function with the descriptor of a TCP listener, unless that is closed.
+func control(listener net.Listener, call func(fd uintptr)) {
+	tcp, ok := listener.(*net.TCPListener)
+	if !ok {
+		return
 	}
+	raw, err := tcp.SyscallConn()
+	if err != nil {
+		return // only a listener that was never open has none
+	}
+	_ = raw.Control(call) // fails only for a closed listener, at which nothing waits
 }
--- a/internal/sockets/sockets_test.go
+++ b/internal/sockets/sockets_test.go
@@ -6,57 +6,73 @@
 	"time"
 )
 
-// patience is how long a test waits for what should come at once.
+// testTimeout is how long a test waits for what should come at once.
 const testTimeout = 10 * time.Second
 
-// TestReadableSeesWhatTheKernelHolds is the last place on the way in.
-func TestReadableSeesWhatTheKernelHolds(t *testing.T) {
-	ln, err := net.Listen("tcp", "127.0.0.1:0")
+func listen(t *testing.T) net.Listener {
+	t.Helper()
+	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer ln.Close()
-	if Backlog(ln) {
+	t.Cleanup(func() { listener.Close() })
+	return listener
+}
+
+// waitFor waits until a condition holds.
+func waitFor(t *testing.T, condition func() bool, failure string) {
+	t.Helper()
+	for end := time.Now().Add(testTimeout); !condition(); time.Sleep(time.Millisecond) {
+		if time.Now().After(end) {
+			t.Fatal(failure)
+		}
+	}
+}
+
+// TestReadableSeesWhatTheKernelHolds checks both places on the way in: the backlog and the socket's buffer.
+func TestReadableSeesWhatTheKernelHolds(t *testing.T) {
+	listener := listen(t)
+	if HasBacklog(listener) {
 		t.Error("nobody has come")
 	}
-	n, err := net.Dial("tcp", ln.Addr().String())
+	client, err := net.Dial("tcp", listener.Addr().String())
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer n.Close()
-	for end := time.Now().Add(testTimeout); !Backlog(ln); time.Sleep(time.Millisecond) {
-		if time.Now().After(end) {
-			t.Fatal("a connection in the backlog is not seen")
-		}
+	defer client.Close()
+	waitFor(t, func() bool { return HasBacklog(listener) }, "a connection in the backlog is not seen")
+	accepted, err := listener.Accept()
+	if err != nil {
+		t.Fatal(err)
 	}
-	peer, _ := ln.Accept()
-	defer peer.Close()
-	raw, _ := peer.(*net.TCPConn).SyscallConn()
-	seen := func() (is bool) { raw.Control(func(fd uintptr) { is = Readable(int(fd)) }); return is }
-	if seen() {
-		t.Error("nothing has come")
+	defer accepted.Close()
+	raw, err := accepted.(*net.TCPConn).SyscallConn()
+	if err != nil {
+		t.Fatal(err)
 	}
-	n.Write([]byte{'Q'})
-	for end := time.Now().Add(testTimeout); !seen(); time.Sleep(time.Millisecond) {
-		if time.Now().After(end) {
-			t.Fatal("a byte in the socket's buffer is not seen")
-		}
+	readable := func() (is bool) {
+		raw.Control(func(fd uintptr) { is = Readable(int(fd)) })
+		return is
+	}
+	if readable() {
+		t.Error("nothing has come")
 	}
+	client.Write([]byte{'Q'})
+	waitFor(t, readable, "a byte in the socket's buffer is not seen")
 }
 
-// TestListenerThatStopsAccepting refuses whoever comes, and leaves its number taken.
+// TestListenerThatStopsAccepting checks that new connections are refused and the descriptor stays open.
 func TestListenerThatStopsAccepting(t *testing.T) {
-	ln, err := net.Listen("tcp", "127.0.0.1:0")
+	listener := listen(t)
+	StopAccepting(listener)
+	if client, err := net.Dial("tcp", listener.Addr().String()); err == nil {
+		client.Close()
+		t.Error("still accepting")
+	}
+	raw, err := listener.(*net.TCPListener).SyscallConn()
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer ln.Close()
-	StopAccepting(ln)
-	if n, err := net.Dial("tcp", ln.Addr().String()); err == nil {
-		n.Close()
-		t.Error("still taken in")
-	}
-	raw, _ := ln.(*net.TCPListener).SyscallConn()
 	if raw.Control(func(uintptr) {}) != nil {
 		t.Error("closed")
 	}
--- a/internal/upstream/conn.go
+++ b/internal/upstream/conn.go
@@ -447,7 +447,7 @@
 		return metrics.ClosedByBadInput
 	}
 	if n, ok := c.net.(netpoll.Conn); ok {
-		switch came, ended := sockets.Look(n.Fd()); {
+		switch came, ended := sockets.Poll(n.Fd()); {
 		case ended:
 			return metrics.ClosedByPeer
 		case came:
