--- a/relay/events.go
+++ b/relay/events.go
@@ -85,7 +85,7 @@
 		Age          Seconds
 	}
 
-	// MisreportedOutcome says that an attempt which ended as succeeded was none for the client.
+	// MisreportedOutcome says that a client has judged an answer wrong which this relay passed on as succeeded.
 	MisreportedOutcome struct {
 		Class    RequestClass
 		Endpoint EndpointID
--- a/relay/settings.go
+++ b/relay/settings.go
@@ -115,9 +115,9 @@
 	VotesPerSec          float64 // that the platform takes from all relays
 	MinStageTime         Seconds
 	MaxStageTime         Seconds // after which a timed stage is promoted
-	ReportedShare        float64
-	DelayCost            float64
-	HarmCost             float64
+	ReportedShare        float64 // of wrong answers, that clients report (MisreportedOutcome)
+	DelayCost            float64 // of answers by a build older than the newest good one
+	HarmCost             float64 // of wrong answers, and of attempts that a bad build fails
 }
 
 // Costs are what reduces the points of the service, in points each.
