--- a/policy/fusion.go
+++ b/policy/fusion.go
@@ -11,64 +11,64 @@
 )
 
 const (
-	aggregatorCount   = 4    // lowest-numbered relays that fuse (DESIGN)
-	aggregatorSilence = 3.0  // s without a decision after which an aggregator counts as lost: three decisions
-	verdictLife       = 6.0  // s that a verdict counts at an aggregator (DESIGN)
-	leastFlags        = 2    // relays that must flag (DESIGN)
-	halfKnown         = 20.0 // outcomes at which a bad build is flagged half the time (DESIGN)
-	falseAlarm        = 0.01 // false-alarm probability of one relay over all its categories (DESIGN)
-	prior             = 0.35 // of a build being bad (DESIGN)
-	alarmCost         = 1.0  // of sending a good build back, over letting a bad one through (DESIGN: equal)
-	flagLasts         = 1.0  // s that a pooled flag must last: a verdict from every relay
-	fleetTimes        = 1.4  // times the fleet's leg time before the trial that stops a vote on
+	aggregatorCount       = 4    // lowest-numbered relays that fuse (DESIGN)
+	aggregatorTimeout     = 3.0  // s without a decision after which an aggregator counts as lost: three decisions
+	verdictTTL            = 6.0  // s that a verdict counts at an aggregator (DESIGN)
+	minFlaggers           = 2    // relays that must flag (DESIGN)
+	halfDetectionOutcomes = 20.0 // outcomes at which a bad build is flagged half the time (DESIGN)
+	falseAlarmProbability = 0.01 // false-alarm probability of one relay over all its categories (DESIGN)
+	priorBad              = 0.35 // of a build being bad (DESIGN)
+	falseAlarmCost        = 1.0  // of sending a good build back, over letting a bad one through (DESIGN: equal)
+	pooledFlagDuration    = 1.0  // s that a pooled flag must last: a verdict from every relay
+	fleetSlowFactor       = 1.4  // times the fleet's leg time before the trial that stops a vote on
 )
 
 // members gives the relays that aggregate: the lowest-numbered few that were heard of lately.
 func (a *aggregator) members() (nos []relay.RelayID) {
-	for i := 0; i < a.p.set.Relays && len(nos) < aggregatorCount; i++ {
+	for i := 0; i < a.p.settings.Relays && len(nos) < aggregatorCount; i++ {
 		peer := &a.peers[i]
-		if peer.since == 0 {
-			peer.since = a.p.now
+		if peer.expectedSince == 0 {
+			peer.expectedSince = a.p.now
 		}
-		if relay.RelayID(i) == a.p.set.Self || a.p.now-math.Max(peer.since, peer.decidedAt) < aggregatorSilence {
+		if relay.RelayID(i) == a.p.settings.Self || a.p.now-math.Max(peer.expectedSince, peer.decidedAt) < aggregatorTimeout {
 			nos = append(nos, relay.RelayID(i))
 		}
 	}
 	return nos
 }
 
-func (a *aggregator) take(n note) {
+func (a *aggregator) take(n message) {
 	switch n := n.(type) {
-	case noteReport:
+	case peerReport:
 		a.takeReport(n)
-	case noteDecision:
+	case peerDecision:
 		a.takeDecision(n)
 	case relay.RolloutStatus:
 		if n.Reply != relay.ReplyNone {
 			// A moot vote stays as cast: votes of all relays with old news would drown those that matter.
-			a.pending, a.sure = false, n.Reply == relay.ReplyCounted || n.Reply == relay.ReplyStale
+			a.pending, a.confirmed = false, n.Reply == relay.ReplyCounted || n.Reply == relay.ReplyStale
 			if n.Reply == relay.ReplyNotCounted {
-				a.nextAt = a.p.now + voteGap*(1+a.p.rng.Float64())
+				a.nextVoteAt = a.p.now + minVoteInterval*(1+a.p.random.Float64())
 			}
 		}
-	case noteTick:
-		if a.p.now >= a.lookAt {
-			a.lookAt = a.p.now + judgeEvery
-			a.look()
+	case tickMessage:
+		if a.p.now >= a.nextLookAt {
+			a.nextLookAt = a.p.now + judgeInterval
+			a.updateWanted()
 		}
-		a.vote()
+		a.castVote()
 	}
 }
 
 // look renews what this relay wants to vote: by all reports as an aggregator, else by most decisions.
-func (a *aggregator) look() {
-	t := &a.p.trial
-	a.aggregating = slices.Contains(a.members(), a.p.set.Self)
-	want := relay.Vote{Build: t.news.Build, Stage: t.news.Stage}
-	votes, decided := a.count(want)
-	if a.aggregating || decided == 0 {
+func (a *aggregator) updateWanted() {
+	t := &a.p.canary
+	a.active = slices.Contains(a.members(), a.p.settings.Self)
+	want := relay.Vote{Build: t.status.Build, Stage: t.status.Stage}
+	votes, decided := a.countDecisions(want)
+	if a.active || decided == 0 {
 		want.Verdict = a.decide()
-	} else if t.judging() {
+	} else if t.canRollBack() {
 		a.cleanAt, a.slowAt = a.p.now, a.p.now
 		for v, n := range votes {
 			if 2*n > decided {
@@ -76,19 +76,19 @@
 			}
 		}
 	}
-	if want != a.want {
-		a.want, a.wantAt = want, a.p.now
+	if want != a.wanted {
+		a.wanted, a.wantedSince = want, a.p.now
 	}
-	if a.aggregating && a.p.set.Limits.PeerMessages && a.p.set.Relays > 1 &&
-		(a.announced != want || a.p.now-a.announcedAt >= verdictEvery) {
+	if a.active && a.p.settings.Limits.PeerMessages && a.p.settings.Relays > 1 &&
+		(a.announced != want || a.p.now-a.announcedAt >= verdictInterval) {
 		a.announced, a.announcedAt = want, a.p.now
-		a.tell(want)
+		a.announce(want)
 	}
 }
 
 // logRatio is what one verdict of n outcomes weighs.
 func logRatio(flag bool, n float64, categories int) float64 {
-	pd, pf := n/(n+halfKnown), falseAlarm/float64(max(categories, 1))
+	pd, pf := n/(n+halfDetectionOutcomes), falseAlarmProbability/float64(max(categories, 1))
 	if flag {
 		return math.Log(pd / pf)
 	}
@@ -98,42 +98,42 @@
 // fuse sums the log likelihood ratios of the present stage's verdicts; one of too few outcomes says nothing.
 // All relays' legs, pooled by unit, make verdicts of their own, a category and for all: they need no second.
 func (a *aggregator) fuse() (back, late, outdone bool, pooled float64) {
-	t := &a.p.trial
-	cats := len(a.p.rows)
+	t := &a.p.canary
+	cats := len(a.p.classes)
 	sum, flaggers := 0.0, 0
 	for i := range a.peers {
 		peer := &a.peers[i]
-		if !peer.reported || a.p.now-peer.reportedAt > verdictLife || len(peer.verdicts) != cats ||
-			peer.build != t.news.Build || peer.stage != t.news.Stage {
+		if !peer.hasReported || a.p.now-peer.reportedAt > verdictTTL || len(peer.verdicts) != cats ||
+			peer.build != t.status.Build || peer.stage != t.status.Stage {
 			continue
 		}
 		flags := false
 		for _, v := range peer.verdicts {
-			if v.n > 0 {
-				sum += logRatio(v.flag, v.n, cats)
-				flags = flags || v.flag
+			if v.outcomes > 0 {
+				sum += logRatio(v.flagged, v.outcomes, cats)
+				flags = flags || v.flagged
 			}
 		}
 		if flags {
 			flaggers++
 		}
 	}
-	threshold := math.Log(alarmCost * (1 - prior) / prior)
-	back, pooledFlag := sum >= threshold && flaggers >= leastFlags, false
+	threshold := math.Log(falseAlarmCost * (1 - priorBad) / priorBad)
+	back, pooledFlag := sum >= threshold && flaggers >= minFlaggers, false
 	// Also the eldest machines alone: a build that turns bad with age would hide behind its fresh ones.
 	for _, x := range [...]struct {
 		to  int
 		age relay.Seconds
-	}{{evidenceLately, youngUnit}, {evidenceLately, 0}, {evidenceBuckets, 0}} {
+	}{{recentEvidenceBuckets, youngEndpointAge}, {recentEvidenceBuckets, 0}, {evidenceBuckets, 0}} {
 		for c := 0; c <= cats; c++ {
-			newer, before := t.compare(told, c, x.to, x.age)
-			outdone = worse(before, newer, figFailed, poolPoints, poolOutcomes, true) // the last holds, as for pooled
+			newer, before := t.compareBuilds(peerEvidence, c, x.to, x.age)
+			outdone = shareWorse(before, newer, figFailed, pooledMinDifference, pooledMinFailures, true) // the last holds, as for pooled
 			if pooled = newer[figCount]; c < cats {
 				newer[figMatched] = 0 // slowness is judged over all categories: a full unit slows them unlike
 			}
-			if flagged(newer, before, true) && logRatio(true, newer[figCount], cats) >= threshold {
+			if flagsBuild(newer, before, true) && logRatio(true, newer[figCount], cats) >= threshold {
 				pooledFlag = true
-				a.why = fmt.Sprintf("pooled counts of category %d, %.0f against %.0f", c, newer, before)
+				a.reason = fmt.Sprintf("pooled counts of category %d, %.0f against %.0f", c, newer, before)
 			}
 		}
 	}
@@ -142,13 +142,13 @@
 		a.cleanAt = a.p.now
 	}
 	if back {
-		a.why = "flags of several relays"
+		a.reason = "flags of several relays"
 	}
-	back = back || a.p.now-a.cleanAt > flagLasts
-	fleet := t.fleet()
+	back = back || a.p.now-a.cleanAt > pooledFlagDuration
+	fleet := t.fleetCounts()
 	m, err := fleet.mean(figPaced)
-	calm, calmErr := t.calm.mean(figPaced)
-	late = math.Min(fleet[figPaced], t.calm[figPaced]) >= leastSlow &&
-		slower(m-calm, math.Hypot(err, calmErr), fleetTimes)
+	calm, calmErr := t.baseline.mean(figPaced)
+	late = math.Min(fleet[figPaced], t.baseline[figPaced]) >= minSlowSamples &&
+		significantlySlower(m-calm, math.Hypot(err, calmErr), fleetSlowFactor)
 	return back, late, outdone, pooled
 }
--- a/policy/messages.go
+++ b/policy/messages.go
@@ -22,42 +22,44 @@
 // verdict is one relay's word on one category: flagged as bad or not, and the outcomes of the newest build
 // that it rests on; none where it has too few to say.
 type verdict struct {
-	flag bool
-	n    float64
+	flagged  bool
+	outcomes float64
 }
 
 // observation is how one leg ended.
 type observation struct {
-	unit     unitHash
-	category relay.RequestClass
-	how      relay.Outcome
-	newest   bool // the unit ran the newest build
-	young    bool // the unit had just started
-	late     bool
-	depth    int     // own legs that the unit held; more than depths-1 stands as that, without a pace
-	pace     float64 // leg time over expected work, to an eighth of a doubling; 0: not known
+	endpoint   endpointHash
+	class      relay.RequestClass
+	outcome    relay.Outcome
+	newest     bool // the unit ran the newest build
+	young      bool // the unit had just started
+	late       bool
+	queueDepth int     // own legs that the unit held; more than depths-1 stands as that, without a pace
+	ratio      float64 // leg time over expected work, to an eighth of a doubling; 0: not known
 }
 
 // decision is what an aggregator tells every relay: the vote that should stand.
 type decision struct {
-	build relay.Build
-	stage relay.Stage
-	vote  relay.Verdict
-	paces []float64 // by kind of machine, over all relays' legs; 0: not known
+	build  relay.Build
+	stage  relay.Stage
+	vote   relay.Verdict
+	ratios []float64 // by kind of machine, over all relays' legs; 0: not known
 }
 
-// unitHash stands for a unit's id in three bytes; two units may share one.
-type unitHash uint32
+// endpointHash stands for a unit's id in three bytes; two units may share one.
+type endpointHash uint32
 
-func hashOf(id relay.EndpointID) unitHash { return unitHash(uint64(id) * 0x9e3779b97f4a7c15 >> 40) }
+func hashOf(id relay.EndpointID) endpointHash {
+	return endpointHash(uint64(id) * 0x9e3779b97f4a7c15 >> 40)
+}
 
 const (
-	messageMagic = 0x4c // first byte of every message, with the form's number behind it
-	reportForm   = 3
-	decisionForm = 4
-	mostNumber   = 1 << 20 // figures above this are not believed
-	mostKinds    = 16      // kinds of machine told apart
-	reportLegs   = 36      // observations in one report, which may hold 256 bytes
+	messageMagic    = 0x4c // first byte of every message, with the form's number behind it
+	reportForm      = 3
+	decisionForm    = 4
+	maxNumber       = 1 << 20 // figures above this are not believed
+	maxMachineTypes = 16      // kinds of machine told apart
+	maxObservations = 36      // observations in one report, which may hold 256 bytes
 )
 
 var errMessage = errors.New("not a message of this form")
@@ -67,7 +69,7 @@
 	return binary.AppendUvarint(b, uint64(stage))
 }
 
-func appendHash(b []byte, h unitHash) []byte { return append(b, byte(h), byte(h>>8), byte(h>>16)) }
+func appendHash(b []byte, h endpointHash) []byte { return append(b, byte(h), byte(h>>8), byte(h>>16)) }
 
 func bit(v bool, shift int) byte {
 	if v {
@@ -76,15 +78,15 @@
 	return 0
 }
 
-// packPace puts a pace in one byte, to an eighth of a doubling, and unpackPace takes it out again; 0 stands as 0.
-func packPace(pace float64) byte {
+// packRatio puts a pace in one byte, to an eighth of a doubling, and unpackRatio takes it out again; 0 stands as 0.
+func packRatio(pace float64) byte {
 	if !(pace > 0) {
 		return 0
 	}
 	return byte(math.Min(math.Max(math.Round(8*math.Log2(pace))+128, 1), 255))
 }
 
-func unpackPace(b byte) float64 {
+func unpackRatio(b byte) float64 {
 	if b == 0 {
 		return 0
 	}
@@ -95,21 +97,21 @@
 	b := header(reportForm, m.build, m.stage)
 	b = binary.AppendUvarint(b, uint64(len(m.verdicts)))
 	for _, v := range m.verdicts {
-		b = binary.AppendUvarint(b, uint64(v.n)<<1|uint64(bit(v.flag, 0)))
+		b = binary.AppendUvarint(b, uint64(v.outcomes)<<1|uint64(bit(v.flagged, 0)))
 	}
 	b = binary.AppendUvarint(b, uint64(len(m.observations)))
 	for _, s := range m.observations {
-		b = appendHash(b, s.unit)
-		b = binary.AppendUvarint(b, uint64(s.category)<<2|uint64(bit(s.young, 1)|bit(s.newest, 0)))
-		b = append(b, byte(s.how)&7|byte(s.depth)&7<<3|bit(s.late, 7), packPace(s.pace))
+		b = appendHash(b, s.endpoint)
+		b = binary.AppendUvarint(b, uint64(s.class)<<2|uint64(bit(s.young, 1)|bit(s.newest, 0)))
+		b = append(b, byte(s.outcome)&7|byte(s.queueDepth)&7<<3|bit(s.late, 7), packRatio(s.ratio))
 	}
 	return b
 }
 
 func (d decision) encode() []byte {
-	b := append(header(decisionForm, d.build, d.stage), byte(d.vote), byte(len(d.paces)))
-	for _, p := range d.paces {
-		b = append(b, packPace(p))
+	b := append(header(decisionForm, d.build, d.stage), byte(d.vote), byte(len(d.ratios)))
+	for _, p := range d.ratios {
+		b = append(b, packRatio(p))
 	}
 	return b
 }
@@ -122,7 +124,7 @@
 
 func (c *cursor) number() uint64 {
 	v, n := binary.Uvarint(c.b)
-	if n <= 0 || v > mostNumber {
+	if n <= 0 || v > maxNumber {
 		c.b, c.err = nil, errMessage
 		return 0
 	}
@@ -140,9 +142,9 @@
 	return b
 }
 
-func (c *cursor) hash() unitHash {
+func (c *cursor) hash() endpointHash {
 	b := c.take(3)
-	return unitHash(b[0]) | unitHash(b[1])<<8 | unitHash(b[2])<<16
+	return endpointHash(b[0]) | endpointHash(b[1])<<8 | endpointHash(b[2])<<16
 }
 
 // end is the error of the whole, which must have been read to its last byte.
@@ -154,7 +156,7 @@
 }
 
 // decode reads a report or a decision, as a note from a relay.
-func decode(from relay.RelayID, body []byte) (note, error) {
+func decode(from relay.RelayID, body []byte) (message, error) {
 	if len(body) < 2 || body[0] != messageMagic || body[1] != reportForm && body[1] != decisionForm {
 		return nil, errMessage
 	}
@@ -163,48 +165,48 @@
 	if body[1] == decisionForm {
 		d := decision{build: build, stage: stage, vote: relay.Verdict(c.take(1)[0])}
 		for i := c.take(1)[0]; i > 0 && c.err == nil; i-- {
-			d.paces = append(d.paces, unpackPace(c.take(1)[0]))
+			d.ratios = append(d.ratios, unpackRatio(c.take(1)[0]))
 		}
-		return noteDecision{from, d}, c.end()
+		return peerDecision{from, d}, c.end()
 	}
 	m := report{build: build, stage: stage}
 	for i := c.number(); i > 0 && c.err == nil; i-- {
 		v := c.number()
-		m.verdicts = append(m.verdicts, verdict{flag: v&1 == 1, n: float64(v >> 1)})
+		m.verdicts = append(m.verdicts, verdict{flagged: v&1 == 1, outcomes: float64(v >> 1)})
 	}
 	for i := c.number(); i > 0 && c.err == nil; i-- {
-		s := observation{unit: c.hash()}
+		s := observation{endpoint: c.hash()}
 		v := c.number()
-		s.category, s.young, s.newest = relay.RequestClass(v>>2), v&2 != 0, v&1 != 0
+		s.class, s.young, s.newest = relay.RequestClass(v>>2), v&2 != 0, v&1 != 0
 		b := c.take(2)
-		s.how, s.depth = relay.Outcome(b[0]&7), int(b[0]>>3&7)
+		s.outcome, s.queueDepth = relay.Outcome(b[0]&7), int(b[0]>>3&7)
 		s.late = b[0]&128 != 0
-		s.pace = unpackPace(b[1])
+		s.ratio = unpackRatio(b[1])
 		m.observations = append(m.observations, s)
 	}
-	return noteReport{from, m}, c.end()
+	return peerReport{from, m}, c.end()
 }
 
 // observe gives how a leg ended, as the aggregators are told.
-func (u *unit) observe(n noteOutcome) observation {
-	s := observation{unit: hashOf(u.id), category: n.category, how: n.how, newest: u.newest(),
-		young: n.leg.age < u.p.young(), late: n.took > n.due || n.how == relay.TimedOut,
-		depth: min(n.leg.depth, depths-1)}
-	if n.leg.depth < depths && n.how != relay.Errored && n.how != relay.ConnectionBroken && !n.how.NeverRan() {
-		s.pace = n.took / math.Max(n.work, 1e-3)
+func (u *trackedEndpoint) observationOf(n attemptOutcome) observation {
+	s := observation{endpoint: hashOf(u.id), class: n.class, outcome: n.outcome, newest: u.onNewestBuild(),
+		young: n.attempt.endpointAge < u.p.maxYoungAge(), late: n.duration > n.objective || n.outcome == relay.TimedOut,
+		queueDepth: min(n.attempt.queueDepth, maxQueueDepth-1)}
+	if n.attempt.queueDepth < maxQueueDepth && n.outcome != relay.Errored && n.outcome != relay.ConnectionBroken && !n.outcome.NeverRan() {
+		s.ratio = n.duration / math.Max(n.work, 1e-3)
 	}
 	return s
 }
 
 // tell sends a report with the legs not told yet to every aggregator, in as many as they need.
-func (t *trial) tell(m report) {
-	for t.p.set.Limits.PeerMessages && t.p.set.Relays > 1 {
-		n := min(len(t.unreported), reportLegs)
+func (t *canary) reportToAggregators(m report) {
+	for t.p.settings.Limits.PeerMessages && t.p.settings.Relays > 1 {
+		n := min(len(t.unreported), maxObservations)
 		m.observations = t.unreported[:n]
 		body := m.encode()
 		for _, no := range t.p.aggregator.members() {
-			if no != t.p.set.Self {
-				t.p.do(relay.SendMessage{To: no, Body: body})
+			if no != t.p.settings.Self {
+				t.p.emit(relay.SendMessage{To: no, Body: body})
 			}
 		}
 		if t.unreported = t.unreported[n:]; len(t.unreported) == 0 {
@@ -215,47 +217,47 @@
 }
 
 // tell sends this aggregator's decision to every relay.
-func (a *aggregator) tell(want relay.Vote) {
+func (a *aggregator) announce(want relay.Vote) {
 	m := decision{build: want.Build, stage: want.Stage, vote: want.Verdict}
-	for _, k := range a.p.desk.kinds {
-		m.paces = append(m.paces, k.v)
+	for _, k := range a.p.router.machineTypeRatios {
+		m.ratios = append(m.ratios, k.value)
 	}
-	a.p.do(relay.SendMessage{To: relay.Broadcast, Body: m.encode()})
+	a.p.emit(relay.SendMessage{To: relay.Broadcast, Body: m.encode()})
 }
 
 // takeReport keeps a relay's last report and passes the ends of its legs on to the units.
-func (a *aggregator) takeReport(n noteReport) {
+func (a *aggregator) takeReport(n peerReport) {
 	if int(n.from) >= len(a.peers) {
 		return
 	}
 	for _, s := range n.report.observations {
-		if u := a.p.roster.byHash[s.unit]; u != nil {
-			u.learn(s, told)
+		if u := a.p.endpoints.byHash[s.endpoint]; u != nil {
+			u.learn(s, peerEvidence)
 		}
 	}
 	peer := &a.peers[n.from]
-	peer.report, peer.reportedAt, peer.reported = n.report, a.p.now, true
+	peer.report, peer.reportedAt, peer.hasReported = n.report, a.p.now, true
 	peer.observations = nil // passed on: only the verdicts count later
 }
 
 // takeDecision keeps an aggregator's last decision, and its paces where this relay has none of its own.
-func (a *aggregator) takeDecision(n noteDecision) {
+func (a *aggregator) takeDecision(n peerDecision) {
 	if int(n.from) >= len(a.peers) {
 		return
 	}
 	a.peers[n.from].decision, a.peers[n.from].decidedAt = n.decision, a.p.now
-	for k, pace := range n.decision.paces {
-		if m := a.p.desk.kind(relay.MachineType(k)); !a.aggregating && pace > 0 {
-			*m = mean{pace, leastPace}
+	for k, pace := range n.decision.ratios {
+		if m := a.p.router.machineTypeRatio(relay.MachineType(k)); !a.active && pace > 0 {
+			*m = runningMean{pace, minRatioSamples}
 		}
 	}
 }
 
 // count gives the aggregators heard of late, and how many of them decided for each vote for the build and stage.
-func (a *aggregator) count(want relay.Vote) (votes [relay.VoteRollBack + 1]int, decided int) {
+func (a *aggregator) countDecisions(want relay.Vote) (votes [relay.VoteRollBack + 1]int, decided int) {
 	for i := range a.peers {
 		peer := &a.peers[i]
-		if peer.decidedAt == 0 || a.p.now-peer.decidedAt > aggregatorSilence || peer.decision.vote > relay.VoteRollBack {
+		if peer.decidedAt == 0 || a.p.now-peer.decidedAt > aggregatorTimeout || peer.decision.vote > relay.VoteRollBack {
 			continue
 		}
 		decided++
--- a/policy/policy_test.go
+++ b/policy/policy_test.go
@@ -19,7 +19,7 @@
 		w := newWorld(t, drawSettings(t))
 		outcomes := []relay.Outcome{relay.Succeeded, relay.Succeeded, relay.Succeeded, relay.Errored, relay.RejectedByEndpoint,
 			relay.TimedOut, relay.ConnectFailed, relay.ConnectionBroken, relay.Cancelled, relay.NotSent}
-		w.ended = func(_ *wQuery, l *wLeg) relay.Outcome {
+		w.outcomeOf = func(_ *worldRequest, l *worldAttempt) relay.Outcome {
 			l.end = w.now + rapid.Float64Range(0.001, 4).Draw(t, "took")
 			return rapid.SampledFrom(outcomes).Draw(t, "outcome")
 		}
@@ -38,7 +38,7 @@
 			w.now += rapid.SampledFrom([]float64{0.005, 0.01, 0.01, 0.015}).Draw(t, "dt")
 			events := w.due()
 			for j := rapid.IntRange(0, 6).Draw(t, "queries"); j > 0; j-- {
-				q := w.query(relay.RequestClass(rapid.IntRange(0, 2).Draw(t, "category")),
+				q := w.newRequest(relay.RequestClass(rapid.IntRange(0, 2).Draw(t, "category")),
 					relay.Key(rapid.IntRange(0, 4).Draw(t, "key")))
 				q.Deadline = w.now + rapid.Float64Range(0.001, 3).Draw(t, "patience")
 				events = append(events, q)
@@ -82,15 +82,15 @@
 				events = append(events, s)
 			case 2:
 				m := report{build: build, stage: stage, verdicts: make([]verdict, 3),
-					observations: []observation{{unit: hashOf(3), how: relay.Errored}, {unit: 77, category: 9}}}
+					observations: []observation{{endpoint: hashOf(3), outcome: relay.Errored}, {endpoint: 77, class: 9}}}
 				f := decision{build: build, stage: stage, vote: relay.Verdict(rapid.IntRange(0, 3).Draw(t, "find")),
-					paces: make([]float64, 20)}
+					ratios: make([]float64, 20)}
 				events = append(events, relay.MessageReceived{From: 1, Body: m.encode()}, relay.MessageReceived{From: 0, Body: f.encode()},
 					relay.MessageReceived{From: 1, Body: m.encode()[:9]}, relay.MessageReceived{From: 99, Body: []byte{1}},
 					relay.RolloutStatus{Reply: relay.ReplyMaybeCounted}, relay.ReportedCounts{}, relay.MisreportedOutcome{}, relay.HealthCheckEnded{})
 			case 3:
 				for id := relay.RequestID(0); id < w.next; id++ {
-					if q := w.queries[id]; q != nil && !q.over && len(q.legs) > 0 {
+					if q := w.requests[id]; q != nil && !q.finished && len(q.attempts) > 0 {
 						events = append(events, relay.ClientDisconnected{Request: id}, relay.ClientDisconnected{Request: 1 << 30})
 						break
 					}
@@ -102,18 +102,18 @@
 	})
 }
 
-// TestColdUnitIsSpared lets unlike relays share a fleet in which units start cold, and adds up all they send.
-func TestColdUnitIsSpared(t *testing.T) {
+// TestSlowStartEndpointIsWithheld lets unlike relays share a fleet in which units start cold, and adds up all they send.
+func TestSlowStartEndpointIsWithheld(t *testing.T) {
 	small := []float64{30, 10, 10} // queries a second of each relay, and of a hundred small ones
 	for i := 0; i < 100; i++ {
 		small = append(small, 0.3)
 	}
 	for _, rates := range [][]float64{{60, 15, 5}, small} {
-		spareCold(t, rates)
+		checkSlowStart(t, rates)
 	}
 }
 
-func spareCold(t *testing.T, rates []float64) {
+func checkSlowStart(t *testing.T, rates []float64) {
 	set := plainSettings()
 	set.Relays = len(rates)
 	const fleet, capacity = 8, 80.0 / 8 / 0.65
@@ -122,8 +122,8 @@
 	for i := range rates {
 		set.Self = relay.RelayID(i)
 		w := newWorld(t, set)
-		w.ended = func(_ *wQuery, l *wLeg) relay.Outcome { // the unit that will start anew is by far the quickest
-			if l.end = w.now + 0.5; l.unit.ID == 1 {
+		w.outcomeOf = func(_ *worldRequest, l *worldAttempt) relay.Outcome { // the unit that will start anew is by far the quickest
+			if l.end = w.now + 0.5; l.endpoint.ID == 1 {
 				l.end = w.now + 0.02
 			}
 			return relay.Succeeded
@@ -137,7 +137,7 @@
 			credit := 0.0
 			w.run(span, func() (out []relay.Event) {
 				for credit += rates[i] * 0.01; credit >= 1; credit-- {
-					out = append(out, w.query(0, 0))
+					out = append(out, w.newRequest(0, 0))
 				}
 				return out
 			})
@@ -164,8 +164,8 @@
 	}
 }
 
-// legsAt has a hundred relays with a few queries each, and counts their legs at units of one build.
-func legsAt(t *testing.T, queries int, build relay.Build, units []relay.Endpoint, news relay.RolloutStatus) (legs int) {
+// attemptsAtBuild has a hundred relays with a few queries each, and counts their legs at units of one build.
+func attemptsAtBuild(t *testing.T, queries int, build relay.Build, units []relay.Endpoint, news relay.RolloutStatus) (legs int) {
 	set := plainSettings()
 	set.Relays = 100
 	for seed := int64(0); seed < 100; seed++ {
@@ -176,31 +176,31 @@
 		w.now += 0.1
 		w.step(relay.TimerFired{ID: 1})
 		for i := 0; i < queries; i++ {
-			w.step(w.query(0, 0))
+			w.step(w.newRequest(0, 0))
 		}
-		legs += w.legsOf(build, w.sent)
+		legs += w.attemptsAt(build, w.sent)
 	}
 	return legs
 }
 
 // Small relays held a first leg each for a cold unit; when a build went back, they all sent it to the first one.
-func TestFirstLegNeedsAChoice(t *testing.T) {
+func TestFirstAttemptNeedsAChoice(t *testing.T) {
 	cold := entries(1, 5, 1)
 	cold[0].StartKnown, cold[0].StartedAt = true, 10
 	gone := relay.RolloutStatus{Valid: true, Build: 6, Stage: 3, Phase: relay.PhaseRollingBack}
-	if n := legsAt(t, 1, 5, append(entries(8, 6, 20), cold...), gone); n > 0 {
+	if n := attemptsAtBuild(t, 1, 5, append(entries(8, 6, 20), cold...), gone); n > 0 {
 		t.Errorf("%d of 100 relays sent to the only cold unit at once", n)
 	}
-	if n := legsAt(t, 1, 5, append(entries(1, 5, 2), cold...), gone); n < 100 {
+	if n := attemptsAtBuild(t, 1, 5, append(entries(1, 5, 2), cold...), gone); n < 100 {
 		t.Errorf("only %d of 100 relays sent where there was a warm unit", n)
 	}
 }
 
 // Relays without news of a build sent its first units all of the legs that the rule leaves uncounted.
-func TestShareBindsBeforeTheNews(t *testing.T) {
+func TestTargetBindsBeforeTheStatus(t *testing.T) {
 	units := append(entries(30, 5, 1), entries(1, 6, 40)...)
 	news := relay.RolloutStatus{Valid: true, Build: 5, Phase: relay.PhaseReleased, ExposureLimit: 1}
-	if n := legsAt(t, 5, 6, units, news); n > 40 {
+	if n := attemptsAtBuild(t, 5, 6, units, news); n > 40 {
 		t.Errorf("%d of 500 legs went to the unit of a build not named yet", n)
 	}
 }
@@ -216,40 +216,40 @@
 }
 
 func TestFlag(t *testing.T) {
-	before := counts{figCount: 2000, figFailed: 20, figPaced: 2000}
+	before := outcomeCounts{figCount: 2000, figFailed: 20, figPaced: 2000}
 	for name, c := range map[string]struct {
-		newer  counts
+		newer  outcomeCounts
 		pooled bool
 		want   bool
 	}{
-		"ten of forty failed":           {counts{figCount: 40, figFailed: 10}, false, true},
-		"too few outcomes":              {counts{figCount: 19, figFailed: 19}, false, false},
-		"a few against none, one relay": {counts{figCount: 20, figFailed: 2}, false, false},
-		"under five points":             {counts{figCount: 400, figFailed: 16}, false, false},
-		"the same, pooled":              {counts{figCount: 400, figFailed: 16}, true, true},
-		"pooled, few failures":          {counts{figCount: 60, figFailed: 4}, true, false},
-		"late":                          {counts{figCount: 50, figLate: 10}, false, true},
-		"twice as slow, few legs":       {counts{figCount: 100, figMatched: 40, figOver: 28, figOverSquare: 30}, true, false},
-		"twice as slow, many":           {counts{figCount: 100, figMatched: 80, figOver: 56, figOverSquare: 60}, true, true},
-		"as slow as the hour": {counts{figCount: 100, figPaced: 80, figSlow: 56, figSquare: 60, figMatched: 80, figOver: 6,
+		"ten of forty failed":           {outcomeCounts{figCount: 40, figFailed: 10}, false, true},
+		"too few outcomes":              {outcomeCounts{figCount: 19, figFailed: 19}, false, false},
+		"a few against none, one relay": {outcomeCounts{figCount: 20, figFailed: 2}, false, false},
+		"under five points":             {outcomeCounts{figCount: 400, figFailed: 16}, false, false},
+		"the same, pooled":              {outcomeCounts{figCount: 400, figFailed: 16}, true, true},
+		"pooled, few failures":          {outcomeCounts{figCount: 60, figFailed: 4}, true, false},
+		"late":                          {outcomeCounts{figCount: 50, figLate: 10}, false, true},
+		"twice as slow, few legs":       {outcomeCounts{figCount: 100, figMatched: 40, figOver: 28, figOverSquare: 30}, true, false},
+		"twice as slow, many":           {outcomeCounts{figCount: 100, figMatched: 80, figOver: 56, figOverSquare: 60}, true, true},
+		"as slow as the hour": {outcomeCounts{figCount: 100, figPaced: 80, figSlow: 56, figSquare: 60, figMatched: 80, figOver: 6,
 			figOverSquare: 30}, true, false},
-		"half as slow again, as a good one under more load": {counts{figCount: 100, figMatched: 80, figOver: 32,
+		"half as slow again, as a good one under more load": {outcomeCounts{figCount: 100, figMatched: 80, figOver: 32,
 			figOverSquare: 30}, true, false},
 	} {
-		if got := flagged(c.newer, before, c.pooled); got != c.want {
+		if got := flagsBuild(c.newer, before, c.pooled); got != c.want {
 			t.Errorf("%s: %v", name, got)
 		}
 	}
 }
 
 // word is what a relay tells in one report.
-type word struct {
+type testReport struct {
 	verdict
 	observations []observation
 }
 
 // aggregating returns a module that fuses at stage 1 of build 6, and hears the given verdicts of category 0.
-func aggregating(verdicts ...word) *Policy {
+func aggregating(verdicts ...testReport) *Policy {
 	set := plainSettings()
 	set.Relays = 4
 	p := New(set, 1)
@@ -263,29 +263,29 @@
 }
 
 func TestFusion(t *testing.T) {
-	clean, bad := word{verdict: verdict{n: 30}}, word{verdict: verdict{flag: true, n: 30}}
-	few := word{} // ten legs at two units of the newest build, of which three fail; forty at an earlier one
+	clean, bad := testReport{verdict: verdict{outcomes: 30}}, testReport{verdict: verdict{flagged: true, outcomes: 30}}
+	few := testReport{} // ten legs at two units of the newest build, of which three fail; forty at an earlier one
 	for i := 0; i < 50; i++ {
-		s := observation{unit: hashOf(1)}
+		s := observation{endpoint: hashOf(1)}
 		if i < 10 {
-			s = observation{unit: hashOf(relay.EndpointID(20 + i%2)), newest: true}
+			s = observation{endpoint: hashOf(relay.EndpointID(20 + i%2)), newest: true}
 		}
 		if i < 9 && i%3 == 0 {
-			s.how = relay.Errored
+			s.outcome = relay.Errored
 		}
 		few.observations = append(few.observations, s)
 	}
 	for name, c := range map[string]struct {
-		verdicts []word
+		verdicts []testReport
 		back     bool
 	}{
-		"all clean":                              {[]word{clean, clean, clean}, false},
-		"one flagger is not enough":              {[]word{bad, clean, clean}, false},
-		"two are":                                {[]word{bad, bad, clean}, true},
-		"none has enough outcomes, together yes": {[]word{few, few, few}, true},
+		"all clean":                              {[]testReport{clean, clean, clean}, false},
+		"one flagger is not enough":              {[]testReport{bad, clean, clean}, false},
+		"two are":                                {[]testReport{bad, bad, clean}, true},
+		"none has enough outcomes, together yes": {[]testReport{few, few, few}, true},
 	} {
 		p := aggregating(c.verdicts...)
-		p.aggregator.cleanAt = p.now - flagLasts - 1 // as if any pooled flag had lasted
+		p.aggregator.cleanAt = p.now - pooledFlagDuration - 1 // as if any pooled flag had lasted
 		if back, _, _, _ := p.aggregator.fuse(); back != c.back {
 			t.Errorf("%s: back %v", name, back)
 		}
@@ -294,12 +294,12 @@
 
 func TestReport(t *testing.T) {
 	m := report{build: 300, stage: 2, verdicts: []verdict{{true, 40}, {}}, observations: []observation{
-		{unit: hashOf(7), category: 40, how: relay.TimedOut, newest: true, late: true, depth: 5, pace: 2},
-		{unit: hashOf(8), young: true}}}
-	f := decision{build: 300, stage: 2, vote: relay.VoteRollBack, paces: []float64{0, 1, 2}}
-	for _, want := range []note{noteReport{3, m}, noteDecision{3, f}} {
+		{endpoint: hashOf(7), class: 40, outcome: relay.TimedOut, newest: true, late: true, queueDepth: 5, ratio: 2},
+		{endpoint: hashOf(8), young: true}}}
+	f := decision{build: 300, stage: 2, vote: relay.VoteRollBack, ratios: []float64{0, 1, 2}}
+	for _, want := range []message{peerReport{3, m}, peerDecision{3, f}} {
 		var b []byte
-		if n, ok := want.(noteReport); ok {
+		if n, ok := want.(peerReport); ok {
 			b = n.report.encode()
 		} else {
 			b = f.encode()
@@ -316,23 +316,23 @@
 }
 
 // A query whose patience ends before the next tick was held until it was lost.
-func TestShortPatienceIsAnswered(t *testing.T) {
+func TestShortDeadlineIsAnswered(t *testing.T) {
 	w := newWorld(t, plainSettings())
 	w.step(relay.RolloutStatus{Valid: true, Build: 5, Phase: relay.PhaseReleased, ExposureLimit: 1})
-	q := w.query(0, 0)
+	q := w.newRequest(0, 0)
 	q.Deadline = w.now + 0.01
 	w.step(q)
-	if !w.queries[q.ID].over {
+	if !w.requests[q.ID].finished {
 		t.Error("held, with no unit to send it to")
 	}
 }
 
 // With no unit of the build listed yet, aggregators voted it on until it was the whole fleet.
-func TestNoVoteOnBeforeUnitsAreListed(t *testing.T) {
+func TestNoPromotionBeforeEndpointsAreListed(t *testing.T) {
 	w := newWorld(t, plainSettings())
 	w.step(relay.ListUpdate{Kind: relay.ListFull, Endpoints: entries(8, 5, 1)},
 		relay.RolloutStatus{Valid: true, Build: 6, ExposureLimit: 0.1})
-	load := func() []relay.Event { return []relay.Event{w.query(0, 0)} }
+	load := func() []relay.Event { return []relay.Event{w.newRequest(0, 0)} }
 	w.run(12, load)
 	if len(w.votes) > 0 {
 		t.Fatal("voted", w.votes)
@@ -345,10 +345,10 @@
 }
 
 // Legs that one unit swallowed filled the gate's limit, and it denied what the others could answer.
-func TestSwallowedLegsDoNotShutTheGate(t *testing.T) {
+func TestUnansweredAttemptsDoNotStopAdmission(t *testing.T) {
 	w := newWorld(t, plainSettings())
-	w.ended = func(_ *wQuery, l *wLeg) relay.Outcome {
-		if l.unit.ID == 1 {
+	w.outcomeOf = func(_ *worldRequest, l *worldAttempt) relay.Outcome {
+		if l.endpoint.ID == 1 {
 			l.end = w.now + 100
 		}
 		return relay.Succeeded
@@ -357,25 +357,25 @@
 		relay.RolloutStatus{Valid: true, Build: 5, Phase: relay.PhaseReleased, ExposureLimit: 1})
 	w.run(20, func() (out []relay.Event) {
 		if int(w.now*100)%4 == 0 {
-			out = append(out, w.query(2, 0))
+			out = append(out, w.newRequest(2, 0))
 		}
 		return out
 	})
-	if w.denied > 5 {
-		t.Errorf("%d of %d denied", w.denied, w.next)
+	if w.rejected > 5 {
+		t.Errorf("%d of %d denied", w.rejected, w.next)
 	}
 }
 
-// trialRun puts a build of newUnits units on trial beside eight earlier ones; each leg ends as how says.
-func trialRun(t *testing.T, newUnits int, how ending) []relay.Vote {
-	return trialOf(t, entries(newUnits, 6, 20), relay.RolloutStatus{Valid: true, Build: 6, Stage: 1, ExposureLimit: 0.4}, 14, how).votes
+// canaryRun puts a build of newUnits units on trial beside eight earlier ones; each leg ends as how says.
+func canaryRun(t *testing.T, newUnits int, how attemptEnding) []relay.Vote {
+	return canaryOf(t, entries(newUnits, 6, 20), relay.RolloutStatus{Valid: true, Build: 6, Stage: 1, ExposureLimit: 0.4}, 14, how).votes
 }
 
-// trialOf does so with these units and news for a while; legs sent before that are forgotten.
-func trialOf(t *testing.T, newer []relay.Endpoint, news relay.RolloutStatus, span relay.Seconds, how ending) *world {
+// canaryOf does so with these units and news for a while; legs sent before that are forgotten.
+func canaryOf(t *testing.T, newer []relay.Endpoint, news relay.RolloutStatus, span relay.Seconds, how attemptEnding) *world {
 	w := newWorld(t, plainSettings())
-	w.ended = func(_ *wQuery, l *wLeg) relay.Outcome {
-		o, took := how(l.unit, w.now)
+	w.outcomeOf = func(_ *worldRequest, l *worldAttempt) relay.Outcome {
+		o, took := how(l.endpoint, w.now)
 		l.end = w.now + took
 		return o
 	}
@@ -389,7 +389,7 @@
 }
 
 // load is a query each tick.
-func (w *world) load() []relay.Event { return []relay.Event{w.query(0, 0)} }
+func (w *world) load() []relay.Event { return []relay.Event{w.newRequest(0, 0)} }
 
 // started is units that start at a time.
 func started(es []relay.Endpoint, at relay.Seconds) []relay.Endpoint {
@@ -409,10 +409,10 @@
 }
 
 // ending says how a leg sent to a unit at some time ends, and after how long.
-type ending func(u relay.Endpoint, at relay.Seconds) (relay.Outcome, relay.Seconds)
+type attemptEnding func(u relay.Endpoint, at relay.Seconds) (relay.Outcome, relay.Seconds)
 
 // fails lets every kth leg that hits fail after took; all others are answered.
-func fails(k int, took relay.Seconds, hits func(u relay.Endpoint) bool) ending {
+func fails(k int, took relay.Seconds, hits func(u relay.Endpoint) bool) attemptEnding {
 	n := 0
 	return func(u relay.Endpoint, _ relay.Seconds) (relay.Outcome, relay.Seconds) {
 		if hits(u) {
@@ -424,11 +424,11 @@
 	}
 }
 
-func TestWhichBuildsGoBack(t *testing.T) {
+func TestWhichBuildsAreRolledBack(t *testing.T) {
 	newest := func(u relay.Endpoint) bool { return u.Build == 6 }
 	for name, c := range map[string]struct {
 		units int
-		how   ending
+		how   attemptEnding
 		want  bool
 	}{
 		"a good one stays":                            {3, fails(1, 0, func(relay.Endpoint) bool { return false }), false},
@@ -444,17 +444,17 @@
 			return relay.Succeeded, 0.1
 		}, true},
 	} {
-		if got := back(trialRun(t, c.units, c.how)); got != c.want {
+		if got := back(canaryRun(t, c.units, c.how)); got != c.want {
 			t.Errorf("%s: voted back %v", name, got)
 		}
 	}
 }
 
 // Failures of units under 5 s old were no evidence, and a build was released before its units were older.
-func TestYoungUnits(t *testing.T) {
+func TestYoungEndpoints(t *testing.T) {
 	newest := func(u relay.Endpoint) bool { return u.Build == 6 }
 	for name, c := range map[string]struct {
-		how  ending
+		how  attemptEnding
 		want bool
 	}{
 		"their failures count": {fails(5, 0.1, newest), true},
@@ -465,7 +465,7 @@
 			return relay.Succeeded, 0.1
 		}, false},
 	} {
-		w := trialOf(t, started(entries(4, 6, 20), 12), relay.RolloutStatus{Valid: true, Build: 6, Stage: 2, ExposureLimit: 1}, 3.9, c.how)
+		w := canaryOf(t, started(entries(4, 6, 20), 12), relay.RolloutStatus{Valid: true, Build: 6, Stage: 2, ExposureLimit: 1}, 3.9, c.how)
 		if got := back(w.votes); got != c.want {
 			t.Errorf("%s: voted back %v", name, got)
 		}
@@ -473,10 +473,10 @@
 }
 
 // A bucket of one leg cut the build's share of the legs to half of what the design gives it.
-func TestShareOfTheTrialIsNotCut(t *testing.T) {
-	w := trialOf(t, entries(8, 6, 20), relay.RolloutStatus{Valid: true, Build: 6, Stage: 2, ExposureLimit: 1}, 4, fails(1, 0,
+func TestCanaryTargetIsReached(t *testing.T) {
+	w := canaryOf(t, entries(8, 6, 20), relay.RolloutStatus{Valid: true, Build: 6, Stage: 2, ExposureLimit: 1}, 4, fails(1, 0,
 		func(relay.Endpoint) bool { return false }))
-	if legs := w.legsOf(6, w.sent); 2*legs < len(w.sent) {
+	if legs := w.attemptsAt(6, w.sent); 2*legs < len(w.sent) {
 		t.Errorf("%d of %d legs went to half of the units", legs, len(w.sent))
 	}
 }
@@ -493,19 +493,19 @@
 		return false
 	}
 	last := relay.RolloutStatus{Valid: true, Build: 6, Stage: 3, ExposureLimit: 1}
-	if w := trialOf(t, started(entries(8, 6, 20), 11), last, turnAge-1, good); released(w) {
+	if w := canaryOf(t, started(entries(8, 6, 20), 11), last, lateFaultAge-1, good); released(w) {
 		t.Error("released before its first machines were old")
 	} else if w.run(2.5, w.load); !released(w) {
 		t.Error("not released when many legs had shown them well beyond the age at which builds turn bad")
 	}
-	w := trialOf(t, started(entries(8, 6, 20), 11), last, 0, good)
-	if w.run(ripeAge-2, w.thin(20)); released(w) { // too few legs at that age: some seconds more
+	w := canaryOf(t, started(entries(8, 6, 20), 11), last, 0, good)
+	if w.run(matureAge-2, w.thin(20)); released(w) { // too few legs at that age: some seconds more
 		t.Error("released on a handful of legs")
 	} else if w.run(2, w.thin(20)); !released(w) {
 		t.Error("not released at the latest age")
 	}
 	// The next build is due: it would end the trial.
-	w = trialOf(t, nil, relay.RolloutStatus{Valid: true, Build: 6, Phase: relay.PhaseWithdrawn}, 8, good)
+	w = canaryOf(t, nil, relay.RolloutStatus{Valid: true, Build: 6, Phase: relay.PhaseWithdrawn}, 8, good)
 	w.step(relay.ListUpdate{Kind: relay.ListDelta, Endpoints: started(entries(8, 7, 20), w.now)},
 		relay.RolloutStatus{Valid: true, Build: 7, Stage: 3, ExposureLimit: 1})
 	if w.run(8, w.load); !released(w) {
@@ -516,7 +516,7 @@
 // The failures of a build that turned bad were lost among the legs that it had answered well before.
 func TestBuildThatTurnsBad(t *testing.T) {
 	n := 0
-	w := trialOf(t, entries(8, 6, 20), relay.RolloutStatus{Valid: true, Build: 6, Stage: 2, ExposureLimit: 1}, 14.5,
+	w := canaryOf(t, entries(8, 6, 20), relay.RolloutStatus{Valid: true, Build: 6, Stage: 2, ExposureLimit: 1}, 14.5,
 		func(u relay.Endpoint, at relay.Seconds) (relay.Outcome, relay.Seconds) {
 			if u.Build == 6 && at > 22 {
 				if n++; n%20 == 0 {
@@ -531,10 +531,10 @@
 }
 
 // The eldest machines of a build turned bad, and fresh ones, many times as many, hid them for seconds.
-func TestEldestMachinesShowABuildThatTurns(t *testing.T) {
+func TestOldestMachinesShowABuildThatTurnsBad(t *testing.T) {
 	n := 0
 	newer := append(started(entries(4, 6, 20), 11), started(entries(12, 6, 40), 16)...)
-	w := trialOf(t, newer, relay.RolloutStatus{Valid: true, Build: 6, Stage: 2, ExposureLimit: 1}, 8.5,
+	w := canaryOf(t, newer, relay.RolloutStatus{Valid: true, Build: 6, Stage: 2, ExposureLimit: 1}, 8.5,
 		func(u relay.Endpoint, at relay.Seconds) (relay.Outcome, relay.Seconds) {
 			if u.Build == 6 && at-u.StartedAt > 6 {
 				if n++; n%5 == 0 {
@@ -554,7 +554,7 @@
 func TestFleetThatABadBuildSlows(t *testing.T) {
 	for _, failing := range []bool{true, false} {
 		n := 0
-		w := trialOf(t, entries(8, 6, 20), relay.RolloutStatus{Valid: true, Build: 6, Stage: 3, Phase: relay.PhaseReleased, ExposureLimit: 1}, 14,
+		w := canaryOf(t, entries(8, 6, 20), relay.RolloutStatus{Valid: true, Build: 6, Stage: 3, Phase: relay.PhaseReleased, ExposureLimit: 1}, 14,
 			func(u relay.Endpoint, at relay.Seconds) (relay.Outcome, relay.Seconds) {
 				if n++; failing && u.Build == 6 && at > 22 && n%8 == 0 {
 					return relay.Errored, 0.1
@@ -595,7 +595,7 @@
 			customer := relay.Tenant(i % 3)
 			before := len(w.sent)
 			w.run(0.01, func() []relay.Event {
-				q := w.query(0, 0)
+				q := w.newRequest(0, 0)
 				q.Tenant = customer
 				return []relay.Event{q}
 			})
@@ -626,37 +626,37 @@
 			if scoped {
 				p.Step(0, []relay.Event{relay.CanaryScope{Build: 2, GroupOfTenant: []int{0, 1}, GroupOpen: []bool{true, true}}})
 			}
-			q := &query{Request: relay.Request{Tenant: 1}, row: &p.rows[0]}
+			q := &trackedRequest{Request: relay.Request{Tenant: 1}, class: &p.classes[0]}
 			b.ReportAllocs()
 			for range b.N {
-				p.trial.took(q)
-				p.trial.may(q, 2)
+				p.canary.requestArrived(q)
+				p.canary.permits(q, 2)
 			}
 		})
 	}
 }
 
 // The gate knew its pace from two seconds of answers: after a quiet time it turned a burst away from idle units.
-func TestGateOpensInABurst(t *testing.T) {
+func TestAdmissionOpensInABurst(t *testing.T) {
 	p := New(plainSettings(), 1)
 	for p.now = 10; p.now < 12; p.now += 0.25 {
-		p.gate.answers.add(p.now, 0, 1) // four a second, due in 1 s
+		p.admission.answered.add(p.now, 0, 1) // four a second, due in 1 s
 	}
-	quiet := p.gate.limit()
+	quiet := p.admission.limit()
 	for p.now = 12; p.now < 12.49; p.now += 0.01 {
-		p.gate.answers.add(p.now, 0, 1) // a hundred a second
+		p.admission.answered.add(p.now, 0, 1) // a hundred a second
 	}
-	burst := p.gate.limit()
+	burst := p.admission.limit()
 	p.now = 13.75 // over, and nothing answered since: the mean of 2 s alone is left
-	after, mean := p.gate.limit(), gateSpare+gateWait*p.gate.answers.all(p.now, 0)/(flowWidth*flowCount)
-	if quiet > gateSpare+4 || burst < gateSpare+20 || after != mean {
+	after, mean := p.admission.limit(), spareRequests+maxObjectiveUsage*p.admission.answered.all(p.now, 0)/(flowBucketTime*flowBuckets)
+	if quiet > spareRequests+4 || burst < spareRequests+20 || after != mean {
 		t.Errorf("limit %.1f, in the burst %.1f, after it %.1f of %.1f", quiet, burst, after, mean)
 	}
 }
 
 // A customer beyond its share met one limit in all categories but the least: a burst, mostly one customer's, was
 // served in the order in which it came.
-func TestValueRanksBeyondAShare(t *testing.T) {
+func TestPriorityRanksBeyondAQuota(t *testing.T) {
 	set := plainSettings()
 	set.Tenants = []relay.TenantSettings{{TrafficShare: 0.5}, {TrafficShare: 0.5}}
 	for i := range set.Classes {
@@ -664,11 +664,11 @@
 	}
 	p := New(set, 1)
 	p.now = 20
-	p.gate.answers.add(19.6, 0, 1000)
+	p.admission.answered.add(19.6, 0, 1000)
 	admits := func(customer relay.Tenant, category int) (n int) {
 		for ; n < 10000; n++ {
-			p.desk.inTime = n
-			if p.gate.denies(&query{Request: relay.Request{Tenant: customer, Class: relay.RequestClass(category)}, row: &p.rows[category]}) {
+			p.router.openInTime = n
+			if p.admission.rejects(&trackedRequest{Request: relay.Request{Tenant: customer, Class: relay.RequestClass(category)}, class: &p.classes[category]}) {
 				return n
 			}
 		}
@@ -685,7 +685,7 @@
 }
 
 // Where eight of ten units failed, the two sound ones got everything and were swamped: a plain balancer did better.
-func TestSuspectsTakeWhatFewSoundUnitsCantCarry(t *testing.T) {
+func TestOutliersTakeWhatFewHealthyEndpointsCannotCarry(t *testing.T) {
 	for _, c := range []struct {
 		sound, open int // sound units, legs that each holds
 		repeat      relay.Idempotency
@@ -702,15 +702,15 @@
 		w.step(relay.ListUpdate{Kind: relay.ListFull, Endpoints: entries(10, 5, 1)})
 		p := w.mod
 		p.now = w.now
-		for i, u := range p.roster.units {
-			if u.open = c.open; i >= c.sound {
-				u.open, u.bad, u.badAt = 0, 1, p.now
+		for i, u := range p.endpoints.all {
+			if u.openAttempts = c.open; i >= c.sound {
+				u.openAttempts, u.failure, u.failureAt = 0, 1, p.now
 			}
-			u.answer = p.now
+			u.lastAnswerAt = p.now
 		}
 		suspects := 0
 		for range 200 {
-			if u := p.desk.best(&query{row: &row{repeat: c.repeat}}, p.roster.units); u.bad > 0 {
+			if u := p.router.bestOf(&trackedRequest{class: &classState{idempotency: c.repeat}}, p.endpoints.all); u.failure > 0 {
 				suspects++
 			}
 		}
@@ -730,7 +730,7 @@
 		set := plainSettings()
 		set.Rollout.PromoteQuorum, set.Rollout.RollBackQuorum = 9, 9
 		w := newWorld(t, set)
-		w.ended = func(_ *wQuery, l *wLeg) relay.Outcome {
+		w.outcomeOf = func(_ *worldRequest, l *worldAttempt) relay.Outcome {
 			l.end = w.now + c.took
 			return relay.Succeeded
 		}
@@ -740,7 +740,7 @@
 		w.sent = nil
 		w.run(9, w.thin(12))
 		all := len(w.sent)
-		if share := float64(w.legsOf(6, w.sent)) / float64(all); share < c.least || share > c.most {
+		if share := float64(w.attemptsAt(6, w.sent)) / float64(all); share < c.least || share > c.most {
 			t.Errorf("legs of %.1f s: %.2f of %d legs at %d machines beside 12, wanted %.2f to %.2f", c.took, share, all, c.newer, c.least, c.most)
 		}
 	}
@@ -750,7 +750,7 @@
 // broken legs, nearly half of the earlier ones had, and the build went back.
 func TestZoneLostIsNotTheBuildsDoing(t *testing.T) {
 	lost := func(all bool) []relay.Vote {
-		return trialRun(t, 9, func(u relay.Endpoint, at relay.Seconds) (relay.Outcome, relay.Seconds) {
+		return canaryRun(t, 9, func(u relay.Endpoint, at relay.Seconds) (relay.Outcome, relay.Seconds) {
 			if at > 15 && at < 17 && u.Zone == 0 && (all || u.Build == 6) {
 				return relay.ConnectionBroken, 0.1
 			}
@@ -776,7 +776,7 @@
 		w.step(relay.ListUpdate{Kind: relay.ListFull, Endpoints: entries(8, 5, 1)},
 			relay.RolloutStatus{Valid: true, Build: 5, Phase: relay.PhaseReleased, ExposureLimit: 1})
 		w.run(4, w.load)
-		at[int(w.told[len(w.told)-1]*10)%10]++
+		at[int(w.reportTimes[len(w.reportTimes)-1]*10)%10]++
 	}
 	for i, n := range at {
 		if n > set.Relays/3 {
@@ -786,7 +786,7 @@
 }
 
 // Where the trial's best machine stood in the other zone, the query stayed with the earlier build.
-func TestTrialIsNotLeftForACrossing(t *testing.T) {
+func TestCanaryIsNotLeftForACrossZoneAttempt(t *testing.T) {
 	set := plainSettings()
 	set.Costs.CrossZone = 0.02
 	far := entries(8, 6, 100)
@@ -797,13 +797,13 @@
 	w.step(relay.ListUpdate{Kind: relay.ListFull, Endpoints: append(entries(8, 5, 1), far...)},
 		relay.RolloutStatus{Valid: true, Build: 6, Stage: 2, ExposureLimit: 1})
 	w.run(6, w.thin(12))
-	if newer := w.legsOf(6, w.sent); 3*newer < len(w.sent) {
+	if newer := w.attemptsAt(6, w.sent); 3*newer < len(w.sent) {
 		t.Errorf("%d of %d legs at a trial in the other zone", newer, len(w.sent))
 	}
 }
 
 // Relays that held old news cast a vote on what was past twice a second, all of them, and filled the platform.
-func TestMootVoteIsNotRepeated(t *testing.T) {
+func TestStaleVoteIsNotRepeated(t *testing.T) {
 	for _, c := range []struct {
 		reply       relay.VoteReply
 		least, most int
@@ -825,10 +825,10 @@
 	}
 }
 
-// TestSilentWatchIsAskedForAtOnce tells of a silent watch, whose 2 s are nearly over: the next call is made at once. Those
+// TestStalledWatchIsPolledAtOnce tells of a silent watch, whose 2 s are nearly over: the next call is made at once. Those
 // behind it that fail are backed off, so that a fleet does not keep up the overload that fails them; up to their answer
 // the lease holds the relay back. Whatever fails, the next call comes within the time that a failed one is held to.
-func TestSilentWatchIsAskedForAtOnce(t *testing.T) {
+func TestStalledWatchIsPolledAtOnce(t *testing.T) {
 	for seed := range int64(50) {
 		set := plainSettings()
 		set.ListOnRequest = true
@@ -844,28 +844,28 @@
 		}
 		after := func(form relay.ListUpdateKind) (wait relay.Seconds) {
 			for asked := asks(relay.ListUpdate{Kind: form}); !asked; asked = asks(relay.TimerFired{ID: 1}) {
-				now, wait = now+tick, wait+tick
+				now, wait = now+tickInterval, wait+tickInterval
 			}
 			return wait
 		}
 		asks(relay.ListUpdate{Kind: relay.ListFull, Endpoints: entries(3, 1, 1)})
-		if wait := after(relay.ListWatchStalled); wait > 2*tick {
+		if wait := after(relay.ListWatchStalled); wait > 2*tickInterval {
 			t.Errorf("seed %d: asked %v after a silence", seed, wait)
 		}
 		longest := 0.0
 		for range 20 {
 			longest = math.Max(longest, after(relay.ListFetchFailed))
 		}
-		if longest < 4 || longest > 16+tick {
+		if longest < 4 || longest > 16+tickInterval {
 			t.Errorf("seed %d: calls that fail are made again after %v at most", seed, longest)
 		}
 		asks(relay.ListUpdate{Kind: relay.ListDelta})
-		if wait := after(relay.ListFetchFailed); wait > 2+tick {
+		if wait := after(relay.ListFetchFailed); wait > 2+tickInterval {
 			t.Errorf("seed %d: asked %v after the first failure behind an answer", seed, wait)
 		}
 		p = New(set, seed)
 		asks(relay.ListUpdate{Kind: relay.ListFull, Endpoints: entries(3, 1, 1)})
-		p.roster.backoff = membership.NewBackoff(set.Relays, 0.5, p.rng) // a failed call holds for 2 s then
+		p.endpoints.backoff = membership.NewBackoff(set.Relays, 0.5, p.random) // a failed call holds for 2 s then
 		for range 20 {
 			if wait := after(relay.ListFetchFailed); wait > 2 {
 				t.Errorf("seed %d: held to a list for 2 s, asked again after %v", seed, wait)
@@ -874,10 +874,10 @@
 	}
 }
 
-// TestEndOfTheLeaseDeniesAtOnce lets the lease on the list end: what comes then is denied in the same step, with a time to
+// TestEndOfTheLeaseRejectsAtOnce lets the lease on the list end: what comes then is denied in the same step, with a time to
 // come back, and what waits without a leg in the next one. No leg waits for its connection beyond the lease. A new lease
 // has queries served again.
-func TestEndOfTheLeaseDeniesAtOnce(t *testing.T) {
+func TestEndOfTheLeaseRejectsAtOnce(t *testing.T) {
 	set := plainSettings()
 	set.ListOnRequest = true
 	p := New(set, 1)
@@ -913,9 +913,9 @@
 	}
 }
 
-// TestPeersWordIsNoAnswerOfDiscovery has a call fail, and peers tell of units that left and that discovery answers again:
+// TestPeerUpdateIsNoAnswerOfDiscovery has a call fail, and peers tell of units that left and that discovery answers again:
 // the first leaves the retry as it was, the second brings it forward, spread over the fleet.
-func TestPeersWordIsNoAnswerOfDiscovery(t *testing.T) {
+func TestPeerUpdateIsNoAnswerOfDiscovery(t *testing.T) {
 	const relays = 200
 	at := map[bool][]relay.Seconds{}
 	for _, answers := range []bool{false, true} {
@@ -933,7 +933,7 @@
 				events = append(events, relay.DiscoveryRecovered{})
 			}
 			asked := false
-			for now := 1.0; !asked && now < 30; now += tick {
+			for now := 1.0; !asked && now < 30; now += tickInterval {
 				for _, o := range p.Step(now, append(events, relay.TimerFired{ID: 1})) {
 					if w, ok := o.(relay.Watch); ok && w.On {
 						asked = true
@@ -948,7 +948,7 @@
 		}
 		sort.Float64s(at[answers])
 	}
-	if last := at[true][relays-1]; last > 1+8+2*tick || last < 1+4 {
+	if last := at[true][relays-1]; last > 1+8+2*tickInterval || last < 1+4 {
 		t.Errorf("the last of the fleet calls %v after discovery answers again", last-1)
 	}
 	if at[true][relays/2] >= at[false][relays/2] {
@@ -956,9 +956,9 @@
 	}
 }
 
-// TestStageNobodyListsCastsDoubtOnTheWatch tells of a stage whose units are not listed: relays open their watches anew,
+// TestUnlistedStageRestartsTheWatch tells of a stage whose units are not listed: relays open their watches anew,
 // once each and not together, and none does where they are.
-func TestStageNobodyListsCastsDoubtOnTheWatch(t *testing.T) {
+func TestUnlistedStageRestartsTheWatch(t *testing.T) {
 	const relays = 100
 	for _, listed := range []bool{false, true} {
 		anew, at := 0, map[int]int{}
@@ -966,7 +966,7 @@
 			p := New(plainSettings(), seed)
 			p.Step(0, []relay.Event{relay.ListUpdate{Kind: relay.ListFull, Endpoints: entries(20, 1, 1)},
 				relay.RolloutStatus{Valid: true, Build: 2, Phase: relay.PhaseCanary, ExposureLimit: 0.1}})
-			for now := relay.Seconds(0); now < 15; now += tick {
+			for now := relay.Seconds(0); now < 15; now += tickInterval {
 				events := []relay.Event{relay.TimerFired{ID: 1}}
 				if listed && now > 2 {
 					events = append(events, relay.ListUpdate{Kind: relay.ListDelta, Endpoints: entries(5, 2, 21)})
@@ -981,7 +981,7 @@
 		}
 		most := 0
 		for second, n := range at {
-			if most = max(most, n); second < int(listedLag+doubtSpread) {
+			if most = max(most, n); second < int(listingDelay+restartSpread) {
 				t.Error("doubted before its units could be listed")
 			}
 		}
@@ -991,14 +991,14 @@
 	}
 }
 
-// TestNewsOfAnotherCallKeepsTheRetry has a call fail and a list come all the same, as when discovery moves and the old
+// TestUpdateOfAnotherCallKeepsTheRetry has a call fail and a list come all the same, as when discovery moves and the old
 // watch still tells something: the watch is asked for again, or the relay would hear nothing more.
-func TestNewsOfAnotherCallKeepsTheRetry(t *testing.T) {
+func TestUpdateOfAnotherCallKeepsTheRetry(t *testing.T) {
 	for _, form := range []relay.ListUpdateKind{relay.ListFetchFailed, relay.ListWatchStalled} {
 		p, now, asked := New(plainSettings(), 1), relay.Seconds(0), false
 		p.Step(0, []relay.Event{relay.ListUpdate{Kind: relay.ListFull, Endpoints: entries(3, 1, 1)}})
 		p.Step(1, []relay.Event{relay.ListUpdate{Kind: form}, relay.ListUpdate{Kind: relay.ListDelta, Endpoints: entries(1, 1, 1)}})
-		for now = 1; now < 4; now += tick {
+		for now = 1; now < 4; now += tickInterval {
 			for _, o := range p.Step(now, []relay.Event{relay.TimerFired{ID: 1}}) {
 				w, ok := o.(relay.Watch)
 				asked = asked || ok && w.On
@@ -1008,7 +1008,7 @@
 			t.Errorf("after news of form %d and a list: not asked again", form)
 		}
 		p.Step(now, []relay.Event{relay.ListUpdate{Kind: relay.ListDelta}})
-		for ; now < 10; now += tick {
+		for ; now < 10; now += tickInterval {
 			for _, o := range p.Step(now, []relay.Event{relay.TimerFired{ID: 1}}) {
 				if w, ok := o.(relay.Watch); ok {
 					t.Errorf("asked at %v, though the call behind the failure was answered: %+v", now, w)
--- a/policy/routing.go
+++ b/policy/routing.go
@@ -9,43 +9,43 @@
 )
 
 const (
-	suspectFirm = 0.1 // failure figure of a suspect where a query is not sent again after an error
-	soundFew    = 0.3 // part of the units below which the sound ones can't carry the load alone
-	suspectDear = 3.0 // times a suspect's cost up to which a sound one is taken then: three legs, one honoured
-	trialDear   = 1.5 // times the earlier unit's cost up to which the trial's is taken: its pace is unknown
-	linkBuckets = 12  // 6 s of legs that tell how many connects fail: a few legs of a small relay
-	linkShare   = 0.1 // of legs that get no connection from which units with a standing one come first
-	linkLife    = 8.0 // s after its last answer that a unit's connection counts as standing
+	strictOutlierThreshold = 0.1 // failure figure of a suspect where a query is not sent again after an error
+	minHealthyFraction     = 0.3 // part of the units below which the sound ones can't carry the load alone
+	outlierCostFactor      = 3.0 // times a suspect's cost up to which a sound one is taken then: three legs, one honoured
+	canaryCostFactor       = 1.5 // times the earlier unit's cost up to which the trial's is taken: its pace is unknown
+	connectBuckets         = 12  // 6 s of legs that tell how many connects fail: a few legs of a small relay
+	maxConnectFailures     = 0.1 // of legs that get no connection from which units with a standing one come first
+	connectionLife         = 8.0 // s after its last answer that a unit's connection counts as standing
 )
 
 // route sends a query that has no leg out, holds it while it is in time and may go, or gives it up at once.
-func (d *desk) route(q *query) {
-	held := d.p.now < q.due && d.p.now < q.Deadline-patienceEdge
-	if u := d.pick(q); u != nil && held {
-		d.send(q, u)
+func (d *router) route(q *trackedRequest) {
+	held := d.p.now < q.objectiveAt && d.p.now < q.Deadline-deadlineMargin
+	if u := d.pickEndpoint(q); u != nil && held {
+		d.sendAttempt(q, u)
 		return
 	}
-	if !held || d.p.roster.expired() || len(q.legs) >= d.p.set.Limits.MaxAttempts ||
-		q.row.repeat == relay.AtMostOnce && q.mayHaveRun() {
-		d.finish(q)
+	if !held || d.p.endpoints.leaseExpired() || len(q.attempts) >= d.p.settings.Limits.MaxAttempts ||
+		q.class.idempotency == relay.AtMostOnce && q.mayHaveRun() {
+		d.giveUp(q)
 	}
 }
 
 // pick chooses the unit for a query's next leg, one of the build on trial only while its share lasts.
-func (d *desk) pick(q *query) *unit {
-	var earlier, onTrial []*unit
-	for _, u := range d.p.roster.units {
-		if !d.may(q, u) {
+func (d *router) pickEndpoint(q *trackedRequest) *trackedEndpoint {
+	var earlier, onTrial []*trackedEndpoint
+	for _, u := range d.p.endpoints.all {
+		if !d.eligible(q, u) {
 			continue
 		}
-		if _, _, trial := d.p.trial.capOf(u.Build); trial {
+		if _, _, trial := d.p.canary.exposureLimit(u.Build); trial {
 			onTrial = append(onTrial, u)
 		} else {
 			earlier = append(earlier, u)
 		}
 	}
-	old, fresh := d.best(q, earlier), d.best(q, onTrial)
-	if old == nil || fresh != nil && d.p.trial.within(q, fresh.Build) && fresh.load() <= trialDear*old.load() {
+	old, fresh := d.bestOf(q, earlier), d.bestOf(q, onTrial)
+	if old == nil || fresh != nil && d.p.canary.withinTarget(q, fresh.Build) && fresh.load() <= canaryCostFactor*old.load() {
 		return fresh
 	}
 	return old
@@ -53,22 +53,22 @@
 
 // best is the cheaper of two random choices among the units that look sound; among all, where none does.
 // While connects fail, units that hold a connection come first, whatever makes new ones dear or rare.
-func (d *desk) best(q *query, units []*unit) *unit {
-	limit := suspectAt
-	if q.row.repeat == relay.AtMostOnce {
-		limit = suspectFirm
+func (d *router) bestOf(q *trackedRequest, units []*trackedEndpoint) *trackedEndpoint {
+	limit := outlierThreshold
+	if q.class.idempotency == relay.AtMostOnce {
+		limit = strictOutlierThreshold
 	}
-	failed := d.links.all(d.p.now, 1)
-	short := failed > 1 && failed > linkShare*d.links.all(d.p.now, 0)
-	var pools [3][]*unit
+	failed := d.connects.all(d.p.now, 1)
+	short := failed > 1 && failed > maxConnectFailures*d.connects.all(d.p.now, 0)
+	var pools [3][]*trackedEndpoint
 	for _, u := range units {
 		i := 0
 		switch {
-		case q.tried(u):
+		case q.hasTried(u):
 			continue
-		case u.badNow() >= limit:
+		case u.failureEstimate() >= limit:
 			i = 2
-		case short && (!u.linked || u.open == 0 && d.p.now-u.answer > linkLife):
+		case short && (!u.connected || u.openAttempts == 0 && d.p.now-u.lastAnswerAt > connectionLife):
 			i = 1
 		}
 		pools[i] = append(pools[i], u)
@@ -76,70 +76,70 @@
 	// Where most units fail at once the few sound ones can't carry everything: suspects take what would
 	// wait there for long, of queries that may go out again.
 	sound, suspects := float64(len(pools[0])), float64(len(pools[2]))
-	if sound > 0 && sound < soundFew*(sound+suspects) && q.row.repeat != relay.AtMostOnce {
-		a, b := d.cheaper(pools[0]), d.draw(pools[2])
-		if b.cost()*suspectDear < a.cost() {
+	if sound > 0 && sound < minHealthyFraction*(sound+suspects) && q.class.idempotency != relay.AtMostOnce {
+		a, b := d.twoRandomChoices(pools[0]), d.weightedChoice(pools[2])
+		if b.cost()*outlierCostFactor < a.cost() {
 			return b
 		}
 		return a
 	}
-	for _, pool := range [...][]*unit{pools[0], pools[1], pools[2], units} {
+	for _, pool := range [...][]*trackedEndpoint{pools[0], pools[1], pools[2], units} {
 		if len(pool) > 0 {
-			return d.cheaper(pool)
+			return d.twoRandomChoices(pool)
 		}
 	}
 	return nil
 }
 
 // cheaper is the cheaper of two random choices.
-func (d *desk) cheaper(pool []*unit) *unit {
-	a := d.draw(pool)
-	if b := d.draw(pool); b.cost() < a.cost() {
+func (d *router) twoRandomChoices(pool []*trackedEndpoint) *trackedEndpoint {
+	a := d.weightedChoice(pool)
+	if b := d.weightedChoice(pool); b.cost() < a.cost() {
 		return b
 	}
 	return a
 }
 
 // may is the guard that every leg passes: rules 2 to 5.
-func (d *desk) may(q *query, u *unit) bool {
+func (d *router) eligible(q *trackedRequest, u *trackedEndpoint) bool {
 	p := d.p
-	if q.over || u.State != relay.Ready || len(q.legs) >= p.set.Limits.MaxAttempts || p.roster.expired() {
+	if q.finished || u.State != relay.Ready || len(q.attempts) >= p.settings.Limits.MaxAttempts || p.endpoints.leaseExpired() {
 		return false
 	}
-	for i := range q.legs {
-		l := &q.legs[i]
-		if l.open && !p.set.Limits.HedgedRequests {
+	for i := range q.attempts {
+		l := &q.attempts[i]
+		if l.open && !p.settings.Limits.HedgedRequests {
 			return false
 		}
-		if !l.mayRan {
+		if !l.mayHaveRun {
 			continue
 		}
-		switch q.row.repeat {
+		switch q.class.idempotency {
 		case relay.AtMostOnce:
 			return false
 		case relay.IdempotencyKeyed:
-			same := q.row.group == relay.DedupAll || q.row.group == relay.DedupZone && u.Zone == l.zone ||
-				q.row.group == relay.DedupFailureDomain && u.FailureDomain == l.cell
-			if !same || p.now >= q.repeatBy() {
+			same := q.class.dedupScope == relay.DedupAll || q.class.dedupScope == relay.DedupZone && u.Zone == l.zone ||
+				q.class.dedupScope == relay.DedupFailureDomain && u.FailureDomain == l.failureDomain
+			if !same || p.now >= q.dedupDeadline() {
 				return false
 			}
 		}
 	}
-	return !u.spared() && p.trial.may(q, u.Build)
+	return !u.withheld() && p.canary.permits(q, u.Build)
 }
 
 // send is where every leg goes out.
-func (d *desk) send(q *query, u *unit) {
-	p, by := d.p, q.repeatBy()
-	if end := d.p.roster.leaseEnd; end != never && (by == 0 || end < by) {
+func (d *router) sendAttempt(q *trackedRequest, u *trackedEndpoint) {
+	p, by := d.p, q.dedupDeadline()
+	if end := d.p.endpoints.leaseExpiresAt; end != never && (by == 0 || end < by) {
 		by = end // it waits for a connection no longer than the list holds
 	}
-	q.legs = append(q.legs, leg{unit: u, zone: u.Zone, cell: u.FailureDomain, build: u.Build, at: p.now,
-		age: p.now - u.started, open: true, mayRan: true, depth: u.open})
-	if u.warmth() < 1 {
-		u.cold, u.coldAt, u.first = math.Max(0, u.coldLeft()-1), p.now, 1
+	q.attempts = append(q.attempts, trackedAttempt{endpoint: u, zone: u.Zone, failureDomain: u.FailureDomain, build: u.Build, sentAt: p.now,
+		endpointAge: p.now - u.startTime, open: true, mayHaveRun: true, queueDepth: u.openAttempts})
+	if u.capacityFraction() < 1 {
+		u.slowStartBudget, u.slowStartBudgetAt, u.firstAttemptDraw = math.Max(0, u.slowStartLeft()-1), p.now, 1
 	}
-	p.trial.spend(q, u.Build)
-	p.post(u, noteSent{})
-	p.do(relay.SendAttempt{Request: q.ID, Endpoint: u.id, SendBy: by})
+	p.canary.chargeAttempt(q, u.Build)
+	p.send(u, attemptSent{})
+	p.emit(relay.SendAttempt{Request: q.ID, Endpoint: u.id, SendBy: by})
 }
--- a/policy/size_test.go
+++ b/policy/size_test.go
@@ -14,7 +14,7 @@
 	set := plainSettings()
 	set.Relays = relays
 	w = newWorld(t, set)
-	w.ended = func(_ *wQuery, l *wLeg) relay.Outcome {
+	w.outcomeOf = func(_ *worldRequest, l *worldAttempt) relay.Outcome {
 		l.end = w.now + 0.15
 		return relay.Succeeded
 	}
@@ -25,13 +25,13 @@
 	return w, func(span relay.Seconds) {
 		w.run(span, func() (out []relay.Event) { // 30 queries a second, and every relay's report once a second
 			if no%3 == 0 {
-				out = append(out, w.query(relay.RequestClass(no%2), 0))
+				out = append(out, w.newRequest(relay.RequestClass(no%2), 0))
 			}
 			for i := no % 100; i < relays; i += 100 {
 				m := report{build: 2, stage: 1, verdicts: make([]verdict, len(set.Classes))}
 				for k := range 4 {
-					m.observations = append(m.observations, observation{unit: hashOf(es[(i*7+no+k*units/3)%units].ID), how: relay.Succeeded,
-						newest: k%2 == 0, pace: 1})
+					m.observations = append(m.observations, observation{endpoint: hashOf(es[(i*7+no+k*units/3)%units].ID), outcome: relay.Succeeded,
+						newest: k%2 == 0, ratio: 1})
 				}
 				if i != int(set.Self) {
 					out = append(out, relay.MessageReceived{From: relay.RelayID(i), Body: m.encode()})
@@ -52,7 +52,7 @@
 		runtime.ReadMemStats(&before)
 		w, goOn := large(t, n, n)
 		goOn(15)
-		w.queries, w.sent, w.taken, w.onTrial = nil, nil, nil, nil
+		w.requests, w.sent, w.accepted, w.canaryAttempts = nil, nil, nil, nil
 		runtime.GC()
 		runtime.ReadMemStats(&after)
 		got := int64(after.HeapAlloc) - int64(before.HeapAlloc)
@@ -79,11 +79,11 @@
 	}
 }
 
-// TestHashesThatAreAlike gives two units one hash, as may be in a large fleet: what others tell goes to the first that
+// TestEqualHashes gives two units one hash, as may be in a large fleet: what others tell goes to the first that
 // stands, and to the second when the first is forgotten.
-func TestHashesThatAreAlike(t *testing.T) {
+func TestEqualHashes(t *testing.T) {
 	first, second := relay.EndpointID(1), relay.EndpointID(0)
-	seen := map[unitHash]relay.EndpointID{}
+	seen := map[endpointHash]relay.EndpointID{}
 	for id := relay.EndpointID(1); second == 0; id++ {
 		if other, twice := seen[hashOf(id)]; twice {
 			first, second = other, id
@@ -94,27 +94,27 @@
 	es := entries(2, 1, 1)
 	es[0].ID, es[1].ID = first, second
 	p.Step(0, []relay.Event{relay.ListUpdate{Kind: relay.ListFull, Endpoints: es}})
-	if u := p.roster.byHash[hashOf(second)]; u == nil || u.id != first {
+	if u := p.endpoints.byHash[hashOf(second)]; u == nil || u.id != first {
 		t.Fatalf("%+v", u)
 	}
 	p.Step(1, []relay.Event{relay.ListUpdate{Kind: relay.ListFull, Endpoints: es[1:]}})
-	p.Step(2+forgetGone, []relay.Event{relay.ListUpdate{Kind: relay.ListFull, Endpoints: es[1:]}})
-	if u := p.roster.byHash[hashOf(second)]; len(p.roster.units) != 1 || u == nil || u.id != second {
-		t.Errorf("%d units, hash at %+v", len(p.roster.units), u)
+	p.Step(2+forgetRemovedAfter, []relay.Event{relay.ListUpdate{Kind: relay.ListFull, Endpoints: es[1:]}})
+	if u := p.endpoints.byHash[hashOf(second)]; len(p.endpoints.all) != 1 || u == nil || u.id != second {
+		t.Errorf("%d units, hash at %+v", len(p.endpoints.all), u)
 	}
 }
 
-// TestBareEntryKeepsWhatIsKnown drains a unit by an entry of which nothing but that could be read.
-func TestBareEntryKeepsWhatIsKnown(t *testing.T) {
+// TestPartialEntryKeepsWhatIsKnown drains a unit by an entry of which nothing but that could be read.
+func TestPartialEntryKeepsWhatIsKnown(t *testing.T) {
 	p := New(plainSettings(), 1)
 	es := entries(2, 7, 1)
 	p.Step(0, []relay.Event{relay.ListUpdate{Kind: relay.ListFull, Endpoints: es}})
 	p.Step(1, []relay.Event{relay.ListUpdate{Kind: relay.ListDelta, Endpoints: []relay.Endpoint{
 		{ID: 2, State: relay.Draining, Partial: true}, {ID: 3, State: relay.Draining, Partial: true}}}})
-	if u := p.roster.byID[2]; u.State != relay.Draining || u.Build != 7 || u.Zone != es[1].Zone {
+	if u := p.endpoints.byID[2]; u.State != relay.Draining || u.Build != 7 || u.Zone != es[1].Zone {
 		t.Errorf("%+v", u.Endpoint)
 	}
-	if p.roster.byID[1].State != relay.Ready || p.roster.byID[3].State != relay.Draining {
+	if p.endpoints.byID[1].State != relay.Ready || p.endpoints.byID[3].State != relay.Draining {
 		t.Error("another unit's entry was touched, or an unknown one's lost")
 	}
 }
--- a/policy/slope_test.go
+++ b/policy/slope_test.go
@@ -123,7 +123,7 @@
 	}
 }
 
-// onTrial lists units of which half run a build on trial, and tells that build's news.
+// canaryAttempts lists units of which half run a build on trial, and tells that build's news.
 func (d *driver) onTrial(units int) []relay.Endpoint {
 	es := scattered(units, 1, 0, units/2)
 	es = append(es, scattered(units, 2, units/2, units)...)
@@ -144,12 +144,12 @@
 // reportsOf makes the reports of a fleet: so many legs of each relay a second, spread over all units by chance.
 func reportsOf(set relay.Settings, es []relay.Endpoint, legs int) (bodies [][]byte, each int) {
 	rng := rand.New(rand.NewSource(1))
-	each = max((legs+reportLegs-1)/reportLegs, 1)
+	each = max((legs+maxObservations-1)/maxObservations, 1)
 	for no := range min(set.Relays*each*reportRounds, bodiesAhead) {
 		m := report{build: 2, stage: 1, verdicts: make([]verdict, len(set.Classes))}
-		for range min(legs-no%each*reportLegs, reportLegs) {
+		for range min(legs-no%each*maxObservations, maxObservations) {
 			at := rng.Intn(len(es))
-			m.observations = append(m.observations, observation{unit: hashOf(es[at].ID), how: relay.Succeeded, newest: at >= len(es)/2, pace: 1})
+			m.observations = append(m.observations, observation{endpoint: hashOf(es[at].ID), outcome: relay.Succeeded, newest: at >= len(es)/2, ratio: 1})
 		}
 		bodies = append(bodies, m.encode())
 	}
@@ -157,7 +157,7 @@
 }
 
 // aDecision is what an aggregator tells: that nothing is to be done.
-func aDecision() []byte { return decision{build: 2, stage: 1, paces: []float64{1, 1}}.encode() }
+func aDecision() []byte { return decision{build: 2, stage: 1, ratios: []float64{1, 1}}.encode() }
 
 // fleetOf are the settings of one of so many relays.
 func fleetOf(relays, self int) relay.Settings {
@@ -240,7 +240,7 @@
 				}
 				d.legs = d.legs[:0]
 				d.step(nil)
-				if len(d.mod.desk.open) > 1000 { // a tick, which is another benchmark's, forgets those that are over
+				if len(d.mod.router.openRequests) > 1000 { // a tick, which is another benchmark's, forgets those that are over
 					b.StopTimer()
 					d.step([]relay.Event{relay.TimerFired{ID: 1}})
 					b.StartTimer()
@@ -259,7 +259,7 @@
 			d.onTrial(units)
 			decisions, no := aDecision(), 0
 			for b.Loop() {
-				d.now += tick
+				d.now += tickInterval
 				events := []relay.Event{relay.TimerFired{ID: 1}}
 				if no++; no%20 == 1 {
 					for i := range relay.RelayID(aggregatorCount) {
@@ -268,7 +268,7 @@
 				}
 				d.step(events)
 			}
-			if d.mod.aggregator.aggregating {
+			if d.mod.aggregator.active {
 				b.Fatal("it aggregates")
 			}
 		})
@@ -284,8 +284,8 @@
 		d.run(1, l)
 		seconds++
 	}
-	if d.mod.aggregator.aggregating != aggregates || d.denied > 0 {
-		b.Fatalf("aggregates: %v, denied: %d", d.mod.aggregator.aggregating, d.denied)
+	if d.mod.aggregator.active != aggregates || d.denied > 0 {
+		b.Fatalf("aggregates: %v, denied: %d", d.mod.aggregator.active, d.denied)
 	}
 	b.ReportMetric(d.messages/seconds, "messages-out/s")
 	b.ReportMetric(d.bytes/seconds, "bytes-out/s")
@@ -430,7 +430,7 @@
 func reportOf(legs int) report {
 	m := report{build: 861, stage: 1, verdicts: make([]verdict, 3)}
 	for i := range legs {
-		m.observations = append(m.observations, observation{unit: hashOf(relay.EndpointID(i + 1)), how: relay.Succeeded, newest: i%2 == 0, pace: 1})
+		m.observations = append(m.observations, observation{endpoint: hashOf(relay.EndpointID(i + 1)), outcome: relay.Succeeded, newest: i%2 == 0, ratio: 1})
 	}
 	return m
 }
@@ -442,7 +442,7 @@
 			rng := rand.New(rand.NewSource(1))
 			alike, fleets := 0, 0
 			for b.Loop() {
-				first := map[unitHash]int{}
+				first := map[endpointHash]int{}
 				for range units {
 					first[hashOf(relay.EndpointID(rng.Uint64()))]++
 				}
--- a/policy/world_test.go
+++ b/policy/world_test.go
@@ -26,97 +26,97 @@
 // world plays the other side of one relay and checks every order against the rules' text. It knows
 // nothing of the module's guards.
 type world struct {
-	t       interface{ Fatalf(string, ...any) }
-	set     relay.Settings
-	mod     *Policy
-	now     relay.Seconds
-	next    relay.RequestID
-	queries map[relay.RequestID]*wQuery
-	units   map[relay.EndpointID]*wUnit
-	wakes   []relay.SetTimer
-	taken   []wMark // queries taken, legs on trial, by category
-	onTrial []wMark
-	news    *relay.RolloutStatus
-	capAt   relay.Seconds // when the present cap began to bind
-	looser  float64       // the cap that it replaced
-	keys    map[relay.Key]relay.Build
-	ended   func(q *wQuery, l *wLeg) relay.Outcome // how a leg will end
-	sent    []relay.SendAttempt
-	votes   []relay.Vote
-	denied  int
-	told    []relay.Seconds // when it sent reports
+	t              interface{ Fatalf(string, ...any) }
+	set            relay.Settings
+	mod            *Policy
+	now            relay.Seconds
+	next           relay.RequestID
+	requests       map[relay.RequestID]*worldRequest
+	endpoints      map[relay.EndpointID]*worldEndpoint
+	timers         []relay.SetTimer
+	accepted       []worldMark // queries taken, legs on trial, by category
+	canaryAttempts []worldMark
+	status         *relay.RolloutStatus
+	limitSince     relay.Seconds // when the present cap began to bind
+	previousLimit  float64       // the cap that it replaced
+	keys           map[relay.Key]relay.Build
+	outcomeOf      func(q *worldRequest, l *worldAttempt) relay.Outcome // how a leg will end
+	sent           []relay.SendAttempt
+	votes          []relay.Vote
+	rejected       int
+	reportTimes    []relay.Seconds // when it sent reports
 }
 
-type wMark struct {
-	at       relay.Seconds
-	build    relay.Build
-	category relay.RequestClass
+type worldMark struct {
+	at    relay.Seconds
+	build relay.Build
+	class relay.RequestClass
 }
 
-type wUnit struct {
+type worldEndpoint struct {
 	relay.Endpoint
-	told relay.Seconds // when it was told as not ready
+	notReadySince relay.Seconds // when it was told as not ready
 }
 
-type wLeg struct {
-	unit      relay.Endpoint
-	at, end   relay.Seconds
-	how       relay.Outcome
-	done      bool
-	cancelled bool
-	recalled  bool
+type worldAttempt struct {
+	endpoint        relay.Endpoint
+	at, end         relay.Seconds
+	outcome         relay.Outcome
+	done            bool
+	cancelled       bool
+	cancelledUnsent bool
 }
 
-type wQuery struct {
+type worldRequest struct {
 	relay.Request
-	legs []*wLeg
-	over bool // ended by the module, or told as over
+	attempts []*worldAttempt
+	finished bool // ended by the module, or told as over
 }
 
 func newWorld(t interface{ Fatalf(string, ...any) }, set relay.Settings) *world {
-	w := &world{t: t, set: set, mod: New(set, 1), queries: map[relay.RequestID]*wQuery{},
-		units: map[relay.EndpointID]*wUnit{}, keys: map[relay.Key]relay.Build{}}
-	w.ended = func(*wQuery, *wLeg) relay.Outcome { return relay.Succeeded }
+	w := &world{t: t, set: set, mod: New(set, 1), requests: map[relay.RequestID]*worldRequest{},
+		endpoints: map[relay.EndpointID]*worldEndpoint{}, keys: map[relay.Key]relay.Build{}}
+	w.outcomeOf = func(*worldRequest, *worldAttempt) relay.Outcome { return relay.Succeeded }
 	return w
 }
 
 // step delivers events at the present time and carries out the orders.
 func (w *world) step(events ...relay.Event) {
 	honoured := map[relay.Key]relay.Build{}
-	var told []*wQuery // as over, in this batch: it binds from the next
+	var told []*worldRequest // as over, in this batch: it binds from the next
 	for _, e := range events {
 		switch e := e.(type) {
 		case relay.Request:
-			w.queries[e.ID] = &wQuery{Request: e}
-			w.taken = append(w.taken, wMark{w.now, 0, e.Class})
+			w.requests[e.ID] = &worldRequest{Request: e}
+			w.accepted = append(w.accepted, worldMark{w.now, 0, e.Class})
 		case relay.AttemptEnded:
-			q := w.queries[e.Request]
+			q := w.requests[e.Request]
 			if e.RequestFinished {
 				told = append(told, q)
 			}
 			if e.Outcome == relay.Succeeded && q.Key != 0 {
-				honoured[q.Key] = max(honoured[q.Key], q.legs[e.Attempt].unit.Build)
+				honoured[q.Key] = max(honoured[q.Key], q.attempts[e.Attempt].endpoint.Build)
 			}
 		case relay.ClientDisconnected:
-			if q := w.queries[e.Request]; q != nil {
+			if q := w.requests[e.Request]; q != nil {
 				told = append(told, q)
 			}
 		case relay.ListUpdate:
-			w.roster(e)
+			w.listUpdated(e)
 		case relay.RolloutStatus:
-			w.hear(e)
+			w.statusReceived(e)
 		}
 	}
 	for _, o := range w.mod.Step(w.now, events) {
 		switch o := o.(type) {
 		case relay.SendAttempt:
-			w.leg(o)
+			w.sendAttempt(o)
 		case relay.Reject:
 			q := w.final(o.Request)
-			w.denied++
-			for _, l := range q.legs {
+			w.rejected++
+			for _, l := range q.attempts {
 				c := w.set.Classes[q.Class]
-				if maybe := !l.done || !l.how.NeverRan(); maybe && (c.Idempotency == relay.AtMostOnce ||
+				if maybe := !l.done || !l.outcome.NeverRan(); maybe && (c.Idempotency == relay.AtMostOnce ||
 					c.Idempotency == relay.IdempotencyKeyed && c.DedupScope != relay.DedupAll) {
 					w.t.Fatalf("%v: denied query %d, which may have run", w.now, q.ID)
 				}
@@ -124,14 +124,14 @@
 		case relay.Fail:
 			w.final(o.Request)
 		case relay.CancelUnsent:
-			w.queries[o.Request].legs[o.Attempt].recalled = true
+			w.requests[o.Request].attempts[o.Attempt].cancelledUnsent = true
 		case relay.SetTimer:
-			w.wakes = append(w.wakes, o)
+			w.timers = append(w.timers, o)
 		case relay.CancelAttempt:
-			if !w.set.Limits.CancelAttempts || int(o.Attempt) >= len(w.queries[o.Request].legs) {
+			if !w.set.Limits.CancelAttempts || int(o.Attempt) >= len(w.requests[o.Request].attempts) {
 				w.t.Fatalf("%v: cancel not allowed", w.now)
 			}
-			w.queries[o.Request].legs[o.Attempt].cancelled = true
+			w.requests[o.Request].attempts[o.Attempt].cancelled = true
 		case relay.HealthCheck:
 			if !w.set.Limits.HealthChecks {
 				w.t.Fatalf("probe not allowed")
@@ -140,103 +140,103 @@
 			if !w.set.Limits.PeerMessages || len(o.Body) > 256 {
 				w.t.Fatalf("message not allowed, or of %d bytes", len(o.Body))
 			}
-			w.told = append(w.told, w.now)
+			w.reportTimes = append(w.reportTimes, w.now)
 		case relay.Vote:
 			w.votes = append(w.votes, o)
 		}
 	}
 	for _, e := range events { // the newest build's cap fell: legs that have not gone yet are under it too
 		n, ok := e.(relay.RolloutStatus)
-		for _, q := range w.queries {
-			for _, l := range q.legs {
-				if ok && n.Valid && n.ExposureLimit == 0 && n.Build == w.news.Build && l.unit.Build == n.Build && l.at < w.now &&
-					w.capAt == w.now && !l.done && !l.recalled {
+		for _, q := range w.requests {
+			for _, l := range q.attempts {
+				if ok && n.Valid && n.ExposureLimit == 0 && n.Build == w.status.Build && l.endpoint.Build == n.Build && l.at < w.now &&
+					w.limitSince == w.now && !l.done && !l.cancelledUnsent {
 					w.t.Fatalf("%v: a leg to build %d may still go after its cap fell", w.now, n.Build)
 				}
 			}
 		}
 	}
 	for _, q := range told {
-		q.over = true
+		q.finished = true
 	}
 	for k, b := range honoured {
 		w.keys[k] = max(w.keys[k], b)
 	}
 	for id := relay.RequestID(0); id < w.next; id++ {
-		if q := w.queries[id]; q != nil && !q.over && w.now > q.Deadline+w.set.Rules.AnswerSlack {
+		if q := w.requests[id]; q != nil && !q.finished && w.now > q.Deadline+w.set.Rules.AnswerSlack {
 			w.t.Fatalf("%v: query %d has no final answer, patience ended at %v", w.now, id, q.Deadline)
 		}
 	}
 }
 
-func (w *world) final(id relay.RequestID) *wQuery {
-	q := w.queries[id]
-	if q == nil || q.over {
+func (w *world) final(id relay.RequestID) *worldRequest {
+	q := w.requests[id]
+	if q == nil || q.finished {
 		w.t.Fatalf("%v: a final answer to query %d, which is over", w.now, id)
 	}
-	q.over = true
+	q.finished = true
 	return q
 }
 
-func (w *world) roster(r relay.ListUpdate) {
+func (w *world) listUpdated(r relay.ListUpdate) {
 	listed := map[relay.EndpointID]bool{}
 	for _, e := range r.Endpoints {
 		listed[e.ID] = true
-		if u := w.units[e.ID]; u == nil {
-			w.units[e.ID] = &wUnit{e, w.now}
+		if u := w.endpoints[e.ID]; u == nil {
+			w.endpoints[e.ID] = &worldEndpoint{e, w.now}
 		} else {
 			if e.State != relay.Ready && u.State == relay.Ready {
-				u.told = w.now
+				u.notReadySince = w.now
 			}
 			u.Endpoint = e
 		}
 	}
-	for id, u := range w.units {
+	for id, u := range w.endpoints {
 		if (r.Kind == relay.ListCached || r.Kind == relay.ListFull) && !listed[id] {
 			if u.State == relay.Ready {
-				u.told = w.now
+				u.notReadySince = w.now
 			}
 			u.State = relay.Removed
 		}
 	}
 }
 
-func (w *world) hear(n relay.RolloutStatus) {
+func (w *world) statusReceived(n relay.RolloutStatus) {
 	if !n.Valid {
 		return
 	}
-	if w.news == nil || n.Build != w.news.Build {
-		w.capAt, w.looser = -100, 0
-	} else if n.ExposureLimit < w.news.ExposureLimit {
-		w.capAt, w.looser = w.now, max(w.news.ExposureLimit, w.looser)
+	if w.status == nil || n.Build != w.status.Build {
+		w.limitSince, w.previousLimit = -100, 0
+	} else if n.ExposureLimit < w.status.ExposureLimit {
+		w.limitSince, w.previousLimit = w.now, max(w.status.ExposureLimit, w.previousLimit)
 	}
 	for k, b := range w.keys {
 		if b == n.Build && (n.Phase == relay.PhaseRollingBack || n.Phase == relay.PhaseWithdrawn) {
 			delete(w.keys, k)
 		}
 	}
-	w.news = &n
+	w.status = &n
 }
 
 // leg checks rules 1, 2, 3 and 5 for one leg, and draws how it ends.
-func (w *world) leg(o relay.SendAttempt) {
-	q, u := w.queries[o.Request], w.units[o.Endpoint]
-	if q == nil || u == nil || q.over {
+func (w *world) sendAttempt(o relay.SendAttempt) {
+	q, u := w.requests[o.Request], w.endpoints[o.Endpoint]
+	if q == nil || u == nil || q.finished {
 		w.t.Fatalf("%v: a leg of query %d, unknown or over, or to an unknown unit", w.now, o.Request)
 	}
-	if u.State != relay.Ready && w.now > u.told+w.set.Rules.DrainGrace {
-		w.t.Fatalf("%v: a leg to a unit told as not ready at %v", w.now, u.told)
+	if u.State != relay.Ready && w.now > u.notReadySince+w.set.Rules.DrainGrace {
+		w.t.Fatalf("%v: a leg to a unit told as not ready at %v", w.now, u.notReadySince)
 	}
 	c := w.set.Classes[q.Class]
-	for _, l := range q.legs {
+	for _, l := range q.attempts {
 		if !l.done && !w.set.Limits.HedgedRequests {
 			w.t.Fatalf("%v: two legs of query %d at once", w.now, q.ID)
 		}
-		if l.done && l.how.NeverRan() || c.Idempotency == relay.Idempotent {
+		if l.done && l.outcome.NeverRan() || c.Idempotency == relay.Idempotent {
 			continue
 		}
-		same := c.DedupScope == relay.DedupAll || c.DedupScope == relay.DedupZone && l.unit.Zone == u.Zone ||
-			c.DedupScope == relay.DedupFailureDomain && l.unit.FailureDomain == u.FailureDomain
+		same := c.DedupScope == relay.DedupAll || c.DedupScope == relay.DedupZone && l.endpoint.Zone == u.Zone ||
+			c.DedupScope == relay.DedupFailureDomain && l.endpoint.FailureDomain == u.FailureDomain
 		if c.Idempotency == relay.AtMostOnce || !same || w.now > l.at+c.DedupWindow {
 			w.t.Fatalf("%v: query %d may run twice", w.now, q.ID)
 		}
@@ -244,54 +244,54 @@
 			w.t.Fatalf("%v: query %d may be written until %v, its window ends at %v", w.now, q.ID, o.SendBy, l.at+c.DedupWindow)
 		}
 	}
-	if len(q.legs) >= w.set.Limits.MaxAttempts {
+	if len(q.attempts) >= w.set.Limits.MaxAttempts {
 		w.t.Fatalf("%v: too many legs", w.now)
 	}
 	w.exposure(q, u.Endpoint)
-	l := &wLeg{unit: u.Endpoint, at: w.now}
-	l.how = w.ended(q, l)
-	q.legs = append(q.legs, l)
+	l := &worldAttempt{endpoint: u.Endpoint, at: w.now}
+	l.outcome = w.outcomeOf(q, l)
+	q.attempts = append(q.attempts, l)
 	if l.end == 0 {
 		l.end = w.now + 0.1
 	}
 	if l.end >= q.Deadline {
-		l.end, l.how = q.Deadline, relay.TimedOut
+		l.end, l.outcome = q.Deadline, relay.TimedOut
 	}
 	w.sent = append(w.sent, o)
 }
 
-func (w *world) exposure(q *wQuery, u relay.Endpoint) {
+func (w *world) exposure(q *worldRequest, u relay.Endpoint) {
 	ro := w.set.Rollout
-	if n := w.news; n != nil && ro.StickyKeys && q.Key != 0 && w.keys[q.Key] == n.Build && u.Build < n.Build &&
+	if n := w.status; n != nil && ro.StickyKeys && q.Key != 0 && w.keys[q.Key] == n.Build && u.Build < n.Build &&
 		(n.Phase == relay.PhaseCanary || n.Phase == relay.PhaseReleased) {
 		w.t.Fatalf("%v: key %d went back to build %d", w.now, q.Key, u.Build)
 	}
 	cap, stage, since := 0.0, relay.Stage(0), -1.0
 	switch {
-	case w.news == nil || u.Build < w.news.Build || u.Build == w.news.Build && w.news.Phase == relay.PhaseReleased:
+	case w.status == nil || u.Build < w.status.Build || u.Build == w.status.Build && w.status.Phase == relay.PhaseReleased:
 		return
-	case u.Build > w.news.Build:
+	case u.Build > w.status.Build:
 		cap = ro.ExposureLimits[0]
 	default:
-		cap, stage = w.news.ExposureLimit, w.news.Stage
-		if w.now <= w.capAt+w.set.Rules.DrainGrace {
-			cap = w.looser
-		} else if w.capAt >= 0 {
-			since = w.capAt + w.set.Rules.DrainGrace
+		cap, stage = w.status.ExposureLimit, w.status.Stage
+		if w.now <= w.limitSince+w.set.Rules.DrainGrace {
+			cap = w.previousLimit
+		} else if w.limitSince >= 0 {
+			since = w.limitSince + w.set.Rules.DrainGrace
 		}
 	}
 	if int(stage) < ro.IdempotentOnlyStages && w.set.Classes[q.Class].Idempotency != relay.Idempotent {
 		w.t.Fatalf("%v: an effect at a guarded stage", w.now)
 	}
-	w.onTrial = append(w.onTrial, wMark{w.now, u.Build, q.Class})
+	w.canaryAttempts = append(w.canaryAttempts, worldMark{w.now, u.Build, q.Class})
 	legs, taken := 0.0, 0.0
-	for _, m := range w.onTrial {
-		if m.at > max(w.now-ro.ExposureWindow, since) && m.build == u.Build && (!ro.PerClass || m.category == q.Class) {
+	for _, m := range w.canaryAttempts {
+		if m.at > max(w.now-ro.ExposureWindow, since) && m.build == u.Build && (!ro.PerClass || m.class == q.Class) {
 			legs++
 		}
 	}
-	for _, m := range w.taken {
-		if m.at > w.now-ro.ExposureWindow && (!ro.PerClass || m.category == q.Class) {
+	for _, m := range w.accepted {
+		if m.at > w.now-ro.ExposureWindow && (!ro.PerClass || m.class == q.Class) {
 			taken++
 		}
 	}
@@ -302,31 +302,31 @@
 
 // due collects what has come about by now: wake-ups and ends of legs.
 func (w *world) due() (events []relay.Event) {
-	left := w.wakes[:0]
-	for _, k := range w.wakes {
+	left := w.timers[:0]
+	for _, k := range w.timers {
 		if k.At <= w.now {
 			events = append(events, relay.TimerFired{ID: k.ID})
 		} else {
 			left = append(left, k)
 		}
 	}
-	w.wakes = left
-	ids := make([]int, 0, len(w.queries))
-	for id := range w.queries {
+	w.timers = left
+	ids := make([]int, 0, len(w.requests))
+	for id := range w.requests {
 		ids = append(ids, int(id))
 	}
 	sort.Ints(ids)
 	for _, id := range ids {
-		q := w.queries[relay.RequestID(id)]
-		over := q.over
-		for i, l := range q.legs {
+		q := w.requests[relay.RequestID(id)]
+		over := q.finished
+		for i, l := range q.attempts {
 			if l.cancelled && !l.done && l.end > w.now {
-				l.end, l.how = w.now, relay.Cancelled
+				l.end, l.outcome = w.now, relay.Cancelled
 			}
 			if !l.done && l.end <= w.now {
 				l.done = true
-				over = over || l.how == relay.Succeeded
-				events = append(events, relay.AttemptEnded{Request: q.ID, Attempt: relay.AttemptNumber(i), Endpoint: l.unit.ID, Outcome: l.how,
+				over = over || l.outcome == relay.Succeeded
+				events = append(events, relay.AttemptEnded{Request: q.ID, Attempt: relay.AttemptNumber(i), Endpoint: l.endpoint.ID, Outcome: l.outcome,
 					Duration: l.end - l.at, RequestFinished: over})
 			}
 		}
@@ -356,17 +356,17 @@
 	}
 }
 
-// legsOf is how many of the legs went to a build.
-func (w *world) legsOf(build relay.Build, legs []relay.SendAttempt) (n int) {
+// attemptsAt is how many of the legs went to a build.
+func (w *world) attemptsAt(build relay.Build, legs []relay.SendAttempt) (n int) {
 	for _, o := range legs {
-		if w.units[o.Endpoint].Build == build {
+		if w.endpoints[o.Endpoint].Build == build {
 			n++
 		}
 	}
 	return n
 }
 
-func (w *world) query(c relay.RequestClass, key relay.Key) relay.Request {
+func (w *world) newRequest(c relay.RequestClass, key relay.Key) relay.Request {
 	w.next++
 	return relay.Request{ID: w.next - 1, Class: c, Key: key, Deadline: w.now + w.set.Classes[c].Deadline,
 		Work: 0.1, HasWork: true}
