--- a/policy/doc.go
+++ b/policy/doc.go
@@ -1,23 +1,29 @@
-// Package policy holds every decision of a relay.
+// Package policy makes every decision of a relay.
 //
-// How to call it: New(settings, seed) once, then Step(now, events) whenever something has happened; the
-// orders it returns are to be carried out in their order, and the slice is good until the next Step.
-// Their types are package relay's. The module has no clock, no I/O, no goroutine and no global.
+// New(settings, seed) returns the module of one relay; Step(now, events) takes what has happened and
+// returns the commands to carry out, in their order. Event and command types are package relay's. The
+// module has no clock, no I/O, no goroutine and no global state; chance comes from the seed, so the same
+// events lead to the same commands. One goroutine calls it.
 //
-// Inside, each part is a small actor, and the parts change each other only by notes. What decides has a file
-// for each job, each with its tuned values:
+// Inside, each part owns its state, and the parts change each other's only by messages (mailbox.go). The
+// files of decisions, each with its tuned values and the reason for their size:
 //
-//   - roster.go: when discovery is asked for the list of units
-//   - unit.go: what is known of one server, and what a leg there would cost
-//   - queries.go: a query from its arrival to its final answer
-//   - routing.go: the choice of a unit for a leg, and the guard that every leg passes
-//   - gate.go: which new queries are denied in an overload
-//   - exposure.go: what the build on trial may get
-//   - evidence.go: this relay's verdicts on the newest build
-//   - fusion.go: all relays' verdicts and outcomes taken together
+//   - endpoints.go: the endpoint list, and when discovery is polled for it
+//   - endpoint.go: what is known of one endpoint, and what one more attempt there would cost
+//   - slowstart.go: what a fresh endpoint may get
+//   - latency.go: latency ratios, the time of an attempt over its expected work
+//   - requests.go: a request from its arrival to its final answer
+//   - routing.go: the choice of an endpoint for an attempt, and the guard that every attempt passes
+//   - admission.go: which new requests are rejected in an overload
+//   - canary.go: where the newest build stands, and who may meet it
+//   - exposure.go: how much of the traffic the build on trial may get
+//   - evidence.go: the outcomes that speak for or against a build
+//   - comparison.go: the statistical test of one build against another
+//   - verdicts.go: this relay's verdicts on the newest build
+//   - aggregator.go: which relays aggregate, and what they tell each other
+//   - fusion.go: all relays' verdicts and outcomes as one decision
 //   - votes.go: the vote that follows, and when it is cast
 //
-// state.go has the types, the notes and the bookkeeping, measure.go buckets of time, messages.go what relays tell one another.
-//
-// Each tuned value is given with its unit and the reason for its size. DESIGN hashes the design page's own.
+// Package window has the statistics, package peerwire the messages between relays. Values marked DESIGN are
+// those of the paper's adaptation (docs/design.md).
 package policy
--- a/policy/evidence.go
+++ b/policy/evidence.go
@@ -1,190 +1,215 @@
-// Evidence: this relay's verdicts on the newest build, and the test that compares two builds.
-
 package policy
 
 import (
+	"fmt"
 	"math"
-	"slices"
-	"sort"
 
+	"lichenroad/policy/peerwire"
+	"lichenroad/policy/window"
 	"lichenroad/relay"
 )
 
 const (
-	judgeInterval         = 0.25 // s between two looks at the evidence: a few outcomes apart
-	evidenceBucketTime    = 0.5  // s a bucket of outcomes
-	evidenceBuckets       = 24   // 12 s: two lives of a verdict, long enough for 20 outcomes of a rare category
-	recentEvidenceBuckets = 6    // of these buckets, looked at alone too: a build that turns bad has shone for long
-	earlierShareBuckets   = 12   // buckets taken as recent where a build is compared with its own earlier share
-	slownessBuckets       = 8    // 4 s of legs that show slowness: the hour changes faster than builds do
-	maxQueueDepth         = 8    // own legs at a unit that paces are told apart by: more are rare where it runs well
-	minRatioSamples       = 10.0 // legs from which a usual pace is known
-	minOutcomes           = 20.0 // outcomes a build for a flag, and pooled ones for a vote on (DESIGN)
-	flagStandardErrors    = 3.0  // standard errors that a share must be worse by (DESIGN)
-	flagMinFailures       = 1.0  // failures that a share must be worse by, and more (DESIGN)
-	flagMinDifference     = 0.05 // difference of shares that a flag needs (DESIGN)
-	pooledMinFailures     = 4.0  // the same as flagMinFailures for pooled counts, which are looked at far more often
-	pooledMinDifference   = 0.02 // the same as flagMinDifference for pooled failures: many outcomes show a mild fault too
-	slowFactor            = 1.6  // times the earlier machines' leg time that a flag needs: as much differs by load
-	minSlowSamples        = 60.0 // legs that slowness needs, earlier machines twice that: the last to drain are idle
-	earlierRatioLife      = 0.5  // s after the last leg of earlier machines that they still tell how the hour is
-	maxFaultyFraction     = 0.5  // of a build's units that fail most legs, above which that is the build's doing
-	faultyFactor          = 2.0  // times the earlier build's part that it must be too: twice is no chance of the draw
-	oldestSpread          = 2.0  // s between the starts of machines that count as the eldest: one stage's
-	listedFraction        = 0.5  // of a stage's units that must be listed before its time counts: news may lag
-	verdictInterval       = 1.0  // s between verdicts without a change (DESIGN)
+	// s a bucket of outcomes
+	evidenceBucketTime = 0.5
+	// 12 s: two lives of a verdict, long enough for 20 outcomes of a rare class
+	evidenceBuckets = 24
+	// 4 s of attempts that show slowness: load changes faster than builds do
+	slownessBuckets = 8
+	// s after the last attempt at earlier machines that these still show the present load
+	earlierRatioLife = 0.5
 )
 
-// judge forms this relay's verdicts and tells the aggregators, on change and every so often.
-func (t *canary) judge() {
-	t.updateListing()
-	changed := len(t.unreported) > 0 && t.p.now-t.reportedAt >= verdictInterval
-	for c := range t.p.classes {
-		v := t.verdictOn(c)
-		changed = changed || v.flagged != t.verdicts[c].flagged
-		t.verdicts[c] = v
-	}
-	if !changed {
+// outcomeCounts are outcomes of one build in one class. The sums of logarithms are over attempts of the
+// youngest few buckets alone.
+type outcomeCounts struct {
+	attempts float64
+	failed   float64
+	late     float64
+
+	measured float64     // attempts whose usual latency ratio is known
+	overall  logRatioSum // of their ratio over the usual one
+
+	matched  float64     // measured ones of the newest build while earlier machines showed the present load
+	relative logRatioSum // of their ratio over what those showed at the moment
+}
+
+// logRatioSum is a sum of logarithms of a ratio, and of their squares.
+type logRatioSum struct {
+	sum     float64
+	squares float64
+}
+
+// The columns of an endpoint's evidence, for each class.
+const (
+	columnAttempts = iota
+	columnFailed
+	columnLate
+	columnMeasured // the columns from here on count for slownessBuckets alone
+	columnOverallSum
+	columnOverallSquares
+	columnMatched
+	columnRelativeSum
+	columnRelativeSquares
+	evidenceColumns
+)
+
+func (c *outcomeCounts) add(other *outcomeCounts) {
+	c.attempts += other.attempts
+	c.failed += other.failed
+	c.late += other.late
+	c.measured += other.measured
+	c.overall.add(other.overall)
+	c.matched += other.matched
+	c.relative.add(other.relative)
+}
+
+func (s *logRatioSum) add(other logRatioSum) {
+	s.sum += other.sum
+	s.squares += other.squares
+}
+
+// addColumns adds one class's columns of a bucket.
+func (c *outcomeCounts) addColumns(columns []float32, withSlowness bool) {
+	c.attempts += float64(columns[columnAttempts])
+	c.failed += float64(columns[columnFailed])
+	c.late += float64(columns[columnLate])
+	if !withSlowness {
 		return
 	}
-	t.reportedAt = t.p.now
-	m := report{build: t.status.Build, stage: t.status.Stage, verdicts: append([]verdict(nil), t.verdicts...)}
-	t.p.send(&t.p.aggregator, peerReport{t.p.settings.Self, m})
-	t.reportToAggregators(m)
+	c.measured += float64(columns[columnMeasured])
+	c.overall.sum += float64(columns[columnOverallSum])
+	c.overall.squares += float64(columns[columnOverallSquares])
+	c.matched += float64(columns[columnMatched])
+	c.relative.sum += float64(columns[columnRelativeSum])
+	c.relative.squares += float64(columns[columnRelativeSquares])
 }
 
-// list notes when most units of the present stage are listed, and what part of the fleet they can take.
-func (t *canary) updateListing() {
-	newer, ready, warm, all := 0.0, 0.0, 0.0, 0.0
-	for _, u := range t.p.endpoints.all {
-		if u.State != relay.Ready {
-			continue
-		}
-		w := u.capacityFraction()
-		if u.withheld() {
-			w = 0 // what this relay may not send there must not fall on the others of the build
-		}
-		all += w
-		if _, _, onTrial := t.exposureLimit(u.Build); onTrial {
-			warm += w
-		}
-		ready++
-		if u.onNewestBuild() {
-			newer++
-		}
-	}
-	// An even part of the load would do, but machines that came beside the earlier ones can do what these did
-	// alone; all relays together would else leave half of the queries to the earlier build for a whole stage.
-	part := warm / math.Max(all, 1)
-	if besides := math.Min(1, warm/math.Max(all-warm, 1)); !t.p.settings.Rollout.InPlace {
-		part += t.p.router.headroom * math.Max(besides-part, 0)
-	}
-	// Where own legs show how full a unit is, its cost bounds what it gets; a small relay sees nothing of it.
-	t.capacityShare = part * (1 + math.Min(1, float64(t.p.router.openInTime)/math.Max(ready, 1)))
-	before := ready // what the stage's part is counted of
-	if !t.p.settings.Rollout.InPlace {
-		before -= newer
-	}
-	if s := t.p.settings.Rollout.StageShares; t.listedAt == 0 && newer > 0 && int(t.status.Stage) < len(s) &&
-		newer >= listedFraction*s[t.status.Stage]*before {
-		t.listedAt = t.p.now
-	}
+// String is how counts stand in the log.
+func (c outcomeCounts) String() string {
+	return fmt.Sprintf("%.0f attempts (%.0f failed, %.0f late, %.0f measured, %.0f matched)",
+		c.attempts, c.failed, c.late, c.measured, c.matched)
 }
 
-// verdict forms this relay's verdict on one category. With too few outcomes it says nothing.
-func (t *canary) verdictOn(c int) (v verdict) {
-	if t.newestAttempts.all(t.p.now, c) < minOutcomes {
-		return verdict{}
-	}
-	newer, before := t.compareBuilds(ownEvidence, c, evidenceBuckets, 0)
-	if newer[figCount] < minOutcomes || before[figCount] < minOutcomes {
-		return verdict{}
+// estimate is the mean of a logarithm of a latency ratio, with its standard error.
+type estimate struct {
+	mean     float64
+	stdError float64
+}
+
+func newEstimate(samples float64, of logRatioSum) estimate {
+	n := math.Max(samples, 1)
+	mean := of.sum / n
+	return estimate{mean: mean, stdError: math.Sqrt(math.Max(of.squares/n-mean*mean, 0) / n)}
+}
+
+// overallSlowness is how slow the measured attempts were against the usual ratios.
+func (c *outcomeCounts) overallSlowness() estimate { return newEstimate(c.measured, c.overall) }
+
+// relativeSlowness is how slow the matched attempts were against the earlier machines at the same moments.
+func (c *outcomeCounts) relativeSlowness() estimate { return newEstimate(c.matched, c.relative) }
+
+// exceeds says whether attempts took some times longer, beyond what chance explains.
+func (e estimate) exceeds(times float64) bool {
+	return e.mean > math.Log(times) && e.mean > flagStandardErrors*e.stdError
+}
+
+// recordEvidence adds an attempt to what the endpoint showed. Usual is the ratio that is usual there; 0:
+// not known.
+func (e *trackedEndpoint) recordEvidence(
+	observed peerwire.Observation, source evidenceSource, usual float64,
+) {
+	now := e.p.now
+	first := int(observed.Class) * evidenceColumns
+	evidence := &e.evidence[source]
+	evidence.Add(now, first+columnAttempts, 1)
+	if source == ownEvidence && observed.Newest {
+		e.p.canary.newestAttempts.Add(now, int(observed.Class), 1)
+	}
+	if observed.Outcome == relay.Errored || observed.Outcome == relay.ConnectionBroken {
+		evidence.Add(now, first+columnFailed, 1)
+	} else if observed.Late && !observed.Young {
+		evidence.Add(now, first+columnLate, 1)
+	}
+	if observed.Young || usual <= 0 || observed.Ratio <= 0 {
+		return
 	}
-	return verdict{flagsBuild(newer, before, false), newer[figCount]}
+	e.recordSlowness(evidence, first, observed.Newest, math.Log(observed.Ratio/usual))
 }
 
-// compare sets the newest build's outcomes against the earlier ones'; its eldest machines' alone from an age.
-func (t *canary) compareBuilds(by, c, to int, age relay.Seconds) (newer, before outcomeCounts) {
-	pooled := by == peerEvidence
-	before, ill := t.gatherEvidence(pooled, c, false, 0, evidenceBuckets, maxFaultyFraction, 0)
-	// A lost zone takes machines of both builds along: what many earlier ones show too is not the build's doing.
-	spare := math.Max(maxFaultyFraction, faultyFactor*ill)
-	newer, _ = t.gatherEvidence(pooled, c, true, 0, to, spare, age)
-	if before[figCount] >= minOutcomes {
-		t.lastEarlier[by][c] = before
-		return newer, before
+// recordSlowness adds the logarithm of an attempt's ratio over the usual one.
+func (e *trackedEndpoint) recordSlowness(evidence *window.Sliding, first int, newest bool, logRatio float64) {
+	now, latency := e.p.now, &e.p.latency
+	evidence.Add(now, first+columnMeasured, 1)
+	evidence.Add(now, first+columnOverallSum, logRatio)
+	evidence.Add(now, first+columnOverallSquares, logRatio*logRatio)
+	if !newest {
+		latency.earlier.Add(logRatio, fleetRatioStep)
+		latency.earlierAt = now
+		return
 	}
-	// Else what they last showed, or this release's own earlier share; lateness then tells of the hour alone.
-	if before = t.lastEarlier[by][c]; before[figCount] == 0 {
-		newer, _ = t.gatherEvidence(pooled, c, true, 0, min(to, earlierShareBuckets), spare, age)
-		before, _ = t.gatherEvidence(pooled, c, true, earlierShareBuckets, evidenceBuckets, spare, 0)
+	if latency.earlier.Samples >= minRatioSamples && now-latency.earlierAt < earlierRatioLife {
+		relative := logRatio - latency.earlier.Value
+		evidence.Add(now, first+columnMatched, 1)
+		evidence.Add(now, first+columnRelativeSum, relative)
+		evidence.Add(now, first+columnRelativeSquares, relative*relative)
 	}
-	newer[figLate], newer[figMatched] = 0, 0
-	return newer, before
 }
 
-// gather sums the evidence of the newest build's units, or of the earlier ones. What only some machines of a
-// build do is not the build's: a unit that failed most legs or broke one of late is left out, unless more
-// than a part (given too) did; the slowest quarter is left out of slowness; a single unit shows no faults.
-func (t *canary) gatherEvidence(pooled bool, c int, newest bool, from, to int, spare float64,
-	age relay.Seconds) (sound outcomeCounts, ill float64) {
-	var seen, off []outcomeCounts
-	eldest := 0.0
-	if age > 0 {
-		eldest = t.oldestAge()
-	}
-	for _, u := range t.p.endpoints.all {
-		if u.onNewestBuild() != newest {
+// evidenceCounts is what the endpoint showed in one class, or in all of them where class is their number,
+// in buckets that are at least from and less than to buckets old: to this relay alone, or pooled with what
+// others reported.
+func (e *trackedEndpoint) evidenceCounts(pooled bool, class, from, to int) (counts outcomeCounts) {
+	for source := range e.evidence {
+		evidence := &e.evidence[source]
+		if evidenceSource(source) == peerEvidence && !pooled || evidence.Idle(e.p.now) {
 			continue
 		}
-		until := to
-		if has := t.p.now - u.startTime; age > 0 {
-			if until = min(to, int((has-age)/evidenceBucketTime)); until <= 0 || has < eldest-oldestSpread {
-				continue
+		evidence.Advance(e.p.now)
+		for age := from; age < to; age++ {
+			columns, ok := evidence.Bucket(age)
+			if !ok {
+				break
+			}
+			if class < len(e.p.classes) {
+				columns = columns[class*evidenceColumns : (class+1)*evidenceColumns]
+			}
+			for ; len(columns) > 0; columns = columns[evidenceColumns:] {
+				if columns[columnAttempts] == 0 {
+					continue // most endpoints are met by hardly anybody in most buckets: no column stands without it
+				}
+				counts.addColumns(columns, age < from+slownessBuckets)
 			}
 		}
-		e := u.evidenceCounts(pooled, c, from, until)
-		if e[figCount] == 0 {
-			continue
-		}
-		if u.faultyAt > 0 && t.p.now-u.faultyAt < evidenceBucketTime*evidenceBuckets {
-			off = append(off, e)
-		} else {
-			seen = append(seen, e)
-		}
-	}
-	all := float64(len(off) + len(seen))
-	if ill = float64(len(off)) / math.Max(all, 1); ill > spare {
-		seen = append(seen, off...)
 	}
-	for _, e := range seen {
-		sound.add(e)
-	}
-	if len(seen) == 1 && newest {
-		return outcomeCounts{figCount: sound[figCount]}, ill
-	}
-	seen = slices.DeleteFunc(seen, func(e outcomeCounts) bool { return e[figMatched] == 0 })
-	sort.SliceStable(seen, func(i, j int) bool {
-		return seen[i][figOver]*seen[j][figMatched] > seen[j][figOver]*seen[i][figMatched]
-	})
-	left := sound[figMatched]
-	for _, e := range seen[:(len(seen)+3)/4] {
-		sound[figOver] -= e[figOver]
-		left -= e[figMatched]
+	return counts
+}
+
+// fleetCounts sums the slowness of all endpoints, whatever their build and whoever saw it.
+func (c *canary) fleetCounts() (counts outcomeCounts) {
+	for _, endpoint := range c.p.endpoints.all {
+		for source := range endpoint.evidence {
+			evidence := &endpoint.evidence[source]
+			if evidence.Idle(c.p.now) {
+				continue
+			}
+			for class := range c.p.classes {
+				first := class * evidenceColumns
+				counts.measured += evidence.Sum(c.p.now, first+columnMeasured, 0, slownessBuckets)
+				counts.overall.sum += evidence.Sum(c.p.now, first+columnOverallSum, 0, slownessBuckets)
+				counts.overall.squares += evidence.Sum(c.p.now, first+columnOverallSquares, 0, slownessBuckets)
+			}
+		}
 	}
-	sound[figOver] *= sound[figMatched] / math.Max(left, 1)
-	return sound, ill
+	return counts
 }
 
-// flagged is the design's test of one build's shares against another's. Pooled failures need fewer points but
-// more outcomes, and the standard error of equal shares: some against hardly any count. Pooled lateness is
-// left to slowness, held against the earlier machines at the same moments: a slow hour is no build's fault.
-func flagsBuild(newer, before outcomeCounts, pooled bool) bool {
-	if pooled && shareWorse(newer, before, figFailed, pooledMinDifference, pooledMinFailures, true) ||
-		!pooled && (shareWorse(newer, before, figFailed, flagMinDifference, flagMinFailures, false) ||
-			shareWorse(newer, before, figLate, flagMinDifference, flagMinFailures, false)) {
-		return true
+// oldestAge is the age of the newest build's oldest machine.
+func (c *canary) oldestAge() (age relay.Seconds) {
+	for _, endpoint := range c.p.endpoints.all {
+		if endpoint.onNewestBuild() && endpoint.State == relay.Ready {
+			age = math.Max(age, c.p.now-endpoint.startTime)
+		}
 	}
-	m, err := newer.mean(figMatched)
-	return newer[figMatched] >= minSlowSamples && before[figPaced] >= 2*minSlowSamples && significantlySlower(m, err, slowFactor)
+	return age
 }
--- a/policy/exposure.go
+++ b/policy/exposure.go
@@ -1,154 +1,163 @@
-// Exposure: how many queries may meet the build on trial, and which.
-
 package policy
 
 import (
-	"fmt"
 	"math"
 
 	"lichenroad/relay"
 )
 
 const (
-	exposureTarget     = 0.8  // of the cap that the build on trial may get (DESIGN)
-	frozenAfterRelease = 12.0 // s after a release that the usual pace is held: a window of evidence
+	exposureTarget = 0.8      // of the limit that the build on trial may get (DESIGN)
+	oneAttempt     = 1 - 1e-9 // of a budget, less what rounding may have taken
 )
 
-func (t *canary) take(n message) {
-	switch n := n.(type) {
-	case relay.RolloutStatus:
-		if n.Valid && (!t.hasStatus || n.Build >= t.status.Build) {
-			t.statusReceived(n)
-		}
-	case relay.CanaryScope:
-		t.setScope(n)
-	case tickMessage:
-		if t.p.now >= t.nextJudgeAt && t.hasStatus {
-			t.nextJudgeAt = t.p.now + judgeInterval
-			t.judge()
-		}
-	}
+// exposureBudget is what a relay may still send to one build on trial, by class where the rule counts so.
+type exposureBudget struct {
+	build          relay.Build
+	limit          float64
+	allowed        []float64 // attempts that the rule leaves
+	allowedByGroup []float64 // the same by group of tenants, where a scope holds
+	target         []float64 // attempts that the design's share of the limit leaves
+}
+
+// exhaust takes away all that is left.
+func (b *exposureBudget) exhaust() {
+	clear(b.allowed)
+	clear(b.allowedByGroup)
+	clear(b.target)
 }
 
-func (t *canary) statusReceived(n relay.RolloutStatus) {
-	if !t.hasStatus || n.Build != t.status.Build || n.Stage != t.status.Stage || n.Phase != t.status.Phase {
-		t.listedAt, t.watchRestarted = 0, false
-		if t.p.settings.Self == 0 {
-			t.p.emit(relay.Log{Line: fmt.Sprintf("build %d stage %d phase %d", n.Build, n.Stage, n.Phase)})
+// index is the place of a class in the budget.
+func (b *exposureBudget) index(class relay.RequestClass) int {
+	return min(int(class), len(b.allowed)-1)
+}
+
+// budgetOf returns the budget of a build, started when the build is first met.
+func (c *canary) budgetOf(build relay.Build) *exposureBudget {
+	for _, budget := range c.budgets {
+		if budget.build == build {
+			return budget
 		}
 	}
-	for k, b := range t.stickyKeys {
-		if b < n.Build || b == n.Build && (n.Phase == relay.PhaseRollingBack || n.Phase == relay.PhaseWithdrawn) {
-			delete(t.stickyKeys, k)
-		}
+	rollout := &c.p.settings.Rollout
+	n := 1
+	if rollout.PerClass {
+		n = len(c.p.classes)
 	}
-	if t.hasStatus && n.Build != t.status.Build {
-		if t.offeredAt > 0 {
-			t.releaseInterval = t.p.now - t.offeredAt
-		}
-		t.offeredAt = t.p.now
-		t.baseline = t.fleetCounts()
-		clear(t.lastEarlier[ownEvidence])
-		clear(t.lastEarlier[peerEvidence])
+	budget := &exposureBudget{build: build, allowed: make([]float64, n), target: make([]float64, n)}
+	if len(rollout.ExposureLimits) > 0 {
+		budget.limit = rollout.ExposureLimits[0]
 	}
-	t.hasStatus, t.status, t.stageSince = true, n, t.p.now-n.Age
-	x := t.budgetOf(n.Build)
-	if n.ExposureLimit < x.limit {
-		x.exhaust()
-		t.p.router.cancelUnsent(n.Build) // a lower cap binds legs that still wait for a connection, too
+	for i := range budget.allowed {
+		budget.allowed[i] = rollout.ExposureAllowance
+		budget.target[i] = c.p.random.Float64()
 	}
-	x.limit = n.ExposureLimit
+	budget.allowedByGroup = make([]float64, len(c.scope.GroupOpen))
+	c.budgets = append(c.budgets, budget)
+	return budget
+}
+
+// exposure is what holds for attempts at a build.
+type exposure struct {
+	limit   float64 // part of the requests
+	stage   relay.Stage
+	onTrial bool
 }
 
-// exposureLimit gives a build's cap and stage, and whether it is on trial. One not named yet is in the first stage.
-func (t *canary) exposureLimit(b relay.Build) (cap float64, stage relay.Stage, onTrial bool) {
+// exposureOf returns a build's exposure. A build that is not announced yet is in the first stage.
+func (c *canary) exposureOf(build relay.Build) exposure {
+	released := build == c.status.Build && c.status.Phase == relay.PhaseReleased
 	switch {
-	case !t.hasStatus || b < t.status.Build || b == t.status.Build && t.status.Phase == relay.PhaseReleased:
-		return 1, 0, false
-	case b > t.status.Build:
-		return t.budgetOf(b).limit, 0, true
+	case !c.hasStatus || build < c.status.Build || released:
+		return exposure{limit: 1}
+	case build > c.status.Build:
+		return exposure{limit: c.budgetOf(build).limit, onTrial: true}
 	}
-	return t.status.ExposureLimit, t.status.Stage, true
+	return exposure{limit: c.status.ExposureLimit, stage: c.status.Stage, onTrial: true}
 }
 
-// took adds a query's part to the rule's budgets, which hold no more than its uncounted legs at any time.
-func (t *canary) requestArrived(q *trackedRequest) {
-	limits, g := t.budgetsFor(q)
-	for _, x := range limits {
-		i := x.index(q.Class)
-		x.allowed[i] = math.Min(x.allowed[i]+x.limit, t.p.settings.Rollout.ExposureAllowance)
-		if g >= 0 {
-			x.allowedByGroup[g] = math.Min(x.allowedByGroup[g]+x.limit, t.p.settings.Rollout.ExposureAllowance)
+// budgetsFor returns the budgets that a request counts in, none where a scope keeps it from builds on
+// trial, and its group.
+func (c *canary) budgetsFor(request *trackedRequest) (budgets []*exposureBudget, group int) {
+	group, open := c.groupOf(request.Tenant)
+	if !open {
+		return nil, group
+	}
+	return c.budgets, group
+}
+
+// requestArrived adds a request's part to the rule's budgets, which hold no more than its allowance at any
+// time.
+func (c *canary) requestArrived(request *trackedRequest) {
+	allowance := c.p.settings.Rollout.ExposureAllowance
+	budgets, group := c.budgetsFor(request)
+	for _, budget := range budgets {
+		i := budget.index(request.Class)
+		budget.allowed[i] = math.Min(budget.allowed[i]+budget.limit, allowance)
+		if group != noGroup {
+			budget.allowedByGroup[group] = math.Min(budget.allowedByGroup[group]+budget.limit, allowance)
 		}
 	}
 }
 
-// may is the guard's part on exposure (rule 5).
-func (t *canary) permits(q *trackedRequest, b relay.Build) bool {
-	ro := &t.p.settings.Rollout
-	if ro.StickyKeys && q.Key != 0 && b < t.stickyKeys[q.Key] {
+// permits is the guard's part on exposure (rule 5).
+func (c *canary) permits(request *trackedRequest, build relay.Build) bool {
+	rollout := &c.p.settings.Rollout
+	if rollout.StickyKeys && request.Key != 0 && build < c.stickyKeys[request.Key] {
 		return false
 	}
-	cap, stage, onTrial := t.exposureLimit(b)
-	if !onTrial {
+	exposure := c.exposureOf(build)
+	if !exposure.onTrial {
 		return true
 	}
-	x := t.budgetOf(b)
-	if g, open := t.groupOf(q.Tenant); t.hasScope {
-		if !open || b > t.scope.Build || x.allowedByGroup[g] < 1-1e-9 {
+	budget := c.budgetOf(build)
+	stage := exposure.stage
+	if c.hasScope {
+		if !c.scopePermits(request, budget) {
 			return false
 		}
-		stage = min(stage, t.scope.Stage)
+		stage = min(stage, c.scope.Stage)
 	}
-	if cap <= 0 || int(stage) < ro.IdempotentOnlyStages && q.class.idempotency != relay.Idempotent {
+	idempotentOnly := int(stage) < rollout.IdempotentOnlyStages
+	if exposure.limit <= 0 || idempotentOnly && request.class.idempotency != relay.Idempotent {
 		return false
 	}
-	return x.allowed[x.index(q.Class)] >= 1-1e-9
+	return budget.allowed[budget.index(request.Class)] >= oneAttempt
 }
 
-// within says whether the design's share of the cap leaves room for a leg at a build, announced or not.
-func (t *canary) withinTarget(q *trackedRequest, b relay.Build) bool {
-	x := t.budgetOf(b)
-	return x.target[x.index(q.Class)] >= 1-1e-9
+func (c *canary) scopePermits(request *trackedRequest, budget *exposureBudget) bool {
+	group, open := c.groupOf(request.Tenant)
+	return open && budget.build <= c.scope.Build && budget.allowedByGroup[group] >= oneAttempt
 }
 
-// spend takes a leg off the budgets. The design's share is one of the legs sent: a share of all that is taken
-// in an overload would push the build's few units over.
-func (t *canary) chargeAttempt(q *trackedRequest, b relay.Build) {
-	limits, g := t.budgetsFor(q)
-	for _, x := range limits {
-		i := x.index(q.Class)
-		part, most := math.Min(exposureTarget*x.limit, t.capacityShare), t.p.settings.Rollout.ExposureAllowance+1
-		if !t.p.settings.Rollout.InPlace {
-			most += part // a bound that this leg's part may pass: else two legs in three were the most
+// withinTarget says whether the design's share of the limit leaves an attempt at a build, announced or not.
+func (c *canary) withinTarget(request *trackedRequest, build relay.Build) bool {
+	budget := c.budgetOf(build)
+	return budget.target[budget.index(request.Class)] >= oneAttempt
+}
+
+// chargeAttempt takes an attempt off the budgets. The design's share is one of the attempts sent: a share
+// of all requests in an overload would push the build's few endpoints over.
+func (c *canary) chargeAttempt(request *trackedRequest, build relay.Build) {
+	rollout := &c.p.settings.Rollout
+	budgets, group := c.budgetsFor(request)
+	for _, budget := range budgets {
+		i := budget.index(request.Class)
+		part := math.Min(exposureTarget*budget.limit, c.capacityShare)
+		maxTarget := rollout.ExposureAllowance + 1
+		if !rollout.InPlace {
+			maxTarget += part // a bound that this attempt's part may pass: else two attempts in three were the most
 		}
-		x.target[i] = math.Min(x.target[i]+part, most)
+		budget.target[i] = math.Min(budget.target[i]+part, maxTarget)
 	}
-	if _, _, onTrial := t.exposureLimit(b); onTrial {
-		x := t.budgetOf(b)
-		x.allowed[x.index(q.Class)]--
-		x.target[x.index(q.Class)]--
-		if g >= 0 {
-			x.allowedByGroup[g]--
-		}
+	if !c.exposureOf(build).onTrial {
+		return
 	}
-}
-
-// answered pins a key to the newest build once it has answered there.
-func (t *canary) requestAnswered(q *trackedRequest, b relay.Build) {
-	if t.p.settings.Rollout.StickyKeys && q.Key != 0 && b > t.stickyKeys[q.Key] &&
-		(!t.hasStatus || b > t.status.Build || b == t.status.Build && t.canRollBack()) {
-		t.stickyKeys[q.Key] = b
+	budget := c.budgetOf(build)
+	i := budget.index(request.Class)
+	budget.allowed[i]--
+	budget.target[i]--
+	if group != noGroup {
+		budget.allowedByGroup[group]--
 	}
 }
-
-// judging says whether the newest build can still be sent back.
-func (t *canary) canRollBack() bool {
-	return t.hasStatus && (t.status.Phase == relay.PhaseCanary || t.status.Phase == relay.PhaseReleased)
-}
-
-// steady says that the usual pace of each kind is held as it was before the trial, for comparison.
-func (t *canary) ratiosFrozen() bool {
-	return t.p.now > frozenAfterRelease/2 && t.canRollBack() &&
-		(t.status.Phase == relay.PhaseCanary || t.p.now-t.stageSince < frozenAfterRelease)
-}
--- a/policy/fusion.go
+++ b/policy/fusion.go
@@ -1,154 +1,133 @@
-// Fusion: all relays' verdicts and pooled outcomes become one decision on the newest build.
-
 package policy
 
 import (
 	"fmt"
 	"math"
-	"slices"
 
 	"lichenroad/relay"
 )
 
 const (
-	aggregatorCount       = 4    // lowest-numbered relays that fuse (DESIGN)
-	aggregatorTimeout     = 3.0  // s without a decision after which an aggregator counts as lost: three decisions
 	verdictTTL            = 6.0  // s that a verdict counts at an aggregator (DESIGN)
 	minFlaggers           = 2    // relays that must flag (DESIGN)
 	halfDetectionOutcomes = 20.0 // outcomes at which a bad build is flagged half the time (DESIGN)
-	falseAlarmProbability = 0.01 // false-alarm probability of one relay over all its categories (DESIGN)
-	priorBad              = 0.35 // of a build being bad (DESIGN)
-	falseAlarmCost        = 1.0  // of sending a good build back, over letting a bad one through (DESIGN: equal)
+	falseAlarmProbability = 0.01 // of one relay over all its classes (DESIGN)
+	priorBad              = 0.35 // probability of a build being bad (DESIGN)
+	falseAlarmCost        = 1.0  // of rolling a good build back, over letting a bad one through (DESIGN: equal)
 	pooledFlagDuration    = 1.0  // s that a pooled flag must last: a verdict from every relay
-	fleetSlowFactor       = 1.4  // times the fleet's leg time before the trial that stops a vote on
+	fleetSlowFactor       = 1.4  // times the fleet's attempt time before the trial that stops a promotion
 )
 
-// members gives the relays that aggregate: the lowest-numbered few that were heard of lately.
-func (a *aggregator) members() (nos []relay.RelayID) {
-	for i := 0; i < a.p.settings.Relays && len(nos) < aggregatorCount; i++ {
-		peer := &a.peers[i]
-		if peer.expectedSince == 0 {
-			peer.expectedSince = a.p.now
-		}
-		if relay.RelayID(i) == a.p.settings.Self || a.p.now-math.Max(peer.expectedSince, peer.decidedAt) < aggregatorTimeout {
-			nos = append(nos, relay.RelayID(i))
-		}
-	}
-	return nos
+// fusion is what all relays' verdicts and outcomes say of the newest build.
+type fusion struct {
+	rollBack       bool
+	fleetSlow      bool    // the fleet is slower than before the trial
+	earlierFails   bool    // the earlier build fails more than the newest one
+	pooledOutcomes float64 // of the newest build, over all classes
 }
 
-func (a *aggregator) take(n message) {
-	switch n := n.(type) {
-	case peerReport:
-		a.takeReport(n)
-	case peerDecision:
-		a.takeDecision(n)
-	case relay.RolloutStatus:
-		if n.Reply != relay.ReplyNone {
-			// A moot vote stays as cast: votes of all relays with old news would drown those that matter.
-			a.pending, a.confirmed = false, n.Reply == relay.ReplyCounted || n.Reply == relay.ReplyStale
-			if n.Reply == relay.ReplyNotCounted {
-				a.nextVoteAt = a.p.now + minVoteInterval*(1+a.p.random.Float64())
-			}
-		}
-	case tickMessage:
-		if a.p.now >= a.nextLookAt {
-			a.nextLookAt = a.p.now + judgeInterval
-			a.updateWanted()
-		}
-		a.castVote()
-	}
-}
+// flagThreshold is the log likelihood ratio from which a rollback costs less than letting the build
+// through.
+func flagThreshold() float64 { return math.Log(falseAlarmCost * (1 - priorBad) / priorBad) }
 
-// look renews what this relay wants to vote: by all reports as an aggregator, else by most decisions.
-func (a *aggregator) updateWanted() {
-	t := &a.p.canary
-	a.active = slices.Contains(a.members(), a.p.settings.Self)
-	want := relay.Vote{Build: t.status.Build, Stage: t.status.Stage}
-	votes, decided := a.countDecisions(want)
-	if a.active || decided == 0 {
-		want.Verdict = a.decide()
-	} else if t.canRollBack() {
-		a.cleanAt, a.slowAt = a.p.now, a.p.now
-		for v, n := range votes {
-			if 2*n > decided {
-				want.Verdict = relay.Verdict(v)
-			}
-		}
-	}
-	if want != a.wanted {
-		a.wanted, a.wantedSince = want, a.p.now
-	}
-	if a.active && a.p.settings.Limits.PeerMessages && a.p.settings.Relays > 1 &&
-		(a.announced != want || a.p.now-a.announcedAt >= verdictInterval) {
-		a.announced, a.announcedAt = want, a.p.now
-		a.announce(want)
+// logRatio is the log likelihood ratio of one verdict that rests on so many outcomes.
+func logRatio(flagged bool, outcomes float64, classes int) float64 {
+	detection := outcomes / (outcomes + halfDetectionOutcomes)
+	falseAlarm := falseAlarmProbability / float64(max(classes, 1))
+	if flagged {
+		return math.Log(detection / falseAlarm)
 	}
+	return math.Log((1 - detection) / (1 - falseAlarm))
 }
 
-// logRatio is what one verdict of n outcomes weighs.
-func logRatio(flag bool, n float64, categories int) float64 {
-	pd, pf := n/(n+halfDetectionOutcomes), falseAlarmProbability/float64(max(categories, 1))
-	if flag {
-		return math.Log(pd / pf)
+// fuse sums the log likelihood ratios of the present stage's verdicts. All relays' attempts, pooled by
+// endpoint, make verdicts of their own, for each class and for all: they need no second one.
+func (a *aggregator) fuse() fusion {
+	flaggedByRelays := a.flaggedByRelays()
+	fused := a.fusePooled()
+	if flaggedByRelays {
+		a.reason = "flags of several relays"
 	}
-	return math.Log((1 - pd) / (1 - pf))
+	fused.rollBack = flaggedByRelays || a.p.now-a.cleanAt > pooledFlagDuration
+	fused.fleetSlow = a.fleetSlow()
+	return fused
 }
 
-// fuse sums the log likelihood ratios of the present stage's verdicts; one of too few outcomes says nothing.
-// All relays' legs, pooled by unit, make verdicts of their own, a category and for all: they need no second.
-func (a *aggregator) fuse() (back, late, outdone bool, pooled float64) {
-	t := &a.p.canary
-	cats := len(a.p.classes)
+// flaggedByRelays weighs the relays' own verdicts; one of too few outcomes says nothing.
+func (a *aggregator) flaggedByRelays() bool {
+	classes := len(a.p.classes)
 	sum, flaggers := 0.0, 0
 	for i := range a.peers {
 		peer := &a.peers[i]
-		if !peer.hasReported || a.p.now-peer.reportedAt > verdictTTL || len(peer.verdicts) != cats ||
-			peer.build != t.status.Build || peer.stage != t.status.Stage {
+		if !a.counts(peer) {
 			continue
 		}
 		flags := false
-		for _, v := range peer.verdicts {
-			if v.outcomes > 0 {
-				sum += logRatio(v.flagged, v.outcomes, cats)
-				flags = flags || v.flagged
+		for _, verdict := range peer.report.Verdicts {
+			if verdict.Outcomes > 0 {
+				sum += logRatio(verdict.Flagged, verdict.Outcomes, classes)
+				flags = flags || verdict.Flagged
 			}
 		}
 		if flags {
 			flaggers++
 		}
 	}
-	threshold := math.Log(falseAlarmCost * (1 - priorBad) / priorBad)
-	back, pooledFlag := sum >= threshold && flaggers >= minFlaggers, false
-	// Also the eldest machines alone: a build that turns bad with age would hide behind its fresh ones.
-	for _, x := range [...]struct {
-		to  int
-		age relay.Seconds
-	}{{recentEvidenceBuckets, youngEndpointAge}, {recentEvidenceBuckets, 0}, {evidenceBuckets, 0}} {
-		for c := 0; c <= cats; c++ {
-			newer, before := t.compareBuilds(peerEvidence, c, x.to, x.age)
-			outdone = shareWorse(before, newer, figFailed, pooledMinDifference, pooledMinFailures, true) // the last holds, as for pooled
-			if pooled = newer[figCount]; c < cats {
-				newer[figMatched] = 0 // slowness is judged over all categories: a full unit slows them unlike
+	return sum >= flagThreshold() && flaggers >= minFlaggers
+}
+
+// counts says that a relay's report is recent and of the present stage.
+func (a *aggregator) counts(peer *peerState) bool {
+	status, report := &a.p.canary.status, &peer.report
+	recent := peer.hasReported && a.p.now-peer.reportedAt <= verdictTTL
+	return recent && len(report.Verdicts) == len(a.p.classes) &&
+		report.Build == status.Build && report.Stage == status.Stage
+}
+
+// fusePooled tests the pooled outcomes: of the oldest machines alone, as a build that turns bad with age
+// would hide behind its fresh ones, of the last few seconds, and of the whole window. The last test's
+// outcomes are those of the result.
+func (a *aggregator) fusePooled() (fused fusion) {
+	classes := len(a.p.classes)
+	flagged := false
+	for _, test := range [...]struct {
+		buckets int
+		minAge  relay.Seconds
+	}{
+		{recentEvidenceBuckets, youngEndpointAge},
+		{recentEvidenceBuckets, 0},
+		{evidenceBuckets, 0},
+	} {
+		for class := 0; class <= classes; class++ {
+			compared := a.p.canary.compareBuilds(peerEvidence, class, test.buckets, test.minAge)
+			reversed := compared.reversed()
+			fused.earlierFails = reversed.failsMore()
+			fused.pooledOutcomes = compared.newest.attempts
+			if class < classes {
+				compared.newest.matched = 0 // slowness is judged over all classes: a full endpoint slows them unlike
 			}
-			if flagsBuild(newer, before, true) && logRatio(true, newer[figCount], cats) >= threshold {
-				pooledFlag = true
-				a.reason = fmt.Sprintf("pooled counts of category %d, %.0f against %.0f", c, newer, before)
+			weight := logRatio(true, compared.newest.attempts, classes)
+			if compared.pooledFlagged() && weight >= flagThreshold() {
+				flagged = true
+				a.reason = fmt.Sprintf("pooled outcomes of class %d: %v against %v",
+					class, compared.newest, compared.earlier)
 			}
 		}
 	}
 	// A burst of failures ends as soon as routing knows the machines at fault; a bad build's go on.
-	if !pooledFlag {
+	if !flagged {
 		a.cleanAt = a.p.now
 	}
-	if back {
-		a.reason = "flags of several relays"
+	return fused
+}
+
+// fleetSlow says that the whole fleet is slower than before the trial.
+func (a *aggregator) fleetSlow() bool {
+	now, before := a.p.canary.fleetCounts(), a.p.canary.baseline
+	slowness, usual := now.overallSlowness(), before.overallSlowness()
+	change := estimate{
+		mean:     slowness.mean - usual.mean,
+		stdError: math.Hypot(slowness.stdError, usual.stdError),
 	}
-	back = back || a.p.now-a.cleanAt > pooledFlagDuration
-	fleet := t.fleetCounts()
-	m, err := fleet.mean(figPaced)
-	calm, calmErr := t.baseline.mean(figPaced)
-	late = math.Min(fleet[figPaced], t.baseline[figPaced]) >= minSlowSamples &&
-		significantlySlower(m-calm, math.Hypot(err, calmErr), fleetSlowFactor)
-	return back, late, outdone, pooled
+	return math.Min(now.measured, before.measured) >= minSlowSamples && change.exceeds(fleetSlowFactor)
 }
--- a/policy/policy_test.go
+++ b/policy/policy_test.go
@@ -3,13 +3,13 @@
 import (
 	"fmt"
 	"math"
-	"reflect"
 	"sort"
 	"testing"
 
 	"pgregory.net/rapid"
 
 	"lichenroad/membership"
+	"lichenroad/policy/peerwire"
 	"lichenroad/relay"
 )
 
@@ -81,12 +81,12 @@
 				}
 				events = append(events, s)
 			case 2:
-				m := report{build: build, stage: stage, verdicts: make([]verdict, 3),
-					observations: []observation{{endpoint: hashOf(3), outcome: relay.Errored}, {endpoint: 77, class: 9}}}
-				f := decision{build: build, stage: stage, vote: relay.Verdict(rapid.IntRange(0, 3).Draw(t, "find")),
-					ratios: make([]float64, 20)}
-				events = append(events, relay.MessageReceived{From: 1, Body: m.encode()}, relay.MessageReceived{From: 0, Body: f.encode()},
-					relay.MessageReceived{From: 1, Body: m.encode()[:9]}, relay.MessageReceived{From: 99, Body: []byte{1}},
+				m := peerwire.Report{Build: build, Stage: stage, Verdicts: make([]peerwire.ClassVerdict, 3),
+					Observations: []peerwire.Observation{{Endpoint: peerwire.HashOf(3), Outcome: relay.Errored}, {Endpoint: 77, Class: 9}}}
+				f := peerwire.Decision{Build: build, Stage: stage, Verdict: relay.Verdict(rapid.IntRange(0, 3).Draw(t, "find")),
+					Ratios: make([]float64, 20)}
+				events = append(events, relay.MessageReceived{From: 1, Body: m.Encode()}, relay.MessageReceived{From: 0, Body: f.Encode()},
+					relay.MessageReceived{From: 1, Body: m.Encode()[:9]}, relay.MessageReceived{From: 99, Body: []byte{1}},
 					relay.RolloutStatus{Reply: relay.ReplyMaybeCounted}, relay.ReportedCounts{}, relay.MisreportedOutcome{}, relay.HealthCheckEnded{})
 			case 3:
 				for id := relay.RequestID(0); id < w.next; id++ {
@@ -216,27 +216,32 @@
 }
 
 func TestFlag(t *testing.T) {
-	before := outcomeCounts{figCount: 2000, figFailed: 20, figPaced: 2000}
+	before := outcomeCounts{attempts: 2000, failed: 20, measured: 2000}
 	for name, c := range map[string]struct {
 		newer  outcomeCounts
 		pooled bool
 		want   bool
 	}{
-		"ten of forty failed":           {outcomeCounts{figCount: 40, figFailed: 10}, false, true},
-		"too few outcomes":              {outcomeCounts{figCount: 19, figFailed: 19}, false, false},
-		"a few against none, one relay": {outcomeCounts{figCount: 20, figFailed: 2}, false, false},
-		"under five points":             {outcomeCounts{figCount: 400, figFailed: 16}, false, false},
-		"the same, pooled":              {outcomeCounts{figCount: 400, figFailed: 16}, true, true},
-		"pooled, few failures":          {outcomeCounts{figCount: 60, figFailed: 4}, true, false},
-		"late":                          {outcomeCounts{figCount: 50, figLate: 10}, false, true},
-		"twice as slow, few legs":       {outcomeCounts{figCount: 100, figMatched: 40, figOver: 28, figOverSquare: 30}, true, false},
-		"twice as slow, many":           {outcomeCounts{figCount: 100, figMatched: 80, figOver: 56, figOverSquare: 60}, true, true},
-		"as slow as the hour": {outcomeCounts{figCount: 100, figPaced: 80, figSlow: 56, figSquare: 60, figMatched: 80, figOver: 6,
-			figOverSquare: 30}, true, false},
-		"half as slow again, as a good one under more load": {outcomeCounts{figCount: 100, figMatched: 80, figOver: 32,
-			figOverSquare: 30}, true, false},
+		"ten of forty failed":           {outcomeCounts{attempts: 40, failed: 10}, false, true},
+		"too few outcomes":              {outcomeCounts{attempts: 19, failed: 19}, false, false},
+		"a few against none, one relay": {outcomeCounts{attempts: 20, failed: 2}, false, false},
+		"under five points":             {outcomeCounts{attempts: 400, failed: 16}, false, false},
+		"the same, pooled":              {outcomeCounts{attempts: 400, failed: 16}, true, true},
+		"pooled, few failures":          {outcomeCounts{attempts: 60, failed: 4}, true, false},
+		"late":                          {outcomeCounts{attempts: 50, late: 10}, false, true},
+		"twice as slow, few legs":       {outcomeCounts{attempts: 100, matched: 40, relative: logRatioSum{28, 30}}, true, false},
+		"twice as slow, many":           {outcomeCounts{attempts: 100, matched: 80, relative: logRatioSum{56, 60}}, true, true},
+		"as slow as the hour": {outcomeCounts{attempts: 100, measured: 80, overall: logRatioSum{56, 60}, matched: 80,
+			relative: logRatioSum{6, 30}}, true, false},
+		"half as slow again, as a good one under more load": {outcomeCounts{attempts: 100, matched: 80,
+			relative: logRatioSum{32, 30}}, true, false},
 	} {
-		if got := flagsBuild(c.newer, before, c.pooled); got != c.want {
+		compared := comparison{newest: c.newer, earlier: before}
+		got := compared.flagged()
+		if c.pooled {
+			got = compared.pooledFlagged()
+		}
+		if got != c.want {
 			t.Errorf("%s: %v", name, got)
 		}
 	}
@@ -244,8 +249,8 @@
 
 // word is what a relay tells in one report.
 type testReport struct {
-	verdict
-	observations []observation
+	peerwire.ClassVerdict
+	observations []peerwire.Observation
 }
 
 // aggregating returns a module that fuses at stage 1 of build 6, and hears the given verdicts of category 0.
@@ -256,24 +261,24 @@
 	p.Step(1, []relay.Event{relay.ListUpdate{Kind: relay.ListFull, Endpoints: append(entries(6, 5, 1), entries(2, 6, 20)...)},
 		relay.RolloutStatus{Valid: true, Build: 6, Stage: 1, ExposureLimit: 0.4}})
 	for i, v := range verdicts {
-		m := report{build: 6, stage: 1, verdicts: []verdict{v.verdict, {}, {}}, observations: v.observations}
-		p.Step(1, []relay.Event{relay.MessageReceived{From: relay.RelayID(i), Body: m.encode()}})
+		m := peerwire.Report{Build: 6, Stage: 1, Verdicts: []peerwire.ClassVerdict{v.ClassVerdict, {}, {}}, Observations: v.observations}
+		p.Step(1, []relay.Event{relay.MessageReceived{From: relay.RelayID(i), Body: m.Encode()}})
 	}
 	return p
 }
 
 func TestFusion(t *testing.T) {
-	clean, bad := testReport{verdict: verdict{outcomes: 30}}, testReport{verdict: verdict{flagged: true, outcomes: 30}}
+	clean, bad := testReport{ClassVerdict: peerwire.ClassVerdict{Outcomes: 30}}, testReport{ClassVerdict: peerwire.ClassVerdict{Flagged: true, Outcomes: 30}}
 	few := testReport{} // ten legs at two units of the newest build, of which three fail; forty at an earlier one
 	for i := 0; i < 50; i++ {
-		s := observation{endpoint: hashOf(1)}
+		observed := peerwire.Observation{Endpoint: peerwire.HashOf(1)}
 		if i < 10 {
-			s = observation{endpoint: hashOf(relay.EndpointID(20 + i%2)), newest: true}
+			observed = peerwire.Observation{Endpoint: peerwire.HashOf(relay.EndpointID(20 + i%2)), Newest: true}
 		}
 		if i < 9 && i%3 == 0 {
-			s.outcome = relay.Errored
+			observed.Outcome = relay.Errored
 		}
-		few.observations = append(few.observations, s)
+		few.observations = append(few.observations, observed)
 	}
 	for name, c := range map[string]struct {
 		verdicts []testReport
@@ -286,35 +291,12 @@
 	} {
 		p := aggregating(c.verdicts...)
 		p.aggregator.cleanAt = p.now - pooledFlagDuration - 1 // as if any pooled flag had lasted
-		if back, _, _, _ := p.aggregator.fuse(); back != c.back {
+		if back := p.aggregator.fuse().rollBack; back != c.back {
 			t.Errorf("%s: back %v", name, back)
 		}
 	}
 }
 
-func TestReport(t *testing.T) {
-	m := report{build: 300, stage: 2, verdicts: []verdict{{true, 40}, {}}, observations: []observation{
-		{endpoint: hashOf(7), class: 40, outcome: relay.TimedOut, newest: true, late: true, queueDepth: 5, ratio: 2},
-		{endpoint: hashOf(8), young: true}}}
-	f := decision{build: 300, stage: 2, vote: relay.VoteRollBack, ratios: []float64{0, 1, 2}}
-	for _, want := range []message{peerReport{3, m}, peerDecision{3, f}} {
-		var b []byte
-		if n, ok := want.(peerReport); ok {
-			b = n.report.encode()
-		} else {
-			b = f.encode()
-		}
-		if got, err := decode(3, b); err != nil || !reflect.DeepEqual(got, want) {
-			t.Fatal(got, err)
-		}
-		for n := range b {
-			if _, err := decode(3, b[:n]); err == nil {
-				t.Errorf("%d bytes were taken for a report", n)
-			}
-		}
-	}
-}
-
 // A query whose patience ends before the next tick was held until it was lost.
 func TestShortDeadlineIsAnswered(t *testing.T) {
 	w := newWorld(t, plainSettings())
@@ -626,11 +608,11 @@
 			if scoped {
 				p.Step(0, []relay.Event{relay.CanaryScope{Build: 2, GroupOfTenant: []int{0, 1}, GroupOpen: []bool{true, true}}})
 			}
-			q := &trackedRequest{Request: relay.Request{Tenant: 1}, class: &p.classes[0]}
+			request := &trackedRequest{Request: relay.Request{Tenant: 1}, class: &p.classes[0]}
 			b.ReportAllocs()
 			for range b.N {
-				p.canary.requestArrived(q)
-				p.canary.permits(q, 2)
+				p.canary.requestArrived(request)
+				p.canary.permits(request, 2)
 			}
 		})
 	}
@@ -640,15 +622,15 @@
 func TestAdmissionOpensInABurst(t *testing.T) {
 	p := New(plainSettings(), 1)
 	for p.now = 10; p.now < 12; p.now += 0.25 {
-		p.admission.answered.add(p.now, 0, 1) // four a second, due in 1 s
+		p.admission.answered.Add(p.now, 0, 1) // four a second, due in 1 s
 	}
 	quiet := p.admission.limit()
 	for p.now = 12; p.now < 12.49; p.now += 0.01 {
-		p.admission.answered.add(p.now, 0, 1) // a hundred a second
+		p.admission.answered.Add(p.now, 0, 1) // a hundred a second
 	}
 	burst := p.admission.limit()
 	p.now = 13.75 // over, and nothing answered since: the mean of 2 s alone is left
-	after, mean := p.admission.limit(), spareRequests+maxObjectiveUsage*p.admission.answered.all(p.now, 0)/(flowBucketTime*flowBuckets)
+	after, mean := p.admission.limit(), spareRequests+maxObjectiveUsage*p.admission.answered.Total(p.now, 0)/(flowBucketTime*flowBuckets)
 	if quiet > spareRequests+4 || burst < spareRequests+20 || after != mean {
 		t.Errorf("limit %.1f, in the burst %.1f, after it %.1f of %.1f", quiet, burst, after, mean)
 	}
@@ -664,7 +646,7 @@
 	}
 	p := New(set, 1)
 	p.now = 20
-	p.admission.answered.add(19.6, 0, 1000)
+	p.admission.answered.Add(19.6, 0, 1000)
 	admits := func(customer relay.Tenant, category int) (n int) {
 		for ; n < 10000; n++ {
 			p.router.openInTime = n
@@ -702,15 +684,15 @@
 		w.step(relay.ListUpdate{Kind: relay.ListFull, Endpoints: entries(10, 5, 1)})
 		p := w.mod
 		p.now = w.now
-		for i, u := range p.endpoints.all {
-			if u.openAttempts = c.open; i >= c.sound {
-				u.openAttempts, u.failure, u.failureAt = 0, 1, p.now
+		for i, endpoint := range p.endpoints.all {
+			if endpoint.openAttempts = c.open; i >= c.sound {
+				endpoint.openAttempts, endpoint.failure, endpoint.failureAt = 0, 1, p.now
 			}
-			u.lastAnswerAt = p.now
+			endpoint.lastAnswerAt = p.now
 		}
 		suspects := 0
 		for range 200 {
-			if u := p.router.bestOf(&trackedRequest{class: &classState{idempotency: c.repeat}}, p.endpoints.all); u.failure > 0 {
+			if endpoint := p.router.bestOf(&trackedRequest{class: &classState{idempotency: c.repeat}}, p.endpoints.all); endpoint.failure > 0 {
 				suspects++
 			}
 		}
--- a/policy/size_test.go
+++ b/policy/size_test.go
@@ -5,6 +5,7 @@
 	"runtime"
 	"testing"
 
+	"lichenroad/policy/peerwire"
 	"lichenroad/relay"
 )
 
@@ -28,13 +29,13 @@
 				out = append(out, w.newRequest(relay.RequestClass(no%2), 0))
 			}
 			for i := no % 100; i < relays; i += 100 {
-				m := report{build: 2, stage: 1, verdicts: make([]verdict, len(set.Classes))}
+				m := peerwire.Report{Build: 2, Stage: 1, Verdicts: make([]peerwire.ClassVerdict, len(set.Classes))}
 				for k := range 4 {
-					m.observations = append(m.observations, observation{endpoint: hashOf(es[(i*7+no+k*units/3)%units].ID), outcome: relay.Succeeded,
-						newest: k%2 == 0, ratio: 1})
+					m.Observations = append(m.Observations, peerwire.Observation{Endpoint: peerwire.HashOf(es[(i*7+no+k*units/3)%units].ID), Outcome: relay.Succeeded,
+						Newest: k%2 == 0, Ratio: 1})
 				}
 				if i != int(set.Self) {
-					out = append(out, relay.MessageReceived{From: relay.RelayID(i), Body: m.encode()})
+					out = append(out, relay.MessageReceived{From: relay.RelayID(i), Body: m.Encode()})
 				}
 			}
 			no++
@@ -83,24 +84,24 @@
 // stands, and to the second when the first is forgotten.
 func TestEqualHashes(t *testing.T) {
 	first, second := relay.EndpointID(1), relay.EndpointID(0)
-	seen := map[endpointHash]relay.EndpointID{}
+	seen := map[peerwire.EndpointHash]relay.EndpointID{}
 	for id := relay.EndpointID(1); second == 0; id++ {
-		if other, twice := seen[hashOf(id)]; twice {
+		if other, twice := seen[peerwire.HashOf(id)]; twice {
 			first, second = other, id
 		}
-		seen[hashOf(id)] = id
+		seen[peerwire.HashOf(id)] = id
 	}
 	p := New(plainSettings(), 1)
 	es := entries(2, 1, 1)
 	es[0].ID, es[1].ID = first, second
 	p.Step(0, []relay.Event{relay.ListUpdate{Kind: relay.ListFull, Endpoints: es}})
-	if u := p.endpoints.byHash[hashOf(second)]; u == nil || u.id != first {
-		t.Fatalf("%+v", u)
+	if endpoint := p.endpoints.byHash[peerwire.HashOf(second)]; endpoint == nil || endpoint.id != first {
+		t.Fatalf("%+v", endpoint)
 	}
 	p.Step(1, []relay.Event{relay.ListUpdate{Kind: relay.ListFull, Endpoints: es[1:]}})
 	p.Step(2+forgetRemovedAfter, []relay.Event{relay.ListUpdate{Kind: relay.ListFull, Endpoints: es[1:]}})
-	if u := p.endpoints.byHash[hashOf(second)]; len(p.endpoints.all) != 1 || u == nil || u.id != second {
-		t.Errorf("%d units, hash at %+v", len(p.endpoints.all), u)
+	if endpoint := p.endpoints.byHash[peerwire.HashOf(second)]; len(p.endpoints.all) != 1 || endpoint == nil || endpoint.id != second {
+		t.Errorf("%d units, hash at %+v", len(p.endpoints.all), endpoint)
 	}
 }
 
@@ -111,8 +112,8 @@
 	p.Step(0, []relay.Event{relay.ListUpdate{Kind: relay.ListFull, Endpoints: es}})
 	p.Step(1, []relay.Event{relay.ListUpdate{Kind: relay.ListDelta, Endpoints: []relay.Endpoint{
 		{ID: 2, State: relay.Draining, Partial: true}, {ID: 3, State: relay.Draining, Partial: true}}}})
-	if u := p.endpoints.byID[2]; u.State != relay.Draining || u.Build != 7 || u.Zone != es[1].Zone {
-		t.Errorf("%+v", u.Endpoint)
+	if endpoint := p.endpoints.byID[2]; endpoint.State != relay.Draining || endpoint.Build != 7 || endpoint.Zone != es[1].Zone {
+		t.Errorf("%+v", endpoint.Endpoint)
 	}
 	if p.endpoints.byID[1].State != relay.Ready || p.endpoints.byID[3].State != relay.Draining {
 		t.Error("another unit's entry was touched, or an unknown one's lost")
--- a/policy/slope_test.go
+++ b/policy/slope_test.go
@@ -6,6 +6,7 @@
 	"runtime"
 	"testing"
 
+	"lichenroad/policy/peerwire"
 	"lichenroad/relay"
 )
 
@@ -144,20 +145,22 @@
 // reportsOf makes the reports of a fleet: so many legs of each relay a second, spread over all units by chance.
 func reportsOf(set relay.Settings, es []relay.Endpoint, legs int) (bodies [][]byte, each int) {
 	rng := rand.New(rand.NewSource(1))
-	each = max((legs+maxObservations-1)/maxObservations, 1)
+	each = max((legs+peerwire.MaxObservations-1)/peerwire.MaxObservations, 1)
 	for no := range min(set.Relays*each*reportRounds, bodiesAhead) {
-		m := report{build: 2, stage: 1, verdicts: make([]verdict, len(set.Classes))}
-		for range min(legs-no%each*maxObservations, maxObservations) {
+		m := peerwire.Report{Build: 2, Stage: 1, Verdicts: make([]peerwire.ClassVerdict, len(set.Classes))}
+		for range min(legs-no%each*peerwire.MaxObservations, peerwire.MaxObservations) {
 			at := rng.Intn(len(es))
-			m.observations = append(m.observations, observation{endpoint: hashOf(es[at].ID), outcome: relay.Succeeded, newest: at >= len(es)/2, ratio: 1})
+			m.Observations = append(m.Observations, peerwire.Observation{Endpoint: peerwire.HashOf(es[at].ID), Outcome: relay.Succeeded, Newest: at >= len(es)/2, Ratio: 1})
 		}
-		bodies = append(bodies, m.encode())
+		bodies = append(bodies, m.Encode())
 	}
 	return bodies, each
 }
 
 // aDecision is what an aggregator tells: that nothing is to be done.
-func aDecision() []byte { return decision{build: 2, stage: 1, ratios: []float64{1, 1}}.encode() }
+func aDecision() []byte {
+	return peerwire.Decision{Build: 2, Stage: 1, Ratios: []float64{1, 1}}.Encode()
+}
 
 // fleetOf are the settings of one of so many relays.
 func fleetOf(relays, self int) relay.Settings {
@@ -386,7 +389,7 @@
 			m := reportOf(legs)
 			bytes := 0
 			for b.Loop() {
-				bytes = len(m.encode())
+				bytes = len(m.Encode())
 			}
 			b.ReportMetric(float64(bytes), "wire-B")
 		})
@@ -396,9 +399,9 @@
 func BenchmarkDecode(b *testing.B) {
 	for _, legs := range reportSizes {
 		b.Run(fmt.Sprintf("legs=%d", legs), func(b *testing.B) {
-			body := reportOf(legs).encode()
+			body := reportOf(legs).Encode()
 			for b.Loop() {
-				if _, err := decode(1, body); err != nil {
+				if _, err := peerwire.Decode(body); err != nil {
 					b.Fatal(err)
 				}
 			}
@@ -427,10 +430,10 @@
 
 var reportSizes = []int{1, 4, 12, 24, 36}
 
-func reportOf(legs int) report {
-	m := report{build: 861, stage: 1, verdicts: make([]verdict, 3)}
+func reportOf(legs int) peerwire.Report {
+	m := peerwire.Report{Build: 861, Stage: 1, Verdicts: make([]peerwire.ClassVerdict, 3)}
 	for i := range legs {
-		m.observations = append(m.observations, observation{endpoint: hashOf(relay.EndpointID(i + 1)), outcome: relay.Succeeded, newest: i%2 == 0, ratio: 1})
+		m.Observations = append(m.Observations, peerwire.Observation{Endpoint: peerwire.HashOf(relay.EndpointID(i + 1)), Outcome: relay.Succeeded, Newest: i%2 == 0, Ratio: 1})
 	}
 	return m
 }
@@ -442,9 +445,9 @@
 			rng := rand.New(rand.NewSource(1))
 			alike, fleets := 0, 0
 			for b.Loop() {
-				first := map[endpointHash]int{}
+				first := map[peerwire.EndpointHash]int{}
 				for range units {
-					first[hashOf(relay.EndpointID(rng.Uint64()))]++
+					first[peerwire.HashOf(relay.EndpointID(rng.Uint64()))]++
 				}
 				for _, n := range first {
 					if n > 1 {
--- a/policy/votes.go
+++ b/policy/votes.go
@@ -1,5 +1,3 @@
-// Votes: whether the newest build should go on, stay or go back, and when to say so.
-
 package policy
 
 import (
@@ -10,98 +8,167 @@
 )
 
 const (
-	extraOutcomeWait  = 3.0  // s past the least time that an aggregator waits for outcomes (DESIGN)
-	matureAge         = 15.0 // s of a build's first machines up to which it is not released: some turn bad at 12 s
-	matureCyclePart   = 0.9  // of the time between two builds after which it is: the next would end the trial
-	lateFaultAge      = 11.0 // s of a machine's age at which the last of the builds that turn bad have done so
-	fleetSlowDuration = 6.0  // s that the fleet may be slow until the build is held the cause: most troubles pass
-	voteRenewPart     = 0.5  // of a vote's life after which it is cast again: one lost renewal is survived
-	minVoteInterval   = 0.4  // s at least between two votes of one relay
-	reserveVoteDelay  = 1.0  // s after which relays beyond the needed ones vote too: news of a success is there
-	extraVoters       = 1.1  // times the needed votes that are cast at once: some relays are dead or cut off
-	callTimeoutGrace  = 0.5  // s past the platform's own time-out before a vote counts as lost
+	// s past the least time of a stage that an aggregator waits for outcomes (DESIGN)
+	extraOutcomeWait = 3.0
+	// s of a build's first machines up to which it is not released: some turn bad at 12 s
+	matureAge = 15.0
+	// of the time between two builds after which it is: the next would end the trial
+	matureCyclePart = 0.9
+	// s of a machine's age at which the last of the builds that turn bad have done so
+	lateFaultAge = 11.0
+	// s that the fleet may be slow until the build is held the cause: most faults pass
+	fleetSlowDuration = 6.0
+	// of a vote's life after which it is cast again: one lost renewal is survived
+	voteRenewPart = 0.5
+	// s between two votes of one relay
+	minVoteInterval = 0.4
+	// s after which relays beyond the needed ones vote too: the status of a success is there
+	reserveVoteDelay = 1.0
+	// times the needed votes that are cast at once: some relays are dead or cut off
+	extraVoters = 1.1
+	// s past the platform's own time-out before a vote counts as lost
+	callTimeoutGrace = 0.5
 )
 
 // decide is the vote that this aggregator wants to stand.
 func (a *aggregator) decide() relay.Verdict {
-	t, r := &a.p.canary, &a.p.settings.Rollout
-	released := t.status.Phase == relay.PhaseReleased
-	if !t.canRollBack() {
+	canary, rollout := &a.p.canary, &a.p.settings.Rollout
+	if !canary.canRollBack() {
 		a.cleanAt, a.slowAt = a.p.now, a.p.now
 		return relay.NoVote
 	}
-	back, late, outdone, pooled := a.fuse()
-	// What the fleet suffers while the earlier build fails more often is its doing: this is the way out.
-	if last := int(t.status.Stage) >= len(r.StageShares)-1; !late || last || outdone || released {
-		a.slowAt = a.p.now
-	} else if !back {
-		a.reason = "the whole fleet is slower than before"
-	}
-	age := math.Min(a.p.now-t.stageSince, a.p.now-t.listedAt+listingDelay)
+	fused := a.fuse()
+	a.updateSlowAt(fused)
+	fleetSlowTooLong := a.p.now-a.slowAt > fleetSlowDuration
 	switch {
-	case back || a.p.now-a.slowAt > fleetSlowDuration:
+	case fused.rollBack || fleetSlowTooLong:
 		return relay.VoteRollBack
-	case released:
+	case canary.status.Phase == relay.PhaseReleased:
 		return relay.NoVote
-	case r.Control == relay.ControlTimed && (pooled < minOutcomes || late) &&
-		a.p.now-t.stageSince < r.MaxStageTime+extraOutcomeWait:
+	case rollout.Control == relay.ControlTimed && a.shouldHold(fused):
 		return relay.VoteHold
-	case r.Control != relay.ControlTimed && t.listedAt != 0 && !late && t.matured() &&
-		(age >= r.MinStageTime+extraOutcomeWait || age >= r.MinStageTime && pooled >= minOutcomes):
+	case rollout.Control != relay.ControlTimed && a.shouldPromote(fused):
 		return relay.VotePromote
 	}
 	return relay.NoVote
 }
 
-// ripe says that a build which turns bad with age has shown it: by its first machines' legs beyond the age,
-// where all relays have enough, or by some seconds more. Only the last stage waits: none is left to go back.
-func (t *canary) matured() bool {
-	due := t.releaseInterval > 0 && t.p.now-t.offeredAt > matureCyclePart*t.releaseInterval
-	if int(t.status.Stage) < len(t.p.settings.Rollout.StageShares)-1 || due || t.oldestAge() >= matureAge {
+// updateSlowAt notes whether the fleet suffers from the trial. What it suffers while the earlier build
+// fails more often is that build's doing, and a promotion is the way out.
+func (a *aggregator) updateSlowAt(fused fusion) {
+	canary := &a.p.canary
+	released := canary.status.Phase == relay.PhaseReleased
+	if !fused.fleetSlow || canary.atLastStage() || fused.earlierFails || released {
+		a.slowAt = a.p.now
+	} else if !fused.rollBack {
+		a.reason = "the whole fleet is slower than before"
+	}
+}
+
+// shouldHold says that a timed stage has shown too little, or that the fleet is slow; for a limited time.
+func (a *aggregator) shouldHold(fused fusion) bool {
+	maxTime := a.p.settings.Rollout.MaxStageTime + extraOutcomeWait
+	unsure := fused.pooledOutcomes < minOutcomes || fused.fleetSlow
+	return unsure && a.p.now-a.p.canary.stageSince < maxTime
+}
+
+// shouldPromote says that the stage has lasted long enough and shown enough.
+func (a *aggregator) shouldPromote(fused fusion) bool {
+	canary, minTime := &a.p.canary, a.p.settings.Rollout.MinStageTime
+	if canary.listedAt == 0 || fused.fleetSlow || !canary.matured() {
+		return false
+	}
+	stageAge := math.Min(a.p.now-canary.stageSince, a.p.now-canary.listedAt+listingDelay)
+	return stageAge >= minTime+extraOutcomeWait || stageAge >= minTime && fused.pooledOutcomes >= minOutcomes
+}
+
+// atLastStage says that the next promotion releases the build.
+func (c *canary) atLastStage() bool {
+	return int(c.status.Stage) >= len(c.p.settings.Rollout.StageShares)-1
+}
+
+// matured says that a build which turns bad with age has shown it: by its first machines' attempts beyond
+// that age, where all relays have enough, or by some seconds more. Only the last stage waits: after it
+// nothing is left to go back to.
+func (c *canary) matured() bool {
+	nextBuildDue := c.releaseInterval > 0 && c.p.now-c.offeredAt > matureCyclePart*c.releaseInterval
+	if !c.atLastStage() || nextBuildDue || c.oldestAge() >= matureAge {
 		return true
 	}
-	shown, _ := t.compareBuilds(peerEvidence, len(t.p.classes), recentEvidenceBuckets, lateFaultAge)
-	return shown[figMatched] >= minSlowSamples
+	shown := c.compareBuilds(peerEvidence, len(c.p.classes), recentEvidenceBuckets, lateFaultAge)
+	return shown.newest.matched >= minSlowSamples
+}
+
+// replyReceived takes the platform's reply to the vote under way.
+func (a *aggregator) replyReceived(reply relay.VoteReply) {
+	if reply == relay.ReplyNone {
+		return
+	}
+	// A stale vote stays as cast: votes of all relays with an old status would drown those that matter.
+	a.pending = false
+	a.confirmed = reply == relay.ReplyCounted || reply == relay.ReplyStale
+	if reply == relay.ReplyNotCounted {
+		a.nextVoteAt = a.p.now + minVoteInterval*(1+a.p.random.Float64())
+	}
 }
 
-// turn is how long this relay lets others vote first: as many as are needed, and a few for those that are
-// lost, vote at once; the rest only when that has not been enough, no faster than votes are taken.
-func (a *aggregator) voteDelay(v relay.Verdict) relay.Seconds {
-	r := &a.p.settings.Rollout
-	need := [...]int{
-		relay.VotePromote:  r.PromoteQuorum,
-		relay.VoteHold:     r.HoldQuorum,
-		relay.VoteRollBack: r.RollBackQuorum,
-	}[v]
-	extra := float64(a.p.settings.Self) - math.Max(aggregatorCount, extraVoters*float64(need))
-	if v == relay.NoVote || extra < 0 {
+// voteDelay is how long this relay lets others vote first: as many as are needed, and a few for those that
+// are lost, vote at once; the rest only when that has not been enough, no faster than votes are taken.
+func (a *aggregator) voteDelay(verdict relay.Verdict) relay.Seconds {
+	rollout := &a.p.settings.Rollout
+	quorum := [...]int{
+		relay.VotePromote:  rollout.PromoteQuorum,
+		relay.VoteHold:     rollout.HoldQuorum,
+		relay.VoteRollBack: rollout.RollBackQuorum,
+	}[verdict]
+	reserve := float64(a.p.settings.Self) - math.Max(aggregatorCount, extraVoters*float64(quorum))
+	if verdict == relay.NoVote || reserve < 0 {
 		return 0
 	}
-	return reserveVoteDelay + extra/math.Max(r.VotesPerSec, 1)
+	return reserveVoteDelay + reserve/math.Max(rollout.VotesPerSec, 1)
 }
 
-// vote casts what is wanted, renews it before it lapses and casts it again when it was lost.
+// castVote casts what is wanted, renews it before it expires, and casts it again when it was lost.
 func (a *aggregator) castVote() {
-	r, now, w := &a.p.settings.Rollout, a.p.now, a.wanted
-	if a.pending && now-a.castAt > r.CallTimeout+callTimeoutGrace {
-		a.pending, a.confirmed = false, false
+	now, wanted := a.p.now, a.wanted
+	if a.pending && now-a.castAt > a.p.settings.Rollout.CallTimeout+callTimeoutGrace {
+		a.pending = false
+		a.confirmed = false
 	}
-	if a.pending || now < a.nextVoteAt || now-a.wantedSince < a.voteDelay(w.Verdict) {
+	if a.pending || now < a.nextVoteAt || now-a.wantedSince < a.voteDelay(wanted.Verdict) {
 		return
 	}
-	moot := a.cast.Verdict == relay.NoVote || a.cast.Build != w.Build || !a.p.canary.canRollBack() ||
-		a.cast.Verdict != relay.VoteRollBack &&
-			(a.cast.Stage != w.Stage || a.p.canary.status.Phase == relay.PhaseReleased)
-	if w.Verdict == relay.NoVote && moot {
-		a.cast = w
+	if wanted.Verdict == relay.NoVote && a.nothingToWithdraw() {
+		a.cast = wanted
 		return
 	}
-	if w == a.cast && a.confirmed && (w.Verdict == relay.NoVote || now-a.castAt < voteRenewPart*r.VoteTTL) {
+	if wanted == a.cast && a.stands() {
 		return
 	}
-	if w.Verdict == relay.VoteRollBack && a.cast.Verdict != w.Verdict && a.active {
-		a.p.emit(relay.Log{Line: fmt.Sprintf("voting build %d back at stage %d: %s", w.Build, w.Stage, a.reason)})
+	if wanted.Verdict == relay.VoteRollBack && a.cast.Verdict != wanted.Verdict && a.active {
+		line := fmt.Sprintf("voting to roll build %d back at stage %d: %s", wanted.Build, wanted.Stage, a.reason)
+		a.p.emit(relay.Log{Line: line})
 	}
-	a.cast, a.castAt, a.nextVoteAt, a.pending, a.confirmed = w, now, now+minVoteInterval, true, false
-	a.p.emit(w)
+	a.cast = wanted
+	a.castAt = now
+	a.nextVoteAt = now + minVoteInterval
+	a.pending = true
+	a.confirmed = false
+	a.p.emit(wanted)
+}
+
+// nothingToWithdraw says that the vote last cast no longer counts for anything.
+func (a *aggregator) nothingToWithdraw() bool {
+	canary := &a.p.canary
+	if a.cast.Verdict == relay.NoVote || a.cast.Build != a.wanted.Build || !canary.canRollBack() {
+		return true
+	}
+	stagePast := a.cast.Stage != a.wanted.Stage || canary.status.Phase == relay.PhaseReleased
+	return a.cast.Verdict != relay.VoteRollBack && stagePast
+}
+
+// stands says that the vote last cast is counted and does not expire soon.
+func (a *aggregator) stands() bool {
+	fresh := a.p.now-a.castAt < voteRenewPart*a.p.settings.Rollout.VoteTTL
+	return a.confirmed && (a.cast.Verdict == relay.NoVote || fresh)
 }
--- /dev/null
+++ b/policy/window/window_test.go
@@ -0,0 +1,66 @@
+package window_test
+
+import (
+	"math"
+	"testing"
+
+	"lichenroad/policy/window"
+)
+
+func TestSlidingForgetsOldBuckets(t *testing.T) {
+	w := window.NewSliding(0.5, 4, 2)
+	if !w.Idle(0) || w.Total(0, 0) != 0 {
+		t.Fatal("an empty window is not idle, or holds something")
+	}
+	w.Add(0.1, 0, 1)
+	w.Add(0.6, 0, 2)
+	w.Add(0.7, 1, 8)
+	for _, c := range []struct {
+		name     string
+		now      float64
+		column   int
+		from, to int
+		want     float64
+	}{
+		{"all of it", 0.7, 0, 0, 4, 3},
+		{"the present bucket", 0.7, 0, 0, 1, 2},
+		{"the one before", 0.7, 0, 1, 2, 1},
+		{"the other column", 0.7, 1, 0, 4, 8},
+		{"more buckets than there are", 0.7, 0, 0, 100, 3},
+		{"the first bucket is forgotten", 2.1, 0, 0, 4, 2},
+		{"all are forgotten", 2.6, 0, 0, 4, 0},
+	} {
+		t.Run(c.name, func(t *testing.T) {
+			if got := w.Sum(c.now, c.column, c.from, c.to); got != c.want {
+				t.Errorf("%v, not %v", got, c.want)
+			}
+		})
+	}
+	w.Add(3, 0, 1)
+	if w.Idle(4.9) || !w.Idle(5.1) {
+		t.Error("idle too early or too late")
+	}
+	if _, ok := w.Bucket(7); ok {
+		t.Error("a bucket from before time 0")
+	}
+	w.Reset()
+	if !w.Idle(3) || w.Total(3, 0) != 0 {
+		t.Error("something is left after a reset")
+	}
+}
+
+func TestMeanBeginsPlainAndThenForgets(t *testing.T) {
+	var m window.Mean
+	for _, sample := range []float64{1, 2, 3, 4} {
+		m.Add(sample, 0.1)
+	}
+	if m.Value != 2.5 || m.Samples != 4 {
+		t.Errorf("the plain mean of four: %+v", m)
+	}
+	for range 1000 {
+		m.Add(9, 0.1)
+	}
+	if math.Abs(m.Value-9) > 1e-9 {
+		t.Errorf("after a thousand: %+v", m)
+	}
+}
