--- a/policy/world_test.go
+++ b/policy/world_test.go
@@ -34,13 +34,13 @@
 	requests       map[relay.RequestID]*worldRequest
 	endpoints      map[relay.EndpointID]*worldEndpoint
 	timers         []relay.SetTimer
-	accepted       []worldMark // queries taken, legs on trial, by category
+	accepted       []worldMark // requests taken, attempts on trial, by class
 	canaryAttempts []worldMark
 	status         *relay.RolloutStatus
 	limitSince     relay.Seconds // when the present cap began to bind
 	previousLimit  float64       // the cap that it replaced
 	keys           map[relay.Key]relay.Build
-	outcomeOf      func(q *worldRequest, l *worldAttempt) relay.Outcome // how a leg will end
+	outcomeOf      func(request *worldRequest, attempt *worldAttempt) relay.Outcome // how a attempt will end
 	sent           []relay.SendAttempt
 	votes          []relay.Vote
 	rejected       int
@@ -83,23 +83,23 @@
 // step delivers events at the present time and carries out the orders.
 func (w *world) step(events ...relay.Event) {
 	honoured := map[relay.Key]relay.Build{}
-	var told []*worldRequest // as over, in this batch: it binds from the next
+	var reported []*worldRequest // as over, in this batch: it binds from the next
 	for _, e := range events {
 		switch e := e.(type) {
 		case relay.Request:
 			w.requests[e.ID] = &worldRequest{Request: e}
 			w.accepted = append(w.accepted, worldMark{w.now, 0, e.Class})
 		case relay.AttemptEnded:
-			q := w.requests[e.Request]
+			request := w.requests[e.Request]
 			if e.RequestFinished {
-				told = append(told, q)
+				reported = append(reported, request)
 			}
-			if e.Outcome == relay.Succeeded && q.Key != 0 {
-				honoured[q.Key] = max(honoured[q.Key], q.attempts[e.Attempt].endpoint.Build)
+			if e.Outcome == relay.Succeeded && request.Key != 0 {
+				honoured[request.Key] = max(honoured[request.Key], request.attempts[e.Attempt].endpoint.Build)
 			}
 		case relay.ClientDisconnected:
-			if q := w.requests[e.Request]; q != nil {
-				told = append(told, q)
+			if request := w.requests[e.Request]; request != nil {
+				reported = append(reported, request)
 			}
 		case relay.ListUpdate:
 			w.listUpdated(e)
@@ -112,13 +112,13 @@
 		case relay.SendAttempt:
 			w.sendAttempt(o)
 		case relay.Reject:
-			q := w.final(o.Request)
+			request := w.final(o.Request)
 			w.rejected++
-			for _, l := range q.attempts {
-				c := w.set.Classes[q.Class]
-				if maybe := !l.done || !l.outcome.NeverRan(); maybe && (c.Idempotency == relay.AtMostOnce ||
+			for _, attempt := range request.attempts {
+				c := w.set.Classes[request.Class]
+				if maybe := !attempt.done || !attempt.outcome.NeverRan(); maybe && (c.Idempotency == relay.AtMostOnce ||
 					c.Idempotency == relay.IdempotencyKeyed && c.DedupScope != relay.DedupAll) {
-					w.t.Fatalf("%v: denied query %d, which may have run", w.now, q.ID)
+					w.t.Fatalf("%v: rejected request %d, which may have run", w.now, request.ID)
 				}
 			}
 		case relay.Fail:
@@ -145,37 +145,37 @@
 			w.votes = append(w.votes, o)
 		}
 	}
-	for _, e := range events { // the newest build's cap fell: legs that have not gone yet are under it too
+	for _, e := range events { // the newest build's cap fell: attempts that have not gone yet are under it too
 		n, ok := e.(relay.RolloutStatus)
-		for _, q := range w.requests {
-			for _, l := range q.attempts {
-				if ok && n.Valid && n.ExposureLimit == 0 && n.Build == w.status.Build && l.endpoint.Build == n.Build && l.at < w.now &&
-					w.limitSince == w.now && !l.done && !l.cancelledUnsent {
-					w.t.Fatalf("%v: a leg to build %d may still go after its cap fell", w.now, n.Build)
+		for _, request := range w.requests {
+			for _, attempt := range request.attempts {
+				if ok && n.Valid && n.ExposureLimit == 0 && n.Build == w.status.Build && attempt.endpoint.Build == n.Build && attempt.at < w.now &&
+					w.limitSince == w.now && !attempt.done && !attempt.cancelledUnsent {
+					w.t.Fatalf("%v: a attempt to build %d may still go after its cap fell", w.now, n.Build)
 				}
 			}
 		}
 	}
-	for _, q := range told {
-		q.finished = true
+	for _, request := range reported {
+		request.finished = true
 	}
 	for k, b := range honoured {
 		w.keys[k] = max(w.keys[k], b)
 	}
 	for id := relay.RequestID(0); id < w.next; id++ {
-		if q := w.requests[id]; q != nil && !q.finished && w.now > q.Deadline+w.set.Rules.AnswerSlack {
-			w.t.Fatalf("%v: query %d has no final answer, patience ended at %v", w.now, id, q.Deadline)
+		if request := w.requests[id]; request != nil && !request.finished && w.now > request.Deadline+w.set.Rules.AnswerSlack {
+			w.t.Fatalf("%v: request %d has no final answer, deadline ended at %v", w.now, id, request.Deadline)
 		}
 	}
 }
 
 func (w *world) final(id relay.RequestID) *worldRequest {
-	q := w.requests[id]
-	if q == nil || q.finished {
-		w.t.Fatalf("%v: a final answer to query %d, which is over", w.now, id)
+	request := w.requests[id]
+	if request == nil || request.finished {
+		w.t.Fatalf("%v: a final answer to request %d, which is over", w.now, id)
 	}
-	q.finished = true
-	return q
+	request.finished = true
+	return request
 }
 
 func (w *world) listUpdated(r relay.ListUpdate) {
@@ -218,53 +218,53 @@
 	w.status = &n
 }
 
-// leg checks rules 1, 2, 3 and 5 for one leg, and draws how it ends.
+// attempt checks rules 1, 2, 3 and 5 for one attempt, and draws how it ends.
 func (w *world) sendAttempt(o relay.SendAttempt) {
-	q, u := w.requests[o.Request], w.endpoints[o.Endpoint]
-	if q == nil || u == nil || q.finished {
-		w.t.Fatalf("%v: a leg of query %d, unknown or over, or to an unknown unit", w.now, o.Request)
+	request, u := w.requests[o.Request], w.endpoints[o.Endpoint]
+	if request == nil || u == nil || request.finished {
+		w.t.Fatalf("%v: a attempt of request %d, unknown or over, or to an unknown endpoint", w.now, o.Request)
 	}
 	if u.State != relay.Ready && w.now > u.notReadySince+w.set.Rules.DrainGrace {
-		w.t.Fatalf("%v: a leg to a unit told as not ready at %v", w.now, u.notReadySince)
+		w.t.Fatalf("%v: a attempt to a endpoint told as not ready at %v", w.now, u.notReadySince)
 	}
-	c := w.set.Classes[q.Class]
-	for _, l := range q.attempts {
-		if !l.done && !w.set.Limits.HedgedRequests {
-			w.t.Fatalf("%v: two legs of query %d at once", w.now, q.ID)
+	c := w.set.Classes[request.Class]
+	for _, attempt := range request.attempts {
+		if !attempt.done && !w.set.Limits.HedgedRequests {
+			w.t.Fatalf("%v: two attempts of request %d at once", w.now, request.ID)
 		}
-		if l.done && l.outcome.NeverRan() || c.Idempotency == relay.Idempotent {
+		if attempt.done && attempt.outcome.NeverRan() || c.Idempotency == relay.Idempotent {
 			continue
 		}
-		same := c.DedupScope == relay.DedupAll || c.DedupScope == relay.DedupZone && l.endpoint.Zone == u.Zone ||
-			c.DedupScope == relay.DedupFailureDomain && l.endpoint.FailureDomain == u.FailureDomain
-		if c.Idempotency == relay.AtMostOnce || !same || w.now > l.at+c.DedupWindow {
-			w.t.Fatalf("%v: query %d may run twice", w.now, q.ID)
+		same := c.DedupScope == relay.DedupAll || c.DedupScope == relay.DedupZone && attempt.endpoint.Zone == u.Zone ||
+			c.DedupScope == relay.DedupFailureDomain && attempt.endpoint.FailureDomain == u.FailureDomain
+		if c.Idempotency == relay.AtMostOnce || !same || w.now > attempt.at+c.DedupWindow {
+			w.t.Fatalf("%v: request %d may run twice", w.now, request.ID)
 		}
-		if o.SendBy <= 0 || o.SendBy > l.at+c.DedupWindow { // it may wait for a connection until then, and be written later
-			w.t.Fatalf("%v: query %d may be written until %v, its window ends at %v", w.now, q.ID, o.SendBy, l.at+c.DedupWindow)
+		if o.SendBy <= 0 || o.SendBy > attempt.at+c.DedupWindow { // it may wait for a connection until then, and be written later
+			w.t.Fatalf("%v: request %d may be written until %v, its window ends at %v", w.now, request.ID, o.SendBy, attempt.at+c.DedupWindow)
 		}
 	}
-	if len(q.attempts) >= w.set.Limits.MaxAttempts {
-		w.t.Fatalf("%v: too many legs", w.now)
+	if len(request.attempts) >= w.set.Limits.MaxAttempts {
+		w.t.Fatalf("%v: too many attempts", w.now)
 	}
-	w.exposure(q, u.Endpoint)
-	l := &worldAttempt{endpoint: u.Endpoint, at: w.now}
-	l.outcome = w.outcomeOf(q, l)
-	q.attempts = append(q.attempts, l)
-	if l.end == 0 {
-		l.end = w.now + 0.1
+	w.exposure(request, u.Endpoint)
+	attempt := &worldAttempt{endpoint: u.Endpoint, at: w.now}
+	attempt.outcome = w.outcomeOf(request, attempt)
+	request.attempts = append(request.attempts, attempt)
+	if attempt.end == 0 {
+		attempt.end = w.now + 0.1
 	}
-	if l.end >= q.Deadline {
-		l.end, l.outcome = q.Deadline, relay.TimedOut
+	if attempt.end >= request.Deadline {
+		attempt.end, attempt.outcome = request.Deadline, relay.TimedOut
 	}
 	w.sent = append(w.sent, o)
 }
 
-func (w *world) exposure(q *worldRequest, u relay.Endpoint) {
+func (w *world) exposure(request *worldRequest, u relay.Endpoint) {
 	ro := w.set.Rollout
-	if n := w.status; n != nil && ro.StickyKeys && q.Key != 0 && w.keys[q.Key] == n.Build && u.Build < n.Build &&
+	if n := w.status; n != nil && ro.StickyKeys && request.Key != 0 && w.keys[request.Key] == n.Build && u.Build < n.Build &&
 		(n.Phase == relay.PhaseCanary || n.Phase == relay.PhaseReleased) {
-		w.t.Fatalf("%v: key %d went back to build %d", w.now, q.Key, u.Build)
+		w.t.Fatalf("%v: key %d was rolled back to build %d", w.now, request.Key, u.Build)
 	}
 	cap, stage, since := 0.0, relay.Stage(0), -1.0
 	switch {
@@ -280,27 +280,27 @@
 			since = w.limitSince + w.set.Rules.DrainGrace
 		}
 	}
-	if int(stage) < ro.IdempotentOnlyStages && w.set.Classes[q.Class].Idempotency != relay.Idempotent {
+	if int(stage) < ro.IdempotentOnlyStages && w.set.Classes[request.Class].Idempotency != relay.Idempotent {
 		w.t.Fatalf("%v: an effect at a guarded stage", w.now)
 	}
-	w.canaryAttempts = append(w.canaryAttempts, worldMark{w.now, u.Build, q.Class})
-	legs, taken := 0.0, 0.0
+	w.canaryAttempts = append(w.canaryAttempts, worldMark{w.now, u.Build, request.Class})
+	attempts, taken := 0.0, 0.0
 	for _, m := range w.canaryAttempts {
-		if m.at > max(w.now-ro.ExposureWindow, since) && m.build == u.Build && (!ro.PerClass || m.class == q.Class) {
-			legs++
+		if m.at > max(w.now-ro.ExposureWindow, since) && m.build == u.Build && (!ro.PerClass || m.class == request.Class) {
+			attempts++
 		}
 	}
 	for _, m := range w.accepted {
-		if m.at > w.now-ro.ExposureWindow && (!ro.PerClass || m.class == q.Class) {
+		if m.at > w.now-ro.ExposureWindow && (!ro.PerClass || m.class == request.Class) {
 			taken++
 		}
 	}
-	if legs > ro.ExposureAllowance+cap*taken+1e-6 || cap == 0 {
-		w.t.Fatalf("%v: %v legs at build %d on trial, cap %v of %v", w.now, legs, u.Build, cap, taken)
+	if attempts > ro.ExposureAllowance+cap*taken+1e-6 || cap == 0 {
+		w.t.Fatalf("%v: %v attempts at build %d on trial, cap %v of %v", w.now, attempts, u.Build, cap, taken)
 	}
 }
 
-// due collects what has come about by now: wake-ups and ends of legs.
+// due collects what has come about by now: wake-ups and ends of attempts.
 func (w *world) due() (events []relay.Event) {
 	left := w.timers[:0]
 	for _, k := range w.timers {
@@ -317,17 +317,17 @@
 	}
 	sort.Ints(ids)
 	for _, id := range ids {
-		q := w.requests[relay.RequestID(id)]
-		over := q.finished
-		for i, l := range q.attempts {
-			if l.cancelled && !l.done && l.end > w.now {
-				l.end, l.outcome = w.now, relay.Cancelled
+		request := w.requests[relay.RequestID(id)]
+		over := request.finished
+		for i, attempt := range request.attempts {
+			if attempt.cancelled && !attempt.done && attempt.end > w.now {
+				attempt.end, attempt.outcome = w.now, relay.Cancelled
 			}
-			if !l.done && l.end <= w.now {
-				l.done = true
-				over = over || l.outcome == relay.Succeeded
-				events = append(events, relay.AttemptEnded{Request: q.ID, Attempt: relay.AttemptNumber(i), Endpoint: l.endpoint.ID, Outcome: l.outcome,
-					Duration: l.end - l.at, RequestFinished: over})
+			if !attempt.done && attempt.end <= w.now {
+				attempt.done = true
+				over = over || attempt.outcome == relay.Succeeded
+				events = append(events, relay.AttemptEnded{Request: request.ID, Attempt: relay.AttemptNumber(i), Endpoint: attempt.endpoint.ID, Outcome: attempt.outcome,
+					Duration: attempt.end - attempt.at, RequestFinished: over})
 			}
 		}
 	}
@@ -346,7 +346,7 @@
 	}
 }
 
-// thin is a query each so many hundredths of a second.
+// thin is a request each so many hundredths of a second.
 func (w *world) thin(every int) func() []relay.Event {
 	return func() []relay.Event {
 		if int(w.now*100)%every == 0 {
@@ -356,9 +356,9 @@
 	}
 }
 
-// attemptsAt is how many of the legs went to a build.
-func (w *world) attemptsAt(build relay.Build, legs []relay.SendAttempt) (n int) {
-	for _, o := range legs {
+// attemptsAt is how many of the attempts went to a build.
+func (w *world) attemptsAt(build relay.Build, attempts []relay.SendAttempt) (n int) {
+	for _, o := range attempts {
 		if w.endpoints[o.Endpoint].Build == build {
 			n++
 		}
@@ -380,7 +380,7 @@
 	return es
 }
 
-// plainSettings are those of a middling site with three categories, one of each kind.
+// plainSettings are those of a middling site with three classes, one of each kind.
 func plainSettings() relay.Settings {
 	return relay.Settings{Relays: 1, ListOnRequest: true,
 		Classes: []relay.ClassSettings{
