--- /dev/null
+++ b/compat/golden_test.go
@@ -0,0 +1,114 @@
+package compat_test
+
+import (
+	"bytes"
+	"compress/gzip"
+	"crypto/sha256"
+	"fmt"
+	"io"
+	"os"
+	"path/filepath"
+	"strings"
+	"testing"
+)
+
+// mostDifferences bounds the differing lines that a failed comparison prints: the first one is the cause as a rule.
+const mostDifferences = 5
+
+// checkGolden compares lines with those kept under testdata/NAME.gz, of which testdata/NAME.sha256 holds the digest.
+func checkGolden(t *testing.T, name string, got []string) {
+	t.Helper()
+	text := strings.Join(got, "\n") + "\n"
+	if *update {
+		writeGolden(t, name, text)
+		return
+	}
+	want := readGolden(t, name)
+	if differences := compareLines(strings.Split(strings.TrimSuffix(want, "\n"), "\n"), strings.Split(strings.TrimSuffix(text, "\n"), "\n")); differences != "" {
+		t.Fatalf("%s differs from its golden file:\n%s", name, differences)
+	}
+	digest, err := os.ReadFile(goldenPath(name, ".sha256"))
+	if err != nil {
+		t.Fatal(err)
+	}
+	if want, got := strings.TrimSpace(string(digest)), digestOf(text); got != want {
+		t.Fatalf("%s: sha256 %s, kept is %s", name, got, want)
+	}
+}
+
+// compareLines names the first lines that differ; empty: none.
+func compareLines(want, got []string) string {
+	var b strings.Builder
+	differing := 0
+	for i := range max(len(want), len(got)) {
+		before, now := "(no line)", "(no line)"
+		if i < len(want) {
+			before = want[i]
+		}
+		if i < len(got) {
+			now = got[i]
+		}
+		if before == now {
+			continue
+		}
+		if differing++; differing <= mostDifferences {
+			if differing == 1 && i > 0 && i <= len(want) {
+				fmt.Fprintf(&b, "line %d  (same) %s\n", i, want[i-1])
+			}
+			fmt.Fprintf(&b, "line %d  want   %s\n         got    %s\n", i+1, before, now)
+		}
+	}
+	if differing > 0 {
+		fmt.Fprintf(&b, "%d lines differ; %d are kept, %d came\n", differing, len(want), len(got))
+	}
+	return b.String()
+}
+
+func goldenPath(name, ending string) string { return filepath.Join("testdata", name+ending) }
+
+func digestOf(text string) string { return fmt.Sprintf("%x", sha256.Sum256([]byte(text))) }
+
+func readGolden(t *testing.T, name string) string {
+	t.Helper()
+	file, err := os.Open(goldenPath(name, ".gz"))
+	if err != nil {
+		t.Fatal(err)
+	}
+	defer file.Close()
+	unzipped, err := gzip.NewReader(file)
+	if err != nil {
+		t.Fatal(err)
+	}
+	text, err := io.ReadAll(unzipped)
+	if err != nil {
+		t.Fatal(err)
+	}
+	return string(text)
+}
+
+func writeGolden(t *testing.T, name, text string) {
+	t.Helper()
+	var zipped bytes.Buffer
+	w, err := gzip.NewWriterLevel(&zipped, gzip.BestCompression)
+	if err != nil {
+		t.Fatal(err)
+	}
+	if _, err := io.WriteString(w, text); err != nil {
+		t.Fatal(err)
+	}
+	if err := w.Close(); err != nil {
+		t.Fatal(err)
+	}
+	for path, content := range map[string][]byte{
+		goldenPath(name, ".gz"):     zipped.Bytes(),
+		goldenPath(name, ".sha256"): []byte(digestOf(text) + "\n"),
+	} {
+		if err := os.MkdirAll(filepath.Dir(path), 0o755); err != nil {
+			t.Fatal(err)
+		}
+		if err := os.WriteFile(path, content, 0o644); err != nil {
+			t.Fatal(err)
+		}
+	}
+	t.Logf("wrote %s, %d bytes", goldenPath(name, ".gz"), zipped.Len())
+}
--- /dev/null
+++ b/compat/site_test.go
@@ -0,0 +1,102 @@
+package compat_test
+
+import (
+	"fmt"
+	"strings"
+)
+
+// site is what differs between the recorded sessions: the settings, and how the deployment around the instances behaves.
+type site struct {
+	name     string
+	seed     uint64
+	replicas int      // instances of the tier; those that are not hosted are played by the session
+	hosted   []uint16 // their my_number; the number on the pipe is 3 higher, as the two are not the same thing
+
+	discovery   string // subscribe or automatic
+	reports     string // inline, on_probe or off
+	control     string // first_voice, by_count or automatic
+	countedBy   string // all or each_class
+	swap        string // parallel or replace
+	cancel      bool
+	tell        bool
+	copies      bool
+	retryAfter  bool
+	noReturn    bool
+	tenants     bool
+	stretch     float64
+	failures    float64 // share of attempts that fail, one way or another
+	badBuild    bool    // the new build fails half of its attempts
+	overload    bool    // units answer late and turn requests away
+	restarts    bool    // an instance is shut down and born anew
+	roughPeers  bool    // peers send datagrams of every form, well made and not
+	bareSetting bool    // settings that leave out all that may be left out
+}
+
+var sites = []site{
+	{name: "good-build", seed: 1, replicas: 8, hosted: []uint16{0, 1, 5}, discovery: "subscribe", reports: "on_probe", control: "by_count",
+		countedBy: "all", swap: "parallel", cancel: true, tell: true, copies: true, retryAfter: true, tenants: true, failures: 0.04,
+		restarts: true, roughPeers: true},
+	{name: "bad-build", seed: 2, replicas: 6, hosted: []uint16{0, 2, 4}, discovery: "automatic", reports: "inline", control: "first_voice",
+		countedBy: "each_class", swap: "replace", cancel: true, tell: true, retryAfter: true, noReturn: true, tenants: true, failures: 0.02,
+		badBuild: true},
+	{name: "clock-and-overload", seed: 3, replicas: 4, hosted: []uint16{0, 3}, discovery: "subscribe", reports: "off", control: "automatic",
+		countedBy: "all", swap: "parallel", tell: true, copies: true, stretch: 1.5, failures: 0.1, overload: true, roughPeers: true},
+	{name: "alone-and-silent", seed: 4, replicas: 1, hosted: []uint16{0}, discovery: "automatic", reports: "inline", control: "first_voice",
+		countedBy: "all", swap: "parallel", failures: 0.05, bareSetting: true},
+}
+
+// classes of requests, in the order of the settings.
+const (
+	classRetryable = iota
+	classStreamed
+	classKeyedZone
+	classFragile
+	classKeyedAll
+	classKeyedCell
+	classCount
+)
+
+// deadlines by class, in nanoseconds.
+var deadlines = [classCount]uint64{2_500_000_000, 4_000_000_000, 3_000_000_000, 2_000_000_000, 2_500_000_000, 2_500_000_000}
+
+// settings gives the start-up object of one instance.
+func (s site) settings(number uint16) string {
+	if s.bareSetting {
+		return fmt.Sprintf(`{"my_number":%d,"replicas_of_me":%d,"grades":[%s]}`, number, s.replicas, s.grades())
+	}
+	tenants := ""
+	if s.tenants {
+		tenants = `{"name":"one","quota_per_s":52,"share":0.5},{"name":"two","quota_per_s":30,"share":0.3},{"name":"three","quota_per_s":20,"share":0.2}`
+	}
+	return fmt.Sprintf(`{"areas":["north","south"],"az":%d,"client_habits":{"marks_retry":true},"discovery":%q,"family":"rollout",
+"family_info":{"ballot_ttl":6000000000,"call_timeout":800000000,"counted_by":%q,"decided_by":%q,"exposure_caps":[0.15,0.5,1.0],
+"guarded_stages":1,"harm_price":4.0,"lag_fee":0.45,"metrics_period":1000000000,"min_dwell":2000000000,"moves_after":3000000000,
+"no_return":%t,"repeat_every":4000000000,"reported_share":0.1,"span":2000000000,"swap":%q,"tally_sample":0.5,"to_abort":2,
+"to_advance":2,"uncounted":1.0,"votes_per_s":200.0,"votes_to_hold":2,"waves":[0.2,0.5,1.0]},
+"grades":[%s],"kinds":["fast","plain"],"my_number":%d,"over_share_worth":0.2,
+"penalties":{"cross_zone":0.02,"late_fail":0.03,"peer":0.01,"probe":0.01,"waste":0.05},
+"policy_limits":{"cancel":%t,"conn_idle":30000000000,"dial_timeout":250000000,"max_attempts":3,"max_retry_after":1000000000,
+"may_tell":%t,"most_held":2000,"parallel_tries":%t,"probes":true,"retry_after":%t},
+"replicas_of_me":%d,"report":{"fields":["recent_ms","outstanding"],"via":%q},
+"rules":{"answer_slack":20000000,"ask_every":10000000000,"cold_from":0.35,"drain_grace":250000000,"fall":3000000000,"fall_multiple":2.5,
+"warm_up":4600000000},"stage":0,"tenants":[%s],"tick":5000000,"weight_source":"nominal","worth_by":"work","a_key_not_known":[1]}`,
+		number%2, s.discovery, s.countedBy, s.control, s.noReturn, s.swap, s.grades(), number, s.cancel, s.tell, s.copies, s.retryAfter,
+		s.replicas, s.reports, tenants)
+}
+
+func (s site) grades() string {
+	forms := [classCount]string{
+		classRetryable: `"repeat":"retryable","group":"all","streamed":false,"target":800000000,"worth":2.0`,
+		classStreamed:  `"repeat":"retryable","group":"all","streamed":true,"target":1500000000,"worth":1.0`,
+		classKeyedZone: `"repeat":"dedup","group":"zone","streamed":false,"target":1000000000,"worth":3.0`,
+		classFragile:   `"repeat":"fragile","group":"all","streamed":false,"target":700000000,"worth":3.0`,
+		classKeyedAll:  `"repeat":"dedup","group":"all","streamed":false,"target":900000000,"worth":0.5`,
+		classKeyedCell: `"repeat":"dedup","group":"cell","streamed":false,"target":0,"worth":1.0`,
+	}
+	var all []string
+	for class, form := range forms {
+		all = append(all, fmt.Sprintf(`{"name":"class-%d",%s,"deadline":%d,"repeat_window":1500000000,"late_worth":0.2,"aim_stretch":%g}`,
+			class, form, deadlines[class], s.stretch))
+	}
+	return strings.Join(all, ",")
+}
