--- /dev/null
+++ b/compat/desk_session_test.go
@@ -0,0 +1,336 @@
+package compat_test
+
+import (
+	"bufio"
+	"encoding/json"
+	"fmt"
+	"io"
+	"net"
+	"os"
+	"path/filepath"
+	"regexp"
+	"slices"
+	"strings"
+	"testing"
+	"time"
+)
+
+// deskPlan is a plan of three services: one that votes move, one that needs it, and one that the clock moves at once.
+func deskPlan(voteLife string, addresses map[string]string) string {
+	return fmt.Sprintf(`<plan version="1"><site name="x"/><group name="g"/>
+<service name="a" watch=%q back-for="1s" settle="0s"><votes on="0.6" back="0.3" life=%q/>
+<step name="one" share="0.1" cap="0.1" least="0s"><open/></step><step name="two" share="1" cap="0.5" least="0s"/>
+<relay name="r0" listen=%q/><relay name="r1" listen=%q/><relay name="r2" listen=%q/></service>
+<service name="b" watch=%q><step name="one" share="0.1" cap="0.25" least="0s"><open/><needs service="a"/></step><relay name="q0"/></service>
+<service name="c" watch=%q back-for="1s" settle="0s"><votes control="clock" step-time="0s"/>
+<step name="one" share="0.1" cap="0.1" least="0s"><open/></step><step name="two" share="1" cap="1" least="0s"/><relay name="s0"/></service></plan>`,
+		addresses["a"], voteLife, addresses["r0"], addresses["r1"], addresses["r2"], addresses["b"], addresses["c"])
+}
+
+// desk is a release desk that runs, and the connections of a test to it.
+type desk struct {
+	t       *testing.T
+	process *process
+	state   string
+	plan    string
+	at      map[string]string // by relay, and by service for its watch
+	masked  span
+	watches map[string]*lineCaller
+}
+
+// planFor writes the plan with addresses that are free.
+func planFor(t *testing.T, voteLife string) (path string, at map[string]string) {
+	t.Helper()
+	at = map[string]string{}
+	for _, name := range []string{"a", "b", "c", "r0", "r1", "r2"} {
+		at[name] = freeAddress(t)
+	}
+	path = filepath.Join(t.TempDir(), "plan.xml")
+	if err := os.WriteFile(path, []byte(deskPlan(voteLife, at)), 0o600); err != nil {
+		t.Fatal(err)
+	}
+	return path, at
+}
+
+// openFreshDesk runs a desk on an empty directory. Votes last for longer than any test, and an operator's freeze is set for
+// some hours: times of the next day are the test's too.
+func openFreshDesk(t *testing.T) *desk {
+	t.Helper()
+	return openDesk(t, t.TempDir(), "1h", spanFrom(24*time.Hour))
+}
+
+// openDesk runs a desk on a state directory and waits until operators can reach it.
+func openDesk(t *testing.T, state, voteLife string, masked span) *desk {
+	t.Helper()
+	d := &desk{t: t, state: state, masked: masked, watches: map[string]*lineCaller{}}
+	d.plan, d.at = planFor(t, voteLife)
+	d.process = run(t, "desk", "run", "--plan", d.plan, "--state", state)
+	eventually(t, "the control file is there", func() bool {
+		if d.process.over() {
+			t.Fatalf("the desk ended:\n%s", d.process.logged)
+		}
+		_, err := os.Stat(filepath.Join(state, "control"))
+		return err == nil
+	})
+	return d
+}
+
+// request sends one line to the control socket and gives the line that answers it. WORD stands for the secret.
+func (d *desk) request(text string) string {
+	d.t.Helper()
+	words := strings.Fields(string(readFile(d.t, filepath.Join(d.state, "control"))))
+	if len(words) != 2 {
+		d.t.Fatalf("the control file holds %d words, want an address and a secret", len(words))
+	}
+	n, err := net.Dial("tcp", words[0])
+	if err != nil {
+		d.t.Fatal(err)
+	}
+	defer n.Close()
+	n.SetDeadline(time.Now().Add(patience))
+	fmt.Fprintf(n, "%s\n", strings.ReplaceAll(text, "WORD", words[1]))
+	answer, err := io.ReadAll(n)
+	if err != nil {
+		d.t.Fatal(err)
+	}
+	return strings.TrimSuffix(maskTextTimes(maskTimes(string(answer), d.masked)), "\n")
+}
+
+// lineCaller is a connection that speaks the platform's lines.
+type lineCaller struct {
+	net.Conn
+	reader   *bufio.Reader
+	lastTold string
+}
+
+// watch gives the connection to a service's watch, opened at the first use.
+func (d *desk) watch(service string) *lineCaller {
+	d.t.Helper()
+	if d.watches[service] == nil {
+		d.watches[service] = d.dial(service)
+	}
+	return d.watches[service]
+}
+
+// dial opens a connection to a relay's address or to a service's watch.
+func (d *desk) dial(name string) *lineCaller {
+	d.t.Helper()
+	var n net.Conn
+	eventually(d.t, "the desk listens for "+name, func() (up bool) {
+		var err error
+		n, err = net.Dial("tcp", d.at[name])
+		return err == nil
+	})
+	n.SetDeadline(time.Now().Add(2 * patience))
+	d.t.Cleanup(func() { n.Close() })
+	return &lineCaller{Conn: n, reader: bufio.NewReader(n)}
+}
+
+var lastNumber = regexp.MustCompile(` [0-9]+\r\n$`)
+
+// maskAge replaces the last field of a state, which counts the milliseconds since a build came to stand so.
+func maskAge(line string) string { return lastNumber.ReplaceAllString(line, " AGE\r\n") }
+
+// say sends a line and gives the answer to it, unasked lines left out.
+func (c *lineCaller) say(t *testing.T, line string) string {
+	t.Helper()
+	fmt.Fprintf(c, "%s\r\n", line)
+	for {
+		if got := c.read(t); !strings.HasPrefix(got, "*") {
+			return got
+		}
+	}
+}
+
+func (c *lineCaller) read(t *testing.T) string {
+	t.Helper()
+	line, err := c.reader.ReadString('\n')
+	if err != nil {
+		t.Fatal(err)
+	}
+	return maskAge(line)
+}
+
+// told reads the unasked lines up to the one named. Signs of life are left out, and a state that is told again: how many of
+// these come depends on how long the test takes.
+func (c *lineCaller) told(t *testing.T, until string) (lines []string) {
+	t.Helper()
+	for {
+		line := c.read(t)
+		if line != "*\r\n" && line != c.lastTold {
+			lines, c.lastTold = append(lines, line), line
+		}
+		if line == until {
+			return lines
+		}
+	}
+}
+
+// step is one thing that a session does; exactly one field is set.
+type step struct {
+	control string   // a request at the control socket, without the secret's field
+	raw     string   // the same, as it stands
+	tool    []string // the tool's desk command, --state left out
+	line    [2]string
+	told    [2]string // the watch of a service tells lines up to this one
+}
+
+var deskSession = []step{
+	{raw: `no JSON`},
+	{raw: `{"word":"guessed","verb":"status"}`},
+	{raw: `{"verb":"status"}`},
+	{control: `"verb":"status"`},
+	{control: `"verb":"fly"`},
+	{control: `"verb":"offer","service":"z","build":7,"who":"ops","why":"w"`},
+	{control: `"verb":"offer","service":"a","build":7,"why":"nobody said who"`},
+	{control: `"verb":"offer","service":"a","build":0,"who":"ops","why":"w"`},
+	{control: `"verb":"back","service":"a","who":"ops","why":"w"`},
+	{line: [2]string{"a", "WATCH"}},
+	{line: [2]string{"r0", "VOTE 7 0 approve"}},
+	{control: `"verb":"offer","service":"a","build":7,"who":"ops","why":"the first"`},
+	{told: [2]string{"a", "* news 7 0 canary 0.1 AGE\r\n"}},
+	{control: `"verb":"offer","service":"a","build":7,"who":"ops","why":"again"`},
+	{control: `"verb":"offer","service":"a","build":9,"who":"ops","why":"the next"`},
+	{tool: []string{"offer", "a", "10", "--who", "ops", "--why", "it overtakes 9"}},
+	{tool: []string{"offer", "a", "x", "--who", "ops", "--why", "no build"}},
+	{tool: []string{"offer", "a", "12"}},
+	{line: [2]string{"r0", "VOTE 7 0"}},
+	{line: [2]string{"r0", "FLY"}},
+	{line: [2]string{"r0", "VOTE 7 0 maybe"}},
+	{line: [2]string{"r0", "VOTE -1 0 approve"}},
+	{line: [2]string{"r0", "VOTE 8 0 approve"}},
+	{line: [2]string{"r0", "VOTE 7 1 approve"}},
+	{line: [2]string{"a", "VOTE 7 0 approve"}},
+	{line: [2]string{"r2", "VOTE 7 0 wait"}},
+	{line: [2]string{"r2", "VOTE 7 0 clear"}},
+	{line: [2]string{"r0", "VOTE 7 0 approve"}},
+	{line: [2]string{"r1", "VOTE 7 0 approve"}},
+	{told: [2]string{"a", "* news 7 1 canary 0.5 AGE\r\n"}},
+	{control: `"verb":"halt","service":"a","who":"ops","why":"look first"`},
+	{control: `"verb":"halt","service":"a","who":"ops","why":"twice"`},
+	{line: [2]string{"r0", "VOTE 7 1 approve"}},
+	{line: [2]string{"r1", "VOTE 7 1 approve"}},
+	{tool: []string{"status"}},
+	{tool: []string{"resume", "a", "--who", "ops", "--why", "all is well"}},
+	{told: [2]string{"a", "* news 10 0 canary 0.1 AGE\r\n"}},
+	{control: `"verb":"freeze","name":"audit","until":4102444800,"who":"ops","why":"an \"audit\" <of all>"`},
+	{control: `"verb":"freeze","name":"audit","who":"ops","why":"the name is taken"`},
+	{control: `"verb":"freeze","name":"late","until":1000,"who":"ops","why":"over already"`},
+	{control: `"verb":"freeze","name":"one","service":"z","who":"ops","why":"no such service"`},
+	{tool: []string{"freeze", "evening", "--service", "b", "--for", "2h", "--who", "ops", "--why", "for some hours"}},
+	{tool: []string{"thaw", "evening", "--who", "ops", "--why", "not that long"}},
+	{control: `"verb":"thaw","name":"none","who":"ops","why":"w"`},
+	{line: [2]string{"r0", "VOTE 10 0 approve"}},
+	{line: [2]string{"r1", "VOTE 10 0 approve"}},
+	{control: `"verb":"status"`},
+	{line: [2]string{"r2", "VOTE 10 0 reject"}},
+	{told: [2]string{"a", "* news 10 0 reverted 0 AGE\r\n"}},
+	{line: [2]string{"r2", "VOTE 10 0 reject"}},
+	{control: `"verb":"offer","service":"b","build":3,"who":"ops","why":"needs a"`},
+	{control: `"verb":"thaw","name":"audit","who":"ops","why":"done"`},
+	{line: [2]string{"c", "WATCH"}},
+	{tool: []string{"offer", "c", "5", "--who", "ops", "--why", "by the clock"}},
+	{told: [2]string{"c", "* news 5 1 stable 1 AGE\r\n"}},
+	{tool: []string{"back", "c", "--who", "ops", "--why", "a fault"}},
+	{told: [2]string{"c", "* news 5 1 reverted 0 AGE\r\n"}},
+	{tool: []string{"back", "c", "--who", "ops", "--why", "twice"}},
+	{control: `"verb":"freeze","name":"kept","service":"a","who":"ops","why":"it stays"`},
+	{control: `"verb":"halt","service":"b","who":"ops","why":"it stays too"`},
+	{tool: []string{"status"}},
+	{tool: []string{"status", "--json"}},
+	{tool: []string{"history"}},
+	{tool: []string{"history", "--votes", "--last", "5"}},
+	{tool: []string{"history", "--json", "--last", "3"}},
+	{tool: []string{"history", "--last", "0"}},
+	{control: `"verb":"history","last":4`},
+	{control: `"verb":"history","votes":true,"last":10001`},
+}
+
+// do carries out a step and gives the lines of the golden file.
+func (d *desk) do(s step) (lines []string) {
+	d.t.Helper()
+	switch {
+	case s.raw != "":
+		return []string{"> " + s.raw, "< " + d.request(s.raw)}
+	case s.control != "":
+		return []string{"> " + s.control, "< " + d.request(`{"word":"WORD",`+s.control+`}`)}
+	case s.tool != nil:
+		r := call(d.t, append(append([]string{"desk"}, s.tool...), "--state", d.state)...)
+		lines = append(lines, "$ desk "+strings.Join(s.tool, " "), fmt.Sprintf("exit %d, %d lines of fault", r.code, len(r.errorLines())))
+		return append(lines, strings.Split(maskTextTimes(maskTimes(r.out, d.masked)), "\n")...)
+	case s.line[0] != "":
+		c := (*lineCaller)(nil)
+		if s.line[1] == "WATCH" {
+			c = d.watch(s.line[0])
+		} else {
+			c = d.dial(s.line[0]) // a fresh one: the desk closes those that stand idle for some seconds
+			defer c.Close()
+		}
+		return []string{fmt.Sprintf("%s> %s", s.line[0], s.line[1]), fmt.Sprintf("%s< %q", s.line[0], c.say(d.t, s.line[1]))}
+	}
+	for _, line := range d.watch(s.told[0]).told(d.t, s.told[1]) {
+		lines = append(lines, fmt.Sprintf("%s< %q", s.told[0], line))
+	}
+	return lines
+}
+
+// TestDeskSession takes a desk through every word of operators and relays, and compares the answers and the journal.
+func TestDeskSession(t *testing.T) {
+	if !*keep { // other tests read what is kept
+		t.Parallel()
+	}
+	d := openFreshDesk(t)
+	var lines []string
+	for _, s := range deskSession {
+		lines = append(lines, d.do(s)...)
+	}
+	second := call(t, "desk", "run", "--plan", d.plan, "--state", d.state)
+	lines = append(lines, fmt.Sprintf("a second desk: exit %d, %d lines", second.code, len(second.errorLines())))
+	d.process.stop()
+	gone := call(t, "desk", "status", "--state", d.state)
+	lines = append(lines, fmt.Sprintf("no desk: exit %d, %d lines", gone.code, len(gone.errorLines())))
+	checkGolden(t, "desk/session", lines)
+	checkGolden(t, "desk/session-journal", journalLines(t, filepath.Join(d.state, "journal"), d.masked))
+	keepJournals(t, d.state, "kept-session")
+}
+
+// TestDeskCompaction writes until the journal has been begun anew twice: archives, a snapshot and what follows it.
+func TestDeskCompaction(t *testing.T) {
+	if !*keep { // other tests read what is kept
+		t.Parallel()
+	}
+	d := openFreshDesk(t)
+	for _, s := range deskSession {
+		if s.tool == nil || !slices.Contains([]string{"status", "history"}, s.tool[0]) {
+			d.do(s)
+		}
+	}
+	// A name of '<' takes six bytes a letter in JSON: the journal grows to its 4 MiB within few events.
+	long := strings.Repeat("<", 15000)
+	for archives := 1; archives <= 2; archives++ {
+		name := filepath.Join(d.state, fmt.Sprintf("journal.%08d", archives))
+		eventually(t, name+" is there", func() bool {
+			for _, verb := range []string{"freeze", "thaw"} {
+				raw, _ := json.Marshal(map[string]string{"verb": verb, "name": "NAME", "who": "ops", "why": "to fill the journal"})
+				request := strings.Replace(string(raw), "NAME", long, 1)
+				d.request(`{"word":"WORD",` + request[1:])
+			}
+			d.request(`{"word":"WORD","verb":"status"}`) // answered behind whatever the last word led to
+			_, err := os.Stat(name)
+			return err == nil
+		})
+	}
+	d.do(step{control: `"verb":"resume","service":"b","who":"ops","why":"after the snapshot"`})
+	d.process.stop()
+	files, err := filepath.Glob(filepath.Join(d.state, "journal*"))
+	if err != nil {
+		t.Fatal(err)
+	}
+	var lines []string
+	for _, file := range files {
+		lines = append(lines, filepath.Base(file))
+		lines = append(lines, journalLines(t, file, d.masked)...)
+	}
+	checkGolden(t, "desk/compaction-journals", lines)
+	keepJournals(t, d.state, "kept-compaction")
+}
--- a/compat/golden_test.go
+++ b/compat/golden_test.go
@@ -53,9 +53,10 @@
 		}
 		if differing++; differing <= mostDifferences {
 			if differing == 1 && i > 0 && i <= len(want) {
-				fmt.Fprintf(&b, "line %d  (same) %s\n", i, want[i-1])
+				fmt.Fprintf(&b, "line %d (same): %s\n", i, excerpt(want[i-1], 0))
 			}
-			fmt.Fprintf(&b, "line %d  want   %s\n         got    %s\n", i+1, before, now)
+			at := firstDifference(before, now)
+			fmt.Fprintf(&b, "line %d, from byte %d:\n  want %s\n  got  %s\n", i+1, at+1, excerpt(before, at), excerpt(now, at))
 		}
 	}
 	if differing > 0 {
@@ -64,6 +65,29 @@
 	return b.String()
 }
 
+// firstDifference is the place of the first byte that differs.
+func firstDifference(a, b string) int {
+	at := 0
+	for at < min(len(a), len(b)) && a[at] == b[at] {
+		at++
+	}
+	return at
+}
+
+// excerpt is what stands round a place of a line.
+func excerpt(line string, at int) string {
+	const before, after = 80, 160
+	from, to := max(0, at-before), min(len(line), at+after)
+	text := line[from:to]
+	if from > 0 {
+		text = "..." + text
+	}
+	if to < len(line) {
+		text += "..."
+	}
+	return text
+}
+
 func goldenPath(name, ending string) string { return filepath.Join("testdata", name+ending) }
 
 func digestOf(text string) string { return fmt.Sprintf("%x", sha256.Sum256([]byte(text))) }
--- a/compat/main_test.go
+++ b/compat/main_test.go
@@ -9,7 +9,10 @@
 	"testing"
 )
 
-var update = flag.Bool("update", false, "write the golden files anew from what the binaries do now")
+var (
+	update = flag.Bool("update", false, "write the golden files anew from what the binaries do now")
+	keep   = flag.Bool("keep-journals", false, "keep the journals that the desk writes now, for later binaries to read; needs -update")
+)
 
 // binaries is the folder that holds the binaries under test.
 var binaries string
