--- a/compat/process_test.go
+++ b/compat/process_test.go
@@ -23,11 +23,17 @@
 
 // call runs the tool to its end, with an environment that configures nothing.
 func call(t *testing.T, args ...string) result {
+	t.Helper()
+	return callIn(t, "", args...)
+}
+
+// callIn is call in a directory.
+func callIn(t *testing.T, dir string, args ...string) result {
 	t.Helper()
 	ctx, cancel := context.WithTimeout(context.Background(), 2*patience)
 	defer cancel()
 	command := exec.CommandContext(ctx, program("lichenroad"), args...)
-	command.Env = []string{"TZ=UTC"}
+	command.Dir, command.Env = dir, []string{"TZ=UTC"}
 	var out, errs bytes.Buffer
 	command.Stdout, command.Stderr = &out, &errs
 	err := command.Run()
