--- /dev/null
+++ b/compat/serve_test.go
@@ -0,0 +1,218 @@
+package compat_test
+
+import (
+	"bufio"
+	"encoding/binary"
+	"fmt"
+	"net"
+	"os"
+	"path/filepath"
+	"strings"
+	"sync"
+	"testing"
+	"time"
+)
+
+const serveSettings = `{"areas":["a"],"kinds":["m1"],"az":0,"my_number":0,"replicas_of_me":2,"discovery":"subscribe",
+ "grades":[{"name":"look","repeat":"retryable","target":400000000,"deadline":2000000000,"worth":1},
+  {"name":"order","repeat":"dedup","group":"all","repeat_window":2000000000,"target":400000000,"deadline":2000000000,"worth":1},
+  {"name":"pay","repeat":"fragile","target":400000000,"deadline":2000000000,"worth":1}],
+ "tenants":[{"name":"acme","share":1,"quota_per_s":1000}],
+ "policy_limits":{"cancel":true,"conn_idle":30000000000,"dial_timeout":2000000000,"max_attempts":3,"retry_after":true,
+  "max_retry_after":1000000000,"may_tell":true},
+ "report":{"via":"off"},"rules":{"drain_grace":250000000,"ask_every":10000000000},
+ "family_info":{"call_timeout":300000000,"exposure_caps":[1],"waves":[1],"uncounted":1,"span":2000000000,
+  "decided_by":"first_voice","to_advance":1,"to_abort":1,"ballot_ttl":10000000000,"votes_per_s":100,"min_dwell":0}}`
+
+// listOf is discovery's answer with the units that serve, all at one address.
+func listOf(generation int, unit string, names ...string) string {
+	var entries []string
+	for _, name := range names {
+		entries = append(entries, fmt.Sprintf(`{"instanceId":%q,"hostPort":%q,"zone":"a","machineType":"m1","cell":1,"lifecycle":"SERVING","weight":1,"startedAtMs":0,"build":1}`, name, unit))
+	}
+	return fmt.Sprintf(`{"generation":%d,"reset":true,"instances":[%s]}`, generation, strings.Join(entries, ","))
+}
+
+// peer is a stand-in for the other relay of the tier. Of each datagram it keeps the form, and what is not a time.
+type peer struct {
+	conn *net.UDPConn
+	seen seen
+	mu   sync.Mutex
+	view []byte // generation and digest of the first heartbeat
+}
+
+func startPeer(t *testing.T) *peer {
+	conn, err := net.ListenUDP("udp", &net.UDPAddr{IP: net.IPv4(127, 0, 0, 1)})
+	if err != nil {
+		t.Fatal(err)
+	}
+	t.Cleanup(func() { conn.Close() })
+	p := &peer{conn: conn}
+	go func() {
+		for b := make([]byte, 1024); ; {
+			n, err := conn.Read(b)
+			if err != nil {
+				return
+			}
+			p.took(b[:n])
+		}
+	}()
+	return p
+}
+
+// took keeps a datagram of membership without its two times, uvarints of Unix milliseconds: they tell when discovery last
+// answered, and when a call last failed, and are 0 where it has not. A time must be one of the running test.
+func (p *peer) took(b []byte) {
+	if !isForm(b, formHeartbeat) && !isForm(b, formDelta) {
+		return // reports and decisions: what they hold depends on how long answers took
+	}
+	_, n := binary.Uvarint(b[2:])
+	if n <= 0 || len(b) < 2+n+8 {
+		p.seen.add(fmt.Sprintf("cut short: %x", b))
+		return
+	}
+	view, rest := b[2:2+n+8], b[2+n+8:]
+	line := fmt.Sprintf("form %d, view %x", b[1], view)
+	for range 2 {
+		at, n := binary.Uvarint(rest)
+		if age := time.Since(time.UnixMilli(int64(at))); n <= 0 || at != 0 && (age < -time.Second || age > 2*patience) {
+			line += fmt.Sprintf(", %d is no time of this test", at)
+		}
+		rest = rest[max(n, 0):]
+	}
+	p.seen.add(line + fmt.Sprintf(", then %x", rest))
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	if p.view == nil {
+		p.view = append([]byte(nil), view...)
+	}
+}
+
+// client is a stand-in for a client.
+type client struct {
+	t *testing.T
+	net.Conn
+	reader *bufio.Reader
+}
+
+func dialRelay(t *testing.T, address, first string) *client {
+	t.Helper()
+	var c net.Conn
+	eventually(t, "the relay listens", func() (up bool) {
+		var err error
+		c, err = net.Dial("tcp", address)
+		return err == nil
+	})
+	c.SetDeadline(time.Now().Add(patience))
+	t.Cleanup(func() { c.Close() })
+	fmt.Fprint(c, first)
+	return &client{t, c, bufio.NewReader(c)}
+}
+
+// answer reads up to and with ReadyForQuery, or to the connection's end. The key for cancelling is the session's own.
+func (c *client) answer() (lines []string) {
+	for {
+		raw, err := readMessage(c.reader, false)
+		if err != nil {
+			return append(lines, "  closed")
+		}
+		if raw[0] == 'K' {
+			raw = raw[:5] + "(key)"
+		}
+		lines = append(lines, fmt.Sprintf("  %q", raw))
+		if raw[0] == 'Z' {
+			return lines
+		}
+	}
+}
+
+const hello = "user\x00worker\x00database\x00catalog\x00\x00"
+
+// TestServe runs a relay among stand-ins, and compares what each of them sees of it.
+func TestServe(t *testing.T) {
+	t.Parallel()
+	unit, unitSeen := startUnit(t)
+	platform, platformSeen := startPlatform(t)
+	disc := startDiscovery(t, listOf(1, unit, "s-0", "s-1"))
+	other := startPeer(t)
+	listen, peerListen := freeAddress(t), freeAddress(t)
+	config := filepath.Join(t.TempDir(), "config.json")
+	text := fmt.Sprintf(`{"name":"n0","listen":%q,"discovery":%q,"seed":"8c1f30d27a5be964","peer_listen":%q,"peers":[%q,%q],"peers_all":%q,
+"platform":{"address":%q,"news":{"image":1,"ring":0,"progress":"stable","ceiling":1,"lag_ms":5000}},"known":%s,"settings":%s}`,
+		listen, disc.address, peerListen, peerListen, other.conn.LocalAddr(), other.conn.LocalAddr(), platform,
+		listOf(1, unit, "s-0", "s-1"), serveSettings)
+	if err := os.WriteFile(config, []byte(text), 0o600); err != nil {
+		t.Fatal(err)
+	}
+	relay := run(t, "serve", "--config", config)
+	lines := clientSession(t, listen)
+
+	eventually(t, "a heartbeat came", func() bool { return other.seen.has("form 5") })
+	disc.replace(2, listOf(2, unit, "s-0"))
+	eventually(t, "a heartbeat of the next list came", func() bool { return other.seen.has("form 5, view 02") })
+	other.mu.Lock()
+	old := append([]byte{datagramMark, formHeartbeat}, other.view...)
+	other.mu.Unlock()
+	to, err := net.ResolveUDPAddr("udp", peerListen)
+	if err != nil {
+		t.Fatal(err)
+	}
+	eventually(t, "a relay with the older list was told what left", func() bool {
+		other.conn.WriteToUDP(append(append([]byte(nil), old...), 0, 0), to)
+		return other.seen.has("form 6")
+	})
+	eventually(t, "the platform was watched", func() bool { return platformSeen.has("WATCH") })
+	eventually(t, "discovery is watched anew", func() bool { return disc.seen.has("after=2&") })
+	relay.stop()
+
+	lines = append(lines, "units saw:")
+	lines = append(lines, unitSeen.all()...)
+	lines = append(lines, "discovery saw:")
+	lines = append(lines, disc.seen.all()...)
+	lines = append(lines, "the platform saw:", platformSeen.all()[0], "the peer saw:")
+	lines = append(lines, other.seen.all()...)
+	checkGolden(t, "serve/session", lines)
+}
+
+// clientSession is what clients say to a relay, and what it answers.
+func clientSession(t *testing.T, listen string) (lines []string) {
+	ready := dialRelay(t, listen, startup(hello)+query("")) // held until the relay is ready
+	lines = append(lines, "startup with an empty query")
+	lines = append(lines, ready.answer()...)
+	lines = append(lines, ready.answer()...)
+	for _, text := range []string{
+		"SELECT body FROM objects WHERE oid = '7f3a' /* id=9b1f,c=look,t=acme,d=1900 */",
+		`INSERT INTO objects (oid, body) VALUES ('7f3a', '\x9f03') RETURNING body /* id=9b20,c=order,t=acme,d=1900,k=5c0f */`,
+		"SELECT body FROM objects WHERE oid = 'fails' /* id=9b21,c=pay,t=acme,d=1900 */",
+		"SELECT body FROM objects WHERE oid = 'full' /* id=9b22,c=pay,t=acme,d=300 */",
+		"SELECT body FROM objects WHERE oid = '7f3a' /* id=9b23,c=nothing,t=acme,d=1900 */",
+		"SELECT body FROM objects WHERE oid = '7f3a' /* id=9b24,c=look,t=nobody,d=1900,r=1,h=500 */",
+		"SELECT body FROM objects WHERE oid = '7f3a'",
+		"SELECT 1",
+		"SET x = 1",
+		"",
+	} {
+		client := dialRelay(t, listen, startup(hello)+query(text))
+		client.answer() // to the startup
+		lines = append(lines, fmt.Sprintf("%q", text))
+		lines = append(lines, client.answer()...)
+		fmt.Fprint(client, query("")) // a connection that goes on answers this
+		lines = append(lines, client.answer()...)
+	}
+	for _, c := range []struct{ name, bytes string }{
+		{"a message of the extended protocol", startup(hello) + message('P', "\x00SELECT 1\x00\x00\x00")},
+		{"another protocol", "GET / HTTP/1.1\r\nHost: x\r\n\r\n"},
+		{"version 2", "\x00\x00\x00\x08\x00\x02\x00\x00"},
+		{"a cancel request", "\x00\x00\x00\x10\x04\xd2\x16\x2e\x00\x00\x00\x01\x00\x00\x00\x00"},
+		{"an end at once", startup(hello) + message('X', "")},
+	} {
+		lines = append(lines, c.name)
+		client := dialRelay(t, listen, c.bytes)
+		for last := ""; last != "  closed"; last = lines[len(lines)-1] {
+			lines = append(lines, client.answer()...)
+		}
+	}
+	encrypted := dialRelay(t, listen, "\x00\x00\x00\x08\x04\xd2\x16\x2f") // SSLRequest
+	answer, err := encrypted.reader.ReadByte()
+	return append(lines, fmt.Sprintf("a request for TLS: %q %v", answer, err))
+}
