--- a/cmd/lichenroad/desk.go
+++ b/cmd/lichenroad/desk.go
@@ -66,7 +66,7 @@
 		defer signal.Stop(hups)
 		return failed(releasecontroller.Start(ctx, releasecontroller.Options{Plan: p, Dir: *state, Control: *address, Log: log,
 			Ready: func(d *releasecontroller.Controller, at releasecontroller.Addresses) {
-				log.WithFields(logrus.Fields{"control": at.Control, "watch": at.Watch, "relays": at.Relays}).Info("desk open")
+				log.WithFields(logrus.Fields{"control": at.Control, "watch": at.Watch, "relays": at.Relays}).Info("release controller ready")
 				go func() {
 					for range hups {
 						d.Replan(plan.Load(*file))
--- a/cmd/lichenroad/reload_test.go
+++ b/cmd/lichenroad/reload_test.go
@@ -96,7 +96,7 @@
 	half := file(fresh)
 	write(half[:len(half)/2])
 	cmd.Process.Signal(syscall.SIGHUP)
-	line("configuration refused")
+	line("configuration rejected")
 	if ask() == "" {
 		t.Error("not served after a refused reload")
 	}
--- a/cmd/lichenroad/serve.go
+++ b/cmd/lichenroad/serve.go
@@ -112,7 +112,7 @@
 	if known, err := reader.Parse(c.KnownList); err == nil {
 		asker.UseKnownList(known)
 	} else {
-		log.WithField("peer", "roster").WithError(err).Warn("no list to start with")
+		log.WithField("peer", "discovery").WithError(err).Warn("no endpoint list at start")
 	}
 	loop.Post(pipeline.Func(func(l *pipeline.Loop) { l.RolloutStatusReceived(c.RolloutStatus) }))
 	asker.Start()
@@ -149,7 +149,7 @@
 func (p *program) reload(next config.Config, err error) {
 	if err != nil {
 		p.loop.Metrics.Add(metrics.ReloadsRefused, 1)
-		p.loop.Log.WithError(err).Error("configuration refused, the old one stays")
+		p.loop.Log.WithError(err).Error("configuration rejected, keeping the old one")
 		return
 	}
 	p.replan()
@@ -177,7 +177,7 @@
 		}
 		if err != nil {
 			l.Metrics.Add(metrics.ReloadsRefused, 1)
-			l.Log.WithField("error", strings.ReplaceAll(err.Error(), "\n", "; ")).Error("plan refused, the old one stays")
+			l.Log.WithField("error", strings.ReplaceAll(err.Error(), "\n", "; ")).Error("plan rejected, keeping the old one")
 			return
 		}
 		l.Log.WithField("plan", p.plan.plan).Info("plan reloaded")
@@ -196,7 +196,7 @@
 			p.end()
 		default:
 			ending = true
-			p.loop.Log.WithField("signal", s.String()).Info("ending")
+			p.loop.Log.WithField("signal", s.String()).Info("shutting down")
 			p.shutdownGracefully()
 		}
 	}
--- a/internal/discovery/roster.go
+++ b/internal/discovery/roster.go
@@ -282,7 +282,7 @@
 	}
 	if t.list.Unreadable > 0 {
 		l.Metrics.Add(metrics.BadInput, int64(t.list.Unreadable))
-		l.Log.WithFields(logrus.Fields{"peer": "roster", "entries": t.list.Unreadable}).Warn("entries that can't be read")
+		l.Log.WithFields(logrus.Fields{"peer": "discovery", "entries": t.list.Unreadable}).Warn("unreadable endpoint list entries")
 	}
 	l.AddEvent(r)
 }
@@ -297,7 +297,7 @@
 		form = relay.ListWatchStalled
 		l.Metrics.Add(metrics.DiscoveryStalled, 1)
 	}
-	l.Log.WithFields(logrus.Fields{"peer": "roster", "reason": string(why)}).WithError(err).Warn("call failed")
+	l.Log.WithFields(logrus.Fields{"peer": "discovery", "reason": string(why)}).WithError(err).Warn("call failed")
 	l.Post(told{from: p, form: form, unread: why == metrics.ClosedByBadInput})
 }
 
@@ -433,7 +433,7 @@
 	c.p.holds(c.net, false)
 	c.net.Close()
 	c.net = nil
-	metrics.LogConnectionEnd(c.p.a.loop.Log, "roster", c.p.address, why, time.Since(c.begun).Seconds(), c.calls, nil)
+	metrics.LogConnectionEnd(c.p.a.loop.Log, "discovery", c.p.address, why, time.Since(c.begun).Seconds(), c.calls, nil)
 }
 
 // get makes one call, on the connection that stands or on a new one. One that crosses the end of a connection which
--- a/internal/guard/guard.go
+++ b/internal/guard/guard.go
@@ -88,8 +88,8 @@
 			continue
 		}
 		if t.Watch == "" {
-			h.loop.Log.WithFields(logrus.Fields{"service": h.service, "needs": t.Name}).
-				Warn("the plan names no address to watch it at: it counts as not released")
+			h.loop.Log.WithFields(logrus.Fields{"service": h.service, "dependency": t.Name}).
+				Warn("plan names no watch address for a dependency: treated as not released")
 			continue
 		}
 		w := platform.New(h.loop, t.Watch)
@@ -150,8 +150,8 @@
 	h.events = h.guard.Evaluate(now, h.events[:0])
 	for _, e := range h.events {
 		if n, ok := e.(relay.RolloutStatus); ok {
-			h.loop.Log.WithFields(logrus.Fields{"build": n.Build, "stage": n.Stage, "phase": n.Phase, "cap": n.ExposureLimit}).
-				Info("narrowed by the plan")
+			h.loop.Log.WithFields(logrus.Fields{"build": n.Build, "stage": n.Stage, "phase": n.Phase, "exposure_limit": n.ExposureLimit}).
+				Info("exposure limit lowered by the plan")
 		}
 		h.loop.AddEvent(e)
 	}
@@ -160,7 +160,7 @@
 	}
 	if w := h.guard.PromotionBlocked(now); w.Code != h.last.Code {
 		h.last = w
-		h.loop.Log.WithFields(logrus.Fields{"code": string(w.Code), "why": w.Text}).Info("plan")
+		h.loop.Log.WithFields(logrus.Fields{"code": string(w.Code), "why": w.Text}).Info("promotion gate")
 	}
 	at := h.loop.Clock.Now() + math.Min(math.Max(h.guard.Next(now)-now, 0.001), lookEvery)
 	if h.wakeAt <= h.loop.Clock.Now() || at < h.wakeAt {
--- a/internal/metrics/stats.go
+++ b/internal/metrics/stats.go
@@ -60,16 +60,16 @@
 )
 
 var names = [counters]string{
-	ClientConns: "client_conns", ClientConnsOpen: "client_conns_open", EndpointConns: "unit_conns",
-	EndpointConnsOpen: "unit_conns_open", Accepted: "taken_in", Succeeded: "honoured", Rejected: "denied",
-	Failed: "written_off", ClientLeft: "left", Open: "open", AttemptsSent: "legs_sent", AttemptsOpen: "legs_open",
-	AttemptSucceeded: "leg_honoured", AttemptErrored: "leg_errored", AttemptRejected: "leg_turned_away",
-	AttemptTimedOut: "leg_timed_out", AttemptConnectFailed: "leg_no_connect", AttemptConnectionBroken: "leg_broken",
-	AttemptCancelled: "leg_cancelled", AttemptNotSent: "leg_not_sent", AttemptsReleased: "legs_released", RejectedAfterClose: "late_refused", HealthChecks: "probes", Votes: "votes",
-	VotesCounted: "votes_counted", VotesNotCounted: "votes_not_counted", VotesStale: "votes_moot", VotesMaybeCounted: "votes_maybe_counted",
-	RolloutStatuses: "news", PeerMessagesOut: "peer_messages_out", PeerMessagesIn: "peer_messages_in", PeerMessagesDropped: "peer_messages_dropped",
-	DiscoveryCalls: "roster_calls", DiscoveryFailed: "roster_failed", DiscoveryStalled: "roster_silent",
-	EndpointsRemovedByPeers: "units_told_by_peers", BadInput: "bad_input",
+	ClientConns: "client_conns", ClientConnsOpen: "client_conns_open", EndpointConns: "endpoint_conns",
+	EndpointConnsOpen: "endpoint_conns_open", Accepted: "accepted", Succeeded: "succeeded", Rejected: "rejected",
+	Failed: "failed", ClientLeft: "client_left", Open: "open", AttemptsSent: "attempts_sent", AttemptsOpen: "attempts_open",
+	AttemptSucceeded: "attempt_succeeded", AttemptErrored: "attempt_errored", AttemptRejected: "attempt_rejected",
+	AttemptTimedOut: "attempt_timed_out", AttemptConnectFailed: "attempt_connect_failed", AttemptConnectionBroken: "attempt_connection_broken",
+	AttemptCancelled: "attempt_cancelled", AttemptNotSent: "attempt_not_sent", AttemptsReleased: "attempts_released", RejectedAfterClose: "rejected_after_close", HealthChecks: "health_checks", Votes: "votes",
+	VotesCounted: "votes_counted", VotesNotCounted: "votes_not_counted", VotesStale: "votes_stale", VotesMaybeCounted: "votes_maybe_counted",
+	RolloutStatuses: "rollout_statuses", PeerMessagesOut: "peer_messages_out", PeerMessagesIn: "peer_messages_in", PeerMessagesDropped: "peer_messages_dropped",
+	DiscoveryCalls: "discovery_calls", DiscoveryFailed: "discovery_failed", DiscoveryStalled: "discovery_stalled",
+	EndpointsRemovedByPeers: "endpoints_removed_by_peers", BadInput: "bad_input",
 	BoundConns: "bound_conns", BoundBuffers: "bound_buffers", BoundQueue: "bound_queue", LogDropped: "log_dropped",
 	Reloads: "reloads", ReloadsRefused: "reloads_refused",
 }
--- a/internal/peers/peers.go
+++ b/internal/peers/peers.go
@@ -85,7 +85,7 @@
 func (t *Transport) SendMessage(m relay.SendMessage) {
 	if len(m.Body) > MaxBody {
 		t.loop.Metrics.Add(metrics.PeerMessagesDropped, 1)
-		t.loop.Log.WithFields(logrus.Fields{"peer": "relay", "bytes": len(m.Body)}).Error("message too long")
+		t.loop.Log.WithFields(logrus.Fields{"peer": "relay", "bytes": len(m.Body)}).Error("peer message too long")
 		return
 	}
 	select {
@@ -110,7 +110,7 @@
 		}
 		if _, err := t.conn.WriteToUDPAddrPort(m.Body, to); err != nil {
 			t.loop.Metrics.Add(metrics.PeerMessagesDropped, 1)
-			t.loop.Log.WithField("peer", "relay").WithError(err).Debug("message not sent")
+			t.loop.Log.WithField("peer", "relay").WithError(err).Debug("peer message not sent")
 			continue
 		}
 		t.loop.Metrics.Add(metrics.PeerMessagesOut, 1)
@@ -125,7 +125,7 @@
 			return
 		}
 		if err != nil {
-			t.loop.Log.WithField("peer", "relay").WithError(err).Warn("reading messages")
+			t.loop.Log.WithField("peer", "relay").WithError(err).Warn("peer message read failed")
 			time.Sleep(limits.PeerReadPause)
 			continue
 		}
--- a/internal/pipeline/loop.go
+++ b/internal/pipeline/loop.go
@@ -256,7 +256,7 @@
 	case relay.FetchList:
 		l.Discovery.FetchList()
 	case relay.Log:
-		l.Log.WithField("from", "module").Info(o.Line)
+		l.Log.WithField("source", "policy").Info(o.Line)
 	}
 }
 
--- a/internal/releasecontroller/desk.go
+++ b/internal/releasecontroller/desk.go
@@ -77,7 +77,7 @@
 	defer d.journal.Close()
 	d.journal.CrashPoint = o.Crash
 	if d.journal.TruncatedBytes > 0 {
-		d.log.WithField("bytes", d.journal.TruncatedBytes).Warn("a torn last record was cut off the journal")
+		d.log.WithField("bytes", d.journal.TruncatedBytes).Warn("truncated a torn record at the end of the journal")
 	}
 	d.log.WithField("events", events).Info("journal read")
 	d.do(rollout.Event{At: d.now(), Kind: rollout.EventControllerStarted})
@@ -144,7 +144,7 @@
 // do folds an event in; it goes to disk with the batch.
 func (d *Controller) do(e rollout.Event) {
 	if err := d.core.Apply(e); err != nil {
-		d.log.WithError(err).Error("event refused") // Core made it of its own state
+		d.log.WithError(err).Error("event rejected") // Core made it of its own state
 		return
 	}
 	d.events = append(d.events, e)
@@ -164,7 +164,7 @@
 		for _, e := range d.events {
 			if e.Kind != rollout.EventVoted {
 				d.log.WithFields(logrus.Fields{"event": string(e.Kind), "service": e.Service, "build": e.Build, "step": e.Step,
-					"name": e.Name, "who": e.Who, "why": e.Why}).Info("release")
+					"name": e.Name, "who": e.Who, "why": e.Why}).Info("rollout event")
 			}
 		}
 		d.events = d.events[:0]
@@ -239,7 +239,7 @@
 			if err := d.journal.Compact(d.core.Snapshot()); err != nil {
 				return fmt.Errorf("journal: %w", err)
 			}
-			d.log.Info("journal begun anew")
+			d.log.Info("journal compacted")
 		}
 		wait := time.Duration(math.Min(math.Max(d.core.Next(d.now())-d.now(), 0.001), lookEvery.Seconds()) * float64(time.Second))
 		alarm.Reset(wait)
@@ -263,7 +263,7 @@
 			}
 		}
 		if err != nil {
-			d.log.WithField("error", oneLine(err)).Error("plan refused, the old one stays")
+			d.log.WithField("error", oneLine(err)).Error("plan rejected, keeping the old one")
 			return
 		}
 		d.log.Info("plan reloaded")
--- a/internal/upstream/conn.go
+++ b/internal/upstream/conn.go
@@ -372,7 +372,7 @@
 		end.LoadReport = nil
 	}
 	if e.code == pgwire.CodeProtocol {
-		l.Log.WithField("unit", c.unit.name).Error("a unit did not understand a query: " + e.text)
+		l.Log.WithField("endpoint", c.unit.name).Error("endpoint reported a protocol error: " + e.text)
 	}
 	c.leg, c.last = nil, e.at
 	l.RunAt(l.Clock.Now()+limits.AnswerRest.Seconds(), func() {
--- a/internal/upstream/units.go
+++ b/internal/upstream/units.go
@@ -278,7 +278,7 @@
 	u.open--
 	defer p.forget(u)
 	p.loop.Metrics.Add(metrics.EndpointConnsOpen, -1)
-	metrics.LogConnectionEnd(p.loop.Log, "unit", u.name, why, age, queries, fault)
+	metrics.LogConnectionEnd(p.loop.Log, "endpoint", u.name, why, age, queries, fault)
 }
 
 func span(s relay.Seconds) time.Duration { return time.Duration(s * float64(time.Second)) }
