--- a/cmd/lichenroad/fit.go
+++ b/cmd/lichenroad/fit.go
@@ -61,13 +61,13 @@
 	if err != nil {
 		return err
 	}
-	fmt.Fprintf(t.out, "%s: %s = %s; %d sizes from %g to %g, residual %.1f%%", s.Name, unit, f.Formula(size), f.Sizes, f.Least, f.Most,
+	fmt.Fprintf(t.out, "%s: %s = %s; %d sizes from %g to %g, residual %.1f%%", s.Name, unit, f.Formula(size), f.Sizes, f.MinSize, f.MaxSize,
 		percent*f.Residual)
 	if at > 0 {
-		fmt.Fprintf(t.out, "; at %g: %.4g, %.2f times the largest size", at, f.At(at), f.Extrapolated(at))
+		fmt.Fprintf(t.out, "; at %g: %.4g, %.2f times the largest size", at, f.ValueAt(at), f.ExtrapolationFactor(at))
 	}
 	if budget > 0 {
-		reached := f.Reaches(budget)
+		reached := f.SizeAt(budget)
 		fmt.Fprintf(t.out, "; %g at %s=%.4g", budget, size, reached)
 		if at > 0 && !math.IsInf(reached, 1) {
 			fmt.Fprintf(t.out, " (%.4f of %g)", reached/at, at)
--- a/cmd/lichenroad/lab.go
+++ b/cmd/lichenroad/lab.go
@@ -76,10 +76,10 @@
 				return failed(err)
 			}
 		}
-		fmt.Fprintf(t.out, "%d relays, %d lines that are none of a relay's\n%8s %7s %9s %9s %9s %6s  %s\n", l.Relays(), l.Unread,
+		fmt.Fprintf(t.out, "%d relays, %d lines that are none of a relay's\n%8s %7s %9s %9s %9s %6s  %s\n", l.Relays(), l.Unparsed,
 			"lines", "relays", "first s", "last s", "busiest", "in it", "kind")
 		for _, r := range l.Rows() {
-			fmt.Fprintf(t.out, "%8d %7d %9.3f %9.3f %9.0f %6d  %s\n", r.Lines, r.Relays, r.First, r.Last, r.Busiest, r.Most, r.Kind)
+			fmt.Fprintf(t.out, "%8d %7d %9.3f %9.3f %9.0f %6d  %s\n", r.Lines, r.Relays, r.First, r.Last, r.PeakSecond, r.PeakLines, r.Kind)
 		}
 		return nil
 	}
@@ -110,13 +110,13 @@
 
 func (t *tool) labPlanner() *cobra.Command {
 	c := &cobra.Command{Use: "planner", Short: "Run a stand-in planner; it prints each query that it takes in", Args: cobra.NoArgs}
-	var p fakes.Planner
+	var p fakes.Server
 	listen := c.Flags().String("listen", "127.0.0.1:0", "address on loopback")
 	c.Flags().StringVar(&p.Name, "name", "planner", "it answers queries with this")
-	c.Flags().IntVar(&p.Cores, "cores", 4, "queries at a time")
-	c.Flags().DurationVar(&p.Took, "took", 5*time.Millisecond, "time for a query")
-	c.Flags().Float64Var(&p.Fails, "fails", 0, "part of the queries that fail, from 0 to 1")
-	c.Flags().DurationVar(&p.After, "after", 0, "time from the start from which they do")
+	c.Flags().IntVar(&p.Workers, "cores", 4, "queries at a time")
+	c.Flags().DurationVar(&p.ServiceTime, "took", 5*time.Millisecond, "time for a query")
+	c.Flags().Float64Var(&p.FailureRate, "fails", 0, "part of the queries that fail, from 0 to 1")
+	c.Flags().DurationVar(&p.FailAfter, "after", 0, "time from the start from which they do")
 	c.Flags().Int64Var(&p.Seed, "seed", 1, "of all chance")
 	c.RunE = func(*cobra.Command, []string) error {
 		if host, _, err := net.SplitHostPort(*listen); err != nil || net.ParseIP(host) == nil || !net.ParseIP(host).IsLoopback() {
@@ -129,7 +129,7 @@
 		ctx, cancel := untilSignal()
 		defer cancel()
 		go func() { <-ctx.Done(); ln.Close() }()
-		p.Seen = t.out
+		p.QueryLog = t.out
 		if err := p.Serve(ln); ctx.Err() == nil {
 			return failed(err)
 		}
--- a/cmd/lichenroad/logs.go
+++ b/cmd/lichenroad/logs.go
@@ -17,7 +17,7 @@
 }
 
 func newLines(to io.Writer, counters *metrics.Counters) *lines {
-	l := &lines{make(chan []byte, limits.LogAhead), make(chan struct{}), counters}
+	l := &lines{make(chan []byte, limits.MaxQueuedLogLines), make(chan struct{}), counters}
 	go func() {
 		defer close(l.done)
 		for b := range l.queue {
@@ -42,7 +42,7 @@
 	close(l.queue)
 	select {
 	case <-l.done:
-	case <-time.After(limits.LogWait):
+	case <-time.After(limits.LogFlushTimeout):
 	}
 	return nil
 }
--- a/cmd/lichenroad/main_test.go
+++ b/cmd/lichenroad/main_test.go
@@ -59,7 +59,7 @@
 	counters := &metrics.Counters{}
 	to := &stuck{free: make(chan struct{})}
 	l := newLines(to, counters)
-	for range limits.LogAhead + 10 {
+	for range limits.MaxQueuedLogLines + 10 {
 		l.Write([]byte("line\n"))
 	}
 	dropped := int(counters.Get(metrics.LogDropped))
@@ -68,7 +68,7 @@
 	}
 	close(to.free)
 	l.Close()
-	if got := strings.Count(to.String(), "line\n"); got != limits.LogAhead+10-dropped {
+	if got := strings.Count(to.String(), "line\n"); got != limits.MaxQueuedLogLines+10-dropped {
 		t.Errorf("%d written, %d dropped", got, dropped)
 	}
 }
--- a/cmd/lichenroad/others_test.go
+++ b/cmd/lichenroad/others_test.go
@@ -35,7 +35,7 @@
 	p := running(t, newFleet(t, newUnit(t, always(honour))), withDesk(d))
 	settled(t, p, metrics.RolloutStatuses, 1)
 	vote := func() { p.loop.Platform.Vote(relay.Vote{Build: 2, Verdict: relay.VotePromote}) }
-	for i, want := range []metrics.ID{metrics.VotesCounted, metrics.VotesNotCounted, metrics.VotesMaybeCounted, metrics.VotesMaybeCounted} {
+	for i, want := range []metrics.Counter{metrics.VotesCounted, metrics.VotesNotCounted, metrics.VotesMaybeCounted, metrics.VotesMaybeCounted} {
 		before := p.loop.Metrics.Get(want)
 		vote()
 		if got := d.line(t, "VOTE"); got != "VOTE 2 0 approve" {
@@ -143,7 +143,7 @@
 	for _, c := range []struct {
 		from *net.UDPConn
 		n    int
-		id   metrics.ID
+		id   metrics.Counter
 	}{{peer, 5, metrics.PeerMessagesIn}, {stranger, 5, metrics.PeerMessagesDropped}, {peer, 257, metrics.PeerMessagesDropped}} {
 		before := p.loop.Metrics.Get(c.id)
 		c.from.WriteToUDP(make([]byte, c.n), to)
--- a/cmd/lichenroad/serve.go
+++ b/cmd/lichenroad/serve.go
@@ -54,8 +54,8 @@
 	signal.Notify(got, syscall.SIGTERM, os.Interrupt, syscall.SIGUSR1)
 	signal.Notify(hups, syscall.SIGHUP) // one that finds another waiting is covered by that one
 	runtime.GOMAXPROCS(max(1, int(c.Cores)))
-	debug.SetMemoryLimit(int64(limits.HeapPart * float64(c.MemoryMB<<20)))
-	lib := netpoll.Config{PollerNum: limits.Pollers, LoggerOutput: log.WriterLevel(logrus.DebugLevel)}
+	debug.SetMemoryLimit(int64(limits.HeapFraction * float64(c.MemoryMB<<20)))
+	lib := netpoll.Config{PollerNum: limits.PollerCount, LoggerOutput: log.WriterLevel(logrus.DebugLevel)}
 	if err := netpoll.Configure(lib); err != nil {
 		return err
 	}
@@ -80,11 +80,11 @@
 
 // start puts the parts together and listens; what comes waits for the loop to run.
 func start(c config.Config, g guarded, log *logrus.Logger, counters *metrics.Counters) (*program, error) {
-	pool := buffer.NewPool(int64(limits.BufferPart * float64(c.MemoryMB<<20)))
+	pool := buffer.NewPool(int64(limits.BufferFraction * float64(c.MemoryMB<<20)))
 	loop := pipeline.NewLoop(c.Site, c.Seed, pool, counters, log)
-	spare := max(limits.SpareLeast, min(limits.SpareSockets, int(limits.SparePart*float64(c.Sockets))))
+	spare := max(limits.MinSpareDescriptors, min(limits.MaxSpareDescriptors, int(limits.SpareDescriptorFraction*float64(c.Sockets))))
 	sockets := c.Sockets - spare
-	forUnits := int(limits.UnitPart * float64(sockets))
+	forUnits := int(limits.EndpointDescriptorFraction * float64(sockets))
 	legs := upstream.New(loop, forUnits)
 	reader := discovery.NewReader(c.Site.Zones, c.Site.MachineTypes, loop.Clock.Unix)
 	asker := discovery.New(loop, c.Discovery, reader, legs, c.Seed)
@@ -120,7 +120,7 @@
 	if host != nil {
 		host.Start()
 	}
-	front := clients.New(loop, sockets-forUnits, int(limits.OverPart*float64(spare)))
+	front := clients.New(loop, sockets-forUnits, int(limits.OverflowClientFraction*float64(spare)))
 	p := &program{config: c, plan: g, guard: host, loop: loop, front: front, asker: asker, desk: desk, stop: make(chan struct{})}
 	p.end = sync.OnceFunc(func() { close(p.stop) })
 	failed := func(err error) {
@@ -137,10 +137,10 @@
 // shutdownGracefully goes on for a little while, closes each connection between its queries, and ends when none is
 // left, or when every query must have been answered.
 func (p *program) shutdownGracefully() {
-	longest := max(limits.LongestWait, p.loop.Site.MaxDeadline())
+	longest := max(limits.PlatformMaxDeadline, p.loop.Site.MaxDeadline())
 	p.loop.Post(pipeline.Func(func(l *pipeline.Loop) {
 		p.front.Shutdown(p.end)
-		l.RunAt(l.Clock.Now()+longest+limits.LastWait, p.end)
+		l.RunAt(l.Clock.Now()+longest+limits.ForcedShutdownDelay, p.end)
 	}))
 }
 
--- a/cmd/lichenroad/standin_test.go
+++ b/cmd/lichenroad/standin_test.go
@@ -325,7 +325,7 @@
 }
 
 // settled waits until a counter has a value.
-func settled(t *testing.T, p *program, id metrics.ID, want int64) {
+func settled(t *testing.T, p *program, id metrics.Counter, want int64) {
 	t.Helper()
 	for until := time.Now().Add(patience); p.loop.Metrics.Get(id) != want; {
 		if time.Now().After(until) {
--- a/internal/clients/clients.go
+++ b/internal/clients/clients.go
@@ -44,7 +44,7 @@
 
 // New returns a server for at most so many connections, and so many over that which are told that it is full.
 func New(l *pipeline.Loop, most, over int) *Server {
-	return &Server{loop: l, most: int64(most), tidy: int64(limits.TidyPart * float64(most)), over: int64(over),
+	return &Server{loop: l, most: int64(most), tidy: int64(limits.ReclaimFraction * float64(most)), over: int64(over),
 		conns: map[*conn]struct{}{}}
 }
 
@@ -90,27 +90,27 @@
 	open := s.open.Add(1)
 	s.loop.Metrics.Add(metrics.ClientConns, 1)
 	s.loop.Metrics.Add(metrics.ClientConnsOpen, 1)
-	n.SetWriteTimeout(limits.AnswerWait)
+	n.SetWriteTimeout(limits.ClientWriteTimeout)
 	n.AddCloseCallback(c.closed)
 	if open > s.most+s.over {
 		// The first query may have come already, so the client is told that nothing was done with it: a close alone
 		// says that, too, but not that trying again at once is no use.
-		s.loop.Metrics.Add(metrics.BoundConns, 1)
+		s.loop.Metrics.Add(metrics.ConnLimitReached, 1)
 		n.Write(pgwire.ErrorResponse(pgwire.Fatal, pgwire.CodeFull, errFull.Error(), s.loop.RetryAfterDetail()))
-		c.end(metrics.ClosedByBound)
+		c.end(metrics.ClosedByLimit)
 		return context.Background()
 	}
 	s.loop.Post(pipeline.Func(func(l *pipeline.Loop) {
 		s.conns[c] = struct{}{}
 		c.rests(true)
 		if room := s.open.Load() <= s.tidy || s.evictIdle(); !room && s.open.Load() > s.most {
-			s.loop.Metrics.Add(metrics.BoundConns, 1)
+			s.loop.Metrics.Add(metrics.ConnLimitReached, 1)
 			c.full = true
 		}
 		if s.stopping {
 			c.rest() // it came in just before the listener went
 		}
-		l.RunAt(now+limits.StartupWait.Seconds(), c.late)
+		l.RunAt(now+limits.StartupTimeout.Seconds(), c.late)
 	}))
 	return context.WithValue(context.Background(), connKey{}, c)
 }
@@ -121,7 +121,7 @@
 	for _, of := range [...]struct {
 		list  *list.List
 		least time.Duration
-	}{{&s.silent, limits.SilentLeast}, {&s.idle, limits.IdleLeast}} {
+	}{{&s.silent, limits.MinClientSilentTime}, {&s.idle, limits.MinClientIdleTime}} {
 		for at := of.list.Front(); at != nil; at = at.Next() {
 			c := at.Value.(*conn)
 			if s.loop.Clock.Now()-c.idleAt < of.least.Seconds() {
@@ -140,8 +140,8 @@
 func (s *Server) Shutdown(then func()) {
 	now := s.loop.Clock.Now()
 	s.loop.OpenService() // whoever waits for a list hears that there is none
-	s.lastWord = now + min(s.loop.Site.MaxDeadline(), limits.LongestWait) + limits.KillAfter - limits.WordBefore
-	s.loop.RunAt(now+limits.StillComing.Seconds(), func() {
+	s.lastWord = now + min(s.loop.Site.MaxDeadline(), limits.PlatformMaxDeadline) + limits.KillDelay - limits.FinalAnswerMargin
+	s.loop.RunAt(now+limits.ShutdownAcceptTime.Seconds(), func() {
 		s.stopping, s.stopped = true, then
 		s.stopAccepting()
 		for c := range s.conns {
@@ -155,7 +155,7 @@
 // it would be reset there, with a first query that may have come.
 func (s *Server) stopAccepting() {
 	if sockets.Backlog(s.ln) && s.loop.Clock.Now() < s.lastWord {
-		s.loop.RunAt(s.loop.Clock.Now()+limits.LookAgain.Seconds(), s.stopAccepting)
+		s.loop.RunAt(s.loop.Clock.Now()+limits.RecheckDelay.Seconds(), s.stopAccepting)
 		return
 	}
 	s.deaf.Store(true)
--- a/internal/clients/conn.go
+++ b/internal/clients/conn.go
@@ -131,7 +131,7 @@
 	}
 	c.mu.Unlock()
 	l := c.server.loop
-	l.RunAt(l.Clock.Now()+limits.CloseWait.Seconds(), func() { c.net.Close() })
+	l.RunAt(l.Clock.Now()+limits.ClientCloseTimeout.Seconds(), func() { c.net.Close() })
 }
 
 // rests notes whether the connection is idle. On the loop.
@@ -155,7 +155,7 @@
 		c.net.Reader().Len() > 0 {
 		return false
 	}
-	if p := c.partial.Load(); p > 0 && c.server.loop.Clock.Now()-float64(p)/1e9 < limits.QueryRest.Seconds() {
+	if p := c.partial.Load(); p > 0 && c.server.loop.Clock.Now()-float64(p)/1e9 < limits.PartialMessageTimeout.Seconds() {
 		return false
 	}
 	c.mu.Lock() // while it is held the descriptor is this connection's own
@@ -209,10 +209,10 @@
 	}
 	l := c.server.loop
 	now := l.Clock.Now()
-	if first := c.begun + limits.FirstQuery.Seconds(); c.queries.Load() == 0 && now < first {
+	if first := c.begun + limits.FirstQueryTimeout.Seconds(); c.queries.Load() == 0 && now < first {
 		l.RunAt(first, c.rest)
 	} else if !c.evict(metrics.ClosedByShutdown) {
-		l.RunAt(now+limits.LookAgain.Seconds(), c.rest)
+		l.RunAt(now+limits.RecheckDelay.Seconds(), c.rest)
 	}
 }
 
@@ -253,7 +253,7 @@
 // Complaints that are answered with a code of their own.
 var (
 	errNotOffered = errors.New("only simple queries are offered")
-	errAhead      = fmt.Errorf("more than %d queries ahead of their answers", limits.Ahead)
+	errAhead      = fmt.Errorf("more than %d queries ahead of their answers", limits.MaxPipelinedQueries)
 	errFull       = errors.New("too many connections")
 )
 
@@ -268,9 +268,9 @@
 	code, why := pgwire.CodeProtocol, metrics.ClosedByBadInput
 	switch {
 	case errors.Is(err, errFull):
-		code, why = pgwire.CodeFull, metrics.ClosedByBound
+		code, why = pgwire.CodeFull, metrics.ClosedByLimit
 	case errors.Is(err, errAhead):
-		code, why = pgwire.CodeTooLong, metrics.ClosedByBound
+		code, why = pgwire.CodeTooLong, metrics.ClosedByLimit
 	case errors.Is(err, errNotOffered):
 		code = pgwire.CodeUnsupported
 	case errors.Is(err, pgwire.ErrTooLong):
@@ -322,7 +322,7 @@
 		q.Client = it
 		c.queries.Add(1)
 	}
-	if c.ahead.Add(1) > limits.Ahead {
+	if c.ahead.Add(1) > limits.MaxPipelinedQueries {
 		it.drop()
 		return errAhead
 	}
@@ -333,7 +333,7 @@
 // query makes the record of a query; there is none of an empty one.
 func (c *conn) query(m pgwire.Message, at relay.Seconds) (*pipeline.Request, error) {
 	if m.Discarded {
-		c.server.loop.Metrics.Add(metrics.BoundBuffers, 1)
+		c.server.loop.Metrics.Add(metrics.BufferLimitReached, 1)
 		return pipeline.NewRejected("no room for the query", at), nil
 	}
 	text, err := pgwire.Statement(m.Body.Bytes())
--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -65,8 +65,8 @@
 	if err != nil {
 		return Config{}, err
 	}
-	if info.Size() > limits.ConfigFile {
-		return Config{}, fmt.Errorf("%s: over %d bytes", path, limits.ConfigFile)
+	if info.Size() > limits.MaxConfigBytes {
+		return Config{}, fmt.Errorf("%s: over %d bytes", path, limits.MaxConfigBytes)
 	}
 	raw, err := os.ReadFile(path)
 	if err != nil {
@@ -124,10 +124,10 @@
 		MemoryMB: int64(w.Limits.Memory), Sockets: w.Limits.Sockets, PeerListen: w.PeerListen, Peers: w.Peers,
 		PeersAll: w.PeersAll, Platform: w.Platform.Address, KnownList: w.Known}
 	if c.MemoryMB == 0 {
-		c.MemoryMB = limits.NormalMemory
+		c.MemoryMB = limits.DefaultMemoryMB
 	}
 	if c.Sockets == 0 {
-		c.Sockets = limits.NormalSockets
+		c.Sockets = limits.DefaultDescriptors
 	}
 	if c.Cores <= 0 {
 		c.Cores = 1
@@ -154,8 +154,8 @@
 		}
 		c.Seed = int64(seed)
 	}
-	if c.MemoryMB < limits.LeastMemory || c.Sockets < limits.LeastSockets {
-		fault("limits: less than %d MB or %d sockets", limits.LeastMemory, limits.LeastSockets)
+	if c.MemoryMB < limits.MinMemoryMB || c.Sockets < limits.MinDescriptors {
+		fault("limits: less than %d MB or %d sockets", limits.MinMemoryMB, limits.MinDescriptors)
 	}
 	var err error
 	if len(w.Settings) == 0 {
--- a/internal/discovery/drain_test.go
+++ b/internal/discovery/drain_test.go
@@ -248,7 +248,7 @@
 	if c == nil {
 		return
 	}
-	if d.now >= d.moveAt+1.5 || d.now >= c.fails || d.parts > 0 && d.now >= d.parts+limits.PartFor.Seconds() {
+	if d.now >= d.moveAt+1.5 || d.now >= c.fails || d.parts > 0 && d.now >= d.parts+limits.AddressChangeOverlap.Seconds() {
 		d.before = nil
 		return
 	}
--- a/internal/discovery/keeper.go
+++ b/internal/discovery/keeper.go
@@ -45,9 +45,9 @@
 // usual are the waits of a site. Where lists are pushed what comes while no watch stands has to be in hand before the
 // drain grace is over, so a relay tries again within a part of it.
 func usual(pushed bool, grace relay.Seconds) waits {
-	most := time.Duration(limits.PushPart * grace * float64(time.Second))
-	return waits{limits.WatchFor, limits.AnswerFor, limits.PlainFor, limits.ListRest, limits.FirstList, limits.NoList, pushed,
-		max(limits.LeastOff, min(most, limits.MostOff))}
+	most := time.Duration(limits.PushedListPollFraction * grace * float64(time.Second))
+	return waits{limits.MaxWatchTime, limits.WatchResponseTimeout, limits.PollResponseTimeout, limits.ListReadTimeout, limits.AgentListTimeout, limits.FirstListTimeout, pushed,
+		max(limits.MinPushedListPoll, min(most, limits.MaxBackoff))}
 }
 
 func newKeeper(seed int64, w waits) *keeper {
@@ -64,7 +64,7 @@
 	if !k.stands {
 		return request{fmt.Sprintf("%s?after=%d&wait_ms=0", target, k.version), 0, k.waits.plain, false}
 	}
-	wait := time.Duration((limits.WatchPart + (1-limits.WatchPart)*k.chance.Float64()) * float64(k.waits.watch))
+	wait := time.Duration((limits.MinWatchFraction + (1-limits.MinWatchFraction)*k.chance.Float64()) * float64(k.waits.watch))
 	return request{fmt.Sprintf("%s?after=%d&wait_ms=%d", target, k.version, wait.Milliseconds()), wait, wait + k.waits.answer, true}
 }
 
@@ -91,7 +91,7 @@
 func (k *keeper) failed(silent bool) (again bool, after time.Duration) {
 	k.stands = false
 	if k.waits.pushed && !silent {
-		k.off = min(max(2*k.off, limits.BackOff), k.waits.most)
+		k.off = min(max(2*k.off, limits.MinBackoff), k.waits.most)
 		after = time.Duration((1 + k.chance.Float64()) / 2 * float64(k.off))
 	}
 	return k.waits.pushed, after
--- a/internal/discovery/keeper_test.go
+++ b/internal/discovery/keeper_test.go
@@ -28,7 +28,7 @@
 		if r.path != fmt.Sprintf("%s?after=7&wait_ms=%d", target, r.wait.Milliseconds()) {
 			t.Fatalf("%+v", r)
 		}
-		if r.limit <= r.wait || toldBy(r)-r.limit < anew || r.wait > limits.WatchFor || r.wait < limits.WatchFor/2 {
+		if r.limit <= r.wait || toldBy(r)-r.limit < anew || r.wait > limits.MaxWatchTime || r.wait < limits.MaxWatchTime/2 {
 			t.Fatalf("seed %d: given up after %v, told after %v", seed, r.limit, toldBy(r))
 		}
 	}
@@ -65,7 +65,7 @@
 		}
 		for range 20 {
 			again, after := k.failed(false)
-			if !again || after <= 0 || after > limits.MostOff || after.Seconds() > grace*limits.PushPart {
+			if !again || after <= 0 || after > limits.MaxBackoff || after.Seconds() > grace*limits.PushedListPollFraction {
 				t.Errorf("grace %v: %v after %v", grace, again, after)
 			}
 		}
--- a/internal/discovery/roster.go
+++ b/internal/discovery/roster.go
@@ -102,7 +102,7 @@
 	}
 	a.parts = true
 	old := a.before
-	a.loop.RunAt(a.loop.Clock.Now()+limits.PartFor.Seconds(), func() {
+	a.loop.RunAt(a.loop.Clock.Now()+limits.AddressChangeOverlap.Seconds(), func() {
 		if a.before == old {
 			a.moved()
 		}
@@ -368,7 +368,7 @@
 			default:
 			}
 		}
-		c.end(metrics.ClosedByCommand)
+		c.end(metrics.ClosedByPolicy)
 	}
 }
 
@@ -410,7 +410,7 @@
 			continue
 		}
 		p.got(list, true, true)
-		c.end(metrics.ClosedByCommand)
+		c.end(metrics.ClosedByPolicy)
 	}
 }
 
@@ -457,12 +457,12 @@
 		c.end(metrics.ClosedByPeer)
 	}
 	if c.net == nil {
-		n, err := netpoll.DialConnection("tcp", c.p.address, limits.DialFor)
+		n, err := netpoll.DialConnection("tcp", c.p.address, limits.DiscoveryDialTimeout)
 		if err != nil {
 			return List{}, metrics.ClosedByConnectError, err
 		}
 		c.net, c.begun, c.calls = n, time.Now(), 0
-		n.SetWriteTimeout(limits.DialFor)
+		n.SetWriteTimeout(limits.DiscoveryDialTimeout)
 		c.p.holds(n, true)
 	}
 	c.calls++
@@ -476,7 +476,7 @@
 	if err == nil {
 		resp, why, err = c.answer(written.Add(r.limit))
 	}
-	if err != nil && why == metrics.ClosedByPeer && c.calls > 1 && !resp.Begun() && time.Since(written) < limits.CrossFor {
+	if err != nil && why == metrics.ClosedByPeer && c.calls > 1 && !resp.Begun() && time.Since(written) < limits.KeepAliveRaceWindow {
 		err = fmt.Errorf("%w: %w", errCrossed, err)
 	}
 	if err != nil {
--- a/internal/metrics/reasons.go
+++ b/internal/metrics/reasons.go
@@ -14,7 +14,7 @@
 	ClosedByTerminate       CloseReason = "terminate"        // the client said that it ends
 	ClosedByCancelRequest   CloseReason = "cancel_request"   // it carried a request to cancel, which is not offered
 	ClosedByBadInput        CloseReason = "bad_input"        // what came could not be read
-	ClosedByBound           CloseReason = "limit_reached"    // too many connections or queries ahead, or room needed for another
+	ClosedByLimit           CloseReason = "limit_reached"    // too many connections or queries ahead, or room needed for another
 	ClosedByWriteError      CloseReason = "write_failed"     // what was to be sent was not taken
 	ClosedByConnectTimeout  CloseReason = "connect_timeout"  // it did not come up, or said no startup, in time
 	ClosedByStartupError    CloseReason = "startup_error"    // the unit answered the startup with an error
@@ -23,7 +23,7 @@
 	ClosedByIdleTimeout     CloseReason = "idle_timeout"     // idle for long; a client's: and others need the room
 	ClosedByAddressChange   CloseReason = "address_changed"  // the unit is listed, or discovery configured, at another address
 	ClosedByDrain           CloseReason = "draining"         // the unit drains or is gone, and gets nothing new
-	ClosedByCommand         CloseReason = "closed_by_policy" // the module ordered it, or the call is done
+	ClosedByPolicy          CloseReason = "closed_by_policy" // the module ordered it, or the call is done
 	ClosedByResponseTimeout CloseReason = "response_timeout" // no answer, or no sign of life, in time
 	ClosedByStatusCode      CloseReason = "error_status"     // discovery answered with another status than 200
 	ClosedByReplacement     CloseReason = "replaced"         // a fresh watch stands in its place
--- a/internal/metrics/stats.go
+++ b/internal/metrics/stats.go
@@ -9,11 +9,11 @@
 )
 
 // ID names a counter.
-type ID int
+type Counter int
 
 // The counters. What was taken in is honoured + denied + written off + left + open at any time.
 const (
-	ClientConns ID = iota
+	ClientConns Counter = iota
 	ClientConnsOpen
 	EndpointConns
 	EndpointConnsOpen
@@ -50,16 +50,16 @@
 	DiscoveryStalled
 	EndpointsRemovedByPeers
 	BadInput
-	BoundConns
-	BoundBuffers
-	BoundQueue
+	ConnLimitReached
+	BufferLimitReached
+	QueueLimitReached
 	LogDropped
 	Reloads
 	ReloadsRefused
-	counters
+	counterCount
 )
 
-var names = [counters]string{
+var counterNames = [counterCount]string{
 	ClientConns: "client_conns", ClientConnsOpen: "client_conns_open", EndpointConns: "endpoint_conns",
 	EndpointConnsOpen: "endpoint_conns_open", Accepted: "accepted", Succeeded: "succeeded", Rejected: "rejected",
 	Failed: "failed", ClientLeft: "client_left", Open: "open", AttemptsSent: "attempts_sent", AttemptsOpen: "attempts_open",
@@ -70,24 +70,24 @@
 	RolloutStatuses: "rollout_statuses", PeerMessagesOut: "peer_messages_out", PeerMessagesIn: "peer_messages_in", PeerMessagesDropped: "peer_messages_dropped",
 	DiscoveryCalls: "discovery_calls", DiscoveryFailed: "discovery_failed", DiscoveryStalled: "discovery_stalled",
 	EndpointsRemovedByPeers: "endpoints_removed_by_peers", BadInput: "bad_input",
-	BoundConns: "bound_conns", BoundBuffers: "bound_buffers", BoundQueue: "bound_queue", LogDropped: "log_dropped",
+	ConnLimitReached: "bound_conns", BufferLimitReached: "bound_buffers", QueueLimitReached: "bound_queue", LogDropped: "log_dropped",
 	Reloads: "reloads", ReloadsRefused: "reloads_refused",
 }
 
 // Counters holds one value for each ID.
-type Counters struct{ v [counters]atomic.Int64 }
+type Counters struct{ values [counterCount]atomic.Int64 }
 
 // Add changes a counter.
-func (c *Counters) Add(id ID, n int64) { c.v[id].Add(n) }
+func (c *Counters) Add(id Counter, n int64) { c.values[id].Add(n) }
 
 // Get reads a counter.
-func (c *Counters) Get(id ID) int64 { return c.v[id].Load() }
+func (c *Counters) Get(id Counter) int64 { return c.values[id].Load() }
 
 // Fields gives all counters by name, for one line of the log.
 func (c *Counters) Fields() logrus.Fields {
 	fields := logrus.Fields{}
-	for id, name := range names {
-		fields[name] = c.v[id].Load()
+	for id, name := range counterNames {
+		fields[name] = c.values[id].Load()
 	}
 	return fields
 }
--- a/internal/peers/peers.go
+++ b/internal/peers/peers.go
@@ -40,7 +40,7 @@
 
 // Open binds the address for messages; peers are the relays' addresses in the order of their numbers.
 func Open(l *pipeline.Loop, listen string, peers []string, all string) (*Transport, error) {
-	t := &Transport{loop: l, from: map[netip.AddrPort]relay.RelayID{}, out: make(chan relay.SendMessage, limits.PeerMessagesAhead)}
+	t := &Transport{loop: l, from: map[netip.AddrPort]relay.RelayID{}, out: make(chan relay.SendMessage, limits.MaxQueuedPeerMessages)}
 	for i, s := range peers {
 		a, err := parse("peers", s)
 		if err != nil {
@@ -126,7 +126,7 @@
 		}
 		if err != nil {
 			t.loop.Log.WithField("peer", "relay").WithError(err).Warn("peer message read failed")
-			time.Sleep(limits.PeerReadPause)
+			time.Sleep(limits.PeerReadRetryDelay)
 			continue
 		}
 		no, known := t.from[netip.AddrPortFrom(addr.Addr().Unmap(), addr.Port())]
--- a/internal/peers/peers_test.go
+++ b/internal/peers/peers_test.go
@@ -130,7 +130,7 @@
 }
 
 // wait waits until a counter has reached a value, which it must not pass.
-func (f *fleet) wait(counter metrics.ID, want int64) {
+func (f *fleet) wait(counter metrics.Counter, want int64) {
 	f.t.Helper()
 	for end := time.Now().Add(patience); f.loop.Metrics.Get(counter) < want; time.Sleep(time.Millisecond) {
 		if time.Now().After(end) {
@@ -141,7 +141,7 @@
 }
 
 // hold fails the test where a counter has another value.
-func (f *fleet) hold(counter metrics.ID, want int64) {
+func (f *fleet) hold(counter metrics.Counter, want int64) {
 	f.t.Helper()
 	if got := f.loop.Metrics.Get(counter); got != want {
 		f.t.Errorf("counter %d at %d, not %d", counter, got, want)
@@ -250,17 +250,17 @@
 	const extra = 3
 	f := newFleet(t)
 	body := func(i int) string { return string([]byte{byte(i >> 8), byte(i)}) }
-	for i := range limits.PeerMessagesAhead + extra {
+	for i := range limits.MaxQueuedPeerMessages + extra {
 		f.tell(0, body(i))
 	}
 	f.hold(metrics.PeerMessagesDropped, extra)
 	f.tier.Start()
-	for i := range limits.PeerMessagesAhead {
+	for i := range limits.MaxQueuedPeerMessages {
 		if got := f.receive(f.others[0]); got != body(i) {
 			t.Fatalf("%q instead of message %d", got, i)
 		}
 	}
-	f.wait(metrics.PeerMessagesOut, limits.PeerMessagesAhead)
+	f.wait(metrics.PeerMessagesOut, limits.MaxQueuedPeerMessages)
 	f.hold(metrics.PeerMessagesDropped, extra)
 }
 
@@ -307,18 +307,18 @@
 // one that comes when there is room again is heard.
 func TestHeardDropsAtAFullQueue(t *testing.T) {
 	f := newFleet(t)
-	for range limits.EventQueue {
+	for range limits.MaxQueuedEvents {
 		f.loop.Post(pipeline.Func(func(*pipeline.Loop) {}))
 	}
 	f.tier.Start()
 	f.send(f.others[0], "too much")
-	f.wait(metrics.BoundQueue, 1)
+	f.wait(metrics.QueueLimitReached, 1)
 	f.hold(metrics.PeerMessagesIn, 0)
 	f.hears()
 	f.send(f.others[0], "there is room")
 	f.wait(metrics.PeerMessagesIn, 1)
 	f.hears(relay.MessageReceived{From: 0, Body: []byte("there is room")})
-	f.hold(metrics.BoundQueue, 1)
+	f.hold(metrics.QueueLimitReached, 1)
 }
 
 // TestOpenRefuses starts with addresses that can't be read or bound: one plain line names the setting and the fault.
--- a/internal/pipeline/admit.go
+++ b/internal/pipeline/admit.go
@@ -19,8 +19,8 @@
 // admit shows a query to the module, which denies it or orders legs; near a bound it is denied unseen.
 func (l *Loop) admit(q *Request) {
 	most := l.Site.MaxInFlight
-	if most <= 0 || most > limits.HeldQueries {
-		most = limits.HeldQueries
+	if most <= 0 || most > limits.MaxOpenRequests {
+		most = limits.MaxOpenRequests
 	}
 	if q.RejectReason == "" && len(l.queries) >= most {
 		q.RejectReason = textFull
--- a/internal/pipeline/book.go
+++ b/internal/pipeline/book.go
@@ -14,7 +14,7 @@
 	Response   *buffer.Chain // of an honoured leg: what the client gets
 }
 
-var legCounters = [...]metrics.ID{relay.Succeeded: metrics.AttemptSucceeded, relay.Errored: metrics.AttemptErrored,
+var legCounters = [...]metrics.Counter{relay.Succeeded: metrics.AttemptSucceeded, relay.Errored: metrics.AttemptErrored,
 	relay.RejectedByEndpoint: metrics.AttemptRejected, relay.TimedOut: metrics.AttemptTimedOut, relay.ConnectFailed: metrics.AttemptConnectFailed,
 	relay.ConnectionBroken: metrics.AttemptConnectionBroken, relay.Cancelled: metrics.AttemptCancelled, relay.NotSent: metrics.AttemptNotSent}
 
@@ -44,7 +44,7 @@
 	l.forget(q)
 }
 
-var finalCounters = [...]metrics.ID{StatusSucceeded: metrics.Succeeded, StatusRejected: metrics.Rejected,
+var finalCounters = [...]metrics.Counter{StatusSucceeded: metrics.Succeeded, StatusRejected: metrics.Rejected,
 	StatusFailed: metrics.Failed, StatusClientLeft: metrics.ClientLeft}
 
 // finish books the end of a query.
--- a/internal/pipeline/loop.go
+++ b/internal/pipeline/loop.go
@@ -108,10 +108,10 @@
 // TryPost posts an event that may be lost, and says whether it was taken.
 func (l *Loop) TryPost(e Event) bool {
 	l.mu.Lock()
-	full := len(l.queue) >= limits.EventQueue
+	full := len(l.queue) >= limits.MaxQueuedEvents
 	l.mu.Unlock()
 	if full {
-		l.Metrics.Add(metrics.BoundQueue, 1)
+		l.Metrics.Add(metrics.QueueLimitReached, 1)
 		return false
 	}
 	l.Post(e)
@@ -191,7 +191,7 @@
 // Pending empties the queue. Only on the loop; what it gives is good until the next call.
 func (l *Loop) TakePosted() []Event {
 	clear(l.taken)
-	if cap(l.taken) > limits.EventsKept {
+	if cap(l.taken) > limits.MaxRetainedEvents {
 		l.taken = nil
 	}
 	l.mu.Lock()
--- a/internal/pipeline/stage_test.go
+++ b/internal/pipeline/stage_test.go
@@ -206,12 +206,12 @@
 
 func TestQueueOfTheLoop(t *testing.T) {
 	l, _ := newLoop(t)
-	for range limits.EventQueue {
+	for range limits.MaxQueuedEvents {
 		if !l.TryPost(Func(func(*Loop) {})) {
 			t.Fatal("refused below the bound")
 		}
 	}
-	if l.TryPost(Func(func(*Loop) {})) || l.Metrics.Get(metrics.BoundQueue) != 1 {
+	if l.TryPost(Func(func(*Loop) {})) || l.Metrics.Get(metrics.QueueLimitReached) != 1 {
 		t.Error("taken over the bound")
 	}
 	l.TakePosted()
--- a/internal/platform/platform.go
+++ b/internal/platform/platform.go
@@ -31,7 +31,7 @@
 
 // New returns a desk; without an address there is no platform, and votes are not counted.
 func New(l *pipeline.Loop, address string) *Client {
-	d := &Client{loop: l, wait: limits.CallFor, votes: make(chan relay.Vote, limits.VotesAhead), signs: make(chan sign)}
+	d := &Client{loop: l, wait: limits.DefaultCallTimeout, votes: make(chan relay.Vote, limits.MaxQueuedVotes), signs: make(chan sign)}
 	d.address.Store(address)
 	if t := l.Site.Rollout.CallTimeout; t > 0 {
 		d.wait = time.Duration(t * float64(time.Second))
@@ -72,7 +72,7 @@
 		case d.votes <- v:
 			return
 		default:
-			d.loop.Metrics.Add(metrics.BoundQueue, 1)
+			d.loop.Metrics.Add(metrics.QueueLimitReached, 1)
 		}
 	}
 	d.tell(relay.RolloutStatus{Reply: relay.ReplyNotCounted})
@@ -221,7 +221,7 @@
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	if len(b.open) == 0 {
-		return limits.VoteIdle - time.Since(b.usedAt), true
+		return limits.VoteConnIdleTimeout - time.Since(b.usedAt), true
 	}
 	return b.d.wait - time.Since(b.open[0]), false
 }
@@ -328,7 +328,7 @@
 // beside it and takes its place once it stands.
 func (d *Client) watching() {
 	var standing, coming *watch
-	off := time.Duration(limits.BackOff)
+	off := time.Duration(limits.MinBackoff)
 	begin := func(after time.Duration) {
 		coming = &watch{d: d, where: d.where()}
 		go coming.run(after)
@@ -340,18 +340,18 @@
 			if coming != nil {
 				coming.replaced.Store(true)
 			}
-			off = limits.BackOff
+			off = limits.MinBackoff
 			begin(0)
 		case s.w == coming && s.what == stands:
 			if standing != nil {
 				standing.replaced.Store(true)
 			}
-			standing, coming, off = s.w, nil, limits.BackOff
+			standing, coming, off = s.w, nil, limits.MinBackoff
 		case s.w == coming: // it did not come up
 			coming = nil
 			if standing == nil || standing.where != d.where() {
 				begin(off)
-				off = min(2*off, limits.MostOff)
+				off = min(2*off, limits.MaxBackoff)
 			}
 		case s.w == standing:
 			if s.what == over {
@@ -396,7 +396,7 @@
 		case err != nil:
 			return err
 		case !up && s == "OK":
-			up, wait = true, limits.SignOfLife
+			up, wait = true, limits.HeartbeatTimeout
 			w.d.signs <- sign{w, stands}
 		default:
 			if err := w.d.heard(s); err != nil {
--- a/internal/platform/platform_test.go
+++ b/internal/platform/platform_test.go
@@ -41,7 +41,7 @@
 		t.Fatal(err)
 	}
 	defer peer.Close()
-	b := &ballot{line: c, usedAt: time.Now().Add(-limits.VoteIdle)}
+	b := &ballot{line: c, usedAt: time.Now().Add(-limits.VoteConnIdleTimeout)}
 	if left, idle := b.due(); left > 0 || !idle {
 		t.Fatal("not idle")
 	}
--- a/internal/releasecontroller/wire.go
+++ b/internal/releasecontroller/wire.go
@@ -85,7 +85,7 @@
 	n.SetWriteTimeout(writeFor)
 	n.AddCloseCallback(c.closed)
 	if p.open.Add(1) > connsEach {
-		c.end(metrics.ClosedByBound, nil)
+		c.end(metrics.ClosedByLimit, nil)
 		return context.WithValue(context.Background(), lineKey{}, c)
 	}
 	p.desk.post(func(d *Controller) { d.lines[c] = struct{}{} })
--- a/internal/upstream/conn.go
+++ b/internal/upstream/conn.go
@@ -168,7 +168,7 @@
 		out = c.pool.loop.Pool.Filled(c.pool.probe)
 	}
 	if out.Len() <= inlineSize {
-		c.net.SetWriteTimeout(limits.InlineWait)
+		c.net.SetWriteTimeout(limits.InlineWriteTimeout)
 		c.write(leg, out)
 		return
 	}
@@ -257,7 +257,7 @@
 		return
 	}
 	c.partly = leg
-	l.RunAt(l.Clock.Now()+limits.AnswerRest.Seconds(), func() {
+	l.RunAt(l.Clock.Now()+limits.ResponseRestTimeout.Seconds(), func() {
 		if c.leg == leg {
 			protocolError{c, errCut}.Apply(l)
 		}
@@ -296,7 +296,7 @@
 		if c.rows++; c.answer == nil || c.rows > 1 {
 			return errState
 		}
-		if c.row = ""; len(value) <= limits.ReportSize {
+		if c.row = ""; len(value) <= limits.MaxLoadReportBytes {
 			c.row = string(value)
 		}
 	case 'C':
@@ -375,7 +375,7 @@
 		l.Log.WithField("endpoint", c.unit.name).Error("endpoint reported a protocol error: " + e.text)
 	}
 	c.leg, c.last = nil, e.at
-	l.RunAt(l.Clock.Now()+limits.AnswerRest.Seconds(), func() {
+	l.RunAt(l.Clock.Now()+limits.ResponseRestTimeout.Seconds(), func() {
 		if c.state == busy && c.leg == nil && c.last == e.at {
 			protocolError{c, errCut}.Apply(l) // it never said that it is ready, and would stay for good
 		}
@@ -410,7 +410,7 @@
 	case c.state == busy && c.leg == nil:
 		c.state = settling
 		c.unit.coming++
-		l.RunAt(l.Clock.Now()+limits.SettleFor.Seconds(), func() {
+		l.RunAt(l.Clock.Now()+limits.ResponseSettleTime.Seconds(), func() {
 			if c.state == settling {
 				c.rest()
 			}
--- a/internal/upstream/late_test.go
+++ b/internal/upstream/late_test.go
@@ -183,7 +183,7 @@
 	b.pool.Send(leg)
 	answered{c: c, at: b.Clock.Now(), how: relay.Succeeded, answer: b.Loop.Pool.Chain()}.Apply(b.Loop)
 	stop := make(chan struct{})
-	b.RunAt(b.Clock.Now()+limits.AnswerRest.Seconds()+0.01, func() { close(stop) })
+	b.RunAt(b.Clock.Now()+limits.ResponseRestTimeout.Seconds()+0.01, func() { close(stop) })
 	b.told()
 	b.Run(stop)
 	if n.closed == 0 || b.pool.open != 0 {
--- a/internal/upstream/units.go
+++ b/internal/upstream/units.go
@@ -48,16 +48,16 @@
 // New returns a pool that holds at most so many connections.
 func New(l *pipeline.Loop, most int) *Pool {
 	p := &Pool{loop: l, units: map[relay.EndpointID]*unit{}, most: most, connect: l.Site.Limits.ConnectTimeout,
-		idleFor: l.Site.EndpointIdleTimeout * limits.IdlePart, hello: pgwire.Startup("worker", "catalog"),
+		idleFor: l.Site.EndpointIdleTimeout * limits.EndpointIdleFraction, hello: pgwire.Startup("worker", "catalog"),
 		probe: pgwire.QueryMessage("SELECT 1")}
 	if len(l.Site.LoadReportFields) > 0 {
 		p.probe = pgwire.QueryMessage("SHOW " + reportName)
 	}
 	if p.connect <= 0 {
-		p.connect = limits.ConnectWait.Seconds()
+		p.connect = limits.DefaultConnectTimeout.Seconds()
 	}
 	if p.idleFor > 0 {
-		l.RunAt(l.Clock.Now()+limits.SweepEvery.Seconds(), p.sweep)
+		l.RunAt(l.Clock.Now()+limits.IdleSweepInterval.Seconds(), p.sweep)
 	}
 	return p
 }
@@ -175,7 +175,7 @@
 // CloseIdle closes the idle connections to a unit.
 func (p *Pool) CloseIdle(id relay.EndpointID) {
 	if u := p.units[id]; u != nil {
-		p.closeIdle(u, metrics.ClosedByCommand)
+		p.closeIdle(u, metrics.ClosedByPolicy)
 	}
 }
 
@@ -225,7 +225,7 @@
 	}
 	for u.coming < len(u.waiting) {
 		if p.open >= p.most && !p.evictIdlest() {
-			p.loop.Metrics.Add(metrics.BoundConns, 1)
+			p.loop.Metrics.Add(metrics.ConnLimitReached, 1)
 			leg := u.waiting[len(u.waiting)-1]
 			u.waiting = u.waiting[:len(u.waiting)-1]
 			p.loop.EndAttempt(leg, pipeline.AttemptResult{Outcome: relay.NotSent})
@@ -251,7 +251,7 @@
 	if oldest == nil {
 		return false
 	}
-	oldest.close(metrics.ClosedByBound)
+	oldest.close(metrics.ClosedByLimit)
 	return true
 }
 
@@ -269,7 +269,7 @@
 			u.idle[0].close(metrics.ClosedByIdleTimeout)
 		}
 	}
-	p.loop.RunAt(now+limits.SweepEvery.Seconds(), p.sweep)
+	p.loop.RunAt(now+limits.IdleSweepInterval.Seconds(), p.sweep)
 }
 
 // ended is the one place where a connection is given back, whether it came up or not.
--- a/lab/demo/demo.go
+++ b/lab/demo/demo.go
@@ -84,7 +84,7 @@
 	disc    *fakes.Discovery
 	desk    *fakes.Process
 	mu      sync.Mutex
-	units   map[string]fakes.Unit
+	units   map[string]fakes.Endpoint
 	procs   []*fakes.Process
 	legs    []leg
 	asked   []asked
@@ -102,7 +102,7 @@
 
 // start runs the program with some words; lines of its standard output go to each.
 func (s *show) start(each func(string), words ...string) (*fakes.Process, error) {
-	p, err := fakes.Start(s.o.Self, s.o.Dir, each, words...)
+	p, err := fakes.StartProcess(s.o.Self, s.o.Dir, each, words...)
 	if err != nil {
 		return nil, err
 	}
@@ -167,11 +167,11 @@
 	if err != nil {
 		return err
 	}
-	if err := fakes.Reach(ports[0], p); err != nil {
+	if err := fakes.WaitListening(ports[0], p); err != nil {
 		return fmt.Errorf("planner %s: %w", name, err)
 	}
 	s.mu.Lock()
-	s.units[name] = fakes.Unit{ID: name, HostPort: ports[0], Zone: site, Machine: "m", Lifecycle: "SERVING", Weight: 1,
+	s.units[name] = fakes.Endpoint{ID: name, HostPort: ports[0], Zone: site, MachineType: "m", Lifecycle: "SERVING", Weight: 1,
 		StartedMs: time.Now().UnixMilli(), Build: build}
 	s.mu.Unlock()
 	s.list()
@@ -193,7 +193,7 @@
 
 func (s *show) list() {
 	s.mu.Lock()
-	var out []fakes.Unit
+	var out []fakes.Endpoint
 	for _, u := range s.units {
 		out = append(out, u)
 	}
@@ -203,7 +203,7 @@
 }
 
 // drain lists some planners as draining, and takes them off the list a little later.
-func (s *show) drain(which func(fakes.Unit) bool) {
+func (s *show) drain(which func(fakes.Endpoint) bool) {
 	s.mu.Lock()
 	var names []string
 	for name, u := range s.units {
@@ -257,10 +257,10 @@
 		}
 		if n.Phase == relay.PhaseReleased && s.stable < build {
 			s.stable = build
-			s.drain(func(u fakes.Unit) bool { return u.Build < build })
+			s.drain(func(u fakes.Endpoint) bool { return u.Build < build })
 		}
 	case relay.PhaseRollingBack:
-		s.drain(func(u fakes.Unit) bool { return u.Build >= build })
+		s.drain(func(u fakes.Endpoint) bool { return u.Build >= build })
 	}
 	return nil
 }
@@ -332,7 +332,7 @@
 				s.asked = append(s.asked, asked{s.now(), no, customer})
 				s.mu.Unlock()
 				s.counts[0].Add(1)
-				out, err := c.Ask(uint64(no)<<48|n, "look", customer, patience)
+				out, err := c.ReadObject(uint64(no)<<48|n, "look", customer, patience)
 				switch {
 				case err != nil:
 					s.counts[3].Add(1)
@@ -354,7 +354,7 @@
 func Run(ctx context.Context, o Options) (Result, error) {
 	ctx, cancel := context.WithTimeout(ctx, o.Limit)
 	defer cancel()
-	s := &show{o: o, begun: time.Now(), units: map[string]fakes.Unit{}, bad: map[int]bool{3: true}, stable: 1}
+	s := &show{o: o, begun: time.Now(), units: map[string]fakes.Endpoint{}, bad: map[int]bool{3: true}, stable: 1}
 	var r Result
 	err := s.play(ctx, &r)
 	if ctx.Err() != nil && err == nil {
@@ -375,7 +375,7 @@
 	procs := s.procs
 	s.mu.Unlock()
 	for _, p := range procs {
-		p.Kill(syscall.SIGKILL)
+		p.Signal(syscall.SIGKILL)
 	}
 	for _, p := range procs {
 		<-p.Done
@@ -430,7 +430,7 @@
 		if err != nil {
 			return err
 		}
-		if err := fakes.Reach(listen, p); err != nil {
+		if err := fakes.WaitListening(listen, p); err != nil {
 			return fmt.Errorf("relay n%d: %w", i, err)
 		}
 	}
@@ -460,7 +460,7 @@
 		return err
 	}
 	s.say("killing the desk in the middle of the step, and starting it again 2 s later")
-	s.desk.Kill(syscall.SIGKILL)
+	s.desk.Signal(syscall.SIGKILL)
 	<-s.desk.Done
 	select {
 	case <-ctx.Done():
@@ -492,7 +492,7 @@
 		return err
 	}
 	s.desk = p
-	if err := fakes.Reach(s.watch, p); err != nil {
+	if err := fakes.WaitListening(s.watch, p); err != nil {
 		return fmt.Errorf("the desk: %w", err)
 	}
 	for { // its control file is written last
--- a/lab/fakes/discovery.go
+++ b/lab/fakes/discovery.go
@@ -10,22 +10,22 @@
 )
 
 // Unit is an entry of discovery's list.
-type Unit struct {
-	ID        string  `json:"instanceId"`
-	HostPort  string  `json:"hostPort"`
-	Zone      string  `json:"zone"`
-	Machine   string  `json:"machineType"`
-	Cell      int     `json:"cell"`
-	Lifecycle string  `json:"lifecycle"`
-	Weight    float64 `json:"weight"`
-	StartedMs int64   `json:"startedAtMs"`
-	Build     int     `json:"build"`
+type Endpoint struct {
+	ID            string  `json:"instanceId"`
+	HostPort      string  `json:"hostPort"`
+	Zone          string  `json:"zone"`
+	MachineType   string  `json:"machineType"`
+	FailureDomain int     `json:"cell"`
+	Lifecycle     string  `json:"lifecycle"`
+	Weight        float64 `json:"weight"`
+	StartedMs     int64   `json:"startedAtMs"`
+	Build         int     `json:"build"`
 }
 
 // Discovery tells relays of planners, as the list is set.
 type Discovery struct {
 	mu         sync.Mutex
-	units      []Unit
+	units      []Endpoint
 	generation int
 	changed    chan struct{}
 	ln         net.Listener
@@ -53,10 +53,10 @@
 func (d *Discovery) Close() { d.srv.Close() }
 
 // Set puts another list in place.
-func (d *Discovery) Set(units []Unit) {
+func (d *Discovery) Set(units []Endpoint) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	d.units, d.generation = append([]Unit(nil), units...), d.generation+1
+	d.units, d.generation = append([]Endpoint(nil), units...), d.generation+1
 	close(d.changed)
 	d.changed = make(chan struct{})
 }
--- a/lab/fakes/planner.go
+++ b/lab/fakes/planner.go
@@ -18,7 +18,7 @@
 	"lichenroad/internal/pgwire"
 )
 
-const mostMessage = 1 << 20 // bytes of a message that is read
+const maxMessageBytes = 1 << 20 // bytes of a message that is read
 
 // ReadMessage reads one message, without a type byte where it is a startup.
 func ReadMessage(r io.Reader, startup bool) (byte, []byte, error) {
@@ -30,7 +30,7 @@
 		return 0, nil, err
 	}
 	n := int(binary.BigEndian.Uint32(head[len(head)-4:])) - 4
-	if n < 0 || n > mostMessage {
+	if n < 0 || n > maxMessageBytes {
 		return 0, nil, errors.New("a message of no length that is taken")
 	}
 	body := make([]byte, n)
@@ -39,30 +39,30 @@
 }
 
 // Planner is a server that answers queries.
-type Planner struct {
-	Name  string
-	Cores int           // queries at a time; more wait
-	Took  time.Duration // for each
-	Fails float64       // part that it answers with an error
-	After time.Duration // of its life from which it does so
-	Seed  int64
-	Most  int                                                     // queries that it holds before it turns more away; 0: any number
-	Do    func(statement string) (took time.Duration, fails bool) // in the place of Took and Fails, where given
-	Busy  *atomic.Int64                                           // where given: queries that are worked on
-	Seen  io.Writer                                               // gets a line for each query that comes: leg, Unix nanoseconds, id, customer
-
-	once  sync.Once
-	slots chan struct{}
-	begun time.Time
-	held  atomic.Int64 // queries that wait or are worked on
-	mu    sync.Mutex
-	rng   *rand.Rand
+type Server struct {
+	Name        string
+	Workers     int           // queries at a time; more wait
+	ServiceTime time.Duration // for each
+	FailureRate float64       // part that it answers with an error
+	FailAfter   time.Duration // of its life from which it does so
+	Seed        int64
+	MaxInFlight int                                                     // queries that it holds before it turns more away; 0: any number
+	Handle      func(statement string) (took time.Duration, fails bool) // in the place of Took and Fails, where given
+	InProgress  *atomic.Int64                                           // where given: queries that are worked on
+	QueryLog    io.Writer                                               // gets a line for each query that comes: leg, Unix nanoseconds, id, customer
+
+	once      sync.Once
+	slots     chan struct{}
+	startedAt time.Time
+	inFlight  atomic.Int64 // queries that wait or are worked on
+	mu        sync.Mutex
+	rng       *rand.Rand
 }
 
 // Serve answers on a listener until it is closed.
-func (p *Planner) Serve(ln net.Listener) error {
+func (p *Server) Serve(ln net.Listener) error {
 	p.once.Do(func() {
-		p.slots, p.begun, p.rng = make(chan struct{}, max(p.Cores, 1)), time.Now(), rand.New(rand.NewSource(p.Seed))
+		p.slots, p.startedAt, p.rng = make(chan struct{}, max(p.Workers, 1)), time.Now(), rand.New(rand.NewSource(p.Seed))
 	})
 	for {
 		c, err := ln.Accept()
@@ -73,7 +73,7 @@
 	}
 }
 
-func (p *Planner) serve(c net.Conn) {
+func (p *Server) serve(c net.Conn) {
 	defer c.Close()
 	r := bufio.NewReader(c)
 	if _, _, err := ReadMessage(r, true); err != nil {
@@ -92,18 +92,18 @@
 			c.Write(pgwire.EmptyQueryResponse())
 			continue
 		}
-		if p.Seen != nil {
+		if p.QueryLog != nil {
 			p.mu.Lock()
-			fmt.Fprintf(p.Seen, "leg %d %s %s\n", time.Now().UnixNano(), field(text, "id="), field(text, "t="))
+			fmt.Fprintf(p.QueryLog, "leg %d %s %s\n", time.Now().UnixNano(), field(text, "id="), field(text, "t="))
 			p.mu.Unlock()
 		}
-		if n := p.held.Add(1); p.Most > 0 && n > int64(p.Most) {
-			p.held.Add(-1)
+		if n := p.inFlight.Add(1); p.MaxInFlight > 0 && n > int64(p.MaxInFlight) {
+			p.inFlight.Add(-1)
 			c.Write(pgwire.Ready(pgwire.ErrorResponse(pgwire.Error, pgwire.CodeFull, "full", "")))
 			continue
 		}
 		fails := p.work(text)
-		p.held.Add(-1)
+		p.inFlight.Add(-1)
 		answer := Row(p.Name)
 		if fails {
 			answer = pgwire.ErrorResponse(pgwire.Error, "XX000", "the build is bad", "")
@@ -115,22 +115,22 @@
 }
 
 // work does a query, when a core is free, and says whether it fails.
-func (p *Planner) work(text string) (fails bool) {
+func (p *Server) work(text string) (fails bool) {
 	p.slots <- struct{}{}
 	defer func() { <-p.slots }()
-	if p.Busy != nil {
-		p.Busy.Add(1)
-		defer p.Busy.Add(-1)
+	if p.InProgress != nil {
+		p.InProgress.Add(1)
+		defer p.InProgress.Add(-1)
 	}
-	if p.Do != nil {
-		took, fails := p.Do(text)
+	if p.Handle != nil {
+		took, fails := p.Handle(text)
 		time.Sleep(took)
 		return fails
 	}
-	time.Sleep(p.Took)
+	time.Sleep(p.ServiceTime)
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	return time.Since(p.begun) >= p.After && p.rng.Float64() < p.Fails
+	return time.Since(p.startedAt) >= p.FailAfter && p.rng.Float64() < p.FailureRate
 }
 
 // field gives the value behind a name in a statement's comment.
@@ -161,7 +161,7 @@
 }
 
 // Outcome is what a client got.
-type Outcome struct {
+type Response struct {
 	Value string // of the answer: the planner's name here
 	Code  string // of an error
 }
@@ -192,7 +192,7 @@
 }
 
 // answer reads up to ReadyForQuery.
-func (c *Client) answer() (out Outcome, err error) {
+func (c *Client) answer() (out Response, err error) {
 	for {
 		kind, body, err := ReadMessage(c.r, false)
 		if err != nil {
@@ -212,15 +212,15 @@
 }
 
 // Ask sends a read of a category for a customer, and waits for its one answer.
-func (c *Client) Ask(id uint64, category, customer string, wait time.Duration) (Outcome, error) {
-	return c.AskText(fmt.Sprintf("SELECT body FROM objects WHERE oid = '%016x' /* id=%016x,c=%s,t=%s,d=%d */", id, id, category, customer, wait.Milliseconds()), wait)
+func (c *Client) ReadObject(id uint64, category, customer string, wait time.Duration) (Response, error) {
+	return c.Query(fmt.Sprintf("SELECT body FROM objects WHERE oid = '%016x' /* id=%016x,c=%s,t=%s,d=%d */", id, id, category, customer, wait.Milliseconds()), wait)
 }
 
-// AskText sends a statement, and waits for its one answer.
-func (c *Client) AskText(text string, wait time.Duration) (Outcome, error) {
+// Query sends a statement, and waits for its one answer.
+func (c *Client) Query(text string, wait time.Duration) (Response, error) {
 	c.SetDeadline(time.Now().Add(wait + 2*time.Second))
 	if _, err := c.Write(pgwire.QueryMessage(text)); err != nil {
-		return Outcome{}, err
+		return Response{}, err
 	}
 	return c.answer()
 }
--- a/lab/fakes/process.go
+++ b/lab/fakes/process.go
@@ -20,7 +20,7 @@
 
 // Start runs a program with some words. Its log goes to a file of its own in a directory, lines of its standard output
 // to each, where that is given.
-func Start(self, dir string, each func(string), words ...string) (*Process, error) {
+func StartProcess(self, dir string, each func(string), words ...string) (*Process, error) {
 	p := &Process{cmd: exec.Command(self, words...), Done: make(chan struct{})}
 	p.cmd.Env = append(os.Environ(), "LICHENROAD_AS_PROGRAM=1")
 	p.cmd.SysProcAttr = &syscall.SysProcAttr{Pdeathsig: syscall.SIGKILL}
@@ -51,7 +51,7 @@
 }
 
 // Kill sends it a signal.
-func (p *Process) Kill(sig syscall.Signal) { p.cmd.Process.Signal(sig) }
+func (p *Process) Signal(sig syscall.Signal) { p.cmd.Process.Signal(sig) }
 
 // FreePorts gives addresses on loopback that were free a moment ago.
 func FreePorts(n int) ([]string, error) {
@@ -68,7 +68,7 @@
 }
 
 // Reach waits until a process takes connections.
-func Reach(address string, p *Process) error {
+func WaitListening(address string, p *Process) error {
 	for until := time.Now().Add(5 * time.Second); time.Now().Before(until); {
 		if c, err := net.Dial("tcp", address); err == nil {
 			c.Close()
--- a/lab/live/live.go
+++ b/lab/live/live.go
@@ -129,7 +129,7 @@
 		return err
 	}
 	s.closer = append(s.closer, disc.Close)
-	var units []fakes.Unit
+	var units []fakes.Endpoint
 	for i := range s.o.Units {
 		ln, err := net.Listen("tcp", "127.0.0.1:0")
 		if err != nil {
@@ -137,11 +137,11 @@
 		}
 		s.closer = append(s.closer, func() { ln.Close() })
 		name := fmt.Sprintf("p%d", i)
-		p := &fakes.Planner{Name: name, Cores: lab.CoresEach, Most: lab.MostQueue, Seed: s.o.Seed + int64(i), Do: func(text string) (time.Duration, bool) {
+		p := &fakes.Server{Name: name, Workers: lab.CoresEach, MaxInFlight: lab.MostQueue, Seed: s.o.Seed + int64(i), Handle: func(text string) (time.Duration, bool) {
 			return s.book.leg(text, i%len(sites), time.Now())
-		}, Busy: &s.busy}
+		}, InProgress: &s.busy}
 		go p.Serve(ln)
-		units = append(units, fakes.Unit{ID: name, HostPort: ln.Addr().String(), Zone: sites[i%len(sites)], Machine: "m", Lifecycle: "SERVING", Weight: 1,
+		units = append(units, fakes.Endpoint{ID: name, HostPort: ln.Addr().String(), Zone: sites[i%len(sites)], MachineType: "m", Lifecycle: "SERVING", Weight: 1,
 			StartedMs: time.Now().Add(-time.Hour).UnixMilli(), Build: 1})
 	}
 	disc.Set(units)
@@ -157,12 +157,12 @@
 		if err := os.WriteFile(name, b, 0o644); err != nil {
 			return err
 		}
-		p, err := fakes.Start(s.o.Self, s.o.Dir, nil, "serve", "--config", name, "--log-level", "warn")
+		p, err := fakes.StartProcess(s.o.Self, s.o.Dir, nil, "serve", "--config", name, "--log-level", "warn")
 		if err != nil {
 			return err
 		}
-		s.closer = append(s.closer, func() { p.Kill(syscall.SIGKILL); <-p.Done })
-		if err := fakes.Reach(listen, p); err != nil {
+		s.closer = append(s.closer, func() { p.Signal(syscall.SIGKILL); <-p.Done })
+		if err := fakes.WaitListening(listen, p); err != nil {
 			return fmt.Errorf("relay n%d: %w", i, err)
 		}
 	}
@@ -290,7 +290,7 @@
 		e.kept = true
 		return
 	}
-	out, err := c.AskText(statement(uint64(j.Relay)<<relayBits|uint64(j.No), p.term, s.o.Customers[p.Customer], left, p.Work, p.Fails), time.Duration(left*1e9))
+	out, err := c.Query(statement(uint64(j.Relay)<<relayBits|uint64(j.No), p.term, s.o.Customers[p.Customer], left, p.Work, p.Fails), time.Duration(left*1e9))
 	if err != nil {
 		return
 	}
--- a/lab/logsummary/ledger.go
+++ b/lab/logsummary/ledger.go
@@ -26,8 +26,8 @@
 	Lines       int
 	Relays      int
 	First, Last float64 // s
-	Busiest     float64 // the second in which most came
-	Most        int     // lines in it
+	PeakSecond  float64 // the second in which most came
+	PeakLines   int     // lines in it
 }
 
 type kind struct {
@@ -38,29 +38,29 @@
 }
 
 // Ledger adds up the logs of a fleet.
-type Ledger struct {
+type Summary struct {
 	From, To float64 // s: lines outside are left out; To 0: no end
-	Unread   int     // lines that are none of a relay's
+	Unparsed int     // lines that are none of a relay's
 	relays   int
 	start    time.Time // of the first line that has only a date
 	kinds    map[string]*kind
 }
 
 // New returns an empty ledger.
-func New() *Ledger { return &Ledger{kinds: map[string]*kind{}} }
+func New() *Summary { return &Summary{kinds: map[string]*kind{}} }
 
 // Relays is how many logs were read.
-func (l *Ledger) Relays() int { return l.relays }
+func (l *Summary) Relays() int { return l.relays }
 
 // Read adds one relay's log.
-func (l *Ledger) Read(relay string, r io.Reader) error {
+func (l *Summary) Read(relay string, r io.Reader) error {
 	l.relays++
 	in := bufio.NewScanner(r)
 	in.Buffer(make([]byte, 0, 4096), longest)
 	for in.Scan() {
 		at, what, ok := l.line(in.Text())
 		if !ok {
-			l.Unread++
+			l.Unparsed++
 			continue
 		}
 		if at < l.From || l.To > 0 && at >= l.To {
@@ -74,7 +74,7 @@
 	return nil
 }
 
-func (l *Ledger) add(relay string, at float64, what string) {
+func (l *Summary) add(relay string, at float64, what string) {
 	k := l.kinds[what]
 	if k == nil {
 		if len(l.kinds) >= mostKinds {
@@ -92,12 +92,12 @@
 }
 
 // Rows gives the kinds, the most frequent first.
-func (l *Ledger) Rows() (rows []Row) {
+func (l *Summary) Rows() (rows []Row) {
 	for name, k := range l.kinds {
 		r := Row{Kind: name, Lines: k.lines, Relays: len(k.relays), First: k.first, Last: k.last}
 		for s, n := range k.seconds {
-			if n > r.Most || n == r.Most && float64(s) < r.Busiest {
-				r.Most, r.Busiest = n, float64(s)
+			if n > r.PeakLines || n == r.PeakLines && float64(s) < r.PeakSecond {
+				r.PeakLines, r.PeakSecond = n, float64(s)
 			}
 		}
 		rows = append(rows, r)
@@ -118,7 +118,7 @@
 
 // line reads one line: its time, by a recorder's stamp in seconds before it or else by its own date, and its kind, which
 // is its text without figures and what stands behind a colon, with peer and reason where it has them.
-func (l *Ledger) line(text string) (at float64, what string, ok bool) {
+func (l *Summary) line(text string) (at float64, what string, ok bool) {
 	stamp, body, _ := strings.Cut(text, " ")
 	at, err := strconv.ParseFloat(stamp, 64)
 	stamped := err == nil && !math.IsNaN(at) && !math.IsInf(at, 0) && math.Abs(at) < 1e9
--- a/lab/logsummary/ledger_test.go
+++ b/lab/logsummary/ledger_test.go
@@ -30,8 +30,8 @@
 		{"build # stage # phase #", 3, 3, 0.5, 0.5, 0, 3},
 		{"call failed, peer roster, reason answer_late", 3, 3, 26.90, 26.92, 26, 3},
 	}
-	if len(rows) != len(want) || l.Unread != 3 || l.Relays() != 3 {
-		t.Fatalf("%+v, %d unread", rows, l.Unread)
+	if len(rows) != len(want) || l.Unparsed != 3 || l.Relays() != 3 {
+		t.Fatalf("%+v, %d unread", rows, l.Unparsed)
 	}
 	for i := range want {
 		if rows[i] != want[i] {
@@ -52,8 +52,8 @@
 	if err := l.Read("n0", strings.NewReader(log.String())); err != nil {
 		t.Fatal(err)
 	}
-	if rows := l.Rows(); len(rows) != 1 || rows[0].Lines != 2 || rows[0].First != 1 || rows[0].Last != 2 || l.Unread != 3 {
-		t.Errorf("%+v, %d unread", rows, l.Unread)
+	if rows := l.Rows(); len(rows) != 1 || rows[0].Lines != 2 || rows[0].First != 1 || rows[0].Last != 2 || l.Unparsed != 3 {
+		t.Errorf("%+v, %d unread", rows, l.Unparsed)
 	}
 	if err := l.Read("n1", strings.NewReader(strings.Repeat("x", longest+1))); err == nil || !strings.Contains(err.Error(), "n1") {
 		t.Errorf("a line without end: %v", err)
--- a/lab/scale/hollow_control.go
+++ b/lab/scale/hollow_control.go
@@ -37,8 +37,8 @@
 	case after >= 0 && !h.stands:
 		path = fmt.Sprintf("%s?after=%d&wait_ms=0", listPath, after)
 	case after >= 0:
-		part := limits.WatchPart + (1-limits.WatchPart)*h.random.Float64()
-		wait = part * limits.WatchFor.Seconds()
+		part := limits.MinWatchFraction + (1-limits.MinWatchFraction)*h.random.Float64()
+		wait = part * limits.MaxWatchTime.Seconds()
 		path = fmt.Sprintf("%s?after=%d&wait_ms=%.0f", listPath, after, 1000*wait)
 	}
 	h.meter.sent(listClass, len(httpwire.Get(discoveryHost, path)))
--- a/lab/slope/slope.go
+++ b/lab/slope/slope.go
@@ -15,14 +15,14 @@
 	"gonum.org/v1/gonum/stat"
 )
 
-// LeastSizes are the sizes that a fit needs: with fewer, any curve goes through them.
-const LeastSizes = 4
+// MinSizes are the sizes that a fit needs: with fewer, any curve goes through them.
+const MinSizes = 4
 
 // Errors of a fit.
 var (
-	ErrFewSizes = fmt.Errorf("fewer than %d sizes", LeastSizes)
-	ErrForm     = errors.New("unknown form")
-	ErrSample   = errors.New("a power law needs sizes and figures above 0")
+	ErrTooFewSizes = fmt.Errorf("fewer than %d sizes", MinSizes)
+	ErrUnknownForm = errors.New("unknown form")
+	ErrNotPositive = errors.New("a power law needs sizes and figures above 0")
 )
 
 // Form is the curve that is fitted.
@@ -125,8 +125,8 @@
 	Form     Form
 	A, B     float64
 	Sizes    int     // different ones
-	Least    float64 // size
-	Most     float64 // size
+	MinSize  float64 // size
+	MaxSize  float64 // size
 	Residual float64 // the largest difference between a size's median and the curve, as a part of that median
 }
 
@@ -134,10 +134,10 @@
 // count as much as the largest.
 func New(form Form, samples []Sample) (Fit, error) {
 	sizes, medians := medians(samples)
-	if len(sizes) < LeastSizes {
-		return Fit{}, ErrFewSizes
+	if len(sizes) < MinSizes {
+		return Fit{}, ErrTooFewSizes
 	}
-	f := Fit{Form: form, Sizes: len(sizes), Least: sizes[0], Most: sizes[len(sizes)-1]}
+	f := Fit{Form: form, Sizes: len(sizes), MinSize: sizes[0], MaxSize: sizes[len(sizes)-1]}
 	switch form {
 	case Line:
 		weights := make([]float64, len(medians))
@@ -147,15 +147,15 @@
 		f.A, f.B = stat.LinearRegression(sizes, medians, weights, false)
 	case Power:
 		if floats.Min(sizes) <= 0 || floats.Min(medians) <= 0 {
-			return Fit{}, ErrSample
+			return Fit{}, ErrNotPositive
 		}
 		a, b := stat.LinearRegression(logs(sizes), logs(medians), nil, false)
 		f.A, f.B = math.Exp(a), b
 	default:
-		return Fit{}, fmt.Errorf("%w %q", ErrForm, form)
+		return Fit{}, fmt.Errorf("%w %q", ErrUnknownForm, form)
 	}
 	for i, n := range sizes {
-		f.Residual = math.Max(f.Residual, math.Abs(f.At(n)-medians[i])/math.Max(math.Abs(medians[i]), math.SmallestNonzeroFloat32))
+		f.Residual = math.Max(f.Residual, math.Abs(f.ValueAt(n)-medians[i])/math.Max(math.Abs(medians[i]), math.SmallestNonzeroFloat32))
 	}
 	return f, nil
 }
@@ -194,7 +194,7 @@
 }
 
 // At is the figure at a size.
-func (f Fit) At(size float64) float64 {
+func (f Fit) ValueAt(size float64) float64 {
 	if f.Form == Power {
 		return f.A * math.Pow(size, f.B)
 	}
@@ -202,9 +202,9 @@
 }
 
 // Reaches is the size at which the figure reaches a value: 0 where it is there from the start, +Inf where it never is.
-func (f Fit) Reaches(value float64) float64 {
+func (f Fit) SizeAt(value float64) float64 {
 	if f.B <= 0 {
-		if f.At(1) >= value {
+		if f.ValueAt(1) >= value {
 			return 0
 		}
 		return math.Inf(1)
@@ -216,7 +216,7 @@
 }
 
 // Extrapolated is how many times the largest size that was measured a size is; 1 where it lies within.
-func (f Fit) Extrapolated(size float64) float64 { return math.Max(size/f.Most, 1) }
+func (f Fit) ExtrapolationFactor(size float64) float64 { return math.Max(size/f.MaxSize, 1) }
 
 // Formula writes the curve with its figures, for a size of the name given.
 func (f Fit) Formula(size string) string {
--- a/lab/slope/slope_test.go
+++ b/lab/slope/slope_test.go
@@ -45,11 +45,11 @@
 func TestLine(t *testing.T) {
 	all, _ := Read(strings.NewReader(output), "units", "ns/op")
 	f, err := New(Line, all[0].Samples)
-	if err != nil || !near(f.A, 200) || !near(f.B, 10) || f.Sizes != 4 || f.Least != 100 || f.Most != 800 || f.Residual > 1e-9 {
+	if err != nil || !near(f.A, 200) || !near(f.B, 10) || f.Sizes != 4 || f.MinSize != 100 || f.MaxSize != 800 || f.Residual > 1e-9 {
 		t.Fatalf("%+v %v", f, err)
 	}
-	if !near(f.At(1600), 16200) || !near(f.Reaches(5200), 500) || f.Reaches(100) != 0 || f.Extrapolated(1600) != 2 || f.Extrapolated(50) != 1 {
-		t.Errorf("at 1600 %v, reaches %v and %v", f.At(1600), f.Reaches(5200), f.Reaches(100))
+	if !near(f.ValueAt(1600), 16200) || !near(f.SizeAt(5200), 500) || f.SizeAt(100) != 0 || f.ExtrapolationFactor(1600) != 2 || f.ExtrapolationFactor(50) != 1 {
+		t.Errorf("at 1600 %v, reaches %v and %v", f.ValueAt(1600), f.SizeAt(5200), f.SizeAt(100))
 	}
 	if got := all[0].Within(200, 400); len(got) != 5 || got[0] != (Sample{200, 2100}) {
 		t.Errorf("%v", got)
@@ -73,7 +73,7 @@
 		samples = append(samples, Sample{n, 3 * n * n})
 	}
 	f, err := New(Power, samples)
-	if err != nil || !near(f.A, 3) || !near(f.B, 2) || !near(f.At(100), 30000) || !near(f.Reaches(30000), 100) {
+	if err != nil || !near(f.A, 3) || !near(f.B, 2) || !near(f.ValueAt(100), 30000) || !near(f.SizeAt(30000), 100) {
 		t.Errorf("%+v %v", f, err)
 	}
 	if f.Formula("n") != "3 n^2.000" {
@@ -86,20 +86,20 @@
 
 func TestFlatNeverReaches(t *testing.T) {
 	f, err := New(Line, []Sample{{1, 5}, {2, 5}, {3, 5}, {4, 5}})
-	if err != nil || !math.IsInf(f.Reaches(6), 1) || f.Reaches(4) != 0 {
+	if err != nil || !math.IsInf(f.SizeAt(6), 1) || f.SizeAt(4) != 0 {
 		t.Errorf("%+v %v", f, err)
 	}
 }
 
 func TestWhatCannotBeFitted(t *testing.T) {
-	if _, err := New(Line, []Sample{{1, 1}, {1, 2}, {2, 2}, {3, 3}}); !errors.Is(err, ErrFewSizes) {
+	if _, err := New(Line, []Sample{{1, 1}, {1, 2}, {2, 2}, {3, 3}}); !errors.Is(err, ErrTooFewSizes) {
 		t.Error(err)
 	}
 	four := []Sample{{0, 1}, {1, 2}, {2, 2}, {3, 3}}
-	if _, err := New(Power, four); !errors.Is(err, ErrSample) {
+	if _, err := New(Power, four); !errors.Is(err, ErrNotPositive) {
 		t.Error(err)
 	}
-	if _, err := New("cubic", four); !errors.Is(err, ErrForm) {
+	if _, err := New("cubic", four); !errors.Is(err, ErrUnknownForm) {
 		t.Error(err)
 	}
 }
