--- a/internal/clients/conn.go
+++ b/internal/clients/conn.go
@@ -86,8 +86,9 @@
 	s := c.server
 	s.open.Add(-1)
 	s.loop.Metrics.Add(metrics.ClientConnsOpen, -1)
-	metrics.LogConnectionEnd(s.loop.Log, "client", c.net.RemoteAddr().String(), why, s.loop.Clock.Now()-c.begun,
-		int(c.queries.Load()), fault)
+	end := metrics.ConnectionEnd{Peer: metrics.PeerClient, Name: c.net.RemoteAddr().String(), Reason: why,
+		Age: s.loop.Clock.Now() - c.begun, Requests: int(c.queries.Load()), Err: fault}
+	end.Log(s.loop.Log)
 	s.loop.Post(pipeline.Func(func(l *pipeline.Loop) {
 		delete(s.conns, c)
 		c.rests(false)
--- a/internal/discovery/roster.go
+++ b/internal/discovery/roster.go
@@ -433,7 +433,8 @@
 	c.p.holds(c.net, false)
 	c.net.Close()
 	c.net = nil
-	metrics.LogConnectionEnd(c.p.a.loop.Log, "discovery", c.p.address, why, time.Since(c.begun).Seconds(), c.calls, nil)
+	end := metrics.ConnectionEnd{Peer: metrics.PeerDiscovery, Name: c.p.address, Reason: why, Age: time.Since(c.begun).Seconds(), Requests: c.calls}
+	end.Log(c.p.a.loop.Log)
 }
 
 // get makes one call, on the connection that stands or on a new one. One that crosses the end of a connection which
--- a/internal/platform/platform.go
+++ b/internal/platform/platform.go
@@ -114,7 +114,8 @@
 func (d *Client) dial(where string) (*line, error) {
 	n, err := netpoll.DialConnection("tcp", where, d.wait)
 	if err != nil {
-		metrics.LogConnectionEnd(d.loop.Log, "platform", where, metrics.ClosedByConnectError, 0, 0, err)
+		end := metrics.ConnectionEnd{Peer: metrics.PeerPlatform, Name: where, Reason: metrics.ClosedByConnectError, Err: err}
+		end.Log(d.loop.Log)
 		return nil, err
 	}
 	n.SetWriteTimeout(d.wait)
@@ -123,7 +124,8 @@
 
 func (c *line) end(why metrics.CloseReason) {
 	c.net.Close()
-	metrics.LogConnectionEnd(c.d.loop.Log, "platform", c.where, why, time.Since(c.begun).Seconds(), c.calls, nil)
+	end := metrics.ConnectionEnd{Peer: metrics.PeerPlatform, Name: c.where, Reason: why, Age: time.Since(c.begun).Seconds(), Requests: c.calls}
+	end.Log(c.d.loop.Log)
 }
 
 var errLate = errors.New("no line in time")
--- a/internal/releasecontroller/wire.go
+++ b/internal/releasecontroller/wire.go
@@ -105,7 +105,9 @@
 	if name == "" {
 		name = c.net.RemoteAddr().String()
 	}
-	metrics.LogConnectionEnd(c.port.desk.log, "relay", name, why, time.Since(c.begun).Seconds(), int(c.calls.Load()), fault)
+	end := metrics.ConnectionEnd{Peer: metrics.PeerRelay, Name: name, Reason: why, Age: time.Since(c.begun).Seconds(),
+		Requests: int(c.calls.Load()), Err: fault}
+	end.Log(c.port.desk.log)
 	c.port.desk.post(func(d *Controller) { delete(d.lines, c) })
 	return nil
 }
--- a/internal/upstream/units.go
+++ b/internal/upstream/units.go
@@ -278,7 +278,8 @@
 	u.open--
 	defer p.forget(u)
 	p.loop.Metrics.Add(metrics.EndpointConnsOpen, -1)
-	metrics.LogConnectionEnd(p.loop.Log, "endpoint", u.name, why, age, queries, fault)
+	end := metrics.ConnectionEnd{Peer: metrics.PeerEndpoint, Name: u.name, Reason: why, Age: age, Requests: queries, Err: fault}
+	end.Log(p.loop.Log)
 }
 
 func span(s relay.Seconds) time.Duration { return time.Duration(s * float64(time.Second)) }
