--- a/internal/clients/clients.go
+++ b/internal/clients/clients.go
@@ -121,7 +121,7 @@
 	for _, of := range [...]struct {
 		list  *list.List
 		least time.Duration
-	}{{&s.silent, limits.MinClientSilentTime}, {&s.idle, limits.MinClientIdleTime}} {
+	}{{&s.silent, limits.MinIdleBeforeStartup}, {&s.idle, limits.MinClientIdleTime}} {
 		for at := of.list.Front(); at != nil; at = at.Next() {
 			c := at.Value.(*conn)
 			if s.loop.Clock.Now()-c.idleAt < of.least.Seconds() {
--- a/internal/clients/clients_test.go
+++ b/internal/clients/clients_test.go
@@ -332,7 +332,7 @@
 		t.Error("closed at once: its startup may be on the way")
 	}
 	for c := range d.s.conns {
-		c.idleAt -= limits.MinClientSilentTime.Seconds()
+		c.idleAt -= limits.MinIdleBeforeStartup.Seconds()
 	}
 	if !d.s.evictIdle() || !quietOne.ends() || d.s.evictIdle() {
 		t.Error("the silent one is not the one to go")
