--- a/cmd/lichenroad/fit.go
+++ b/cmd/lichenroad/fit.go
@@ -57,7 +57,7 @@
 // fitted prints one series' fit on one line.
 func (t *tool) fitted(s slope.Series, form slope.Form, size, unit string, at, budget float64) error {
 	const percent = 100
-	f, err := slope.New(form, s.Samples)
+	f, err := slope.FitSamples(form, s.Samples)
 	if err != nil {
 		return err
 	}
--- a/lab/slope/slope_test.go
+++ b/lab/slope/slope_test.go
@@ -44,7 +44,7 @@
 
 func TestLine(t *testing.T) {
 	all, _ := Read(strings.NewReader(output), "units", "ns/op")
-	f, err := New(Line, all[0].Samples)
+	f, err := FitSamples(Line, all[0].Samples)
 	if err != nil || !near(f.A, 200) || !near(f.B, 10) || f.Sizes != 4 || f.MinSize != 100 || f.MaxSize != 800 || f.Residual > 1e-9 {
 		t.Fatalf("%+v %v", f, err)
 	}
@@ -61,7 +61,7 @@
 
 // TestResidual gives one size that lies a tenth off the line of the others: the residual tells so.
 func TestResidual(t *testing.T) {
-	f, err := New(Line, []Sample{{10, 100}, {20, 200}, {40, 400}, {80, 800}, {160, 1760}})
+	f, err := FitSamples(Line, []Sample{{10, 100}, {20, 200}, {40, 400}, {80, 800}, {160, 1760}})
 	if err != nil || f.Residual < 0.02 || f.Residual > 0.1 {
 		t.Errorf("%+v %v", f, err)
 	}
@@ -72,34 +72,40 @@
 	for _, n := range []float64{10, 20, 40, 80} {
 		samples = append(samples, Sample{n, 3 * n * n})
 	}
-	f, err := New(Power, samples)
+	f, err := FitSamples(Power, samples)
 	if err != nil || !near(f.A, 3) || !near(f.B, 2) || !near(f.ValueAt(100), 30000) || !near(f.SizeAt(30000), 100) {
 		t.Errorf("%+v %v", f, err)
 	}
 	if f.Formula("n") != "3 n^2.000" {
 		t.Error(f.Formula("n"))
 	}
-	if line, _ := New(Line, samples); line.Residual < 0.2 {
+	if line, _ := FitSamples(Line, samples); line.Residual < 0.2 {
 		t.Errorf("a square passes for a line: %+v", line)
 	}
 }
 
 func TestFlatNeverReaches(t *testing.T) {
-	f, err := New(Line, []Sample{{1, 5}, {2, 5}, {3, 5}, {4, 5}})
+	f, err := FitSamples(Line, []Sample{{1, 5}, {2, 5}, {3, 5}, {4, 5}})
 	if err != nil || !math.IsInf(f.SizeAt(6), 1) || f.SizeAt(4) != 0 {
 		t.Errorf("%+v %v", f, err)
 	}
 }
 
 func TestWhatCannotBeFitted(t *testing.T) {
-	if _, err := New(Line, []Sample{{1, 1}, {1, 2}, {2, 2}, {3, 3}}); !errors.Is(err, ErrTooFewSizes) {
-		t.Error(err)
-	}
-	four := []Sample{{0, 1}, {1, 2}, {2, 2}, {3, 3}}
-	if _, err := New(Power, four); !errors.Is(err, ErrNotPositive) {
-		t.Error(err)
-	}
-	if _, err := New("cubic", four); !errors.Is(err, ErrUnknownForm) {
-		t.Error(err)
+	fourSizes := []Sample{{0, 1}, {1, 2}, {2, 2}, {3, 3}}
+	for name, c := range map[string]struct {
+		form    Form
+		samples []Sample
+		want    error
+	}{
+		"four samples of three sizes": {Line, []Sample{{1, 1}, {1, 2}, {2, 2}, {3, 3}}, ErrTooFewSizes},
+		"a power law from size 0":     {Power, fourSizes, ErrNotPositive},
+		"a form that is none":         {"cubic", fourSizes, ErrUnknownForm},
+	} {
+		t.Run(name, func(t *testing.T) {
+			if _, err := FitSamples(c.form, c.samples); !errors.Is(err, c.want) {
+				t.Errorf("%v instead of %v", err, c.want)
+			}
+		})
 	}
 }
