--- a/lab/fakes/discovery.go
+++ b/lab/fakes/discovery.go
@@ -1,6 +1,7 @@
 package fakes
 
 import (
+	"context"
 	"encoding/json"
 	"net"
 	"net/http"
@@ -9,7 +10,12 @@
 	"time"
 )
 
-// Unit is an entry of discovery's list.
+const (
+	readHeaderTimeout = 5 * time.Second
+	maxWatchMillis    = 60000
+)
+
+// Endpoint is an entry of discovery's list.
 type Endpoint struct {
 	ID            string  `json:"instanceId"`
 	HostPort      string  `json:"hostPort"`
@@ -22,41 +28,53 @@
 	Build         int     `json:"build"`
 }
 
-// Discovery tells relays of planners, as the list is set.
+// endpointList is the whole list in discovery's format.
+type endpointList struct {
+	Generation int        `json:"generation"`
+	Instances  []Endpoint `json:"instances"`
+	Reset      bool       `json:"reset"`
+}
+
+// Discovery serves an endpoint list over HTTP on loopback. Its methods are safe for any goroutine. NewDiscovery starts
+// the goroutine that serves, Close ends it.
 type Discovery struct {
-	mu         sync.Mutex
-	units      []Endpoint
+	listener net.Listener
+	server   *http.Server
+
+	mu         sync.Mutex // guards what follows
+	endpoints  []Endpoint
 	generation int
-	changed    chan struct{}
-	ln         net.Listener
-	srv        *http.Server
+	changed    chan struct{} // closed when the list changes, and replaced by another
 }
 
-// NewDiscovery listens on loopback.
+// NewDiscovery starts to serve an empty list.
 func NewDiscovery() (*Discovery, error) {
-	ln, err := net.Listen("tcp", "127.0.0.1:0")
+	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		return nil, err
 	}
-	d := &Discovery{changed: make(chan struct{}), ln: ln, generation: 1}
+	d := &Discovery{listener: listener, changed: make(chan struct{}), generation: 1}
 	mux := http.NewServeMux()
 	mux.HandleFunc("GET /api/targets", d.targets)
-	d.srv = &http.Server{Handler: mux, ReadHeaderTimeout: 5 * time.Second}
-	go d.srv.Serve(ln)
+	d.server = &http.Server{Handler: mux, ReadHeaderTimeout: readHeaderTimeout}
+	go func() { _ = d.server.Serve(listener) }() // it ends by Close, with an error that says so
 	return d, nil
 }
 
-// Addr is where it listens.
-func (d *Discovery) Addr() string { return d.ln.Addr().String() }
+// Addr is the address on which it listens.
+func (d *Discovery) Addr() string { return d.listener.Addr().String() }
 
-// Close ends it.
-func (d *Discovery) Close() { d.srv.Close() }
+// Close stops serving, and cuts off calls that wait.
+func (d *Discovery) Close() {
+	_ = d.server.Close() // a listener that fails to close changes nothing for those who called
+}
 
-// Set puts another list in place.
-func (d *Discovery) Set(units []Endpoint) {
+// Set replaces the list.
+func (d *Discovery) Set(endpoints []Endpoint) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	d.units, d.generation = append([]Endpoint(nil), units...), d.generation+1
+	d.endpoints = append([]Endpoint(nil), endpoints...) // an empty list is null in JSON, not []
+	d.generation++
 	close(d.changed)
 	d.changed = make(chan struct{})
 }
@@ -65,34 +83,44 @@
 func (d *Discovery) List() json.RawMessage {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	b, _ := json.Marshal(map[string]any{"generation": d.generation, "reset": true, "instances": d.units})
-	return b
+	// Only a weight that is no number could fail to be encoded.
+	list, _ := json.Marshal(endpointList{Generation: d.generation, Instances: d.endpoints, Reset: true})
+	return list
 }
 
-// targets answers a call: the whole list, at once or, for a watch, when there is a newer one.
+// targets answers a call with the whole list: at once, or for a watch (after=GENERATION&wait_ms=N) when there is a newer
+// one or its time is over.
 func (d *Discovery) targets(w http.ResponseWriter, r *http.Request) {
-	after, err := strconv.Atoi(r.URL.Query().Get("after"))
-	if err == nil {
-		ms, _ := strconv.Atoi(r.URL.Query().Get("wait_ms"))
-		late := time.After(time.Duration(min(max(ms, 0), 60000)) * time.Millisecond)
-		for waiting := true; waiting; {
-			d.mu.Lock()
-			newer, changed := d.generation > after, d.changed
-			d.mu.Unlock()
-			if newer {
-				break
-			}
-			select {
-			case <-changed:
-			case <-late:
-				waiting = false
-			case <-r.Context().Done():
-				return
-			}
+	query := r.URL.Query()
+	if after, err := strconv.Atoi(query.Get("after")); err == nil {
+		millis, _ := strconv.Atoi(query.Get("wait_ms")) // 0 where there is none
+		wait := time.Duration(min(max(millis, 0), maxWatchMillis)) * time.Millisecond
+		if err := d.waitNewer(r.Context(), after, wait); err != nil {
+			return
 		}
 	}
+	list := d.List()
 	w.Header().Set("Content-Type", "application/json")
-	b := d.List()
-	w.Header().Set("Content-Length", strconv.Itoa(len(b)))
-	w.Write(b)
+	w.Header().Set("Content-Length", strconv.Itoa(len(list)))
+	_, _ = w.Write(list) // a relay that went away calls again
+}
+
+// waitNewer returns when the list is newer than a generation or the time is over, or with the context's error.
+func (d *Discovery) waitNewer(ctx context.Context, after int, wait time.Duration) error {
+	timeout := time.After(wait)
+	for {
+		d.mu.Lock()
+		newer, changed := d.generation > after, d.changed
+		d.mu.Unlock()
+		if newer {
+			return nil
+		}
+		select {
+		case <-changed:
+		case <-timeout:
+			return nil
+		case <-ctx.Done():
+			return ctx.Err()
+		}
+	}
 }
--- a/lab/fakes/process.go
+++ b/lab/fakes/process.go
@@ -4,6 +4,7 @@
 	"bufio"
 	"errors"
 	"fmt"
+	"io"
 	"net"
 	"os"
 	"os/exec"
@@ -12,73 +13,90 @@
 	"time"
 )
 
-// Process is the program itself, started again; it ends with the one that started it.
+const (
+	listenTimeout = 5 * time.Second
+	dialInterval  = 20 * time.Millisecond
+)
+
+// Errors of WaitListening.
+var (
+	ErrProcessEnded = errors.New("it ended at once")
+	ErrNotListening = errors.New("it does not answer")
+)
+
+// Process is a program that was started; it is killed when the one that started it ends.
 type Process struct {
-	cmd  *exec.Cmd
-	Done chan struct{} // closed when it has ended
+	Done    chan struct{} // closed when it has ended and its output is read
+	command *exec.Cmd
 }
 
-// Start runs a program with some words. Its log goes to a file of its own in a directory, lines of its standard output
-// to each, where that is given.
-func StartProcess(self, dir string, each func(string), words ...string) (*Process, error) {
-	p := &Process{cmd: exec.Command(self, words...), Done: make(chan struct{})}
-	p.cmd.Env = append(os.Environ(), "LICHENROAD_AS_PROGRAM=1")
-	p.cmd.SysProcAttr = &syscall.SysProcAttr{Pdeathsig: syscall.SIGKILL}
-	log, err := os.Create(filepath.Join(dir, fmt.Sprintf("%s-%d.log", words[0], time.Now().UnixNano())))
+// StartProcess runs a program with arguments, the first of which is a verb. Its standard error goes to a file VERB-TIME.log
+// in a directory. Each line of its standard output is passed to onLine, where that is given, on a goroutine that ends with
+// the process.
+func StartProcess(program, dir string, onLine func(string), arguments ...string) (*Process, error) {
+	p := &Process{command: exec.Command(program, arguments...), Done: make(chan struct{})}
+	p.command.Env = append(os.Environ(), "LICHENROAD_AS_PROGRAM=1")
+	p.command.SysProcAttr = &syscall.SysProcAttr{Pdeathsig: syscall.SIGKILL}
+	log, err := os.Create(filepath.Join(dir, fmt.Sprintf("%s-%d.log", arguments[0], time.Now().UnixNano())))
 	if err != nil {
 		return nil, err
 	}
-	p.cmd.Stderr = log
-	out, err := p.cmd.StdoutPipe()
+	p.command.Stderr = log
+	output, err := p.command.StdoutPipe()
 	if err == nil {
-		err = p.cmd.Start()
+		err = p.command.Start()
 	}
 	if err != nil {
-		log.Close()
-		return nil, err
+		return nil, errors.Join(err, log.Close())
 	}
-	go func() {
-		for r := bufio.NewScanner(out); r.Scan(); {
-			if each != nil {
-				each(r.Text())
-			}
-		}
-		p.cmd.Wait()
-		log.Close()
-		close(p.Done)
-	}()
+	go p.follow(output, onLine, log)
 	return p, nil
 }
 
-// Kill sends it a signal.
-func (p *Process) Signal(sig syscall.Signal) { p.cmd.Process.Signal(sig) }
+// follow reads the output until the process ends.
+func (p *Process) follow(output io.Reader, onLine func(string), log *os.File) {
+	defer close(p.Done)
+	for lines := bufio.NewScanner(output); lines.Scan(); {
+		if onLine != nil {
+			onLine(lines.Text())
+		}
+	}
+	_ = p.command.Wait() // most are killed; how one ended is in its log
+	_ = log.Close()      // the process wrote it, by a descriptor of its own
+}
+
+// Signal sends a signal to the process.
+func (p *Process) Signal(signal syscall.Signal) {
+	_ = p.command.Process.Signal(signal) // it fails where the process has ended, which Done says
+}
 
-// FreePorts gives addresses on loopback that were free a moment ago.
+// FreePorts gives n addresses on loopback whose ports were free a moment ago.
 func FreePorts(n int) ([]string, error) {
-	var out []string
+	var addresses []string
 	for range n {
-		ln, err := net.Listen("tcp", "127.0.0.1:0")
+		listener, err := net.Listen("tcp", "127.0.0.1:0")
 		if err != nil {
 			return nil, err
 		}
-		defer ln.Close()
-		out = append(out, ln.Addr().String())
+		defer func() { _ = listener.Close() }() // all are held until the last is found, so that none is found twice
+		addresses = append(addresses, listener.Addr().String())
 	}
-	return out, nil
+	return addresses, nil
 }
 
-// Reach waits until a process takes connections.
+// WaitListening returns when a process accepts connections on an address. It fails with ErrProcessEnded, or after 5 s with
+// ErrNotListening.
 func WaitListening(address string, p *Process) error {
-	for until := time.Now().Add(5 * time.Second); time.Now().Before(until); {
-		if c, err := net.Dial("tcp", address); err == nil {
-			c.Close()
+	for until := time.Now().Add(listenTimeout); time.Now().Before(until); {
+		if conn, err := net.Dial("tcp", address); err == nil {
+			_ = conn.Close() // nothing was sent
 			return nil
 		}
 		select {
 		case <-p.Done:
-			return errors.New("it ended at once")
-		case <-time.After(20 * time.Millisecond):
+			return ErrProcessEnded
+		case <-time.After(dialInterval):
 		}
 	}
-	return errors.New("it does not answer")
+	return ErrNotListening
 }
