--- a/cmd/lichenroad/desk.go
+++ b/cmd/lichenroad/desk.go
@@ -144,22 +144,22 @@
 	w := tabwriter.NewWriter(t.out, 0, 0, 2, ' ', 0)
 	fmt.Fprintln(w, "SERVICE\tBUILD\tPHASE\tSTEP\tSINCE\tCAP\tON\tBACK\tNEXT\tWAITS FOR")
 	for _, s := range r.Status {
-		next, why := "-", s.Why
-		if s.Waiting != 0 {
-			next = strconv.Itoa(int(s.Waiting))
+		next, why := "-", s.BlockText
+		if s.WaitingBuild != 0 {
+			next = strconv.Itoa(int(s.WaitingBuild))
 		}
-		if s.Code != "" {
-			why = string(s.Code) + ": " + s.Why
+		if s.BlockCode != "" {
+			why = string(s.BlockCode) + ": " + s.BlockText
 		}
-		if s.Lost {
+		if s.DependencyLost {
 			why += " (a need was lost)"
 		}
 		since := "-"
 		if s.Since > 0 {
 			since = plan.Time(s.Since).Format("01-02 15:04:05Z")
 		}
-		fmt.Fprintf(w, "%s\t%d\t%s\t%s\t%s\t%g%%\t%d/%d\t%d/%d\t%s\t%s\n", s.Service, s.Build, s.Phase, dash(s.Step), since, 100*s.Cap,
-			s.On, s.OnOf, s.Back, s.BackOf, next, why)
+		fmt.Fprintf(w, "%s\t%d\t%s\t%s\t%s\t%g%%\t%d/%d\t%d/%d\t%s\t%s\n", s.Service, s.Build, s.Phase, dash(s.Step), since, 100*s.ExposureLimit,
+			s.PromoteVotes, s.PromoteVotesNeeded, s.RollBackVotes, s.RollBackVotesNeeded, next, why)
 	}
 	w.Flush()
 	for _, f := range r.Freezes {
@@ -171,7 +171,7 @@
 		if of == "" {
 			of = "all services"
 		}
-		fmt.Fprintf(t.out, "freeze %s of %s %s, by %s: %s\n", f.Name, of, until, f.Who, f.Why)
+		fmt.Fprintf(t.out, "freeze %s of %s %s, by %s: %s\n", f.FreezeName, of, until, f.Actor, f.Reason)
 	}
 }
 
@@ -223,14 +223,14 @@
 	if e.Kind == rollout.EventVoted {
 		words = append(words, fmt.Sprintf("%s: %s", e.Relay, [...]string{"none", "on", "hold", "back"}[e.Verdict]))
 	}
-	if e.Name != "" {
-		words = append(words, e.Name)
+	if e.FreezeName != "" {
+		words = append(words, e.FreezeName)
 	}
-	if e.Who != "" {
-		words = append(words, "by "+e.Who)
+	if e.Actor != "" {
+		words = append(words, "by "+e.Actor)
 	}
-	if e.Why != "" {
-		words = append(words, "("+e.Why+")")
+	if e.Reason != "" {
+		words = append(words, "("+e.Reason+")")
 	}
 	return strings.Join(words, " ")
 }
--- a/internal/guard/guard.go
+++ b/internal/guard/guard.go
@@ -41,7 +41,7 @@
 }
 
 // Names gives the settings' customers by number.
-func Names(site *settings.Site) []string {
+func TenantNames(site *settings.Site) []string {
 	out := make([]string, len(site.Settings.Tenants))
 	for name, no := range site.TenantByName {
 		if int(no) < len(out) {
@@ -68,7 +68,7 @@
 	if clock == nil {
 		clock = func() plan.Unix { return float64(time.Now().UnixNano()) / 1e9 }
 	}
-	h := &Host{loop: l, platform: next, clock: clock, plan: p, service: service, customers: Names(&l.Site),
+	h := &Host{loop: l, platform: next, clock: clock, plan: p, service: service, customers: TenantNames(&l.Site),
 		watches: map[string]*platform.Client{}}
 	groups := make([]plan.GroupIndex, len(h.customers))
 	for i, c := range h.customers {
@@ -109,7 +109,7 @@
 	if n.Valid {
 		h.guard.DependencyStatusReceived(h.clock(), no, n)
 	} else {
-		h.guard.Alive(h.clock(), no)
+		h.guard.DependencyAlive(h.clock(), no)
 	}
 	h.look()
 }
@@ -132,7 +132,7 @@
 
 // Vote carries out the module's vote as far as the plan lets it.
 func (h *Host) Vote(v relay.Vote) {
-	h.cast(h.guard.Vote(h.clock(), v), true)
+	h.cast(h.guard.FilterVote(h.clock(), v), true)
 	h.look()
 }
 
@@ -155,14 +155,14 @@
 		}
 		h.loop.AddEvent(e)
 	}
-	if v, ok := h.guard.Recast(now); ok {
+	if v, ok := h.guard.ReviseVote(now); ok {
 		h.cast(v, false)
 	}
 	if w := h.guard.PromotionBlocked(now); w.Code != h.last.Code {
 		h.last = w
 		h.loop.Log.WithFields(logrus.Fields{"code": string(w.Code), "why": w.Text}).Info("plan")
 	}
-	at := h.loop.Clock.Now() + math.Min(math.Max(h.guard.Next(now)-now, 0.001), lookEvery)
+	at := h.loop.Clock.Now() + math.Min(math.Max(h.guard.NextEvaluation(now)-now, 0.001), lookEvery)
 	if h.wakeAt <= h.loop.Clock.Now() || at < h.wakeAt {
 		h.wakeAt = at
 		h.loop.RunAt(at, func() {
--- a/internal/releasecontroller/control.go
+++ b/internal/releasecontroller/control.go
@@ -144,7 +144,7 @@
 		}
 		d.answers = append(d.answers, func() {
 			now := d.now()
-			out.At, out.Status, out.Freezes = now, d.core.Status(now), d.core.Closures()
+			out.At, out.Status, out.Freezes = now, d.core.ServiceStatuses(now), d.core.OperatorFreezes()
 			got <- out
 		})
 	})
--- a/internal/releasecontroller/desk.go
+++ b/internal/releasecontroller/desk.go
@@ -164,7 +164,7 @@
 		for _, e := range d.events {
 			if e.Kind != rollout.EventVoted {
 				d.log.WithFields(logrus.Fields{"event": string(e.Kind), "service": e.Service, "build": e.Build, "step": e.Step,
-					"name": e.Name, "who": e.Who, "why": e.Why}).Info("release")
+					"name": e.FreezeName, "who": e.Actor, "why": e.Reason}).Info("release")
 			}
 		}
 		d.events = d.events[:0]
@@ -183,7 +183,7 @@
 	again, sign := wall.Sub(d.againAt) >= againEvery, wall.Sub(d.signAt) >= signEvery
 	text := make([]string, len(d.told))
 	for i := range d.told {
-		n := d.core.Statuses(plan.ServiceIndex(i), now)
+		n := d.core.RolloutStatus(plan.ServiceIndex(i), now)
 		same := d.told[i]
 		same.Age = n.Age
 		if n != same || again {
@@ -241,7 +241,7 @@
 			}
 			d.log.Info("journal begun anew")
 		}
-		wait := time.Duration(math.Min(math.Max(d.core.Next(d.now())-d.now(), 0.001), lookEvery.Seconds()) * float64(time.Second))
+		wait := time.Duration(math.Min(math.Max(d.core.NextAdvance(d.now())-d.now(), 0.001), lookEvery.Seconds()) * float64(time.Second))
 		alarm.Reset(wait)
 	}
 }
--- a/internal/releasecontroller/desk_test.go
+++ b/internal/releasecontroller/desk_test.go
@@ -223,7 +223,7 @@
 	if s := b.call("VOTE 7 0 approve"); !strings.HasPrefix(s, "OK 7 0 ") {
 		t.Error("it went on in the freeze: ", s)
 	}
-	if out := r.must(Request{Verb: "status"}); out.Status[0].Code != rollout.BlockedByOperatorFreeze || len(out.Freezes) != 1 {
+	if out := r.must(Request{Verb: "status"}); out.Status[0].BlockCode != rollout.BlockedByOperatorFreeze || len(out.Freezes) != 1 {
 		t.Errorf("%+v", out)
 	}
 	if out := r.must(Request{Verb: "thaw", Name: "audit"}); out.Status[0].Step != "two" {
@@ -242,7 +242,7 @@
 	var kinds []string
 	for _, e := range events {
 		kinds = append(kinds, string(e.Kind))
-		if (e.Kind == rollout.EventFrozen || e.Kind == rollout.EventRollingBack) && (e.Who != "ops" || e.Why != "a test") {
+		if (e.Kind == rollout.EventFrozen || e.Kind == rollout.EventRollingBack) && (e.Actor != "ops" || e.Reason != "a test") {
 			t.Errorf("%+v", e)
 		}
 	}
@@ -360,7 +360,7 @@
 			t.Fatal(err)
 		}
 	}
-	return c.Status(5000)
+	return c.ServiceStatuses(5000)
 }
 
 // TestCutAtEveryByte cuts a journal at every byte: each start folds the whole records before the cut, and goes on.
@@ -476,7 +476,7 @@
 func TestPlanAtReload(t *testing.T) {
 	r := start(t, t.TempDir(), 1000, nil)
 	r.must(Request{Verb: "offer", Service: "a", Build: 7})
-	step := func() float64 { return r.must(Request{Verb: "status"}).Status[0].Cap }
+	step := func() float64 { return r.must(Request{Verb: "status"}).Status[0].ExposureLimit }
 	r.desk.Replan(nil, errors.New("p.xml:3: <step>: cap: no number"))
 	less, more := testPlan(t), testPlan(t)
 	less.Services = less.Services[:1]
--- a/internal/releasecontroller/journal.go
+++ b/internal/releasecontroller/journal.go
@@ -315,7 +315,7 @@
 		}
 		if i > 0 { // it begins with a snapshot of what was said before
 			for k, e := range events {
-				if e.Kind == rollout.EventControllerStarted && e.Why == "snapshot" {
+				if e.Kind == rollout.EventControllerStarted && e.Reason == "snapshot" {
 					events = events[k+1:]
 					break
 				}
--- a/internal/releasecontroller/wire.go
+++ b/internal/releasecontroller/wire.go
@@ -154,7 +154,7 @@
 			d.later(c, func() string {
 				c.watching = true
 				out := linewire.OKLine
-				if n := d.core.Statuses(c.port.service, d.now()); n.Valid {
+				if n := d.core.RolloutStatus(c.port.service, d.now()); n.Valid {
 					out += linewire.StatusNoticeLine(n)
 				}
 				return out
@@ -218,5 +218,5 @@
 		return
 	}
 	d.do(e)
-	d.later(c, func() string { return linewire.StatusReplyLine(d.core.Statuses(c.port.service, d.now())) })
+	d.later(c, func() string { return linewire.StatusReplyLine(d.core.RolloutStatus(c.port.service, d.now())) })
 }
--- a/lab/demo/demo.go
+++ b/lab/demo/demo.go
@@ -449,7 +449,7 @@
 	if err := word(releasecontroller.Request{Verb: "offer", Service: "planner", Build: 2}); err != nil {
 		return err
 	}
-	if err := s.until(ctx, state, func(x rollout.Status) bool { return x.Code == rollout.BlockedByDependency }, "planner waits"); err != nil {
+	if err := s.until(ctx, state, func(x rollout.Status) bool { return x.BlockCode == rollout.BlockedByDependency }, "planner waits"); err != nil {
 		return err
 	}
 	s.say("planner waits: map-data released is needed; offering it")
--- a/lab/node.go
+++ b/lab/node.go
@@ -60,7 +60,7 @@
 			groups = append(groups, w.plan.GroupOf(c))
 		}
 		x.guard = rollout.NewGuard(w.plan, x.f.no, x.site, groups)
-		x.guard.Without(w.opt.Guard)
+		x.guard.DisableSafeguards(w.opt.Guard)
 	}
 	w.check.started(x)
 	var list []relay.Endpoint
@@ -70,12 +70,12 @@
 		}
 	}
 	x.list(relay.ListUpdate{Kind: relay.ListCached, Endpoints: list})
-	if n := w.desk.core.Statuses(x.f.no, w.unix()); n.Valid { // its configuration holds it at each start
+	if n := w.desk.core.RolloutStatus(x.f.no, w.unix()); n.Valid { // its configuration holds it at each start
 		x.hear(x.f.no, n)
 	}
 	for s, yes := range x.hears {
 		if yes {
-			w.desk.tellOne(x, plan.ServiceIndex(s), w.desk.core.Statuses(plan.ServiceIndex(s), w.unix()))
+			w.desk.tellOne(x, plan.ServiceIndex(s), w.desk.core.RolloutStatus(plan.ServiceIndex(s), w.unix()))
 		}
 	}
 	x.signs()
@@ -106,7 +106,7 @@
 		if x.f.w.awake && !x.f.w.desk.silent && x.guard != nil {
 			for s, yes := range x.hears {
 				if yes {
-					x.guard.Alive(x.clock(), plan.ServiceIndex(s))
+					x.guard.DependencyAlive(x.clock(), plan.ServiceIndex(s))
 				}
 			}
 			x.look()
@@ -158,11 +158,11 @@
 	if len(x.buffer) > 0 {
 		x.step(append([]relay.Event(nil), x.buffer...)...)
 	}
-	if v, ok := x.guard.Recast(x.clock()); ok {
+	if v, ok := x.guard.ReviseVote(x.clock()); ok {
 		x.f.w.check.cast(x, v)
 		x.f.w.desk.vote(x, v, false)
 	}
-	at, life := x.guard.Next(x.clock())-x.clock()+x.f.w.now, x.life
+	at, life := x.guard.NextEvaluation(x.clock())-x.clock()+x.f.w.now, x.life
 	if !x.f.w.awake {
 		at = math.Max(at, x.f.w.now+30)
 	}
@@ -220,7 +220,7 @@
 		case relay.Vote:
 			v := o
 			if x.guard != nil {
-				v = x.guard.Vote(x.clock(), o)
+				v = x.guard.FilterVote(x.clock(), o)
 			}
 			w.check.cast(x, v)
 			w.desk.vote(x, v, true)
--- a/lab/week.go
+++ b/lab/week.go
@@ -63,11 +63,11 @@
 
 // Without takes out one defence by its name, and says whether there is one of that name.
 func (o *Options) Without(name string) bool {
-	d, ok := map[string]*bool{"guard": &o.Guard.All, "guard-freezes": &o.Guard.Freezes, "guard-needs": &o.Guard.Needs,
-		"guard-unheard": &o.Guard.Unheard, "guard-groups": &o.Guard.Groups, "guard-ceiling": &o.Guard.Ceiling,
-		"guard-skew": &o.Guard.Skew, "guard-votes": &o.Guard.Votes, "guard-start": &o.Guard.StartProof,
-		"guard-backward": &o.Guard.Backward, "desk-freezes": &o.Desk.Freezes, "desk-needs": &o.Desk.Needs,
-		"desk-least": &o.Desk.MinStageTime, "desk-narrow": &o.Desk.NarrowLost}[name]
+	d, ok := map[string]*bool{"guard": &o.Guard.All, "guard-freezes": &o.Guard.Freezes, "guard-needs": &o.Guard.Dependencies,
+		"guard-unheard": &o.Guard.UnknownDependencies, "guard-groups": &o.Guard.Groups, "guard-ceiling": &o.Guard.FreezeCeiling,
+		"guard-skew": &o.Guard.ClockSkew, "guard-votes": &o.Guard.VoteFilter, "guard-start": &o.Guard.StartInFreeze,
+		"guard-backward": &o.Guard.BackwardStatus, "desk-freezes": &o.Desk.Freezes, "desk-needs": &o.Desk.Dependencies,
+		"desk-least": &o.Desk.MinStageTime, "desk-narrow": &o.Desk.LostDependencies}[name]
 	if ok {
 		*d = true
 	}
@@ -191,7 +191,7 @@
 // busy says whether a release is under way that may go on within half a minute.
 func (s *spell) busy() bool {
 	for i := range s.w.fleets {
-		w := s.w.desk.core.Why(plan.ServiceIndex(i), s.w.unix())
+		w := s.w.desk.core.BlockReason(plan.ServiceIndex(i), s.w.unix())
 		switch w.Code {
 		case rollout.BlockedByMissingVotes, rollout.BlockedByRollback, rollout.Unblocked, rollout.BlockedByHoldVotes:
 			return true
--- a/lab/world.go
+++ b/lab/world.go
@@ -140,7 +140,7 @@
 // begin starts the desk's process with a journal.
 func (d *deskLink) begin(journal []rollout.Event) {
 	d.core = rollout.New(d.w.plan)
-	d.core.Without(d.w.opt.Desk)
+	d.core.DisableSafeguards(d.w.opt.Desk)
 	for _, e := range journal {
 		if err := d.core.Apply(e); err != nil {
 			panic(err) // it wrote them itself
@@ -180,13 +180,13 @@
 		d.keep(e)
 	}
 	for i := range d.told {
-		w := d.core.Why(plan.ServiceIndex(i), d.w.unix())
+		w := d.core.BlockReason(plan.ServiceIndex(i), d.w.unix())
 		if w.Code != d.code[i] {
 			d.held[d.code[i]] += d.w.unix() - d.since[i]
 			d.code[i], d.since[i] = w.Code, d.w.unix()
 			d.w.mark("%s waits: %s", d.w.plan.Services[i].Name, w)
 		}
-		n := d.core.Statuses(plan.ServiceIndex(i), d.w.unix())
+		n := d.core.RolloutStatus(plan.ServiceIndex(i), d.w.unix())
 		same := d.told[i]
 		same.Age = n.Age
 		if n != same {
@@ -194,7 +194,7 @@
 			d.tell(plan.ServiceIndex(i))
 		}
 	}
-	next := d.core.Next(d.w.unix()) - d.w.epoch
+	next := d.core.NextAdvance(d.w.unix()) - d.w.epoch
 	if !d.w.awake { // nothing lapses that matters while nobody votes
 		next = math.Max(next, d.w.now+60)
 	}
@@ -214,7 +214,7 @@
 	if d.silent {
 		return
 	}
-	n := d.core.Statuses(s, d.w.unix())
+	n := d.core.RolloutStatus(s, d.w.unix())
 	if !n.Valid {
 		return
 	}
@@ -269,7 +269,7 @@
 			return
 		}
 		d.take(e)
-		n := d.core.Statuses(x.f.no, d.w.unix())
+		n := d.core.RolloutStatus(x.f.no, d.w.unix())
 		n.Reply = relay.ReplyCounted
 		back(n, between(d.rng, 0.001, 0.02))
 	})
--- a/rollout/core.go
+++ b/rollout/core.go
@@ -23,11 +23,11 @@
 
 // Release is where a build stands.
 type Release struct {
-	Build relay.Build
-	Step  plan.StepIndex
-	Phase relay.Phase
-	Since plan.Unix // when the present step or phase began
-	Began plan.Unix
+	Build     relay.Build
+	Step      plan.StepIndex
+	Phase     relay.Phase
+	Since     plan.Unix // when the present step or phase began
+	StartedAt plan.Unix
 }
 
 // vote is one relay's, which stands for a while.
@@ -69,7 +69,7 @@
 }
 
 // Defences that tests take out, to show what each is for. All stand by default.
-type Safeguards struct{ Freezes, Needs, MinStageTime, NarrowLost, StaleVotes bool }
+type Safeguards struct{ Freezes, Dependencies, MinStageTime, LostDependencies, StaleVotes bool }
 
 // New returns the state before any event.
 func New(p *plan.Plan) *Core {
@@ -81,7 +81,7 @@
 }
 
 // Without takes defences out. Only for tests and for experiments that show what a defence is worth.
-func (c *Core) Without(d Safeguards) { c.off = d }
+func (c *Core) DisableSafeguards(d Safeguards) { c.off = d }
 
 // Plan is the plan that holds.
 func (c *Core) Plan() *plan.Plan { return c.plan }
@@ -131,7 +131,7 @@
 		c.now(e.At)
 		return nil
 	case EventFrozen:
-		if e.Name == "" || slices.ContainsFunc(c.closures, func(x closure) bool { return x.Name == e.Name }) {
+		if e.FreezeName == "" || slices.ContainsFunc(c.closures, func(x closure) bool { return x.FreezeName == e.FreezeName }) {
 			return wrong("the freeze has no name of its own")
 		}
 		if len(c.closures) >= mostFreezes {
@@ -141,7 +141,7 @@
 		c.now(e.At)
 		return nil
 	case EventUnfrozen:
-		at := slices.IndexFunc(c.closures, func(x closure) bool { return x.Name == e.Name })
+		at := slices.IndexFunc(c.closures, func(x closure) bool { return x.FreezeName == e.FreezeName })
 		if at < 0 {
 			return wrong("there is no such freeze")
 		}
@@ -156,7 +156,7 @@
 	s, terms := &c.services[no], &c.plan.Services[no]
 	under := s.known && s.newest.Build == e.Build
 	trial := under && s.newest.Phase == relay.PhaseCanary
-	next := Release{Build: e.Build, Step: e.Step, Phase: relay.PhaseCanary, Since: e.At, Began: s.newest.Began}
+	next := Release{Build: e.Build, Step: e.Step, Phase: relay.PhaseCanary, Since: e.At, StartedAt: s.newest.StartedAt}
 	switch e.Kind {
 	case EventOffered:
 		if e.Build <= 0 || e.Build >= mostBuild || e.Build <= s.waiting || s.known && e.Build <= s.newest.Build {
@@ -172,7 +172,7 @@
 		if s.waiting != e.Build || e.Step != 0 || s.busy() {
 			return wrong("it can't begin")
 		}
-		next.Began = e.At
+		next.StartedAt = e.At
 		s.newest, s.known, s.waiting = next, true, 0
 		clear(s.votes)
 	case EventPromoted:
@@ -271,7 +271,7 @@
 	t := &c.plan.Services[no]
 	for _, x := range c.closures {
 		if (x.Service == "" || x.Service == t.Name) && (x.Until == 0 || now < x.Until) {
-			return BlockReason{BlockedByOperatorFreeze, fmt.Sprintf("freeze %s by %s: %s", x.Name, x.Who, x.Why), x.Until}
+			return BlockReason{BlockedByOperatorFreeze, fmt.Sprintf("freeze %s by %s: %s", x.FreezeName, x.Actor, x.Reason), x.Until}
 		}
 	}
 	what := plan.FreezePromotions
@@ -300,7 +300,7 @@
 func (c *Core) CanPromote(no plan.ServiceIndex, step plan.StepIndex, now plan.Unix) BlockReason {
 	s, t := &c.services[no], &c.plan.Services[no]
 	if s.halted {
-		return BlockReason{BlockedByHalt, fmt.Sprintf("halted by %s: %s", s.haltWhy.Who, s.haltWhy.Why), 0}
+		return BlockReason{BlockedByHalt, fmt.Sprintf("halted by %s: %s", s.haltWhy.Actor, s.haltWhy.Reason), 0}
 	}
 	if w := c.closed(no, step, now); !w.Ok() {
 		return w
@@ -309,7 +309,7 @@
 		// Relays and whoever runs the fleet must hear of the release and go over to it first.
 		return BlockReason{BlockedBySettleTime, fmt.Sprintf("build %d was released, the next begins at %s", s.newest.Build, clockText(till)), till}
 	}
-	if c.off.Needs {
+	if c.off.Dependencies {
 		return BlockReason{}
 	}
 	for k := plan.StepIndex(0); k <= step && int(k) < len(t.Steps); k++ { // what an earlier step needed must still hold
@@ -323,7 +323,7 @@
 }
 
 // Why says what the service waits for.
-func (c *Core) Why(no plan.ServiceIndex, now plan.Unix) BlockReason {
+func (c *Core) BlockReason(no plan.ServiceIndex, now plan.Unix) BlockReason {
 	now = c.now(now)
 	s, t := &c.services[no], &c.plan.Services[no]
 	if s.busy() && s.newest.Phase == relay.PhaseRollingBack {
@@ -369,7 +369,7 @@
 	}
 	for i := len(c.closures) - 1; i >= 0; i-- {
 		if x := c.closures[i]; x.Until > 0 && now >= x.Until {
-			e := Event{At: now, Kind: EventUnfrozen, Service: x.Service, Name: x.Name, Who: "desk", Why: "its time is over"}
+			e := Event{At: now, Kind: EventUnfrozen, Service: x.Service, FreezeName: x.FreezeName, Actor: "desk", Reason: "its time is over"}
 			if c.Apply(e) == nil {
 				out = append(out, e)
 			}
@@ -384,12 +384,12 @@
 			case s.known && (n.Phase == relay.PhaseCanary || n.Phase == relay.PhaseReleased) &&
 				c.count(no, relay.VoteRollBack, now) >= c.needed(no, relay.VoteRollBack):
 				// Back is always free: no freeze, halt or need stands in its way.
-				do(no, Event{Kind: EventRollingBack, Build: n.Build, Step: n.Step, Why: fmt.Sprintf("%d relays vote it back", c.count(no, relay.VoteRollBack, now))})
+				do(no, Event{Kind: EventRollingBack, Build: n.Build, Step: n.Step, Reason: fmt.Sprintf("%d relays vote it back", c.count(no, relay.VoteRollBack, now))})
 			case s.known && n.Phase == relay.PhaseRollingBack && now >= n.Since+t.RollbackTime:
 				do(no, Event{Kind: EventWithdrawn, Build: n.Build, Step: n.Step})
 			case !s.busy() && s.waiting != 0 && c.CanPromote(no, 0, now).Ok():
 				do(no, Event{Kind: EventBegan, Build: s.waiting})
-			case s.known && n.Phase == relay.PhaseCanary && c.Why(no, now).Ok():
+			case s.known && n.Phase == relay.PhaseCanary && c.BlockReason(no, now).Ok():
 				if int(n.Step)+1 < len(t.Steps) {
 					do(no, Event{Kind: EventPromoted, Build: n.Build, Step: n.Step + 1})
 				} else {
@@ -404,11 +404,11 @@
 
 // Next is when Due should be asked again although nothing was told: when a freeze, a least time, an operator's
 // freeze or the way back ends.
-func (c *Core) Next(now plan.Unix) plan.Unix {
+func (c *Core) NextAdvance(now plan.Unix) plan.Unix {
 	now = c.now(now)
 	next := c.calendar.Next(now)
 	for i := range c.services {
-		if w := c.Why(plan.ServiceIndex(i), now); w.Until > now {
+		if w := c.BlockReason(plan.ServiceIndex(i), now); w.Until > now {
 			next = math.Min(next, w.Until)
 		} else if c.services[i].busy() {
 			next = math.Min(next, now+lookAgain) // votes lapse
@@ -464,7 +464,7 @@
 	if b <= 0 || b >= mostBuild || s.known && b <= s.newest.Build || b <= s.waiting {
 		return Event{}, fmt.Errorf("build %d is not later than build %d of %s", b, max(s.newest.Build, s.waiting), t.Name)
 	}
-	e := Event{At: now, Kind: EventOffered, Service: t.Name, Build: b, Who: who, Why: clip(why)}
+	e := Event{At: now, Kind: EventOffered, Service: t.Name, Build: b, Actor: who, Reason: clip(why)}
 	if s.waiting != 0 {
 		e.Kind = EventSuperseded
 	}
@@ -476,7 +476,7 @@
 // Operate gives the event of an operator's word; who and why are kept with it.
 func (c *Core) Operate(kind EventKind, service, name, who, why string, until, at plan.Unix) (Event, error) {
 	now := c.now(at)
-	e := Event{At: now, Kind: kind, Service: service, Name: name, Until: until, Who: clip(who), Why: clip(why)}
+	e := Event{At: now, Kind: kind, Service: service, FreezeName: name, Until: until, Actor: clip(who), Reason: clip(why)}
 	if who == "" || why == "" {
 		return Event{}, errors.New("who and why must be said")
 	}
@@ -489,14 +489,14 @@
 		if until != 0 && until <= now {
 			return Event{}, errors.New("the freeze would be over already")
 		}
-		if name == "" || slices.ContainsFunc(c.closures, func(x closure) bool { return x.Name == name }) {
+		if name == "" || slices.ContainsFunc(c.closures, func(x closure) bool { return x.FreezeName == name }) {
 			return Event{}, fmt.Errorf("freeze %q has no name of its own", name)
 		}
 		if len(c.closures) >= mostFreezes {
 			return Event{}, fmt.Errorf("%d freezes are set, no more are kept", mostFreezes)
 		}
 	case EventUnfrozen:
-		at := slices.IndexFunc(c.closures, func(x closure) bool { return x.Name == name })
+		at := slices.IndexFunc(c.closures, func(x closure) bool { return x.FreezeName == name })
 		if at < 0 {
 			return Event{}, fmt.Errorf("no operator set a freeze %q (those of the plan end as it says)", name)
 		}
@@ -519,9 +519,9 @@
 
 // Supported is the deepest step that the newest build stands at and whose needs, and those of the steps before it,
 // hold; -1 where not even those of the first do. A dependency that turned bad takes it back, at once.
-func (c *Core) Supported(no plan.ServiceIndex) plan.StepIndex {
+func (c *Core) SupportedStep(no plan.ServiceIndex) plan.StepIndex {
 	s, t := &c.services[no], &c.plan.Services[no]
-	if c.off.NarrowLost {
+	if c.off.LostDependencies {
 		return s.newest.Step
 	}
 	for k := plan.StepIndex(0); k <= s.newest.Step && int(k) < len(t.Steps); k++ {
@@ -546,7 +546,7 @@
 	case s.newest.Phase != relay.PhaseCanary:
 		return 0
 	}
-	k := c.Supported(no)
+	k := c.SupportedStep(no)
 	if k < 0 || !t.Open(k, site, group) {
 		return 0
 	}
@@ -555,7 +555,7 @@
 
 // News is what relays are told of a service: the newest build that has begun, with the cap of the deepest step
 // whose needs hold.
-func (c *Core) Statuses(no plan.ServiceIndex, at plan.Unix) relay.RolloutStatus {
+func (c *Core) RolloutStatus(no plan.ServiceIndex, at plan.Unix) relay.RolloutStatus {
 	now := c.now(at)
 	s, t := &c.services[no], &c.plan.Services[no]
 	if !s.known {
@@ -567,7 +567,7 @@
 	case relay.PhaseReleased:
 		n.ExposureLimit = 1
 	case relay.PhaseCanary:
-		if k := c.Supported(no); k >= 0 {
+		if k := c.SupportedStep(no); k >= 0 {
 			n.ExposureLimit = t.Steps[k].ExposureLimit
 		}
 	}
@@ -576,42 +576,42 @@
 
 // Status is what an operator sees of one service.
 type Status struct {
-	Service string      `json:"service"`
-	Build   relay.Build `json:"build"`
-	Phase   string      `json:"phase"`
-	Step    string      `json:"step"`
-	Since   plan.Unix   `json:"since"`
-	Cap     float64     `json:"cap"`
-	Waiting relay.Build `json:"waiting,omitempty"`
-	Code    BlockCode   `json:"code"`
-	Why     string      `json:"why"`
-	Until   plan.Unix   `json:"until,omitempty"`
-	On      int         `json:"votes_on"`
-	OnOf    int         `json:"votes_on_needed"`
-	Back    int         `json:"votes_back"`
-	BackOf  int         `json:"votes_back_needed"`
-	Halted  bool        `json:"halted"`
-	Lost    bool        `json:"needs_lost"` // it is released or on trial past what its needs still hold
+	Service             string      `json:"service"`
+	Build               relay.Build `json:"build"`
+	Phase               string      `json:"phase"`
+	Step                string      `json:"step"`
+	Since               plan.Unix   `json:"since"`
+	ExposureLimit       float64     `json:"cap"`
+	WaitingBuild        relay.Build `json:"waiting,omitempty"`
+	BlockCode           BlockCode   `json:"code"`
+	BlockText           string      `json:"why"`
+	BlockedUntil        plan.Unix   `json:"until,omitempty"`
+	PromoteVotes        int         `json:"votes_on"`
+	PromoteVotesNeeded  int         `json:"votes_on_needed"`
+	RollBackVotes       int         `json:"votes_back"`
+	RollBackVotesNeeded int         `json:"votes_back_needed"`
+	Halted              bool        `json:"halted"`
+	DependencyLost      bool        `json:"needs_lost"` // it is released or on trial past what its needs still hold
 }
 
 var phaseNames = map[relay.Phase]string{relay.PhaseCanary: "on trial", relay.PhaseRollingBack: "going back",
 	relay.PhaseReleased: "released", relay.PhaseWithdrawn: "withdrawn"}
 
 // Status lists all services.
-func (c *Core) Status(at plan.Unix) (out []Status) {
+func (c *Core) ServiceStatuses(at plan.Unix) (out []Status) {
 	now := c.now(at)
 	for i := range c.services {
 		no, s, t := plan.ServiceIndex(i), &c.services[i], &c.plan.Services[i]
-		w, n := c.Why(no, now), c.Statuses(no, now)
-		x := Status{Service: t.Name, Build: s.newest.Build, Phase: "none", Since: s.newest.Since, Cap: n.ExposureLimit, Waiting: s.waiting,
-			Code: w.Code, Why: w.Text, Until: w.Until, Halted: s.halted, OnOf: c.needed(no, relay.VotePromote), BackOf: c.needed(no, relay.VoteRollBack)}
-		if math.IsInf(x.Until, 0) {
-			x.Until = 0
+		w, n := c.BlockReason(no, now), c.RolloutStatus(no, now)
+		x := Status{Service: t.Name, Build: s.newest.Build, Phase: "none", Since: s.newest.Since, ExposureLimit: n.ExposureLimit, WaitingBuild: s.waiting,
+			BlockCode: w.Code, BlockText: w.Text, BlockedUntil: w.Until, Halted: s.halted, PromoteVotesNeeded: c.needed(no, relay.VotePromote), RollBackVotesNeeded: c.needed(no, relay.VoteRollBack)}
+		if math.IsInf(x.BlockedUntil, 0) {
+			x.BlockedUntil = 0
 		}
 		if s.known {
 			x.Phase, x.Step = phaseNames[s.newest.Phase], t.StepName(s.newest.Step)
-			x.On, x.Back = c.count(no, relay.VotePromote, now), c.count(no, relay.VoteRollBack, now)
-			x.Lost = (s.newest.Phase == relay.PhaseCanary || s.newest.Phase == relay.PhaseReleased) && c.Supported(no) < s.newest.Step
+			x.PromoteVotes, x.RollBackVotes = c.count(no, relay.VotePromote, now), c.count(no, relay.VoteRollBack, now)
+			x.DependencyLost = (s.newest.Phase == relay.PhaseCanary || s.newest.Phase == relay.PhaseReleased) && c.SupportedStep(no) < s.newest.Step
 		}
 		out = append(out, x)
 	}
@@ -619,11 +619,11 @@
 }
 
 // Closures lists the operators' freezes that stand, by name.
-func (c *Core) Closures() (out []Event) {
+func (c *Core) OperatorFreezes() (out []Event) {
 	for _, x := range c.closures {
 		out = append(out, x.Event)
 	}
-	sort.Slice(out, func(i, j int) bool { return out[i].Name < out[j].Name })
+	sort.Slice(out, func(i, j int) bool { return out[i].FreezeName < out[j].FreezeName })
 	return out
 }
 
@@ -633,7 +633,7 @@
 		s, name := &c.services[i], c.plan.Services[i].Name
 		if s.known {
 			n := s.newest
-			began := n.Began
+			began := n.StartedAt
 			if s.newest.Step == 0 && n.Phase == relay.PhaseCanary {
 				began = n.Since
 			}
@@ -671,5 +671,5 @@
 	for _, x := range c.closures {
 		out = append(out, x.Event)
 	}
-	return append(out, Event{At: c.last, Kind: EventControllerStarted, Why: "snapshot"})
+	return append(out, Event{At: c.last, Kind: EventControllerStarted, Reason: "snapshot"})
 }
--- a/rollout/events.go
+++ b/rollout/events.go
@@ -36,17 +36,17 @@
 
 // Event is one thing that happened, as a journal keeps it.
 type Event struct {
-	At      plan.Unix      `json:"at"`
-	Kind    EventKind      `json:"kind"`
-	Service string         `json:"service,omitempty"` // none: all
-	Build   relay.Build    `json:"build,omitempty"`
-	Step    plan.StepIndex `json:"step,omitempty"`
-	Relay   string         `json:"relay,omitempty"`
-	Verdict relay.Verdict  `json:"verdict,omitempty"`
-	Name    string         `json:"name,omitempty"` // of a freeze
-	Until   plan.Unix      `json:"until,omitempty"`
-	Who     string         `json:"who,omitempty"`
-	Why     string         `json:"why,omitempty"`
+	At         plan.Unix      `json:"at"`
+	Kind       EventKind      `json:"kind"`
+	Service    string         `json:"service,omitempty"` // none: all
+	Build      relay.Build    `json:"build,omitempty"`
+	Step       plan.StepIndex `json:"step,omitempty"`
+	Relay      string         `json:"relay,omitempty"`
+	Verdict    relay.Verdict  `json:"verdict,omitempty"`
+	FreezeName string         `json:"name,omitempty"` // of a freeze
+	Until      plan.Unix      `json:"until,omitempty"`
+	Actor      string         `json:"who,omitempty"`
+	Reason     string         `json:"why,omitempty"`
 }
 
 // Code is a reason why something waits, from a fixed list (docs/releases.md).
--- a/rollout/guard.go
+++ b/rollout/guard.go
@@ -51,16 +51,16 @@
 
 // GuardSafeguards that tests take out, to show what each is for. All stand by default.
 type GuardSafeguards struct {
-	All        bool // no guard at all
-	Freezes    bool // no look at freezes
-	Needs      bool // needs of steps are not looked at
-	Unheard    bool // a need that was never heard of counts as met
-	Groups     bool // every customer counts as open
-	Ceiling    bool // caps may rise in a freeze
-	Skew       bool // clocks are taken to agree
-	Votes      bool // votes go out as the module means them
-	StartProof bool // a relay that starts in a freeze takes what it is told
-	Backward   bool // news that go backwards are believed
+	All                 bool // no guard at all
+	Freezes             bool // no look at freezes
+	Dependencies        bool // needs of steps are not looked at
+	UnknownDependencies bool // a need that was never heard of counts as met
+	Groups              bool // every customer counts as open
+	FreezeCeiling       bool // caps may rise in a freeze
+	ClockSkew           bool // clocks are taken to agree
+	VoteFilter          bool // votes go out as the module means them
+	StartInFreeze       bool // a relay that starts in a freeze takes what it is told
+	BackwardStatus      bool // news that go backwards are believed
 }
 
 // NewGuard returns the guard of a relay. Groups holds the group of each customer, by the module's numbers.
@@ -74,9 +74,9 @@
 }
 
 // Without takes defences out. Only for tests and experiments.
-func (g *Guard) Without(d GuardSafeguards) {
+func (g *Guard) DisableSafeguards(d GuardSafeguards) {
 	g.off = d
-	if d.Skew {
+	if d.ClockSkew {
 		g.calendar = plan.NewCalendar(g.plan, false)
 	}
 }
@@ -98,7 +98,7 @@
 	if n := plan.StepIndex(len(p.Services[service].Steps)); g.granted > n || int(g.granted) == len(g.plan.Services[g.service].Steps) {
 		g.granted = min(g.granted, n)
 	}
-	g.plan, g.service, g.site, g.others, g.calendar = p, service, site, others, plan.NewCalendar(p, !g.off.Skew)
+	g.plan, g.service, g.site, g.others, g.calendar = p, service, site, others, plan.NewCalendar(p, !g.off.ClockSkew)
 	g.groups, g.did = nil, false
 	for _, c := range customers {
 		g.groups = append(g.groups, int(p.GroupOf(c)))
@@ -126,9 +126,9 @@
 	switch {
 	case first || n.Build > g.news.Build:
 		g.granted = -1
-	case n.Build < g.news.Build && !g.off.Backward:
+	case n.Build < g.news.Build && !g.off.BackwardStatus:
 		return // a desk with an older journal; the later build is known here
-	case g.known && n.Build == g.news.Build && over(g.news) && !over(n) && !g.off.Backward:
+	case g.known && n.Build == g.news.Build && over(g.news) && !over(n) && !g.off.BackwardStatus:
 		return // it has been on its way back: nothing that was told earlier, or by a desk that forgot, opens it again
 	}
 	g.known, g.news, g.since = true, n, g.now-n.Age
@@ -153,14 +153,14 @@
 		return
 	}
 	old := &g.others[s].news
-	if !g.off.Backward && (n.Build < old.Build || n.Build == old.Build && over(*old) && !over(n)) {
+	if !g.off.BackwardStatus && (n.Build < old.Build || n.Build == old.Build && over(*old) && !over(n)) {
 		return // it came late, or from a desk that forgot: what went back stays back
 	}
 	g.others[s] = heardOf{n, g.now}
 }
 
 // Alive says that the watch on another service stands: what was last told of it still holds.
-func (g *Guard) Alive(now plan.Unix, s plan.ServiceIndex) {
+func (g *Guard) DependencyAlive(now plan.Unix, s plan.ServiceIndex) {
 	g.at(now)
 	if int(s) < len(g.others) && g.others[s].news.Valid {
 		g.others[s].at = g.now
@@ -175,7 +175,7 @@
 	if !in {
 		return
 	}
-	if g.off.StartProof || g.since < f.Since { // needs are looked at all the same, in supported
+	if g.off.StartInFreeze || g.since < f.Since { // needs are looked at all the same, in supported
 		g.granted = g.stage()
 	}
 }
@@ -224,16 +224,16 @@
 
 // may says whether all that a step needs was heard of lately.
 func (g *Guard) may(step plan.StepIndex) BlockReason {
-	if g.off.Needs || int(step) >= len(g.terms().Steps) {
+	if g.off.Dependencies || int(step) >= len(g.terms().Steps) {
 		return BlockReason{}
 	}
 	for _, n := range g.terms().Steps[step].Dependencies {
 		o := &g.others[n.Service]
 		switch {
-		case !o.news.Valid && g.off.Unheard:
+		case !o.news.Valid && g.off.UnknownDependencies:
 		case !o.news.Valid:
 			return BlockReason{BlockedByStaleStatus, g.plan.DependencyText(n) + ": nothing was heard of it", 0}
-		case g.now-o.at > g.plan.StatusTTL && !g.off.Unheard:
+		case g.now-o.at > g.plan.StatusTTL && !g.off.UnknownDependencies:
 			return BlockReason{BlockedByStaleStatus, fmt.Sprintf("%s: last heard of %.0f s ago", g.plan.DependencyText(n), g.now-o.at), 0}
 		case !reached(n, o.news.Phase, plan.StepIndex(o.news.Stage)):
 			return BlockReason{BlockedByDependency, g.plan.DependencyText(n), 0}
@@ -247,13 +247,13 @@
 // would cost the capacity of its units. What was never heard of counts as lost.
 func (g *Guard) supported() plan.StepIndex {
 	top := min(g.granted, g.stage())
-	if g.off.Needs {
+	if g.off.Dependencies {
 		return top
 	}
 	for k := plan.StepIndex(0); k <= top && int(k) < len(g.terms().Steps); k++ {
 		for _, n := range g.terms().Steps[k].Dependencies {
 			o := &g.others[n.Service]
-			if !o.news.Valid && !g.off.Unheard || o.news.Valid && !reached(n, o.news.Phase, plan.StepIndex(o.news.Stage)) {
+			if !o.news.Valid && !g.off.UnknownDependencies || o.news.Valid && !reached(n, o.news.Phase, plan.StepIndex(o.news.Stage)) {
 				return k - 1
 			}
 		}
@@ -281,7 +281,7 @@
 // bound keeps cap and step from rising in a freeze above what held at the look before, as a need that comes back would
 // have them. Only a release that came before the freeze is taken in it.
 func (g *Guard) bound(limit float64, step plan.StepIndex) (float64, plan.StepIndex) {
-	if !g.held || g.off.Ceiling || int(step) >= len(g.terms().Steps) {
+	if !g.held || g.off.FreezeCeiling || int(step) >= len(g.terms().Steps) {
 		return limit, step
 	}
 	return math.Min(limit, g.ceiling), min(step, g.top)
@@ -349,7 +349,7 @@
 // PromotionBlocked says why a vote for going on from the platform's present step has to wait, as far as this relay can tell.
 func (g *Guard) PromotionBlocked(now plan.Unix) BlockReason {
 	g.at(now)
-	if g.off.All || g.off.Votes || !g.known || g.news.Phase != relay.PhaseCanary {
+	if g.off.All || g.off.VoteFilter || !g.known || g.news.Phase != relay.PhaseCanary {
 		return BlockReason{}
 	}
 	next := plan.StepIndex(g.news.Stage) + 1
@@ -369,14 +369,14 @@
 
 // Vote is what becomes of a vote that the module orders: a vote for on turns into a hold while the plan says wait.
 // A vote for back goes out as it is, whatever the plan says.
-func (g *Guard) Vote(now plan.Unix, v relay.Vote) relay.Vote {
+func (g *Guard) FilterVote(now plan.Unix, v relay.Vote) relay.Vote {
 	g.wanted, g.voted = v, true
 	g.cast = g.filter(now, v)
 	return g.cast
 }
 
 func (g *Guard) filter(now plan.Unix, v relay.Vote) relay.Vote {
-	if v.Verdict != relay.VotePromote || g.off.All || g.off.Votes {
+	if v.Verdict != relay.VotePromote || g.off.All || g.off.VoteFilter {
 		return v
 	}
 	// A module that is told less than the platform's news (a release that is not granted here yet) goes on voting for a
@@ -389,7 +389,7 @@
 
 // Recast gives the vote that has to be cast because the plan's word on the module's last one has changed: an on that
 // may stand again, or one that must not stand any longer. The module's own renewals make up for one that is lost.
-func (g *Guard) Recast(now plan.Unix) (relay.Vote, bool) {
+func (g *Guard) ReviseVote(now plan.Unix) (relay.Vote, bool) {
 	if !g.voted || g.wanted.Verdict != relay.VotePromote || !g.known || g.wanted.Build != g.news.Build ||
 		g.wanted.Stage != g.news.Stage || g.news.Phase != relay.PhaseCanary {
 		return relay.Vote{}, false
@@ -403,7 +403,7 @@
 }
 
 // Next is when Look has to be called again although nothing was heard.
-func (g *Guard) Next(now plan.Unix) plan.Unix {
+func (g *Guard) NextEvaluation(now plan.Unix) plan.Unix {
 	g.at(now)
 	next := g.calendar.Next(g.now)
 	for s := range g.others { // news that turn too old
--- a/rollout/guard_test.go
+++ b/rollout/guard_test.go
@@ -21,7 +21,7 @@
 func newNode(t interface{ Fatal(...any) }, off GuardSafeguards) *node {
 	p := chain(t)
 	g := NewGuard(p, 1, 0, []plan.GroupIndex{p.GroupOf("p1"), p.GroupOf("q1"), plan.NoGroup})
-	g.Without(off)
+	g.DisableSafeguards(off)
 	return &node{Guard: g}
 }
 
@@ -67,45 +67,45 @@
 			n.hear(freezeFrom-60, trial(3, 0, 0.1, 0))
 			return n.hear(freezeFrom+3, trial(3, 1, 0.3, 10)) // it came to be before the freeze, but was not heard of
 		}, 0.1, 0.3},
-		{"late news of more at the same step", GuardSafeguards{Ceiling: true}, func(n *node) float64 {
+		{"late news of more at the same step", GuardSafeguards{FreezeCeiling: true}, func(n *node) float64 {
 			n.hear(freezeFrom-60, trial(3, 1, 0.2, 0))
 			n.look(freezeFrom + 1)
 			return n.hear(freezeFrom+3, trial(3, 1, 0.3, 70))
 		}, 0.2, 0.3},
-		{"a need comes back within a freeze", GuardSafeguards{Ceiling: true}, func(n *node) float64 {
+		{"a need comes back within a freeze", GuardSafeguards{FreezeCeiling: true}, func(n *node) float64 {
 			n.hear(freezeFrom-60, trial(3, 1, 0.3, 0))
 			n.DependencyStatusReceived(freezeFrom-5, 0, as(trial(1, 1, 0, 0), relay.PhaseRollingBack))
 			n.look(freezeFrom + 1)
 			n.DependencyStatusReceived(freezeFrom+9, 0, trial(2, 2, 0.6, 0))
 			return n.look(freezeFrom + 9)
 		}, 0, 0.3},
-		{"its clock is behind by less than the skew", GuardSafeguards{Skew: true}, func(n *node) float64 {
+		{"its clock is behind by less than the skew", GuardSafeguards{ClockSkew: true}, func(n *node) float64 {
 			n.hear(freezeFrom-60, trial(3, 0, 0.1, 0))
 			return n.hear(freezeFrom-1.5, trial(3, 1, 0.3, 0)) // the freeze has begun by the desk's clock
 		}, 0.1, 0.3},
-		{"it starts within a freeze and is told of a step that began within", GuardSafeguards{StartProof: true}, func(n *node) float64 {
+		{"it starts within a freeze and is told of a step that began within", GuardSafeguards{StartInFreeze: true}, func(n *node) float64 {
 			return n.hear(freezeFrom+60, trial(3, 1, 0.3, 59))
 		}, 0, 0.3},
-		{"the need was never heard of", GuardSafeguards{Unheard: true}, func(n *node) float64 {
+		{"the need was never heard of", GuardSafeguards{UnknownDependencies: true}, func(n *node) float64 {
 			n.StatusReceived(day, trial(3, 0, 0.1, 0))
 			return n.look(day)
 		}, 0, 0.1},
-		{"the need is not as far", GuardSafeguards{Needs: true}, func(n *node) float64 {
+		{"the need is not as far", GuardSafeguards{Dependencies: true}, func(n *node) float64 {
 			n.DependencyStatusReceived(day, 0, trial(1, 0, 0.1, 0))
 			n.StatusReceived(day, trial(3, 1, 0.3, 0))
 			return n.look(day)
 		}, 0.1, 0.3},
-		{"the need goes back under a step that is open", GuardSafeguards{Needs: true}, func(n *node) float64 {
+		{"the need goes back under a step that is open", GuardSafeguards{Dependencies: true}, func(n *node) float64 {
 			n.hear(day, trial(3, 1, 0.3, 0))
 			n.DependencyStatusReceived(day+1, 0, as(trial(1, 1, 0, 0), relay.PhaseRollingBack))
 			return n.look(day + 1)
 		}, 0, 0.3},
-		{"a desk that forgot that the build went back", GuardSafeguards{Backward: true}, func(n *node) float64 {
+		{"a desk that forgot that the build went back", GuardSafeguards{BackwardStatus: true}, func(n *node) float64 {
 			n.hear(day, trial(3, 1, 0.3, 0))
 			n.hear(day+1, as(trial(3, 1, 0, 0), relay.PhaseRollingBack))
 			return n.hear(day+2, trial(3, 1, 0.3, 0))
 		}, 0, 0.3},
-		{"late news of a need that went back", GuardSafeguards{Backward: true}, func(n *node) float64 {
+		{"late news of a need that went back", GuardSafeguards{BackwardStatus: true}, func(n *node) float64 {
 			n.hear(day, trial(3, 1, 0.3, 0))
 			n.DependencyStatusReceived(day+1, 0, as(trial(1, 1, 0, 0), relay.PhaseRollingBack))
 			n.DependencyStatusReceived(day+2, 0, trial(1, 1, 0.3, 0)) // told before the other, and late (the laboratory, seed 14)
@@ -134,39 +134,39 @@
 	hold.Verdict, back.Verdict = relay.VoteHold, relay.VoteRollBack
 	n := newNode(t, GuardSafeguards{})
 	n.hear(freezeFrom-60, trial(3, 0, 0.1, 0))
-	if got := n.Vote(freezeFrom-59, on); got != hold || n.PromotionBlocked(freezeFrom-59).Code != BlockedByDependency {
+	if got := n.FilterVote(freezeFrom-59, on); got != hold || n.PromotionBlocked(freezeFrom-59).Code != BlockedByDependency {
 		t.Error("a is not where the next step needs it: ", got)
 	}
 	n.DependencyStatusReceived(freezeFrom-50, 0, trial(1, 1, 0.3, 0))
-	if got, ok := n.Recast(freezeFrom - 50); !ok || got != on {
+	if got, ok := n.ReviseVote(freezeFrom - 50); !ok || got != on {
 		t.Error("now it is: ", got, ok)
 	}
-	if _, ok := n.Recast(freezeFrom - 49); ok {
+	if _, ok := n.ReviseVote(freezeFrom - 49); ok {
 		t.Error("twice")
 	}
 	if w := n.PromotionBlocked(freezeFrom - 30); w.Code != BlockedByStaleStatus {
 		t.Error("not heard of for 20 s: ", w)
 	}
-	n.Alive(freezeFrom-4, 0)
-	if got := n.Vote(freezeFrom-4, on); got != on {
+	n.DependencyAlive(freezeFrom-4, 0)
+	if got := n.FilterVote(freezeFrom-4, on); got != on {
 		t.Error(got)
 	}
 	// The skew before the freeze an on that stands is taken back, and stands again the skew behind it.
-	n.Alive(freezeFrom-2, 0)
-	if got, ok := n.Recast(freezeFrom - 2); !ok || got != hold {
+	n.DependencyAlive(freezeFrom-2, 0)
+	if got, ok := n.ReviseVote(freezeFrom - 2); !ok || got != hold {
 		t.Error(got, ok)
 	}
-	if got := n.Vote(freezeFrom+100, back); got != back {
+	if got := n.FilterVote(freezeFrom+100, back); got != back {
 		t.Error("back is free: ", got)
 	}
-	n.Vote(freezeTo, on)
-	n.Alive(freezeTo+2, 0)
-	if got, ok := n.Recast(freezeTo + 2); !ok || got != on {
+	n.FilterVote(freezeTo, on)
+	n.DependencyAlive(freezeTo+2, 0)
+	if got, ok := n.ReviseVote(freezeTo + 2); !ok || got != on {
 		t.Error(got, ok)
 	}
-	bare := newNode(t, GuardSafeguards{Votes: true})
+	bare := newNode(t, GuardSafeguards{VoteFilter: true})
 	bare.hear(freezeFrom-60, trial(3, 0, 0.1, 0))
-	if got := bare.Vote(freezeFrom+1, on); got != on {
+	if got := bare.FilterVote(freezeFrom+1, on); got != on {
 		t.Error("without the defence: ", got)
 	}
 }
@@ -254,7 +254,7 @@
 			case 0:
 				n.DependencyStatusReceived(at, 0, own)
 			case 1:
-				n.Alive(at, 0)
+				n.DependencyAlive(at, 0)
 			case 2:
 				n.StatusReceived(at, own)
 				if own.Build >= told.Build {
@@ -278,7 +278,7 @@
 			}
 			last, lastBuild, inside = n.news.ExposureLimit, n.news.Build, frozen
 			back := relay.Vote{Build: 1, Verdict: relay.VoteRollBack}
-			if n.Vote(at, back) != back {
+			if n.FilterVote(at, back) != back {
 				t.Fatal("a vote for back was changed")
 			}
 		}
@@ -299,7 +299,7 @@
 // the groups that are open may grow (found in the laboratory, seed 7: the cap was held, the groups were opened).
 func TestNeedThatComesBackInAFreezeOpensNoGroup(t *testing.T) {
 	for _, off := range []bool{false, true} {
-		n := newNode(t, GuardSafeguards{Ceiling: off})
+		n := newNode(t, GuardSafeguards{FreezeCeiling: off})
 		n.hear(freezeFrom-60, trial(3, 1, 0.3, 0))
 		n.DependencyStatusReceived(freezeFrom-20, 0, trial(2, 0, 0.1, 0)) // the need's next build has only begun
 		n.look(freezeFrom - 20)
@@ -320,20 +320,20 @@
 	n.hear(freezeFrom-30, trial(3, 0, 0.1, 0))
 	n.DependencyStatusReceived(freezeFrom-4, 0, trial(1, 1, 0.3, 0))
 	on := relay.Vote{Build: 3, Verdict: relay.VotePromote}
-	if n.Vote(freezeFrom-4, on) != on {
+	if n.FilterVote(freezeFrom-4, on) != on {
 		t.Fatal("nothing stands in the way yet")
 	}
 	for at := freezeFrom - 2; at < freezeTo+2; at += 7 {
 		n.look(at)
-		if n.news.ExposureLimit != 0.1 || n.PromotionBlocked(at).Code != BlockedByPlanFreeze || n.Vote(at, on).Verdict != relay.VoteHold {
+		if n.news.ExposureLimit != 0.1 || n.PromotionBlocked(at).Code != BlockedByPlanFreeze || n.FilterVote(at, on).Verdict != relay.VoteHold {
 			t.Fatalf("%.0f s into it: %+v, %v", at-freezeFrom, n.news, n.PromotionBlocked(at))
 		}
 	}
 	if w := n.PromotionBlocked(freezeTo + 3); w.Code != BlockedByStaleStatus {
 		t.Error("after it the need must be heard of first: ", w)
 	}
-	n.Alive(freezeTo+4, 0)
-	if v, ok := n.Recast(freezeTo + 4); !ok || v != on {
+	n.DependencyAlive(freezeTo+4, 0)
+	if v, ok := n.ReviseVote(freezeTo + 4); !ok || v != on {
 		t.Error(v, ok)
 	}
 }
--- a/rollout/rollout_test.go
+++ b/rollout/rollout_test.go
@@ -91,7 +91,7 @@
 }
 
 func (d *desk) vote(s plan.ServiceIndex, r int, v relay.Verdict, at plan.Unix) ([]Event, Rejection) {
-	n := d.c.Statuses(s, at)
+	n := d.c.RolloutStatus(s, at)
 	return d.voteAs(s, r, relay.Vote{Build: n.Build, Stage: n.Stage, Verdict: v}, at)
 }
 
@@ -131,7 +131,7 @@
 	want(t, d.offer(0, 7, day), "a:began")
 	want(t, d.on(0, day+9.9), "") // the votes are there, the time is not
 	want(t, d.due(day+10), "a:moved")
-	if w := d.c.Why(0, day+21); w.Code != BlockedByMissingVotes {
+	if w := d.c.BlockReason(0, day+21); w.Code != BlockedByMissingVotes {
 		t.Error(w)
 	}
 	if _, r := d.voteAs(0, 2, relay.Vote{Build: 7, Stage: 0, Verdict: relay.VotePromote}, day+22); r != RejectedStale {
@@ -158,7 +158,7 @@
 	d.take(d.c.Operate(EventFrozen, "", "all", "ops", "a look", 0, freezeFrom-1))
 	out, _ := d.vote(0, 3, relay.VoteRollBack, freezeFrom+1)
 	want(t, out, "a:sent_back")
-	if n := d.c.Statuses(0, freezeFrom+1); n.ExposureLimit != 0 || n.Phase != relay.PhaseRollingBack {
+	if n := d.c.RolloutStatus(0, freezeFrom+1); n.ExposureLimit != 0 || n.Phase != relay.PhaseRollingBack {
 		t.Errorf("%+v", n)
 	}
 	want(t, d.due(freezeFrom+6), "a:taken_off")
@@ -176,7 +176,7 @@
 			t.Error("the vote itself is not refused: ", r)
 		}
 		if says == "" {
-			if w := d.c.Why(0, at); w.Code != BlockedByPlanFreeze || w.Until != freezeTo {
+			if w := d.c.BlockReason(0, at); w.Code != BlockedByPlanFreeze || w.Until != freezeTo {
 				t.Errorf("%+v", w)
 			}
 			want(t, d.due(freezeTo-0.001), "")
@@ -189,7 +189,7 @@
 func TestDependencies(t *testing.T) {
 	d := newDesk(t)
 	want(t, d.offer(1, 3, day), "") // b waits for a
-	if w := d.c.Why(1, day); w.Code != BlockedByDependency || w.Text != "a at step s0" {
+	if w := d.c.BlockReason(1, day); w.Code != BlockedByDependency || w.Text != "a at step s0" {
 		t.Errorf("%+v", w)
 	}
 	want(t, d.offer(3, 2, day), "")
@@ -205,12 +205,12 @@
 	// a goes back under b, which is two steps on: all that b opened by a's leave is closed at once, and so is c's.
 	d.vote(0, 3, relay.VoteRollBack, day+25)
 	for s := plan.ServiceIndex(1); s <= 3; s++ {
-		if n := d.c.Statuses(s, day+25); n.ExposureLimit != 0 && s == 1 || n.Phase != relay.PhaseCanary {
+		if n := d.c.RolloutStatus(s, day+25); n.ExposureLimit != 0 && s == 1 || n.Phase != relay.PhaseCanary {
 			t.Errorf("service %d: %+v", s, n)
 		}
 	}
 	want(t, d.on(1, day+40), "a:taken_off")
-	if w := d.c.Why(1, day+41); w.Code != BlockedByDependency {
+	if w := d.c.BlockReason(1, day+41); w.Code != BlockedByDependency {
 		t.Errorf("%+v", w)
 	}
 	// b's own way back stays open, also while a is going back.
@@ -233,11 +233,11 @@
 			d.on(0, at)
 			d.on(1, at)
 		}
-		if n := d.c.Statuses(1, at); int(n.Stage) != steps || n.ExposureLimit <= 0 {
+		if n := d.c.RolloutStatus(1, at); int(n.Stage) != steps || n.ExposureLimit <= 0 {
 			t.Fatalf("%+v", n)
 		}
 		d.vote(0, 0, relay.VoteRollBack, at+1)
-		if n := d.c.Statuses(1, at+1); n.ExposureLimit != 0 || int(n.Stage) != steps || n.Phase != relay.PhaseCanary {
+		if n := d.c.RolloutStatus(1, at+1); n.ExposureLimit != 0 || int(n.Stage) != steps || n.Phase != relay.PhaseCanary {
 			t.Errorf("after %d steps: %+v", steps, n)
 		}
 		want(t, d.on(1, at+12), "a:taken_off")
@@ -258,7 +258,7 @@
 	}
 	// While one is on trial the next waits, and begins when the other is off.
 	d.offer(1, 5, day+4)
-	if d.c.Statuses(1, day+4).Build != 4 {
+	if d.c.RolloutStatus(1, day+4).Build != 4 {
 		t.Error("it took the place of one on trial")
 	}
 	d.vote(1, 0, relay.VoteRollBack, day+5)
@@ -310,7 +310,7 @@
 	d.offer(0, 7, day)
 	d.take(d.c.Operate(EventFrozen, "a", "audit", "ops", "figures are looked at", day+100, day))
 	want(t, d.on(0, day+11), "")
-	if w := d.c.Why(0, day+11); w.Code != BlockedByOperatorFreeze || w.Until != day+100 {
+	if w := d.c.BlockReason(0, day+11); w.Code != BlockedByOperatorFreeze || w.Until != day+100 {
 		t.Errorf("%+v", w)
 	}
 	d.take(d.c.Operate(EventUnfrozen, "", "audit", "ops", "done", 0, day+12))
@@ -323,7 +323,7 @@
 	want(t, d.on(0, day+39), "")
 	want(t, d.due(day+47), ":thawed a:released") // the votes of 39 still stand
 	d.take(d.c.Operate(EventRollingBack, "a", "", "ops", "wrong colour", 0, day+50))
-	if d.c.Statuses(0, day+50).Phase != relay.PhaseRollingBack {
+	if d.c.RolloutStatus(0, day+50).Phase != relay.PhaseRollingBack {
 		t.Error("not back")
 	}
 	for _, bad := range []func() (Event, error){
@@ -393,7 +393,7 @@
 				t.Fatal(err)
 			}
 		}
-		if a, b := d.c.Status(at), again.Status(at); !reflect.DeepEqual(a, b) {
+		if a, b := d.c.ServiceStatuses(at), again.ServiceStatuses(at); !reflect.DeepEqual(a, b) {
 			t.Fatalf("%+v\n%+v", a, b)
 		}
 		short := New(d.c.plan)
@@ -402,7 +402,7 @@
 				t.Fatal(err)
 			}
 		}
-		if a, b := d.c.Status(at), short.Status(at); !reflect.DeepEqual(a, b) {
+		if a, b := d.c.ServiceStatuses(at), short.ServiceStatuses(at); !reflect.DeepEqual(a, b) {
 			t.Fatalf("snapshot: %+v\n%+v", a, b)
 		}
 		if a, b := d.c.Advance(at+30), again.Advance(at+30); !reflect.DeepEqual(a, b) {
@@ -414,19 +414,19 @@
 func TestApplyRefusesWhatCantFollow(t *testing.T) {
 	d := newDesk(t)
 	d.offer(0, 7, day)
-	before := d.c.Status(day)
+	before := d.c.ServiceStatuses(day)
 	for _, e := range []Event{
 		{At: day, Kind: EventPromoted, Service: "a", Build: 7, Step: 2}, {At: day, Kind: EventPromoted, Service: "a", Build: 6, Step: 1},
 		{At: day, Kind: EventReleased, Service: "a", Build: 7}, {At: day, Kind: EventBegan, Service: "a", Build: 7},
 		{At: day, Kind: EventWithdrawn, Service: "a", Build: 7}, {At: day, Kind: EventOffered, Service: "a", Build: 7},
 		{At: day, Kind: "danced", Service: "a"}, {At: day, Kind: EventBegan, Service: "z"}, {At: math.NaN(), Kind: EventControllerStarted},
-		{At: day, Kind: EventVoted, Service: "a"}, {At: day, Kind: EventUnfrozen, Name: "x"}, {At: day, Kind: EventFrozen},
+		{At: day, Kind: EventVoted, Service: "a"}, {At: day, Kind: EventUnfrozen, FreezeName: "x"}, {At: day, Kind: EventFrozen},
 	} {
 		if err := d.c.Apply(e); err == nil {
 			t.Errorf("%+v was taken", e)
 		}
 	}
-	if !reflect.DeepEqual(before, d.c.Status(day)) {
+	if !reflect.DeepEqual(before, d.c.ServiceStatuses(day)) {
 		t.Error("the state changed")
 	}
 }
@@ -437,10 +437,10 @@
 	d.on(0, day+11)
 	p := chain(t)
 	p.Services[0].Steps = p.Services[0].Steps[:1]
-	if err := d.c.Replan(p); err == nil || d.c.Statuses(0, day+12).Stage != 1 {
+	if err := d.c.Replan(p); err == nil || d.c.RolloutStatus(0, day+12).Stage != 1 {
 		t.Error("a plan without the present step was taken: ", err)
 	}
-	if err := d.c.Replan(chain(t)); err != nil || d.c.Statuses(0, day+12).Stage != 1 {
+	if err := d.c.Replan(chain(t)); err != nil || d.c.RolloutStatus(0, day+12).Stage != 1 {
 		t.Error(err)
 	}
 }
@@ -454,7 +454,7 @@
 	d.on(0, day+22)
 	d.offer(0, 8, day+25)
 	want(t, d.on(0, day+33), "a:released")
-	if w := d.c.Why(0, day+34); w.Code != BlockedBySettleTime || w.Until != day+63 {
+	if w := d.c.BlockReason(0, day+34); w.Code != BlockedBySettleTime || w.Until != day+63 {
 		t.Errorf("%+v", w)
 	}
 	want(t, d.due(day+63), "a:began")
@@ -470,14 +470,14 @@
 	for s := range plan.ServiceIndex(4) {
 		d.on(s, day+11)
 	}
-	if n := d.c.Statuses(3, day+11); n.Stage != 1 || n.ExposureLimit != 0.3 {
+	if n := d.c.RolloutStatus(3, day+11); n.Stage != 1 || n.ExposureLimit != 0.3 {
 		t.Fatalf("%+v", n)
 	}
 	d.vote(2, 0, relay.VoteRollBack, day+12)
-	if n := d.c.Statuses(3, day+12); n.ExposureLimit != 0 {
+	if n := d.c.RolloutStatus(3, day+12); n.ExposureLimit != 0 {
 		t.Errorf("%+v", n)
 	}
-	if d.c.Statuses(1, day+12).ExposureLimit != 0.3 {
+	if d.c.RolloutStatus(1, day+12).ExposureLimit != 0.3 {
 		t.Error("b needs nothing of c")
 	}
 	d.vote(1, 0, relay.VoteRollBack, day+13)
@@ -486,7 +486,7 @@
 	d.vote(0, 0, relay.VoteRollBack, day+15) // and what all of them stand on
 	want(t, d.due(day+40), "a:taken_off b:taken_off c:taken_off d:taken_off")
 	for s := range plan.ServiceIndex(4) {
-		if n := d.c.Statuses(s, day+41); n.Phase != relay.PhaseWithdrawn || n.ExposureLimit != 0 {
+		if n := d.c.RolloutStatus(s, day+41); n.Phase != relay.PhaseWithdrawn || n.ExposureLimit != 0 {
 			t.Errorf("%+v", n)
 		}
 	}
