--- a/internal/releasecontroller/control.go
+++ b/internal/releasecontroller/control.go
@@ -177,7 +177,8 @@
 		}
 		d.do(e)
 	case kind != "":
-		e, err := d.core.Operate(kind, r.Service, r.Name, r.Who, r.Why, r.Until, d.now())
+		e, err := d.core.Operate(rollout.Operation{Kind: kind, Service: r.Service, FreezeName: r.Name, Until: r.Until,
+			Actor: r.Who, Reason: r.Why}, d.now())
 		if err != nil {
 			return err
 		}
--- a/internal/releasecontroller/desk_test.go
+++ b/internal/releasecontroller/desk_test.go
@@ -344,7 +344,7 @@
 				}
 			}
 		}
-		e, err = c.Operate(rollout.EventFrozen, "b", fmt.Sprint("f", b), "ops", "why", 0, at+5)
+		e, err = c.Operate(rollout.Operation{Kind: rollout.EventFrozen, Service: "b", FreezeName: fmt.Sprint("f", b), Actor: "ops", Reason: "why"}, at+5)
 		if err != nil {
 			t.Fatal(err)
 		}
--- a/rollout/guard_test.go
+++ b/rollout/guard_test.go
@@ -173,7 +173,7 @@
 
 func TestDefaultsOfTheUnknown(t *testing.T) {
 	n := newNode(t, GuardSafeguards{})
-	if n.look(day); n.Guard.did {
+	if n.look(day); n.evaluated {
 		t.Error("told something without news")
 	}
 	n.hear(day, trial(3, 1, 0.3, 0))
@@ -262,12 +262,12 @@
 				}
 			}
 			n.look(at)
-			if n.did {
-				if n.news.ExposureLimit > n.Guard.news.ExposureLimit+1e-12 || n.news.Phase == relay.PhaseCanary && n.news.ExposureLimit > caps[n.news.Stage] {
-					t.Fatalf("%+v of %+v", n.news, n.Guard.news)
+			if n.evaluated {
+				if n.news.ExposureLimit > n.Guard.status.ExposureLimit+1e-12 || n.news.Phase == relay.PhaseCanary && n.news.ExposureLimit > caps[n.news.Stage] {
+					t.Fatalf("%+v of %+v", n.news, n.Guard.status)
 				}
 				for i, open := range n.scope.GroupOpen {
-					if k := int(n.scope.Stage); open && !n.terms().Open(plan.StepIndex(k), 0, plan.GroupIndex(i)) {
+					if k := int(n.scope.Stage); open && !n.spec().Open(plan.StepIndex(k), 0, plan.GroupIndex(i)) {
 						t.Fatalf("%+v", n.scope)
 					}
 				}
--- /dev/null
+++ b/rollout/promotion.go
@@ -0,0 +1,177 @@
+package rollout
+
+import (
+	"fmt"
+
+	"lichenroad/plan"
+	"lichenroad/relay"
+)
+
+// BlockReason returns what a service waits for.
+func (c *Core) BlockReason(service plan.ServiceIndex, at plan.Unix) BlockReason {
+	now := c.advanceClock(at)
+	state, spec := &c.services[service], &c.plan.Services[service]
+	switch {
+	case state.inPhase(relay.PhaseRollingBack):
+		return BlockReason{
+			Code:  BlockedByRollback,
+			Text:  fmt.Sprintf("build %d is going back", state.newest.Build),
+			Until: state.newest.Since + spec.RollbackTime,
+		}
+	case state.inProgress():
+		return c.canaryBlocked(service, now)
+	case state.waiting != 0:
+		return c.CanPromote(service, 0, now)
+	}
+	return BlockReason{Code: BlockedNoBuild, Text: "no build is on trial or waiting"}
+}
+
+// canaryBlocked returns why the canary stays at its step: the plan and operators, its minimum time, or the votes.
+func (c *Core) canaryBlocked(service plan.ServiceIndex, now plan.Unix) BlockReason {
+	state, spec := &c.services[service], &c.plan.Services[service]
+	step := state.newest.Step
+	if reason := c.CanPromote(service, step+1, now); reason.Blocked() {
+		return reason
+	}
+	if end := state.newest.Since + spec.Steps[step].MinTime; now < end && !c.disabled.MinStageTime {
+		return BlockReason{
+			Code:  BlockedByMinTime,
+			Text:  fmt.Sprintf("step %s lasts until %s at least", spec.StepName(step), formatTime(end)),
+			Until: end,
+		}
+	}
+	if spec.Votes.Control == plan.ControlTimed {
+		return c.timedPromotionBlocked(service, now)
+	}
+	return c.votedPromotionBlocked(service, now)
+}
+
+// timedPromotionBlocked is for services whose steps change by time unless relays vote to hold them.
+func (c *Core) timedPromotionBlocked(service plan.ServiceIndex, now plan.Unix) BlockReason {
+	holding := c.countVotes(service, relay.VoteHold, now)
+	if holding >= c.votesNeeded(service, relay.VoteHold) {
+		return BlockReason{Code: BlockedByHoldVotes, Text: fmt.Sprintf("%d relays hold it", holding)}
+	}
+	end := c.services[service].newest.Since + c.plan.Services[service].Votes.StepTime
+	if now < end {
+		return BlockReason{Code: BlockedByMinTime, Text: "the clock moves it at " + formatTime(end), Until: end}
+	}
+	return BlockReason{}
+}
+
+func (c *Core) votedPromotionBlocked(service plan.ServiceIndex, now plan.Unix) BlockReason {
+	votes, needed := c.countVotes(service, relay.VotePromote, now), c.votesNeeded(service, relay.VotePromote)
+	if votes < needed {
+		return BlockReason{Code: BlockedByMissingVotes, Text: fmt.Sprintf("%d of %d relays stand for it", votes, needed)}
+	}
+	return BlockReason{}
+}
+
+// CanPromote returns whether plan and operators let a service enter a step: 0 begins the waiting build, the number of
+// the service's steps releases the canary. Minimum time and votes are not looked at.
+func (c *Core) CanPromote(service plan.ServiceIndex, step plan.StepIndex, now plan.Unix) BlockReason {
+	state := &c.services[service]
+	if state.halted {
+		return BlockReason{
+			Code: BlockedByHalt,
+			Text: fmt.Sprintf("halted by %s: %s", state.haltEvent.Actor, state.haltEvent.Reason),
+		}
+	}
+	if reason := c.freezeBlocked(service, step, now); reason.Blocked() {
+		return reason
+	}
+	if step == 0 {
+		if reason := c.settleTimeBlocked(service, now); reason.Blocked() {
+			return reason
+		}
+	}
+	return c.dependencyBlocked(service, step)
+}
+
+// freezeBlocked looks for a freeze, of an operator or the plan, that stops a service from entering a step.
+func (c *Core) freezeBlocked(service plan.ServiceIndex, step plan.StepIndex, now plan.Unix) BlockReason {
+	if c.disabled.Freezes {
+		return BlockReason{}
+	}
+	name := c.plan.Services[service].Name
+	for _, freeze := range c.freezes {
+		concerned := freeze.Service == "" || freeze.Service == name
+		stands := freeze.Until == 0 || now < freeze.Until
+		if concerned && stands {
+			return BlockReason{
+				Code:  BlockedByOperatorFreeze,
+				Text:  fmt.Sprintf("freeze %s by %s: %s", freeze.FreezeName, freeze.Actor, freeze.Reason),
+				Until: freeze.Until,
+			}
+		}
+	}
+	return planFreezeBlocked(c.plan, c.calendar, service, step, freezeEffectOn(step), now)
+}
+
+// planFreezeBlocked looks for a freeze of the plan with an effect at any site that a step opens or raises; a release
+// concerns every site. Of several it returns the one that ends last.
+func planFreezeBlocked(p *plan.Plan, calendar *plan.Calendar, service plan.ServiceIndex, step plan.StepIndex,
+	effect plan.FreezeEffect, now plan.Unix) BlockReason {
+	spec := &p.Services[service]
+	var latest BlockReason
+	for i := range p.Sites {
+		site := plan.SiteIndex(i)
+		if int(step) < len(spec.Steps) && !spec.Touches(step, site) {
+			continue
+		}
+		if freeze, frozen := calendar.Frozen(now, service, site, effect); frozen && freeze.Till > latest.Until {
+			latest = BlockReason{
+				Code:  BlockedByPlanFreeze,
+				Text:  fmt.Sprintf("freeze %s until %s", p.Freezes[freeze.Freeze].Name, formatTime(freeze.Till)),
+				Until: freeze.Till,
+			}
+		}
+	}
+	return latest
+}
+
+// freezeEffectOn returns the effect that a freeze must have to stop a step.
+func freezeEffectOn(step plan.StepIndex) plan.FreezeEffect {
+	if step == 0 {
+		return plan.FreezeStarts
+	}
+	return plan.FreezePromotions
+}
+
+// settleTimeBlocked has the next build wait after a release: relays and whoever runs the fleet must learn of the
+// release and switch to it first.
+func (c *Core) settleTimeBlocked(service plan.ServiceIndex, now plan.Unix) BlockReason {
+	state := &c.services[service]
+	end := state.newest.Since + c.plan.Services[service].SettleTime
+	if !state.inPhase(relay.PhaseReleased) || now >= end {
+		return BlockReason{}
+	}
+	return BlockReason{
+		Code:  BlockedBySettleTime,
+		Text:  fmt.Sprintf("build %d was released, the next begins at %s", state.newest.Build, formatTime(end)),
+		Until: end,
+	}
+}
+
+// dependencyBlocked looks for a dependency of a step, or of a step before it, that does not hold.
+func (c *Core) dependencyBlocked(service plan.ServiceIndex, step plan.StepIndex) BlockReason {
+	if c.disabled.Dependencies {
+		return BlockReason{}
+	}
+	steps := c.plan.Services[service].Steps
+	for k := plan.StepIndex(0); k <= step && int(k) < len(steps); k++ {
+		for _, dependency := range steps[k].Dependencies {
+			if !c.dependencyHolds(dependency) {
+				return BlockReason{Code: BlockedByDependency, Text: c.plan.DependencyText(dependency)}
+			}
+		}
+	}
+	return BlockReason{}
+}
+
+// dependencyHolds reports whether the other service's newest build is at the step, or past it. An earlier build that
+// stays released does not count: the one that waits may have been made for the newer.
+func (c *Core) dependencyHolds(dependency plan.Dependency) bool {
+	state := &c.services[dependency.Service]
+	return state.known && hasReached(dependency, state.newest.Phase, state.newest.Step)
+}
--- a/rollout/rollout_test.go
+++ b/rollout/rollout_test.go
@@ -154,8 +154,8 @@
 func TestBackIsAlwaysFree(t *testing.T) {
 	d := newDesk(t)
 	d.offer(0, 7, freezeFrom-5)
-	d.take(d.c.Operate(EventHalted, "a", "", "ops", "a look", 0, freezeFrom-1))
-	d.take(d.c.Operate(EventFrozen, "", "all", "ops", "a look", 0, freezeFrom-1))
+	d.take(d.c.Operate(Operation{Kind: EventHalted, Service: "a", Actor: "ops", Reason: "a look"}, freezeFrom-1))
+	d.take(d.c.Operate(Operation{Kind: EventFrozen, FreezeName: "all", Actor: "ops", Reason: "a look"}, freezeFrom-1))
 	out, _ := d.vote(0, 3, relay.VoteRollBack, freezeFrom+1)
 	want(t, out, "a:sent_back")
 	if n := d.c.RolloutStatus(0, freezeFrom+1); n.ExposureLimit != 0 || n.Phase != relay.PhaseRollingBack {
@@ -308,32 +308,46 @@
 func TestOperators(t *testing.T) {
 	d := newDesk(t)
 	d.offer(0, 7, day)
-	d.take(d.c.Operate(EventFrozen, "a", "audit", "ops", "figures are looked at", day+100, day))
+	d.take(d.c.Operate(Operation{Kind: EventFrozen, Service: "a", FreezeName: "audit", Until: day + 100, Actor: "ops", Reason: "figures are looked at"}, day))
 	want(t, d.on(0, day+11), "")
 	if w := d.c.BlockReason(0, day+11); w.Code != BlockedByOperatorFreeze || w.Until != day+100 {
 		t.Errorf("%+v", w)
 	}
-	d.take(d.c.Operate(EventUnfrozen, "", "audit", "ops", "done", 0, day+12))
+	d.take(d.c.Operate(Operation{Kind: EventUnfrozen, FreezeName: "audit", Actor: "ops", Reason: "done"}, day+12))
 	want(t, d.due(day+12), "a:moved")
-	d.take(d.c.Operate(EventHalted, "a", "", "ops", "odd", 0, day+13))
+	d.take(d.c.Operate(Operation{Kind: EventHalted, Service: "a", Actor: "ops", Reason: "odd"}, day+13))
 	want(t, d.on(0, day+30), "")
-	d.take(d.c.Operate(EventResumed, "a", "", "ops", "fine", 0, day+31))
+	d.take(d.c.Operate(Operation{Kind: EventResumed, Service: "a", Actor: "ops", Reason: "fine"}, day+31))
 	want(t, d.due(day+31), "a:moved")
-	d.take(d.c.Operate(EventFrozen, "", "short", "ops", "lunch", day+40, day+32))
+	d.take(d.c.Operate(Operation{Kind: EventFrozen, FreezeName: "short", Until: day + 40, Actor: "ops", Reason: "lunch"}, day+32))
 	want(t, d.on(0, day+39), "")
 	want(t, d.due(day+47), ":thawed a:released") // the votes of 39 still stand
-	d.take(d.c.Operate(EventRollingBack, "a", "", "ops", "wrong colour", 0, day+50))
+	d.take(d.c.Operate(Operation{Kind: EventRollingBack, Service: "a", Actor: "ops", Reason: "wrong colour"}, day+50))
 	if d.c.RolloutStatus(0, day+50).Phase != relay.PhaseRollingBack {
 		t.Error("not back")
 	}
 	for _, bad := range []func() (Event, error){
-		func() (Event, error) { return d.c.Operate(EventFrozen, "a", "x", "", "why", 0, day+60) },
-		func() (Event, error) { return d.c.Operate(EventFrozen, "z", "x", "me", "why", 0, day+60) },
-		func() (Event, error) { return d.c.Operate(EventFrozen, "a", "x", "me", "why", day, day+60) },
-		func() (Event, error) { return d.c.Operate(EventUnfrozen, "", "f", "me", "why", 0, day+60) },
-		func() (Event, error) { return d.c.Operate(EventResumed, "a", "", "me", "why", 0, day+60) },
-		func() (Event, error) { return d.c.Operate(EventRollingBack, "a", "", "me", "why", 0, day+60) },
-		func() (Event, error) { return d.c.Operate(EventPromoted, "a", "", "me", "why", 0, day+60) },
+		func() (Event, error) {
+			return d.c.Operate(Operation{Kind: EventFrozen, Service: "a", FreezeName: "x", Reason: "why"}, day+60)
+		},
+		func() (Event, error) {
+			return d.c.Operate(Operation{Kind: EventFrozen, Service: "z", FreezeName: "x", Actor: "me", Reason: "why"}, day+60)
+		},
+		func() (Event, error) {
+			return d.c.Operate(Operation{Kind: EventFrozen, Service: "a", FreezeName: "x", Until: day, Actor: "me", Reason: "why"}, day+60)
+		},
+		func() (Event, error) {
+			return d.c.Operate(Operation{Kind: EventUnfrozen, FreezeName: "f", Actor: "me", Reason: "why"}, day+60)
+		},
+		func() (Event, error) {
+			return d.c.Operate(Operation{Kind: EventResumed, Service: "a", Actor: "me", Reason: "why"}, day+60)
+		},
+		func() (Event, error) {
+			return d.c.Operate(Operation{Kind: EventRollingBack, Service: "a", Actor: "me", Reason: "why"}, day+60)
+		},
+		func() (Event, error) {
+			return d.c.Operate(Operation{Kind: EventPromoted, Service: "a", Actor: "me", Reason: "why"}, day+60)
+		},
 	} {
 		if e, err := bad(); err == nil {
 			t.Errorf("%+v was taken", e)
@@ -373,7 +387,7 @@
 			case 1:
 				d.vote(s, rapid.IntRange(0, 3).Draw(t, "r"), relay.VoteRollBack, at)
 			case 2:
-				if e, err := d.c.Operate(EventFrozen, "", "own", "me", "why", at+20, at); err == nil {
+				if e, err := d.c.Operate(Operation{Kind: EventFrozen, FreezeName: "own", Until: at + 20, Actor: "me", Reason: "why"}, at); err == nil {
 					d.take(e, nil)
 				}
 			default:
