--- a/internal/guard/guard.go
+++ b/internal/guard/guard.go
@@ -1,9 +1,11 @@
-// Package guard stands a plan's guard (rollout.Guard) between platform and module of a relay that runs: news goes
-// through it, votes go through it, its timers run on the loop, and it hears the desks of the services that this one
-// needs. It decides nothing.
+// Package guard runs a relay's rollout guard (rollout.Guard) between platform and decision module: rollout status and
+// votes pass through it, its timers run on the relay's loop, and it watches the release controllers of the services
+// that this one depends on. It decides nothing itself. All of its state belongs to the loop's goroutine. It imports
+// pipeline, platform, rollout and plan.
 package guard
 
 import (
+	"errors"
 	"fmt"
 	"math"
 	"time"
@@ -18,169 +20,213 @@
 	"lichenroad/settings"
 )
 
-// lookEvery is the longest time between two looks, in seconds: the machine's clock may be set.
-const lookEvery = 1.0
+const (
+	maxEvaluationInterval = 1.0   // s; the machine's clock may be set, and a freeze with it
+	minEvaluationInterval = 0.001 // s
+	maxPendingVotes       = 64    // votes whose replies are awaited: the platform replies to each or is replaced
+)
+
+var errNoSite = errors.New("the settings don't name this relay's site")
 
-// mostAsked bounds the votes whose answers are awaited: the platform answers each, or the module's next replaces it.
-const mostAsked = 64
+// voteOrigin is who asked for a vote that was cast.
+type voteOrigin int
 
-// Host is the guard of a relay. All of it is of the loop.
+const (
+	castForModule voteOrigin = iota
+	castByGuard              // the module knows nothing of it
+)
+
+// Host runs the guard of one relay. Its methods are to be called on the loop, or before the loop runs.
 type Host struct {
-	loop      *pipeline.Loop
-	platform  pipeline.Platform
-	clock     func() plan.Unix
-	guard     *rollout.Guard
-	plan      *plan.Plan
-	service   string
-	customers []string
-	watches   map[string]*platform.Client // by service
-	asked     []bool                      // votes cast and not answered: whether the module ordered it
-	events    []relay.Event
-	wakeAt    relay.Seconds
-	last      rollout.BlockReason
+	loop        *pipeline.Loop
+	platform    pipeline.Platform
+	clock       func() plan.Unix
+	guard       *rollout.Guard
+	plan        *plan.Plan
+	serviceName string
+	tenants     []string                    // names by the settings' numbers
+	watches     map[string]*platform.Client // by the name of the service that is depended on
+
+	pendingVotes []voteOrigin // of the votes that have no reply yet, in the order in which they were cast
+	events       []relay.Event
+	evaluateAt   relay.Seconds // when the timer that counts fires, by the loop's clock; 0: none
+	lastReason   rollout.BlockReason
 }
 
-// Names gives the settings' customers by number.
+// TenantNames returns the names of the settings' tenants by number.
 func TenantNames(site *settings.Site) []string {
-	out := make([]string, len(site.Settings.Tenants))
-	for name, no := range site.TenantByName {
-		if int(no) < len(out) {
-			out[no] = name
+	names := make([]string, len(site.Settings.Tenants))
+	for name, number := range site.TenantByName {
+		if int(number) < len(names) {
+			names[number] = name
 		}
 	}
-	return out
+	return names
 }
 
-// New returns the host of a guard for a service of a plan; clock may be nil.
-func New(l *pipeline.Loop, p *plan.Plan, service string, next pipeline.Platform, clock func() plan.Unix) (*Host, error) {
-	no, ok := p.Service(service)
+// New returns the host of a guard for a service of a plan. The clock gives the time of day; nil is the machine's. It
+// fails where the plan does not have the service, or the site that the settings name.
+func New(loop *pipeline.Loop, p *plan.Plan, serviceName string, next pipeline.Platform, clock func() plan.Unix) (*Host, error) {
+	service, ok := p.Service(serviceName)
 	if !ok {
-		return nil, fmt.Errorf("the plan has no service %q", service)
+		return nil, fmt.Errorf("the plan has no service %q", serviceName)
 	}
-	if int(l.Site.Zone) >= len(l.Site.Zones) || l.Site.Zone < 0 {
-		return nil, fmt.Errorf("the settings don't name this relay's site")
-	}
-	name := l.Site.Zones[l.Site.Zone]
-	site, ok := p.Site(name)
-	if !ok {
-		return nil, fmt.Errorf("the plan has no site %q", name)
+	site, err := siteOf(&loop.Site, p)
+	if err != nil {
+		return nil, err
 	}
 	if clock == nil {
-		clock = func() plan.Unix { return float64(time.Now().UnixNano()) / 1e9 }
+		clock = wallClock
+	}
+	tenants := TenantNames(&loop.Site)
+	groups := make([]plan.GroupIndex, len(tenants))
+	for i, tenant := range tenants {
+		groups[i] = p.GroupOf(tenant)
+	}
+	return &Host{
+		loop:        loop,
+		platform:    next,
+		clock:       clock,
+		guard:       rollout.NewGuard(p, service, site, groups),
+		plan:        p,
+		serviceName: serviceName,
+		tenants:     tenants,
+		watches:     map[string]*platform.Client{},
+	}, nil
+}
+
+// siteOf finds the plan's site of a relay.
+func siteOf(s *settings.Site, p *plan.Plan) (plan.SiteIndex, error) {
+	if s.Zone < 0 || int(s.Zone) >= len(s.Zones) {
+		return plan.NoSite, errNoSite
 	}
-	h := &Host{loop: l, platform: next, clock: clock, plan: p, service: service, customers: TenantNames(&l.Site),
-		watches: map[string]*platform.Client{}}
-	groups := make([]plan.GroupIndex, len(h.customers))
-	for i, c := range h.customers {
-		groups[i] = p.GroupOf(c)
+	name := s.Zones[s.Zone]
+	site, ok := p.Site(name)
+	if !ok {
+		return plan.NoSite, fmt.Errorf("the plan has no site %q", name)
 	}
-	h.guard = rollout.NewGuard(p, no, site, groups)
-	return h, nil
+	return site, nil
 }
 
-// Start opens the watches on the services that this one needs.
+func wallClock() plan.Unix { return float64(time.Now().UnixNano()) / 1e9 }
+
+// Start opens the watches on the services that this one depends on. After a change of the plan it opens those that are
+// new and moves the others to their present addresses.
 func (h *Host) Start() {
-	no, _ := h.plan.Service(h.service)
-	for _, s := range rollout.DependenciesOf(h.plan, no) {
-		t := &h.plan.Services[s]
-		if w := h.watches[t.Name]; w != nil {
-			w.Move(t.Watch)
+	service, _ := h.plan.Service(h.serviceName) // New and Replan have checked that there is one
+	for _, dependency := range rollout.DependenciesOf(h.plan, service) {
+		spec := &h.plan.Services[dependency]
+		if watch := h.watches[spec.Name]; watch != nil {
+			watch.Move(spec.Watch)
 			continue
 		}
-		if t.Watch == "" {
-			h.loop.Log.WithFields(logrus.Fields{"service": h.service, "needs": t.Name}).
+		if spec.Watch == "" {
+			h.loop.Log.WithFields(logrus.Fields{"service": h.serviceName, "needs": spec.Name}).
 				Warn("the plan names no address to watch it at: it counts as not released")
 			continue
 		}
-		w := platform.New(h.loop, t.Watch)
-		name := t.Name
-		w.OnStatus = func(l *pipeline.Loop, n relay.RolloutStatus) { h.other(name, n) }
-		h.watches[name] = w
-		w.Listen()
+		h.watches[spec.Name] = h.watch(spec.Name, spec.Watch)
 	}
 }
 
-// other takes a line from the desk of another service: news, or a sign of life.
-func (h *Host) other(name string, n relay.RolloutStatus) {
-	no, ok := h.plan.Service(name)
+// watch opens a watch on a service. Its goroutine is the client's and lasts as long as the process.
+func (h *Host) watch(serviceName, address string) *platform.Client {
+	watch := platform.New(h.loop, address)
+	watch.OnStatus = func(_ *pipeline.Loop, status relay.RolloutStatus) { h.dependencyStatusReceived(serviceName, status) }
+	watch.Listen()
+	return watch
+}
+
+// dependencyStatusReceived takes what a watch on another service sent: a status, or a keep-alive, which is not valid.
+func (h *Host) dependencyStatusReceived(serviceName string, status relay.RolloutStatus) {
+	service, ok := h.plan.Service(serviceName)
 	if !ok {
-		return
+		return // the plan that has it was replaced
 	}
-	if n.Valid {
-		h.guard.DependencyStatusReceived(h.clock(), no, n)
+	if status.Valid {
+		h.guard.DependencyStatusReceived(h.clock(), service, status)
 	} else {
-		h.guard.DependencyAlive(h.clock(), no)
+		h.guard.DependencyAlive(h.clock(), service)
 	}
-	h.look()
+	h.evaluate()
 }
 
-// Told takes what the platform tells of this relay's own service, or the answer to a vote.
-func (h *Host) RolloutStatusReceived(n relay.RolloutStatus) {
-	reply := n.Reply
-	if reply != relay.ReplyNone && len(h.asked) > 0 {
-		if !h.asked[0] {
-			reply = relay.ReplyNone // the guard cast it; the module knows nothing of it
+// RolloutStatusReceived takes the platform's status of this relay's own service, which may be the reply to a vote.
+func (h *Host) RolloutStatusReceived(status relay.RolloutStatus) {
+	reply := status.Reply
+	if reply != relay.ReplyNone && len(h.pendingVotes) > 0 {
+		if h.pendingVotes[0] == castByGuard {
+			reply = relay.ReplyNone
 		}
-		h.asked = h.asked[1:]
+		h.pendingVotes = h.pendingVotes[1:]
 	}
-	h.guard.StatusReceived(h.clock(), n)
-	h.look()
+	h.guard.StatusReceived(h.clock(), status)
+	h.evaluate()
 	if reply != relay.ReplyNone {
 		h.loop.AddEvent(relay.RolloutStatus{Reply: reply})
 	}
 }
 
-// Vote carries out the module's vote as far as the plan lets it.
+// Vote casts the module's vote as far as the plan lets it.
 func (h *Host) Vote(v relay.Vote) {
-	h.cast(h.guard.FilterVote(h.clock(), v), true)
-	h.look()
+	h.castVote(h.guard.FilterVote(h.clock(), v), castForModule)
+	h.evaluate()
 }
 
-func (h *Host) cast(v relay.Vote, ordered bool) {
-	if len(h.asked) >= mostAsked {
-		h.asked = h.asked[1:]
+func (h *Host) castVote(v relay.Vote, origin voteOrigin) {
+	if len(h.pendingVotes) >= maxPendingVotes {
+		h.pendingVotes = h.pendingVotes[1:]
 	}
-	h.asked = append(h.asked, ordered)
+	h.pendingVotes = append(h.pendingVotes, origin)
 	h.platform.Vote(v)
 }
 
-// look hands the module what it is to know, casts again a vote whose meaning has changed, and looks again in time.
-func (h *Host) look() {
+// evaluate gives the module what it has to know by now, casts a vote that has to be revised, and sets the timer for
+// the next evaluation.
+func (h *Host) evaluate() {
 	now := h.clock()
 	h.events = h.guard.Evaluate(now, h.events[:0])
 	for _, e := range h.events {
-		if n, ok := e.(relay.RolloutStatus); ok {
-			h.loop.Log.WithFields(logrus.Fields{"build": n.Build, "stage": n.Stage, "phase": n.Phase, "cap": n.ExposureLimit}).
-				Info("narrowed by the plan")
+		if status, ok := e.(relay.RolloutStatus); ok {
+			h.loop.Log.WithFields(logrus.Fields{"build": status.Build, "stage": status.Stage, "phase": status.Phase,
+				"cap": status.ExposureLimit}).Info("narrowed by the plan")
 		}
 		h.loop.AddEvent(e)
 	}
-	if v, ok := h.guard.ReviseVote(now); ok {
-		h.cast(v, false)
+	if v, revised := h.guard.ReviseVote(now); revised {
+		h.castVote(v, castByGuard)
 	}
-	if w := h.guard.PromotionBlocked(now); w.Code != h.last.Code {
-		h.last = w
-		h.loop.Log.WithFields(logrus.Fields{"code": string(w.Code), "why": w.Text}).Info("plan")
+	if reason := h.guard.PromotionBlocked(now); reason.Code != h.lastReason.Code {
+		h.lastReason = reason
+		h.loop.Log.WithFields(logrus.Fields{"code": string(reason.Code), "why": reason.Text}).Info("plan")
 	}
-	at := h.loop.Clock.Now() + math.Min(math.Max(h.guard.NextEvaluation(now)-now, 0.001), lookEvery)
-	if h.wakeAt <= h.loop.Clock.Now() || at < h.wakeAt {
-		h.wakeAt = at
-		h.loop.RunAt(at, func() {
-			if h.wakeAt == at {
-				h.wakeAt = 0
-				h.look()
-			}
-		})
+	wait := math.Max(h.guard.NextEvaluation(now)-now, minEvaluationInterval)
+	h.evaluateWithin(math.Min(wait, maxEvaluationInterval))
+}
+
+// evaluateWithin sets the timer, unless one is set that fires earlier. A timer that was replaced does nothing.
+func (h *Host) evaluateWithin(wait relay.Seconds) {
+	now := h.loop.Clock.Now()
+	at := now + wait
+	if h.evaluateAt > now && h.evaluateAt <= at {
+		return
 	}
+	h.evaluateAt = at
+	h.loop.RunAt(at, func() {
+		if h.evaluateAt == at {
+			h.evaluateAt = 0
+			h.evaluate()
+		}
+	})
 }
 
-// Replan puts another plan in place, or keeps the old one. On the loop.
+// Replan puts another plan in force. Where that fails, the old one stays.
 func (h *Host) Replan(p *plan.Plan) error {
-	if err := h.guard.Replan(p, h.customers); err != nil {
+	if err := h.guard.Replan(p, h.tenants); err != nil {
 		return err
 	}
 	h.plan = p
 	h.Start()
-	h.look()
+	h.evaluate()
 	return nil
 }
--- a/internal/guard/guard_test.go
+++ b/internal/guard/guard_test.go
@@ -23,20 +23,20 @@
 
 const day = 1796515200.0 // 2026-12-06 00:00 UTC
 
-// voter stands for the platform.
-type voter struct{ votes []relay.Vote }
+// recordingPlatform keeps the votes that it is given.
+type recordingPlatform struct{ votes []relay.Vote }
 
-func (v *voter) Vote(x relay.Vote) { v.votes = append(v.votes, x) }
+func (p *recordingPlatform) Vote(v relay.Vote) { p.votes = append(p.votes, v) }
 
-// hosted is a guard on a loop that a test drives by hand.
-type hosted struct {
+// hostHarness is a host on a loop that a test drives by hand.
+type hostHarness struct {
 	*Host
-	loop  *pipeline.Loop
-	votes *voter
-	now   plan.Unix
+	loop     *pipeline.Loop
+	platform *recordingPlatform
+	now      plan.Unix
 }
 
-func newHosted(t *testing.T) *hosted {
+func newHostHarness(t *testing.T) *hostHarness {
 	t.Helper()
 	p, err := plan.Parse("p", []byte(planText))
 	if err != nil {
@@ -49,95 +49,101 @@
 	}
 	log := logrus.New()
 	log.SetOutput(io.Discard)
-	h := &hosted{loop: pipeline.NewLoop(site, 1, buffer.NewPool(1<<20), &metrics.Counters{}, log), votes: &voter{}, now: day}
-	if h.Host, err = New(h.loop, p, "b", h.votes, func() plan.Unix { return h.now }); err != nil {
+	h := &hostHarness{
+		loop:     pipeline.NewLoop(site, 1, buffer.NewPool(1<<20), &metrics.Counters{}, log),
+		platform: &recordingPlatform{},
+		now:      day,
+	}
+	if h.Host, err = New(h.loop, p, "b", h.platform, func() plan.Unix { return h.now }); err != nil {
 		t.Fatal(err)
 	}
 	h.loop.Guard = h.Host
 	return h
 }
 
-func (h *hosted) learned() (news []relay.RolloutStatus, scopes []relay.CanaryScope) {
+// moduleEvents takes what the module has received since the last call.
+func (h *hostHarness) moduleEvents() (statuses []relay.RolloutStatus, scopes []relay.CanaryScope) {
 	for _, e := range h.loop.TakeEvents() {
 		switch e := e.(type) {
 		case relay.RolloutStatus:
-			news = append(news, e)
+			statuses = append(statuses, e)
 		case relay.CanaryScope:
 			scopes = append(scopes, e)
 		}
 	}
-	return news, scopes
+	return statuses, scopes
 }
 
-func trial(b relay.Build, s relay.Stage, limit float64) relay.RolloutStatus {
-	return relay.RolloutStatus{Valid: true, Build: b, Stage: s, ExposureLimit: limit}
+func canaryStatus(build relay.Build, stage relay.Stage, limit float64) relay.RolloutStatus {
+	return relay.RolloutStatus{Valid: true, Build: build, Stage: stage, ExposureLimit: limit}
 }
 
-func TestNewsIsNarrowed(t *testing.T) {
-	h := newHosted(t)
-	h.loop.RolloutStatusReceived(trial(3, 0, 0.9))
-	news, scopes := h.learned()
-	if len(news) != 1 || news[0].ExposureLimit != 0 || len(scopes) != 1 || scopes[0].GroupOpen[0] {
-		t.Fatalf("a was never heard of: %+v %+v", news, scopes)
-	}
-	h.other("a", relay.RolloutStatus{Valid: true, Build: 1, Phase: relay.PhaseReleased, ExposureLimit: 1})
-	news, scopes = h.learned()
-	if len(news) != 1 || news[0].ExposureLimit != 0.2 || len(scopes) != 1 || !scopes[0].GroupOpen[0] || scopes[0].GroupOpen[1] {
-		t.Fatalf("%+v %+v", news, scopes)
+func TestStatusIsNarrowed(t *testing.T) {
+	h := newHostHarness(t)
+	h.loop.RolloutStatusReceived(canaryStatus(3, 0, 0.9))
+	statuses, scopes := h.moduleEvents()
+	if len(statuses) != 1 || statuses[0].ExposureLimit != 0 || len(scopes) != 1 || scopes[0].GroupOpen[0] {
+		t.Fatalf("no status of a was received: %+v %+v", statuses, scopes)
+	}
+	h.dependencyStatusReceived("a", relay.RolloutStatus{Valid: true, Build: 1, Phase: relay.PhaseReleased, ExposureLimit: 1})
+	statuses, scopes = h.moduleEvents()
+	if len(statuses) != 1 || statuses[0].ExposureLimit != 0.2 || len(scopes) != 1 || !scopes[0].GroupOpen[0] || scopes[0].GroupOpen[1] {
+		t.Fatalf("%+v %+v", statuses, scopes)
 	}
 	if g := scopes[0].GroupOfTenant; len(g) != 3 || g[0] != 1 || g[1] != 0 || g[2] != -1 {
 		t.Errorf("groups by the settings' numbers: %v", g)
 	}
-	h.loop.RolloutStatusReceived(trial(3, 0, 0.9))
-	if news, _ := h.learned(); len(news) != 0 {
-		t.Errorf("the same again: %+v", news)
+	h.loop.RolloutStatusReceived(canaryStatus(3, 0, 0.9))
+	if statuses, _ := h.moduleEvents(); len(statuses) != 0 {
+		t.Errorf("the same status again: %+v", statuses)
 	}
-	h.other("a", relay.RolloutStatus{Valid: true, Build: 2, Phase: relay.PhaseRollingBack})
-	if news, _ := h.learned(); len(news) != 1 || news[0].ExposureLimit != 0 {
-		t.Errorf("the need went back: %+v", news)
+	h.dependencyStatusReceived("a", relay.RolloutStatus{Valid: true, Build: 2, Phase: relay.PhaseRollingBack})
+	if statuses, _ := h.moduleEvents(); len(statuses) != 1 || statuses[0].ExposureLimit != 0 {
+		t.Errorf("the dependency rolled back: %+v", statuses)
 	}
 }
 
-func TestAnswersGoToWhoCast(t *testing.T) {
-	h := newHosted(t)
-	h.other("a", relay.RolloutStatus{Valid: true, Build: 1, Phase: relay.PhaseReleased, ExposureLimit: 1})
-	h.loop.RolloutStatusReceived(trial(3, 0, 0.2))
-	on := relay.Vote{Build: 3, Stage: 0, Verdict: relay.VotePromote}
+func TestRepliesGoToOriginOfVote(t *testing.T) {
+	h := newHostHarness(t)
+	h.dependencyStatusReceived("a", relay.RolloutStatus{Valid: true, Build: 1, Phase: relay.PhaseReleased, ExposureLimit: 1})
+	h.loop.RolloutStatusReceived(canaryStatus(3, 0, 0.2))
+	promote := relay.Vote{Build: 3, Stage: 0, Verdict: relay.VotePromote}
 	h.now = day + 3600 - 10
-	h.other("a", relay.RolloutStatus{}) // a sign of life
-	h.Vote(on)
-	h.now = day + 3600 - 1.5 // the skew before the freeze: the guard takes the on back
-	h.look()
-	if v := h.votes.votes; len(v) != 2 || v[0] != on || v[1].Verdict != relay.VoteHold {
+	h.dependencyStatusReceived("a", relay.RolloutStatus{}) // a keep-alive
+	h.Vote(promote)
+	h.now = day + 3600 - 1.5 // the skew before the freeze: the guard revises the vote
+	h.evaluate()
+	if v := h.platform.votes; len(v) != 2 || v[0] != promote || v[1].Verdict != relay.VoteHold {
 		t.Fatalf("%+v", v)
 	}
-	h.learned()
-	own, guards := trial(3, 0, 0.2), trial(3, 0, 0.2)
-	own.Reply, guards.Reply = relay.ReplyCounted, relay.ReplyNotCounted
-	h.loop.RolloutStatusReceived(own)
-	h.loop.RolloutStatusReceived(guards)
-	news, _ := h.learned()
-	if len(news) != 1 || news[0].Reply != relay.ReplyCounted || news[0].Valid {
-		t.Errorf("the module is owed one answer: %+v", news)
+	h.moduleEvents()
+	toModule, toGuard := canaryStatus(3, 0, 0.2), canaryStatus(3, 0, 0.2)
+	toModule.Reply, toGuard.Reply = relay.ReplyCounted, relay.ReplyNotCounted
+	h.loop.RolloutStatusReceived(toModule)
+	h.loop.RolloutStatusReceived(toGuard)
+	statuses, _ := h.moduleEvents()
+	if len(statuses) != 1 || statuses[0].Reply != relay.ReplyCounted || statuses[0].Valid {
+		t.Errorf("the module must receive one reply: %+v", statuses)
 	}
-	back := relay.Vote{Build: 3, Stage: 0, Verdict: relay.VoteRollBack}
+	rollBack := relay.Vote{Build: 3, Stage: 0, Verdict: relay.VoteRollBack}
 	h.now = day + 3700
-	if h.Vote(back); h.votes.votes[2] != back {
-		t.Error("back is free")
+	h.Vote(rollBack)
+	if h.platform.votes[2] != rollBack {
+		t.Error("a vote to roll back was changed")
 	}
 }
 
-func TestBadPlanAtReloadLeavesTheOldOne(t *testing.T) {
-	h := newHosted(t)
-	h.other("a", relay.RolloutStatus{Valid: true, Build: 1, Phase: relay.PhaseReleased, ExposureLimit: 1})
-	h.loop.RolloutStatusReceived(trial(3, 0, 0.2))
-	h.learned()
+func TestFailedReplanKeepsOldPlan(t *testing.T) {
+	h := newHostHarness(t)
+	h.dependencyStatusReceived("a", relay.RolloutStatus{Valid: true, Build: 1, Phase: relay.PhaseReleased, ExposureLimit: 1})
+	h.loop.RolloutStatusReceived(canaryStatus(3, 0, 0.2))
+	h.moduleEvents()
 	bad, err := plan.Parse("p", []byte(strings.NewReplacer(`name="b"`, `name="c"`).Replace(planText)))
 	if err != nil {
 		t.Fatal(err)
 	}
 	if err := h.Replan(bad); err == nil {
-		t.Error("a plan without the service was taken")
+		t.Error("a plan without the service was accepted")
 	}
 	next, err := plan.Parse("p", []byte(strings.Replace(planText, `cap="0.2"`, `cap="0.1"`, 1)))
 	if err != nil {
@@ -146,19 +152,32 @@
 	if err := h.Replan(next); err != nil {
 		t.Fatal(err)
 	}
-	if news, _ := h.learned(); len(news) != 1 || news[0].ExposureLimit != 0.1 {
-		t.Errorf("%+v", news)
+	if statuses, _ := h.moduleEvents(); len(statuses) != 1 || statuses[0].ExposureLimit != 0.1 {
+		t.Errorf("%+v", statuses)
 	}
 }
 
-func TestNamesMustFit(t *testing.T) {
-	h := newHosted(t)
-	p, _ := plan.Parse("p", []byte(planText))
-	if _, err := New(h.loop, p, "z", h.votes, nil); err == nil {
-		t.Error("no such service")
-	}
-	h.loop.Site.Zones = []string{"elsewhere"}
-	if _, err := New(h.loop, p, "b", h.votes, nil); err == nil {
-		t.Error("no such site")
+func TestNewChecksNames(t *testing.T) {
+	p, err := plan.Parse("p", []byte(planText))
+	if err != nil {
+		t.Fatal(err)
+	}
+	for _, c := range []struct {
+		name    string
+		service string
+		zones   []string
+		want    string
+	}{
+		{"no such service", "z", []string{"x"}, `the plan has no service "z"`},
+		{"no such site", "b", []string{"elsewhere"}, `the plan has no site "elsewhere"`},
+		{"a zone without a name", "b", nil, "the settings don't name this relay's site"},
+	} {
+		t.Run(c.name, func(t *testing.T) {
+			h := newHostHarness(t)
+			h.loop.Site.Zones = c.zones
+			if _, err := New(h.loop, p, c.service, h.platform, nil); err == nil || err.Error() != c.want {
+				t.Errorf("error %v, want %q", err, c.want)
+			}
+		})
 	}
 }
