--- a/cmd/lichenroad/sweep.go
+++ b/cmd/lichenroad/sweep.go
@@ -108,7 +108,7 @@
 		if err := t.writeJSON(*file, swept{args, name, at}); err != nil {
 			return err
 		}
-		order, by := experiment.Split(at)
+		order, by := experiment.GroupByValue(at)
 		if *chart != "" {
 			page, err := sweepPage(*chart, name, order, by, *confidence)
 			if err != nil {
@@ -132,8 +132,8 @@
 	figures, of := []string{"service", "worst_10s", "denied_part", "written_off_part", "legs_a_query", "p99_s"}, map[string][]lab.Bar{}
 	for _, f := range figures {
 		for _, v := range order {
-			mean, low, top := experiment.Mean(by[v], f, confidence)
-			of[f] = append(of[f], lab.Bar{Name: v, Mean: mean, Low: low, Top: top})
+			estimate := experiment.Mean(by[v], f, confidence)
+			of[f] = append(of[f], lab.Bar{Name: v, Mean: estimate.Mean, Low: estimate.Low, Top: estimate.High})
 		}
 	}
 	return lab.SweepPage(dir, "What "+name+" does", figures, of)
@@ -182,7 +182,7 @@
 			for _, a := range arrivals {
 				r.Play(a)
 			}
-			at[i].Figures = figures(r.End())
+			at[i].Metrics = figures(r.End())
 		}()
 	}
 	wait.Wait()
@@ -208,7 +208,7 @@
 	w := tabwriter.NewWriter(t.out, 0, 0, 2, ' ', 0)
 	fmt.Fprintf(w, "FIGURE\tSEEDS\tFIRST\tTHIS\tDIFFERENCE\t%g%% INTERVAL\tVERDICT\n", 100*o.Confidence)
 	for _, c := range list {
-		fmt.Fprintf(w, "%s\t%d\t%.4f\t%.4f\t%+.4f\t%+.4f to %+.4f\t%s\n", c.Figure, c.Pairs, c.A, c.B, c.Diff, c.Low, c.High, c.Verdict)
+		fmt.Fprintf(w, "%s\t%d\t%.4f\t%.4f\t%+.4f\t%+.4f to %+.4f\t%s\n", c.Metric, c.Pairs, c.A, c.B, c.Difference, c.Low, c.High, c.Verdict)
 	}
 	return w.Flush()
 }
@@ -240,7 +240,7 @@
 		return nil, err
 	}
 	if len(s.Runs) > 0 {
-		values, _ := experiment.Split(s.Runs)
+		values, _ := experiment.GroupByValue(s.Runs)
 		if len(values) > 1 {
 			sort.Strings(values)
 			return nil, fmt.Errorf("it has %d values (%s): compare them by the sweep itself", len(values), strings.Join(values, ", "))
@@ -254,5 +254,5 @@
 	if r.All.Queries == 0 {
 		return nil, fmt.Errorf("no sweep and no replay")
 	}
-	return []experiment.Run{{Seed: r.Seed, Figures: figures(r)}}, nil
+	return []experiment.Run{{Seed: r.Seed, Metrics: figures(r)}}, nil
 }
--- a/cmd/lichenroad/tools_test.go
+++ b/cmd/lichenroad/tools_test.go
@@ -296,7 +296,7 @@
 		t.Errorf("%v %d runs", err, len(got.Runs))
 	}
 	for _, r := range got.Runs {
-		if r.Figures["broken"] != 0 {
+		if r.Metrics["broken"] != 0 {
 			t.Errorf("%+v", r)
 		}
 	}
@@ -307,7 +307,7 @@
 			t.Errorf("%d %s %s", code, out, errs)
 		}
 		for _, r := range got.Runs {
-			if r.Figures["broken"] != 0 || r.Figures["service"] < 0.5 {
+			if r.Metrics["broken"] != 0 || r.Metrics["service"] < 0.5 {
 				t.Errorf("%+v", r)
 			}
 		}
@@ -318,7 +318,7 @@
 		t.Errorf("%d %s %s", code, out, errs)
 	}
 	for _, r := range got.Runs { // no trouble brings the module to break a rule
-		if r.Figures["broken"] != 0 {
+		if r.Metrics["broken"] != 0 {
 			t.Errorf("%+v", r)
 		}
 	}
--- a/experiment/experiment.go
+++ b/experiment/experiment.go
@@ -1,177 +1,182 @@
-// Package experiment compares runs that differ in one thing: paired by seed, with confidence intervals and a plain
-// verdict. It does no I/O and draws no chance.
+// Package experiment compares runs that differ in one setting: paired by seed, with a confidence interval and a verdict
+// for each metric. It owns no state, does no I/O and draws no random numbers; its functions may be called from any
+// goroutine.
 package experiment
 
 import (
+	"cmp"
 	"errors"
 	"fmt"
+	"maps"
 	"math"
-	"sort"
+	"slices"
 
 	"gonum.org/v1/gonum/stat"
-	"gonum.org/v1/gonum/stat/distuv"
 )
 
-// Run is one run's figures.
+// Run is the result of one run.
 type Run struct {
-	Value   string             `json:"value"` // of what was varied
+	Value   string             `json:"value"` // of the setting that was varied
 	Seed    int64              `json:"seed"`
-	Figures map[string]float64 `json:"figures"`
+	Metrics map[string]float64 `json:"figures"`
 }
 
-// Verdict says what a comparison tells.
-type Verdict string
+// Direction says which way a metric gets better.
+type Direction int
 
-// The verdicts.
+// The directions.
 const (
-	Better     Verdict = "better"
-	Worse      Verdict = "worse"
-	NotApart   Verdict = "not told apart"
-	Equivalent Verdict = "equal within the margin"
-	Same       Verdict = "the same"
+	HigherIsBetter Direction = 1
+	LowerIsBetter  Direction = -1
 )
 
-// Sense says whether more of a figure is better.
-type Sense int
-
-const (
-	MoreIsBetter Sense = 1
-	LessIsBetter Sense = -1
-)
-
-// Senses are the figures that are compared, and what is better.
-var Senses = map[string]Sense{"service": MoreIsBetter, "worst_10s": MoreIsBetter, "tail": MoreIsBetter, "figure": MoreIsBetter, "denied_part": LessIsBetter, "written_off_part": LessIsBetter,
-	"legs_a_query": LessIsBetter, "p50_s": LessIsBetter, "p99_s": LessIsBetter}
+// Directions holds the metrics that are compared, and which way each gets better.
+var Directions = map[string]Direction{
+	"service":          HigherIsBetter,
+	"worst_10s":        HigherIsBetter,
+	"tail":             HigherIsBetter,
+	"figure":           HigherIsBetter,
+	"denied_part":      LowerIsBetter,
+	"written_off_part": LowerIsBetter,
+	"legs_a_query":     LowerIsBetter,
+	"p50_s":            LowerIsBetter,
+	"p99_s":            LowerIsBetter,
+}
 
-// Comparison is one figure of B against A.
+// Comparison is one metric of the runs B against the runs A.
 type Comparison struct {
-	Figure   string  `json:"figure"`
-	Pairs    int     `json:"pairs"`
-	A        float64 `json:"a"` // means
-	B        float64 `json:"b"`
-	Diff     float64 `json:"diff"` // mean of B less A, by seed
-	Low      float64 `json:"low"`  // of the confidence interval
-	High     float64 `json:"high"`
-	Verdict  Verdict `json:"verdict"`
-	Informed bool    `json:"informed"` // there were pairs enough for an interval
+	Metric      string  `json:"figure"`
+	Pairs       int     `json:"pairs"`
+	A           float64 `json:"a"` // mean over the pairs
+	B           float64 `json:"b"`
+	Difference  float64 `json:"diff"` // mean of B - A, by seed
+	Low         float64 `json:"low"`  // of the confidence interval of Difference
+	High        float64 `json:"high"`
+	Verdict     Verdict `json:"verdict"`
+	HasInterval bool    `json:"informed"` // there were pairs enough for an interval
 }
 
 // Options of a comparison.
 type Options struct {
-	Confidence float64 // such as 0.95, for each figure
-	Margin     float64 // a difference that matters to nobody, as a part of A's mean; 0: none
+	Confidence float64 // of each metric's interval, such as 0.95
+	Margin     float64 // a difference that does not matter, as a part of A's mean; 0: none
+}
+
+// ErrNoCommonSeed says that no seed is in both sets of runs.
+var ErrNoCommonSeed = errors.New("no seed stands in both")
+
+var errConfidenceRange = errors.New("from 0 to 1")
+
+// DuplicateSeedError reports a seed that one set of runs has twice.
+type DuplicateSeedError struct {
+	Seed int64
 }
 
-var errPairs = errors.New("no seed stands in both")
+// Error returns which seed it is.
+func (e *DuplicateSeedError) Error() string { return fmt.Sprintf("seed %d stands twice", e.Seed) }
 
-// Compare holds B's runs against A's, figure by figure, by the seeds that stand in both. Seeds that stand in one only
-// are left out: what they would add is the seeds' difference, not the thing's.
+// Compare compares the runs B with the runs A, metric by metric, by the seeds that both have. Other seeds are left out:
+// they would add the difference between seeds. Metrics that no pair has are left out too. The error is a
+// *DuplicateSeedError, ErrNoCommonSeed, or about the confidence.
 func Compare(a, b []Run, o Options) ([]Comparison, error) {
-	if !(o.Confidence > 0 && o.Confidence < 1) {
-		return nil, fmt.Errorf("confidence %g: from 0 to 1", o.Confidence)
+	if !(o.Confidence > 0 && o.Confidence < 1) { // also refuses NaN
+		return nil, fmt.Errorf("confidence %g: %w", o.Confidence, errConfidenceRange)
 	}
-	bySeed := map[int64]Run{}
-	for _, r := range a {
-		if _, twice := bySeed[r.Seed]; twice {
-			return nil, fmt.Errorf("seed %d stands twice", r.Seed)
-		}
-		bySeed[r.Seed] = r
+	pairs, err := pairBySeed(a, b)
+	if err != nil {
+		return nil, err
 	}
-	type pair struct{ a, b Run }
-	var pairs []pair
-	seen := map[int64]bool{}
-	for _, r := range b {
-		if seen[r.Seed] {
-			return nil, fmt.Errorf("seed %d stands twice", r.Seed)
-		}
-		seen[r.Seed] = true
-		if x, ok := bySeed[r.Seed]; ok {
-			pairs = append(pairs, pair{x, r})
+	var out []Comparison
+	for _, metric := range slices.Sorted(maps.Keys(Directions)) {
+		if s := samplesOf(metric, pairs); len(s.differences) > 0 {
+			out = append(out, compareMetric(metric, s, o))
 		}
 	}
-	if len(pairs) == 0 {
-		return nil, errPairs
+	return out, nil
+}
+
+// pair holds the runs of one seed.
+type pair struct{ a, b Run }
+
+// pairBySeed returns the pairs in the order of their seeds.
+func pairBySeed(a, b []Run) ([]pair, error) {
+	runsA, err := indexBySeed(a)
+	if err != nil {
+		return nil, err
 	}
-	sort.Slice(pairs, func(i, j int) bool { return pairs[i].a.Seed < pairs[j].a.Seed })
-	var names []string
-	for name := range Senses {
-		names = append(names, name)
+	if _, err := indexBySeed(b); err != nil {
+		return nil, err
 	}
-	sort.Strings(names)
-	var out []Comparison
-	for _, name := range names {
-		var as, bs, diffs []float64
-		for _, p := range pairs {
-			x, ok1 := p.a.Figures[name]
-			y, ok2 := p.b.Figures[name]
-			if ok1 && ok2 && !math.IsNaN(x) && !math.IsNaN(y) {
-				as, bs, diffs = append(as, x), append(bs, y), append(diffs, y-x)
-			}
-		}
-		if len(diffs) == 0 {
-			continue
+	var pairs []pair
+	for _, runB := range b {
+		if runA, ok := runsA[runB.Seed]; ok {
+			pairs = append(pairs, pair{a: runA, b: runB})
 		}
-		c := Comparison{Figure: name, Pairs: len(diffs), A: stat.Mean(as, nil), B: stat.Mean(bs, nil), Diff: stat.Mean(diffs, nil)}
-		c.Low, c.High, c.Informed = interval(diffs, o.Confidence)
-		c.Verdict = judge(c, Senses[name], o.Margin*math.Abs(c.A))
-		out = append(out, c)
 	}
-	return out, nil
+	if len(pairs) == 0 {
+		return nil, ErrNoCommonSeed
+	}
+	slices.SortFunc(pairs, func(x, y pair) int { return cmp.Compare(x.a.Seed, y.a.Seed) })
+	return pairs, nil
 }
 
-// interval is Student's for the mean of paired differences; with one pair there is none.
-func interval(diffs []float64, confidence float64) (low, high float64, ok bool) {
-	mean, dev := stat.MeanStdDev(diffs, nil)
-	n := float64(len(diffs))
-	if n < 2 {
-		return mean, mean, false
+func indexBySeed(runs []Run) (map[int64]Run, error) {
+	bySeed := make(map[int64]Run, len(runs))
+	for _, run := range runs {
+		if _, duplicate := bySeed[run.Seed]; duplicate {
+			return nil, &DuplicateSeedError{Seed: run.Seed}
+		}
+		bySeed[run.Seed] = run
 	}
-	t := distuv.StudentsT{Mu: 0, Sigma: 1, Nu: n - 1}.Quantile(1 - (1-confidence)/2)
-	half := t * dev / math.Sqrt(n)
-	return mean - half, mean + half, true
+	return bySeed, nil
 }
 
-// Mean gives a figure's mean over runs, and its interval.
-func Mean(runs []Run, figure string, confidence float64) (mean, low, high float64) {
-	var xs []float64
-	for _, r := range runs {
-		if x, ok := r.Figures[figure]; ok && !math.IsNaN(x) {
-			xs = append(xs, x)
+// samples are the values of one metric, pair by pair.
+type samples struct{ a, b, differences []float64 }
+
+// samplesOf leaves out the pairs of which a run has no number for the metric.
+func samplesOf(metric string, pairs []pair) samples {
+	var s samples
+	for _, p := range pairs {
+		x, inA := p.a.value(metric)
+		y, inB := p.b.value(metric)
+		if inA && inB {
+			s.a = append(s.a, x)
+			s.b = append(s.b, y)
+			s.differences = append(s.differences, y-x)
 		}
 	}
-	if len(xs) == 0 {
-		return 0, 0, 0
-	}
-	low, high, _ = interval(xs, confidence)
-	return stat.Mean(xs, nil), low, high
+	return s
+}
+
+// value returns a metric, if the run has a number for it.
+func (r Run) value(metric string) (float64, bool) {
+	x, ok := r.Metrics[metric]
+	return x, ok && !math.IsNaN(x)
 }
 
-// judge gives the verdict: equal where the whole interval lies within the margin, better or worse where it lies on one
-// side of nothing.
-func judge(c Comparison, s Sense, margin float64) Verdict {
-	switch {
-	case !c.Informed:
-		return NotApart
-	case c.Low == 0 && c.High == 0:
-		return Same
-	case margin > 0 && c.Low > -margin && c.High < margin:
-		return Equivalent
-	case c.Low > 0 && s == MoreIsBetter, c.High < 0 && s == LessIsBetter:
-		return Better
-	case c.Low > 0, c.High < 0:
-		return Worse
+func compareMetric(metric string, s samples, o Options) Comparison {
+	c := Comparison{
+		Metric:     metric,
+		Pairs:      len(s.differences),
+		A:          stat.Mean(s.a, nil),
+		B:          stat.Mean(s.b, nil),
+		Difference: stat.Mean(s.differences, nil),
 	}
-	return NotApart
+	interval := confidenceInterval(s.differences, o.Confidence)
+	c.Low, c.High, c.HasInterval = interval.low, interval.high, interval.known
+	c.Verdict = judge(c, Directions[metric], o.Margin*math.Abs(c.A))
+	return c
 }
 
-// Split gathers runs by their value, in the order in which the values first stand.
-func Split(runs []Run) (values []string, by map[string][]Run) {
-	by = map[string][]Run{}
-	for _, r := range runs {
-		if by[r.Value] == nil {
-			values = append(values, r.Value)
+// GroupByValue groups runs by their value; values has them in the order in which they first appear.
+func GroupByValue(runs []Run) (values []string, byValue map[string][]Run) {
+	byValue = map[string][]Run{}
+	for _, run := range runs {
+		if byValue[run.Value] == nil {
+			values = append(values, run.Value)
 		}
-		by[r.Value] = append(by[r.Value], r)
+		byValue[run.Value] = append(byValue[run.Value], run)
 	}
-	return values, by
+	return values, byValue
 }
--- a/experiment/experiment_test.go
+++ b/experiment/experiment_test.go
@@ -1,24 +1,26 @@
 package experiment
 
 import (
+	"errors"
 	"math"
 	"math/rand"
 	"testing"
 )
 
-// draw gives runs whose service differs by seed far more than by what was varied.
-func draw(n int, shift, noise float64, seed int64) (a, b []Run) {
+// drawRuns returns runs whose metrics differ by seed far more than by what was varied.
+func drawRuns(n int, shift, noise float64, seed int64) (a, b []Run) {
 	r := rand.New(rand.NewSource(seed))
 	for s := range int64(n) {
 		base := 0.5 + 0.4*r.Float64()
-		a = append(a, Run{"a", s, map[string]float64{"service": base, "p99_s": 1 - base}})
+		a = append(a, Run{Value: "a", Seed: s, Metrics: map[string]float64{"service": base, "p99_s": 1 - base}})
 		x := base + shift + noise*r.NormFloat64()
-		b = append(b, Run{"b", s, map[string]float64{"service": x, "p99_s": 1 - x}})
+		b = append(b, Run{Value: "b", Seed: s, Metrics: map[string]float64{"service": x, "p99_s": 1 - x}})
 	}
 	return a, b
 }
 
-func verdicts(t *testing.T, a, b []Run, o Options) map[string]Comparison {
+// compare returns the comparisons by metric.
+func compare(t *testing.T, a, b []Run, o Options) map[string]Comparison {
 	t.Helper()
 	list, err := Compare(a, b, o)
 	if err != nil {
@@ -26,62 +28,88 @@
 	}
 	out := map[string]Comparison{}
 	for _, c := range list {
-		out[c.Figure] = c
+		out[c.Metric] = c
 	}
 	return out
 }
 
 func TestVerdicts(t *testing.T) {
-	o := Options{Confidence: 0.95}
-	a, b := draw(10, 0.02, 0.005, 1)
-	if got := verdicts(t, a, b, o); got["service"].Verdict != Better || got["p99_s"].Verdict != Better || got["service"].Pairs != 10 {
-		t.Errorf("%+v", got)
+	a, shifted := drawRuns(10, 0.02, 0.005, 1)
+	c, nearly := drawRuns(10, 0, 0.001, 2)
+	for _, tc := range []struct {
+		name    string
+		a, b    []Run
+		margin  float64
+		service Verdict
+		p99     Verdict
+		pairs   int
+	}{
+		{"better", a, shifted, 0, Better, Better, 10},
+		{"worse", shifted, a, 0, Worse, Worse, 10},
+		{"identical", a, a, 0, Identical, Identical, 10},
+		{"within the margin", c, nearly, 0.01, Equivalent, Equivalent, 10},
+		{"one pair shows nothing, whatever the difference", c[:1], nearly[:1], 0, Inconclusive, Inconclusive, 1},
+		{"seeds of one side are left out", c[:6], nearly[3:], 0, Inconclusive, Inconclusive, 3},
+	} {
+		t.Run(tc.name, func(t *testing.T) {
+			got := compare(t, tc.a, tc.b, Options{Confidence: 0.95, Margin: tc.margin})
+			service, p99 := got["service"], got["p99_s"]
+			if service.Verdict != tc.service || p99.Verdict != tc.p99 {
+				t.Errorf("service %+v, p99 %+v", service, p99)
+			}
+			if service.Pairs != tc.pairs || service.HasInterval != (tc.pairs > 1) {
+				t.Errorf("%+v, want %d pairs", service, tc.pairs)
+			}
+		})
 	}
-	if got := verdicts(t, b, a, o); got["service"].Verdict != Worse || got["p99_s"].Verdict != Worse {
-		t.Errorf("%+v", got)
-	}
-	if got := verdicts(t, a, a, o); got["service"].Verdict != Same {
-		t.Errorf("%+v", got)
-	}
-	a, b = draw(10, 0, 0.001, 2)
-	if got := verdicts(t, a, b, Options{Confidence: 0.95, Margin: 0.01}); got["service"].Verdict != Equivalent {
-		t.Errorf("%+v", got)
-	}
-	// One pair tells nothing, whatever the difference.
-	if got := verdicts(t, a[:1], b[:1], o); got["service"].Verdict != NotApart || got["service"].Informed {
-		t.Errorf("%+v", got)
-	}
-	// Seeds that stand in one only are left out.
-	if got := verdicts(t, a[:6], b[3:], o); got["service"].Pairs != 3 {
-		t.Errorf("%+v", got)
-	}
-	if _, err := Compare(a[:3], b[5:], o); err == nil {
-		t.Error("nothing in common was compared")
-	}
-	if _, err := Compare(append(a, a[0]), b, o); err == nil {
-		t.Error("a seed that stands twice was taken")
+}
+
+func TestCompareErrors(t *testing.T) {
+	a, b := drawRuns(10, 0, 0.001, 2)
+	twice := append(a[:len(a):len(a)], a[0])
+	isDuplicate := func(err error) bool {
+		duplicate := (*DuplicateSeedError)(nil)
+		return errors.As(err, &duplicate) && duplicate.Seed == a[0].Seed
 	}
-	if _, err := Compare(a, b, Options{Confidence: 1}); err == nil {
-		t.Error("certainty was taken")
+	for _, c := range []struct {
+		name       string
+		a, b       []Run
+		confidence float64
+		is         func(error) bool
+		want       string
+	}{
+		{"no common seed", a[:3], b[5:], 0.95, func(err error) bool { return errors.Is(err, ErrNoCommonSeed) }, "no seed stands in both"},
+		{"a seed twice in A", twice, b, 0.95, isDuplicate, "seed 0 stands twice"},
+		{"a seed twice in B", b, twice, 0.95, isDuplicate, "seed 0 stands twice"},
+		{"certainty", a, b, 1, func(err error) bool { return errors.Is(err, errConfidenceRange) }, "confidence 1: from 0 to 1"},
+		{"no number", a, b, math.NaN(), func(err error) bool { return errors.Is(err, errConfidenceRange) }, "confidence NaN: from 0 to 1"},
+	} {
+		t.Run(c.name, func(t *testing.T) {
+			_, err := Compare(c.a, c.b, Options{Confidence: c.confidence})
+			if !c.is(err) || err.Error() != c.want {
+				t.Errorf("error %v, want %q", err, c.want)
+			}
+		})
 	}
 }
 
-// TestFalseVerdicts compares the same with itself, with noise, many times: the share of verdicts is what the confidence says.
+// TestFalseVerdicts compares runs that differ by noise alone many times: the share of verdicts is what the confidence
+// says, and a shift is found.
 func TestFalseVerdicts(t *testing.T) {
-	wrong, found := 0.0, 0.0
 	const times = 2000
+	falseVerdicts, found := 0.0, 0.0
 	for i := range int64(times) {
-		a, b := draw(8, 0, 0.01, i)
-		if got := verdicts(t, a, b, Options{Confidence: 0.95}); got["service"].Verdict != NotApart {
-			wrong++
+		a, b := drawRuns(8, 0, 0.01, i)
+		if compare(t, a, b, Options{Confidence: 0.95})["service"].Verdict != Inconclusive {
+			falseVerdicts++
 		}
-		a, b = draw(8, 0.02, 0.01, i)
-		if got := verdicts(t, a, b, Options{Confidence: 0.95}); got["service"].Verdict == Better {
+		a, b = drawRuns(8, 0.02, 0.01, i)
+		if compare(t, a, b, Options{Confidence: 0.95})["service"].Verdict == Better {
 			found++
 		}
 	}
-	if p := wrong / times; math.Abs(p-0.05) > 0.015 {
-		t.Errorf("%.3f false verdicts at a confidence of 0.95", p)
+	if share := falseVerdicts / times; math.Abs(share-0.05) > 0.015 {
+		t.Errorf("%.3f false verdicts at a confidence of 0.95", share)
 	}
 	if found/times < 0.95 {
 		t.Errorf("a shift of two deviations is found in %.3f", found/times)
