--- a/internal/discovery/address.go
+++ b/internal/discovery/address.go
@@ -39,7 +39,7 @@
 	}
 	c.previousClosing = true
 	closing := c.previous
-	c.loop.RunAt(c.loop.Clock.Now()+limits.PartFor.Seconds(), func() {
+	c.loop.RunAt(c.loop.Clock.Now()+limits.AddressChangeOverlap.Seconds(), func() {
 		if c.previous == closing {
 			c.closePrevious()
 		}
--- a/internal/discovery/conn.go
+++ b/internal/discovery/conn.go
@@ -58,8 +58,14 @@
 	c.server.removeConn(c.net)
 	_ = c.net.Close() // nothing is left to be written
 	c.net = nil
-	log, open := c.server.client.loop.Log, time.Since(c.openedAt)
-	metrics.LogConnectionEnd(log, logPeer, c.server.address, reason, open.Seconds(), c.requests, nil)
+	end := metrics.ConnectionEnd{
+		Peer:     metrics.PeerDiscovery,
+		Name:     c.server.address,
+		Reason:   reason,
+		Age:      time.Since(c.openedAt).Seconds(),
+		Requests: c.requests,
+	}
+	end.Log(c.server.client.loop.Log)
 }
 
 // get sends a poll and returns its list. A request that crossed the end of an idle connection has not reached the service
@@ -103,12 +109,12 @@
 	if c.net != nil {
 		return nil
 	}
-	connection, err := netpoll.DialConnection("tcp", c.server.address, limits.DialFor)
+	connection, err := netpoll.DialConnection("tcp", c.server.address, limits.DiscoveryDialTimeout)
 	if err != nil {
 		return &pollError{metrics.ClosedByConnectError, err}
 	}
 	c.net, c.openedAt, c.requests = connection, time.Now(), 0
-	_ = connection.SetWriteTimeout(limits.DialFor) // it stores the value and has no error to report
+	_ = connection.SetWriteTimeout(limits.DiscoveryDialTimeout) // it stores the value and has no error to report
 	c.server.addConn(connection)
 	return nil
 }
@@ -131,7 +137,7 @@
 		return response, failure
 	}
 	wasIdle := c.requests > 1
-	if wasIdle && !response.Started() && time.Since(writtenAt) < limits.CrossFor {
+	if wasIdle && !response.Started() && time.Since(writtenAt) < limits.KeepAliveRaceWindow {
 		failure.err = fmt.Errorf("%w: %w", errServerClosedIdle, failure.err)
 	}
 	return response, failure
--- a/internal/discovery/drain_simulation_test.go
+++ b/internal/discovery/drain_simulation_test.go
@@ -284,7 +284,7 @@
 		return
 	}
 	newAnswered := d.newAddressAnsweredAt > 0
-	closed := newAnswered && d.now >= d.newAddressAnsweredAt+limits.PartFor.Seconds()
+	closed := newAnswered && d.now >= d.newAddressAnsweredAt+limits.AddressChangeOverlap.Seconds()
 	if closed || d.now >= d.moveAt+1.5 || d.now >= poll.failsAt {
 		d.previousPoll = nil
 		return
--- a/internal/discovery/events.go
+++ b/internal/discovery/events.go
@@ -102,7 +102,8 @@
 	}
 	if unreadable := update.list.Unreadable; unreadable > 0 {
 		c.loop.Metrics.Add(metrics.BadInput, int64(unreadable))
-		c.loop.Log.WithFields(logrus.Fields{"peer": logPeer, "entries": unreadable}).Warn("entries that can't be read")
+		fields := logrus.Fields{"peer": string(metrics.PeerDiscovery), "entries": unreadable}
+		c.loop.Log.WithFields(fields).Warn("unreadable endpoint list entries")
 	}
 	c.loop.AddEvent(event)
 }
--- a/internal/discovery/fetch.go
+++ b/internal/discovery/fetch.go
@@ -31,5 +31,5 @@
 		return
 	}
 	s.acceptList(list, fetchCommanded)
-	c.close(metrics.ClosedByCommand)
+	c.close(metrics.ClosedByPolicy)
 }
--- a/internal/discovery/schedule.go
+++ b/internal/discovery/schedule.go
@@ -47,16 +47,16 @@
 // newPollSettings returns the settings of a site. Changes that are pushed while no watch stands bind the relay after the
 // drain grace, so the backoff is bounded by a part of that.
 func newPollSettings(pushed bool, drainGrace relay.Seconds) pollSettings {
-	partOfGrace := time.Duration(limits.PushPart * drainGrace * float64(time.Second))
+	partOfGrace := time.Duration(limits.PushedListPollFraction * drainGrace * float64(time.Second))
 	return pollSettings{
 		pushed:          pushed,
-		maxWatchWait:    limits.WatchFor,
-		answerGrace:     limits.AnswerFor,
-		immediateAnswer: limits.PlainFor,
-		nextChunk:       limits.ListRest,
-		firstPushedList: limits.FirstList,
-		firstList:       limits.NoList,
-		maxBackoff:      max(limits.LeastOff, min(partOfGrace, limits.MostOff)),
+		maxWatchWait:    limits.MaxWatchTime,
+		answerGrace:     limits.WatchResponseTimeout,
+		immediateAnswer: limits.PollResponseTimeout,
+		nextChunk:       limits.ListReadTimeout,
+		firstPushedList: limits.AgentListTimeout,
+		firstList:       limits.FirstListTimeout,
+		maxBackoff:      max(limits.MinPushedListPoll, min(partOfGrace, limits.MaxBackoff)),
 	}
 }
 
@@ -84,7 +84,7 @@
 	if !s.established {
 		return poll{path: changesPath(s.generation, 0), timeout: s.settings.immediateAnswer}
 	}
-	part := limits.WatchPart + (1-limits.WatchPart)*s.random.Float64()
+	part := limits.MinWatchFraction + (1-limits.MinWatchFraction)*s.random.Float64()
 	wait := time.Duration(part * float64(s.settings.maxWatchWait))
 	return poll{
 		path:      changesPath(s.generation, wait),
@@ -128,7 +128,7 @@
 	if !s.settings.pushed || stalled {
 		return s.settings.pushed, 0
 	}
-	s.backoff = min(max(2*s.backoff, limits.BackOff), s.settings.maxBackoff)
+	s.backoff = min(max(2*s.backoff, limits.MinBackoff), s.settings.maxBackoff)
 	jitter := (1 + s.random.Float64()) / 2
 	return true, time.Duration(jitter * float64(s.backoff))
 }
--- a/internal/discovery/schedule_test.go
+++ b/internal/discovery/schedule_test.go
@@ -31,7 +31,7 @@
 		if next.timeout <= next.wait || notifiedBy(next)-next.timeout < timeToRetry {
 			t.Fatalf("seed %d: given up after %v, notified after %v", seed, next.timeout, notifiedBy(next))
 		}
-		if next.wait > limits.WatchFor || next.wait < limits.WatchFor/2 {
+		if next.wait > limits.MaxWatchTime || next.wait < limits.MaxWatchTime/2 {
 			t.Fatalf("seed %d: waits %v", seed, next.wait)
 		}
 	}
@@ -69,7 +69,7 @@
 		}
 		for range 20 {
 			retry, wait := schedule.pollFailed(false)
-			if !retry || wait <= 0 || wait > limits.MostOff || wait.Seconds() > grace*limits.PushPart {
+			if !retry || wait <= 0 || wait > limits.MaxBackoff || wait.Seconds() > grace*limits.PushedListPollFraction {
 				t.Errorf("grace %v: %v after %v", grace, retry, wait)
 			}
 		}
--- a/internal/discovery/server.go
+++ b/internal/discovery/server.go
@@ -10,9 +10,6 @@
 	"lichenroad/internal/metrics"
 )
 
-// logPeer is what log lines call the discovery service.
-const logPeer = "roster"
-
 // server is the discovery service at one address, until the address changes. Its two goroutines, runWatch and runFetches,
 // begin with start and end by close. Commands reach them through channels that never block the loop.
 type server struct {
@@ -107,7 +104,7 @@
 	if failure.stalled() {
 		loop.Metrics.Add(metrics.DiscoveryStalled, 1)
 	}
-	fields := logrus.Fields{"peer": logPeer, "reason": string(failure.reason)}
+	fields := logrus.Fields{"peer": string(metrics.PeerDiscovery), "reason": string(failure.reason)}
 	loop.Log.WithFields(fields).WithError(failure.err).Warn("call failed")
 	loop.Post(pollFailureEvent{
 		server:     s,
--- a/internal/discovery/watch.go
+++ b/internal/discovery/watch.go
@@ -51,7 +51,7 @@
 			on = s.waitForRetry(failure)
 		}
 	}
-	c.close(metrics.ClosedByCommand)
+	c.close(metrics.ClosedByPolicy)
 }
 
 // stillOn takes a command that came while the watch was on.
