--- a/cmd/lichenroad/main.go
+++ b/cmd/lichenroad/main.go
@@ -75,7 +75,7 @@
 	if !errors.As(err, &f) {
 		f = fault{exitCall, err}
 	}
-	var faults *xmlconfig.Faults
+	var faults *xmlconfig.Error
 	if errors.As(err, &faults) && f.code == exitFault {
 		for _, line := range faults.Lines() {
 			fmt.Fprintln(errs, "lichenroad:", line)
--- a/cmd/lichenroad/plan.go
+++ b/cmd/lichenroad/plan.go
@@ -84,7 +84,7 @@
 			fmt.Fprintf(w, "%s\t%s", s.Name, site)
 			for _, what := range []plan.FreezeEffect{plan.FreezeStarts, plan.FreezePromotions} {
 				if f, in := c.Frozen(now, plan.ServiceIndex(i), plan.SiteIndex(j), what); in {
-					fmt.Fprintf(w, "\tfrozen by %s until %s", p.Freezes[f.Freeze].Name, plan.Time(f.Till).Format(time.RFC3339))
+					fmt.Fprintf(w, "\tfrozen by %s until %s", p.Freezes[f.Freeze].Name, plan.Time(f.Until).Format(time.RFC3339))
 				} else {
 					fmt.Fprint(w, "\tfree")
 				}
--- a/internal/xmlconfig/form.go
+++ b/internal/xmlconfig/form.go
@@ -18,10 +18,10 @@
 
 // Bounds of a file: a plan for hundreds of relays takes a tenth of them.
 const (
-	MaxBytes    = 1 << 20
-	MaxElements = 20000
-	mostDepth   = 8
-	mostFaults  = 100 // that are listed; the rest is counted
+	MaxBytes        = 1 << 20
+	MaxElements     = 20000
+	maxDepth        = 8
+	maxListedFaults = 100 // that are listed; the rest is counted
 )
 
 // Fault is one thing that is wrong, and where.
@@ -39,19 +39,19 @@
 }
 
 // Faults are all that is wrong with a file, by line.
-type Faults struct {
-	File string
-	List []Fault
+type Error struct {
+	File   string
+	Faults []Fault
 }
 
 // Error is every fault on a line of its own.
-func (f *Faults) Error() string { return strings.Join(f.Lines(), "\n") }
+func (f *Error) Error() string { return strings.Join(f.Lines(), "\n") }
 
 // Lines gives a line for each fault.
-func (f *Faults) Lines() (out []string) {
-	for i, x := range f.List {
-		if i == mostFaults {
-			return append(out, fmt.Sprintf("%s: and %d more faults", f.File, len(f.List)-i))
+func (f *Error) Lines() (out []string) {
+	for i, x := range f.Faults {
+		if i == maxListedFaults {
+			return append(out, fmt.Sprintf("%s: and %d more faults", f.File, len(f.Faults)-i))
 		}
 		out = append(out, f.File+":"+x.String())
 	}
@@ -75,13 +75,13 @@
 
 // Reader reads one file and gathers its faults.
 type Reader struct {
-	Root    string
-	Schemas map[string]ElementSchema
-	List    []Fault
+	Root   string
+	Schema map[string]ElementSchema
+	Faults []Fault
 }
 
 // Load reads a file, no more of it than may be.
-func Load(path string) ([]byte, error) {
+func ReadFile(path string) ([]byte, error) {
 	f, err := os.Open(path)
 	if err != nil {
 		return nil, err
@@ -92,25 +92,25 @@
 
 // Err is all that was found in a file, by line; nil where it was nothing.
 func (r *Reader) Err(file string) error {
-	if len(r.List) == 0 {
+	if len(r.Faults) == 0 {
 		return nil
 	}
-	sort.SliceStable(r.List, func(i, j int) bool { return r.List[i].Line < r.List[j].Line })
-	return &Faults{file, r.List}
+	sort.SliceStable(r.Faults, func(i, j int) bool { return r.Faults[i].Line < r.Faults[j].Line })
+	return &Error{file, r.Faults}
 }
 
 // Read reads the elements of a file.
-func (r *Reader) Read(raw []byte) *Node {
+func (r *Reader) Parse(raw []byte) *Node {
 	if len(raw) > MaxBytes {
-		r.List = append(r.List, Fault{1, "", fmt.Sprintf("over %d bytes", MaxBytes)})
+		r.Faults = append(r.Faults, Fault{1, "", fmt.Sprintf("over %d bytes", MaxBytes)})
 		return nil
 	}
 	return r.tree(raw)
 }
 
 // Fault notes what is wrong with an element.
-func (r *Reader) Fault(n *Node, format string, a ...any) {
-	r.List = append(r.List, Fault{n.Line, n.Name, fmt.Sprintf(format, a...)})
+func (r *Reader) AddFault(n *Node, format string, a ...any) {
+	r.Faults = append(r.Faults, Fault{n.Line, n.Name, fmt.Sprintf(format, a...)})
 }
 
 // tree reads the elements. What can't be read at all ends the reading; what is unknown is named and left out.
@@ -121,7 +121,7 @@
 	elements := 0
 	end := func(text string) *Node {
 		line, _ := d.InputPos()
-		r.List = append(r.List, Fault{line, "", text})
+		r.Faults = append(r.Faults, Fault{line, "", text})
 		return nil
 	}
 	for {
@@ -141,8 +141,8 @@
 		case xml.Directive: // a DOCTYPE could bring entities that expand
 			return end("no DOCTYPE or other declarations are taken")
 		case xml.StartElement:
-			if elements++; elements > MaxElements || len(path) >= mostDepth {
-				return end(fmt.Sprintf("over %d elements, or %d deep", MaxElements, mostDepth))
+			if elements++; elements > MaxElements || len(path) >= maxDepth {
+				return end(fmt.Sprintf("over %d elements, or %d deep", MaxElements, maxDepth))
 			}
 			n := &Node{Name: t.Name.Local, Line: line, Attrs: map[string]string{}}
 			for _, a := range t.Attr {
@@ -150,7 +150,7 @@
 				case a.Name.Space == "xmlns" || a.Name.Local == "xmlns" ||
 					a.Name.Space == "http://www.w3.org/2001/XMLSchema-instance":
 				case n.Attrs[a.Name.Local] != "":
-					r.Fault(n, "attribute %s stands twice", a.Name.Local)
+					r.AddFault(n, "attribute %s stands twice", a.Name.Local)
 				default:
 					n.Attrs[a.Name.Local] = a.Value
 				}
@@ -169,7 +169,7 @@
 			path = path[:len(path)-1]
 		case xml.CharData:
 			if s := strings.TrimSpace(string(t)); s != "" && len(path) > 0 {
-				r.List = append(r.List, Fault{line, path[len(path)-1].Name, fmt.Sprintf("text %.20q is not expected", s)})
+				r.Faults = append(r.Faults, Fault{line, path[len(path)-1].Name, fmt.Sprintf("text %.20q is not expected", s)})
 			}
 		}
 	}
@@ -177,7 +177,7 @@
 		return end("empty")
 	}
 	if root.Name != r.Root {
-		r.Fault(root, "the root must be <%s>", r.Root)
+		r.AddFault(root, "the root must be <%s>", r.Root)
 		return nil
 	}
 	r.shape(root)
@@ -186,10 +186,10 @@
 
 // shape holds an element against its form, and those in it.
 func (r *Reader) shape(n *Node) {
-	f := r.Schemas[n.Name]
+	f := r.Schema[n.Name]
 	for _, a := range f.Required {
 		if _, ok := n.Attrs[a]; !ok {
-			r.Fault(n, "attribute %s is missing", a)
+			r.AddFault(n, "attribute %s is missing", a)
 		}
 	}
 	var names []string
@@ -199,13 +199,13 @@
 	sort.Strings(names)
 	for _, a := range names {
 		if !slices.Contains(f.Required, a) && !slices.Contains(f.Optional, a) {
-			r.Fault(n, "attribute %s is not known", a)
+			r.AddFault(n, "attribute %s is not known", a)
 		}
 	}
 	kept := n.Children[:0]
 	for _, k := range n.Children {
 		if !slices.Contains(f.Children, k.Name) {
-			r.Fault(k, "not known in <%s>", n.Name)
+			r.AddFault(k, "not known in <%s>", n.Name)
 			continue
 		}
 		r.shape(k)
@@ -215,7 +215,7 @@
 }
 
 // All lists the elements of a name in this one.
-func (n *Node) All(name string) (out []*Node) {
+func (n *Node) ChildrenNamed(name string) (out []*Node) {
 	for _, k := range n.Children {
 		if k.Name == name {
 			out = append(out, k)
@@ -232,37 +232,37 @@
 	}
 	v, err := strconv.ParseFloat(s, 64)
 	if err != nil || !(v >= least && v <= most) || strings.ContainsAny(s, "xXpPnN_") {
-		r.Fault(n, "%s: %.20q is no number from %g to %g", name, s, least, most)
+		r.AddFault(n, "%s: %.20q is no number from %g to %g", name, s, least, most)
 		return usual
 	}
 	return v
 }
 
 // Span reads an attribute as a span such as 90s, 5m or 1h30m.
-func (r *Reader) Span(n *Node, name string, usual float64) float64 {
+func (r *Reader) Seconds(n *Node, name string, usual float64) float64 {
 	s, ok := n.Attrs[name]
 	if !ok {
 		return usual
 	}
 	d, err := time.ParseDuration(s)
 	if err != nil || d < 0 || d > 31*24*time.Hour || strings.ContainsAny(s, "+-nµu") {
-		r.Fault(n, "%s: %.20q is no span of up to 31 days, such as 90s, 5m or 1h30m", name, s)
+		r.AddFault(n, "%s: %.20q is no span of up to 31 days, such as 90s, 5m or 1h30m", name, s)
 		return usual
 	}
 	return d.Seconds()
 }
 
 // Name reads the name of an element, which must be one and not be taken.
-func (r *Reader) Name(n *Node, taken map[string]bool) string {
+func (r *Reader) UniqueName(n *Node, taken map[string]bool) string {
 	s := n.Attrs["name"]
 	ok := s != "" && len(s) <= 64
 	for _, c := range s {
 		ok = ok && (c >= 'a' && c <= 'z' || c >= 'A' && c <= 'Z' || c >= '0' && c <= '9' || strings.ContainsRune("._-", c))
 	}
 	if _, there := n.Attrs["name"]; there && !ok {
-		r.Fault(n, "Name: %.20q is no name (letters, digits, '.', '_' and '-', 64 at most)", s)
+		r.AddFault(n, "Name: %.20q is no name (letters, digits, '.', '_' and '-', 64 at most)", s)
 	} else if taken[s] {
-		r.Fault(n, "Name: %q stands twice", s)
+		r.AddFault(n, "Name: %q stands twice", s)
 	}
 	taken[s] = true
 	return s
@@ -281,17 +281,17 @@
 			list = append(list, w)
 		}
 		sort.Strings(list)
-		r.Fault(n, "%s: %.20q is none of %s", name, s, strings.Join(list, ", "))
+		r.AddFault(n, "%s: %.20q is none of %s", name, s, strings.Join(list, ", "))
 	}
 	return v
 }
 
 // Address reads an address with a port.
-func (r *Reader) Address(n *Node, name string) bool {
+func (r *Reader) CheckAddress(n *Node, name string) bool {
 	s := n.Attrs[name]
 	i := strings.LastIndexByte(s, ':')
 	if port, err := strconv.ParseUint(s[i+1:], 10, 16); i <= 0 || err != nil || port > 65535 {
-		r.Fault(n, "%s: %.40q is no address with a port", name, s)
+		r.AddFault(n, "%s: %.40q is no address with a port", name, s)
 		return false
 	}
 	return true
--- a/lab/check.go
+++ b/lab/check.go
@@ -94,7 +94,7 @@
 // windows writes a freeze's times out, day by day, for the time of the run.
 func (c *checker) windows(f *plan.Freeze) (out []frozen) {
 	start := time.Unix(int64(c.w.epoch), 0)
-	for _, s := range f.Spans {
+	for _, s := range f.Schedules {
 		if !s.From.IsZero() {
 			out = append(out, frozen{s.From.Sub(start).Seconds(), s.To.Sub(start).Seconds()})
 			continue
--- a/lab/fleet.go
+++ b/lab/fleet.go
@@ -233,14 +233,14 @@
 		}
 		touched := 0.0
 		for s := range bySite {
-			if t.Touches(step, plan.SiteIndex(s)) {
+			if t.OpenAtSite(step, plan.SiteIndex(s)) {
 				touched++
 			}
 		}
 		for s := range bySite { // the share is one of the whole fleet, at the sites that are open
 			each := float64(f.size) / float64(len(bySite))
 			want := 0
-			if t.Touches(step, plan.SiteIndex(s)) {
+			if t.OpenAtSite(step, plan.SiteIndex(s)) {
 				want = int(math.Ceil(float64(f.size)*t.Steps[step].Share/touched - 1e-9))
 			}
 			if n.Phase == relay.PhaseReleased {
--- a/plan/calendar.go
+++ b/plan/calendar.go
@@ -9,7 +9,7 @@
 )
 
 // Span is when a freeze holds: once, or each week on some days.
-type Span struct {
+type Schedule struct {
 	Zone     *time.Location
 	From, To time.Time      // once
 	Days     [7]bool        // weekly, by time.Weekday; none: once
@@ -18,7 +18,7 @@
 	weekdays []time.Weekday // those of Days, in order
 }
 
-func (s *Span) weekly() bool { return len(s.weekdays) > 0 }
+func (s *Schedule) weekly() bool { return len(s.weekdays) > 0 }
 
 // wall gives the time at which a clock in a zone shows a day and a time. A time that the zone skips is when it
 // skips it; one that it has twice is the first, or the last where late is set: a freeze takes in both.
@@ -84,7 +84,7 @@
 }
 
 // windows lists the times round a moment in which the span holds: those of the days from two before to nine after.
-func (s *Span) windows(at Unix) []window {
+func (s *Schedule) windows(at Unix) []window {
 	if !s.weekly() {
 		return []window{{unix(s.From), unix(s.To)}}
 	}
@@ -108,8 +108,8 @@
 // stretched by the skew at both ends.
 func (f *Freeze) state(at Unix, skew Seconds) (in bool, w window, next Unix) {
 	var all []window
-	for i := range f.Spans {
-		for _, w := range f.Spans[i].windows(at) {
+	for i := range f.Schedules {
+		for _, w := range f.Schedules[i].windows(at) {
 			all = append(all, window{w.from - skew, w.to + skew})
 		}
 	}
@@ -168,23 +168,23 @@
 }
 
 // Frozen is a freeze that holds, and from when to when.
-type Frozen struct {
-	Freeze      FreezeIndex
-	Since, Till Unix
+type ActiveFreeze struct {
+	Freeze       FreezeIndex
+	Since, Until Unix
 }
 
 // Frozen says whether what stops is stopped for a service at a site (NoSite: at any), and until when: the longest
 // of the freezes that hold.
-func (c *Calendar) Frozen(at Unix, s ServiceIndex, site SiteIndex, what FreezeEffect) (Frozen, bool) {
+func (c *Calendar) Frozen(at Unix, s ServiceIndex, site SiteIndex, what FreezeEffect) (ActiveFreeze, bool) {
 	c.look(at)
-	best, found := Frozen{Since: math.Inf(1)}, false
+	best, found := ActiveFreeze{Since: math.Inf(1)}, false
 	for i := range c.plan.Freezes {
 		f := &c.plan.Freezes[i]
-		if !c.in[i] || f.Effect&what == 0 || !f.Holds(s, site) {
+		if !c.in[i] || f.Effect&what == 0 || !f.AppliesTo(s, site) {
 			continue
 		}
-		if !found || c.span[i].to > best.Till {
-			best.Freeze, best.Till = FreezeIndex(i), c.span[i].to
+		if !found || c.span[i].to > best.Until {
+			best.Freeze, best.Until = FreezeIndex(i), c.span[i].to
 		}
 		best.Since, found = math.Min(best.Since, c.span[i].from), true
 	}
--- a/plan/check.go
+++ b/plan/check.go
@@ -11,23 +11,23 @@
 
 // freeze reads a freeze. Its one-off times must be there once in their zone: nobody can tell which of two is meant.
 func (r *reader) freeze(p *Plan, n *xmlconfig.Node, names map[string]bool) Freeze {
-	f := Freeze{Name: r.Name(n, names),
+	f := Freeze{Name: r.UniqueName(n, names),
 		Effect: xmlconfig.Enum(&r.Reader, n, "stops", FreezeAll, map[string]FreezeEffect{"begin": FreezeStarts, "on": FreezePromotions, "all": FreezeAll})}
-	for _, k := range n.All("for") {
+	for _, k := range n.ChildrenNamed("for") {
 		if len(k.Attrs) != 1 {
-			r.Fault(k, "names a service or a site, one of the two")
+			r.AddFault(k, "names a service or a site, one of the two")
 		}
 		if name, ok := k.Attrs["service"]; ok {
 			s, known := p.Service(name)
 			if !known {
-				r.Fault(k, "service: there is no %.20q", name)
+				r.AddFault(k, "service: there is no %.20q", name)
 			}
 			f.Services = append(f.Services, s)
 		}
 		if name, ok := k.Attrs["site"]; ok {
 			s, known := p.Site(name)
 			if !known {
-				r.Fault(k, "site: there is no %.20q", name)
+				r.AddFault(k, "site: there is no %.20q", name)
 			}
 			f.Sites = append(f.Sites, s)
 		}
@@ -35,13 +35,13 @@
 	for _, k := range n.Children {
 		switch k.Name {
 		case "weekly":
-			f.Spans = append(f.Spans, r.weekly(k))
+			f.Schedules = append(f.Schedules, r.weekly(k))
 		case "once":
-			f.Spans = append(f.Spans, r.once(k))
+			f.Schedules = append(f.Schedules, r.once(k))
 		}
 	}
-	if len(f.Spans) == 0 {
-		r.Fault(n, "no <weekly> or <once>")
+	if len(f.Schedules) == 0 {
+		r.AddFault(n, "no <weekly> or <once>")
 	}
 	return f
 }
@@ -53,7 +53,7 @@
 	}
 	zone, err := time.LoadLocation(name)
 	if err != nil || name == "" || name == "Local" {
-		r.Fault(n, "zone: %.40q is no time zone", name)
+		r.AddFault(n, "zone: %.40q is no time zone", name)
 		return time.UTC
 	}
 	return zone
@@ -61,15 +61,15 @@
 
 var weekdays = map[string]time.Weekday{"sun": 0, "mon": 1, "tue": 2, "wed": 3, "thu": 4, "fri": 5, "sat": 6}
 
-func (r *reader) weekly(n *xmlconfig.Node) Span {
-	s := Span{Zone: r.zone(n)}
+func (r *reader) weekly(n *xmlconfig.Node) Schedule {
+	s := Schedule{Zone: r.zone(n)}
 	for _, d := range strings.Fields(n.Attrs["days"]) {
 		day, ok := weekdays[d]
 		switch {
 		case !ok:
-			r.Fault(n, "days: %.20q is none of mon tue wed thu fri sat sun", d)
+			r.AddFault(n, "days: %.20q is none of mon tue wed thu fri sat sun", d)
 		case s.Days[day]:
-			r.Fault(n, "days: %s stands twice", d)
+			r.AddFault(n, "days: %s stands twice", d)
 		default:
 			s.Days[day] = true
 		}
@@ -80,7 +80,7 @@
 		}
 	}
 	if _, ok := n.Attrs["days"]; ok && len(s.weekdays) == 0 {
-		r.Fault(n, "days: none")
+		r.AddFault(n, "days: none")
 	}
 	s.Start, s.End = r.clock(n, "from"), r.clock(n, "to")
 	return s
@@ -90,19 +90,19 @@
 	s, ok := n.Attrs[name]
 	t, err := time.Parse("15:04", s)
 	if ok && (err != nil || len(s) != 5) {
-		r.Fault(n, "%s: %.20q is no time of day such as 22:30", name, s)
+		r.AddFault(n, "%s: %.20q is no time of day such as 22:30", name, s)
 	}
 	return time.Duration(t.Hour())*time.Hour + time.Duration(t.Minute())*time.Minute
 }
 
-func (r *reader) once(n *xmlconfig.Node) Span {
-	s := Span{Zone: r.zone(n)}
+func (r *reader) once(n *xmlconfig.Node) Schedule {
+	s := Schedule{Zone: r.zone(n)}
 	s.From, s.To = r.moment(n, "from", s.Zone), r.moment(n, "to", s.Zone)
 	if !s.From.IsZero() && !s.To.IsZero() && !s.To.After(s.From) {
-		r.Fault(n, "to: the freeze ends no later than it begins")
+		r.AddFault(n, "to: the freeze ends no later than it begins")
 	}
 	if s.To.Sub(s.From) > 400*24*time.Hour {
-		r.Fault(n, "to: the freeze lasts for over 400 days, as good as without end")
+		r.AddFault(n, "to: the freeze lasts for over 400 days, as good as without end")
 	}
 	return s
 }
@@ -115,15 +115,15 @@
 	}
 	t, err := time.Parse("2006-01-02T15:04", s)
 	if err != nil {
-		r.Fault(n, "%s: %.20q is no time such as 2026-12-24T18:00", name, s)
+		r.AddFault(n, "%s: %.20q is no time such as 2026-12-24T18:00", name, s)
 		return time.Time{}
 	}
 	at := time.Date(t.Year(), t.Month(), t.Day(), t.Hour(), t.Minute(), 0, 0, zone)
 	switch _, kind := odd(at, t.Year(), t.Month(), t.Day(), t.Hour(), t.Minute(), 0); kind {
 	case skipped:
-		r.Fault(n, "%s: %s is skipped in %s", name, s, zone)
+		r.AddFault(n, "%s: %s is skipped in %s", name, s, zone)
 	case twice:
-		r.Fault(n, "%s: %s is there twice in %s", name, s, zone)
+		r.AddFault(n, "%s: %s is there twice in %s", name, s, zone)
 	}
 	return at
 }
@@ -159,7 +159,7 @@
 				s := &p.Services[q.service]
 				names = append(names, s.Name+" "+s.StepName(q.step))
 			}
-			r.Fault(r.services[at.service], "a cycle: %s", strings.Join(names, " needs "))
+			r.AddFault(r.services[at.service], "a cycle: %s", strings.Join(names, " needs "))
 			return true
 		case 2:
 			return false
@@ -198,13 +198,13 @@
 	weekly := &Plan{Skew: p.Skew}
 	var from []int
 	for i, f := range p.Freezes {
-		var spans []Span
-		for _, s := range f.Spans {
+		var spans []Schedule
+		for _, s := range f.Schedules {
 			if s.weekly() {
 				spans = append(spans, s)
 			}
 		}
-		if f.Spans = spans; len(spans) > 0 {
+		if f.Schedules = spans; len(spans) > 0 {
 			weekly.Freezes = append(weekly.Freezes, f)
 			from = append(from, i)
 		}
@@ -212,16 +212,16 @@
 	for s := range p.Services {
 		for _, what := range []FreezeEffect{FreezeStarts, FreezePromotions} {
 			c := NewCalendar(weekly, true)
-			at, last := start, Frozen{}
+			at, last := start, ActiveFreeze{}
 			for at < start+10*86400 {
 				f, in := c.Frozen(at, ServiceIndex(s), NoSite, what)
 				if !in {
 					break
 				}
-				at, last = math.Max(f.Till, at+1), f
+				at, last = math.Max(f.Until, at+1), f
 			}
 			if at >= start+10*86400 {
-				r.Fault(r.freezes[from[last.Freeze]], "never ends: with the other freezes it leaves %s no time (clock-skew counts at both ends)",
+				r.AddFault(r.freezes[from[last.Freeze]], "never ends: with the other freezes it leaves %s no time (clock-skew counts at both ends)",
 					p.Services[s].Name)
 				return
 			}
--- a/plan/plan.go
+++ b/plan/plan.go
@@ -110,15 +110,15 @@
 
 // Freeze is a time in which nothing moves on.
 type Freeze struct {
-	Name     string
-	Effect   FreezeEffect
-	Services []ServiceIndex // none: all
-	Sites    []SiteIndex    // none: all
-	Spans    []Span
+	Name      string
+	Effect    FreezeEffect
+	Services  []ServiceIndex // none: all
+	Sites     []SiteIndex    // none: all
+	Schedules []Schedule
 }
 
 // Holds says whether the freeze is about a service, at a site. NoSite asks about any site.
-func (f *Freeze) Holds(s ServiceIndex, at SiteIndex) bool {
+func (f *Freeze) AppliesTo(s ServiceIndex, at SiteIndex) bool {
 	return has(f.Services, s) && (at == NoSite || has(f.Sites, at))
 }
 
@@ -144,7 +144,7 @@
 }
 
 // Touches says whether anything at a site is open at a step.
-func (s *Service) Touches(step StepIndex, site SiteIndex) bool {
+func (s *Service) OpenAtSite(step StepIndex, site SiteIndex) bool {
 	for k := StepIndex(0); k <= step && int(k) < len(s.Steps); k++ {
 		for _, o := range s.Steps[k].OpenGroups {
 			if o.Site == site {
--- a/plan/plan_test.go
+++ b/plan/plan_test.go
@@ -86,14 +86,14 @@
 func TestReader(t *testing.T) {
 	for _, c := range cases {
 		_, err := Parse("p.xml", []byte(c.text))
-		var faults *xmlconfig.Faults
+		var faults *xmlconfig.Error
 		switch {
 		case c.says == "" && err != nil:
 			t.Errorf("%s: %v", c.name, err)
 		case c.says == "":
 		case !errors.As(err, &faults):
 			t.Errorf("%s: taken", c.name)
-		case !strings.Contains(faults.Lines()[0]+strings.Join(faults.Lines(), " "), c.says) || faults.List[0].Line != c.line ||
+		case !strings.Contains(faults.Lines()[0]+strings.Join(faults.Lines(), " "), c.says) || faults.Faults[0].Line != c.line ||
 			!strings.HasPrefix(faults.Lines()[0], fmt.Sprintf("p.xml:%d: ", c.line)):
 			t.Errorf("%s: %v", c.name, err)
 		}
@@ -127,12 +127,12 @@
 func TestAllFaultsAtOnce(t *testing.T) {
 	text := head + strings.NewReplacer(`cap="0.5"`, `cap="0.05"`, `site="kality"`, `site="lake"`, `"5s"`, `"soon"`).Replace(serviceA) + "<frieze/>" + foot
 	_, err := Parse("p.xml", []byte(text))
-	var faults *xmlconfig.Faults
-	if !errors.As(err, &faults) || len(faults.List) != 4 {
+	var faults *xmlconfig.Error
+	if !errors.As(err, &faults) || len(faults.Faults) != 4 {
 		t.Fatalf("%v", err)
 	}
-	for i := 1; i < len(faults.List); i++ {
-		if faults.List[i].Line < faults.List[i-1].Line {
+	for i := 1; i < len(faults.Faults); i++ {
+		if faults.Faults[i].Line < faults.Faults[i-1].Line {
 			t.Error("not in the file's order")
 		}
 	}
@@ -199,7 +199,7 @@
 			t.Errorf("%s at site %d with skew: frozen %v", x.at, x.site, in)
 		}
 	}
-	if f, in := c.Frozen(utc("2026-12-04T20:00:00"), 0, NoSite, FreezeStarts); !in || f.Since != utc("2026-12-04T19:00:00") || f.Till != utc("2026-12-05T03:00:00") {
+	if f, in := c.Frozen(utc("2026-12-04T20:00:00"), 0, NoSite, FreezeStarts); !in || f.Since != utc("2026-12-04T19:00:00") || f.Until != utc("2026-12-05T03:00:00") {
 		t.Errorf("%+v %v", f, in)
 	}
 	if next := c.Next(utc("2026-12-04T18:00:00")); next != utc("2026-12-04T19:00:00") {
@@ -241,7 +241,7 @@
 		t.Error("groups")
 	}
 	s := &p.Services[0]
-	if !s.Open(0, 0, 0) || s.Open(0, 0, 1) || s.Open(0, 1, 0) || !s.Open(2, 1, 2) || s.Touches(1, 1) || !s.Touches(2, 1) {
+	if !s.Open(0, 0, 0) || s.Open(0, 0, 1) || s.Open(0, 1, 0) || !s.Open(2, 1, 2) || s.OpenAtSite(1, 1) || !s.OpenAtSite(2, 1) {
 		t.Error("what is open")
 	}
 }
--- a/plan/read.go
+++ b/plan/read.go
@@ -28,7 +28,7 @@
 
 // Load reads a plan's file. Its error is *form.Faults where the file could be read but is no plan.
 func Load(path string) (*Plan, error) {
-	raw, err := xmlconfig.Load(path)
+	raw, err := xmlconfig.ReadFile(path)
 	if err != nil {
 		return nil, err
 	}
@@ -37,11 +37,11 @@
 
 // Parse reads a plan and names all of its faults.
 func Parse(file string, raw []byte) (*Plan, error) {
-	r := &reader{Reader: xmlconfig.Reader{Root: "plan", Schemas: forms}}
+	r := &reader{Reader: xmlconfig.Reader{Root: "plan", Schema: forms}}
 	p := &Plan{}
-	if root := r.Read(raw); root != nil {
+	if root := r.Parse(raw); root != nil {
 		p = r.plan(root)
-		if len(r.List) == 0 {
+		if len(r.Faults) == 0 {
 			r.check(p)
 		}
 	}
@@ -61,29 +61,29 @@
 func (r *reader) plan(root *xmlconfig.Node) *Plan {
 	p := &Plan{}
 	if v, ok := root.Attrs["version"]; ok && v != "1" {
-		r.Fault(root, "version: %.20q is not known, 1 is", v)
+		r.AddFault(root, "version: %.20q is not known, 1 is", v)
 	}
-	p.Skew, p.StatusTTL = r.Span(root, "clock-skew", 2), r.Span(root, "news-life", 10)
+	p.Skew, p.StatusTTL = r.Seconds(root, "clock-skew", 2), r.Seconds(root, "news-life", 10)
 	sites, groups, customers, services := map[string]bool{}, map[string]bool{}, map[string]bool{}, map[string]bool{}
-	for _, n := range root.All("site") {
-		p.Sites = append(p.Sites, r.Name(n, sites))
+	for _, n := range root.ChildrenNamed("site") {
+		p.Sites = append(p.Sites, r.UniqueName(n, sites))
 	}
-	for _, n := range root.All("group") {
-		g := Group{Name: r.Name(n, groups)}
-		for _, c := range n.All("customer") {
-			g.Tenants = append(g.Tenants, r.Name(c, customers))
+	for _, n := range root.ChildrenNamed("group") {
+		g := Group{Name: r.UniqueName(n, groups)}
+		for _, c := range n.ChildrenNamed("customer") {
+			g.Tenants = append(g.Tenants, r.UniqueName(c, customers))
 		}
 		p.Groups = append(p.Groups, g)
 	}
-	for _, n := range root.All("service") {
-		p.Services = append(p.Services, Service{Name: r.Name(n, services)})
+	for _, n := range root.ChildrenNamed("service") {
+		p.Services = append(p.Services, Service{Name: r.UniqueName(n, services)})
 	}
 	for what, n := range map[string]int{"site": len(p.Sites), "group": len(p.Groups), "service": len(p.Services)} {
 		if n == 0 {
-			r.Fault(root, "no <%s>", what)
+			r.AddFault(root, "no <%s>", what)
 		}
 	}
-	r.services, r.freezes = root.All("service"), root.All("freeze")
+	r.services, r.freezes = root.ChildrenNamed("service"), root.ChildrenNamed("freeze")
 	for i, n := range r.services {
 		r.service(p, &p.Services[i], n)
 	}
@@ -95,74 +95,74 @@
 }
 
 func (r *reader) service(p *Plan, s *Service, n *xmlconfig.Node) {
-	s.Watch, s.RollbackTime, s.SettleTime = n.Attrs["watch"], r.Span(n, "back-for", 10), r.Span(n, "settle", 30)
+	s.Watch, s.RollbackTime, s.SettleTime = n.Attrs["watch"], r.Seconds(n, "back-for", 10), r.Seconds(n, "settle", 30)
 	if s.Watch != "" {
-		r.Address(n, "watch")
+		r.CheckAddress(n, "watch")
 	}
 	s.Votes = Votes{Promote: 0.5, RollBack: 0.15, Hold: 0.15, TTL: 10, PerSecond: 100, StepTime: 60}
-	for i, v := range n.All("votes") {
+	for i, v := range n.ChildrenNamed("votes") {
 		if i > 0 {
-			r.Fault(v, "stands twice")
+			r.AddFault(v, "stands twice")
 		}
 		s.Votes = Votes{Control: xmlconfig.Enum(&r.Reader, v, "control", ControlQuorum, map[string]Control{"share": ControlQuorum, "any": ControlSingleVote, "clock": ControlTimed}),
 			Promote: r.Number(v, "on", 0.5, 0, 1), RollBack: r.Number(v, "back", 0.15, 0, 1), Hold: r.Number(v, "hold", 0.15, 0, 1),
-			TTL: r.Span(v, "life", 10), PerSecond: r.Number(v, "per-second", 100, 1, 1e6), StepTime: r.Span(v, "step-time", 60)}
+			TTL: r.Seconds(v, "life", 10), PerSecond: r.Number(v, "per-second", 100, 1, 1e6), StepTime: r.Seconds(v, "step-time", 60)}
 		if s.Votes.TTL <= 0 {
-			r.Fault(v, "life: no time at all")
+			r.AddFault(v, "life: no time at all")
 		}
 	}
 	names := map[string]bool{}
-	for _, k := range n.All("step") {
-		s.Steps = append(s.Steps, Step{Name: r.Name(k, names), Share: r.Number(k, "share", math.NaN(), 0, 1),
-			ExposureLimit: r.Number(k, "cap", math.NaN(), 0, 1), MinTime: r.Span(k, "least", 0)})
+	for _, k := range n.ChildrenNamed("step") {
+		s.Steps = append(s.Steps, Step{Name: r.UniqueName(k, names), Share: r.Number(k, "share", math.NaN(), 0, 1),
+			ExposureLimit: r.Number(k, "cap", math.NaN(), 0, 1), MinTime: r.Seconds(k, "least", 0)})
 		if k.Attrs["name"] == "released" {
-			r.Fault(k, "name: released is what comes after the last step")
+			r.AddFault(k, "name: released is what comes after the last step")
 		}
 	}
 	if len(s.Steps) == 0 {
-		r.Fault(n, "no <step>")
+		r.AddFault(n, "no <step>")
 	} else if len(s.Steps) > 250 {
-		r.Fault(n, "over 250 steps")
+		r.AddFault(n, "over 250 steps")
 	}
 	opened := map[Scope]string{}
-	for i, k := range n.All("step") {
+	for i, k := range n.ChildrenNamed("step") {
 		st := &s.Steps[i]
 		if i > 0 && st.ExposureLimit < s.Steps[i-1].ExposureLimit {
-			r.Fault(k, "cap: %g falls below the %g of the step before", st.ExposureLimit, s.Steps[i-1].ExposureLimit)
+			r.AddFault(k, "cap: %g falls below the %g of the step before", st.ExposureLimit, s.Steps[i-1].ExposureLimit)
 		}
 		if i > 0 && st.Share < s.Steps[i-1].Share {
-			r.Fault(k, "share: %g falls below the %g of the step before", st.Share, s.Steps[i-1].Share)
+			r.AddFault(k, "share: %g falls below the %g of the step before", st.Share, s.Steps[i-1].Share)
 		}
-		for _, o := range k.All("open") {
+		for _, o := range k.ChildrenNamed("open") {
 			for _, sc := range r.scopes(p, o) {
 				if by, was := opened[sc]; was {
-					r.Fault(o, "site %s, group %s is open since step %s", p.Sites[sc.Site], p.Groups[sc.Group].Name, by)
+					r.AddFault(o, "site %s, group %s is open since step %s", p.Sites[sc.Site], p.Groups[sc.Group].Name, by)
 					continue
 				}
 				opened[sc] = st.Name
 				st.OpenGroups = append(st.OpenGroups, sc)
 			}
 		}
-		if i == 0 && len(k.All("open")) == 0 {
-			r.Fault(k, "the first step opens nothing")
+		if i == 0 && len(k.ChildrenNamed("open")) == 0 {
+			r.AddFault(k, "the first step opens nothing")
 		}
-		for _, d := range k.All("needs") {
+		for _, d := range k.ChildrenNamed("needs") {
 			if need, ok := r.need(p, d, n); ok {
 				st.Dependencies = append(st.Dependencies, need)
 			}
 		}
 	}
 	names, listens := map[string]bool{}, map[string]bool{}
-	for _, k := range n.All("relay") {
-		rel := Relay{Name: r.Name(k, names), Site: NoSite, Listen: k.Attrs["listen"]}
+	for _, k := range n.ChildrenNamed("relay") {
+		rel := Relay{Name: r.UniqueName(k, names), Site: NoSite, Listen: k.Attrs["listen"]}
 		if name, ok := k.Attrs["site"]; ok {
 			if rel.Site, ok = p.Site(name); !ok {
-				r.Fault(k, "site: there is no %.20q", name)
+				r.AddFault(k, "site: there is no %.20q", name)
 			}
 		}
-		if rel.Listen != "" && r.Address(k, "listen") && !strings.HasSuffix(rel.Listen, ":0") {
+		if rel.Listen != "" && r.CheckAddress(k, "listen") && !strings.HasSuffix(rel.Listen, ":0") {
 			if listens[rel.Listen] {
-				r.Fault(k, "listen: %s stands twice", rel.Listen)
+				r.AddFault(k, "listen: %s stands twice", rel.Listen)
 			}
 			listens[rel.Listen] = true
 		}
@@ -183,10 +183,10 @@
 		}
 	}
 	if _, ok := p.Site(site); bySite && !ok {
-		r.Fault(n, "site: there is no %.20q", site)
+		r.AddFault(n, "site: there is no %.20q", site)
 	}
 	if byGroup && !slices.ContainsFunc(p.Groups, func(g Group) bool { return g.Name == group }) {
-		r.Fault(n, "group: there is no %.20q", group)
+		r.AddFault(n, "group: there is no %.20q", group)
 	}
 	return out
 }
@@ -198,11 +198,11 @@
 	}
 	s, known := p.Service(name)
 	if !known {
-		r.Fault(n, "service: there is no %.20q", name)
+		r.AddFault(n, "service: there is no %.20q", name)
 		return Dependency{}, false
 	}
 	if name == of.Attrs["name"] {
-		r.Fault(n, "service: %s needs itself", name)
+		r.AddFault(n, "service: %s needs itself", name)
 		return Dependency{}, false
 	}
 	step, given := n.Attrs["step"]
@@ -210,11 +210,11 @@
 		return Dependency{Service: s, Released: true}, true
 	}
 	// The other service's steps may not be made yet: its name is looked up among the elements.
-	for i, k := range r.services[s].All("step") {
+	for i, k := range r.services[s].ChildrenNamed("step") {
 		if k.Attrs["name"] == step {
 			return Dependency{Service: s, Step: StepIndex(i)}, true
 		}
 	}
-	r.Fault(n, "step: %s has no %.20q", name, step)
+	r.AddFault(n, "step: %s has no %.20q", name, step)
 	return Dependency{}, false
 }
--- a/rollout/core.go
+++ b/rollout/core.go
@@ -285,11 +285,11 @@
 	t := &p.Services[no]
 	for i := range p.Sites {
 		site := plan.SiteIndex(i)
-		if int(step) < len(t.Steps) && !t.Touches(step, site) {
+		if int(step) < len(t.Steps) && !t.OpenAtSite(step, site) {
 			continue
 		}
-		if f, in := cal.Frozen(now, no, site, what); in && f.Till > w.Until {
-			w = BlockReason{BlockedByPlanFreeze, fmt.Sprintf("freeze %s until %s", p.Freezes[f.Freeze].Name, clockText(f.Till)), f.Till}
+		if f, in := cal.Frozen(now, no, site, what); in && f.Until > w.Until {
+			w = BlockReason{BlockedByPlanFreeze, fmt.Sprintf("freeze %s until %s", p.Freezes[f.Freeze].Name, clockText(f.Until)), f.Until}
 		}
 	}
 	return w
--- a/rollout/guard.go
+++ b/rollout/guard.go
@@ -192,9 +192,9 @@
 	return -1
 }
 
-func (g *Guard) frozen(what plan.FreezeEffect) (plan.Frozen, bool) {
+func (g *Guard) frozen(what plan.FreezeEffect) (plan.ActiveFreeze, bool) {
 	if g.off.Freezes {
-		return plan.Frozen{}, false
+		return plan.ActiveFreeze{}, false
 	}
 	return g.calendar.Frozen(g.now, g.service, g.site, what)
 }
--- a/trace/mapping.go
+++ b/trace/mapping.go
@@ -207,7 +207,7 @@
 
 // LoadMapping reads a mapping's file. Its error is *form.Faults where the file could be read but is no mapping.
 func LoadMapping(path string) (*Mapping, error) {
-	raw, err := xmlconfig.Load(path)
+	raw, err := xmlconfig.ReadFile(path)
 	if err != nil {
 		return nil, err
 	}
@@ -216,9 +216,9 @@
 
 // ParseMapping reads a mapping and names all of its faults.
 func ParseMapping(file string, raw []byte) (*Mapping, error) {
-	r := &xmlconfig.Reader{Root: "mapping", Schemas: mappingForms}
+	r := &xmlconfig.Reader{Root: "mapping", Schema: mappingForms}
 	m := &Mapping{}
-	if root := r.Read(raw); root != nil {
+	if root := r.Parse(raw); root != nil {
 		m.read(r, root)
 	}
 	if err := r.Err(file); err != nil {
@@ -229,24 +229,24 @@
 
 func (m *Mapping) read(r *xmlconfig.Reader, root *xmlconfig.Node) {
 	if v, ok := root.Attrs["version"]; ok && v != "1" {
-		r.Fault(root, "version: %.20q is not known, 1 is", v)
+		r.AddFault(root, "version: %.20q is not known, 1 is", v)
 	}
-	m.Scale, m.Thin, m.Window = r.Number(root, "scale", 1, 1e-6, 1e6), r.Number(root, "thin", 1, 0, 1), r.Span(root, "window", 60)
+	m.Scale, m.Thin, m.Window = r.Number(root, "scale", 1, 1e-6, 1e6), r.Number(root, "thin", 1, 0, 1), r.Seconds(root, "window", 60)
 	m.Categories, m.categories = rules(r, root, "category")
 	m.Customers, m.customers = rules(r, root, "customer")
 	one := func(name string) *xmlconfig.Node {
-		list := root.All(name)
+		list := root.ChildrenNamed(name)
 		if len(list) != 1 {
-			r.Fault(root, "one <%s> is needed, %d are there", name, len(list))
+			r.AddFault(root, "one <%s> is needed, %d are there", name, len(list))
 			return nil
 		}
 		return list[0]
 	}
 	if n := one("work"); n != nil {
 		m.work.scale = r.Number(n, "scale", 1, 0, 1e6)
-		m.work.least, m.work.most = r.Span(n, "least", 0), r.Span(n, "most", 0)
+		m.work.least, m.work.most = r.Seconds(n, "least", 0), r.Seconds(n, "most", 0)
 		if m.work.most < m.work.least {
-			r.Fault(n, "most: less than least")
+			r.AddFault(n, "most: less than least")
 		}
 	}
 	if n := one("relay"); n != nil {
@@ -254,19 +254,19 @@
 	}
 	if n := one("failures"); n != nil {
 		m.failures = xmlconfig.Enum(r, n, "as", FailNothing, map[string]Failures{"none": FailNothing, "legs": FailLegs, "hours": FailHours})
-		m.hour.last, m.hour.part = r.Span(n, "for", 0), r.Number(n, "part", 0, 0, 1)
+		m.hour.last, m.hour.part = r.Seconds(n, "for", 0), r.Number(n, "part", 0, 0, 1)
 		_, hasFor := n.Attrs["for"]
 		_, hasPart := n.Attrs["part"]
 		if hours := m.failures == FailHours; hours != hasFor || hours != hasPart {
-			r.Fault(n, "for and part: needed where failures are hours, and only there")
+			r.AddFault(n, "for and part: needed where failures are hours, and only there")
 		}
 	}
 }
 
 func rules(r *xmlconfig.Reader, root *xmlconfig.Node, kind string) (names []string, out []rule) {
 	taken := map[string]bool{}
-	for _, n := range root.All(kind) {
-		names = append(names, r.Name(n, taken))
+	for _, n := range root.ChildrenNamed(kind) {
+		names = append(names, r.UniqueName(n, taken))
 		var x rule
 		for _, k := range n.Children {
 			x.when = append(x.when, conditionOf(r, k))
@@ -274,7 +274,7 @@
 		out = append(out, x)
 	}
 	if len(out) == 0 {
-		r.Fault(root, "no <%s>", kind)
+		r.AddFault(root, "no <%s>", kind)
 	}
 	return names, out
 }
@@ -294,17 +294,17 @@
 	number := c.of == ofClass || c.of == ofPriority || c.of == ofTook
 	switch {
 	case c.hash && (c.from < 0 || c.to > 1):
-		r.Fault(n, "from and to: a hash lies from 0 to 1")
+		r.AddFault(n, "from and to: a hash lies from 0 to 1")
 	case c.hash:
 	case words && (from || to) || !words && !from && !to:
-		r.Fault(n, "either is, or from and to")
+		r.AddFault(n, "either is, or from and to")
 	case words && len(c.words) == 0:
-		r.Fault(n, "is: no words")
+		r.AddFault(n, "is: no words")
 	case !words && !number:
-		r.Fault(n, "%s is a word: it needs is", fieldNames[c.of])
+		r.AddFault(n, "%s is a word: it needs is", fieldNames[c.of])
 	}
 	if c.from > c.to {
-		r.Fault(n, "from: above to")
+		r.AddFault(n, "from: above to")
 	}
 	return c
 }
