--- a/cmd/lichenroad/desk.go
+++ b/cmd/lichenroad/desk.go
@@ -16,6 +16,7 @@
 	"github.com/sirupsen/logrus"
 	"github.com/spf13/cobra"
 
+	"lichenroad/internal/planxml"
 	"lichenroad/internal/releasecontroller"
 	"lichenroad/plan"
 	"lichenroad/relay"
@@ -50,7 +51,7 @@
 	address := c.Flags().String("control", "", "address on loopback for operators; a free port where not given")
 	c.MarkFlagRequired("plan")
 	c.RunE = func(*cobra.Command, []string) error {
-		p, err := plan.Load(*file)
+		p, err := planxml.Load(*file)
 		if err != nil {
 			return failed(err)
 		}
@@ -69,7 +70,7 @@
 				log.WithFields(logrus.Fields{"control": at.Control, "watch": at.Watch, "relays": at.Relays}).Info("desk open")
 				go func() {
 					for range hups {
-						d.Replan(plan.Load(*file))
+						d.Replan(planxml.Load(*file))
 					}
 				}()
 			}}))
--- a/cmd/lichenroad/main.go
+++ b/cmd/lichenroad/main.go
@@ -18,8 +18,8 @@
 
 	"lichenroad/internal/config"
 	"lichenroad/internal/metrics"
+	"lichenroad/internal/planxml"
 	"lichenroad/internal/xmlconfig"
-	"lichenroad/plan"
 )
 
 // Exit codes, as `lichenroad help exit-codes` tells them.
@@ -136,7 +136,7 @@
 			return failed(err)
 		}
 		if g.plan != "" {
-			if g.now, err = plan.Load(g.plan); err != nil {
+			if g.now, err = planxml.Load(g.plan); err != nil {
 				return failed(errors.New(strings.ReplaceAll(err.Error(), "\n", "; ")))
 			}
 		}
--- a/cmd/lichenroad/plan.go
+++ b/cmd/lichenroad/plan.go
@@ -9,6 +9,7 @@
 
 	"github.com/spf13/cobra"
 
+	"lichenroad/internal/planxml"
 	"lichenroad/plan"
 )
 
@@ -16,7 +17,7 @@
 	c := &cobra.Command{Use: "plan", Short: "Check, show and try out plans of releases", RunE: needsVerb}
 	check := &cobra.Command{Use: "check FILE", Short: "Read a plan and name all of its faults", Args: cobra.ExactArgs(1),
 		RunE: func(_ *cobra.Command, args []string) error {
-			p, err := plan.Load(args[0])
+			p, err := planxml.Load(args[0])
 			if err != nil {
 				return failed(err)
 			}
@@ -38,7 +39,7 @@
 				return fmt.Errorf("--at: %q is no time such as 2026-12-24T18:00:00Z", *at)
 			}
 		}
-		p, err := plan.Load(args[0])
+		p, err := planxml.Load(args[0])
 		if err != nil {
 			return failed(err)
 		}
--- a/cmd/lichenroad/serve.go
+++ b/cmd/lichenroad/serve.go
@@ -22,6 +22,7 @@
 	"lichenroad/internal/metrics"
 	"lichenroad/internal/peers"
 	"lichenroad/internal/pipeline"
+	"lichenroad/internal/planxml"
 	"lichenroad/internal/platform"
 	"lichenroad/internal/upstream"
 	"lichenroad/plan"
@@ -170,7 +171,7 @@
 	if p.guard == nil {
 		return
 	}
-	next, err := plan.Load(p.plan.plan)
+	next, err := planxml.Load(p.plan.plan)
 	p.loop.Post(pipeline.Func(func(l *pipeline.Loop) {
 		if err == nil {
 			err = p.guard.Replan(next)
--- a/cmd/lichenroad/simulate.go
+++ b/cmd/lichenroad/simulate.go
@@ -11,8 +11,8 @@
 	"github.com/schollz/progressbar/v3"
 	"github.com/spf13/cobra"
 
+	"lichenroad/internal/planxml"
 	"lichenroad/lab"
-	"lichenroad/plan"
 )
 
 func (t *tool) simulate() *cobra.Command {
@@ -51,7 +51,7 @@
 				return fmt.Errorf("--without: there is no defence %q", name)
 			}
 		}
-		p, err := plan.Load(args[0])
+		p, err := planxml.Load(args[0])
 		if err != nil {
 			return failed(err)
 		}
--- a/internal/guard/guard_test.go
+++ b/internal/guard/guard_test.go
@@ -10,6 +10,7 @@
 	"lichenroad/internal/buffer"
 	"lichenroad/internal/metrics"
 	"lichenroad/internal/pipeline"
+	"lichenroad/internal/planxml"
 	"lichenroad/plan"
 	"lichenroad/relay"
 	"lichenroad/settings"
@@ -38,7 +39,7 @@
 
 func newHosted(t *testing.T) *hosted {
 	t.Helper()
-	p, err := plan.Parse("p", []byte(planText))
+	p, err := planxml.Parse("p", []byte(planText))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -132,14 +133,14 @@
 	h.other("a", relay.RolloutStatus{Valid: true, Build: 1, Phase: relay.PhaseReleased, ExposureLimit: 1})
 	h.loop.RolloutStatusReceived(trial(3, 0, 0.2))
 	h.learned()
-	bad, err := plan.Parse("p", []byte(strings.NewReplacer(`name="b"`, `name="c"`).Replace(planText)))
+	bad, err := planxml.Parse("p", []byte(strings.NewReplacer(`name="b"`, `name="c"`).Replace(planText)))
 	if err != nil {
 		t.Fatal(err)
 	}
 	if err := h.Replan(bad); err == nil {
 		t.Error("a plan without the service was taken")
 	}
-	next, err := plan.Parse("p", []byte(strings.Replace(planText, `cap="0.2"`, `cap="0.1"`, 1)))
+	next, err := planxml.Parse("p", []byte(strings.Replace(planText, `cap="0.2"`, `cap="0.1"`, 1)))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -153,7 +154,7 @@
 
 func TestNamesMustFit(t *testing.T) {
 	h := newHosted(t)
-	p, _ := plan.Parse("p", []byte(planText))
+	p, _ := planxml.Parse("p", []byte(planText))
 	if _, err := New(h.loop, p, "z", h.votes, nil); err == nil {
 		t.Error("no such service")
 	}
--- a/internal/releasecontroller/desk_test.go
+++ b/internal/releasecontroller/desk_test.go
@@ -19,6 +19,7 @@
 
 	"github.com/sirupsen/logrus"
 
+	"lichenroad/internal/planxml"
 	"lichenroad/plan"
 	"lichenroad/relay"
 	"lichenroad/rollout"
@@ -27,7 +28,7 @@
 const patience = 10 * time.Second
 
 func testPlan(t *testing.T) *plan.Plan {
-	p, err := plan.Parse("p", []byte(`<plan version="1"><site name="x"/><group name="g"/>
+	p, err := planxml.Parse("p", []byte(`<plan version="1"><site name="x"/><group name="g"/>
 <service name="a" watch="127.0.0.1:0" back-for="1s" settle="0s"><votes on="0.6" back="0.3"/>
 <step name="one" share="0.1" cap="0.1" least="0s"><open/></step><step name="two" share="1" cap="0.5" least="0s"/>
 <relay name="r0" listen="127.0.0.1:0"/><relay name="r1" listen="127.0.0.1:0"/><relay name="r2" listen="127.0.0.1:0"/></service>
--- a/lab/demo/demo.go
+++ b/lab/demo/demo.go
@@ -22,6 +22,7 @@
 	"time"
 
 	"lichenroad/internal/linewire"
+	"lichenroad/internal/planxml"
 	"lichenroad/internal/releasecontroller"
 	"lichenroad/lab/fakes"
 	"lichenroad/plan"
@@ -398,7 +399,7 @@
 	if err := os.WriteFile(s.file, []byte(planText(ports)), 0o644); err != nil {
 		return err
 	}
-	if s.plan, err = plan.Load(s.file); err != nil {
+	if s.plan, err = planxml.Load(s.file); err != nil {
 		return err
 	}
 	if s.disc, err = fakes.NewDiscovery(); err != nil {
--- a/lab/lab_test.go
+++ b/lab/lab_test.go
@@ -7,11 +7,12 @@
 	"strings"
 	"testing"
 
+	"lichenroad/internal/planxml"
 	"lichenroad/plan"
 )
 
 func example(t testing.TB) *plan.Plan {
-	p, err := plan.Load("../deploy/plan.xml")
+	p, err := planxml.Load("../deploy/plan.xml")
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/plan/check.go
+++ b/plan/check.go
@@ -1,239 +1,154 @@
 package plan
 
 import (
-	"fmt"
 	"math"
-	"strings"
 	"time"
-
-	"lichenroad/internal/xmlconfig"
 )
 
-// freeze reads a freeze. Its one-off times must be there once in their zone: nobody can tell which of two is meant.
-func (r *reader) freeze(p *Plan, n *xmlconfig.Node, names map[string]bool) Freeze {
-	f := Freeze{Name: r.UniqueName(n, names),
-		Effect: xmlconfig.Enum(&r.Reader, n, "stops", FreezeAll, map[string]FreezeEffect{"begin": FreezeStarts, "on": FreezePromotions, "all": FreezeAll})}
-	for _, k := range n.ChildrenNamed("for") {
-		if len(k.Attrs) != 1 {
-			r.AddFault(k, "names a service or a site, one of the two")
-		}
-		if name, ok := k.Attrs["service"]; ok {
-			s, known := p.Service(name)
-			if !known {
-				r.AddFault(k, "service: there is no %.20q", name)
-			}
-			f.Services = append(f.Services, s)
-		}
-		if name, ok := k.Attrs["site"]; ok {
-			s, known := p.Site(name)
-			if !known {
-				r.AddFault(k, "site: there is no %.20q", name)
-			}
-			f.Sites = append(f.Sites, s)
-		}
-	}
-	for _, k := range n.Children {
-		switch k.Name {
-		case "weekly":
-			f.Schedules = append(f.Schedules, r.weekly(k))
-		case "once":
-			f.Schedules = append(f.Schedules, r.once(k))
-		}
-	}
-	if len(f.Schedules) == 0 {
-		r.AddFault(n, "no <weekly> or <once>")
-	}
-	return f
+// Milestone is a point that a service's build reaches: a step, or its release, which stands one past the last step.
+type Milestone struct {
+	Service ServiceIndex
+	Step    StepIndex
 }
 
-func (r *reader) zone(n *xmlconfig.Node) *time.Location {
-	name, ok := n.Attrs["zone"]
-	if !ok {
-		return time.UTC
-	}
-	zone, err := time.LoadLocation(name)
-	if err != nil || name == "" || name == "Local" {
-		r.AddFault(n, "zone: %.40q is no time zone", name)
-		return time.UTC
+// FindCycle looks for milestones that wait for one another: a step waits for the step before it and for its
+// dependencies. It gives the first cycle that it finds, with its first milestone once more at the end; nil where there
+// is none. One cycle is enough to report, as others mostly share a part with it.
+func (p *Plan) FindCycle() []Milestone {
+	search := cycleSearch{plan: p, states: map[Milestone]visitState{}}
+	for i := range p.Services {
+		released := Milestone{ServiceIndex(i), StepIndex(len(p.Services[i].Steps))}
+		if cycle := search.visit(released); cycle != nil {
+			return cycle
+		}
 	}
-	return zone
+	return nil
 }
 
-var weekdays = map[string]time.Weekday{"sun": 0, "mon": 1, "tue": 2, "wed": 3, "thu": 4, "fri": 5, "sat": 6}
+type visitState int
 
-func (r *reader) weekly(n *xmlconfig.Node) Schedule {
-	s := Schedule{Zone: r.zone(n)}
-	for _, d := range strings.Fields(n.Attrs["days"]) {
-		day, ok := weekdays[d]
-		switch {
-		case !ok:
-			r.AddFault(n, "days: %.20q is none of mon tue wed thu fri sat sun", d)
-		case s.Days[day]:
-			r.AddFault(n, "days: %s stands twice", d)
-		default:
-			s.Days[day] = true
-		}
-	}
-	for d, on := range s.Days {
-		if on {
-			s.weekdays = append(s.weekdays, time.Weekday(d))
-		}
-	}
-	if _, ok := n.Attrs["days"]; ok && len(s.weekdays) == 0 {
-		r.AddFault(n, "days: none")
-	}
-	s.Start, s.End = r.clock(n, "from"), r.clock(n, "to")
-	return s
-}
+const (
+	visiting visitState = iota + 1
+	visited
+)
 
-func (r *reader) clock(n *xmlconfig.Node, name string) time.Duration {
-	s, ok := n.Attrs[name]
-	t, err := time.Parse("15:04", s)
-	if ok && (err != nil || len(s) != 5) {
-		r.AddFault(n, "%s: %.20q is no time of day such as 22:30", name, s)
-	}
-	return time.Duration(t.Hour())*time.Hour + time.Duration(t.Minute())*time.Minute
+// cycleSearch is a depth-first search through the milestones of a plan.
+type cycleSearch struct {
+	plan   *Plan
+	states map[Milestone]visitState // absent: not visited
+	path   []Milestone              // that lead to the one that is visited
 }
 
-func (r *reader) once(n *xmlconfig.Node) Schedule {
-	s := Schedule{Zone: r.zone(n)}
-	s.From, s.To = r.moment(n, "from", s.Zone), r.moment(n, "to", s.Zone)
-	if !s.From.IsZero() && !s.To.IsZero() && !s.To.After(s.From) {
-		r.AddFault(n, "to: the freeze ends no later than it begins")
-	}
-	if s.To.Sub(s.From) > 400*24*time.Hour {
-		r.AddFault(n, "to: the freeze lasts for over 400 days, as good as without end")
+// visit searches what a milestone waits for.
+func (c *cycleSearch) visit(at Milestone) []Milestone {
+	switch c.states[at] {
+	case visiting:
+		return c.cycleTo(at)
+	case visited:
+		return nil
+	}
+	c.states[at] = visiting
+	c.path = append(c.path, at)
+	for _, awaited := range c.plan.awaitedBy(at) {
+		if cycle := c.visit(awaited); cycle != nil {
+			return cycle
+		}
 	}
-	return s
+	c.path = c.path[:len(c.path)-1]
+	c.states[at] = visited
+	return nil
 }
 
-// moment reads a date and time in a zone, and wants it to be there exactly once.
-func (r *reader) moment(n *xmlconfig.Node, name string, zone *time.Location) time.Time {
-	s, ok := n.Attrs[name]
-	if !ok {
-		return time.Time{}
-	}
-	t, err := time.Parse("2006-01-02T15:04", s)
-	if err != nil {
-		r.AddFault(n, "%s: %.20q is no time such as 2026-12-24T18:00", name, s)
-		return time.Time{}
-	}
-	at := time.Date(t.Year(), t.Month(), t.Day(), t.Hour(), t.Minute(), 0, 0, zone)
-	switch _, kind := odd(at, t.Year(), t.Month(), t.Day(), t.Hour(), t.Minute(), 0); kind {
-	case skipped:
-		r.AddFault(n, "%s: %s is skipped in %s", name, s, zone)
-	case twice:
-		r.AddFault(n, "%s: %s is there twice in %s", name, s, zone)
+// cycleTo is the part of the path from a milestone on, and the milestone again.
+func (c *cycleSearch) cycleTo(at Milestone) []Milestone {
+	first := 0
+	for i := range c.path {
+		if c.path[i] == at {
+			first = i
+		}
 	}
-	return at
+	return append(c.path[first:], at)
 }
 
-// check looks at what only shows in the whole plan: cycles, and freezes that leave no time at all.
-func (r *reader) check(p *Plan) {
-	r.cycles(p)
-	r.endless(p)
+// awaitedBy lists what a milestone waits for.
+func (p *Plan) awaitedBy(at Milestone) []Milestone {
+	var awaited []Milestone
+	if at.Step > 0 {
+		awaited = append(awaited, Milestone{at.Service, at.Step - 1})
+	}
+	steps := p.Services[at.Service].Steps
+	if int(at.Step) == len(steps) {
+		return awaited
+	}
+	for _, dependency := range steps[at.Step].Dependencies {
+		step := dependency.Step
+		if dependency.Released {
+			step = StepIndex(len(p.Services[dependency.Service].Steps))
+		}
+		awaited = append(awaited, Milestone{dependency.Service, step})
+	}
+	return awaited
 }
 
-// place is a step of a service, or its release behind the last step.
-type place struct {
-	service ServiceIndex
-	step    StepIndex
+// EndlessFreeze names a freeze that, with others, leaves a service no time to start or to be promoted.
+type EndlessFreeze struct {
+	Freeze  FreezeIndex
+	Service ServiceIndex
 }
 
-// cycles finds steps that wait for one another. A step waits for the one before it and for what it needs.
-func (r *reader) cycles(p *Plan) {
-	state := map[place]int{} // 1: on the way, 2: done
-	var path []place
-	var visit func(at place) bool
-	visit = func(at place) bool {
-		switch state[at] {
-		case 1:
-			var names []string
-			from := 0
-			for i := range path {
-				if path[i] == at {
-					from = i
-				}
-			}
-			for _, q := range append(path[from:len(path):len(path)], at) {
-				s := &p.Services[q.service]
-				names = append(names, s.Name+" "+s.StepName(q.step))
-			}
-			r.AddFault(r.services[at.service], "a cycle: %s", strings.Join(names, " needs "))
-			return true
-		case 2:
-			return false
-		}
-		state[at] = 1
-		path = append(path, at)
-		found := false
-		s := &p.Services[at.service]
-		if at.step > 0 {
-			found = visit(place{at.service, at.step - 1})
-		}
-		if int(at.step) < len(s.Steps) {
-			for _, n := range s.Steps[at.step].Dependencies {
-				to := place{n.Service, n.Step}
-				if n.Released {
-					to.step = StepIndex(len(p.Services[n.Service].Steps))
-				}
-				found = found || visit(to)
-			}
-		}
-		path = path[:len(path)-1]
-		state[at] = 2
-		return found
-	}
+// FindEndlessFreeze looks for a service that weekly freezes, clock skew at both ends included, leave no time. Freezes that
+// hold once end by themselves and are not looked at.
+func (p *Plan) FindEndlessFreeze() (EndlessFreeze, bool) {
+	weekly, original := p.weeklyFreezes()
+	calendar := NewCalendar(weekly, true)
 	for i := range p.Services {
-		if visit(place{ServiceIndex(i), StepIndex(len(p.Services[i].Steps))}) {
-			return // one is enough to say: the others mostly go through it
+		for _, effect := range []FreezeEffect{FreezeStarts, FreezePromotions} {
+			if last, endless := calendar.endless(ServiceIndex(i), effect); endless {
+				return EndlessFreeze{original[last], ServiceIndex(i)}, true
+			}
 		}
 	}
+	return EndlessFreeze{}, false
 }
 
-// endless walks from the end of a freeze to the end of the next: a service that is frozen for longer than all
-// that was written down once, and a week more, is frozen for ever. The week is one of January, as good as any.
-func (r *reader) endless(p *Plan) {
-	start := unix(time.Date(2026, 1, 5, 0, 0, 0, 0, time.UTC))
+// weeklyFreezes is a plan of the weekly schedules alone, and each of its freezes' place in p.
+func (p *Plan) weeklyFreezes() (*Plan, []FreezeIndex) {
 	weekly := &Plan{Skew: p.Skew}
-	var from []int
-	for i, f := range p.Freezes {
-		var spans []Schedule
-		for _, s := range f.Schedules {
-			if s.weekly() {
-				spans = append(spans, s)
+	var original []FreezeIndex
+	for i, freeze := range p.Freezes {
+		var schedules []Schedule
+		for _, schedule := range freeze.Schedules {
+			if schedule.Weekly() {
+				schedules = append(schedules, schedule)
 			}
 		}
-		if f.Schedules = spans; len(spans) > 0 {
-			weekly.Freezes = append(weekly.Freezes, f)
-			from = append(from, i)
-		}
-	}
-	for s := range p.Services {
-		for _, what := range []FreezeEffect{FreezeStarts, FreezePromotions} {
-			c := NewCalendar(weekly, true)
-			at, last := start, ActiveFreeze{}
-			for at < start+10*86400 {
-				f, in := c.Frozen(at, ServiceIndex(s), NoSite, what)
-				if !in {
-					break
-				}
-				at, last = math.Max(f.Until, at+1), f
-			}
-			if at >= start+10*86400 {
-				r.AddFault(r.freezes[from[last.Freeze]], "never ends: with the other freezes it leaves %s no time (clock-skew counts at both ends)",
-					p.Services[s].Name)
-				return
-			}
+		if len(schedules) == 0 {
+			continue
 		}
+		freeze.Schedules = schedules
+		weekly.Freezes = append(weekly.Freezes, freeze)
+		original = append(original, FreezeIndex(i))
 	}
+	return weekly, original
 }
 
-// String tells a need in words.
-func (p *Plan) DependencyText(n Dependency) string {
-	s := &p.Services[n.Service]
-	if n.Released {
-		return fmt.Sprintf("%s released", s.Name)
+// endlessStart is the Monday on which endless begins to look; weekly schedules make one week as good as another. After
+// endlessSearch, over a week, a freeze that still holds holds for ever.
+var endlessStart = FromTime(time.Date(2026, time.January, 5, 0, 0, 0, 0, time.UTC))
+
+const endlessSearch = 10 * secondsPerDay
+
+// endless goes from the end of a freeze to the end of the one that holds then, and so on. Where that finds no free moment
+// it gives the last of them.
+func (c *Calendar) endless(service ServiceIndex, effect FreezeEffect) (FreezeIndex, bool) {
+	var last FreezeIndex
+	for at := endlessStart; at < endlessStart+endlessSearch; {
+		active, frozen := c.Frozen(at, service, NoSite, effect)
+		if !frozen {
+			return 0, false
+		}
+		last = active.Freeze
+		at = math.Max(active.Until, at+1)
 	}
-	return fmt.Sprintf("%s at step %s", s.Name, s.StepName(n.Step))
+	return last, true
 }
--- a/plan/plan.go
+++ b/plan/plan.go
@@ -1,75 +1,99 @@
-// Package plan holds what operators write down about releases: services and their steps, sites, groups of
-// customers, what depends on what, and freezes. It reads the XML form (read.go), finds its faults (check.go) and
-// works out freezes (calendar.go). It decides nothing about a release; package rollout does, and the decision
-// module behind it.
+// Package plan describes staged releases: services and the steps of their rollouts, sites, groups of tenants, which
+// step depends on which, and the freezes in which nothing may start or be promoted. It finds the faults that only show in
+// a whole plan (check.go) and works out when freezes hold (calendar.go).
+//
+// A Plan is data that nobody changes once it was read, so that goroutines may share it; a Calendar caches and belongs to
+// one goroutine. The package decides nothing about a release (package rollout does) and imports the standard library
+// alone; internal/planxml reads plans from XML.
 package plan
 
-import "strconv"
+import (
+	"fmt"
+	"strconv"
+)
 
-// Ids, each a type of its own: places in the plan's lists.
 type (
+	// ServiceIndex is a service's place in Plan.Services.
 	ServiceIndex int
-	SiteIndex    int
-	GroupIndex   int
-	StepIndex    int
-	FreezeIndex  int
-	Seconds      = float64
-	Unix         = float64 // seconds since 1970, UTC
+	// SiteIndex is a site's place in Plan.Sites.
+	SiteIndex int
+	// GroupIndex is a group's place in Plan.Groups.
+	GroupIndex int
+	// StepIndex is a step's place in Service.Steps; one past the last step stands for "released".
+	StepIndex int
+	// FreezeIndex is a freeze's place in Plan.Freezes.
+	FreezeIndex int
+	// Seconds is a length of time.
+	Seconds = float64
+	// Unix is a moment, in seconds since 1970 in UTC.
+	Unix = float64
 )
 
 const (
-	NoSite  SiteIndex  = -1
-	NoGroup GroupIndex = -1 // a customer of no group meets no build on trial
+	// NoSite stands for no particular site: of a relay that has none, and in questions about any site.
+	NoSite SiteIndex = -1
+	// NoGroup is the group of a tenant that no group names. It meets no canary.
+	NoGroup GroupIndex = -1
 )
 
-// Plan is a whole plan, checked.
+// ReleasedStep is the name of what follows the last step. No step may carry it.
+const ReleasedStep = "released"
+
+// MaxSteps is the number of steps that a service may have.
+const MaxSteps = 250
+
+// Plan is a whole plan.
 type Plan struct {
-	Skew      Seconds // that clocks of relays and desk may differ by; freezes are longer by it at both ends
-	StatusTTL Seconds // after which news of a dependency is too old to open anything
+	Skew      Seconds // by which the clocks of relays and controller may differ; freezes are longer by it at both ends
+	StatusTTL Seconds // after which the status of a dependency is too old to open anything
 	Sites     []string
 	Groups    []Group
 	Services  []Service
 	Freezes   []Freeze
 }
 
-// Group is a group of customers.
+// Group is a group of tenants that meet a canary together.
 type Group struct {
 	Name    string
 	Tenants []string
 }
 
-// Control says what moves a service's steps.
+// Control says what promotes a service from step to step.
 type Control int
 
 const (
-	ControlQuorum     Control = iota // a share of its relays that stand for it
-	ControlSingleVote                // any relay
-	ControlTimed                     // time; relays hold it or send it back
+	// ControlQuorum promotes when a share of the service's relays votes for it.
+	ControlQuorum Control = iota
+	// ControlSingleVote promotes on the vote of any relay.
+	ControlSingleVote
+	// ControlTimed promotes by time; relays can hold a step or roll it back.
+	ControlTimed
 )
 
-// Votes are a service's terms of voting.
+// Votes are the rules by which the relays of a service vote on its steps. Promote, RollBack and Hold are the shares of its
+// relays, of one relay at least, that a vote needs to take effect.
 type Votes struct {
 	Control   Control
-	Promote   float64 // share of its relays, one at least
+	Promote   float64
 	RollBack  float64
 	Hold      float64
-	TTL       Seconds
-	PerSecond float64 // that are taken from all relays together
-	StepTime  Seconds // after which the clock moves a step
+	TTL       Seconds // for which a vote counts
+	PerSecond float64 // votes that are accepted from all relays together
+	StepTime  Seconds // after which ControlTimed promotes a step
 }
 
-// Service is one fleet whose builds are released by steps.
+// Service is one fleet of endpoints whose builds are released by steps.
 type Service struct {
 	Name         string
-	Watch        string  // address at which the desk tells of it to whoever depends on it
-	RollbackTime Seconds // that the way back takes
-	SettleTime   Seconds // after a release before the next build begins
+	Watch        string  // address at which the controller serves the rollout's status to those who depend on it
+	RollbackTime Seconds // that rolling back takes
+	SettleTime   Seconds // after a release before the next build starts
 	Votes        Votes
 	Steps        []Step
 	Relays       []Relay
 }
 
-// Relay is a voter, known to the desk by the address that is kept for it.
+// Relay is a voter. The controller knows it by the address that it listens on for this relay alone.
 type Relay struct {
 	Name   string
 	Site   SiteIndex
@@ -80,62 +104,30 @@
 type Step struct {
 	Name          string
 	Share         float64 // of the fleet that runs the build
-	ExposureLimit float64 // of the queries of each group that is open
-	MinTime       Seconds
-	OpenGroups    []Scope
+	ExposureLimit float64 // share of the requests of each open group that the build may get
+	MinTime       Seconds // before the step may be promoted
+	OpenGroups    []Scope // that this step opens beside those of the steps before it
 	Dependencies  []Dependency
 }
 
-// Scope is one group of customers at one site.
+// Scope is one group of tenants at one site.
 type Scope struct {
 	Site  SiteIndex
 	Group GroupIndex
 }
 
-// Need is what a step waits for: another service's newest build at a step, or released.
+// Dependency is what a step waits for: that the newest build of another service is at a step, or released.
 type Dependency struct {
 	Service  ServiceIndex
-	Step     StepIndex
+	Step     StepIndex // of Service; not used where Released is set
 	Released bool
 }
 
-// Stops says what a freeze stops. Going back is never stopped.
-type FreezeEffect int
-
-const (
-	FreezeStarts     FreezeEffect = 1 << iota // the first step of a build
-	FreezePromotions                          // each further step, and the release
-	FreezeAll        = FreezeStarts | FreezePromotions
-)
-
-// Freeze is a time in which nothing moves on.
-type Freeze struct {
-	Name      string
-	Effect    FreezeEffect
-	Services  []ServiceIndex // none: all
-	Sites     []SiteIndex    // none: all
-	Schedules []Schedule
-}
-
-// Holds says whether the freeze is about a service, at a site. NoSite asks about any site.
-func (f *Freeze) AppliesTo(s ServiceIndex, at SiteIndex) bool {
-	return has(f.Services, s) && (at == NoSite || has(f.Sites, at))
-}
-
-func has[T comparable](list []T, x T) bool {
-	for _, y := range list {
-		if y == x {
-			return true
-		}
-	}
-	return len(list) == 0
-}
-
-// Open says whether a group at a site is open at a step.
-func (s *Service) Open(step StepIndex, site SiteIndex, group GroupIndex) bool {
+// IsOpen says whether a group at a site may meet the build at a step.
+func (s *Service) IsOpen(step StepIndex, site SiteIndex, group GroupIndex) bool {
 	for k := StepIndex(0); k <= step && int(k) < len(s.Steps); k++ {
-		for _, o := range s.Steps[k].OpenGroups {
-			if o.Site == site && o.Group == group {
+		for _, scope := range s.Steps[k].OpenGroups {
+			if scope.Site == site && scope.Group == group {
 				return true
 			}
 		}
@@ -143,11 +135,11 @@
 	return false
 }
 
-// Touches says whether anything at a site is open at a step.
+// OpenAtSite says whether any group at a site may meet the build at a step.
 func (s *Service) OpenAtSite(step StepIndex, site SiteIndex) bool {
 	for k := StepIndex(0); k <= step && int(k) < len(s.Steps); k++ {
-		for _, o := range s.Steps[k].OpenGroups {
-			if o.Site == site {
+		for _, scope := range s.Steps[k].OpenGroups {
+			if scope.Site == site {
 				return true
 			}
 		}
@@ -155,15 +147,15 @@
 	return false
 }
 
-// StepName names a step, and what lies past the last one.
-func (s *Service) StepName(k StepIndex) string {
+// StepName gives the name of a step, or ReleasedStep for what follows the last one.
+func (s *Service) StepName(step StepIndex) string {
 	switch {
-	case int(k) == len(s.Steps):
-		return "released"
-	case k < 0 || int(k) > len(s.Steps):
-		return "step " + strconv.Itoa(int(k))
+	case int(step) == len(s.Steps):
+		return ReleasedStep
+	case step < 0 || int(step) > len(s.Steps):
+		return "step " + strconv.Itoa(int(step))
 	}
-	return s.Steps[k].Name
+	return s.Steps[step].Name
 }
 
 // Service finds a service by name.
@@ -178,19 +170,19 @@
 
 // Site finds a site by name.
 func (p *Plan) Site(name string) (SiteIndex, bool) {
-	for i, s := range p.Sites {
-		if s == name {
+	for i, site := range p.Sites {
+		if site == name {
 			return SiteIndex(i), true
 		}
 	}
 	return NoSite, false
 }
 
-// GroupOf finds the group of a customer.
-func (p *Plan) GroupOf(customer string) GroupIndex {
+// GroupOf finds the group of a tenant; NoGroup where it is in none.
+func (p *Plan) GroupOf(tenant string) GroupIndex {
 	for i := range p.Groups {
-		for _, c := range p.Groups[i].Tenants {
-			if c == customer {
+		for _, member := range p.Groups[i].Tenants {
+			if member == tenant {
 				return GroupIndex(i)
 			}
 		}
@@ -198,26 +190,35 @@
 	return NoGroup
 }
 
-// Order lists the services so that each stands behind those that it needs, as far as that goes; where two need
-// steps of each other the plan's own order holds.
+// Order lists the services so that each stands behind those that it depends on. Where two services have steps that wait
+// for each other's, the plan's own order holds.
 func (p *Plan) Order() []ServiceIndex {
-	var out []ServiceIndex
-	state := make([]int, len(p.Services))
-	var visit func(s ServiceIndex)
-	visit = func(s ServiceIndex) {
-		if state[s] != 0 {
+	var order []ServiceIndex
+	visited := make([]bool, len(p.Services))
+	var visit func(service ServiceIndex)
+	visit = func(service ServiceIndex) {
+		if visited[service] {
 			return
 		}
-		state[s] = 1
-		for _, st := range p.Services[s].Steps {
-			for _, n := range st.Dependencies {
-				visit(n.Service)
+		visited[service] = true
+		for _, step := range p.Services[service].Steps {
+			for _, dependency := range step.Dependencies {
+				visit(dependency.Service)
 			}
 		}
-		out = append(out, s)
+		order = append(order, service)
 	}
 	for i := range p.Services {
 		visit(ServiceIndex(i))
 	}
-	return out
+	return order
+}
+
+// DependencyText describes a dependency in words, such as "cart at step two".
+func (p *Plan) DependencyText(dependency Dependency) string {
+	service := &p.Services[dependency.Service]
+	if dependency.Released {
+		return fmt.Sprintf("%s released", service.Name)
+	}
+	return fmt.Sprintf("%s at step %s", service.Name, service.StepName(dependency.Step))
 }
--- a/rollout/core.go
+++ b/rollout/core.go
@@ -547,7 +547,7 @@
 		return 0
 	}
 	k := c.Supported(no)
-	if k < 0 || !t.Open(k, site, group) {
+	if k < 0 || !t.IsOpen(k, site, group) {
 		return 0
 	}
 	return t.Steps[k].ExposureLimit
--- a/rollout/guard.go
+++ b/rollout/guard.go
@@ -320,7 +320,7 @@
 func (g *Guard) narrow(b relay.Build, step plan.StepIndex) relay.CanaryScope {
 	s := relay.CanaryScope{Build: b, Stage: relay.Stage(max(step, 0)), GroupOfTenant: g.groups, GroupOpen: make([]bool, len(g.plan.Groups))}
 	for i := range s.GroupOpen {
-		s.GroupOpen[i] = g.off.Groups || g.terms().Open(step, g.site, plan.GroupIndex(i))
+		s.GroupOpen[i] = g.off.Groups || g.terms().IsOpen(step, g.site, plan.GroupIndex(i))
 	}
 	if g.off.Groups {
 		s.GroupOfTenant, s.GroupOpen = make([]int, len(g.groups)), []bool{true}
@@ -340,7 +340,7 @@
 	if int(step) >= len(g.terms().Steps) {
 		return 1
 	}
-	if step < 0 || group == plan.NoGroup || !g.terms().Open(step, g.site, group) {
+	if step < 0 || group == plan.NoGroup || !g.terms().IsOpen(step, g.site, group) {
 		return 0
 	}
 	return limit
--- a/rollout/guard_test.go
+++ b/rollout/guard_test.go
@@ -267,7 +267,7 @@
 					t.Fatalf("%+v of %+v", n.news, n.Guard.news)
 				}
 				for i, open := range n.scope.GroupOpen {
-					if k := int(n.scope.Stage); open && !n.terms().Open(plan.StepIndex(k), 0, plan.GroupIndex(i)) {
+					if k := int(n.scope.Stage); open && !n.terms().IsOpen(plan.StepIndex(k), 0, plan.GroupIndex(i)) {
 						t.Fatalf("%+v", n.scope)
 					}
 				}
--- a/rollout/rollout_test.go
+++ b/rollout/rollout_test.go
@@ -11,6 +11,7 @@
 
 	"pgregory.net/rapid"
 
+	"lichenroad/internal/planxml"
 	"lichenroad/plan"
 	"lichenroad/relay"
 )
@@ -48,7 +49,7 @@
 		b.WriteString(`</service>`)
 	}
 	b.WriteString(`<freeze name="f"><once from="2026-12-06T00:16" to="2026-12-06T00:33" zone="UTC"/></freeze></plan>`)
-	p, err := plan.Parse("p", []byte(b.String()))
+	p, err := planxml.Parse("p", []byte(b.String()))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -344,7 +345,7 @@
 func TestClockMovesUnlessHeld(t *testing.T) {
 	text := strings.Replace(`<plan version="1"><site name="x"/><group name="p"/><service name="a"><votes control="clock" hold="0.5" step-time="20s"/>
 <step name="s" share="0" cap="0.1" least="5s"><open/></step><relay name="r0"/><relay name="r1"/></service></plan>`, "\n", "", -1)
-	p, err := plan.Parse("p", []byte(text))
+	p, err := planxml.Parse("p", []byte(text))
 	if err != nil {
 		t.Fatal(err)
 	}
