--- a/internal/config/config_test.go
+++ b/internal/config/config_test.go
@@ -1,8 +1,11 @@
 package config
 
 import (
+	"errors"
+	"io/fs"
 	"os"
 	"path/filepath"
+	"slices"
 	"strings"
 	"testing"
 
@@ -14,70 +17,165 @@
  "platform":{"address":"127.0.0.1:6400","news":{"image":42,"ring":"1","progress":"canary","ceiling":0.28,"lag_ms":310}},
  "known":{"generation":41,"reset":true,"instances":[]},"settings":{"grades":[{"name":"basket","repeat":"retryable"}]}}`
 
-func none(string) string { return "" }
+// noEnv is an environment without variables.
+func noEnv(string) string { return "" }
+
+// parse reads a configuration that must be good.
+func parse(t *testing.T, raw string) Config {
+	t.Helper()
+	c, err := Parse([]byte(raw), noEnv)
+	if err != nil {
+		t.Fatal(err)
+	}
+	return c
+}
 
 func TestParse(t *testing.T) {
 	env := map[string]string{"BALANCER_LISTEN": "127.0.0.2:5433"}
-	c, err := Parse([]byte(good), func(s string) string { return env[s] })
-	if err != nil || c.Name != "n3" || c.Listen != "127.0.0.2:5433" || uint64(c.Seed) != 0x8c1f30d27a5be964 ||
-		c.Sockets != 1024 || c.RolloutStatus.Build != 42 || c.RolloutStatus.Stage != 1 || c.RolloutStatus.Phase != relay.PhaseCanary ||
-		c.Site.ClassByName["basket"] != 0 {
-		t.Errorf("%+v %v", c, err)
+	c, err := Parse([]byte(good), func(name string) string { return env[name] })
+	if err != nil {
+		t.Fatal(err)
+	}
+	if c.Name != "n3" || c.Listen != "127.0.0.2:5433" || uint64(c.Seed) != 0x8c1f30d27a5be964 || c.Sockets != 1024 {
+		t.Errorf("%+v", c)
+	}
+	if status := c.RolloutStatus; status.Build != 42 || status.Stage != 1 || status.Phase != relay.PhaseCanary {
+		t.Errorf("%+v", status)
+	}
+	if class, known := c.Site.ClassByName["basket"]; !known || class != 0 {
+		t.Errorf("%+v", c.Site.ClassByName)
+	}
+}
+
+func TestDefaults(t *testing.T) {
+	c := parse(t, strings.Replace(good, `{"cores":1.0,"memory_mb":192,"sockets":1024}`, `{}`, 1))
+	if c.Cores != 1 || c.MemoryMB != 192 || c.Sockets != 1024 {
+		t.Errorf("%+v", c)
 	}
 }
 
 func TestNoListIsNoFault(t *testing.T) {
-	c, err := Parse([]byte(strings.Replace(good, `{"generation":41,"reset":true,"instances":[]}`, "null", 1)), none)
-	if err != nil || c.KnownList != nil {
-		t.Errorf("%s %v", c.KnownList, err)
+	c := parse(t, strings.Replace(good, `{"generation":41,"reset":true,"instances":[]}`, "null", 1))
+	if c.KnownList != nil {
+		t.Errorf("%s", c.KnownList)
 	}
 }
 
-// TestKnownThatCantBeReadIsNoFault has the list as last held spoilt: it is handed on as it is, for the start to say so,
+// TestKnownThatCantBeReadIsNoFault has the last known list spoilt: it is handed on as it is, for the start to report it,
 // and neither keeps a relay from starting nor holds up a move of discovery.
 func TestKnownThatCantBeReadIsNoFault(t *testing.T) {
 	raw := strings.Replace(good, `"generation":41`, `"generation":"x"`, 1)
-	c, err := Parse([]byte(raw), none)
-	if err != nil || !strings.Contains(string(c.KnownList), `"x"`) {
-		t.Errorf("%s %v", c.KnownList, err)
+	if c := parse(t, raw); !strings.Contains(string(c.KnownList), `"x"`) {
+		t.Errorf("%s", c.KnownList)
 	}
 	path := filepath.Join(t.TempDir(), "config.json")
 	if err := os.WriteFile(path, []byte(raw), 0o600); err != nil {
 		t.Fatal(err)
 	}
-	if _, err := Reload(path, none); err != nil {
+	if _, err := Reload(path, noEnv); err != nil {
 		t.Error("a move is held up:", err)
 	}
 }
 
 func TestFaultsAreNamed(t *testing.T) {
-	for _, c := range []struct{ from, to, names string }{
-		{`"listen":"127.0.0.1:5433"`, `"listen":"here"`, "listen"},
-		{`"discovery":"127.0.0.1:8500"`, `"discovery":""`, "discovery"},
-		{`"peers":["127.0.0.1:7946"]`, `"peers":["x"]`, "peers"}, {"8c1f30d27a5be964", "xyz", "seed"},
-		{`"memory_mb":192`, `"memory_mb":8`, "limits"}, {`"canary"`, `"flying"`, "platform.news"},
-		{`[{"name":"basket","repeat":"retryable"}]`, `[]`, "settings"},
-		{`"settings":{`, `"other":{`, "settings"}, {`"seed"`, `seed`, "invalid"},
+	for _, c := range []struct {
+		name     string
+		from, to string // what is replaced in the good configuration
+		says     string
+	}{
+		{"listen", `"listen":"127.0.0.1:5433"`, `"listen":"here"`, "listen"},
+		{"discovery", `"discovery":"127.0.0.1:8500"`, `"discovery":""`, "discovery"},
+		{"peers", `"peers":["127.0.0.1:7946"]`, `"peers":["x"]`, "peers"},
+		{"seed", "8c1f30d27a5be964", "xyz", "seed"},
+		{"memory", `"memory_mb":192`, `"memory_mb":8`, "limits"},
+		{"rollout status", `"canary"`, `"flying"`, "platform.news"},
+		{"no classes", `[{"name":"basket","repeat":"retryable"}]`, `[]`, "settings"},
+		{"no settings", `"settings":{`, `"other":{`, "settings"},
+		{"no JSON", `"seed"`, `seed`, "invalid"},
 	} {
-		_, err := Parse([]byte(strings.Replace(good, c.from, c.to, 1)), none)
-		if err == nil || !strings.Contains(err.Error(), c.names) {
-			t.Errorf("%s: %v", c.to, err)
-		}
+		t.Run(c.name, func(t *testing.T) {
+			_, err := Parse([]byte(strings.Replace(good, c.from, c.to, 1)), noEnv)
+			if err == nil || !strings.Contains(err.Error(), c.says) {
+				t.Errorf("%s: %v", c.to, err)
+			}
+		})
+	}
+}
+
+// TestAllFaultsAtOnce holds the texts of the faults and their order.
+func TestAllFaultsAtOnce(t *testing.T) {
+	_, err := Parse([]byte(`{"listen":"here","peers_all":"x","platform":{"address":"y","news":{"image":1}},"peers":["z"],"seed":"q",
+ "limits":{"sockets":1}}`), noEnv)
+	const want = `listen: "here" is no address with a port
+discovery: "" is no address with a port
+peers_all: "x" is no address with a port
+platform.address: "y" is no address with a port
+peers: "z" is no address with a port
+seed: "q" is no number in hex
+limits: less than 32 MB or 64 sockets
+settings: missing
+platform.news: malformed line: news of build "1"`
+	if err == nil || err.Error() != want {
+		t.Errorf("got\n%v\nwanted\n%s", err, want)
 	}
 }
 
 func TestLoad(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "config.json")
-	if _, err := Load("", none); err == nil {
-		t.Error("no path was taken")
+	if _, err := Load("", noEnv); !errors.Is(err, errNoPath) {
+		t.Error("no path:", err)
 	}
-	if _, err := Load(path, none); err == nil {
-		t.Error("a missing file was taken")
+	if _, err := Load(path, noEnv); !errors.Is(err, fs.ErrNotExist) {
+		t.Error("a missing file:", err)
 	}
 	if err := os.WriteFile(path, []byte(good), 0o600); err != nil {
 		t.Fatal(err)
 	}
-	if _, err := Load(path, none); err != nil {
+	if _, err := Load(path, noEnv); err != nil {
 		t.Error(err)
 	}
 }
+
+// TestReload holds that the environment's address of discovery is that of the start alone.
+func TestReload(t *testing.T) {
+	path := filepath.Join(t.TempDir(), "config.json")
+	if err := os.WriteFile(path, []byte(good), 0o600); err != nil {
+		t.Fatal(err)
+	}
+	env := map[string]string{"BALANCER_DISCOVERY": "127.0.0.9:1", "BALANCER_LISTEN": "127.0.0.9:2"}
+	getenv := func(name string) string { return env[name] }
+	atStart, err := Load(path, getenv)
+	if err != nil || atStart.Discovery != "127.0.0.9:1" || atStart.Listen != "127.0.0.9:2" {
+		t.Errorf("at the start: %q %q %v", atStart.Discovery, atStart.Listen, err)
+	}
+	reloaded, err := Reload(path, getenv)
+	if err != nil || reloaded.Discovery != "127.0.0.1:8500" || reloaded.Listen != "127.0.0.9:2" {
+		t.Errorf("at a reload: %q %q %v", reloaded.Discovery, reloaded.Listen, err)
+	}
+}
+
+func TestNeedRestart(t *testing.T) {
+	for _, c := range []struct {
+		name     string
+		from, to string // what is replaced in the good configuration
+		want     []string
+	}{
+		{"nothing", "", "", nil},
+		{"discovery", "127.0.0.1:8500", "127.0.0.1:8501", nil},
+		{"seed", "8c1f30d27a5be964", "1", nil},
+		{"known list", `"generation":41`, `"generation":42`, nil},
+		{"another platform", "127.0.0.1:6400", "127.0.0.1:6401", nil},
+		{"no platform", `"address":"127.0.0.1:6400",`, "", []string{"platform.address"}},
+		{"name and listen", `"n3","listen":"127.0.0.1:5433"`, `"n4","listen":"127.0.0.1:5434"`, []string{"name", "listen"}},
+		{"limits", `"cores":1.0`, `"cores":2.0`, []string{"limits"}},
+		{"peers", `"peers":["127.0.0.1:7946"]`, `"peers":[]`, []string{"peers"}},
+		{"settings", "retryable", "dedup", []string{"settings"}},
+	} {
+		t.Run(c.name, func(t *testing.T) {
+			next := parse(t, strings.Replace(good, c.from, c.to, 1))
+			if got := parse(t, good).NeedRestart(next); !slices.Equal(got, c.want) {
+				t.Errorf("%q, wanted %q", got, c.want)
+			}
+		})
+	}
+}
--- /dev/null
+++ b/internal/config/parse.go
@@ -0,0 +1,178 @@
+package config
+
+import (
+	"encoding/json"
+	"errors"
+	"fmt"
+	"net/netip"
+	"strconv"
+
+	"lichenroad/internal/limits"
+	"lichenroad/internal/linewire"
+	"lichenroad/relay"
+	"lichenroad/settings"
+)
+
+// wire is the file. Its structs have no names of their own, as the JSON package would put them into the texts of its errors.
+type wire struct {
+	Name      string `json:"name"`
+	Listen    string `json:"listen"`
+	Discovery string `json:"discovery"`
+	Seed      string `json:"seed"`
+	Limits    struct {
+		Cores    float64 `json:"cores"`
+		MemoryMB float64 `json:"memory_mb"`
+		Sockets  int     `json:"sockets"`
+	} `json:"limits"`
+	PeerListen string   `json:"peer_listen"`
+	Peers      []string `json:"peers"`
+	PeersAll   string   `json:"peers_all"`
+	Platform   struct {
+		Address       string                     `json:"address"`
+		RolloutStatus map[string]json.RawMessage `json:"news"`
+	} `json:"platform"`
+	KnownList json.RawMessage `json:"known"`
+	Settings  json.RawMessage `json:"settings"`
+}
+
+const defaultCores = 1
+
+// Parse reads a configuration and checks it. Its error joins all faults that were found.
+func Parse(raw []byte, getenv func(string) string) (Config, error) {
+	var w wire
+	if err := json.Unmarshal(raw, &w); err != nil {
+		return Config{}, err
+	}
+	override(&w.Name, getenv(envName))
+	override(&w.Listen, getenv(envListen))
+	override(&w.Discovery, getenv(envDiscovery))
+	p := parser{wire: &w}
+	p.addresses()
+	p.seed()
+	p.limits()
+	p.site()
+	p.rolloutStatus()
+	p.knownList()
+	return p.config, errors.Join(p.faults...)
+}
+
+// override replaces a value of the file where the environment has one.
+func override(value *string, fromEnvironment string) {
+	if fromEnvironment != "" {
+		*value = fromEnvironment
+	}
+}
+
+// parser makes a Config of a file, one section after another, and gathers the faults.
+type parser struct {
+	wire   *wire
+	config Config
+	faults []error
+}
+
+func (p *parser) fault(format string, args ...any) {
+	p.faults = append(p.faults, fmt.Errorf(format, args...))
+}
+
+func (p *parser) addresses() {
+	p.config.Name = p.wire.Name
+	p.config.Listen = p.requiredAddress("listen", p.wire.Listen)
+	p.config.Discovery = p.requiredAddress("discovery", p.wire.Discovery)
+	p.config.PeerListen = p.optionalAddress("peer_listen", p.wire.PeerListen)
+	p.config.PeersAll = p.optionalAddress("peers_all", p.wire.PeersAll)
+	p.config.Platform = p.optionalAddress("platform.address", p.wire.Platform.Address)
+	for _, peer := range p.wire.Peers {
+		p.requiredAddress("peers", peer)
+	}
+	p.config.Peers = p.wire.Peers
+}
+
+func (p *parser) requiredAddress(name, address string) string {
+	if _, err := netip.ParseAddrPort(address); err != nil {
+		p.fault("%s: %q is no address with a port", name, address)
+	}
+	return address
+}
+
+func (p *parser) optionalAddress(name, address string) string {
+	if address == "" {
+		return ""
+	}
+	return p.requiredAddress(name, address)
+}
+
+func (p *parser) seed() {
+	if p.wire.Seed == "" {
+		return
+	}
+	seed, err := strconv.ParseUint(p.wire.Seed, 16, 64)
+	if err != nil {
+		p.fault("seed: %q is no number in hex", p.wire.Seed)
+	}
+	p.config.Seed = int64(seed)
+}
+
+func (p *parser) limits() {
+	p.config.Cores = p.wire.Limits.Cores
+	if p.config.Cores <= 0 {
+		p.config.Cores = defaultCores
+	}
+	p.config.MemoryMB = int64(p.wire.Limits.MemoryMB)
+	if p.config.MemoryMB == 0 {
+		p.config.MemoryMB = limits.NormalMemory
+	}
+	p.config.Sockets = p.wire.Limits.Sockets
+	if p.config.Sockets == 0 {
+		p.config.Sockets = limits.NormalSockets
+	}
+	if p.config.MemoryMB < limits.LeastMemory || p.config.Sockets < limits.LeastSockets {
+		p.fault("limits: less than %d MB or %d sockets", limits.LeastMemory, limits.LeastSockets)
+	}
+}
+
+func (p *parser) site() {
+	if len(p.wire.Settings) == 0 {
+		p.fault("settings: missing")
+		return
+	}
+	site, err := settings.Parse(p.wire.Settings)
+	if err != nil {
+		p.fault("%w", err)
+		return
+	}
+	if len(site.ClassByName) == 0 {
+		p.fault("settings: no categories (grades)")
+	}
+	p.config.Site = site
+}
+
+func (p *parser) rolloutStatus() {
+	if len(p.wire.Platform.RolloutStatus) == 0 {
+		return
+	}
+	status, err := parseRolloutStatus(p.wire.Platform.RolloutStatus)
+	if err != nil {
+		p.fault("platform.news: %w", err)
+	}
+	p.config.RolloutStatus = status
+}
+
+// parseRolloutStatus reads the status of a rollout, whose fields may be numbers or text.
+func parseRolloutStatus(fields map[string]json.RawMessage) (relay.RolloutStatus, error) {
+	text := func(name string) string {
+		var s string
+		if json.Unmarshal(fields[name], &s) == nil {
+			return s
+		}
+		return string(fields[name])
+	}
+	return linewire.ParseStatus(text("image"), text("ring"), text("progress"), text("ceiling"), text("lag_ms"))
+}
+
+// knownList takes the list as it is: one that can't be read is reported at the start, and neither keeps a relay from
+// starting nor a reload from taking effect.
+func (p *parser) knownList() {
+	if string(p.wire.KnownList) != "null" {
+		p.config.KnownList = p.wire.KnownList
+	}
+}
--- a/settings/settings.go
+++ b/settings/settings.go
@@ -1,5 +1,7 @@
-// Package settings reads the object that tells an instance its site, in the simulator's first message as in
-// a relay's configuration. It is the one parser for both hosts.
+// Package settings reads the JSON object that describes a site to an instance: classes of requests, tenants, limits, rules
+// and costs. The simulator's first message and a relay's configuration hold the same object, and this is the parser of both.
+//
+// It holds no state; Parse may be called from any goroutine. It imports package relay.
 package settings
 
 import (
@@ -10,184 +12,198 @@
 	"lichenroad/relay"
 )
 
-// wireSettings is the part of the start-up object that the decisions can use; other keys are skipped.
-type wireSettings struct {
-	Zone     int      `json:"az"`
-	Areas    []string `json:"areas"`
-	Kinds    []string `json:"kinds"`
-	Self     uint32   `json:"my_number"`
-	Relays   int      `json:"replicas_of_me"`
-	OverWort float64  `json:"over_share_worth"`
-	Roster   string   `json:"discovery"`
-	Grades   []struct {
-		Name    string  `json:"name"`
-		Repeat  string  `json:"repeat"`
-		Group   string  `json:"group"`
-		Window  float64 `json:"repeat_window"`
-		Due     float64 `json:"target"`
-		Stretch float64 `json:"aim_stretch"`
-		Until   float64 `json:"deadline"`
-		Value   float64 `json:"worth"`
-		Late    float64 `json:"late_worth"`
-		Stream  bool    `json:"streamed"`
-	} `json:"grades"`
-	Tenants []struct {
-		Name  string  `json:"name"`
-		Share float64 `json:"share"`
-		Quota float64 `json:"quota_per_s"`
-	} `json:"tenants"`
-	Limits struct {
-		Legs       int     `json:"max_attempts"`
-		Cancel     bool    `json:"cancel"`
-		Probes     bool    `json:"probes"`
-		Messages   bool    `json:"may_tell"`
-		Copies     bool    `json:"parallel_tries"`
-		RetryAfter bool    `json:"retry_after"`
-		MaxRetry   float64 `json:"max_retry_after"`
-		Connect    float64 `json:"dial_timeout"`
-		Idle       float64 `json:"conn_idle"`
-		MostHeld   int     `json:"most_held"`
-	} `json:"policy_limits"`
-	Rules struct {
-		Slack    float64 `json:"answer_slack"`
-		Drain    float64 `json:"drain_grace"`
-		Ask      float64 `json:"ask_every"`
-		ColdFrom float64 `json:"cold_from"`
-		WarmUp   float64 `json:"warm_up"`
-		Multiple float64 `json:"fall_multiple"`
-		Fall     float64 `json:"fall"`
-	} `json:"rules"`
-	Family struct {
-		Control  string    `json:"decided_by"`
-		Swap     string    `json:"swap"`
-		Caps     []float64 `json:"exposure_caps"`
-		Waves    []float64 `json:"waves"`
-		Free     float64   `json:"uncounted"`
-		Span     float64   `json:"span"`
-		Counted  string    `json:"counted_by"`
-		Guarded  int       `json:"guarded_stages"`
-		Forward  bool      `json:"no_return"`
-		Warm     bool      `json:"warm_keys"`
-		On       int       `json:"to_advance"`
-		Back     int       `json:"to_abort"`
-		Hold     int       `json:"votes_to_hold"`
-		Life     float64   `json:"ballot_ttl"`
-		Call     float64   `json:"call_timeout"`
-		PerSec   float64   `json:"votes_per_s"`
-		Dwell    float64   `json:"min_dwell"`
-		Step     float64   `json:"moves_after"`
-		Reported float64   `json:"reported_share"`
-		Lag      float64   `json:"lag_fee"`
-		Harm     float64   `json:"harm_price"`
-	} `json:"family_info"`
-	Report struct {
-		Fields []string `json:"fields"`
-		Via    string   `json:"via"`
-	} `json:"report"`
-	Prices struct {
-		Cross    float64 `json:"cross_zone"`
-		Waste    float64 `json:"waste"`
-		Probe    float64 `json:"probe"`
-		Peer     float64 `json:"peer"`
-		LateFail float64 `json:"late_fail"`
-	} `json:"penalties"`
-}
-
-const perSecond = 1e9 // the wire counts nanoseconds
-
-// Site is what the settings tell: the module's part, and what a host on sockets needs beside it.
+// Site is a site's settings: those of the decisions, and what a host with sockets needs beside them. Nobody changes it once
+// it was read.
 type Site struct {
 	relay.Settings
-	ClassByName         map[string]relay.RequestClass // by name
+	ClassByName         map[string]relay.RequestClass
 	TenantByName        map[string]relay.Tenant
-	Zones               []string
-	MachineTypes        []string
-	EndpointIdleTimeout relay.Seconds // after which an idle connection to a unit is closed
-	MaxInFlight         int           // queries held at a time
+	Zones               []string      // names, by relay.Zone
+	MachineTypes        []string      // names, by relay.MachineType
+	EndpointIdleTimeout relay.Seconds // after which an idle connection to an endpoint is closed
+	MaxInFlight         int           // requests in flight at a time
 }
 
-// Longest is the longest patience of any category.
-func (s Site) MaxDeadline() (longest relay.Seconds) {
-	for _, t := range s.Settings.Classes {
-		longest = max(longest, t.Deadline)
+// MaxDeadline is the longest deadline of any class.
+func (s Site) MaxDeadline() relay.Seconds {
+	var longest relay.Seconds
+	for _, class := range s.Settings.Classes {
+		longest = max(longest, class.Deadline)
 	}
 	return longest
 }
 
-// unless is a time that the settings may leave out, and then never comes.
-func unless(ns float64) float64 {
-	if ns <= 0 {
-		return math.Inf(1)
-	}
-	return ns
-}
-
-// Parse reads the start-up settings of one instance.
+// Parse reads the settings of one instance. Its error wraps that of package encoding/json.
 func Parse(raw []byte) (Site, error) {
 	var w wireSettings
 	if err := json.Unmarshal(raw, &w); err != nil {
 		return Site{}, fmt.Errorf("settings: %w", err)
 	}
-	s := relay.Settings{
-		Self: relay.RelayID(w.Self), Relays: w.Relays, Zone: relay.Zone(w.Zone), OverQuotaPriorityWeight: w.OverWort,
-		ListOnRequest: w.Roster == "subscribe", LoadReportInAttempts: w.Report.Via == "inline",
-		Limits: relay.Limits{MaxAttempts: w.Limits.Legs, CancelAttempts: w.Limits.Cancel, HealthChecks: w.Limits.Probes,
-			PeerMessages: w.Limits.Messages, HedgedRequests: w.Limits.Copies, RetryAfter: w.Limits.RetryAfter,
-			MaxRetryAfter: w.Limits.MaxRetry / perSecond, ConnectTimeout: w.Limits.Connect / perSecond},
-		Rules: relay.Rules{AnswerSlack: w.Rules.Slack / perSecond, DrainGrace: w.Rules.Drain / perSecond,
-			PollInterval: unless(w.Rules.Ask) / perSecond, SlowStartFloor: w.Rules.ColdFrom, SlowStartTime: w.Rules.WarmUp / perSecond,
-			OverloadMultiple: w.Rules.Multiple, OverloadWindow: w.Rules.Fall / perSecond},
-		Rollout: relay.Rollout{InPlace: w.Family.Swap == "replace", ExposureLimits: w.Family.Caps,
-			StageShares: w.Family.Waves, ExposureAllowance: w.Family.Free, ExposureWindow: w.Family.Span / perSecond,
-			PerClass: w.Family.Counted == "each_class", IdempotentOnlyStages: w.Family.Guarded,
-			StickyKeys: w.Family.Forward, KeyLocality: w.Family.Warm, PromoteQuorum: w.Family.On,
-			RollBackQuorum: w.Family.Back, HoldQuorum: w.Family.Hold, VoteTTL: unless(w.Family.Life) / perSecond,
-			CallTimeout: w.Family.Call / perSecond, VotesPerSec: w.Family.PerSec,
-			MinStageTime: w.Family.Dwell / perSecond, MaxStageTime: w.Family.Step / perSecond,
-			ReportedShare: w.Family.Reported, DelayCost: w.Family.Lag, HarmCost: w.Family.Harm},
-		Costs: relay.Costs{CrossZone: w.Prices.Cross, Waste: w.Prices.Waste, HealthCheck: w.Prices.Probe,
-			Message: w.Prices.Peer, LateFailure: w.Prices.LateFail},
-	}
-	if s.Limits.MaxAttempts <= 0 {
-		s.Limits.MaxAttempts = math.MaxInt32 // not limited; none at all would deny everything
-	}
-	if w.Report.Via != "off" {
-		s.LoadReportFields = w.Report.Fields
-	}
-	switch w.Family.Control {
-	case "by_count":
-		s.Rollout.Control = relay.ControlQuorum
-	case "automatic":
-		s.Rollout.Control = relay.ControlTimed
-	}
-	site := Site{Zones: w.Areas, MachineTypes: w.Kinds, EndpointIdleTimeout: w.Limits.Idle / perSecond, MaxInFlight: w.Limits.MostHeld,
-		ClassByName: map[string]relay.RequestClass{}, TenantByName: map[string]relay.Tenant{}}
-	for i, g := range w.Grades {
-		site.ClassByName[g.Name] = relay.RequestClass(i)
-		t := relay.ClassSettings{DedupWindow: g.Window / perSecond, LatencyObjective: g.Due / perSecond,
-			ObjectivePerWork: g.Stretch, Deadline: g.Until / perSecond, PriorityWeight: g.Value, LatePriorityWeight: g.Late,
-			Streamed: g.Stream, Idempotency: relay.AtMostOnce, DedupScope: relay.DedupFailureDomain}
-		if t.LatencyObjective <= 0 {
-			t.LatencyObjective = t.Deadline // in time as long as the client waits; at once would deny everything
-		}
-		switch g.Repeat {
-		case "retryable":
-			t.Idempotency = relay.Idempotent
-		case "dedup":
-			t.Idempotency = relay.IdempotencyKeyed
-		}
-		switch g.Group {
-		case "all":
-			t.DedupScope = relay.DedupAll
-		case "zone":
-			t.DedupScope = relay.DedupZone
-		}
-		s.Classes = append(s.Classes, t)
-	}
-	for i, c := range w.Tenants {
-		site.TenantByName[c.Name] = relay.Tenant(i)
-		s.Tenants = append(s.Tenants, relay.TenantSettings{TrafficShare: c.Share, QuotaPerSec: c.Quota})
-	}
-	site.Settings = s
+	site := Site{
+		Settings:            w.settings(),
+		ClassByName:         map[string]relay.RequestClass{},
+		TenantByName:        map[string]relay.Tenant{},
+		Zones:               w.Zones,
+		MachineTypes:        w.MachineTypes,
+		EndpointIdleTimeout: seconds(w.Limits.EndpointIdleTimeout),
+		MaxInFlight:         w.Limits.MaxInFlight,
+	}
+	for i, class := range w.Classes {
+		site.ClassByName[class.Name] = relay.RequestClass(i)
+	}
+	for i, tenant := range w.Tenants {
+		site.TenantByName[tenant.Name] = relay.Tenant(i)
+	}
 	return site, nil
 }
+
+func (w *wireSettings) settings() relay.Settings {
+	s := relay.Settings{
+		Self:                    relay.RelayID(w.Self),
+		Relays:                  w.Relays,
+		Zone:                    relay.Zone(w.Zone),
+		Classes:                 w.classes(),
+		Tenants:                 w.tenants(),
+		OverQuotaPriorityWeight: w.OverQuotaPriorityWeight,
+		Limits:                  w.limits(),
+		Rules:                   w.rules(),
+		Rollout:                 w.rollout(),
+		ListOnRequest:           w.Discovery == listOnRequest,
+		LoadReportInAttempts:    w.LoadReport.Via == reportInAttempts,
+		Costs:                   w.costs(),
+	}
+	if w.LoadReport.Via != noLoadReport {
+		s.LoadReportFields = w.LoadReport.Fields
+	}
+	return s
+}
+
+func (w *wireSettings) classes() []relay.ClassSettings {
+	var classes []relay.ClassSettings
+	for i := range w.Classes {
+		classes = append(classes, w.class(i))
+	}
+	return classes
+}
+
+func (w *wireSettings) class(i int) relay.ClassSettings {
+	wire := &w.Classes[i]
+	class := relay.ClassSettings{
+		Idempotency:        relay.AtMostOnce,
+		DedupScope:         relay.DedupFailureDomain,
+		DedupWindow:        seconds(wire.DedupWindow),
+		LatencyObjective:   seconds(wire.LatencyObjective),
+		ObjectivePerWork:   wire.ObjectivePerWork,
+		Deadline:           seconds(wire.Deadline),
+		PriorityWeight:     wire.PriorityWeight,
+		LatePriorityWeight: wire.LatePriorityWeight,
+		Streamed:           wire.Streamed,
+	}
+	if class.LatencyObjective <= 0 {
+		class.LatencyObjective = class.Deadline // an objective of no time at all would reject everything
+	}
+	switch wire.Idempotency {
+	case idempotent:
+		class.Idempotency = relay.Idempotent
+	case idempotencyKeyed:
+		class.Idempotency = relay.IdempotencyKeyed
+	}
+	switch wire.DedupScope {
+	case dedupAll:
+		class.DedupScope = relay.DedupAll
+	case dedupZone:
+		class.DedupScope = relay.DedupZone
+	}
+	return class
+}
+
+func (w *wireSettings) tenants() []relay.TenantSettings {
+	var tenants []relay.TenantSettings
+	for _, tenant := range w.Tenants {
+		tenants = append(tenants, relay.TenantSettings{TrafficShare: tenant.TrafficShare, QuotaPerSec: tenant.QuotaPerSec})
+	}
+	return tenants
+}
+
+func (w *wireSettings) limits() relay.Limits {
+	limits := relay.Limits{
+		MaxAttempts:    w.Limits.MaxAttempts,
+		CancelAttempts: w.Limits.CancelAttempts,
+		HealthChecks:   w.Limits.HealthChecks,
+		PeerMessages:   w.Limits.PeerMessages,
+		HedgedRequests: w.Limits.HedgedRequests,
+		RetryAfter:     w.Limits.RetryAfter,
+		MaxRetryAfter:  seconds(w.Limits.MaxRetryAfter),
+		ConnectTimeout: seconds(w.Limits.ConnectTimeout),
+	}
+	if limits.MaxAttempts <= 0 {
+		limits.MaxAttempts = math.MaxInt32 // not limited; no attempt at all would reject everything
+	}
+	return limits
+}
+
+func (w *wireSettings) rules() relay.Rules {
+	return relay.Rules{
+		AnswerSlack:      seconds(w.Rules.AnswerSlack),
+		DrainGrace:       seconds(w.Rules.DrainGrace),
+		PollInterval:     secondsOrNever(w.Rules.PollInterval),
+		SlowStartFloor:   w.Rules.SlowStartFloor,
+		SlowStartTime:    seconds(w.Rules.SlowStartTime),
+		OverloadMultiple: w.Rules.OverloadMultiple,
+		OverloadWindow:   seconds(w.Rules.OverloadWindow),
+	}
+}
+
+func (w *wireSettings) rollout() relay.Rollout {
+	rollout := relay.Rollout{
+		InPlace:              w.Rollout.Replacement == replacedInPlace,
+		ExposureLimits:       w.Rollout.ExposureLimits,
+		StageShares:          w.Rollout.StageShares,
+		ExposureAllowance:    w.Rollout.ExposureAllowance,
+		ExposureWindow:       seconds(w.Rollout.ExposureWindow),
+		PerClass:             w.Rollout.CountedBy == countedByClass,
+		IdempotentOnlyStages: w.Rollout.IdempotentOnlyStages,
+		StickyKeys:           w.Rollout.StickyKeys,
+		KeyLocality:          w.Rollout.KeyLocality,
+		PromoteQuorum:        w.Rollout.PromoteQuorum,
+		RollBackQuorum:       w.Rollout.RollBackQuorum,
+		HoldQuorum:           w.Rollout.HoldQuorum,
+		VoteTTL:              secondsOrNever(w.Rollout.VoteTTL),
+		CallTimeout:          seconds(w.Rollout.CallTimeout),
+		VotesPerSec:          w.Rollout.VotesPerSec,
+		MinStageTime:         seconds(w.Rollout.MinStageTime),
+		MaxStageTime:         seconds(w.Rollout.MaxStageTime),
+		ReportedShare:        w.Rollout.ReportedShare,
+		DelayCost:            w.Rollout.DelayCost,
+		HarmCost:             w.Rollout.HarmCost,
+	}
+	switch w.Rollout.Control {
+	case controlledByQuorum:
+		rollout.Control = relay.ControlQuorum
+	case controlledByTime:
+		rollout.Control = relay.ControlTimed
+	}
+	return rollout
+}
+
+func (w *wireSettings) costs() relay.Costs {
+	return relay.Costs{
+		CrossZone:   w.Costs.CrossZone,
+		Waste:       w.Costs.Waste,
+		HealthCheck: w.Costs.HealthCheck,
+		Message:     w.Costs.Message,
+		LateFailure: w.Costs.LateFailure,
+	}
+}
+
+const nanosecondsPerSecond = 1e9
+
+func seconds(nanoseconds float64) relay.Seconds { return nanoseconds / nanosecondsPerSecond }
+
+// secondsOrNever is a time that the settings may leave out, and that then never comes.
+func secondsOrNever(nanoseconds float64) relay.Seconds {
+	if nanoseconds <= 0 {
+		return math.Inf(1)
+	}
+	return seconds(nanoseconds)
+}
