--- a/cmd/lichenroad/sweep.go
+++ b/cmd/lichenroad/sweep.go
@@ -70,7 +70,7 @@
 		var todo []lab.ReplayOptions
 		var at []experiment.Run
 		for _, v := range values {
-			o := lab.ReplayOptions{Trouble: trouble, Relays: *relays, Units: *units, Categories: x.m.Categories, Customers: x.m.Customers}
+			o := lab.ReplayOptions{Trouble: trouble, Relays: *relays, Units: *units, Categories: x.m.Classes, Customers: x.m.Tenants}
 			switch name {
 			case "relays", "planners":
 				n, err := strconv.Atoi(v)
--- a/cmd/lichenroad/trace.go
+++ b/cmd/lichenroad/trace.go
@@ -42,7 +42,7 @@
 
 // read reads the files, the standard input for -, and hands on each task.
 func (x *traced) read(t *tool, files []string, emit func(*trace.Task) error) (*trace.Audit, error) {
-	o := trace.Usual(x.layout)
+	o := trace.DefaultOptions(x.layout)
 	if x.mapping != "" {
 		var err error
 		if x.m, err = trace.LoadMapping(x.mapping); err != nil {
@@ -119,10 +119,10 @@
 		out := found{Categories: map[string]int64{}, Unplaced: map[trace.Reason]int64{}}
 		a, err := x.read(t, args, func(k *trace.Task) error {
 			if x.m != nil {
-				if q, why := x.m.Place(k); why != trace.Taken {
+				if q, why := x.m.Place(k); why != trace.Accepted {
 					out.Unplaced[why]++
 				} else {
-					out.Categories[x.m.Categories[q.Category]]++
+					out.Categories[x.m.Classes[q.Class]]++
 				}
 			}
 			return nil
@@ -130,7 +130,7 @@
 		if err != nil {
 			return err
 		}
-		out.Rows, out.Taken, out.Reordered, out.Reported, out.First, out.Tasks = a.Rows, a.Taken, a.Reordered, a.Reported, a.First, a.Tasks
+		out.Rows, out.Taken, out.Reordered, out.Reported, out.First, out.Tasks = a.Rows, a.Accepted, a.Reordered, a.Reported, a.FirstLine, a.Tasks
 		out.Span, out.Rate = a.To-a.From, map[string]float64{"mean": a.Rate(), "peak": a.Peak}
 		if err := t.writeJSON(*file, out); err != nil {
 			return err
@@ -139,7 +139,7 @@
 		for why, n := range out.Unplaced {
 			fmt.Fprintf(t.out, "  no place: %s: %d tasks\n", why, n)
 		}
-		if a.Taken == 0 {
+		if a.Accepted == 0 {
 			return failed(fmt.Errorf("%s: no row could be used", strings.Join(args, ", ")))
 		}
 		return nil
@@ -149,7 +149,7 @@
 
 func (t *tool) audit(a *trace.Audit) {
 	fmt.Fprintf(t.out, "%d rows: %d taken (%d put back in order), %d reported; %d tasks over %.1f s, %.2f a second, %g in the fullest\n", a.Rows,
-		a.Taken, a.Reordered, a.Left(), a.Tasks, a.To-a.From, a.Rate(), a.Peak)
+		a.Accepted, a.Reordered, a.ReportedRows(), a.Tasks, a.To-a.From, a.Rate(), a.Peak)
 	for _, l := range a.Lines() {
 		fmt.Fprintln(t.out, " ", l)
 	}
@@ -178,17 +178,17 @@
 		switch {
 		case ctx.Err() != nil:
 			return ctx.Err()
-		case k.At-first < x.from, x.length > 0 && k.At-first >= x.from+x.length, !x.m.Kept(k, seed):
+		case k.At-first < x.from, x.length > 0 && k.At-first >= x.from+x.length, !x.m.Sampled(k, seed):
 			return nil
 		}
 		q, why := x.m.Place(k)
-		if why != trace.Taken {
+		if why != trace.Accepted {
 			unplaced[why]++
 			return nil
 		}
 		played++
-		return emit(lab.Arrival{At: q.At, Category: q.Category, Customer: q.Customer, Work: q.Work, Relay: q.Relay, Fails: q.Fails,
-			Machine: q.Machine, BadFor: q.BadFor, BadPart: q.BadPart})
+		return emit(lab.Arrival{At: q.At, Category: q.Class, Customer: q.Tenant, Work: q.Work, Relay: q.Relay, Fails: q.FailedAttempts,
+			Machine: q.Machine, BadFor: q.FaultTime, BadPart: q.FaultShare})
 	})
 	if err != nil && ctx.Err() == nil {
 		return played, err
@@ -242,7 +242,7 @@
 		var r *lab.Replay
 		played, err := x.play(ctx, t, args, o.Seed, func(a lab.Arrival) error {
 			if r == nil {
-				o.Categories, o.Customers = x.m.Categories, x.m.Customers
+				o.Categories, o.Customers = x.m.Classes, x.m.Tenants
 				var err error
 				if r, err = lab.NewReplay(o); err != nil {
 					return err
@@ -305,7 +305,7 @@
 	if x.m, err = trace.LoadMapping(x.mapping); err != nil {
 		return failed(err)
 	}
-	o.Categories, o.Customers = x.m.Categories, x.m.Customers
+	o.Categories, o.Customers = x.m.Classes, x.m.Tenants
 	arrivals := make(chan lab.Arrival, 4096)
 	ended := make(chan error, 1)
 	reading, stop := context.WithCancel(ctx)
--- a/trace/audit.go
+++ b/trace/audit.go
@@ -16,22 +16,22 @@
 
 // The reasons.
 const (
-	Taken        Reason = ""
-	OutOfOrder   Reason = "out_of_order" // older than what was handed on already, beyond the window
-	MissingField Reason = "missing"      // missing_NAME
-	NotANumber   Reason = "not_a_number"
-	NegativeTook Reason = "negative_duration"
-	EndFirst     Reason = "end_before_start"
-	UnknownWord  Reason = "unknown_status"
-	Duplicate    Reason = "duplicate" // the same event of the same task, or a task that stands twice
-	ColumnCount  Reason = "wrong_column_count"
-	LongLine     Reason = "line_too_long"
-	BadText      Reason = "bad_utf8"
-	StrayQuote   Reason = "stray_quote"
-	Truncated    Reason = "truncated"   // the file ends within a line, or within its compressed form
-	NeverEnded   Reason = "never_ended" // its task has no end in the file, or none for longer than is waited
-	NoBeginning  Reason = "no_submit"   // an event of a task whose submission was not seen
-	Outside      Reason = "outside"     // before the trace's start mark or after its end
+	Accepted         Reason = ""
+	OutOfOrder       Reason = "out_of_order" // older than what was handed on already, beyond the window
+	MissingField     Reason = "missing"      // missing_NAME
+	NotANumber       Reason = "not_a_number"
+	NegativeDuration Reason = "negative_duration"
+	EndBeforeStart   Reason = "end_before_start"
+	UnknownWord      Reason = "unknown_status"
+	Duplicate        Reason = "duplicate" // the same event of the same task, or a task that stands twice
+	ColumnCount      Reason = "wrong_column_count"
+	LongLine         Reason = "line_too_long"
+	InvalidUTF8      Reason = "bad_utf8"
+	StrayQuote       Reason = "stray_quote"
+	Truncated        Reason = "truncated"   // the file ends within a line, or within its compressed form
+	NeverEnded       Reason = "never_ended" // its task has no end in the file, or none for longer than is waited
+	NoSubmission     Reason = "no_submit"   // an event of a task whose submission was not seen
+	Outside          Reason = "outside"     // before the trace's start mark or after its end
 )
 
 func missing(field string) Reason { return MissingField + Reason("_"+field) }
@@ -39,10 +39,10 @@
 // Audit counts what became of rows. Rows is always Taken plus all that is reported, once the reading is over.
 type Audit struct {
 	Rows      int64
-	Taken     int64
+	Accepted  int64
 	Reordered int64 // of the taken ones, those that came out of order
 	Reported  map[Reason]int64
-	First     map[Reason]int64 // line of the first one of each
+	FirstLine map[Reason]int64 // line of the first one of each
 	Tasks     int64            // handed on
 
 	From, To Seconds // first and last arrival handed on
@@ -52,14 +52,14 @@
 }
 
 func newAudit() *Audit {
-	return &Audit{Reported: map[Reason]int64{}, First: map[Reason]int64{}}
+	return &Audit{Reported: map[Reason]int64{}, FirstLine: map[Reason]int64{}}
 }
 
 // report leaves out n rows, the first of them on a line.
 func (a *Audit) report(r Reason, line, n int64) {
 	a.Reported[r] += n
-	if first, ok := a.First[r]; !ok || line < first {
-		a.First[r] = line
+	if first, ok := a.FirstLine[r]; !ok || line < first {
+		a.FirstLine[r] = line
 	}
 }
 
@@ -86,7 +86,7 @@
 }
 
 // Left is how many rows were reported.
-func (a *Audit) Left() (n int64) {
+func (a *Audit) ReportedRows() (n int64) {
 	for _, c := range a.Reported {
 		n += c
 	}
@@ -104,7 +104,7 @@
 		return a.Reported[x] > a.Reported[y] || a.Reported[x] == a.Reported[y] && x < y
 	})
 	for _, r := range reasons {
-		out = append(out, fmt.Sprintf("%s: %d rows, the first on line %d", r, a.Reported[r], a.First[r]))
+		out = append(out, fmt.Sprintf("%s: %d rows, the first on line %d", r, a.Reported[r], a.FirstLine[r]))
 	}
 	return out
 }
--- a/trace/join.go
+++ b/trace/join.go
@@ -35,10 +35,10 @@
 // join makes tasks of events. It keeps a task from its submission to its end, and for a while after a failure or an
 // eviction, since it may come again. What stays without an end for longer than patience, or longest of all where the
 // table is full, is forgotten and reported: tasks that never end must not grow it.
-type join struct {
+type eventJoin struct {
 	audit    *Audit
-	out      *order
-	open     map[taskKey]*life
+	out      *reorderBuffer
+	open     map[taskKey]*openTask
 	byAge    *list.List // of *life, the one submitted first in front
 	waiting  *list.List // of *life that failed or were evicted, by when
 	patience Seconds    // that a task may stay open
@@ -46,14 +46,14 @@
 	most     int
 	now      Seconds // the latest time of any event
 	any      bool
-	free     []*life // that can be used again
-	ended    *recent // tasks that ended of late: a second end of theirs is a duplicate
+	free     []*openTask // that can be used again
+	ended    *recentKeys // tasks that ended of late: a second end of theirs is a duplicate
 }
 
 type taskKey struct{ job, index int64 }
 
 // life is a task that has not ended.
-type life struct {
+type openTask struct {
 	key     taskKey
 	task    Task
 	started Seconds
@@ -64,13 +64,13 @@
 	wait    *list.Element // in waiting
 }
 
-func newJoin(a *Audit, out *order, patience, again Seconds, most int) *join {
-	return &join{audit: a, out: out, open: map[taskKey]*life{}, byAge: list.New(), waiting: list.New(), patience: patience,
+func newJoin(a *Audit, out *reorderBuffer, patience, again Seconds, most int) *eventJoin {
+	return &eventJoin{audit: a, out: out, open: map[taskKey]*openTask{}, byAge: list.New(), waiting: list.New(), patience: patience,
 		again: again, most: most, ended: newRecent(most)}
 }
 
 // take takes an event.
-func (j *join) take(e event) error {
+func (j *eventJoin) take(e event) error {
 	key := taskKey{e.job, e.index}
 	l := j.open[key]
 	late := j.any && e.at < j.now
@@ -94,13 +94,13 @@
 		}
 		if l == nil {
 			if len(j.open) >= j.most {
-				if err := j.forget(j.byAge.Front().Value.(*life)); err != nil {
+				if err := j.forget(j.byAge.Front().Value.(*openTask)); err != nil {
 					return err
 				}
 			}
 			l = j.fresh()
 			l.key = key
-			l.task = Task{Line: e.line, At: e.at, User: e.user, Job: e.name, Class: e.class, Priority: e.priority, HasClass: true}
+			l.task = Task{Line: e.line, At: e.at, User: e.user, Job: e.name, Class: e.class, Priority: e.priority, HasPriority: true}
 			j.open[key] = l
 			l.place = j.byAge.PushBack(l)
 			j.ended.drop(key)
@@ -116,7 +116,7 @@
 			return nil
 		}
 		if e.at < l.task.At {
-			j.audit.report(EndFirst, e.line, 1)
+			j.audit.report(EndBeforeStart, e.line, 1)
 			return nil
 		}
 		l.running, l.started = true, e.at
@@ -133,19 +133,19 @@
 			from = l.started
 		}
 		if e.at < from {
-			j.audit.report(EndFirst, e.line, 1)
+			j.audit.report(EndBeforeStart, e.line, 1)
 			return nil
 		}
 		l.task.rows++
-		l.task.Took = 0
+		l.task.Duration = 0
 		if l.running {
-			l.task.Took = e.at - l.started
+			l.task.Duration = e.at - l.started
 		}
 		l.task.End = endOf[e.kind]
 		l.running = false
 		if e.kind == fail || e.kind == evict {
 			l.waits, l.endedAt = true, e.at
-			l.task.Fails++
+			l.task.FailedRuns++
 			l.wait = j.waiting.PushBack(l)
 		} else if err := j.done(l); err != nil {
 			return err
@@ -155,17 +155,17 @@
 }
 
 // orphan reports an event of a task that is not open.
-func (j *join) orphan(e event, key taskKey) error {
+func (j *eventJoin) orphan(e event, key taskKey) error {
 	if j.ended.has(key) {
 		j.audit.report(Duplicate, e.line, 1)
 	} else {
-		j.audit.report(NoBeginning, e.line, 1)
+		j.audit.report(NoSubmission, e.line, 1)
 	}
 	return j.pass()
 }
 
 // rest takes a life off the list of those that may come again.
-func (l *life) rest(j *join) {
+func (l *openTask) rest(j *eventJoin) {
 	if l.wait != nil {
 		j.waiting.Remove(l.wait)
 	}
@@ -173,9 +173,9 @@
 }
 
 // done hands a task on.
-func (j *join) done(l *life) error {
+func (j *eventJoin) done(l *openTask) error {
 	if l.waits { // it did not come again: its last run is its end
-		l.task.Fails--
+		l.task.FailedRuns--
 	}
 	j.remove(l)
 	j.ended.add(l.key)
@@ -186,24 +186,24 @@
 }
 
 // fresh gives a life, one that was used before where there is any.
-func (j *join) fresh() *life {
+func (j *eventJoin) fresh() *openTask {
 	if n := len(j.free); n > 0 {
 		l := j.free[n-1]
 		j.free = j.free[:n-1]
-		*l = life{}
+		*l = openTask{}
 		return l
 	}
-	return &life{}
+	return &openTask{}
 }
 
-func (j *join) remove(l *life) {
+func (j *eventJoin) remove(l *openTask) {
 	l.rest(j)
 	j.byAge.Remove(l.place)
 	delete(j.open, l.key)
 }
 
 // forget reports a task that never ended. One that failed and is still waited for has its end.
-func (j *join) forget(l *life) error {
+func (j *eventJoin) forget(l *openTask) error {
 	if l.waits {
 		return j.done(l)
 	}
@@ -213,27 +213,27 @@
 }
 
 // pass lets go of what has waited long enough, and hands on what nothing can come before any more.
-func (j *join) pass() error {
-	for e := j.waiting.Front(); e != nil && j.now-e.Value.(*life).endedAt > j.again; e = j.waiting.Front() {
-		if err := j.done(e.Value.(*life)); err != nil {
+func (j *eventJoin) pass() error {
+	for e := j.waiting.Front(); e != nil && j.now-e.Value.(*openTask).endedAt > j.again; e = j.waiting.Front() {
+		if err := j.done(e.Value.(*openTask)); err != nil {
 			return err
 		}
 	}
-	for e := j.byAge.Front(); e != nil && j.now-e.Value.(*life).task.At > j.patience; e = j.byAge.Front() {
-		if err := j.forget(e.Value.(*life)); err != nil {
+	for e := j.byAge.Front(); e != nil && j.now-e.Value.(*openTask).task.At > j.patience; e = j.byAge.Front() {
+		if err := j.forget(e.Value.(*openTask)); err != nil {
 			return err
 		}
 	}
 	if e := j.byAge.Front(); e != nil {
-		return j.out.to(min(e.Value.(*life).task.At, j.now))
+		return j.out.to(min(e.Value.(*openTask).task.At, j.now))
 	}
 	return j.out.to(j.now)
 }
 
 // end is the end of the file.
-func (j *join) end() error {
+func (j *eventJoin) end() error {
 	for e := j.byAge.Front(); e != nil; e = j.byAge.Front() {
-		if err := j.forget(e.Value.(*life)); err != nil {
+		if err := j.forget(e.Value.(*openTask)); err != nil {
 			return err
 		}
 	}
@@ -241,17 +241,17 @@
 }
 
 // recent remembers the last so many keys.
-type recent struct {
+type recentKeys struct {
 	at   map[taskKey]int
 	ring []taskKey
 	next int
 }
 
-func newRecent(n int) *recent {
-	return &recent{at: map[taskKey]int{}, ring: make([]taskKey, max(n, 1))}
+func newRecent(n int) *recentKeys {
+	return &recentKeys{at: map[taskKey]int{}, ring: make([]taskKey, max(n, 1))}
 }
 
-func (r *recent) add(k taskKey) {
+func (r *recentKeys) add(k taskKey) {
 	if old := r.ring[r.next]; r.at[old] == r.next+1 {
 		delete(r.at, old)
 	}
@@ -260,5 +260,5 @@
 	r.next = (r.next + 1) % len(r.ring)
 }
 
-func (r *recent) has(k taskKey) bool { return r.at[k] > 0 }
-func (r *recent) drop(k taskKey)     { delete(r.at, k) }
+func (r *recentKeys) has(k taskKey) bool { return r.at[k] > 0 }
+func (r *recentKeys) drop(k taskKey)     { delete(r.at, k) }
--- a/trace/layouts.go
+++ b/trace/layouts.go
@@ -12,8 +12,8 @@
 	columns int
 	header  []string // the first line, where the layout has one
 	// Of the two, one is set: a row is a task, or an event of one.
-	task  func(f [][]byte, t *Task, w words) Reason
-	event func(f [][]byte, e *event, w words) Reason
+	task  func(f [][]byte, t *Task, w interner) Reason
+	event func(f [][]byte, e *event, w interner) Reason
 }
 
 var azureHeader = []string{"app", "func", "end_timestamp", "duration"}
@@ -34,15 +34,15 @@
 }
 
 // words keeps strings that come again and again, within a bound.
-type words map[string]string
+type interner map[string]string
 
-const mostWords = 1 << 15
+const maxWords = 1 << 15
 
-func (w words) of(b []byte) string {
+func (w interner) of(b []byte) string {
 	if s, ok := w[string(b)]; ok {
 		return s
 	}
-	if len(w) >= mostWords {
+	if len(w) >= maxWords {
 		clear(w)
 	}
 	s := string(b)
@@ -69,7 +69,7 @@
 // google2011 reads task_events of the 2011 cluster data: time in microseconds, missing info, job, task index, machine,
 // event type, user, scheduling class, priority, and four columns of requests that are not used. Time 0 is what was there
 // before the trace began, the highest number what came after its end.
-func google2011(f [][]byte, e *event, w words) Reason {
+func google2011(f [][]byte, e *event, w interner) Reason {
 	for _, c := range googleNeeds {
 		if len(f[c.at]) == 0 {
 			return missing(c.name)
@@ -114,7 +114,7 @@
 		}
 		e.machine = w.of(f[4])
 	}
-	return Taken
+	return Accepted
 }
 
 var googleNeeds = [...]struct {
@@ -126,7 +126,7 @@
 
 // alibaba2018 reads batch_instance of the 2018 cluster data: instance, task, job, type, status, start and end in seconds,
 // machine, sequence, total, and four columns of usage that are not used.
-func alibaba2018(f [][]byte, t *Task, w words) Reason {
+func alibaba2018(f [][]byte, t *Task, w interner) Reason {
 	for i, name := range [...]string{"instance", "task", "job", "type", "status", "start"} {
 		if len(f[i]) == 0 {
 			return missing(name)
@@ -150,17 +150,17 @@
 	case from <= 0:
 		return Outside
 	case to < from:
-		return EndFirst
+		return EndBeforeStart
 	}
-	t.At, t.Took, t.End, t.Runs = from, to-from, end, 1
+	t.At, t.Duration, t.End, t.Runs = from, to-from, end, 1
 	t.Job, t.Kind, t.Machine = w.of(f[2]), w.of(f[3]), w.of(f[7])
 	t.User = t.Job
-	return Taken
+	return Accepted
 }
 
 // azure2021 reads function invocations: application, function, end and duration in seconds. They came at their end less
 // their duration; the layout tells of no failures.
-func azure2021(f [][]byte, t *Task, w words) Reason {
+func azure2021(f [][]byte, t *Task, w interner) Reason {
 	for i, name := range azureHeader {
 		if len(f[i]) == 0 {
 			return missing(name)
@@ -172,11 +172,11 @@
 	case !ok || !ok2:
 		return NotANumber
 	case took < 0:
-		return NegativeTook
+		return NegativeDuration
 	case end-took < 0:
 		return Outside
 	}
-	t.At, t.Took, t.End, t.Runs = end-took, took, Finished, 1
+	t.At, t.Duration, t.End, t.Runs = end-took, took, Finished, 1
 	t.User, t.Job = w.of(f[0]), w.of(f[1])
-	return Taken
+	return Accepted
 }
--- a/trace/mapping.go
+++ b/trace/mapping.go
@@ -14,46 +14,46 @@
 
 // Reasons why a task has no place. They are reported beside those of the rows.
 const (
-	NoCategory Reason = "no_category"
-	NoCustomer Reason = "no_customer"
+	NoClass  Reason = "no_category"
+	NoTenant Reason = "no_customer"
 )
 
 // Query is what a task becomes.
-type Query struct {
-	At       Seconds // of the replay
-	Category int     // place in the mapping's list
-	Customer int
-	Work     Seconds // on a core of speed 1
-	Relay    uint64  // a hash: the same for what should go through the same relay
-	Fails    int     // legs of it that fail before one may be honoured
-	Machine  uint64  // a hash of the machine whose planner has a bad hour,
-	BadFor   Seconds // for so long,
-	BadPart  float64 // with so much of its queries
+type Request struct {
+	At             Seconds // of the replay
+	Class          int     // place in the mapping's list
+	Tenant         int
+	Work           Seconds // on a core of speed 1
+	Relay          uint64  // a hash: the same for what should go through the same relay
+	FailedAttempts int     // legs of it that fail before one may be honoured
+	Machine        uint64  // a hash of the machine whose planner has a bad hour,
+	FaultTime      Seconds // for so long,
+	FaultShare     float64 // with so much of its queries
 }
 
 // Failures says what the failures of a trace become.
 type Failures int
 
 const (
-	FailNothing Failures = iota
-	FailLegs             // a run that failed or was evicted is a leg that fails
-	FailHours            // it begins a bad hour of the planner that its machine stands for
+	FailuresIgnored    Failures = iota
+	FailuresAsAttempts          // a run that failed or was evicted is a leg that fails
+	FailuresAsFaults            // it begins a bad hour of the planner that its machine stands for
 )
 
 // Mapping says which tasks become which queries. Nothing is guessed: what no rule places is reported.
 type Mapping struct {
-	Categories []string
-	Customers  []string
-	Window     Seconds
-	Scale      float64 // seconds of the trace to one of the replay
-	Thin       float64 // part of the tasks that is played
+	Classes     []string
+	Tenants     []string
+	Window      Seconds
+	Scale       float64 // seconds of the trace to one of the replay
+	SampleShare float64 // part of the tasks that is played
 
-	categories []rule
-	customers  []rule
-	work       struct{ scale, least, most float64 }
-	relay      field
-	failures   Failures
-	hour       struct{ last, part float64 }
+	classRules  []rule
+	tenantRules []rule
+	work        struct{ scale, least, most float64 }
+	relay       field
+	failures    Failures
+	hour        struct{ last, part float64 }
 }
 
 // rule places a task where all of its conditions hold.
@@ -70,34 +70,34 @@
 type field int
 
 const (
-	ofClass field = iota
-	ofPriority
-	ofKind
-	ofStatus
-	ofUser
-	ofJob
-	ofMachine
-	ofTook
+	fieldClass field = iota
+	fieldPriority
+	fieldKind
+	fieldStatus
+	fieldUser
+	fieldJob
+	fieldMachine
+	fieldDuration
 )
 
-var fields = map[string]field{"class": ofClass, "priority": ofPriority, "kind": ofKind, "status": ofStatus, "user": ofUser, "job": ofJob,
-	"machine": ofMachine, "duration": ofTook}
+var fields = map[string]field{"class": fieldClass, "priority": fieldPriority, "kind": fieldKind, "status": fieldStatus, "user": fieldUser, "job": fieldJob,
+	"machine": fieldMachine, "duration": fieldDuration}
 
-var fieldNames = [...]string{ofClass: "class", ofPriority: "priority", ofKind: "kind", ofStatus: "status", ofUser: "user", ofJob: "job",
-	ofMachine: "machine", ofTook: "duration"}
+var fieldNames = [...]string{fieldClass: "class", fieldPriority: "priority", fieldKind: "kind", fieldStatus: "status", fieldUser: "user", fieldJob: "job",
+	fieldMachine: "machine", fieldDuration: "duration"}
 
 // word gives a field as a word, and whether the task has it.
 func (t *Task) word(f field) (string, bool) {
 	switch f {
-	case ofKind:
+	case fieldKind:
 		return t.Kind, t.Kind != ""
-	case ofStatus:
+	case fieldStatus:
 		return t.End.String(), true
-	case ofUser:
+	case fieldUser:
 		return t.User, t.User != ""
-	case ofJob:
+	case fieldJob:
 		return t.Job, t.Job != ""
-	case ofMachine:
+	case fieldMachine:
 		return t.Machine, t.Machine != ""
 	}
 	n, ok := t.number(f)
@@ -106,18 +106,18 @@
 
 func (t *Task) number(f field) (float64, bool) {
 	switch f {
-	case ofClass:
-		return float64(t.Class), t.HasClass
-	case ofPriority:
-		return float64(t.Priority), t.HasClass
-	case ofTook:
-		return t.Took, true
+	case fieldClass:
+		return float64(t.Class), t.HasPriority
+	case fieldPriority:
+		return float64(t.Priority), t.HasPriority
+	case fieldDuration:
+		return t.Duration, true
 	}
 	return 0, false
 }
 
 // part is the place of a word's hash among all, from 0 to 1.
-func part(s string) float64 { return float64(xxhash.Sum64String(s)>>11) / (1 << 53) }
+func hashShare(s string) float64 { return float64(xxhash.Sum64String(s)>>11) / (1 << 53) }
 
 // holds says whether a condition holds; a task without the field is reported as missing it.
 func (c *condition) holds(t *Task) (bool, Reason) {
@@ -127,43 +127,43 @@
 			return false, missing(fieldNames[c.of])
 		}
 		if c.hash {
-			x := part(w)
-			return x >= c.from && x < c.to, Taken
+			x := hashShare(w)
+			return x >= c.from && x < c.to, Accepted
 		}
-		return slices.Contains(c.words, w), Taken
+		return slices.Contains(c.words, w), Accepted
 	}
 	n, ok := t.number(c.of)
 	if !ok {
 		return false, missing(fieldNames[c.of])
 	}
-	return n >= c.from && n <= c.to, Taken
+	return n >= c.from && n <= c.to, Accepted
 }
 
 // pick gives the first rule that a task fits.
-func pick(rules []rule, t *Task, none Reason) (int, Reason) {
+func firstMatch(rules []rule, t *Task, none Reason) (int, Reason) {
 	why := none
 next:
 	for i := range rules {
 		for k := range rules[i].when {
 			ok, lacks := rules[i].when[k].holds(t)
-			if lacks != Taken && why == none {
+			if lacks != Accepted && why == none {
 				why = lacks
 			}
 			if !ok {
 				continue next
 			}
 		}
-		return i, Taken
+		return i, Accepted
 	}
 	return -1, why
 }
 
 // Place gives the query that a task becomes, or why it becomes none.
-func (m *Mapping) Place(t *Task) (q Query, why Reason) {
-	if q.Category, why = pick(m.categories, t, NoCategory); why != Taken {
+func (m *Mapping) Place(t *Task) (q Request, why Reason) {
+	if q.Class, why = firstMatch(m.classRules, t, NoClass); why != Accepted {
 		return q, why
 	}
-	if q.Customer, why = pick(m.customers, t, NoCustomer); why != Taken {
+	if q.Tenant, why = firstMatch(m.tenantRules, t, NoTenant); why != Accepted {
 		return q, why
 	}
 	w, ok := t.word(m.relay)
@@ -172,26 +172,26 @@
 	}
 	q.Relay = xxhash.Sum64String(w)
 	q.At = t.At / m.Scale
-	q.Work = math.Min(math.Max(t.Took*m.work.scale, m.work.least), m.work.most)
-	fails := t.Fails
+	q.Work = math.Min(math.Max(t.Duration*m.work.scale, m.work.least), m.work.most)
+	fails := t.FailedRuns
 	if t.End == Failed || t.End == Evicted {
 		fails++
 	}
 	switch {
-	case m.failures == FailLegs:
-		q.Fails = fails
-	case m.failures == FailHours && fails > 0:
+	case m.failures == FailuresAsAttempts:
+		q.FailedAttempts = fails
+	case m.failures == FailuresAsFaults && fails > 0:
 		if t.Machine == "" {
-			return q, missing(fieldNames[ofMachine])
+			return q, missing(fieldNames[fieldMachine])
 		}
-		q.Machine, q.BadFor, q.BadPart = xxhash.Sum64String(t.Machine), m.hour.last, m.hour.part
+		q.Machine, q.FaultTime, q.FaultShare = xxhash.Sum64String(t.Machine), m.hour.last, m.hour.part
 	}
-	return q, Taken
+	return q, Accepted
 }
 
 // Kept says whether a task is among the part that is played. It goes by seed and task, not by what came before it.
-func (m *Mapping) Kept(t *Task, seed int64) bool {
-	return m.Thin >= 1 || part(fmt.Sprintf("%d %s %d %g", seed, t.Job, t.Line, t.At)) < m.Thin
+func (m *Mapping) Sampled(t *Task, seed int64) bool {
+	return m.SampleShare >= 1 || hashShare(fmt.Sprintf("%d %s %d %g", seed, t.Job, t.Line, t.At)) < m.SampleShare
 }
 
 var mappingForms = map[string]xmlconfig.ElementSchema{
@@ -231,9 +231,9 @@
 	if v, ok := root.Attrs["version"]; ok && v != "1" {
 		r.AddFault(root, "version: %.20q is not known, 1 is", v)
 	}
-	m.Scale, m.Thin, m.Window = r.Number(root, "scale", 1, 1e-6, 1e6), r.Number(root, "thin", 1, 0, 1), r.Seconds(root, "window", 60)
-	m.Categories, m.categories = rules(r, root, "category")
-	m.Customers, m.customers = rules(r, root, "customer")
+	m.Scale, m.SampleShare, m.Window = r.Number(root, "scale", 1, 1e-6, 1e6), r.Number(root, "thin", 1, 0, 1), r.Seconds(root, "window", 60)
+	m.Classes, m.classRules = rules(r, root, "category")
+	m.Tenants, m.tenantRules = rules(r, root, "customer")
 	one := func(name string) *xmlconfig.Node {
 		list := root.ChildrenNamed(name)
 		if len(list) != 1 {
@@ -250,14 +250,14 @@
 		}
 	}
 	if n := one("relay"); n != nil {
-		m.relay = xmlconfig.Enum(r, n, "by", ofJob, map[string]field{"machine": ofMachine, "user": ofUser, "job": ofJob})
+		m.relay = xmlconfig.Enum(r, n, "by", fieldJob, map[string]field{"machine": fieldMachine, "user": fieldUser, "job": fieldJob})
 	}
 	if n := one("failures"); n != nil {
-		m.failures = xmlconfig.Enum(r, n, "as", FailNothing, map[string]Failures{"none": FailNothing, "legs": FailLegs, "hours": FailHours})
+		m.failures = xmlconfig.Enum(r, n, "as", FailuresIgnored, map[string]Failures{"none": FailuresIgnored, "legs": FailuresAsAttempts, "hours": FailuresAsFaults})
 		m.hour.last, m.hour.part = r.Seconds(n, "for", 0), r.Number(n, "part", 0, 0, 1)
 		_, hasFor := n.Attrs["for"]
 		_, hasPart := n.Attrs["part"]
-		if hours := m.failures == FailHours; hours != hasFor || hours != hasPart {
+		if hours := m.failures == FailuresAsFaults; hours != hasFor || hours != hasPart {
 			r.AddFault(n, "for and part: needed where failures are hours, and only there")
 		}
 	}
@@ -285,13 +285,13 @@
 	if c.hash = n.Name == "hash"; c.hash {
 		name = "of"
 	}
-	c.of = xmlconfig.Enum(r, n, name, ofJob, fields)
+	c.of = xmlconfig.Enum(r, n, name, fieldJob, fields)
 	c.from, c.to = r.Number(n, "from", math.Inf(-1), -1e12, 1e12), r.Number(n, "to", math.Inf(1), -1e12, 1e12)
 	is, words := n.Attrs["is"]
 	c.words = strings.Fields(is)
 	_, from := n.Attrs["from"]
 	_, to := n.Attrs["to"]
-	number := c.of == ofClass || c.of == ofPriority || c.of == ofTook
+	number := c.of == fieldClass || c.of == fieldPriority || c.of == fieldDuration
 	switch {
 	case c.hash && (c.from < 0 || c.to > 1):
 		r.AddFault(n, "from and to: a hash lies from 0 to 1")
--- a/trace/mapping_test.go
+++ b/trace/mapping_test.go
@@ -71,11 +71,11 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	base := Task{At: 120, Took: 5, End: Finished, User: "u", Job: "none", Machine: "m1", Priority: 1, HasClass: true}
+	base := Task{At: 120, Duration: 5, End: Finished, User: "u", Job: "none", Machine: "m1", Priority: 1, HasPriority: true}
 	with := func(f func(*Task)) *Task { x := base; f(&x); return &x }
 	low := ""
 	for _, j := range []string{"a", "b", "c", "d", "e", "f", "g"} {
-		if part(j) < 0.4 {
+		if hashShare(j) < 0.4 {
 			low = j
 		} else {
 			base.Job = j
@@ -87,33 +87,33 @@
 		category int
 		why      Reason
 	}{
-		{"priority", with(func(x *Task) { x.Priority = 9 }), 0, Taken},
-		{"status", with(func(x *Task) { x.End = Killed }), 1, Taken},
-		{"hash", with(func(x *Task) { x.Job = low }), 2, Taken},
-		{"none", with(func(x *Task) {}), 0, NoCategory},
-		{"no priority in the layout", with(func(x *Task) { x.HasClass = false }), 0, "missing_priority"},
+		{"priority", with(func(x *Task) { x.Priority = 9 }), 0, Accepted},
+		{"status", with(func(x *Task) { x.End = Killed }), 1, Accepted},
+		{"hash", with(func(x *Task) { x.Job = low }), 2, Accepted},
+		{"none", with(func(x *Task) {}), 0, NoClass},
+		{"no priority in the layout", with(func(x *Task) { x.HasPriority = false }), 0, "missing_priority"},
 		{"no machine", with(func(x *Task) { x.Priority, x.Machine = 10, "" }), 0, "missing_machine"},
-		{"no user", with(func(x *Task) { x.Priority, x.User = 10, "" }), 0, Taken}, // the last customer takes all
+		{"no user", with(func(x *Task) { x.Priority, x.User = 10, "" }), 0, Accepted}, // the last customer takes all
 	} {
 		q, why := m.Place(c.task)
-		if why != c.why || why == Taken && q.Category != c.category {
+		if why != c.why || why == Accepted && q.Class != c.category {
 			t.Errorf("%s: %+v %q", c.name, q, why)
 		}
 	}
-	q, _ := m.Place(with(func(x *Task) { x.End, x.Fails, x.Took = Failed, 2, 100 }))
-	if q.At != 2 || q.Work != 1 || q.Fails != 3 {
+	q, _ := m.Place(with(func(x *Task) { x.End, x.FailedRuns, x.Duration = Failed, 2, 100 }))
+	if q.At != 2 || q.Work != 1 || q.FailedAttempts != 3 {
 		t.Errorf("%+v", q)
 	}
-	if q, _ = m.Place(with(func(x *Task) { x.Priority, x.Took = 9, 0 })); q.Work != 0.02 || q.Fails != 0 {
+	if q, _ = m.Place(with(func(x *Task) { x.Priority, x.Duration = 9, 0 })); q.Work != 0.02 || q.FailedAttempts != 0 {
 		t.Errorf("%+v", q)
 	}
 	if m, err = ParseMapping("m", []byte(strings.Replace(goodMapping, `as="legs"`, `as="hours" for="5s" part="0.8"`, 1))); err != nil {
 		t.Fatal(err)
 	}
-	if q, why := m.Place(with(func(x *Task) { x.End = Failed })); why != Taken || q.Fails != 0 || q.BadFor != 5 || q.BadPart != 0.8 || q.Machine == 0 {
+	if q, why := m.Place(with(func(x *Task) { x.End = Failed })); why != Accepted || q.FailedAttempts != 0 || q.FaultTime != 5 || q.FaultShare != 0.8 || q.Machine == 0 {
 		t.Errorf("%+v %q", q, why)
 	}
-	if q, _ := m.Place(with(func(x *Task) { x.Priority = 9 })); q.BadFor != 0 {
+	if q, _ := m.Place(with(func(x *Task) { x.Priority = 9 })); q.FaultTime != 0 {
 		t.Errorf("a good run begins a bad hour: %+v", q)
 	}
 	if m, err = ParseMapping("m", []byte(strings.NewReplacer(`as="legs"`, `as="hours" for="5s" part="0.8"`, `by="machine"`, `by="job"`).Replace(goodMapping))); err != nil {
@@ -125,10 +125,10 @@
 	kept, same := 0, true
 	for i := range 2000 {
 		x := with(func(x *Task) { x.Line = int64(i) })
-		if m.Kept(x, 3) {
+		if m.Sampled(x, 3) {
 			kept++
 		}
-		same = same && m.Kept(x, 3) == m.Kept(x, 4)
+		same = same && m.Sampled(x, 3) == m.Sampled(x, 4)
 	}
 	if kept < 900 || kept > 1100 || same {
 		t.Errorf("%d of 2000 kept at a half", kept)
--- a/trace/read.go
+++ b/trace/read.go
@@ -10,16 +10,16 @@
 
 // Options say how a trace is read.
 type Options struct {
-	Layout   string
-	Window   Seconds // within which rows of a layout of tasks are put back in order
-	Patience Seconds // that a task of a layout of events may stay without an end
-	Again    Seconds // in which one that failed may come again
-	Most     int     // tasks that are held at a time
+	Layout      string
+	Window      Seconds // within which rows of a layout of tasks are put back in order
+	MaxOpenTime Seconds // that a task of a layout of events may stay without an end
+	RetryWindow Seconds // in which one that failed may come again
+	MaxTasks    int     // tasks that are held at a time
 }
 
 // Usual are the options of a layout where nothing is said.
-func Usual(layout string) Options {
-	return Options{Layout: layout, Window: 60, Patience: 86400, Again: 300, Most: 50000}
+func DefaultOptions(layout string) Options {
+	return Options{Layout: layout, Window: 60, MaxOpenTime: 86400, RetryWindow: 300, MaxTasks: 50000}
 }
 
 // Read reads streams one behind another as one trace, and hands on its tasks by their arrival; a task is good until
@@ -32,11 +32,11 @@
 	if !ok {
 		return a, fmt.Errorf("layout %q is none of %s", o.Layout, strings.Join(Layouts(), ", "))
 	}
-	if !(o.Window >= 0) || !(o.Patience > 0) || !(o.Again >= 0) || o.Most < 1 {
+	if !(o.Window >= 0) || !(o.MaxOpenTime > 0) || !(o.RetryWindow >= 0) || o.MaxTasks < 1 {
 		return a, errors.New("window, patience and bounds must be positive")
 	}
-	out := &order{audit: a, most: o.Most, emit: emit}
-	r := &reader{words: words{}, o: o, form: form, audit: a, out: out, join: newJoin(a, out, o.Patience, o.Again, o.Most)}
+	out := &reorderBuffer{audit: a, most: o.MaxTasks, emit: emit}
+	r := &reader{words: interner{}, o: o, form: form, audit: a, out: out, join: newJoin(a, out, o.MaxOpenTime, o.RetryWindow, o.MaxTasks)}
 	for _, in := range from {
 		rows, err := open(in)
 		if err != nil {
@@ -60,27 +60,27 @@
 	o      Options
 	form   layout
 	audit  *Audit
-	out    *order
-	join   *join
-	words  words
+	out    *reorderBuffer
+	join   *eventJoin
+	words  interner
 	before int64 // lines of the streams before
 	latest Seconds
 	any    bool
 }
 
-func (r *reader) read(t *rows) error {
+func (r *reader) read(t *rowReader) error {
 	header := r.form.header != nil
 	for {
 		fields, why, err := t.next()
-		if errors.Is(err, io.EOF) && why == Taken {
+		if errors.Is(err, io.EOF) && why == Accepted {
 			return nil
 		}
 		if header {
 			header = false
-			if why == Taken && isHeader(fields, r.form.header) {
+			if why == Accepted && isHeader(fields, r.form.header) {
 				continue
 			}
-			if why == Taken && len(fields) == r.form.columns {
+			if why == Accepted && len(fields) == r.form.columns {
 				if _, number := decimal(fields[len(fields)-1]); !number {
 					return fmt.Errorf("line %d: not the layout's header, which is %s", t.line, strings.Join(r.form.header, ","))
 				}
@@ -91,19 +91,19 @@
 			r.audit.report(Truncated, t.line, 1)
 			return nil
 		}
-		if why == Taken && len(fields) != r.form.columns {
+		if why == Accepted && len(fields) != r.form.columns {
 			why = ColumnCount
 			if t.cut {
 				why = Truncated
 			}
 		}
-		if why == Taken {
+		if why == Accepted {
 			why, err = r.row(fields, t.line)
 		}
 		if err != nil {
 			return err
 		}
-		if why != Taken {
+		if why != Accepted {
 			r.audit.report(why, t.line, 1)
 		}
 	}
@@ -125,15 +125,15 @@
 func (r *reader) row(fields [][]byte, line int64) (Reason, error) {
 	if r.form.event != nil {
 		var e event
-		if why := r.form.event(fields, &e, r.words); why != Taken {
+		if why := r.form.event(fields, &e, r.words); why != Accepted {
 			return why, nil
 		}
 		e.line = line
-		return Taken, r.join.take(e)
+		return Accepted, r.join.take(e)
 	}
 	t := r.out.fresh()
 	t.Line, t.rows = line, 1
-	if why := r.form.task(fields, t, r.words); why != Taken {
+	if why := r.form.task(fields, t, r.words); why != Accepted {
 		r.out.free = append(r.out.free, t)
 		return why, nil
 	}
@@ -142,7 +142,7 @@
 		r.latest, r.any = t.At, true
 	}
 	if err := r.out.add(t); err != nil {
-		return Taken, err
+		return Accepted, err
 	}
-	return Taken, r.out.to(r.latest - r.o.Window)
+	return Accepted, r.out.to(r.latest - r.o.Window)
 }
--- a/trace/rows.go
+++ b/trace/rows.go
@@ -11,15 +11,15 @@
 
 // Bounds of the text.
 const (
-	MostLine  = 16 << 10 // bytes of a line: the longest of a public layout takes a tenth
-	mostField = 64       // columns: the widest layout has fourteen
-	readAhead = 256 << 10
+	MaxLineBytes = 16 << 10 // bytes of a line: the longest of a public layout takes a tenth
+	maxFields    = 64       // columns: the widest layout has fourteen
+	bufferSize   = 256 << 10
 )
 
 var bom = []byte("\xef\xbb\xbf")
 
 // rows cuts a stream into lines and lines into fields, without keeping any. Fields are good until the next row.
-type rows struct {
+type rowReader struct {
 	in     *bufio.Reader
 	line   int64
 	fields [][]byte
@@ -29,28 +29,28 @@
 }
 
 // open looks whether the stream is compressed with gzip.
-func open(r io.Reader) (*rows, error) {
-	in := bufio.NewReaderSize(r, readAhead)
+func open(r io.Reader) (*rowReader, error) {
+	in := bufio.NewReaderSize(r, bufferSize)
 	if head, _ := in.Peek(2); len(head) == 2 && head[0] == 0x1f && head[1] == 0x8b {
 		z, err := gzip.NewReader(in)
 		if err != nil {
 			return nil, err
 		}
-		in = bufio.NewReaderSize(z, readAhead)
+		in = bufio.NewReaderSize(z, bufferSize)
 	}
-	return &rows{in: in}, nil
+	return &rowReader{in: in}, nil
 }
 
 // next gives the next row, or why there is none on this line. io.EOF is the end; any other error ends the reading too.
 // Empty lines are passed over.
-func (t *rows) next() ([][]byte, Reason, error) {
+func (t *rowReader) next() ([][]byte, Reason, error) {
 	for {
 		text, err := t.in.ReadSlice('\n')
 		if len(text) == 0 && errors.Is(err, io.EOF) {
-			return nil, Taken, io.EOF
+			return nil, Accepted, io.EOF
 		}
 		t.line++
-		if errors.Is(err, bufio.ErrBufferFull) || len(text) > MostLine+2 {
+		if errors.Is(err, bufio.ErrBufferFull) || len(text) > MaxLineBytes+2 {
 			for errors.Is(err, bufio.ErrBufferFull) {
 				_, err = t.in.ReadSlice('\n')
 			}
@@ -71,12 +71,12 @@
 		text = bytes.TrimSuffix(bytes.TrimSuffix(text, []byte("\n")), []byte("\r"))
 		if len(text) == 0 {
 			if !whole {
-				return nil, Taken, io.EOF
+				return nil, Accepted, io.EOF
 			}
 			continue
 		}
 		if !utf8.Valid(text) {
-			return nil, BadText, nil
+			return nil, InvalidUTF8, nil
 		}
 		fields, why := t.split(text)
 		return fields, why, nil
@@ -84,14 +84,14 @@
 }
 
 // split cuts a line at its commas; a field may stand in quotes, a quote in it twice.
-func (t *rows) split(text []byte) ([][]byte, Reason) {
+func (t *rowReader) split(text []byte) ([][]byte, Reason) {
 	t.fields = t.fields[:0]
 	if bytes.IndexByte(text, '"') < 0 {
 		for {
 			i := bytes.IndexByte(text, ',')
-			if i < 0 || len(t.fields) > mostField {
+			if i < 0 || len(t.fields) > maxFields {
 				t.fields = append(t.fields, text)
-				return t.fields, Taken
+				return t.fields, Accepted
 			}
 			t.fields, text = append(t.fields, text[:i]), text[i+1:]
 		}
@@ -108,8 +108,8 @@
 				return nil, StrayQuote
 			}
 			t.fields = append(t.fields, field)
-			if i < 0 || len(t.fields) > mostField {
-				return t.fields, Taken
+			if i < 0 || len(t.fields) > maxFields {
+				return t.fields, Accepted
 			}
 			text = text[i+1:]
 			continue
@@ -130,7 +130,7 @@
 		}
 		t.fields = append(t.fields, t.spare[from:len(t.spare):len(t.spare)])
 		if text = text[i+1:]; len(text) == 0 {
-			return t.fields, Taken
+			return t.fields, Accepted
 		}
 		if text[0] != ',' {
 			return nil, StrayQuote
--- a/trace/task.go
+++ b/trace/task.go
@@ -22,26 +22,26 @@
 // A task that fails or is evicted, comes again and finishes is one task with several runs, not two: a client's
 // retries belong to its first query, and counting it twice would ask for its value twice.
 type Task struct {
-	Line     int64   // of its first row
-	At       Seconds // when it first came
-	Took     Seconds // of its last run
-	End      End     // of its last run
-	Runs     int
-	Fails    int // runs that failed or were evicted, the last one not counted
-	User     string
-	Job      string
-	Kind     string // a word of the layout: a type, a class
-	Machine  string
-	Class    int
-	Priority int
-	HasClass bool // the layout has class and priority
-	rows     int64
-	moved    bool // a row of it came out of order
+	Line        int64   // of its first row
+	At          Seconds // when it first came
+	Duration    Seconds // of its last run
+	End         End     // of its last run
+	Runs        int
+	FailedRuns  int // runs that failed or were evicted, the last one not counted
+	User        string
+	Job         string
+	Kind        string // a word of the layout: a type, a class
+	Machine     string
+	Class       int
+	Priority    int
+	HasPriority bool // the layout has class and priority
+	rows        int64
+	moved       bool // a row of it came out of order
 }
 
 // order holds tasks back until no earlier one can come, and hands them on by their arrival. What would come too late
 // is reported. It holds a bounded number: at the bound the earliest goes on, as if the window were shorter.
-type order struct {
+type reorderBuffer struct {
 	audit *Audit
 	heap  tasks
 	most  int
@@ -53,7 +53,7 @@
 }
 
 // fresh gives a task to fill in.
-func (o *order) fresh() *Task {
+func (o *reorderBuffer) fresh() *Task {
 	if n := len(o.free); n > 0 {
 		t := o.free[n-1]
 		o.free = o.free[:n-1]
@@ -64,7 +64,7 @@
 }
 
 // add takes a task.
-func (o *order) add(t *Task) error {
+func (o *reorderBuffer) add(t *Task) error {
 	if o.any && t.At < o.low {
 		o.audit.report(OutOfOrder, t.Line, t.rows)
 		o.free = append(o.free, t)
@@ -80,7 +80,7 @@
 }
 
 // to hands on what came before a time.
-func (o *order) to(low Seconds) error {
+func (o *reorderBuffer) to(low Seconds) error {
 	for len(o.heap) > 0 && o.heap[0].at <= low {
 		if err := o.hand(); err != nil {
 			return err
@@ -89,10 +89,10 @@
 	return nil
 }
 
-func (o *order) hand() error {
+func (o *reorderBuffer) hand() error {
 	t := o.heap.first().t
 	o.low, o.any = t.At, true
-	o.audit.Taken += t.rows
+	o.audit.Accepted += t.rows
 	if t.moved {
 		o.audit.Reordered += t.rows
 	}
@@ -103,7 +103,7 @@
 }
 
 // all hands on what is left.
-func (o *order) all() error {
+func (o *reorderBuffer) all() error {
 	for len(o.heap) > 0 {
 		if err := o.hand(); err != nil {
 			return err
--- a/trace/trace_test.go
+++ b/trace/trace_test.go
@@ -30,8 +30,8 @@
 
 func sound(t testing.TB, a *Audit, got []Task) {
 	t.Helper()
-	if a.Taken+a.Left() != a.Rows || a.Reordered > a.Taken || a.Tasks != int64(len(got)) {
-		t.Fatalf("%d taken and %d reported of %d rows, %d reordered, %d tasks: %+v", a.Taken, a.Left(), a.Rows, a.Reordered, len(got), a.Reported)
+	if a.Accepted+a.ReportedRows() != a.Rows || a.Reordered > a.Accepted || a.Tasks != int64(len(got)) {
+		t.Fatalf("%d taken and %d reported of %d rows, %d reordered, %d tasks: %+v", a.Accepted, a.ReportedRows(), a.Rows, a.Reordered, len(got), a.Reported)
 	}
 	for i := 1; i < len(got); i++ {
 		if got[i].At < got[i-1].At {
@@ -39,7 +39,7 @@
 		}
 	}
 	for r := range a.Reported {
-		if a.First[r] < 1 {
+		if a.FirstLine[r] < 1 {
 			t.Fatalf("no line for %s", r)
 		}
 	}
@@ -62,7 +62,7 @@
 	var out []string
 	for _, l := range a.Lines() {
 		word, _, _ := strings.Cut(l, ":")
-		out = append(out, fmt.Sprintf("%s %d@%d", word, a.Reported[Reason(word)], a.First[Reason(word)]))
+		out = append(out, fmt.Sprintf("%s %d@%d", word, a.Reported[Reason(word)], a.FirstLine[Reason(word)]))
 	}
 	return strings.Join(out, ", ")
 }
@@ -70,7 +70,7 @@
 const sec = 1000000
 
 func TestGoogleJoin(t *testing.T) {
-	o := Usual("google-2011")
+	o := DefaultOptions("google-2011")
 	for _, c := range []struct {
 		name, text string
 		tasks      string // at, took, end, runs, fails of each
@@ -104,7 +104,7 @@
 		got, a := read(t, o, c.text)
 		tasks := ""
 		for _, x := range got {
-			tasks += fmt.Sprintf("%g %g %s %d %d;", x.At, x.Took, x.End, x.Runs, x.Fails)
+			tasks += fmt.Sprintf("%g %g %s %d %d;", x.At, x.Duration, x.End, x.Runs, x.FailedRuns)
 		}
 		if tasks != c.tasks || reasons(a) != c.left {
 			t.Errorf("%s: %q %q", c.name, tasks, reasons(a))
@@ -114,8 +114,8 @@
 
 // TestJoinForgets has a million tasks that never end: the table stays small, and each is reported.
 func TestJoinForgets(t *testing.T) {
-	o := Usual("google-2011")
-	o.Most = 1000
+	o := DefaultOptions("google-2011")
+	o.MaxTasks = 1000
 	var b strings.Builder
 	const n = 50000
 	for i := range n {
@@ -125,7 +125,7 @@
 	if len(got) != 0 || a.Reported[NeverEnded] != n {
 		t.Errorf("%d tasks, %s", len(got), reasons(a))
 	}
-	o.Most, o.Patience = 1<<20, 10
+	o.MaxTasks, o.MaxOpenTime = 1<<20, 10
 	if got, a = read(t, o, b.String()); len(got) != 0 || a.Reported[NeverEnded] != n {
 		t.Errorf("by patience: %d tasks, %s", len(got), reasons(a))
 	}
@@ -147,23 +147,23 @@
 		{"windows lines, a mark and quotes", "azure-2021", "\ufeff" + strings.ReplaceAll(azureHead, "\n", "\r\n") + "\"app,1\",\"f\"\"x\",\"10\",2\r\n\r\n", 1, ""},
 		{"stray quotes", "azure-2021", azureHead + "a\"b,f,10,2\n\"ab,f,10,2\n\"a\"b,f,10,2\n" + azure(10, 2), 1, "stray_quote 3@2"},
 		{"no text", "azure-2021", azureHead + "a\xff,f,10,2\n" + azure(10, 2), 1, "bad_utf8 1@2"},
-		{"a long line", "azure-2021", azureHead + strings.Repeat("x", 3*readAhead) + "\n" + azure(10, 2) + strings.Repeat("y", MostLine+10) + ",f,1,1\n", 1, "line_too_long 2@2"},
+		{"a long line", "azure-2021", azureHead + strings.Repeat("x", 3*bufferSize) + "\n" + azure(10, 2) + strings.Repeat("y", MaxLineBytes+10) + ",f,1,1\n", 1, "line_too_long 2@2"},
 		{"ends within a row", "azure-2021", azureHead + azure(10, 2) + "a,f,1", 1, "truncated 1@3"},
 		{"ends with a whole row", "azure-2021", azureHead + strings.TrimRight(azure(10, 2), "\n"), 1, ""},
 		{"nothing", "azure-2021", "", 0, ""},
 		{"a burst in one instant", "azure-2021", azureHead + strings.Repeat(azure(10, 2), 10000), 10000, ""},
 		{"an hour of nothing", "azure-2021", azureHead + azure(10, 2) + azure(3700, 2), 2, ""},
 	} {
-		got, a := read(t, Usual(c.layout), c.text)
+		got, a := read(t, DefaultOptions(c.layout), c.text)
 		if len(got) != c.tasks || reasons(a) != c.left {
 			t.Errorf("%s: %d tasks, %q", c.name, len(got), reasons(a))
 		}
 	}
-	got, _ := read(t, Usual("azure-2021"), azureHead+"\"app,1\",\"f\"\"x\",10,2\n")
+	got, _ := read(t, DefaultOptions("azure-2021"), azureHead+"\"app,1\",\"f\"\"x\",10,2\n")
 	if got[0].User != "app,1" || got[0].Job != `f"x` || got[0].At != 8 {
 		t.Errorf("%+v", got[0])
 	}
-	if _, err := Read(Usual("azure-2021"), func(*Task) error { return nil }, strings.NewReader("app,func,end,took\n")); err == nil || !strings.Contains(err.Error(), "line 1") {
+	if _, err := Read(DefaultOptions("azure-2021"), func(*Task) error { return nil }, strings.NewReader("app,func,end,took\n")); err == nil || !strings.Contains(err.Error(), "line 1") {
 		t.Error("another header was taken: ", err)
 	}
 	if _, err := Read(Options{Layout: "ibm"}, nil); err == nil {
@@ -173,7 +173,7 @@
 
 // TestOutOfOrder moves one row back by every distance round the window.
 func TestOutOfOrder(t *testing.T) {
-	o := Usual("alibaba-2018")
+	o := DefaultOptions("alibaba-2018")
 	o.Window = 10
 	for back := 1; back <= 20; back++ {
 		text := ""
@@ -182,7 +182,7 @@
 		}
 		text += alibaba(139-back, 200, "Terminated") + alibaba(140, 141, "Terminated")
 		got, a := read(t, o, text)
-		if within := back <= 10; within && (len(got) != 42 || a.Reordered != 1) || !within && (len(got) != 41 || a.Reported[OutOfOrder] != 1 || a.First[OutOfOrder] != 41) {
+		if within := back <= 10; within && (len(got) != 42 || a.Reordered != 1) || !within && (len(got) != 41 || a.Reported[OutOfOrder] != 1 || a.FirstLine[OutOfOrder] != 41) {
 			t.Errorf("%d s back: %d tasks, %d reordered, %s", back, len(got), a.Reordered, reasons(a))
 		}
 	}
@@ -198,7 +198,7 @@
 		one += alibaba(at, at+1, "Terminated")
 		two += alibaba(at+30, at+31, "Terminated")
 	}
-	got, a := read(t, Usual("alibaba-2018"), one, two)
+	got, a := read(t, DefaultOptions("alibaba-2018"), one, two)
 	if len(got) != 100 || a.Reordered != 19 || a.Rows != 100 {
 		t.Errorf("%d tasks, %d reordered", len(got), a.Reordered)
 	}
@@ -211,13 +211,13 @@
 		io.WriteString(z, alibaba(at, at+rand.New(rand.NewSource(int64(at))).Intn(50), "Terminated"))
 	}
 	z.Close()
-	whole, a := read(t, Usual("alibaba-2018"), b.String())
+	whole, a := read(t, DefaultOptions("alibaba-2018"), b.String())
 	if len(whole) != 19999 {
 		t.Fatal(len(whole))
 	}
 	for _, cut := range []int{b.Len() - 1, b.Len() - 9, b.Len() / 2, 20} {
 		var got []Task
-		a, err := Read(Usual("alibaba-2018"), func(x *Task) error { got = append(got, *x); return nil }, bytes.NewReader(b.Bytes()[:cut]))
+		a, err := Read(DefaultOptions("alibaba-2018"), func(x *Task) error { got = append(got, *x); return nil }, bytes.NewReader(b.Bytes()[:cut]))
 		if err != nil {
 			t.Fatal(cut, err)
 		}
@@ -226,15 +226,15 @@
 			t.Errorf("cut at %d: %s", cut, reasons(a))
 		}
 	}
-	again, b2 := read(t, Usual("alibaba-2018"), b.String())
+	again, b2 := read(t, DefaultOptions("alibaba-2018"), b.String())
 	if !reflect.DeepEqual(again, whole) || !reflect.DeepEqual(a, b2) {
 		t.Error("read twice, it is not the same")
 	}
-	if _, err := Read(Usual("azure-2021"), nil, strings.NewReader("\x1f\x8bno")); err == nil {
+	if _, err := Read(DefaultOptions("azure-2021"), nil, strings.NewReader("\x1f\x8bno")); err == nil {
 		t.Error("no gzip was taken")
 	}
 	stop := errors.New("enough")
-	if _, err := Read(Usual("alibaba-2018"), func(*Task) error { return stop }, bytes.NewReader(b.Bytes())); !errors.Is(err, stop) {
+	if _, err := Read(DefaultOptions("alibaba-2018"), func(*Task) error { return stop }, bytes.NewReader(b.Bytes())); !errors.Is(err, stop) {
 		t.Error(err)
 	}
 }
@@ -244,8 +244,8 @@
 	f.Add("alibaba-2018", alibaba(10, 15, "Terminated")+alibaba(5, 15, "Failed")+"a,\"b\n")
 	f.Add("azure-2021", azureHead+azure(10, 2)+"\xff\n\"\"\"\",f,1,1\r\n\n")
 	f.Fuzz(func(t *testing.T, layout, text string) {
-		o := Usual(layout)
-		o.Most = 4
+		o := DefaultOptions(layout)
+		o.MaxTasks = 4
 		var got []Task
 		a, err := Read(o, func(x *Task) error { got = append(got, *x); return nil }, strings.NewReader(text))
 		if err == nil {
@@ -277,7 +277,7 @@
 			b.SetBytes(int64(len(s)))
 			b.ResetTimer()
 			for range b.N {
-				if _, err := Read(Usual(layout), func(*Task) error { return nil }, strings.NewReader(s)); err != nil {
+				if _, err := Read(DefaultOptions(layout), func(*Task) error { return nil }, strings.NewReader(s)); err != nil {
 					b.Fatal(err)
 				}
 			}
