--- a/trace/audit.go
+++ b/trace/audit.go
@@ -1,22 +1,27 @@
-// Package trace reads public cluster traces in CSV as load: layouts by name, a join of rows into tasks, a window that
-// puts back in order what is out of it, and an audit in which every row is taken or reported under one reason. What is
-// missing is never guessed. It streams, in bounded memory whatever a file's size; the caller brings the bytes.
+// Package trace reads public cluster traces in CSV as load. Layouts, found by name, say what a row means; a join makes tasks
+// of rows that are events; a window sorts tasks by their arrival; a Mapping says which request each becomes. An Audit counts
+// every row as accepted or reports it under one reason: what is missing is never guessed.
+//
+// Read streams, in bounded memory whatever a file's size, on its caller's goroutine; all its state ends with the call. The
+// package imports internal/xmlconfig, for mappings.
 package trace
 
 import (
+	"cmp"
 	"fmt"
-	"sort"
+	"slices"
 )
 
 // Seconds are of the trace's own clock.
 type Seconds = float64
 
-// Reason says why a row was left out. The list is fixed; a missing field's reason has the field's name behind it.
+// Reason says why a row was left out, or why a task has no place in a mapping. The list is fixed; the reason for a missing
+// field has the field's name behind it.
 type Reason string
 
-// The reasons.
+// The reasons for rows.
 const (
-	Accepted         Reason = ""
+	Accepted         Reason = ""             // none: the row was not left out
 	OutOfOrder       Reason = "out_of_order" // older than what was handed on already, beyond the window
 	MissingField     Reason = "missing"      // missing_NAME
 	NotANumber       Reason = "not_a_number"
@@ -28,56 +33,64 @@
 	LongLine         Reason = "line_too_long"
 	InvalidUTF8      Reason = "bad_utf8"
 	StrayQuote       Reason = "stray_quote"
-	Truncated        Reason = "truncated"   // the file ends within a line, or within its compressed form
+	Truncated        Reason = "truncated"   // the stream ends or breaks within the row
 	NeverEnded       Reason = "never_ended" // its task has no end in the file, or none for longer than is waited
 	NoSubmission     Reason = "no_submit"   // an event of a task whose submission was not seen
 	Outside          Reason = "outside"     // before the trace's start mark or after its end
 )
 
+// missing is the reason for a field that a row or a task lacks.
 func missing(field string) Reason { return MissingField + Reason("_"+field) }
 
-// Audit counts what became of rows. Rows is always Taken plus all that is reported, once the reading is over.
+// Audit counts what became of rows. Once the reading is over, Rows is Accepted plus all that is reported.
 type Audit struct {
 	Rows      int64
 	Accepted  int64
-	Reordered int64 // of the taken ones, those that came out of order
+	Reordered int64 // of the accepted ones, those that came out of order
 	Reported  map[Reason]int64
-	FirstLine map[Reason]int64 // line of the first one of each
+	FirstLine map[Reason]int64 // line of the first row of each reason
 	Tasks     int64            // handed on
 
-	From, To Seconds // first and last arrival handed on
-	Peak     float64 // arrivals in the fullest second
-	peakAt   int64
-	peakN    float64
+	From Seconds // first arrival handed on
+	To   Seconds // last arrival handed on
+	Peak float64 // arrivals in the fullest second
+
+	second         int64   // of the last arrival
+	secondArrivals float64 // in that second so far
 }
 
 func newAudit() *Audit {
 	return &Audit{Reported: map[Reason]int64{}, FirstLine: map[Reason]int64{}}
 }
 
-// report leaves out n rows, the first of them on a line.
-func (a *Audit) report(r Reason, line, n int64) {
-	a.Reported[r] += n
-	if first, ok := a.FirstLine[r]; !ok || line < first {
-		a.FirstLine[r] = line
+// report leaves out some rows of which the first stands on a line.
+func (a *Audit) report(reason Reason, line, rows int64) {
+	a.Reported[reason] += rows
+	if first, ok := a.FirstLine[reason]; !ok || line < first {
+		a.FirstLine[reason] = line
 	}
 }
 
-// handed notes a task that was handed on.
-func (a *Audit) handed(at Seconds) {
-	if a.Tasks++; a.Tasks == 1 {
-		a.From = at
+// countTask counts a task that is handed on.
+func (a *Audit) countTask(task *Task) {
+	a.Accepted += task.rows
+	if task.reordered {
+		a.Reordered += task.rows
 	}
-	a.To = at
-	if second := int64(at); second != a.peakAt || a.Tasks == 1 {
-		a.peakAt, a.peakN = second, 0
+	a.Tasks++
+	first := a.Tasks == 1
+	if first {
+		a.From = task.At
 	}
-	if a.peakN++; a.peakN > a.Peak {
-		a.Peak = a.peakN
+	a.To = task.At
+	if second := int64(task.At); first || second != a.second {
+		a.second, a.secondArrivals = second, 0
 	}
+	a.secondArrivals++
+	a.Peak = max(a.Peak, a.secondArrivals)
 }
 
-// Rate is the mean arrivals a second.
+// Rate is the mean number of arrivals a second.
 func (a *Audit) Rate() float64 {
 	if a.To <= a.From {
 		return 0
@@ -85,26 +98,27 @@
 	return float64(a.Tasks) / (a.To - a.From)
 }
 
-// Left is how many rows were reported.
-func (a *Audit) ReportedRows() (n int64) {
-	for _, c := range a.Reported {
-		n += c
+// ReportedRows is how many rows were left out.
+func (a *Audit) ReportedRows() int64 {
+	var rows int64
+	for _, n := range a.Reported {
+		rows += n
 	}
-	return n
+	return rows
 }
 
-// Lines tells the reported rows in words, the most frequent reason first.
-func (a *Audit) Lines() (out []string) {
+// Lines describes the rows that were left out, a line for each reason, the most frequent one first.
+func (a *Audit) Lines() []string {
 	var reasons []Reason
-	for r := range a.Reported {
-		reasons = append(reasons, r)
+	for reason := range a.Reported {
+		reasons = append(reasons, reason)
 	}
-	sort.Slice(reasons, func(i, j int) bool {
-		x, y := reasons[i], reasons[j]
-		return a.Reported[x] > a.Reported[y] || a.Reported[x] == a.Reported[y] && x < y
+	slices.SortFunc(reasons, func(x, y Reason) int {
+		return cmp.Or(cmp.Compare(a.Reported[y], a.Reported[x]), cmp.Compare(x, y))
 	})
-	for _, r := range reasons {
-		out = append(out, fmt.Sprintf("%s: %d rows, the first on line %d", r, a.Reported[r], a.FirstLine[r]))
+	var lines []string
+	for _, reason := range reasons {
+		lines = append(lines, fmt.Sprintf("%s: %d rows, the first on line %d", reason, a.Reported[reason], a.FirstLine[reason]))
 	}
-	return out
+	return lines
 }
--- a/trace/join.go
+++ b/trace/join.go
@@ -2,7 +2,7 @@
 
 import "container/list"
 
-// Kinds of event that a join knows.
+// eventKind is what happened to a task.
 type eventKind int
 
 const (
@@ -13,12 +13,13 @@
 	finish
 	kill
 	lose
-	update
+	update // of what the task asks for, not of when it comes or ends
 )
 
+// endOf gives the end that an event brings.
 var endOf = [...]End{evict: Evicted, fail: Failed, finish: Finished, kill: Killed, lose: Lost}
 
-// event is one row of a layout that tells of tasks by events.
+// event is a row of a layout whose rows are events of tasks.
 type event struct {
 	line     int64
 	at       Seconds
@@ -32,233 +33,290 @@
 	priority int
 }
 
-// join makes tasks of events. It keeps a task from its submission to its end, and for a while after a failure or an
-// eviction, since it may come again. What stays without an end for longer than patience, or longest of all where the
-// table is full, is forgotten and reported: tasks that never end must not grow it.
-type eventJoin struct {
-	audit    *Audit
-	out      *reorderBuffer
-	open     map[taskKey]*openTask
-	byAge    *list.List // of *life, the one submitted first in front
-	waiting  *list.List // of *life that failed or were evicted, by when
-	patience Seconds    // that a task may stay open
-	again    Seconds    // in which one that failed may come again
-	most     int
-	now      Seconds // the latest time of any event
-	any      bool
-	free     []*openTask // that can be used again
-	ended    *recentKeys // tasks that ended of late: a second end of theirs is a duplicate
-}
-
+// taskKey names a task within a trace.
 type taskKey struct{ job, index int64 }
 
-// life is a task that has not ended.
+// openTask is a task that was submitted and has not ended for good.
 type openTask struct {
-	key     taskKey
-	task    Task
-	started Seconds
-	running bool
-	waits   bool // it failed or was evicted, and may come again
-	endedAt Seconds
-	place   *list.Element // in byAge
-	wait    *list.Element // in waiting
+	key       taskKey
+	task      Task
+	running   bool
+	started   Seconds // of its present run
+	retryable bool    // its last run failed or was evicted, and it may come again
+	endedAt   Seconds // of that run
+	inByAge   *list.Element
+	inRetries *list.Element // nil where it is not retryable
+}
+
+// eventJoin makes tasks of events. It keeps a task from its submission to its end, and for the retry window after a run
+// that failed or was evicted, since it may come again. Tasks that never end must not fill the memory: one that is open for
+// longer than maxOpenTime, or the oldest one where maxTasks are open, is forgotten and reported.
+type eventJoin struct {
+	audit       *Audit
+	buffer      *reorderBuffer
+	maxOpenTime Seconds
+	retryWindow Seconds
+	maxTasks    int
+
+	open    map[taskKey]*openTask
+	byAge   *list.List  // of *openTask, in the order of their submissions
+	retries *list.List  // of *openTask that are retryable, in the order of their ends
+	ended   *recentKeys // for telling a second end from one without a submission
+	free    []*openTask // that can be used again
+	any     bool        // an event was added,
+	now     Seconds     // and that is the latest time of any
 }
 
-func newJoin(a *Audit, out *reorderBuffer, patience, again Seconds, most int) *eventJoin {
-	return &eventJoin{audit: a, out: out, open: map[taskKey]*openTask{}, byAge: list.New(), waiting: list.New(), patience: patience,
-		again: again, most: most, ended: newRecent(most)}
+func newEventJoin(audit *Audit, buffer *reorderBuffer, o Options) *eventJoin {
+	return &eventJoin{
+		audit:       audit,
+		buffer:      buffer,
+		maxOpenTime: o.MaxOpenTime,
+		retryWindow: o.RetryWindow,
+		maxTasks:    o.MaxTasks,
+		open:        map[taskKey]*openTask{},
+		byAge:       list.New(),
+		retries:     list.New(),
+		ended:       newRecentKeys(o.MaxTasks),
+	}
 }
 
-// take takes an event.
-func (j *eventJoin) take(e event) error {
+// add takes the next event of the trace.
+func (j *eventJoin) add(e event) error {
+	reordered := j.any && e.at < j.now
+	if !reordered {
+		j.any, j.now = true, e.at
+	}
 	key := taskKey{e.job, e.index}
-	l := j.open[key]
-	late := j.any && e.at < j.now
-	if !late {
-		j.now, j.any = e.at, true
+	open := j.open[key]
+	if open == nil && e.kind != submit {
+		j.audit.report(j.orphanReason(key), e.line, 1)
+		return j.release()
 	}
-	if l != nil {
-		l.task.moved = l.task.moved || late
+	if open != nil && reordered {
+		open.task.reordered = true
 	}
-	switch {
-	case e.kind == update:
-		// An update changes what a task asks for, not when it comes or ends. It counts with its task, if there is one.
-		if l == nil {
-			return j.orphan(e, key)
-		}
-		l.task.rows++
-	case e.kind == submit:
-		if l != nil && !l.waits {
-			j.audit.report(Duplicate, e.line, 1)
-			return nil
-		}
-		if l == nil {
-			if len(j.open) >= j.most {
-				if err := j.forget(j.byAge.Front().Value.(*openTask)); err != nil {
-					return err
-				}
+	reason, err := j.apply(e, open)
+	if err != nil {
+		return err
+	}
+	if reason != Accepted {
+		j.audit.report(reason, e.line, 1)
+		return nil
+	}
+	return j.release()
+}
+
+// orphanReason is the reason for an event of a task that is not open.
+func (j *eventJoin) orphanReason(key taskKey) Reason {
+	if j.ended.has(key) {
+		return Duplicate
+	}
+	return NoSubmission
+}
+
+// apply changes a task by an event, or says why the event can't be. The task is nil only where it is not open yet.
+func (j *eventJoin) apply(e event, open *openTask) (Reason, error) {
+	switch e.kind {
+	case submit:
+		return j.submit(e, open)
+	case schedule:
+		return open.schedule(e), nil
+	case update:
+		open.task.rows++
+		return Accepted, nil
+	}
+	return j.endRun(e, open)
+}
+
+// submit opens a task, or begins another attempt of one whose last run failed or was evicted.
+func (j *eventJoin) submit(e event, open *openTask) (Reason, error) {
+	if open != nil && !open.retryable {
+		return Duplicate, nil
+	}
+	if open == nil {
+		if len(j.open) >= j.maxTasks {
+			if err := j.forget(first(j.byAge)); err != nil {
+				return Accepted, err
 			}
-			l = j.fresh()
-			l.key = key
-			l.task = Task{Line: e.line, At: e.at, User: e.user, Job: e.name, Class: e.class, Priority: e.priority, HasPriority: true}
-			j.open[key] = l
-			l.place = j.byAge.PushBack(l)
-			j.ended.drop(key)
-		}
-		l.rest(j)
-		l.running = false
-		l.task.rows++
-	case l == nil:
-		return j.orphan(e, key)
-	case e.kind == schedule:
-		if l.running || l.waits {
-			j.audit.report(Duplicate, e.line, 1)
-			return nil
-		}
-		if e.at < l.task.At {
-			j.audit.report(EndBeforeStart, e.line, 1)
-			return nil
-		}
-		l.running, l.started = true, e.at
-		l.task.Machine = e.machine
-		l.task.Runs++
-		l.task.rows++
-	default:
-		if l.waits {
-			j.audit.report(Duplicate, e.line, 1)
-			return nil
-		}
-		from := l.task.At
-		if l.running {
-			from = l.started
-		}
-		if e.at < from {
-			j.audit.report(EndBeforeStart, e.line, 1)
-			return nil
-		}
-		l.task.rows++
-		l.task.Duration = 0
-		if l.running {
-			l.task.Duration = e.at - l.started
-		}
-		l.task.End = endOf[e.kind]
-		l.running = false
-		if e.kind == fail || e.kind == evict {
-			l.waits, l.endedAt = true, e.at
-			l.task.FailedRuns++
-			l.wait = j.waiting.PushBack(l)
-		} else if err := j.done(l); err != nil {
-			return err
 		}
+		open = j.openTask(e)
 	}
-	return j.pass()
+	j.endRetry(open)
+	open.running = false
+	open.task.rows++
+	return Accepted, nil
 }
 
-// orphan reports an event of a task that is not open.
-func (j *eventJoin) orphan(e event, key taskKey) error {
-	if j.ended.has(key) {
-		j.audit.report(Duplicate, e.line, 1)
-	} else {
-		j.audit.report(NoSubmission, e.line, 1)
+// openTask begins to keep a task that an event submits.
+func (j *eventJoin) openTask(e event) *openTask {
+	open := j.newOpenTask()
+	open.key = taskKey{e.job, e.index}
+	open.task = Task{
+		Line:        e.line,
+		At:          e.at,
+		User:        e.user,
+		Job:         e.name,
+		Class:       e.class,
+		Priority:    e.priority,
+		HasPriority: true,
 	}
-	return j.pass()
+	open.inByAge = j.byAge.PushBack(open)
+	j.open[open.key] = open
+	j.ended.remove(open.key)
+	return open
 }
 
-// rest takes a life off the list of those that may come again.
-func (l *openTask) rest(j *eventJoin) {
-	if l.wait != nil {
-		j.waiting.Remove(l.wait)
+// schedule begins a run.
+func (o *openTask) schedule(e event) Reason {
+	if o.running || o.retryable {
+		return Duplicate
 	}
-	l.wait, l.waits = nil, false
+	if e.at < o.task.At {
+		return EndBeforeStart
+	}
+	o.running, o.started = true, e.at
+	o.task.Machine = e.machine
+	o.task.Runs++
+	o.task.rows++
+	return Accepted
 }
 
-// done hands a task on.
-func (j *eventJoin) done(l *openTask) error {
-	if l.waits { // it did not come again: its last run is its end
-		l.task.FailedRuns--
+// endRun ends a run, or a task that never ran.
+func (j *eventJoin) endRun(e event, open *openTask) (Reason, error) {
+	if open.retryable {
+		return Duplicate, nil
+	}
+	from := open.task.At
+	if open.running {
+		from = open.started
+	}
+	if e.at < from {
+		return EndBeforeStart, nil
 	}
-	j.remove(l)
-	j.ended.add(l.key)
-	t := j.out.fresh()
-	*t = l.task
-	j.free = append(j.free, l)
-	return j.out.add(t)
+	open.task.Duration = 0
+	if open.running {
+		open.task.Duration = e.at - open.started
+	}
+	open.running = false
+	open.task.End = endOf[e.kind]
+	open.task.rows++
+	if e.kind == fail || e.kind == evict {
+		open.retryable, open.endedAt = true, e.at
+		open.inRetries = j.retries.PushBack(open)
+		open.task.FailedRuns++
+		return Accepted, nil
+	}
+	return Accepted, j.complete(open)
 }
 
-// fresh gives a life, one that was used before where there is any.
-func (j *eventJoin) fresh() *openTask {
-	if n := len(j.free); n > 0 {
-		l := j.free[n-1]
-		j.free = j.free[:n-1]
-		*l = openTask{}
-		return l
+// endRetry makes a task no longer retryable.
+func (j *eventJoin) endRetry(open *openTask) {
+	if open.inRetries != nil {
+		j.retries.Remove(open.inRetries)
 	}
-	return &openTask{}
+	open.inRetries, open.retryable = nil, false
 }
 
-func (j *eventJoin) remove(l *openTask) {
-	l.rest(j)
-	j.byAge.Remove(l.place)
-	delete(j.open, l.key)
+// complete hands on a task that has ended for good.
+func (j *eventJoin) complete(open *openTask) error {
+	if open.retryable { // it did not come again: the run that failed is its last, which FailedRuns leaves out
+		open.task.FailedRuns--
+	}
+	j.remove(open)
+	j.ended.add(open.key)
+	task := j.buffer.newTask()
+	*task = open.task
+	j.free = append(j.free, open)
+	return j.buffer.add(task)
 }
 
-// forget reports a task that never ended. One that failed and is still waited for has its end.
-func (j *eventJoin) forget(l *openTask) error {
-	if l.waits {
-		return j.done(l)
+// forget reports a task that has no end. One that only waits for a retry has its end.
+func (j *eventJoin) forget(open *openTask) error {
+	if open.retryable {
+		return j.complete(open)
 	}
-	j.remove(l)
-	j.audit.report(NeverEnded, l.task.Line, l.task.rows)
+	j.remove(open)
+	j.audit.report(NeverEnded, open.task.Line, open.task.rows)
 	return nil
 }
 
-// pass lets go of what has waited long enough, and hands on what nothing can come before any more.
-func (j *eventJoin) pass() error {
-	for e := j.waiting.Front(); e != nil && j.now-e.Value.(*openTask).endedAt > j.again; e = j.waiting.Front() {
-		if err := j.done(e.Value.(*openTask)); err != nil {
+func (j *eventJoin) remove(open *openTask) {
+	j.endRetry(open)
+	j.byAge.Remove(open.inByAge)
+	delete(j.open, open.key)
+}
+
+// newOpenTask gives an empty one, used before where there is any.
+func (j *eventJoin) newOpenTask() *openTask {
+	n := len(j.free)
+	if n == 0 {
+		return &openTask{}
+	}
+	open := j.free[n-1]
+	j.free = j.free[:n-1]
+	*open = openTask{}
+	return open
+}
+
+// release ends what was kept for long enough, and lets go of the tasks that no open one can come before.
+func (j *eventJoin) release() error {
+	for open := first(j.retries); open != nil && j.now-open.endedAt > j.retryWindow; open = first(j.retries) {
+		if err := j.complete(open); err != nil {
 			return err
 		}
 	}
-	for e := j.byAge.Front(); e != nil && j.now-e.Value.(*openTask).task.At > j.patience; e = j.byAge.Front() {
-		if err := j.forget(e.Value.(*openTask)); err != nil {
+	for open := first(j.byAge); open != nil && j.now-open.task.At > j.maxOpenTime; open = first(j.byAge) {
+		if err := j.forget(open); err != nil {
 			return err
 		}
 	}
-	if e := j.byAge.Front(); e != nil {
-		return j.out.to(min(e.Value.(*openTask).task.At, j.now))
+	if oldest := first(j.byAge); oldest != nil {
+		return j.buffer.releaseUntil(min(oldest.task.At, j.now))
 	}
-	return j.out.to(j.now)
+	return j.buffer.releaseUntil(j.now)
 }
 
-// end is the end of the file.
+// end is the end of the trace.
 func (j *eventJoin) end() error {
-	for e := j.byAge.Front(); e != nil; e = j.byAge.Front() {
-		if err := j.forget(e.Value.(*openTask)); err != nil {
+	for open := first(j.byAge); open != nil; open = first(j.byAge) {
+		if err := j.forget(open); err != nil {
 			return err
 		}
 	}
-	return j.out.all()
+	return j.buffer.releaseAll()
+}
+
+// first gives the first task of a list; nil where it is empty.
+func first(tasks *list.List) *openTask {
+	element := tasks.Front()
+	if element == nil {
+		return nil
+	}
+	return element.Value.(*openTask)
 }
 
-// recent remembers the last so many keys.
+// recentKeys remembers the last keys that were added, a bounded number.
 type recentKeys struct {
-	at   map[taskKey]int
-	ring []taskKey
-	next int
+	places map[taskKey]int // in ring, counted from 1
+	ring   []taskKey
+	next   int
 }
 
-func newRecent(n int) *recentKeys {
-	return &recentKeys{at: map[taskKey]int{}, ring: make([]taskKey, max(n, 1))}
+func newRecentKeys(size int) *recentKeys {
+	return &recentKeys{places: map[taskKey]int{}, ring: make([]taskKey, max(size, 1))}
 }
 
-func (r *recentKeys) add(k taskKey) {
-	if old := r.ring[r.next]; r.at[old] == r.next+1 {
-		delete(r.at, old)
+func (r *recentKeys) add(key taskKey) {
+	place := r.next + 1
+	// A key that was removed or added again since has another place, or none.
+	if oldest := r.ring[r.next]; r.places[oldest] == place {
+		delete(r.places, oldest)
 	}
-	r.ring[r.next] = k
-	r.at[k] = r.next + 1
+	r.ring[r.next] = key
+	r.places[key] = place
 	r.next = (r.next + 1) % len(r.ring)
 }
 
-func (r *recentKeys) has(k taskKey) bool { return r.at[k] > 0 }
-func (r *recentKeys) drop(k taskKey)     { delete(r.at, k) }
+func (r *recentKeys) has(key taskKey) bool { return r.places[key] > 0 }
+func (r *recentKeys) remove(key taskKey)   { delete(r.places, key) }
--- a/trace/mapping_test.go
+++ b/trace/mapping_test.go
@@ -1,11 +1,15 @@
 package trace
 
 import (
+	"errors"
+	"io/fs"
 	"os"
 	"os/exec"
 	"path/filepath"
 	"strings"
 	"testing"
+
+	"lichenroad/internal/xmlconfig"
 )
 
 const goodMapping = `<mapping version="1" scale="60" thin="0.5" window="30s">
@@ -16,121 +20,183 @@
 <customer name="two"/>
 <work scale="0.1" least="20ms" most="1s"/><relay by="machine"/><failures as="legs"/></mapping>`
 
-func TestMappingsForm(t *testing.T) {
-	lint, _ := exec.LookPath("xmllint")
-	for _, c := range []struct {
-		name, old, new string
-		says           string // none: good
-		schema         bool
-	}{
-		{"whole", "", "", "", false},
-		{"another version", `version="1"`, `version="3"`, "version", true},
-		{"no work", `<work scale="0.1" least="20ms" most="1s"/>`, ``, "one <work> is needed", false},
-		{"two relays", `<relay by="machine"/>`, `<relay by="machine"/><relay by="user"/>`, "one <relay>", false},
-		{"by what", `by="machine"`, `by="moon"`, "moon", true},
-		{"no such field", `field="priority"`, `field="colour"`, "colour", true},
-		{"a word without is", `field="status" is="failed killed"`, `field="status" from="1"`, "needs is", false},
-		{"both", `from="9" to="11"`, `from="9" is="x"`, "either is", false},
-		{"neither", `field="status" is="failed killed"`, `field="status"`, "either is", false},
-		{"a hash past one", `from="0" to="0.4"`, `from="0" to="1.4"`, "from 0 to 1", false},
-		{"turned round", `from="9" to="11"`, `from="11" to="9"`, "above to", false},
-		{"least above most", `least="20ms"`, `least="2s"`, "less than least", false},
-		{"twice a category", `name="odd"`, `name="urgent"`, "twice", false},
-		{"thin of two", `thin="0.5"`, `thin="2"`, "thin", false},
-		{"unknown element", `<customer name="two"/>`, `<customer name="two"/><cat/>`, "not known", true},
-		{"hours", `as="legs"`, `as="hours" for="5s" part="0.8"`, "", false},
-		{"hours without their length", `as="legs"`, `as="hours" part="0.8"`, "for and part", false},
-		{"legs with a length", `as="legs"`, `as="legs" for="5s"`, "for and part", false},
-		{"hours of more than all", `as="legs"`, `as="hours" for="5s" part="1.5"`, "part", true},
-		{"no customers", `customer`, `client`, "not known", true},
-	} {
-		text := strings.ReplaceAll(goodMapping, c.old, c.new)
-		if c.old == "" {
-			text = goodMapping
-		}
-		_, err := ParseMapping("m.xml", []byte(text))
-		if (err == nil) != (c.says == "") || err != nil && (!strings.Contains(err.Error(), c.says) || !strings.HasPrefix(err.Error(), "m.xml:")) {
-			t.Errorf("%s: %v", c.name, err)
-		}
-		if lint == "" {
-			if os.Getenv("CI") != "" {
-				t.Fatal("CI must have xmllint")
+// mappingCases are held to by the reader and, where the schema can see the fault, by the schema.
+var mappingCases = []struct {
+	name     string
+	old, new string // what is replaced in the good mapping
+	says     string // part of a fault's text; empty: no fault
+	inSchema bool   // the schema refuses it too
+}{
+	{"whole", "", "", "", false},
+	{"another version", `version="1"`, `version="3"`, "version", true},
+	{"no work", `<work scale="0.1" least="20ms" most="1s"/>`, ``, "one <work> is needed", false},
+	{"two relays", `<relay by="machine"/>`, `<relay by="machine"/><relay by="user"/>`, "one <relay>", false},
+	{"by what", `by="machine"`, `by="moon"`, "moon", true},
+	{"no such field", `field="priority"`, `field="colour"`, "colour", true},
+	{"a word without is", `field="status" is="failed killed"`, `field="status" from="1"`, "needs is", false},
+	{"both", `from="9" to="11"`, `from="9" is="x"`, "either is", false},
+	{"neither", `field="status" is="failed killed"`, `field="status"`, "either is", false},
+	{"a hash past one", `from="0" to="0.4"`, `from="0" to="1.4"`, "from 0 to 1", false},
+	{"turned round", `from="9" to="11"`, `from="11" to="9"`, "above to", false},
+	{"least above most", `least="20ms"`, `least="2s"`, "less than least", false},
+	{"twice a category", `name="odd"`, `name="urgent"`, "twice", false},
+	{"thin of two", `thin="0.5"`, `thin="2"`, "thin", false},
+	{"unknown element", `<customer name="two"/>`, `<customer name="two"/><cat/>`, "not known", true},
+	{"hours", `as="legs"`, `as="hours" for="5s" part="0.8"`, "", false},
+	{"hours without their length", `as="legs"`, `as="hours" part="0.8"`, "for and part", false},
+	{"legs with a length", `as="legs"`, `as="legs" for="5s"`, "for and part", false},
+	{"hours of more than all", `as="legs"`, `as="hours" for="5s" part="1.5"`, "part", true},
+	{"no customers", `customer`, `client`, "not known", true},
+}
+
+func mappingText(old, replacement string) string {
+	if old == "" {
+		return goodMapping
+	}
+	return strings.ReplaceAll(goodMapping, old, replacement)
+}
+
+func TestParseMapping(t *testing.T) {
+	for _, c := range mappingCases {
+		t.Run(c.name, func(t *testing.T) {
+			_, err := ParseMapping("m.xml", []byte(mappingText(c.old, c.new)))
+			if c.says == "" {
+				if err != nil {
+					t.Error(err)
+				}
+				return
 			}
-			continue
+			var faults *xmlconfig.Error
+			if !errors.As(err, &faults) || !strings.Contains(err.Error(), c.says) || !strings.HasPrefix(err.Error(), "m.xml:") {
+				t.Errorf("wanted %q: %v", c.says, err)
+			}
+		})
+	}
+}
+
+// TestMappingSchema holds the schema to the same cases, by the validator of libxml2, which CI installs.
+func TestMappingSchema(t *testing.T) {
+	lint, err := exec.LookPath("xmllint")
+	if err != nil {
+		if os.Getenv("CI") != "" {
+			t.Fatal("CI must have xmllint")
 		}
-		file := filepath.Join(t.TempDir(), "m.xml")
-		os.WriteFile(file, []byte(text), 0o600)
-		if out, err := exec.Command(lint, "--noout", "--nonet", "--schema", "../deploy/mapping.xsd", file).CombinedOutput(); (err != nil) != c.schema {
-			t.Errorf("%s: the schema refuses it: %v: %.200s", c.name, err != nil, out)
+		t.Skip("no xmllint here")
+	}
+	for _, c := range mappingCases {
+		t.Run(c.name, func(t *testing.T) {
+			file := filepath.Join(t.TempDir(), "m.xml")
+			if err := os.WriteFile(file, []byte(mappingText(c.old, c.new)), 0o600); err != nil {
+				t.Fatal(err)
+			}
+			out, err := exec.Command(lint, "--noout", "--nonet", "--schema", "../deploy/mapping.xsd", file).CombinedOutput()
+			if refused := err != nil; refused != c.inSchema {
+				t.Errorf("refused by the schema: %v, wanted %v: %.200s", refused, c.inSchema, out)
+			}
+		})
+	}
+}
+
+func TestLoadMapping(t *testing.T) {
+	if _, err := LoadMapping("../deploy/mapping.xml"); err != nil {
+		t.Error("the example:", err)
+	}
+	if _, err := LoadMapping(filepath.Join(t.TempDir(), "absent.xml")); !errors.Is(err, fs.ErrNotExist) {
+		t.Error("an absent file:", err)
+	}
+}
+
+// placed is a task that the last rules of goodMapping don't reach: its job is not in the share of "low".
+func placed(t *testing.T, change func(*Task)) *Task {
+	t.Helper()
+	task := Task{At: 120, Duration: 5, End: Finished, User: "u", Job: jobWithHash(t, false), Machine: "m1", Priority: 1, HasPriority: true}
+	change(&task)
+	return &task
+}
+
+// jobWithHash gives a job whose hash lies in the share of "low", or one whose hash does not.
+func jobWithHash(t *testing.T, low bool) string {
+	t.Helper()
+	for _, job := range []string{"a", "b", "c", "d", "e", "f", "g"} {
+		if (hashShare(job) < 0.4) == low {
+			return job
 		}
 	}
+	t.Fatal("no such job")
+	return ""
 }
 
-func TestPlaces(t *testing.T) {
-	m, err := ParseMapping("m", []byte(goodMapping))
+func parseMapping(t *testing.T, text string) *Mapping {
+	t.Helper()
+	m, err := ParseMapping("m", []byte(text))
 	if err != nil {
 		t.Fatal(err)
 	}
-	base := Task{At: 120, Duration: 5, End: Finished, User: "u", Job: "none", Machine: "m1", Priority: 1, HasPriority: true}
-	with := func(f func(*Task)) *Task { x := base; f(&x); return &x }
-	low := ""
-	for _, j := range []string{"a", "b", "c", "d", "e", "f", "g"} {
-		if hashShare(j) < 0.4 {
-			low = j
-		} else {
-			base.Job = j
-		}
-	}
+	return m
+}
+
+func TestPlace(t *testing.T) {
+	m := parseMapping(t, goodMapping)
 	for _, c := range []struct {
-		name     string
-		task     *Task
-		category int
-		why      Reason
+		name   string
+		change func(*Task)
+		class  int
+		reason Reason
 	}{
-		{"priority", with(func(x *Task) { x.Priority = 9 }), 0, Accepted},
-		{"status", with(func(x *Task) { x.End = Killed }), 1, Accepted},
-		{"hash", with(func(x *Task) { x.Job = low }), 2, Accepted},
-		{"none", with(func(x *Task) {}), 0, NoClass},
-		{"no priority in the layout", with(func(x *Task) { x.HasPriority = false }), 0, "missing_priority"},
-		{"no machine", with(func(x *Task) { x.Priority, x.Machine = 10, "" }), 0, "missing_machine"},
-		{"no user", with(func(x *Task) { x.Priority, x.User = 10, "" }), 0, Accepted}, // the last customer takes all
+		{"priority", func(task *Task) { task.Priority = 9 }, 0, Accepted},
+		{"status", func(task *Task) { task.End = Killed }, 1, Accepted},
+		{"hash", func(task *Task) { task.Job = jobWithHash(t, true) }, 2, Accepted},
+		{"none", func(task *Task) {}, 0, NoClass},
+		{"no priority in the layout", func(task *Task) { task.HasPriority = false }, 0, "missing_priority"},
+		{"no machine", func(task *Task) { task.Priority, task.Machine = 10, "" }, 0, "missing_machine"},
+		// The last tenant takes all.
+		{"no user", func(task *Task) { task.Priority, task.User = 10, "" }, 0, Accepted},
 	} {
-		q, why := m.Place(c.task)
-		if why != c.why || why == Accepted && q.Class != c.category {
-			t.Errorf("%s: %+v %q", c.name, q, why)
-		}
-	}
-	q, _ := m.Place(with(func(x *Task) { x.End, x.FailedRuns, x.Duration = Failed, 2, 100 }))
-	if q.At != 2 || q.Work != 1 || q.FailedAttempts != 3 {
-		t.Errorf("%+v", q)
-	}
-	if q, _ = m.Place(with(func(x *Task) { x.Priority, x.Duration = 9, 0 })); q.Work != 0.02 || q.FailedAttempts != 0 {
-		t.Errorf("%+v", q)
+		t.Run(c.name, func(t *testing.T) {
+			request, reason := m.Place(placed(t, c.change))
+			if reason != c.reason || reason == Accepted && request.Class != c.class {
+				t.Errorf("%+v %q", request, reason)
+			}
+		})
 	}
-	if m, err = ParseMapping("m", []byte(strings.Replace(goodMapping, `as="legs"`, `as="hours" for="5s" part="0.8"`, 1))); err != nil {
-		t.Fatal(err)
+	request, _ := m.Place(placed(t, func(task *Task) { task.End, task.FailedRuns, task.Duration = Failed, 2, 100 }))
+	if request.At != 2 || request.Work != 1 || request.FailedAttempts != 3 {
+		t.Errorf("a long task that failed: %+v", request)
 	}
-	if q, why := m.Place(with(func(x *Task) { x.End = Failed })); why != Accepted || q.FailedAttempts != 0 || q.FaultTime != 5 || q.FaultShare != 0.8 || q.Machine == 0 {
-		t.Errorf("%+v %q", q, why)
+	request, _ = m.Place(placed(t, func(task *Task) { task.Priority, task.Duration = 9, 0 }))
+	if request.Work != 0.02 || request.FailedAttempts != 0 {
+		t.Errorf("a short task: %+v", request)
 	}
-	if q, _ := m.Place(with(func(x *Task) { x.Priority = 9 })); q.FaultTime != 0 {
-		t.Errorf("a good run begins a bad hour: %+v", q)
+}
+
+func TestFailuresAsFaults(t *testing.T) {
+	asFaults := strings.NewReplacer(`as="legs"`, `as="hours" for="5s" part="0.8"`)
+	m := parseMapping(t, asFaults.Replace(goodMapping))
+	request, reason := m.Place(placed(t, func(task *Task) { task.End = Failed }))
+	if reason != Accepted || request.FailedAttempts != 0 || request.FaultTime != 5 || request.FaultShare != 0.8 || request.Machine == 0 {
+		t.Errorf("%+v %q", request, reason)
 	}
-	if m, err = ParseMapping("m", []byte(strings.NewReplacer(`as="legs"`, `as="hours" for="5s" part="0.8"`, `by="machine"`, `by="job"`).Replace(goodMapping))); err != nil {
-		t.Fatal(err)
+	if request, _ := m.Place(placed(t, func(task *Task) { task.Priority = 9 })); request.FaultTime != 0 {
+		t.Errorf("a good run begins a fault: %+v", request)
 	}
-	if _, why := m.Place(with(func(x *Task) { x.End, x.Machine = Failed, "" })); why != "missing_machine" {
-		t.Errorf("whose hour it is was guessed: %q", why)
+	byJob := strings.NewReplacer(`as="legs"`, `as="hours" for="5s" part="0.8"`, `by="machine"`, `by="job"`)
+	m = parseMapping(t, byJob.Replace(goodMapping))
+	if _, reason := m.Place(placed(t, func(task *Task) { task.End, task.Machine = Failed, "" })); reason != "missing_machine" {
+		t.Errorf("whose fault it is was guessed: %q", reason)
 	}
-	kept, same := 0, true
+}
+
+func TestSampled(t *testing.T) {
+	m := parseMapping(t, goodMapping)
+	sampled, same := 0, true
 	for i := range 2000 {
-		x := with(func(x *Task) { x.Line = int64(i) })
-		if m.Sampled(x, 3) {
-			kept++
+		task := placed(t, func(task *Task) { task.Line = int64(i) })
+		if m.Sampled(task, 3) {
+			sampled++
 		}
-		same = same && m.Sampled(x, 3) == m.Sampled(x, 4)
+		same = same && m.Sampled(task, 3) == m.Sampled(task, 4)
 	}
-	if kept < 900 || kept > 1100 || same {
-		t.Errorf("%d of 2000 kept at a half", kept)
+	if sampled < 900 || sampled > 1100 || same {
+		t.Errorf("%d of 2000 sampled at a half; the same with another seed: %v", sampled, same)
 	}
 }
--- a/trace/read.go
+++ b/trace/read.go
@@ -10,102 +10,92 @@
 
 // Options say how a trace is read.
 type Options struct {
-	Layout      string
+	Layout      string  // one of Layouts
 	Window      Seconds // within which rows of a layout of tasks are put back in order
 	MaxOpenTime Seconds // that a task of a layout of events may stay without an end
-	RetryWindow Seconds // in which one that failed may come again
-	MaxTasks    int     // tasks that are held at a time
+	RetryWindow Seconds // in which one that failed or was evicted may come again
+	MaxTasks    int     // that are held at a time
 }
 
-// Usual are the options of a layout where nothing is said.
+// DefaultOptions are the options for a layout where nothing else is said.
 func DefaultOptions(layout string) Options {
 	return Options{Layout: layout, Window: 60, MaxOpenTime: 86400, RetryWindow: 300, MaxTasks: 50000}
 }
 
-// Read reads streams one behind another as one trace, and hands on its tasks by their arrival; a task is good until
-// emit returns. It returns the audit also
-// where it ends with an error. Only a wrong layout, an error of emit, or a stream that can't be read is one: what is
-// wrong with rows is in the audit.
-func Read(o Options, emit func(*Task) error, from ...io.Reader) (*Audit, error) {
-	a := newAudit()
-	form, ok := layouts[o.Layout]
+var errOptions = errors.New("window, patience and bounds must be positive")
+
+func (o Options) valid() bool {
+	return o.Window >= 0 && o.MaxOpenTime > 0 && o.RetryWindow >= 0 && o.MaxTasks >= 1
+}
+
+// Read reads streams one behind another as one trace, and hands on its tasks by their arrival. A task is good until emit
+// returns.
+//
+// Errors are a wrong layout or option, a stream that begins as gzip and isn't, another header than the layout's, and what emit
+// returns. What is wrong with rows is in the audit, as is a stream that breaks: its last row is Truncated. The audit is
+// returned beside an error too.
+func Read(o Options, emit func(*Task) error, streams ...io.Reader) (*Audit, error) {
+	audit := newAudit()
+	layout, ok := layouts[o.Layout]
 	if !ok {
-		return a, fmt.Errorf("layout %q is none of %s", o.Layout, strings.Join(Layouts(), ", "))
+		return audit, fmt.Errorf("layout %q is none of %s", o.Layout, strings.Join(Layouts(), ", "))
 	}
-	if !(o.Window >= 0) || !(o.MaxOpenTime > 0) || !(o.RetryWindow >= 0) || o.MaxTasks < 1 {
-		return a, errors.New("window, patience and bounds must be positive")
+	if !o.valid() {
+		return audit, errOptions
 	}
-	out := &reorderBuffer{audit: a, most: o.MaxTasks, emit: emit}
-	r := &reader{words: interner{}, o: o, form: form, audit: a, out: out, join: newJoin(a, out, o.MaxOpenTime, o.RetryWindow, o.MaxTasks)}
-	for _, in := range from {
-		rows, err := open(in)
+	buffer := &reorderBuffer{audit: audit, maxTasks: o.MaxTasks, emit: emit}
+	r := &reader{window: o.Window, layout: layout, audit: audit, buffer: buffer, join: newEventJoin(audit, buffer, o),
+		words: interner{}}
+	var lines int64
+	for _, stream := range streams {
+		rows, err := newRowReader(stream, lines)
 		if err != nil {
-			return a, fmt.Errorf("line 1: %w", err)
+			return audit, fmt.Errorf("line 1: %w", err)
 		}
-		rows.line = r.before
-		err = r.read(rows)
-		r.before = rows.line
-		if err != nil {
-			return a, err
+		if err := r.readStream(rows); err != nil {
+			return audit, err
 		}
+		lines = rows.line
 	}
-	if form.event != nil {
-		return a, r.join.end()
+	if layout.event != nil {
+		return audit, r.join.end()
 	}
-	return a, out.all()
+	return audit, buffer.releaseAll()
 }
 
 // reader reads one trace.
 type reader struct {
-	o      Options
-	form   layout
+	window Seconds
+	layout layout
 	audit  *Audit
-	out    *reorderBuffer
-	join   *eventJoin
+	buffer *reorderBuffer
+	join   *eventJoin // of a layout of events
 	words  interner
-	before int64 // lines of the streams before
+	any    bool // a task of a layout of tasks was read,
 	latest Seconds
-	any    bool
 }
 
-func (r *reader) read(t *rowReader) error {
-	header := r.form.header != nil
+// readStream reads a stream to its end.
+func (r *reader) readStream(rows *rowReader) error {
+	expectHeader := r.layout.header != nil
 	for {
-		fields, why, err := t.next()
-		if errors.Is(err, io.EOF) && why == Accepted {
+		fields, reason, more := rows.next()
+		if !more {
 			return nil
 		}
-		if header {
-			header = false
-			if why == Accepted && isHeader(fields, r.form.header) {
+		if expectHeader && reason == Accepted {
+			if isHeader(fields, r.layout.header) {
+				expectHeader = false
 				continue
 			}
-			if why == Accepted && len(fields) == r.form.columns {
-				if _, number := decimal(fields[len(fields)-1]); !number {
-					return fmt.Errorf("line %d: not the layout's header, which is %s", t.line, strings.Join(r.form.header, ","))
-				}
+			if err := r.checkNoHeader(fields, rows.line); err != nil {
+				return err
 			}
 		}
-		r.audit.Rows++
-		if err != nil { // what came before it counts; nothing behind it can be read
-			r.audit.report(Truncated, t.line, 1)
-			return nil
-		}
-		if why == Accepted && len(fields) != r.form.columns {
-			why = ColumnCount
-			if t.cut {
-				why = Truncated
-			}
-		}
-		if why == Accepted {
-			why, err = r.row(fields, t.line)
-		}
-		if err != nil {
+		expectHeader = false
+		if err := r.readRow(rows, fields, reason); err != nil {
 			return err
 		}
-		if why != Accepted {
-			r.audit.report(why, t.line, 1)
-		}
 	}
 }
 
@@ -113,36 +103,71 @@
 	if len(fields) != len(names) {
 		return false
 	}
-	for i, n := range names {
-		if !bytes.EqualFold(bytes.TrimSpace(fields[i]), []byte(n)) {
+	for i, name := range names {
+		if !bytes.EqualFold(bytes.TrimSpace(fields[i]), []byte(name)) {
 			return false
 		}
 	}
 	return true
 }
 
-// row takes one row of the layout's columns.
-func (r *reader) row(fields [][]byte, line int64) (Reason, error) {
-	if r.form.event != nil {
-		var e event
-		if why := r.form.event(fields, &e, r.words); why != Accepted {
-			return why, nil
+// checkNoHeader checks that a first row in place of the header is a row, whose last column is a number, and not the header
+// of another layout.
+func (r *reader) checkNoHeader(fields [][]byte, line int64) error {
+	if len(fields) != r.layout.columns {
+		return nil
+	}
+	if _, ok := parseFloat(fields[len(fields)-1]); ok {
+		return nil
+	}
+	return fmt.Errorf("line %d: not the layout's header, which is %s", line, strings.Join(r.layout.header, ","))
+}
+
+// readRow counts a row, and reports it or hands it on.
+func (r *reader) readRow(rows *rowReader, fields [][]byte, reason Reason) error {
+	r.audit.Rows++
+	if reason == Accepted && len(fields) != r.layout.columns {
+		reason = ColumnCount
+		if rows.unterminated {
+			reason = Truncated
 		}
-		e.line = line
-		return Accepted, r.join.take(e)
 	}
-	t := r.out.fresh()
-	t.Line, t.rows = line, 1
-	if why := r.form.task(fields, t, r.words); why != Accepted {
-		r.out.free = append(r.out.free, t)
-		return why, nil
+	if reason != Accepted {
+		r.audit.report(reason, rows.line, 1)
+		return nil
+	}
+	if r.layout.event != nil {
+		return r.readEvent(fields, rows.line)
+	}
+	return r.readTask(fields, rows.line)
+}
+
+// readEvent reads a row of a layout of events.
+func (r *reader) readEvent(fields [][]byte, line int64) error {
+	var e event
+	if reason := r.layout.event(fields, &e, r.words); reason != Accepted {
+		r.audit.report(reason, line, 1)
+		return nil
+	}
+	e.line = line
+	return r.join.add(e)
+}
+
+// readTask reads a row of a layout of tasks.
+func (r *reader) readTask(fields [][]byte, line int64) error {
+	task := r.buffer.newTask()
+	task.Line, task.rows = line, 1
+	if reason := r.layout.task(fields, task, r.words); reason != Accepted {
+		r.buffer.recycle(task)
+		r.audit.report(reason, line, 1)
+		return nil
 	}
-	t.moved = r.any && t.At < r.latest
-	if !r.any || t.At > r.latest {
-		r.latest, r.any = t.At, true
+	task.reordered = r.any && task.At < r.latest
+	if !r.any || task.At > r.latest {
+		r.any, r.latest = true, task.At
 	}
-	if err := r.out.add(t); err != nil {
-		return Accepted, err
+	if err := r.buffer.add(task); err != nil {
+		return err
 	}
-	return Accepted, r.out.to(r.latest - r.o.Window)
+	return r.buffer.releaseUntil(r.latest - r.window)
 }
--- a/trace/trace_test.go
+++ b/trace/trace_test.go
@@ -6,29 +6,41 @@
 	"errors"
 	"fmt"
 	"io"
+	"math"
 	"math/rand"
 	"reflect"
 	"strings"
 	"testing"
+	"testing/iotest"
 )
 
-// read reads a text and checks what always holds: the rows add up, and tasks come by their arrival.
-func read(t testing.TB, o Options, texts ...string) ([]Task, *Audit) {
+// readTexts reads texts as the streams of a trace, and checks what always holds.
+func readTexts(t testing.TB, o Options, texts ...string) ([]Task, *Audit) {
 	t.Helper()
-	var got []Task
-	var from []io.Reader
-	for _, s := range texts {
-		from = append(from, strings.NewReader(s))
+	var streams []io.Reader
+	for _, text := range texts {
+		streams = append(streams, strings.NewReader(text))
 	}
-	a, err := Read(o, func(x *Task) error { got = append(got, *x); return nil }, from...)
+	got, a, err := collect(o, streams...)
 	if err != nil {
 		t.Fatal(err)
 	}
-	sound(t, a, got)
+	checkSound(t, a, got)
 	return got, a
 }
 
-func sound(t testing.TB, a *Audit, got []Task) {
+// collect reads a trace and copies its tasks.
+func collect(o Options, streams ...io.Reader) ([]Task, *Audit, error) {
+	var got []Task
+	a, err := Read(o, func(task *Task) error {
+		got = append(got, *task)
+		return nil
+	}, streams...)
+	return got, a, err
+}
+
+// checkSound checks that the rows add up, and that tasks came by their arrival.
+func checkSound(t testing.TB, a *Audit, got []Task) {
 	t.Helper()
 	if a.Accepted+a.ReportedRows() != a.Rows || a.Reordered > a.Accepted || a.Tasks != int64(len(got)) {
 		t.Fatalf("%d taken and %d reported of %d rows, %d reordered, %d tasks: %+v", a.Accepted, a.ReportedRows(), a.Rows, a.Reordered, len(got), a.Reported)
@@ -45,7 +57,7 @@
 	}
 }
 
-// row builders, in the public layouts' columns.
+// google, alibaba and azure make a row in the columns of their layout.
 func google(at int64, job, index, kind int) string {
 	return fmt.Sprintf("%d,,%d,%d,77,%d,user%d,2,9,0.01,0.02,0.001,0\n", at, job, index, kind, job%3)
 }
@@ -58,6 +70,7 @@
 
 const azureHead = "app,func,end_timestamp,duration\n"
 
+// reasons lists the reported rows, as "reason rows@first line".
 func reasons(a *Audit) string {
 	var out []string
 	for _, l := range a.Lines() {
@@ -72,9 +85,10 @@
 func TestGoogleJoin(t *testing.T) {
 	o := DefaultOptions("google-2011")
 	for _, c := range []struct {
-		name, text string
-		tasks      string // at, took, end, runs, fails of each
-		left       string
+		name     string
+		text     string
+		tasks    string // arrival, duration, end, runs and failed runs of each
+		reported string
 	}{
 		{"one that finishes", google(sec, 1, 0, 0) + google(2*sec, 1, 0, 1) + google(5*sec, 1, 0, 4), "1 3 finished 1 0;", ""},
 		{"fails, comes again and finishes", google(sec, 1, 0, 0) + google(2*sec, 1, 0, 1) + google(3*sec, 1, 0, 3) + google(4*sec, 1, 0, 0) +
@@ -101,18 +115,20 @@
 			"1 0 killed 0 0;", "missing_class 1@5, missing_job 1@2, missing_machine 1@6, missing_task_index 1@3, missing_time 1@1, missing_user 1@4"},
 		{"no numbers", "soon,,1,0,,0,u,1,1,,,,\n1000000,,1,0,,9,u,1,1,,,,\n1000000,,1,0,,x,u,1,1,,,,\n", "", "not_a_number 2@1, unknown_status 1@2"},
 	} {
-		got, a := read(t, o, c.text)
-		tasks := ""
-		for _, x := range got {
-			tasks += fmt.Sprintf("%g %g %s %d %d;", x.At, x.Duration, x.End, x.Runs, x.FailedRuns)
-		}
-		if tasks != c.tasks || reasons(a) != c.left {
-			t.Errorf("%s: %q %q", c.name, tasks, reasons(a))
-		}
+		t.Run(c.name, func(t *testing.T) {
+			got, a := readTexts(t, o, c.text)
+			tasks := ""
+			for _, task := range got {
+				tasks += fmt.Sprintf("%g %g %s %d %d;", task.At, task.Duration, task.End, task.Runs, task.FailedRuns)
+			}
+			if tasks != c.tasks || reasons(a) != c.reported {
+				t.Errorf("%q %q", tasks, reasons(a))
+			}
+		})
 	}
 }
 
-// TestJoinForgets has a million tasks that never end: the table stays small, and each is reported.
+// TestJoinForgets has very many tasks that never end: the table stays small, and each is reported.
 func TestJoinForgets(t *testing.T) {
 	o := DefaultOptions("google-2011")
 	o.MaxTasks = 1000
@@ -121,21 +137,23 @@
 	for i := range n {
 		b.WriteString(google(int64(i+1)*1000, i, 0, 0))
 	}
-	got, a := read(t, o, b.String())
+	got, a := readTexts(t, o, b.String())
 	if len(got) != 0 || a.Reported[NeverEnded] != n {
 		t.Errorf("%d tasks, %s", len(got), reasons(a))
 	}
 	o.MaxTasks, o.MaxOpenTime = 1<<20, 10
-	if got, a = read(t, o, b.String()); len(got) != 0 || a.Reported[NeverEnded] != n {
+	if got, a = readTexts(t, o, b.String()); len(got) != 0 || a.Reported[NeverEnded] != n {
 		t.Errorf("by patience: %d tasks, %s", len(got), reasons(a))
 	}
 }
 
 func TestRowsOfOneTask(t *testing.T) {
 	for _, c := range []struct {
-		name, layout, text string
-		tasks              int
-		left               string
+		name     string
+		layout   string
+		text     string
+		tasks    int
+		reported string
 	}{
 		{"alibaba", "alibaba-2018", alibaba(10, 15, "Terminated") + alibaba(11, 11, "Failed") + alibaba(12, 900000, "Terminated"), 3, ""},
 		{"alibaba that is wrong", "alibaba-2018", alibaba(10, 9, "Terminated") + alibaba(10, 20, "Dancing") + alibaba(10, 20, "Running") + alibaba(0, 5, "Failed") +
@@ -154,21 +172,68 @@
 		{"a burst in one instant", "azure-2021", azureHead + strings.Repeat(azure(10, 2), 10000), 10000, ""},
 		{"an hour of nothing", "azure-2021", azureHead + azure(10, 2) + azure(3700, 2), 2, ""},
 	} {
-		got, a := read(t, DefaultOptions(c.layout), c.text)
-		if len(got) != c.tasks || reasons(a) != c.left {
-			t.Errorf("%s: %d tasks, %q", c.name, len(got), reasons(a))
-		}
+		t.Run(c.name, func(t *testing.T) {
+			got, a := readTexts(t, DefaultOptions(c.layout), c.text)
+			if len(got) != c.tasks || reasons(a) != c.reported {
+				t.Errorf("%d tasks, %q", len(got), reasons(a))
+			}
+		})
 	}
-	got, _ := read(t, DefaultOptions("azure-2021"), azureHead+"\"app,1\",\"f\"\"x\",10,2\n")
+}
+
+func TestQuotedFields(t *testing.T) {
+	got, _ := readTexts(t, DefaultOptions("azure-2021"), azureHead+"\"app,1\",\"f\"\"x\",10,2\n")
 	if got[0].User != "app,1" || got[0].Job != `f"x` || got[0].At != 8 {
 		t.Errorf("%+v", got[0])
 	}
-	if _, err := Read(DefaultOptions("azure-2021"), func(*Task) error { return nil }, strings.NewReader("app,func,end,took\n")); err == nil || !strings.Contains(err.Error(), "line 1") {
+}
+
+func TestErrors(t *testing.T) {
+	_, _, err := collect(DefaultOptions("azure-2021"), strings.NewReader("app,func,end,took\n"))
+	if err == nil || !strings.Contains(err.Error(), "line 1") {
 		t.Error("another header was taken: ", err)
 	}
-	if _, err := Read(Options{Layout: "ibm"}, nil); err == nil {
+	if _, _, err := collect(Options{Layout: "ibm"}); err == nil {
 		t.Error("an unknown layout was taken")
 	}
+	for name, spoil := range map[string]func(*Options){
+		"window":     func(o *Options) { o.Window = -1 },
+		"open time":  func(o *Options) { o.MaxOpenTime = 0 },
+		"retries":    func(o *Options) { o.RetryWindow = math.NaN() },
+		"task bound": func(o *Options) { o.MaxTasks = 0 },
+	} {
+		t.Run(name, func(t *testing.T) {
+			o := DefaultOptions("azure-2021")
+			spoil(&o)
+			if _, _, err := collect(o); !errors.Is(err, errOptions) {
+				t.Error(err)
+			}
+		})
+	}
+}
+
+// TestStreamThatBreaks has a stream fail within a row and between two: what came before counts, and one row is reported.
+func TestStreamThatBreaks(t *testing.T) {
+	for _, c := range []struct {
+		name, text string
+		reported   string
+	}{
+		{"within a row", azureHead + azure(10, 2) + "a,f", "truncated 1@3"},
+		{"between two", azureHead + azure(10, 2), "truncated 1@3"},
+		{"at once", "", "truncated 1@1"},
+	} {
+		t.Run(c.name, func(t *testing.T) {
+			stream := io.MultiReader(strings.NewReader(c.text), iotest.ErrReader(errors.New("gone")))
+			got, a, err := collect(DefaultOptions("azure-2021"), stream)
+			if err != nil {
+				t.Fatal(err)
+			}
+			checkSound(t, a, got)
+			if reasons(a) != c.reported || len(got) != strings.Count(c.text, "app1") {
+				t.Errorf("%d tasks, %s", len(got), reasons(a))
+			}
+		})
+	}
 }
 
 // TestOutOfOrder moves one row back by every distance round the window.
@@ -181,13 +246,15 @@
 			text += alibaba(at, at+1, "Terminated")
 		}
 		text += alibaba(139-back, 200, "Terminated") + alibaba(140, 141, "Terminated")
-		got, a := read(t, o, text)
-		if within := back <= 10; within && (len(got) != 42 || a.Reordered != 1) || !within && (len(got) != 41 || a.Reported[OutOfOrder] != 1 || a.FirstLine[OutOfOrder] != 41) {
+		got, a := readTexts(t, o, text)
+		reordered := len(got) == 42 && a.Reordered == 1
+		reported := len(got) == 41 && a.Reported[OutOfOrder] == 1 && a.FirstLine[OutOfOrder] == 41
+		if within := back <= 10; within && !reordered || !within && !reported {
 			t.Errorf("%d s back: %d tasks, %d reordered, %s", back, len(got), a.Reordered, reasons(a))
 		}
 	}
 	o.Window = 0
-	if got, a := read(t, o, alibaba(5, 6, "Failed")+alibaba(5, 7, "Failed")+alibaba(4, 7, "Failed")); len(got) != 2 || a.Reported[OutOfOrder] != 1 {
+	if got, a := readTexts(t, o, alibaba(5, 6, "Failed")+alibaba(5, 7, "Failed")+alibaba(4, 7, "Failed")); len(got) != 2 || a.Reported[OutOfOrder] != 1 {
 		t.Error("equal times, and no window: ", len(got), reasons(a))
 	}
 }
@@ -198,7 +265,7 @@
 		one += alibaba(at, at+1, "Terminated")
 		two += alibaba(at+30, at+31, "Terminated")
 	}
-	got, a := read(t, DefaultOptions("alibaba-2018"), one, two)
+	got, a := readTexts(t, DefaultOptions("alibaba-2018"), one, two)
 	if len(got) != 100 || a.Reordered != 19 || a.Rows != 100 {
 		t.Errorf("%d tasks, %d reordered", len(got), a.Reordered)
 	}
@@ -208,26 +275,30 @@
 	var b bytes.Buffer
 	z := gzip.NewWriter(&b)
 	for at := 1; at < 20000; at++ {
-		io.WriteString(z, alibaba(at, at+rand.New(rand.NewSource(int64(at))).Intn(50), "Terminated"))
+		duration := rand.New(rand.NewSource(int64(at))).Intn(50)
+		if _, err := io.WriteString(z, alibaba(at, at+duration, "Terminated")); err != nil {
+			t.Fatal(err)
+		}
+	}
+	if err := z.Close(); err != nil {
+		t.Fatal(err)
 	}
-	z.Close()
-	whole, a := read(t, DefaultOptions("alibaba-2018"), b.String())
-	if len(whole) != 19999 {
-		t.Fatal(len(whole))
+	complete, a := readTexts(t, DefaultOptions("alibaba-2018"), b.String())
+	if len(complete) != 19999 {
+		t.Fatal(len(complete))
 	}
 	for _, cut := range []int{b.Len() - 1, b.Len() - 9, b.Len() / 2, 20} {
-		var got []Task
-		a, err := Read(DefaultOptions("alibaba-2018"), func(x *Task) error { got = append(got, *x); return nil }, bytes.NewReader(b.Bytes()[:cut]))
+		got, a, err := collect(DefaultOptions("alibaba-2018"), bytes.NewReader(b.Bytes()[:cut]))
 		if err != nil {
 			t.Fatal(cut, err)
 		}
-		sound(t, a, got)
-		if a.Reported[Truncated] != 1 || len(got) > len(whole) {
+		checkSound(t, a, got)
+		if a.Reported[Truncated] != 1 || len(got) > len(complete) {
 			t.Errorf("cut at %d: %s", cut, reasons(a))
 		}
 	}
-	again, b2 := read(t, DefaultOptions("alibaba-2018"), b.String())
-	if !reflect.DeepEqual(again, whole) || !reflect.DeepEqual(a, b2) {
+	second, secondAudit := readTexts(t, DefaultOptions("alibaba-2018"), b.String())
+	if !reflect.DeepEqual(second, complete) || !reflect.DeepEqual(a, secondAudit) {
 		t.Error("read twice, it is not the same")
 	}
 	if _, err := Read(DefaultOptions("azure-2021"), nil, strings.NewReader("\x1f\x8bno")); err == nil {
@@ -246,10 +317,9 @@
 	f.Fuzz(func(t *testing.T, layout, text string) {
 		o := DefaultOptions(layout)
 		o.MaxTasks = 4
-		var got []Task
-		a, err := Read(o, func(x *Task) error { got = append(got, *x); return nil }, strings.NewReader(text))
+		got, a, err := collect(o, strings.NewReader(text))
 		if err == nil {
-			sound(t, a, got)
+			checkSound(t, a, got)
 		}
 	})
 }
