--- a/cmd/lichenroad/main.go
+++ b/cmd/lichenroad/main.go
@@ -18,8 +18,8 @@
 
 	"lichenroad/internal/config"
 	"lichenroad/internal/metrics"
+	"lichenroad/internal/planxml"
 	"lichenroad/internal/xmlconfig"
-	"lichenroad/plan"
 )
 
 // Exit codes, as `lichenroad help exit-codes` tells them.
@@ -75,7 +75,7 @@
 	if !errors.As(err, &f) {
 		f = fault{exitCall, err}
 	}
-	var faults *xmlconfig.Faults
+	var faults *xmlconfig.Error
 	if errors.As(err, &faults) && f.code == exitFault {
 		for _, line := range faults.Lines() {
 			fmt.Fprintln(errs, "lichenroad:", line)
@@ -136,7 +136,7 @@
 			return failed(err)
 		}
 		if g.plan != "" {
-			if g.now, err = plan.Load(g.plan); err != nil {
+			if g.now, err = planxml.Load(g.plan); err != nil {
 				return failed(errors.New(strings.ReplaceAll(err.Error(), "\n", "; ")))
 			}
 		}
--- a/rollout/harness_test.go
+++ b/rollout/harness_test.go
@@ -7,6 +7,7 @@
 	"strings"
 	"testing"
 
+	"lichenroad/internal/planxml"
 	"lichenroad/plan"
 	"lichenroad/relay"
 )
@@ -80,7 +81,7 @@
 		text.WriteString(`</service>`)
 	}
 	text.WriteString(footer)
-	p, err := plan.Parse("p", []byte(text.String()))
+	p, err := planxml.Parse("p", []byte(text.String()))
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/rollout/promotion_test.go
+++ b/rollout/promotion_test.go
@@ -3,6 +3,7 @@
 import (
 	"testing"
 
+	"lichenroad/internal/planxml"
 	"lichenroad/plan"
 	"lichenroad/relay"
 )
@@ -71,7 +72,7 @@
 func TestTimedPromotionUnlessHeld(t *testing.T) {
 	const text = `<plan version="1"><site name="x"/><group name="p"/><service name="a"><votes control="clock" hold="0.5" step-time="20s"/>` +
 		`<step name="s" share="0" cap="0.1" least="5s"><open/></step><relay name="r0"/><relay name="r1"/></service></plan>`
-	p, err := plan.Parse("p", []byte(text))
+	p, err := planxml.Parse("p", []byte(text))
 	if err != nil {
 		t.Fatal(err)
 	}
