--- a/cmd/lichenroad/serve.go
+++ b/cmd/lichenroad/serve.go
@@ -156,7 +156,7 @@
 	p.loop.Post(pipeline.Func(func(l *pipeline.Loop) {
 		p.asker.Move(next.Discovery)
 		if next.Platform != "" {
-			p.desk.Move(next.Platform)
+			p.desk.SetAddress(next.Platform)
 		}
 		l.Metrics.Add(metrics.Reloads, 1)
 		l.Log.WithFields(logrus.Fields{"discovery": next.Discovery, "platform": next.Platform,
--- a/internal/discovery/fleet_relay_test.go
+++ b/internal/discovery/fleet_relay_test.go
@@ -122,7 +122,7 @@
 func (r *fleetRelay) makeCall() {
 	f, c := r.fleet, &fleetCall{request: r.keeper.next(), from: r, at: r.fleet.now, after: r.keeper.version}
 	r.call = c
-	r.member(membership.PollStarted{Wait: c.wait.Seconds(), Continues: c.continues})
+	r.member(membership.PollStarted{Wait: c.wait.Seconds(), ContinuesWatch: c.continues})
 	r.at(f.now+c.limit.Seconds(), func() { r.failed(c, true) })
 	f.discovery.take(c)
 }
@@ -202,8 +202,8 @@
 		}
 		r.learn(left)
 	}
-	r.grant(out.Lease)
-	if out.Answers {
+	r.grant(out.LeaseExpiresAt)
+	if out.DiscoveryRecovered {
 		r.learn(relay.DiscoveryRecovered{})
 	}
 	if out.TimerAt < r.wakeAt {
--- a/internal/discovery/fleet_test.go
+++ b/internal/discovery/fleet_test.go
@@ -154,7 +154,7 @@
 		Limits:  relay.Limits{MaxAttempts: 3, ConnectTimeout: connectTimeout, HedgedRequests: true, RetryAfter: true, MaxRetryAfter: 1}}
 	r := &fleetRelay{fleet: f, no: no, startedAt: f.now, module: policy.New(set, seed),
 		keeper: newKeeper(seed, usual(false, fleetGrace)),
-		node: membership.New(membership.Settings{Self: set.Self, Relays: fleetRelays, Messages: !f.faults.noMessages,
+		node: membership.New(membership.Settings{Self: set.Self, Relays: fleetRelays, PeerMessages: !f.faults.noMessages,
 			PollInterval: set.Rules.PollInterval, Epoch: 1e9}, seed),
 		wakeAt: membership.Never, lease: -1, held: held, legsOf: map[relay.RequestID]relay.AttemptNumber{}}
 	r.keeper.version = generation
--- a/internal/discovery/member.go
+++ b/internal/discovery/member.go
@@ -19,7 +19,7 @@
 
 func newMember(a *Client, seed int64) *member {
 	site := a.loop.Site
-	node := membership.New(membership.Settings{Self: site.Self, Relays: site.Relays, Messages: site.Limits.PeerMessages,
+	node := membership.New(membership.Settings{Self: site.Self, Relays: site.Relays, PeerMessages: site.Limits.PeerMessages,
 		PollInterval: site.Rules.PollInterval, Epoch: -a.loop.Clock.Unix(0)}, seed)
 	return &member{asker: a, loop: a.loop, node: node, wakeAt: membership.Never, lease: -1}
 }
@@ -45,8 +45,8 @@
 		m.loop.Peers.SendMessage(relay.SendMessage{To: relay.Broadcast, Body: body})
 	}
 	m.leave(out.Removed)
-	m.grant(now, out.Lease)
-	if out.Answers {
+	m.grant(now, out.LeaseExpiresAt)
+	if out.DiscoveryRecovered {
 		m.loop.AddEvent(relay.DiscoveryRecovered{})
 	}
 	m.wake(out.TimerAt)
--- a/internal/discovery/roster.go
+++ b/internal/discovery/roster.go
@@ -216,7 +216,7 @@
 // Take tells it to the membership, which counts the calls at the address that holds.
 func (b begun) Apply(*pipeline.Loop) {
 	if a := b.from.a; b.from == a.at {
-		a.member.step(membership.PollStarted{Wait: b.call.wait.Seconds(), Continues: b.call.continues})
+		a.member.step(membership.PollStarted{Wait: b.call.wait.Seconds(), ContinuesWatch: b.call.continues})
 	}
 }
 
--- a/internal/guard/guard.go
+++ b/internal/guard/guard.go
@@ -84,7 +84,7 @@
 	for _, s := range rollout.DependenciesOf(h.plan, no) {
 		t := &h.plan.Services[s]
 		if w := h.watches[t.Name]; w != nil {
-			w.Move(t.Watch)
+			w.SetAddress(t.Watch)
 			continue
 		}
 		if t.Watch == "" {
@@ -96,7 +96,7 @@
 		name := t.Name
 		w.OnStatus = func(l *pipeline.Loop, n relay.RolloutStatus) { h.other(name, n) }
 		h.watches[name] = w
-		w.Listen()
+		w.StartWatch()
 	}
 }
 
--- a/internal/platform/platform.go
+++ b/internal/platform/platform.go
@@ -49,13 +49,13 @@
 }
 
 // Listen only listens to what is told, until the program ends.
-func (d *Client) Listen() { go d.watching() }
+func (d *Client) StartWatch() { go d.watching() }
 
 func (d *Client) where() string { return d.address.Load().(string) }
 
 // Move goes over to another address. Votes that are open at the old one still get their answers there; a fresh
 // watch is opened at the new one at once and takes the old one's place when it stands.
-func (d *Client) Move(address string) {
+func (d *Client) SetAddress(address string) {
 	switch old := d.address.Swap(address).(string); {
 	case old == address:
 	case old == "":
--- a/lab/scale/hollow_control.go
+++ b/lab/scale/hollow_control.go
@@ -46,7 +46,7 @@
 	h.calling = h.calls
 	h.out.calls = append(h.out.calls, listCall{from: h, number: h.calls, after: after, until: now + wait, continues: h.stands})
 	if h.member != nil {
-		h.member.step(now, membership.PollStarted{Wait: wait, Continues: h.stands})
+		h.member.step(now, membership.PollStarted{Wait: wait, ContinuesWatch: h.stands})
 	}
 }
 
--- a/lab/scale/member.go
+++ b/lab/scale/member.go
@@ -22,7 +22,7 @@
 // they send as many as the whole service would.
 func newMember(h *hollow) *member {
 	set := &h.service.settings
-	node := membership.New(membership.Settings{Self: h.number, Relays: len(h.service.hollows), Messages: set.Limits.PeerMessages,
+	node := membership.New(membership.Settings{Self: h.number, Relays: len(h.service.hollows), PeerMessages: set.Limits.PeerMessages,
 		PollInterval: set.Rules.PollInterval, Epoch: epoch + h.started}, h.random.Int63())
 	return &member{relay: h, node: node, wakeAt: membership.Never, lease: -1}
 }
@@ -50,11 +50,11 @@
 		h.tell(membershipClass, relay.Broadcast, body)
 	}
 	m.leave(now, out.Removed)
-	if out.Lease != m.lease {
-		m.lease = out.Lease
-		h.step(now, relay.ListLease{ExpiresAt: out.Lease})
+	if out.LeaseExpiresAt != m.lease {
+		m.lease = out.LeaseExpiresAt
+		h.step(now, relay.ListLease{ExpiresAt: out.LeaseExpiresAt})
 	}
-	if out.Answers {
+	if out.DiscoveryRecovered {
 		h.step(now, relay.DiscoveryRecovered{})
 	}
 	if out.TimerAt < m.wakeAt {
--- a/membership/bench_test.go
+++ b/membership/bench_test.go
@@ -63,7 +63,7 @@
 	f := &benchFleet{random: rand.New(rand.NewSource(1)), generation: 1, units: units, wakeAt: make([]relay.Seconds, nodes)}
 	list := listOf(units, f.generation)
 	for i := range nodes {
-		f.nodes = append(f.nodes, New(Settings{Self: relay.RelayID(i), Relays: nodes, Messages: true, PollInterval: 10, Epoch: 1.7e9}, int64(i)))
+		f.nodes = append(f.nodes, New(Settings{Self: relay.RelayID(i), Relays: nodes, PeerMessages: true, PollInterval: 10, Epoch: 1.7e9}, int64(i)))
 		f.wakeAt[i] = Never
 		f.at(watchWait*f.random.Float64(), i, PollAnswered{list})
 	}
@@ -103,7 +103,7 @@
 		out := f.nodes[a.to].Step(a.at, a.event)
 		f.steps++
 		if _, answered := a.event.(PollAnswered); answered {
-			f.nodes[a.to].Step(a.at, PollStarted{Wait: watchWait, Continues: true})
+			f.nodes[a.to].Step(a.at, PollStarted{Wait: watchWait, ContinuesWatch: true})
 		}
 		for _, body := range out.Messages {
 			f.messages++
@@ -160,7 +160,7 @@
 			var n *Node
 			before := inUse()
 			for b.Loop() {
-				n = New(Settings{Relays: 4300, Messages: true, PollInterval: 10}, 1)
+				n = New(Settings{Relays: 4300, PeerMessages: true, PollInterval: 10}, 1)
 				n.Step(1, PollAnswered{list})
 			}
 			b.ReportMetric(inUse()-before, "heap-B")
@@ -174,7 +174,7 @@
 func BenchmarkChange(b *testing.B) {
 	for _, units := range []int{150, 1000, 4096, 12_000, 42_000} {
 		b.Run(fmt.Sprintf("units=%d", units), func(b *testing.B) {
-			n := New(Settings{Relays: 4300, Messages: true, PollInterval: 10}, 1)
+			n := New(Settings{Relays: 4300, PeerMessages: true, PollInterval: 10}, 1)
 			list := listOf(units, 1)
 			n.Step(1, PollAnswered{list})
 			no := 0
@@ -192,7 +192,7 @@
 
 // BenchmarkHeartbeat is a heartbeat of a peer with the same list, read and taken in.
 func BenchmarkHeartbeat(b *testing.B) {
-	n := New(Settings{Relays: 4300, Messages: true, PollInterval: 10, Epoch: 1.7e9}, 1)
+	n := New(Settings{Relays: 4300, PeerMessages: true, PollInterval: 10, Epoch: 1.7e9}, 1)
 	n.Step(1, PollAnswered{listOf(150, 1)})
 	body := message{view: n.view, answered: n.toWire(1)}.encode()
 	for b.Loop() {
--- a/membership/bus_test.go
+++ b/membership/bus_test.go
@@ -15,7 +15,7 @@
 
 // testSettings are those of a node of a fleet that may send messages.
 func testSettings(self, relays int) Settings {
-	return Settings{Self: relay.RelayID(self), Relays: relays, Messages: true, PollInterval: 60, Epoch: testEpoch}
+	return Settings{Self: relay.RelayID(self), Relays: relays, PeerMessages: true, PollInterval: 60, Epoch: testEpoch}
 }
 
 // wholeList is a whole list of ready units with the given ids.
@@ -141,7 +141,7 @@
 func (b *bus) step(i int, event any) Output {
 	node := b.nodes[i]
 	out := node.Step(b.now, event)
-	node.lease = out.Lease
+	node.lease = out.LeaseExpiresAt
 	for _, unit := range out.Removed {
 		node.left[unit] = true
 	}
--- a/membership/gossip.go
+++ b/membership/gossip.go
@@ -185,13 +185,13 @@
 	g := &n.gossip
 	wereNone := n.attempted != Never && (g.answering == Never || g.answering < n.attempted)
 	if g.answering = later(g.answering, answered); wereNone && g.answering > n.attempted {
-		n.out.Answers = true
+		n.out.DiscoveryRecovered = true
 	}
 }
 
 // send puts out what is due.
 func (n *Node) send() {
-	if !n.set.Messages || n.set.Relays <= 1 || n.view.generation == noGeneration {
+	if !n.set.PeerMessages || n.set.Relays <= 1 || n.view.generation == noGeneration {
 		n.gossip.heartbeatAt, n.gossip.deltaAt = Never, Never
 		return
 	}
--- a/membership/history_test.go
+++ b/membership/history_test.go
@@ -333,8 +333,8 @@
 		event = w.before(host.Node, event)
 	}
 	out := host.Step(w.now, event)
-	if host.lease = out.Lease; w.believe != nil {
-		host.lease = w.believe(out.Lease)
+	if host.lease = out.LeaseExpiresAt; w.believe != nil {
+		host.lease = w.believe(out.LeaseExpiresAt)
 	}
 	for _, unit := range out.Removed {
 		delete(host.listed, unit)
@@ -380,7 +380,7 @@
 	}
 	host.calls++
 	host.begun, host.wait = w.now, w.between(1, 4)
-	w.step(host, PollStarted{Wait: host.wait, Continues: continues})
+	w.step(host, PollStarted{Wait: host.wait, ContinuesWatch: continues})
 	call := host.calls
 	reached := w.up && !w.isolated[host.no]
 	switch {
--- a/membership/lease.go
+++ b/membership/lease.go
@@ -30,7 +30,7 @@
 	if n.confirmed != Never {
 		until = n.confirmed + math.Min(toldAfter, failedFactor*n.set.PollInterval) - leaseMargin
 	}
-	if c := n.call; c.pending && c.Continues {
+	if c := n.call; c.pending && c.ContinuesWatch {
 		until = math.Max(until, c.begun+math.Max(toldAfter, c.Wait+toldAfterWait)-leaseMargin)
 	}
 	return math.Max(until, 0)
--- a/membership/membership.go
+++ b/membership/membership.go
@@ -25,7 +25,7 @@
 type Settings struct {
 	Self         relay.RelayID
 	Relays       int
-	Messages     bool          // relays may send one another datagrams
+	PeerMessages bool          // relays may send one another datagrams
 	PollInterval relay.Seconds // for which a relay without a watch may act on its list
 	Epoch        relay.Seconds // Unix time of the node's time zero: all relays read one clock
 }
@@ -36,8 +36,8 @@
 	CachedList struct{ List List }
 	// PollStarted is a call to discovery. A call that continues a watch follows an answer without a gap.
 	PollStarted struct {
-		Wait      relay.Seconds // that discovery may hold the call until something changes
-		Continues bool
+		Wait           relay.Seconds // that discovery may hold the call until something changes
+		ContinuesWatch bool
 	}
 	// Answered is discovery's answer to a call.
 	PollAnswered struct{ List List }
@@ -55,11 +55,11 @@
 
 // Output is what the host has to do after a step.
 type Output struct {
-	Messages [][]byte           // to send to all other relays
-	Removed  []relay.EndpointID // units of the list that want nothing new from now on
-	Lease    relay.Seconds      // until when the list may be acted on; 0: not yet
-	TimerAt  relay.Seconds      // when a Woken event is due
-	Answers  bool               // discovery answers a peer again, after a time without answers
+	Messages           [][]byte           // to send to all other relays
+	Removed            []relay.EndpointID // units of the list that want nothing new from now on
+	LeaseExpiresAt     relay.Seconds      // until when the list may be acted on; 0: not yet
+	TimerAt            relay.Seconds      // when a Woken event is due
+	DiscoveryRecovered bool               // discovery answers a peer again, after a time without answers
 }
 
 // Node is one relay's part in the membership protocol.
@@ -140,7 +140,7 @@
 		n.hear(event)
 	}
 	n.send()
-	n.out.Lease = n.lease()
+	n.out.LeaseExpiresAt = n.lease()
 	n.out.TimerAt = n.gossip.wakeAt()
 	return n.out
 }
@@ -190,7 +190,7 @@
 	}
 	n.call.pending = false
 	ended := n.call
-	if ended.Continues && !event.Stalled && !event.Unreadable && !n.behind() {
+	if ended.ContinuesWatch && !event.Stalled && !event.Unreadable && !n.behind() {
 		n.answered = n.now // the watch stood until now, and would have told of a change
 		return
 	}
--- a/membership/membership_test.go
+++ b/membership/membership_test.go
@@ -51,8 +51,8 @@
 	b.at(20.5, func() { b.step(2, PollAnswered{newer}) })
 	b.at(21, func() {
 		b.restart(0)
-		if out := b.step(0, CachedList{older}); out.Lease != 0 {
-			t.Fatalf("a lease until %v on a list that nobody confirmed", out.Lease)
+		if out := b.step(0, CachedList{older}); out.LeaseExpiresAt != 0 {
+			t.Fatalf("a lease until %v on a list that nobody confirmed", out.LeaseExpiresAt)
 		}
 	})
 	b.run(23)
@@ -73,10 +73,10 @@
 		for i, part := range order {
 			out := n.Step(10.1+0.1*relay.Seconds(i), MessageReceived{From: 1, Body: bodies[part]})
 			left = append(left, out.Removed...)
-			if last := i == len(order)-1; !last && out.Lease != 0 {
+			if last := i == len(order)-1; !last && out.LeaseExpiresAt != 0 {
 				t.Fatalf("order %v: a lease with %d datagrams", order, i+1)
 			} else if last {
-				wantLease(t, out.Lease, 10+leaseTime)
+				wantLease(t, out.LeaseExpiresAt, 10+leaseTime)
 			}
 		}
 		if slices.Sort(left); !slices.Equal(left, unitRange(1, 60)) || n.view != target {
@@ -91,11 +91,11 @@
 	two := deltas(base, viewOf(wholeList(7, unitRange(46, 100)...)), 10, unitRange(1, 45)...)
 	n := restarted(10)
 	for _, heard := range []MessageReceived{{1, one[0]}, {1, two[1]}, {2, one[1]}} {
-		if out := n.Step(10.1, heard); out.Lease != 0 {
+		if out := n.Step(10.1, heard); out.LeaseExpiresAt != 0 {
 			t.Fatal("a lease by parts of different deltas or peers")
 		}
 	}
-	if out := n.Step(10.2, MessageReceived{2, one[0]}); out.Lease == 0 {
+	if out := n.Step(10.2, MessageReceived{2, one[0]}); out.LeaseExpiresAt == 0 {
 		t.Fatal("no lease by a whole delta")
 	}
 }
@@ -104,7 +104,7 @@
 	n := restarted(10)
 	base := viewOf(wholeList(5, unitRange(1, 99)...))
 	out := n.Step(10.1, MessageReceived{1, deltas(base, viewOf(wholeList(6, 100)), 10, unitRange(1, 99)...)[0]})
-	if out.Lease != 0 || len(out.Removed) != 0 {
+	if out.LeaseExpiresAt != 0 || len(out.Removed) != 0 {
 		t.Fatalf("%+v", out)
 	}
 }
@@ -112,7 +112,7 @@
 func TestEqualHeldListIsConfirmedByOneHeartbeat(t *testing.T) {
 	n := restarted(10)
 	out := n.Step(10.2, MessageReceived{1, heartbeat(n.view, 8.5, Never)})
-	wantLease(t, out.Lease, 8.5+leaseTime)
+	wantLease(t, out.LeaseExpiresAt, 8.5+leaseTime)
 	if len(out.Removed) != 0 {
 		t.Fatalf("left: %v", out.Removed)
 	}
@@ -126,20 +126,20 @@
 
 func TestFailedCallCountsOnlyInContact(t *testing.T) {
 	n := restarted(10)
-	if out := failedCall(n, 10, 10.5, PollFailed{}); out.Lease != 0 {
-		t.Fatalf("a lease until %v without a peer", out.Lease)
+	if out := failedCall(n, 10, 10.5, PollFailed{}); out.LeaseExpiresAt != 0 {
+		t.Fatalf("a lease until %v without a peer", out.LeaseExpiresAt)
 	}
-	if out := n.Step(11, MessageReceived{1, heartbeat(n.view, Never, Never)}); out.Lease != 0 {
-		t.Fatalf("a lease until %v on the first word of a peer", out.Lease)
+	if out := n.Step(11, MessageReceived{1, heartbeat(n.view, Never, Never)}); out.LeaseExpiresAt != 0 {
+		t.Fatalf("a lease until %v on the first word of a peer", out.LeaseExpiresAt)
 	}
 	out := n.Step(11+firstContact, MessageReceived{1, heartbeat(n.view, Never, Never)})
-	wantLease(t, out.Lease, 10+leaseTime)
+	wantLease(t, out.LeaseExpiresAt, 10+leaseTime)
 	out = failedCall(n, 13, 13.5, PollFailed{})
-	wantLease(t, out.Lease, 11+firstContact+leaseTime) // as of the last contact, not of the call
+	wantLease(t, out.LeaseExpiresAt, 11+firstContact+leaseTime) // as of the last contact, not of the call
 	out = n.Step(13.6, MessageReceived{1, heartbeat(n.view, Never, Never)})
-	wantLease(t, out.Lease, 13+leaseTime)
+	wantLease(t, out.LeaseExpiresAt, 13+leaseTime)
 	out = failedCall(n, 17, 17.5, PollFailed{}) // the peer was last heard at 13.6
-	wantLease(t, out.Lease, 13+leaseTime)
+	wantLease(t, out.LeaseExpiresAt, 13+leaseTime)
 }
 
 func TestPeersAreHeardForAWhileBehindASilenceBeforeAFailedCallCounts(t *testing.T) {
@@ -148,9 +148,9 @@
 	n.Step(11+firstContact, MessageReceived{1, heartbeat(n.view, 10.5, Never)})
 	failedCall(n, 29, 29.5, PollFailed{})
 	out := n.Step(30, MessageReceived{1, heartbeat(n.view, 10.5, Never)})
-	wantLease(t, out.Lease, 10.5+leaseTime)
+	wantLease(t, out.LeaseExpiresAt, 10.5+leaseTime)
 	out = n.Step(30+firstContact, MessageReceived{1, heartbeat(n.view, 10.5, Never)})
-	wantLease(t, out.Lease, 29+leaseTime)
+	wantLease(t, out.LeaseExpiresAt, 29+leaseTime)
 }
 
 // TestRelaysStartedTogetherDoNotVouchForTheirOldList: one more of them is no sign that the list still holds.
@@ -160,11 +160,11 @@
 	n.Step(10.1, MessageReceived{1, heartbeat(n.view, Never, 10)})
 	n.Step(10.2, MessageReceived{2, heartbeat(n.view, Never, 10)})
 	out := n.Step(10.4, MessageReceived{3, heartbeat(viewOf(wholeList(6, 1)), 9, Never)})
-	if out.Lease != 0 {
-		t.Fatalf("a lease until %v before the peer with the newer list spoke", out.Lease)
+	if out.LeaseExpiresAt != 0 {
+		t.Fatalf("a lease until %v before the peer with the newer list spoke", out.LeaseExpiresAt)
 	}
 	out = n.Step(20, MessageReceived{1, heartbeat(n.view, Never, 19.9)})
-	wantLease(t, out.Lease, 0)
+	wantLease(t, out.LeaseExpiresAt, 0)
 }
 
 // TestANodeHelpsOnlyFromListsThatItHeldWhole: one that was told of generation 6 by a peer doesn't know the unit 101 that
@@ -201,7 +201,7 @@
 	n := restarted(10)
 	n.Step(11, MessageReceived{1, heartbeat(n.view, Never, 10.5)})
 	out := n.Step(11+firstContact, MessageReceived{2, heartbeat(n.view, Never, Never)})
-	wantLease(t, out.Lease, 10.5+leaseTime)
+	wantLease(t, out.LeaseExpiresAt, 10.5+leaseTime)
 }
 
 func TestFailedCallNoLongerCountsOnceAPeerHasNews(t *testing.T) {
@@ -211,46 +211,46 @@
 	newer := viewOf(wholeList(6, unitRange(2, 100)...))
 	n.Step(12, MessageReceived{2, heartbeat(newer, 12, Never)})
 	out := failedCall(n, 12.5, 13, PollFailed{})
-	wantLease(t, out.Lease, 11+leaseTime)
+	wantLease(t, out.LeaseExpiresAt, 11+leaseTime)
 	n.Step(13, MessageReceived{1, heartbeat(n.view, Never, 12.8)})
 	out = n.Step(13.1, MessageReceived{1, heartbeat(n.view, Never, 13)})
-	wantLease(t, out.Lease, 11+leaseTime)
+	wantLease(t, out.LeaseExpiresAt, 11+leaseTime)
 }
 
 func TestUnreadableAnswerIsNoSignOfDiscoveryBeingDown(t *testing.T) {
 	n := restarted(10)
 	n.Step(10.1, MessageReceived{1, heartbeat(n.view, Never, Never)})
 	n.Step(10.1+firstContact, MessageReceived{1, heartbeat(n.view, Never, Never)})
-	if out := failedCall(n, 12, 12.5, PollFailed{Unreadable: true}); out.Lease != 0 {
-		t.Fatalf("a lease until %v", out.Lease)
+	if out := failedCall(n, 12, 12.5, PollFailed{Unreadable: true}); out.LeaseExpiresAt != 0 {
+		t.Fatalf("a lease until %v", out.LeaseExpiresAt)
 	}
 	out := failedCall(n, 13, 13.5, PollFailed{})
-	wantLease(t, out.Lease, 10.1+firstContact+leaseTime)
+	wantLease(t, out.LeaseExpiresAt, 10.1+firstContact+leaseTime)
 }
 
 func TestFirstAnswerOfAPeerBehindFailuresIsTold(t *testing.T) {
 	n := restarted(10)
 	failedCall(n, 10, 10.5, PollFailed{})
-	if n.Step(11, MessageReceived{1, heartbeat(n.view, 9, Never)}).Answers {
+	if n.Step(11, MessageReceived{1, heartbeat(n.view, 9, Never)}).DiscoveryRecovered {
 		t.Fatal("an answer of before the failed call was told")
 	}
-	if !n.Step(12, MessageReceived{1, heartbeat(n.view, 11.5, Never)}).Answers {
+	if !n.Step(12, MessageReceived{1, heartbeat(n.view, 11.5, Never)}).DiscoveryRecovered {
 		t.Fatal("the first answer was not told")
 	}
-	if n.Step(13, MessageReceived{2, heartbeat(n.view, 12.5, Never)}).Answers {
+	if n.Step(13, MessageReceived{2, heartbeat(n.view, 12.5, Never)}).DiscoveryRecovered {
 		t.Fatal("the second answer was told")
 	}
 }
 
 func TestRelayAloneInItsFleet(t *testing.T) {
 	n := New(testSettings(0, 1), 1)
-	if out := n.Step(0, CachedList{wholeList(5, 1, 2)}); out.Lease != 0 {
+	if out := n.Step(0, CachedList{wholeList(5, 1, 2)}); out.LeaseExpiresAt != 0 {
 		t.Fatal("a lease on a held list")
 	}
 	out := failedCall(n, 1, 3, PollFailed{})
-	wantLease(t, out.Lease, 1+leaseTime)
+	wantLease(t, out.LeaseExpiresAt, 1+leaseTime)
 	out = n.Step(4, PollAnswered{wholeList(6, 1)})
-	wantLease(t, out.Lease, 4+leaseTime)
+	wantLease(t, out.LeaseExpiresAt, 4+leaseTime)
 	if out.TimerAt != Never || len(out.Messages) != 0 {
 		t.Fatalf("messages to nobody: %+v", out)
 	}
@@ -283,37 +283,37 @@
 func TestLeaseOfAStandingWatch(t *testing.T) {
 	n := New(testSettings(0, 4), 1)
 	n.Step(10, PollAnswered{wholeList(5, 1, 2)})
-	out := n.Step(10, PollStarted{Wait: 25, Continues: true})
-	wantLease(t, out.Lease, 10+25+toldAfterWait-leaseMargin)
+	out := n.Step(10, PollStarted{Wait: 25, ContinuesWatch: true})
+	wantLease(t, out.LeaseExpiresAt, 10+25+toldAfterWait-leaseMargin)
 	out = n.Step(30, PollFailed{})
-	wantLease(t, out.Lease, 30+leaseTime) // it stood until then
-	out = n.Step(30, PollStarted{Wait: 1, Continues: true})
-	wantLease(t, out.Lease, 30+leaseTime)
+	wantLease(t, out.LeaseExpiresAt, 30+leaseTime) // it stood until then
+	out = n.Step(30, PollStarted{Wait: 1, ContinuesWatch: true})
+	wantLease(t, out.LeaseExpiresAt, 30+leaseTime)
 }
 
 func TestFirstCallGivesNoLease(t *testing.T) {
 	n := restarted(10)
-	if out := n.Step(10, PollStarted{Wait: 25}); out.Lease != 0 {
-		t.Fatalf("a lease until %v", out.Lease)
+	if out := n.Step(10, PollStarted{Wait: 25}); out.LeaseExpiresAt != 0 {
+		t.Fatalf("a lease until %v", out.LeaseExpiresAt)
 	}
 }
 
 func TestSilentCallProlongsNothing(t *testing.T) {
 	n := New(testSettings(0, 4), 1)
 	n.Step(10, PollAnswered{wholeList(5, 1, 2)})
-	standing := n.Step(10, PollStarted{Wait: 25, Continues: true}).Lease
-	if out := n.Step(36.9, PollFailed{Stalled: true}); out.Lease > standing || out.Lease > 36.9 {
-		t.Fatalf("a lease until %v behind a silent call, %v before", out.Lease, standing)
+	standing := n.Step(10, PollStarted{Wait: 25, ContinuesWatch: true}).LeaseExpiresAt
+	if out := n.Step(36.9, PollFailed{Stalled: true}); out.LeaseExpiresAt > standing || out.LeaseExpiresAt > 36.9 {
+		t.Fatalf("a lease until %v behind a silent call, %v before", out.LeaseExpiresAt, standing)
 	}
 }
 
 func TestFailedWatchOfARelayThatIsBehindProlongsNothing(t *testing.T) {
 	n := New(testSettings(0, 4), 1)
 	n.Step(10, PollAnswered{wholeList(5, 1, 2)})
-	n.Step(10, PollStarted{Wait: 2, Continues: true})
+	n.Step(10, PollStarted{Wait: 2, ContinuesWatch: true})
 	n.Step(11, MessageReceived{1, heartbeat(viewOf(wholeList(6, 1)), 11, Never)})
 	out := n.Step(11.5, PollFailed{})
-	wantLease(t, out.Lease, 10+leaseTime)
+	wantLease(t, out.LeaseExpiresAt, 10+leaseTime)
 }
 
 func TestDiscoveryThatStartsAnew(t *testing.T) {
@@ -322,12 +322,12 @@
 	n.Step(11, MessageReceived{1, deltas(n.view, viewOf(wholeList(51, unitRange(2, 10)...)), 11, 1)[0]})
 	anew := wholeList(2, unitRange(1, 5)...)
 	out := n.Step(20, PollAnswered{anew})
-	wantLease(t, out.Lease, 20+leaseTime)
+	wantLease(t, out.LeaseExpiresAt, 20+leaseTime)
 	if n.view != viewOf(anew) || len(out.Removed) != 0 || n.behind() {
 		t.Fatalf("view %v, left %v", n.view, out.Removed)
 	}
 	out = n.Step(21, PollAnswered{List{Generation: 3, Endpoints: []relay.Endpoint{{ID: 3, State: relay.Draining}}}})
-	if wantLease(t, out.Lease, 21+leaseTime); n.view != viewOf(wholeList(3, 1, 2, 4, 5)) {
+	if wantLease(t, out.LeaseExpiresAt, 21+leaseTime); n.view != viewOf(wholeList(3, 1, 2, 4, 5)) {
 		t.Fatalf("view %v", n.view)
 	}
 }
@@ -342,19 +342,19 @@
 	if !slices.Equal(out.Removed, []relay.EndpointID{3}) || n.view != known {
 		t.Fatalf("left %v, view %v", out.Removed, n.view)
 	}
-	wantLease(t, out.Lease, 11+leaseTime)
+	wantLease(t, out.LeaseExpiresAt, 11+leaseTime)
 	out = n.Step(13, PollAnswered{List{Generation: 9, Endpoints: ready}})
 	if len(out.Removed) != 0 || n.view != viewOf(wholeList(9, 1, 2, 3)) {
 		t.Fatalf("left %v, view %v", out.Removed, n.view)
 	}
-	wantLease(t, out.Lease, 13+leaseTime)
+	wantLease(t, out.LeaseExpiresAt, 13+leaseTime)
 }
 
 func TestConflictConfirmsNothing(t *testing.T) {
 	n := restarted(10)
 	other := viewOf(wholeList(5, 1, 2))
 	out := n.Step(10.5, MessageReceived{1, heartbeat(other, 10.5, 10.2)})
-	if out.Lease != 0 || n.Counters().Conflicts != 1 || len(out.Removed) != 0 {
+	if out.LeaseExpiresAt != 0 || n.Counters().Conflicts != 1 || len(out.Removed) != 0 {
 		t.Fatalf("%+v, %+v", out, n.Counters())
 	}
 }
@@ -372,7 +372,7 @@
 	} {
 		n := restarted(10)
 		out := n.Step(10.5, heard)
-		if c := n.Counters(); out.Lease != 0 || c.Unreadable != 1 || c.Received != 0 {
+		if c := n.Counters(); out.LeaseExpiresAt != 0 || c.Unreadable != 1 || c.Received != 0 {
 			t.Errorf("%s: %+v, %+v", name, out, c)
 		}
 	}
@@ -381,15 +381,15 @@
 func TestTimeInTheFutureIsNow(t *testing.T) {
 	n := restarted(10)
 	out := n.Step(10.5, MessageReceived{1, heartbeat(n.view, 1e9, 2e9)})
-	wantLease(t, out.Lease, 10.5+leaseTime)
+	wantLease(t, out.LeaseExpiresAt, 10.5+leaseTime)
 	n = restarted(10)
 	out = n.Step(10.5, MessageReceived{1, message{view: n.view, answered: math.MaxInt64}.encode()})
-	wantLease(t, out.Lease, 10.5+leaseTime)
+	wantLease(t, out.LeaseExpiresAt, 10.5+leaseTime)
 }
 
 func TestNoMessagesWhereSettingsForbidThem(t *testing.T) {
 	set := testSettings(0, 4)
-	set.Messages = false
+	set.PeerMessages = false
 	n := New(set, 1)
 	n.Step(0, CachedList{wholeList(5, 1, 2)})
 	n.Step(1, PollAnswered{wholeList(6, 1)})
