--- a/internal/discovery/fleet_relay_test.go
+++ b/internal/discovery/fleet_relay_test.go
@@ -189,7 +189,7 @@
 }
 
 // member lets the node see an event, and carries out what it returns.
-func (r *fleetRelay) member(event any) {
+func (r *fleetRelay) member(event membership.Event) {
 	now, out := r.fleet.now, r.node.Step(r.fleet.now, event)
 	for _, body := range out.Messages {
 		r.fleet.broadcast(relay.RelayID(r.no), body)
--- a/internal/discovery/member.go
+++ b/internal/discovery/member.go
@@ -38,7 +38,7 @@
 }
 
 // step lets the node see an event, and carries out what it returns.
-func (m *member) step(event any) {
+func (m *member) step(event membership.Event) {
 	now := m.loop.Clock.Now()
 	out := m.node.Step(now, event)
 	for _, body := range out.Messages {
--- a/lab/scale/member.go
+++ b/lab/scale/member.go
@@ -41,7 +41,7 @@
 }
 
 // step has the node see an event, and carries out what it returns.
-func (m *member) step(now float64, event any) {
+func (m *member) step(now float64, event membership.Event) {
 	h := m.relay
 	before := threadTime()
 	out := m.node.Step(now-h.started+clockGrain, event)
--- a/membership/bench_test.go
+++ b/membership/bench_test.go
@@ -14,8 +14,8 @@
 
 const (
 	datagramHeaders = 20 + 8 // bytes of IP and UDP
-	leastDelay      = 0.02   // s that a datagram takes
-	mostDelay       = 0.04
+	minDelay        = 0.02   // s that a datagram takes
+	maxDelay        = 0.04
 	watchWait       = 15.0 // s that a call to discovery waits
 	changesPerDay   = 6300 // of the list, at the target
 	secondsPerDay   = 86400.0
@@ -27,7 +27,7 @@
 	at    relay.Seconds
 	no    int // in the order of sending, for equal times
 	to    int
-	event any
+	event Event
 }
 
 type arrivals []arrival
@@ -48,37 +48,37 @@
 type benchFleet struct {
 	random     *rand.Rand
 	nodes      []*Node
-	wakeAt     []relay.Seconds
+	timerAt    []relay.Seconds
 	queue      arrivals
 	sent       int
 	generation int64
-	units      int
+	endpoints  int
 
 	steps    int
 	messages float64 // sent by all
 	bytes    float64
 }
 
-func newBenchFleet(nodes, units int) *benchFleet {
-	f := &benchFleet{random: rand.New(rand.NewSource(1)), generation: 1, units: units, wakeAt: make([]relay.Seconds, nodes)}
-	list := listOf(units, f.generation)
+func newBenchFleet(nodes, endpoints int) *benchFleet {
+	f := &benchFleet{random: rand.New(rand.NewSource(1)), generation: 1, endpoints: endpoints, timerAt: make([]relay.Seconds, nodes)}
+	list := listOf(endpoints, f.generation)
 	for i := range nodes {
 		f.nodes = append(f.nodes, New(Settings{Self: relay.RelayID(i), Relays: nodes, PeerMessages: true, PollInterval: 10, Epoch: 1.7e9}, int64(i)))
-		f.wakeAt[i] = Never
+		f.timerAt[i] = Never
 		f.at(watchWait*f.random.Float64(), i, PollAnswered{list})
 	}
 	return f
 }
 
-func listOf(units int, generation int64) List {
+func listOf(endpoints int, generation int64) List {
 	l := List{Generation: generation, Full: true}
-	for i := range units {
+	for i := range endpoints {
 		l.Endpoints = append(l.Endpoints, relay.Endpoint{ID: relay.EndpointID(uint64(i+1) * 0x9e3779b97f4a7c15), Build: 41, State: relay.Ready})
 	}
 	return l
 }
 
-func (f *benchFleet) at(t relay.Seconds, to int, event any) {
+func (f *benchFleet) at(t relay.Seconds, to int, event Event) {
 	f.sent++
 	heap.Push(&f.queue, arrival{t, f.sent, to, event})
 }
@@ -86,8 +86,8 @@
 // change has a unit replaced, and every watch told of it within two tenths of a second.
 func (f *benchFleet) change(now relay.Seconds) {
 	f.generation++
-	unit := relay.EndpointID(uint64(f.random.Intn(f.units)+1) * 0x9e3779b97f4a7c15)
-	list := List{Generation: f.generation, Endpoints: []relay.Endpoint{{ID: unit, Build: 41, State: relay.Draining}}}
+	endpoint := relay.EndpointID(uint64(f.random.Intn(f.endpoints)+1) * 0x9e3779b97f4a7c15)
+	list := List{Generation: f.generation, Endpoints: []relay.Endpoint{{ID: endpoint, Build: 41, State: relay.Draining}}}
 	for i := range f.nodes {
 		f.at(now+0.2*f.random.Float64(), i, PollAnswered{list})
 	}
@@ -97,7 +97,7 @@
 func (f *benchFleet) run(until relay.Seconds) {
 	for len(f.queue) > 0 && f.queue[0].at < until {
 		a := heap.Pop(&f.queue).(arrival)
-		if _, woken := a.event.(TimerFired); woken && a.at < f.wakeAt[a.to] {
+		if _, woken := a.event.(TimerFired); woken && a.at < f.timerAt[a.to] {
 			continue // it was put off
 		}
 		out := f.nodes[a.to].Step(a.at, a.event)
@@ -110,14 +110,14 @@
 			f.bytes += float64(len(body) + datagramHeaders)
 			for i := range f.nodes {
 				if i != a.to {
-					f.at(a.at+leastDelay+(mostDelay-leastDelay)*f.random.Float64(), i, MessageReceived{relay.RelayID(a.to), body})
+					f.at(a.at+minDelay+(maxDelay-minDelay)*f.random.Float64(), i, MessageReceived{relay.RelayID(a.to), body})
 				}
 			}
 		}
-		if out.TimerAt != f.wakeAt[a.to] && out.TimerAt != Never {
+		if out.TimerAt != f.timerAt[a.to] && out.TimerAt != Never {
 			f.at(out.TimerAt, a.to, TimerFired{})
 		}
-		f.wakeAt[a.to] = out.TimerAt
+		f.timerAt[a.to] = out.TimerAt
 	}
 }
 
@@ -125,9 +125,9 @@
 // but its own.
 func BenchmarkFleetSecond(b *testing.B) {
 	for _, size := range []struct{ relays, units int }{{4, 150}, {43, 150}, {300, 150}, {1290, 150}, {4300, 150}, {300, 42_000}} {
-		relays, units := size.relays, size.units
-		b.Run(fmt.Sprintf("relays=%d/units=%d", relays, units), func(b *testing.B) {
-			f := newBenchFleet(relays, units)
+		relays, endpoints := size.relays, size.units
+		b.Run(fmt.Sprintf("relays=%d/units=%d", relays, endpoints), func(b *testing.B) {
+			f := newBenchFleet(relays, endpoints)
 			f.run(settleTime)
 			f.messages, f.bytes, f.steps = 0, 0, 0
 			now, owed := settleTime, 0.0
@@ -154,9 +154,9 @@
 
 // BenchmarkHold is a node's first whole list, and what it holds of it.
 func BenchmarkHold(b *testing.B) {
-	for _, units := range []int{150, 1000, 4096, 12_000, 42_000} {
-		b.Run(fmt.Sprintf("units=%d", units), func(b *testing.B) {
-			list := listOf(units, 1)
+	for _, endpoints := range []int{150, 1000, 4096, 12_000, 42_000} {
+		b.Run(fmt.Sprintf("units=%d", endpoints), func(b *testing.B) {
+			list := listOf(endpoints, 1)
 			var n *Node
 			before := inUse()
 			for b.Loop() {
@@ -172,19 +172,19 @@
 
 // BenchmarkChange is one unit that leaves, at a node that holds so many.
 func BenchmarkChange(b *testing.B) {
-	for _, units := range []int{150, 1000, 4096, 12_000, 42_000} {
-		b.Run(fmt.Sprintf("units=%d", units), func(b *testing.B) {
+	for _, endpoints := range []int{150, 1000, 4096, 12_000, 42_000} {
+		b.Run(fmt.Sprintf("units=%d", endpoints), func(b *testing.B) {
 			n := New(Settings{Relays: 4300, PeerMessages: true, PollInterval: 10}, 1)
-			list := listOf(units, 1)
+			list := listOf(endpoints, 1)
 			n.Step(1, PollAnswered{list})
-			no := 0
+			number := 0
 			for b.Loop() {
-				e := list.Endpoints[no%units]
-				if no/units%2 == 0 {
+				e := list.Endpoints[number%endpoints]
+				if number/endpoints%2 == 0 {
 					e.State = relay.Draining
 				}
-				no++
-				n.Step(1+float64(no), PollAnswered{List{Generation: int64(1 + no), Endpoints: []relay.Endpoint{e}}})
+				number++
+				n.Step(1+float64(number), PollAnswered{List{Generation: int64(1 + number), Endpoints: []relay.Endpoint{e}}})
 			}
 		})
 	}
@@ -194,7 +194,7 @@
 func BenchmarkHeartbeat(b *testing.B) {
 	n := New(Settings{Relays: 4300, PeerMessages: true, PollInterval: 10, Epoch: 1.7e9}, 1)
 	n.Step(1, PollAnswered{listOf(150, 1)})
-	body := message{view: n.view, answered: n.toWire(1)}.encode()
+	body := message{version: n.version, answeredAt: n.wireTime(1)}.encode()
 	for b.Loop() {
 		n.Step(2, MessageReceived{From: 7, Body: body})
 	}
--- a/membership/bus_test.go
+++ b/membership/bus_test.go
@@ -18,32 +18,32 @@
 	return Settings{Self: relay.RelayID(self), Relays: relays, PeerMessages: true, PollInterval: 60, Epoch: testEpoch}
 }
 
-// wholeList is a whole list of ready units with the given ids.
-func wholeList(generation int64, units ...relay.EndpointID) List {
+// fullList is a whole list of ready units with the given ids.
+func fullList(generation int64, endpoints ...relay.EndpointID) List {
 	list := List{Generation: generation, Full: true}
-	for _, unit := range units {
-		list.Endpoints = append(list.Endpoints, relay.Endpoint{ID: unit, Build: 1, State: relay.Ready})
+	for _, endpoint := range endpoints {
+		list.Endpoints = append(list.Endpoints, relay.Endpoint{ID: endpoint, Build: 1, State: relay.Ready})
 	}
 	return list
 }
 
-// unitRange is the ids from the first to the last.
-func unitRange(first, last relay.EndpointID) (units []relay.EndpointID) {
-	for unit := first; unit <= last; unit++ {
-		units = append(units, unit)
+// endpointRange is the ids from the first to the last.
+func endpointRange(first, last relay.EndpointID) (endpoints []relay.EndpointID) {
+	for endpoint := first; endpoint <= last; endpoint++ {
+		endpoints = append(endpoints, endpoint)
 	}
-	return units
+	return endpoints
 }
 
-// viewOf is the view of a node that holds just this list.
-func viewOf(given List) view {
-	l := newList(testEpoch)
-	l.apply(given)
-	return view{given.Generation, l.digest}
+// versionOf is the view of a node that holds just this list.
+func versionOf(update List) listVersion {
+	l := newEndpointList(testEpoch)
+	l.apply(update)
+	return listVersion{update.Generation, l.digest}
 }
 
 // wire is a time as messages carry it.
-func wire(t relay.Seconds) uint64 {
+func wireTime(t relay.Seconds) uint64 {
 	if t == Never {
 		return 0
 	}
@@ -51,14 +51,14 @@
 }
 
 // heartbeat is the body of a heartbeat of a peer.
-func heartbeat(v view, answered, attempted relay.Seconds) []byte {
-	return message{view: v, answered: wire(answered), attempted: wire(attempted)}.encode()
+func heartbeat(v listVersion, answered, attempted relay.Seconds) []byte {
+	return message{version: v, answeredAt: wireTime(answered), failedPollAt: wireTime(attempted)}.encode()
 }
 
 // deltas are the bodies of a peer's delta between two views.
-func deltas(base, target view, answered relay.Seconds, units ...relay.EndpointID) (bodies [][]byte) {
-	for _, d := range split(base, units) {
-		bodies = append(bodies, message{view: target, answered: wire(answered), delta: &d}.encode())
+func deltas(base, target listVersion, answered relay.Seconds, endpoints ...relay.EndpointID) (bodies [][]byte) {
+	for _, d := range splitDelta(base, endpoints) {
+		bodies = append(bodies, message{version: target, answeredAt: wireTime(answered), delta: &d}.encode())
 	}
 	return bodies
 }
@@ -77,10 +77,10 @@
 // busNode is one node of the fleet and what its last steps returned.
 type busNode struct {
 	*Node
-	wakeAt relay.Seconds
-	lease  relay.Seconds
-	left   map[relay.EndpointID]bool
-	bytes  int // sent, with headers
+	timerAt        relay.Seconds
+	leaseExpiresAt relay.Seconds
+	removed        map[relay.EndpointID]bool
+	bytes          int // sent, with headers
 }
 
 type busMessage struct {
@@ -124,7 +124,7 @@
 // restart replaces a node by one that knows nothing.
 func (b *bus) restart(i int) {
 	seed := rand.New(rand.NewSource(int64(b.order)<<16 + int64(i))).Int63()
-	b.nodes[i] = &busNode{Node: New(testSettings(i, len(b.nodes)), seed), wakeAt: Never, left: map[relay.EndpointID]bool{},
+	b.nodes[i] = &busNode{Node: New(testSettings(i, len(b.nodes)), seed), timerAt: Never, removed: map[relay.EndpointID]bool{},
 		bytes: b.nodes[i].bytes}
 }
 
@@ -138,26 +138,26 @@
 func (b *bus) at(t relay.Seconds, action func()) { b.push(busEvent{at: t, action: action}) }
 
 // step lets a node see an event and sends what it wants sent.
-func (b *bus) step(i int, event any) Output {
+func (b *bus) step(i int, event Event) Output {
 	node := b.nodes[i]
 	out := node.Step(b.now, event)
-	node.lease = out.LeaseExpiresAt
-	for _, unit := range out.Removed {
-		node.left[unit] = true
+	node.leaseExpiresAt = out.LeaseExpiresAt
+	for _, endpoint := range out.Removed {
+		node.removed[endpoint] = true
 	}
 	for _, body := range out.Messages {
-		if len(body) > maxBody {
+		if len(body) > maxDatagramBytes {
 			b.t.Fatalf("a datagram of %d bytes", len(body))
 		}
-		node.bytes += len(body) + headerBytes
+		node.bytes += len(body) + datagramHeaderBytes
 		b.sent = append(b.sent, busMessage{b.now, i, body})
 		b.push(busEvent{at: b.now + busDelay, node: i, body: body})
 	}
-	if out.TimerAt != node.wakeAt {
+	if out.TimerAt != node.timerAt {
 		if out.TimerAt <= b.now {
 			b.t.Fatalf("a wake-up at %v was asked for at %v", out.TimerAt, b.now)
 		}
-		if node.wakeAt = out.TimerAt; out.TimerAt != Never {
+		if node.timerAt = out.TimerAt; out.TimerAt != Never {
 			b.push(busEvent{at: out.TimerAt, node: i})
 		}
 	}
@@ -174,7 +174,7 @@
 			event.action()
 		case event.body != nil:
 			b.deliver(event)
-		case b.nodes[event.node].wakeAt == event.at:
+		case b.nodes[event.node].timerAt == event.at:
 			b.step(event.node, TimerFired{})
 		}
 	}
@@ -194,7 +194,7 @@
 	for _, m := range b.sent {
 		switch {
 		case m.at < from:
-		case m.body[1] == formDelta:
+		case m.body[1] == kindDelta:
 			deltas++
 		default:
 			heartbeats++
--- a/membership/gossip.go
+++ b/membership/gossip.go
@@ -7,242 +7,152 @@
 	"lichenroad/relay"
 )
 
+// Durations in seconds, unless the name says bytes.
 const (
-	// heartbeatQuiet and heartbeatBackoff, in seconds, space the fleet's heartbeats: one relay sends, the others hear it
-	// and start their wait anew. One to three are sent in each such time, whatever the size of the fleet.
-	heartbeatQuiet   = 0.5
-	heartbeatBackoff = 1.0
-	// newsBackoff, in seconds, spreads the relays that learn of a change at one moment. It is several times the delay
-	// of a message, so that most of them hear the first and stay silent.
-	newsBackoff = 0.2
-	// repairBackoff is the same for those that could help a relay with an older list.
-	repairBackoff = 0.3
-	// staleAfter, in seconds, is how much older another relay's word may be before it is told better.
+	// heartbeatInterval and heartbeatBackoff space the fleet's heartbeats: one relay sends, and the others, which receive
+	// it, start their delay anew. One to three are sent in each such time, whatever the size of the fleet.
+	heartbeatInterval = 0.5
+	heartbeatBackoff  = 1.0
+	// changeBackoff spreads the heartbeats of relays that learn of a change at one moment. It is several times the delay of
+	// a message, so that most of them receive the first one and send none.
+	changeBackoff = 0.2
+	// deltaBackoff does the same for relays that could send a delta to one with an older list.
+	deltaBackoff = 0.3
+	// staleAfter is how much older than the time known here a peer's confirmation may be before a heartbeat updates it.
 	staleAfter = 2.0
-	// maxDoublings bounds how often the time between heartbeats is doubled while no peer is heard: up to 12 s.
+	// maxDoublings bounds how often the time between heartbeats doubles while no peer is heard: up to 12 s.
 	maxDoublings = 3
-	// maxBases bounds the older lists that are helped at one time.
-	maxBases = 4
+	// maxDeltaBases bounds the older lists for which deltas are pending at one time.
+	maxDeltaBases = 4
 	// bytesPerSecond and burstBytes bound what a node sends, with headers: half of a relay's 4 KB a second.
-	bytesPerSecond = 2048
-	burstBytes     = 8192
-	headerBytes    = 28 // of UDP and IP
+	bytesPerSecond      = 2048
+	burstBytes          = 8192
+	datagramHeaderBytes = 28 // of UDP and IP
 )
 
-// gossip is when a node speaks next, and of what.
+// gossip is when a node sends next, and what.
 type gossip struct {
-	heartbeatAt relay.Seconds
-	deltaAt     relay.Seconds
-	bases       []view        // older lists that peers hold
-	advertised  relay.Seconds // when the present view was last sent or heard
-	answering   relay.Seconds // the latest answer of discovery to any relay; Never: none
-	budget      float64       // bytes that may be sent, as of budgetAt
-	budgetAt    relay.Seconds
-	unheard     int // heartbeats sent since a peer was last heard
+	heartbeatAt         relay.Seconds
+	deltaAt             relay.Seconds
+	deltaBases          []listVersion // older lists that peers hold, for which deltas are pending
+	advertisedAt        relay.Seconds // when the present version was last sent or received
+	discoveryAnsweredAt relay.Seconds // the latest answer of discovery to any relay; Never: none
+	sendBudget          float64       // bytes that may be sent, as of sendBudgetAt
+	sendBudgetAt        relay.Seconds
+	heartbeatsUnheard   int // heartbeats sent since a peer was last heard
 }
 
 func newGossip() gossip {
-	return gossip{heartbeatAt: Never, deltaAt: Never, advertised: -Never, answering: Never, budget: burstBytes}
+	return gossip{heartbeatAt: Never, deltaAt: Never, advertisedAt: -Never, discoveryAnsweredAt: Never, sendBudget: burstBytes}
 }
 
-func (g *gossip) wakeAt() relay.Seconds { return math.Min(g.heartbeatAt, g.deltaAt) }
+// nextTimer returns when something is due; Never: nothing is.
+func (g *gossip) nextTimer() relay.Seconds { return math.Min(g.heartbeatAt, g.deltaAt) }
 
-// soon has a heartbeat sent within a time, unless a peer says the same before that.
-func (g *gossip) soon(n *Node, within relay.Seconds) {
-	g.heartbeatAt = math.Min(g.heartbeatAt, n.now+n.backoff(within))
+// scheduleHeartbeat has a heartbeat sent within a time, unless a peer's makes it superfluous before.
+func (g *gossip) scheduleHeartbeat(n *Node, within relay.Seconds) {
+	g.heartbeatAt = math.Min(g.heartbeatAt, n.now+n.drawSuppressionDelay(within))
 }
 
-// later puts the next heartbeat off, as a peer has just said the same.
-func (g *gossip) later(n *Node) {
-	wait := heartbeatQuiet + n.backoff(heartbeatBackoff)
-	g.heartbeatAt = n.now + wait*math.Exp2(float64(min(g.unheard, maxDoublings)))
+// suppressHeartbeat postpones the next heartbeat, as this node or a peer has just sent the same.
+func (g *gossip) suppressHeartbeat(n *Node) {
+	delay := heartbeatInterval + n.drawSuppressionDelay(heartbeatBackoff)
+	g.heartbeatAt = n.now + delay*math.Exp2(float64(min(g.heartbeatsUnheard, maxDoublings)))
 }
 
-// repair has the units sent that left since an older list.
-func (g *gossip) repair(n *Node, base view) {
-	if !slices.Contains(n.list.history, base) || slices.Contains(g.bases, base) || len(g.bases) >= maxBases {
+// scheduleDelta has a delta sent from an older list, if it is known here.
+func (g *gossip) scheduleDelta(n *Node, base listVersion) {
+	known := slices.Contains(n.list.versions, base)
+	pending := slices.Contains(g.deltaBases, base)
+	if !known || pending || len(g.deltaBases) >= maxDeltaBases {
 		return
 	}
-	g.bases = append(g.bases, base)
-	g.deltaAt = math.Min(g.deltaAt, n.now+n.backoff(repairBackoff))
+	g.deltaBases = append(g.deltaBases, base)
+	g.deltaAt = math.Min(g.deltaAt, n.now+n.drawSuppressionDelay(deltaBackoff))
 }
 
-// repaired drops an older list that a peer has just helped.
-func (g *gossip) repaired(base view) {
-	g.bases = slices.DeleteFunc(g.bases, func(b view) bool { return b == base })
-	if len(g.bases) == 0 {
+// cancelDelta drops the delta from an older list, as a peer has just sent it.
+func (g *gossip) cancelDelta(base listVersion) {
+	g.deltaBases = slices.DeleteFunc(g.deltaBases, func(pending listVersion) bool { return pending == base })
+	if len(g.deltaBases) == 0 {
 		g.deltaAt = Never
 	}
 }
 
-// backoff draws a time up to the longest such that of a whole fleet only a few are early: the truncated exponential
-// distribution of RFC 5401, 5.1 (feedback suppression of NORM).
-func (n *Node) backoff(longest relay.Seconds) relay.Seconds {
-	lambda := math.Log(float64(max(n.set.Relays, 1))) + 1
-	return longest / lambda * math.Log(1+n.random.Float64()*(math.Exp(lambda)-1))
-}
-
-// hear takes a message of a peer.
-func (n *Node) hear(event MessageReceived) {
-	m, err := decode(event.Body)
-	if err != nil || event.From == n.set.Self {
-		n.counters.Unreadable++
-		return
-	}
-	n.counters.Received++
-	if n.heard == Never || n.now-n.heard >= contactFor {
-		n.heardSince = n.now
-	}
-	n.heard = n.now
-	n.gossip.unheard = 0
-	answered, attempted := n.fromWire(m.answered), n.fromWire(m.attempted)
-	n.noticeAnswers(answered)
-	n.attempted = later(n.attempted, attempted)
-	n.newest = max(n.newest, m.view.generation)
-	switch {
-	case m.view == n.view:
-		n.hearSame(m, answered)
-	case m.view.generation > n.view.generation:
-		n.hearNewer(event.From, m, answered)
-	case m.view.generation < n.view.generation:
-		n.gossip.repair(n, m.view)
-	default:
-		n.counters.Conflicts++
-	}
-}
-
-// hearSame takes a message of a peer that holds the same list.
-func (n *Node) hearSame(m message, answered relay.Seconds) {
-	if m.delta != nil {
-		n.gossip.repaired(m.delta.base)
-	}
-	n.contact = n.now
-	n.gossip.advertised = n.now
-	peerIsStale := n.answered != Never && (answered == Never || n.answered-answered > staleAfter)
-	n.answered = later(n.answered, answered)
-	if peerIsStale {
-		n.gossip.soon(n, newsBackoff)
-		return
-	}
-	n.gossip.later(n)
-}
-
-// hearNewer takes a message of a peer with a newer list: a delta from the list held here is applied, otherwise a heartbeat
-// asks for one.
-func (n *Node) hearNewer(from relay.RelayID, m message, answered relay.Seconds) {
-	if m.delta == nil || m.delta.base != n.view {
-		n.gossip.soon(n, repairBackoff)
-		return
-	}
-	for _, unit := range m.delta.units {
-		if n.list.tell(unit, m.view.generation) {
-			n.out.Removed = append(n.out.Removed, unit)
-		}
-	}
-	if !n.assemble(from, m) {
-		return
-	}
-	n.view = m.view // not in the history: the units that joined are not known here, so neither is which of them leave
-	n.answered = later(n.answered, answered)
-	n.contact = n.now
-	n.gossip.advertised = n.now
-	n.gossip.later(n)
-}
-
-// maxAssemblies bounds the peers whose deltas are taken at one time.
-const maxAssemblies = 8
-
-// assembly is a delta of one peer, of which some datagrams have come.
-type assembly struct {
-	base, target view
-	parts        int
-	seen         uint64 // a bit for each part
-}
-
-// assemble notes one datagram of a delta, and says whether that was the last one missing.
-func (n *Node) assemble(from relay.RelayID, m message) (whole bool) {
-	a := n.assembly[from]
-	if a == nil || a.base != m.delta.base || a.target != m.view || a.parts != m.delta.parts {
-		if len(n.assembly) >= maxAssemblies {
-			clear(n.assembly)
-		}
-		a = &assembly{base: m.delta.base, target: m.view, parts: m.delta.parts}
-		n.assembly[from] = a
-	}
-	a.seen |= 1 << m.delta.part
-	if a.seen != 1<<a.parts-1 {
+// spend takes bytes from the send budget, and reports whether it sufficed.
+func (g *gossip) spend(now relay.Seconds, bytes int) bool {
+	g.sendBudget = math.Min(burstBytes, g.sendBudget+bytesPerSecond*(now-g.sendBudgetAt))
+	g.sendBudgetAt = now
+	cost := float64(bytes)
+	if g.sendBudget < cost {
 		return false
 	}
-	clear(n.assembly)
+	g.sendBudget -= cost
 	return true
 }
 
-// noticeAnswers notes an answer of discovery to any relay. The first one behind failed calls is worth a call.
-func (n *Node) noticeAnswers(answered relay.Seconds) {
-	if answered == Never {
-		return
-	}
-	g := &n.gossip
-	wereNone := n.attempted != Never && (g.answering == Never || g.answering < n.attempted)
-	if g.answering = later(g.answering, answered); wereNone && g.answering > n.attempted {
-		n.out.DiscoveryRecovered = true
-	}
+// drawSuppressionDelay draws a delay such that only a few relays of a whole fleet draw a short one: the truncated
+// exponential distribution of RFC 5401, 5.1 (feedback suppression of NORM).
+func (n *Node) drawSuppressionDelay(longest relay.Seconds) relay.Seconds {
+	lambda := math.Log(float64(max(n.settings.Relays, 1))) + 1
+	return longest / lambda * math.Log(1+n.random.Float64()*(math.Exp(lambda)-1))
 }
 
-// send puts out what is due.
-func (n *Node) send() {
-	if !n.set.PeerMessages || n.set.Relays <= 1 || n.view.generation == noGeneration {
-		n.gossip.heartbeatAt, n.gossip.deltaAt = Never, Never
+// sendDue sends the deltas and the heartbeat whose time has come.
+func (n *Node) sendDue() {
+	hasList := n.version.generation != noGeneration
+	if !n.settings.PeerMessages || n.isAlone() || !hasList {
+		n.gossip.heartbeatAt = Never
+		n.gossip.deltaAt = Never
 		return
 	}
 	if n.now >= n.gossip.deltaAt {
 		n.sendDeltas()
 	}
 	if n.now >= n.gossip.heartbeatAt {
-		n.emit(message{view: n.view, answered: n.toWire(n.answered), attempted: n.toWire(n.attempted)}.encode())
-		n.counters.Heartbeats++
-		n.gossip.advertised = n.now
-		n.gossip.unheard++
-		n.gossip.later(n)
+		n.sendHeartbeat()
 	}
 }
 
-// sendDeltas tells which units left since the older lists that peers hold.
+func (n *Node) sendHeartbeat() {
+	n.broadcast(n.newMessage(nil))
+	n.counters.Heartbeats++
+	n.gossip.advertisedAt = n.now
+	n.gossip.heartbeatsUnheard++
+	n.gossip.suppressHeartbeat(n)
+}
+
+// sendDeltas sends the removals since each older list that peers hold.
 func (n *Node) sendDeltas() {
-	for _, base := range n.gossip.bases {
-		units, known := n.list.leftSince(base)
+	for _, base := range n.gossip.deltaBases {
+		endpoints, known := n.list.removedSince(base)
 		if !known {
 			continue
 		}
-		for _, d := range split(base, units) {
-			m := message{view: n.view, answered: n.toWire(n.answered), attempted: n.toWire(n.attempted), delta: &d}
-			n.emit(m.encode())
+		for _, part := range splitDelta(base, endpoints) {
+			n.broadcast(n.newMessage(&part))
 			n.counters.Deltas++
 		}
 	}
-	n.gossip.bases, n.gossip.deltaAt = n.gossip.bases[:0], Never
+	n.gossip.deltaBases = n.gossip.deltaBases[:0]
+	n.gossip.deltaAt = Never
 }
 
-// emit sends one message to all other relays, as far as the budget goes: any message may be lost, and is repeated.
-func (n *Node) emit(body []byte) {
-	g := &n.gossip
-	g.budget = math.Min(burstBytes, g.budget+bytesPerSecond*(n.now-g.budgetAt))
-	g.budgetAt = n.now
-	cost := float64(len(body) + headerBytes)
-	if g.budget < cost {
-		return
+// newMessage returns a message of the present state; without a delta it is a heartbeat.
+func (n *Node) newMessage(d *delta) message {
+	return message{
+		version:      n.version,
+		answeredAt:   n.wireTime(n.answeredAt),
+		failedPollAt: n.wireTime(n.failedPollAt),
+		delta:        d,
 	}
-	g.budget -= cost
-	n.out.Messages = append(n.out.Messages, body)
 }
 
-// later is the later of two times, either of which may be Never.
-func later(a, b relay.Seconds) relay.Seconds {
-	switch {
-	case a == Never:
-		return b
-	case b == Never:
-		return a
+// broadcast sends a message to all other relays, or drops it when the send budget is used up: any message may be lost, and
+// is repeated.
+func (n *Node) broadcast(m message) {
+	body := m.encode()
+	if n.gossip.spend(n.now, len(body)+datagramHeaderBytes) {
+		n.output.Messages = append(n.output.Messages, body)
 	}
-	return math.Max(a, b)
 }
--- a/membership/history_test.go
+++ b/membership/history_test.go
@@ -18,21 +18,21 @@
 const bindsAfter = 6.0
 
 const (
-	historySeconds = 40
-	silentPart     = 0.05 // of discovery's answers that are lost
-	refusedLoss    = 0.1  // of messages, at most, while discovery refuses calls
+	historySeconds        = 40
+	stalledFraction       = 0.05 // of discovery's answers that are lost
+	maxLossWhileRejecting = 0.1  // of messages, at most, while discovery refuses calls
 )
 
 type (
 	// history is a drawn course of things, and the seed of the small ones: delays, losses.
 	history struct {
-		nodes   int
-		trouble trouble
-		loss    float64
-		seed    int64
-		actions []historyAction
+		nodes          int
+		discoveryFault discoveryFault
+		loss           float64
+		seed           int64
+		actions        []simulationAction
 	}
-	historyAction struct {
+	simulationAction struct {
 		at     relay.Seconds
 		kind   historyKind
 		node   int
@@ -43,28 +43,28 @@
 	// trouble is what discovery does in a history, beside going down and coming back. A lease on the word of failed calls
 	// assumes that these fail at all relays, or that a relay hears of an answer to another one in time; histories keep
 	// that assumption, so not all faults come together.
-	trouble int
+	discoveryFault int
 )
 
 const (
-	noTrouble trouble = iota
+	noDiscoveryFault discoveryFault = iota
 	// refusing: calls of some relays are refused, never those of all. The others are answered, nobody is cut off, and at
-	// most refusedLoss is lost.
-	refusing
+	// most maxLossWhileRejecting is lost.
+	rejectsPolls
 	// restarting: generations are counted anew, from 1. No call to it falls silent: a relay that holds the list of before
 	// can't tell from its peers' generations that theirs is the later one.
-	restarting
+	renumbersGenerations
 )
 
 const (
-	unitsChange historyKind = iota
+	endpointsChange historyKind = iota
 	discoveryDown
 	discoveryUp
-	discoveryAnew
-	callsRefused
-	callsTaken
+	discoveryRenumbers
+	pollsRejected
+	pollsAccepted
 	nodeRestarts
-	nodeCutOff
+	nodePartitioned
 	nodeHealed
 	historyKinds
 )
@@ -73,16 +73,16 @@
 func histories() *rapid.Generator[history] {
 	return rapid.Custom(func(t *rapid.T) history {
 		h := history{
-			nodes:   rapid.IntRange(3, 8).Draw(t, "nodes"),
-			trouble: rapid.SampledFrom([]trouble{noTrouble, refusing, restarting}).Draw(t, "trouble"),
-			loss:    rapid.SampledFrom([]float64{0, 0.1, 0.3}).Draw(t, "loss"),
-			seed:    rapid.Int64().Draw(t, "seed"),
+			nodes:          rapid.IntRange(3, 8).Draw(t, "nodes"),
+			discoveryFault: rapid.SampledFrom([]discoveryFault{noDiscoveryFault, rejectsPolls, renumbersGenerations}).Draw(t, "trouble"),
+			loss:           rapid.SampledFrom([]float64{0, 0.1, 0.3}).Draw(t, "loss"),
+			seed:           rapid.Int64().Draw(t, "seed"),
 		}
-		if h.trouble == refusing {
-			h.loss = min(h.loss, refusedLoss)
+		if h.discoveryFault == rejectsPolls {
+			h.loss = min(h.loss, maxLossWhileRejecting)
 		}
 		for at := 1.0; at < historySeconds-8; at += rapid.Float64Range(0.05, 3).Draw(t, "gap") {
-			h.actions = append(h.actions, historyAction{
+			h.actions = append(h.actions, simulationAction{
 				at:     at,
 				kind:   historyKind(rapid.IntRange(0, int(historyKinds)-1).Draw(t, "kind")),
 				node:   rapid.IntRange(0, h.nodes-1).Draw(t, "node"),
@@ -95,27 +95,27 @@
 
 // mutant changes what a node sees or is believed to have said, as if a defence were missing. Nil fields change nothing.
 type mutant struct {
-	before  func(n *Node, event any) any // the event that the node is to see in place of this one
-	believe func(lease relay.Seconds) relay.Seconds
-	from    int // the history to start the search at, not far before the first that shows it
+	rewriteEvent func(n *Node, event Event) Event // the event that the node is to see in place of this one
+	rewriteLease func(lease relay.Seconds) relay.Seconds
+	firstSeed    int // the history to start the search at, not far before the first that shows it
 }
 
 // process is one life of a unit.
-type process struct {
-	unit   relay.EndpointID
-	number int
+type endpointProcess struct {
+	endpoint relay.EndpointID
+	number   int
 }
 
-// historyWorld is discovery, the network, the hosts of the nodes and the true course of the list.
-type historyWorld struct {
+// simulation is discovery, the network, the hosts of the nodes and the true course of the list.
+type simulation struct {
 	history
 	mutant
-	random *rand.Rand
-	now    relay.Seconds
-	events busEvents
-	order  int
-	fault  error
-	leases int // looks of the checker at a node whose lease held
+	random     *rand.Rand
+	now        relay.Seconds
+	events     busEvents
+	order      int
+	violation  error
+	leasesHeld int // looks of the checker at a node whose lease held
 
 	up          bool
 	upAt        relay.Seconds // when it last came up
@@ -125,228 +125,228 @@
 	ready       map[relay.EndpointID]int
 	changed     map[relay.EndpointID]int64 // generation of each unit's last change
 	processes   int
-	left        map[process]relay.Seconds // in up-time
-	refused     map[int]bool
-	cutOff      map[int]bool // from all peers
+	leftAt      map[endpointProcess]relay.Seconds // in up-time
+	rejected    map[int]bool
+	partitioned map[int]bool // from all peers
 	isolated    map[int]bool // from discovery too
 
-	hosts []*historyHost
+	relays []*simulatedRelay
 }
 
-// historyHost is one relay around its node: its list, its calls and what it keeps for its next start.
-type historyHost struct {
+// simulatedRelay is one relay around its node: its list, its calls and what it keeps for its next start.
+type simulatedRelay struct {
 	*Node
-	no          int
-	wakeAt      relay.Seconds
-	lease       relay.Seconds
-	listed      map[relay.EndpointID]int
-	generation  int64
-	incarnation int
-	kept        *historyHost // list, generation and incarnation as kept for the next start
-	calls       int          // begun
-	begun       relay.Seconds
-	wait        relay.Seconds
-	standing    bool // discovery holds the call
-	dead        bool
+	number         int
+	timerAt        relay.Seconds
+	leaseExpiresAt relay.Seconds
+	listed         map[relay.EndpointID]int
+	generation     int64
+	incarnation    int
+	stored         *simulatedRelay // list, generation and incarnation as kept for the next start
+	polls          int             // begun
+	pollStartedAt  relay.Seconds
+	pollWait       relay.Seconds
+	watchHeld      bool // discovery holds the call
+	stopped        bool
 }
 
 // play plays a history and returns the first fault that the checker found.
-func play(h history, m mutant) (*historyWorld, error) {
-	w := &historyWorld{history: h, mutant: m, random: rand.New(rand.NewSource(h.seed)), up: true, generation: 1,
-		ready: map[relay.EndpointID]int{}, changed: map[relay.EndpointID]int64{}, left: map[process]relay.Seconds{},
-		refused: map[int]bool{}, cutOff: map[int]bool{}, isolated: map[int]bool{}}
+func simulate(h history, m mutant) (*simulation, error) {
+	w := &simulation{history: h, mutant: m, random: rand.New(rand.NewSource(h.seed)), up: true, generation: 1,
+		ready: map[relay.EndpointID]int{}, changed: map[relay.EndpointID]int64{}, leftAt: map[endpointProcess]relay.Seconds{},
+		rejected: map[int]bool{}, partitioned: map[int]bool{}, isolated: map[int]bool{}}
 	w.join(100)
 	for i := range h.nodes {
-		w.hosts = append(w.hosts, &historyHost{no: i})
-		w.start(i, nil)
+		w.relays = append(w.relays, &simulatedRelay{number: i})
+		w.startRelay(i, nil)
 	}
 	for _, a := range h.actions {
-		w.after(a.at, func() { w.act(a) })
+		w.after(a.at, func() { w.applyAction(a) })
 	}
 	for at := 0.0; at < historySeconds; at += 0.05 {
 		w.after(at, w.check)
 	}
-	for len(w.events) > 0 && w.events[0].at < historySeconds && w.fault == nil {
+	for len(w.events) > 0 && w.events[0].at < historySeconds && w.violation == nil {
 		event := heap.Pop(&w.events).(busEvent)
 		w.now = event.at
 		event.action()
 	}
-	return w, w.fault
+	return w, w.violation
 }
 
 // after has an action done in a time.
-func (w *historyWorld) after(wait relay.Seconds, action func()) {
+func (w *simulation) after(wait relay.Seconds, action func()) {
 	w.order++
 	heap.Push(&w.events, busEvent{at: w.now + wait, order: w.order, action: action})
 }
 
 // between draws a time.
-func (w *historyWorld) between(least, most relay.Seconds) relay.Seconds {
-	return least + (most-least)*w.random.Float64()
+func (w *simulation) uniform(lowerBound, upperBound relay.Seconds) relay.Seconds {
+	return lowerBound + (upperBound-lowerBound)*w.random.Float64()
 }
 
-func (w *historyWorld) upTime() relay.Seconds {
+func (w *simulation) upTime() relay.Seconds {
 	if w.up {
 		return w.upBefore + w.now - w.upAt
 	}
 	return w.upBefore
 }
 
-func (w *historyWorld) act(a historyAction) {
+func (w *simulation) applyAction(a simulationAction) {
 	switch a.kind {
-	case unitsChange:
+	case endpointsChange:
 		w.change(a.amount)
 	case discoveryDown:
-		w.goDown()
+		w.stopDiscovery()
 	case discoveryUp:
-		w.goUp()
-	case discoveryAnew:
-		if w.trouble == restarting && w.up {
-			w.goDown()
+		w.startDiscovery()
+	case discoveryRenumbers:
+		if w.discoveryFault == renumbersGenerations && w.up {
+			w.stopDiscovery()
 			w.incarnation++
 			w.generation = 1
 			clear(w.changed)
-			w.after(w.between(0.1, 3), w.goUp)
+			w.after(w.uniform(0.1, 3), w.startDiscovery)
 		}
-	case callsRefused:
-		if w.trouble == refusing && len(w.refused) < w.nodes-1 {
-			w.refused[a.node] = true
+	case pollsRejected:
+		if w.discoveryFault == rejectsPolls && len(w.rejected) < w.nodes-1 {
+			w.rejected[a.node] = true
 		}
-	case callsTaken:
-		clear(w.refused)
+	case pollsAccepted:
+		clear(w.rejected)
 	case nodeRestarts:
-		if !w.refused[a.node] {
-			clear(w.refused) // or there might be nobody else who is answered
+		if !w.rejected[a.node] {
+			clear(w.rejected) // or there might be nobody else who is answered
 		}
-		w.hosts[a.node].dead = true
-		w.after(w.between(0.1, 2), func() { w.start(a.node, w.hosts[a.node].kept) })
-	case nodeCutOff:
-		if w.trouble != refusing {
-			w.cutOff[a.node] = true
+		w.relays[a.node].stopped = true
+		w.after(w.uniform(0.1, 2), func() { w.startRelay(a.node, w.relays[a.node].stored) })
+	case nodePartitioned:
+		if w.discoveryFault != rejectsPolls {
+			w.partitioned[a.node] = true
 		}
-		if w.trouble == noTrouble && a.amount%2 == 0 {
-			w.isolate(w.hosts[a.node])
+		if w.discoveryFault == noDiscoveryFault && a.amount%2 == 0 {
+			w.isolate(w.relays[a.node])
 		}
 	case nodeHealed:
-		clear(w.cutOff)
+		clear(w.partitioned)
 		clear(w.isolated)
 	}
 }
 
 // isolate cuts a relay off from discovery, which it notices by silence or by calls that fail.
-func (w *historyWorld) isolate(host *historyHost) {
-	w.isolated[host.no] = true
-	if host.standing {
-		host.standing = false
-		w.silence(host)
+func (w *simulation) isolate(simulated *simulatedRelay) {
+	w.isolated[simulated.number] = true
+	if simulated.watchHeld {
+		simulated.watchHeld = false
+		w.stallPoll(simulated)
 	}
 }
 
 // change has some units leave the list, of which a few start anew, and others join it.
-func (w *historyWorld) change(amount int) {
+func (w *simulation) change(amount int) {
 	if !w.up {
 		return
 	}
 	w.generation++
-	units := slices.Sorted(maps.Keys(w.ready))
-	w.random.Shuffle(len(units), func(i, j int) { units[i], units[j] = units[j], units[i] })
-	for i, unit := range units[:min(amount, len(units))] {
-		w.left[process{unit, w.ready[unit]}] = w.upTime()
-		w.changed[unit] = w.generation
-		delete(w.ready, unit)
+	endpoints := slices.Sorted(maps.Keys(w.ready))
+	w.random.Shuffle(len(endpoints), func(i, j int) { endpoints[i], endpoints[j] = endpoints[j], endpoints[i] })
+	for i, endpoint := range endpoints[:min(amount, len(endpoints))] {
+		w.leftAt[endpointProcess{endpoint, w.ready[endpoint]}] = w.upTime()
+		w.changed[endpoint] = w.generation
+		delete(w.ready, endpoint)
 		if i%10 == 9 {
 			w.processes++
-			w.ready[unit] = w.processes
+			w.ready[endpoint] = w.processes
 		}
 	}
 	w.join(amount)
-	for _, host := range w.hosts {
-		if host.standing {
-			w.reply(host)
+	for _, simulated := range w.relays {
+		if simulated.watchHeld {
+			w.answerPoll(simulated)
 		}
 	}
 }
 
-func (w *historyWorld) join(amount int) {
+func (w *simulation) join(amount int) {
 	for range amount {
 		w.processes++
-		unit := relay.EndpointID(w.processes)
-		w.ready[unit] = w.processes
-		w.changed[unit] = w.generation
+		endpoint := relay.EndpointID(w.processes)
+		w.ready[endpoint] = w.processes
+		w.changed[endpoint] = w.generation
 	}
 }
 
-// goDown ends the calls that discovery holds, but for some whose end is not heard.
-func (w *historyWorld) goDown() {
+// stopDiscovery ends the calls that discovery holds, but for some whose end is not heard.
+func (w *simulation) stopDiscovery() {
 	if !w.up {
 		return
 	}
 	w.upBefore, w.up = w.upTime(), false
-	for _, host := range w.hosts {
-		if !host.standing {
+	for _, simulated := range w.relays {
+		if !simulated.watchHeld {
 			continue
 		}
-		if host.standing = false; w.fallsSilent(0.3) {
-			w.silence(host)
+		if simulated.watchHeld = false; w.drawStall(0.3) {
+			w.stallPoll(simulated)
 			continue
 		}
-		w.fail(host, w.between(0, 0.05), PollFailed{})
+		w.failPoll(simulated, w.uniform(0, 0.05), PollFailed{})
 	}
 }
 
-func (w *historyWorld) goUp() {
+func (w *simulation) startDiscovery() {
 	if !w.up {
 		w.up, w.upAt = true, w.now
 	}
 }
 
 // start starts a relay with the list that it kept, if any.
-func (w *historyWorld) start(no int, kept *historyHost) {
-	old := w.hosts[no]
-	old.dead = true
-	host := &historyHost{Node: New(testSettings(no, w.nodes), w.random.Int63()), no: no, wakeAt: Never, kept: old.kept,
+func (w *simulation) startRelay(number int, stored *simulatedRelay) {
+	old := w.relays[number]
+	old.stopped = true
+	simulated := &simulatedRelay{Node: New(testSettings(number, w.nodes), w.random.Int63()), number: number, timerAt: Never, stored: old.stored,
 		listed: map[relay.EndpointID]int{}, generation: noGeneration}
-	w.hosts[no] = host
-	if kept != nil {
-		host.listed, host.generation, host.incarnation = maps.Clone(kept.listed), kept.generation, kept.incarnation
-		w.step(host, CachedList{host.list()})
+	w.relays[number] = simulated
+	if stored != nil {
+		simulated.listed, simulated.generation, simulated.incarnation = maps.Clone(stored.listed), stored.generation, stored.incarnation
+		w.step(simulated, CachedList{simulated.list()})
 	}
-	w.after(w.between(0, 0.5), func() { w.call(host, false) })
+	w.after(w.uniform(0, 0.5), func() { w.poll(simulated, false) })
 }
 
-// entryOf is the line of a ready process.
-func entryOf(unit relay.EndpointID, number int) relay.Endpoint {
-	return relay.Endpoint{ID: unit, State: relay.Ready, StartKnown: true, StartedAt: relay.Seconds(number)}
+// readyEntry is the line of a ready process.
+func readyEntry(endpoint relay.EndpointID, number int) relay.Endpoint {
+	return relay.Endpoint{ID: endpoint, State: relay.Ready, StartKnown: true, StartedAt: relay.Seconds(number)}
 }
 
-func (h *historyHost) list() List {
-	given := List{Generation: h.generation, Full: true}
-	for _, unit := range slices.Sorted(maps.Keys(h.listed)) {
-		given.Endpoints = append(given.Endpoints, entryOf(unit, h.listed[unit]))
+func (h *simulatedRelay) list() List {
+	update := List{Generation: h.generation, Full: true}
+	for _, endpoint := range slices.Sorted(maps.Keys(h.listed)) {
+		update.Endpoints = append(update.Endpoints, readyEntry(endpoint, h.listed[endpoint]))
 	}
-	return given
+	return update
 }
 
 // step lets a node see an event and does what it asks for.
-func (w *historyWorld) step(host *historyHost, event any) {
-	if w.before != nil {
-		event = w.before(host.Node, event)
+func (w *simulation) step(simulated *simulatedRelay, event Event) {
+	if w.rewriteEvent != nil {
+		event = w.rewriteEvent(simulated.Node, event)
 	}
-	out := host.Step(w.now, event)
-	if host.lease = out.LeaseExpiresAt; w.believe != nil {
-		host.lease = w.believe(out.LeaseExpiresAt)
+	out := simulated.Step(w.now, event)
+	if simulated.leaseExpiresAt = out.LeaseExpiresAt; w.rewriteLease != nil {
+		simulated.leaseExpiresAt = w.rewriteLease(out.LeaseExpiresAt)
 	}
-	for _, unit := range out.Removed {
-		delete(host.listed, unit)
+	for _, endpoint := range out.Removed {
+		delete(simulated.listed, endpoint)
 	}
 	for _, body := range out.Messages {
-		w.send(host, body)
+		w.send(simulated, body)
 	}
-	if host.wakeAt != out.TimerAt {
-		if host.wakeAt = out.TimerAt; out.TimerAt != Never {
+	if simulated.timerAt != out.TimerAt {
+		if simulated.timerAt = out.TimerAt; out.TimerAt != Never {
 			w.after(out.TimerAt-w.now, func() {
-				if !host.dead && host.wakeAt == out.TimerAt {
-					w.step(host, TimerFired{})
+				if !simulated.stopped && simulated.timerAt == out.TimerAt {
+					w.step(simulated, TimerFired{})
 				}
 			})
 		}
@@ -354,19 +354,19 @@
 }
 
 // send loses, repeats and delays a message for each relay by itself.
-func (w *historyWorld) send(from *historyHost, body []byte) {
-	for to := range w.hosts {
-		if to == from.no || w.cutOff[to] || w.cutOff[from.no] || w.random.Float64() < w.loss {
+func (w *simulation) send(from *simulatedRelay, body []byte) {
+	for to := range w.relays {
+		if to == from.number || w.partitioned[to] || w.partitioned[from.number] || w.random.Float64() < w.loss {
 			continue
 		}
 		for range 1 + w.random.Intn(10)/9 {
-			delay := w.between(0.001, 0.02)
+			delay := w.uniform(0.001, 0.02)
 			if w.random.Float64() < 0.05 {
-				delay = w.between(0.02, 2)
+				delay = w.uniform(0.02, 2)
 			}
 			w.after(delay, func() {
-				if host := w.hosts[to]; !host.dead {
-					w.step(host, MessageReceived{relay.RelayID(from.no), body})
+				if simulated := w.relays[to]; !simulated.stopped {
+					w.step(simulated, MessageReceived{relay.RelayID(from.number), body})
 				}
 			})
 		}
@@ -374,129 +374,129 @@
 }
 
 // call makes a call to discovery.
-func (w *historyWorld) call(host *historyHost, continues bool) {
-	if host.dead {
+func (w *simulation) poll(simulated *simulatedRelay, continues bool) {
+	if simulated.stopped {
 		return
 	}
-	host.calls++
-	host.begun, host.wait = w.now, w.between(1, 4)
-	w.step(host, PollStarted{Wait: host.wait, ContinuesWatch: continues})
-	call := host.calls
-	reached := w.up && !w.isolated[host.no]
+	simulated.polls++
+	simulated.pollStartedAt, simulated.pollWait = w.now, w.uniform(1, 4)
+	w.step(simulated, PollStarted{Wait: simulated.pollWait, ContinuesWatch: continues})
+	call := simulated.polls
+	reached := w.up && !w.isolated[simulated.number]
 	switch {
-	case !reached && w.fallsSilent(0.2):
-		w.silence(host)
+	case !reached && w.drawStall(0.2):
+		w.stallPoll(simulated)
 	case !reached:
-		w.fail(host, w.between(0.001, 1), PollFailed{})
-	case w.refused[host.no] && continues:
-		w.fail(host, w.between(0.001, 0.05), PollFailed{})
-	case w.refused[host.no]:
-		w.fail(host, w.between(0.001, 2), PollFailed{})
-	case host.generation != w.generation || host.incarnation != w.incarnation || !continues:
-		w.reply(host)
+		w.failPoll(simulated, w.uniform(0.001, 1), PollFailed{})
+	case w.rejected[simulated.number] && continues:
+		w.failPoll(simulated, w.uniform(0.001, 0.05), PollFailed{})
+	case w.rejected[simulated.number]:
+		w.failPoll(simulated, w.uniform(0.001, 2), PollFailed{})
+	case simulated.generation != w.generation || simulated.incarnation != w.incarnation || !continues:
+		w.answerPoll(simulated)
 	default:
-		host.standing = true
-		w.after(host.wait, func() {
-			if host.standing && host.calls == call {
-				w.reply(host)
+		simulated.watchHeld = true
+		w.after(simulated.pollWait, func() {
+			if simulated.watchHeld && simulated.polls == call {
+				w.answerPoll(simulated)
 			}
 		})
 	}
 }
 
 // reply sends discovery's list of now, which may be lost on its way.
-func (w *historyWorld) reply(host *historyHost) {
-	host.standing = false
-	if w.fallsSilent(silentPart) {
-		w.silence(host)
+func (w *simulation) answerPoll(simulated *simulatedRelay) {
+	simulated.watchHeld = false
+	if w.drawStall(stalledFraction) {
+		w.stallPoll(simulated)
 		return
 	}
-	given := List{Generation: w.generation, Full: host.incarnation != w.incarnation || host.generation == noGeneration}
-	for _, unit := range slices.Sorted(maps.Keys(w.ready)) {
-		if given.Full || w.changed[unit] > host.generation {
-			given.Endpoints = append(given.Endpoints, entryOf(unit, w.ready[unit]))
+	update := List{Generation: w.generation, Full: simulated.incarnation != w.incarnation || simulated.generation == noGeneration}
+	for _, endpoint := range slices.Sorted(maps.Keys(w.ready)) {
+		if update.Full || w.changed[endpoint] > simulated.generation {
+			update.Endpoints = append(update.Endpoints, readyEntry(endpoint, w.ready[endpoint]))
 		}
 	}
-	for _, unit := range slices.Sorted(maps.Keys(w.changed)) {
-		if _, ready := w.ready[unit]; !ready && !given.Full && w.changed[unit] > host.generation {
-			given.Endpoints = append(given.Endpoints, relay.Endpoint{ID: unit, State: relay.Draining})
+	for _, endpoint := range slices.Sorted(maps.Keys(w.changed)) {
+		if _, ready := w.ready[endpoint]; !ready && !update.Full && w.changed[endpoint] > simulated.generation {
+			update.Endpoints = append(update.Endpoints, relay.Endpoint{ID: endpoint, State: relay.Draining})
 		}
 	}
 	incarnation := w.incarnation
-	w.after(w.between(0.001, 0.1), func() { w.take(host, given, incarnation) })
+	w.after(w.uniform(0.001, 0.1), func() { w.receiveAnswer(simulated, update, incarnation) })
 }
 
 // take takes an answer of discovery, and calls again.
-func (w *historyWorld) take(host *historyHost, given List, incarnation int) {
-	if host.dead {
+func (w *simulation) receiveAnswer(simulated *simulatedRelay, update List, incarnation int) {
+	if simulated.stopped {
 		return
 	}
-	if given.Full {
-		clear(host.listed)
+	if update.Full {
+		clear(simulated.listed)
 	}
-	for _, entry := range given.Endpoints {
-		delete(host.listed, entry.ID)
+	for _, entry := range update.Endpoints {
+		delete(simulated.listed, entry.ID)
 		if entry.State == relay.Ready {
-			host.listed[entry.ID] = int(entry.StartedAt)
+			simulated.listed[entry.ID] = int(entry.StartedAt)
 		}
 	}
-	host.generation, host.incarnation = given.Generation, incarnation
-	w.step(host, PollAnswered{given})
+	simulated.generation, simulated.incarnation = update.Generation, incarnation
+	w.step(simulated, PollAnswered{update})
 	if w.random.Float64() < 0.3 {
-		host.kept = &historyHost{listed: maps.Clone(host.listed), generation: given.Generation, incarnation: incarnation}
+		simulated.stored = &simulatedRelay{listed: maps.Clone(simulated.listed), generation: update.Generation, incarnation: incarnation}
 	}
 	if w.random.Float64() < 0.9 {
-		w.call(host, true)
+		w.poll(simulated, true)
 		return
 	}
-	w.after(w.between(0, 2), func() { w.call(host, false) })
+	w.after(w.uniform(0, 2), func() { w.poll(simulated, false) })
 }
 
-// fallsSilent draws whether a call falls silent.
-func (w *historyWorld) fallsSilent(part float64) bool {
-	return w.trouble == noTrouble && w.random.Float64() < part
+// drawStall draws whether a call falls silent.
+func (w *simulation) drawStall(part float64) bool {
+	return w.discoveryFault == noDiscoveryFault && w.random.Float64() < part
 }
 
 // silence has a call end by its own clock.
-func (w *historyWorld) silence(host *historyHost) {
-	w.fail(host, host.begun+host.wait+1-w.now, PollFailed{Stalled: true})
+func (w *simulation) stallPoll(simulated *simulatedRelay) {
+	w.failPoll(simulated, simulated.pollStartedAt+simulated.pollWait+1-w.now, PollFailed{Stalled: true})
 }
 
-func (w *historyWorld) fail(host *historyHost, wait relay.Seconds, event PollFailed) {
+func (w *simulation) failPoll(simulated *simulatedRelay, wait relay.Seconds, event PollFailed) {
 	w.after(wait, func() {
-		if !host.dead {
-			w.step(host, event)
-			w.after(w.between(0.1, 1), func() { w.call(host, false) })
+		if !simulated.stopped {
+			w.step(simulated, event)
+			w.after(w.uniform(0.1, 1), func() { w.poll(simulated, false) })
 		}
 	})
 }
 
 // check compares what the relays act on with the true course of the list.
-func (w *historyWorld) check() {
-	for _, host := range w.hosts {
-		if host.dead || host.lease <= w.now {
+func (w *simulation) check() {
+	for _, simulated := range w.relays {
+		if simulated.stopped || simulated.leaseExpiresAt <= w.now {
 			continue
 		}
-		w.leases++
-		for unit, number := range host.listed {
-			if left, is := w.left[process{unit, number}]; is && w.upTime()-left > bindsAfter {
-				w.fault = fmt.Errorf("%.2f s: relay %d has a lease until %.2f and wants a process that left %.2f s of up-time ago",
-					w.now, host.no, host.lease, w.upTime()-left)
+		w.leasesHeld++
+		for endpoint, number := range simulated.listed {
+			if left, is := w.leftAt[endpointProcess{endpoint, number}]; is && w.upTime()-left > bindsAfter {
+				w.violation = fmt.Errorf("%.2f s: relay %d has a lease until %.2f and wants a process that left %.2f s of up-time ago",
+					w.now, simulated.number, simulated.leaseExpiresAt, w.upTime()-left)
 				return
 			}
 		}
 	}
 }
 
-func TestNoLeaseOutlivesAChangeThatBinds(t *testing.T) {
+func TestNoLeaseOutlivesABindingChange(t *testing.T) {
 	looks, leases := 0, 0
 	rapid.Check(t, func(t *rapid.T) {
-		w, err := play(histories().Draw(t, "history"), mutant{})
+		w, err := simulate(histories().Draw(t, "history"), mutant{})
 		if err != nil {
 			t.Fatal(err)
 		}
 		looks += w.nodes * historySeconds * 20
-		leases += w.leases
+		leases += w.leasesHeld
 	})
 	t.Logf("leases held in %d of %d looks", leases, looks)
 	if leases < looks/2 {
@@ -504,62 +504,62 @@
 	}
 }
 
-// changeHeard changes a heard message before the node sees it.
-func changeHeard(event any, change func(*message)) any {
-	heard, is := event.(MessageReceived)
+// rewriteMessage changes a heard message before the node sees it.
+func rewriteMessage(event Event, change func(*message)) Event {
+	received, is := event.(MessageReceived)
 	if !is {
 		return event
 	}
-	m, err := decode(heard.Body)
+	m, err := decode(received.Body)
 	if err != nil {
 		return event
 	}
 	change(&m)
-	return MessageReceived{heard.From, m.encode()}
+	return MessageReceived{received.From, m.encode()}
 }
 
 // mutants are nodes of which one defence is missing each.
 var mutants = map[string]mutant{
-	"a lease never ends": {believe: func(lease relay.Seconds) relay.Seconds {
+	"a lease never ends": {rewriteLease: func(lease relay.Seconds) relay.Seconds {
 		if lease > 0 {
 			return Never
 		}
 		return 0
 	}},
-	"failed calls count without contact": {before: func(n *Node, event any) any {
-		n.contact, n.heardSince = n.now, -Never
+	"failed calls count without contact": {rewriteEvent: func(n *Node, event Event) Event {
+		n.agreedAt, n.messagesSince = n.now, -Never
 		return event
 	}},
-	"failed calls count though a peer has news": {from: 50, before: func(n *Node, event any) any {
-		n.newest = n.view.generation
-		return changeHeard(event, func(m *message) {
-			if m.delta == nil && m.view.generation > n.view.generation {
-				m.view = n.view
+	"failed calls count though a peer has news": {firstSeed: 50, rewriteEvent: func(n *Node, event Event) Event {
+		n.newestGeneration = n.version.generation
+		return rewriteMessage(event, func(m *message) {
+			if m.delta == nil && m.version.generation > n.version.generation {
+				m.version = n.version
 			}
 		})
 	}},
-	"a delta is whole with its first datagram": {before: func(n *Node, event any) any {
-		return changeHeard(event, func(m *message) {
+	"a delta is whole with its first datagram": {rewriteEvent: func(n *Node, event Event) Event {
+		return rewriteMessage(event, func(m *message) {
 			if m.delta != nil {
 				m.delta.part, m.delta.parts = 0, 1
 			}
 		})
 	}},
-	"a list of before the start is confirmed": {before: func(n *Node, event any) any {
+	"a list of before the start is confirmed": {rewriteEvent: func(n *Node, event Event) Event {
 		if held, is := event.(CachedList); is {
 			return PollAnswered(held)
 		}
 		return event
 	}},
-	"a silent call is taken for a watch that stood": {before: func(n *Node, event any) any {
+	"a silent call is taken for a watch that stood": {rewriteEvent: func(n *Node, event Event) Event {
 		if failed, is := event.(PollFailed); is && failed.Stalled {
 			return PollFailed{}
 		}
 		return event
 	}},
-	"a node helps from lists that it never held whole": {from: 350, before: func(n *Node, event any) any {
-		if !slices.Contains(n.list.history, n.view) {
-			n.list.remember(n.view)
+	"a node helps from lists that it never held whole": {firstSeed: 350, rewriteEvent: func(n *Node, event Event) Event {
+		if !slices.Contains(n.list.versions, n.version) {
+			n.list.rememberVersion(n.version)
 		}
 		return event
 	}},
@@ -569,10 +569,10 @@
 	const searched = 100 // histories
 	for name, m := range mutants {
 		found := false
-		for seed := m.from; seed < m.from+searched && !found; seed++ {
+		for seed := m.firstSeed; seed < m.firstSeed+searched && !found; seed++ {
 			h := histories().Example(seed)
-			if _, err := play(h, m); err != nil {
-				if _, err := play(h, mutant{}); err != nil {
+			if _, err := simulate(h, m); err != nil {
+				if _, err := simulate(h, mutant{}); err != nil {
 					t.Fatalf("history %d with all defences: %v", seed, err)
 				}
 				t.Logf("%s: history %d: %v", name, seed, err)
--- a/membership/list.go
+++ b/membership/list.go
@@ -13,163 +13,172 @@
 const (
 	noGeneration = int64(-1)
 
-	// maxHistory bounds the views that a delta may start from: half an hour of a list that changes every 14 s.
-	maxHistory = 128
-	// maxChanges bounds the units that left and may be told of. A relay that missed more asks discovery.
-	maxChanges = 4096
+	// maxVersions bounds the versions that a delta may start from: half an hour of a list that changes every 14 s.
+	maxVersions = 128
+	// maxRemovals bounds the removals that are kept for deltas. A relay that missed more polls discovery.
+	maxRemovals = 4096
 )
 
-// List is discovery's list, or a change of it.
+// List is discovery's endpoint list, or a change of it.
 type List struct {
-	Generation int64
-	Full       bool // units that are not in it are gone
+	Generation int64 // discovery's count of changes
+	Full       bool  // endpoints that are not in it are gone
 	Endpoints  []relay.Endpoint
 }
 
-// view names a list: two relays with equal views hold the same ready units.
-type view struct {
+// listVersion identifies a list: two relays with equal versions hold the same ready endpoints.
+type listVersion struct {
 	generation int64
 	digest     uint64
 }
 
-// change is a unit whose entry in older lists no longer holds: it left, or another process took its id.
-type change struct {
+// removal is an endpoint whose entry in older lists no longer holds: it left, or another process took its id.
+type removal struct {
 	generation int64
-	unit       relay.EndpointID
+	endpoint   relay.EndpointID
 }
 
-// list is what a relay knows of the units, from discovery and from peers.
-type list struct {
-	epoch      relay.Seconds               // Unix time of time zero
-	process    map[relay.EndpointID]uint64 // hash of each ready unit's process
-	digest     uint64                      // of all of them
-	generation int64                       // of discovery's last answer
-	left       map[relay.EndpointID]int64  // told by peers as left, with the generation that did so
-	history    []view                      // that were present ones, oldest first
-	changes    []change                    // oldest first
-	since      int64                       // changes are complete for views from this generation on
+// endpointList is what a relay knows of the ready endpoints, from discovery and from peers.
+type endpointList struct {
+	epoch          relay.Seconds               // Unix time of time zero
+	processes      map[relay.EndpointID]uint64 // hash of each ready endpoint's process
+	digest         uint64                      // exclusive or of the hashes, so that their order does not matter
+	generation     int64                       // of discovery's last answer
+	removedByPeers map[relay.EndpointID]int64  // endpoints that peers reported as removed, with the generation that did so
+	versions       []listVersion               // that this relay held completely, oldest first
+	removals       []removal                   // oldest first
+	removalsSince  int64                       // removals are complete for versions from this generation on
 }
 
-func newList(epoch relay.Seconds) list {
-	return list{epoch: epoch, process: map[relay.EndpointID]uint64{}, left: map[relay.EndpointID]int64{}, generation: noGeneration}
+func newEndpointList(epoch relay.Seconds) endpointList {
+	return endpointList{
+		epoch:          epoch,
+		processes:      map[relay.EndpointID]uint64{},
+		generation:     noGeneration,
+		removedByPeers: map[relay.EndpointID]int64{},
+	}
 }
 
-// processHash tells one process of a unit from the next. Digests are exclusive ors of these, whatever the order.
-func (l *list) processHash(entry relay.Endpoint) uint64 {
-	started := int64(0)
+// processHash identifies one process of an endpoint by id, build and start.
+func (l *endpointList) processHash(entry relay.Endpoint) uint64 {
+	startedAt := int64(0) // Unix milliseconds
 	if entry.StartKnown {
-		started = int64(math.Round((entry.StartedAt + l.epoch) * 1000))
+		startedAt = int64(math.Round((entry.StartedAt + l.epoch) * 1000))
 	}
-	var b [24]byte
-	binary.LittleEndian.PutUint64(b[0:], uint64(entry.ID))
-	binary.LittleEndian.PutUint64(b[8:], uint64(entry.Build))
-	binary.LittleEndian.PutUint64(b[16:], uint64(started))
-	return xxhash.Sum64(b[:])
+	var fields [24]byte
+	binary.LittleEndian.PutUint64(fields[0:], uint64(entry.ID))
+	binary.LittleEndian.PutUint64(fields[8:], uint64(entry.Build))
+	binary.LittleEndian.PutUint64(fields[16:], uint64(startedAt))
+	return xxhash.Sum64(fields[:])
 }
 
-// apply takes a list from discovery. It returns the units that this list holds for ready though a peer has told, of a
-// later generation, that they left.
-func (l *list) apply(given List) (still []relay.EndpointID) {
-	l.generation = given.Generation
+// apply takes over a list from discovery. It returns the endpoints that the list has as ready although a peer reported
+// their removal in a later generation; they stay removed.
+func (l *endpointList) apply(update List) (outdated []relay.EndpointID) {
+	l.generation = update.Generation
 	listed := map[relay.EndpointID]bool{}
-	for _, entry := range given.Endpoints {
-		if given.Full {
+	for _, entry := range update.Endpoints {
+		if update.Full {
 			listed[entry.ID] = true
 		}
-		if l.set(entry) {
-			still = append(still, entry.ID)
+		if isOutdated := l.setEntry(entry); isOutdated {
+			outdated = append(outdated, entry.ID)
 		}
 	}
-	if given.Full {
-		l.removeOthers(listed)
+	if update.Full {
+		l.removeUnlisted(listed)
 	}
-	return still
+	return outdated
 }
 
-// set takes one entry, and says whether a peer knows better.
-func (l *list) set(entry relay.Endpoint) (left bool) {
-	if generation, told := l.left[entry.ID]; told && generation > l.generation {
+// setEntry takes over one entry of an answer. It reports whether the entry has an endpoint as ready whose removal in a later
+// generation a peer reported.
+func (l *endpointList) setEntry(entry relay.Endpoint) (outdated bool) {
+	removedIn, reported := l.removedByPeers[entry.ID]
+	if reported && removedIn > l.generation {
 		return entry.State == relay.Ready
 	}
-	delete(l.left, entry.ID)
+	delete(l.removedByPeers, entry.ID)
 	if entry.State != relay.Ready {
 		l.remove(entry.ID, l.generation)
 		return false
 	}
 	hash := l.processHash(entry)
-	if before, known := l.process[entry.ID]; known && before == hash {
+	if known, listed := l.processes[entry.ID]; listed && known == hash {
 		return false
 	}
 	l.remove(entry.ID, l.generation)
-	l.process[entry.ID] = hash
+	l.processes[entry.ID] = hash
 	l.digest ^= hash
 	return false
 }
 
-// removeOthers removes the units that a whole list leaves out.
-func (l *list) removeOthers(listed map[relay.EndpointID]bool) {
-	var others []relay.EndpointID
-	for unit := range l.process {
-		if !listed[unit] {
-			others = append(others, unit)
+// removeUnlisted removes the endpoints that a full list leaves out.
+func (l *endpointList) removeUnlisted(listed map[relay.EndpointID]bool) {
+	var unlisted []relay.EndpointID
+	for endpoint := range l.processes {
+		if !listed[endpoint] {
+			unlisted = append(unlisted, endpoint)
 		}
 	}
-	slices.Sort(others)
-	for _, unit := range others {
-		l.remove(unit, l.generation)
+	slices.Sort(unlisted)
+	for _, endpoint := range unlisted {
+		l.remove(endpoint, l.generation)
 	}
 }
 
-// remove takes a ready unit off the list, and says whether it was on it.
-func (l *list) remove(unit relay.EndpointID, generation int64) bool {
-	hash, known := l.process[unit]
-	if !known {
+// remove takes a ready endpoint off the list, and reports whether it was on it.
+func (l *endpointList) remove(endpoint relay.EndpointID, generation int64) bool {
+	hash, listed := l.processes[endpoint]
+	if !listed {
 		return false
 	}
-	delete(l.process, unit)
+	delete(l.processes, endpoint)
 	l.digest ^= hash
-	l.changes = append(l.changes, change{generation, unit})
-	if over := len(l.changes) - maxChanges; over > 0 {
-		l.since = max(l.since, l.changes[over-1].generation)
-		l.changes = slices.Delete(l.changes, 0, over)
+	l.removals = append(l.removals, removal{generation, endpoint})
+	if excess := len(l.removals) - maxRemovals; excess > 0 {
+		l.removalsSince = max(l.removalsSince, l.removals[excess-1].generation)
+		l.removals = slices.Delete(l.removals, 0, excess)
 	}
 	return true
 }
 
-// tell takes a peer's word that a unit left, and says whether that is news.
-func (l *list) tell(unit relay.EndpointID, generation int64) bool {
-	if generation <= l.generation || !l.remove(unit, generation) {
+// removeByPeer applies a removal that a peer reported, and reports whether it changed anything.
+func (l *endpointList) removeByPeer(endpoint relay.EndpointID, generation int64) bool {
+	if generation <= l.generation || !l.remove(endpoint, generation) {
 		return false
 	}
-	l.left[unit] = generation
+	l.removedByPeers[endpoint] = generation
 	return true
 }
 
-// remember adds a view to the history.
-func (l *list) remember(v view) {
-	l.history = append(l.history, v)
-	if over := len(l.history) - maxHistory; over > 0 {
-		l.history = slices.Delete(l.history, 0, over)
+// rememberVersion adds a version to those that deltas may start from.
+func (l *endpointList) rememberVersion(version listVersion) {
+	l.versions = append(l.versions, version)
+	if excess := len(l.versions) - maxVersions; excess > 0 {
+		l.versions = slices.Delete(l.versions, 0, excess)
 	}
 }
 
-// forget drops all that is counted by generation.
-func (l *list) forget() {
-	clear(l.left)
-	l.history, l.changes, l.since = nil, nil, 0
+// forgetGenerations drops what refers to generations of before a restart of discovery.
+func (l *endpointList) forgetGenerations() {
+	clear(l.removedByPeers)
+	l.versions = nil
+	l.removals = nil
+	l.removalsSince = 0
 }
 
-// leftSince are the units that left behind a view, in order of their ids; false if that is not known here.
-func (l *list) leftSince(base view) ([]relay.EndpointID, bool) {
-	if base.generation < l.since || !slices.Contains(l.history, base) {
+// removedSince returns the endpoints removed since a version, in order of their ids. It is false if that is not known here.
+func (l *endpointList) removedSince(base listVersion) ([]relay.EndpointID, bool) {
+	if base.generation < l.removalsSince || !slices.Contains(l.versions, base) {
 		return nil, false
 	}
-	var units []relay.EndpointID
-	for _, c := range l.changes {
-		if c.generation > base.generation {
-			units = append(units, c.unit)
+	var endpoints []relay.EndpointID
+	for _, r := range l.removals {
+		if r.generation > base.generation {
+			endpoints = append(endpoints, r.endpoint)
 		}
 	}
-	slices.Sort(units)
-	return slices.Compact(units), true
+	slices.Sort(endpoints)
+	return slices.Compact(endpoints), true
 }
--- a/membership/membership.go
+++ b/membership/membership.go
@@ -1,203 +1,106 @@
-// Package membership decides how long a relay may act on its list of units, and spreads what the relays know of it.
+// Package membership keeps the lease on a relay's endpoint list and the gossip by which relays confirm and update their
+// lists for one another.
 //
-// Discovery is one service for all relays and may be slow or down, so a relay cannot ask it for every decision. It holds
-// its list under a lease: a change of the list binds a relay a fixed time after discovery had it, whether or not it
-// arrived, and the lease ends before that. A lease is renewed by an answer of discovery to this relay, or by a peer that
-// was answered later and holds the same list (anti-entropy by generation and digest). A peer that holds a newer list tells
-// which units left since, so that the rest of an older list can be believed without a call to discovery.
+// Discovery serves all relays and may be slow or down, so a relay cannot poll it for every decision. A change of the list
+// binds a relay a fixed time after discovery had it, whether or not the change arrived; the lease on the list ends before
+// that. It is renewed by an answer of discovery to this relay, or by a peer that was answered later and holds the same list
+// (equal generation and digest). A peer with a newer list sends a delta, the endpoints removed since, so that the rest of an
+// older list can be used without a poll.
 //
-// A Node is a state machine without I/O, clock or goroutine: Step takes what happened and returns what the host has to do.
-// docs/membership.md has the design, the wire form and the operators' view.
+// A Node is a state machine without I/O, clock or goroutine: its host calls Step with one event at a time, from one
+// goroutine, and carries out the Output. Backoff spaces the host's polls. The package imports relay alone; docs/membership.md
+// describes the design, the wire format and operation.
 package membership
 
 import (
 	"math"
 	"math/rand"
-	"slices"
 
 	"lichenroad/relay"
 )
 
-// Never is a time that does not come, or has not been.
-const Never = relay.Seconds(math.MaxFloat64)
-
-// Settings are what a node is told once, at its start.
+// Settings configure a node. They do not change after New.
 type Settings struct {
-	Self         relay.RelayID
-	Relays       int
+	Self         relay.RelayID // this relay
+	Relays       int           // in the fleet, this one included
 	PeerMessages bool          // relays may send one another datagrams
-	PollInterval relay.Seconds // for which a relay without a watch may act on its list
-	Epoch        relay.Seconds // Unix time of the node's time zero: all relays read one clock
+	PollInterval relay.Seconds // for which a relay without a watch may act on its list; 0: unlimited
+	Epoch        relay.Seconds // Unix time of the node's time zero; all relays read one clock
 }
 
-// Events that Step takes.
-type (
-	// Held is the list that the relay held before its start. Its age is not known.
-	CachedList struct{ List List }
-	// PollStarted is a call to discovery. A call that continues a watch follows an answer without a gap.
-	PollStarted struct {
-		Wait           relay.Seconds // that discovery may hold the call until something changes
-		ContinuesWatch bool
-	}
-	// Answered is discovery's answer to a call.
-	PollAnswered struct{ List List }
-	// PollFailed is the end of a call without an answer. Silent means that nothing came at all, not even the end of
-	// the connection; Unreadable, that something came which was no list.
-	PollFailed struct{ Stalled, Unreadable bool }
-	// Heard is a message of another relay.
-	MessageReceived struct {
-		From relay.RelayID
-		Body []byte
-	}
-	// Woken is a wake-up at the time that Output asked for.
-	TimerFired struct{}
-)
-
-// Output is what the host has to do after a step.
+// Output is what the host has to carry out after a step.
 type Output struct {
-	Messages           [][]byte           // to send to all other relays
-	Removed            []relay.EndpointID // units of the list that want nothing new from now on
-	LeaseExpiresAt     relay.Seconds      // until when the list may be acted on; 0: not yet
-	TimerAt            relay.Seconds      // when a Woken event is due
-	DiscoveryRecovered bool               // discovery answers a peer again, after a time without answers
+	Messages           [][]byte           // datagrams to send to all other relays
+	Removed            []relay.EndpointID // listed endpoints that take no new requests from now on
+	LeaseExpiresAt     relay.Seconds      // until when the list may be acted on; 0: the list is not confirmed yet
+	TimerAt            relay.Seconds      // when a TimerFired event is due; Never: none
+	DiscoveryRecovered bool               // discovery answers a peer again, after polls of the fleet had failed
 }
 
-// Node is one relay's part in the membership protocol.
+// Node is one relay's part in the membership protocol. It is not safe for concurrent use.
 type Node struct {
-	set    Settings
-	random *rand.Rand
-	now    relay.Seconds
-	out    Output
-
-	list list
-	view view // of the list as known, from discovery or with peers' deltas
-
-	answered   relay.Seconds // when discovery last gave the view to any relay; Never: not known
-	attempted  relay.Seconds // when the latest call known to have failed began; Never: none
-	contact    relay.Seconds // when a peer with the same view was last heard; Never: not yet
-	heardSince relay.Seconds // when the first message of a peer came that no silence has followed; Never: not yet
-	heard      relay.Seconds // when the latest came; Never: not yet
-	confirmed  relay.Seconds // up to when no change can have begun to bind that is not known here; Never: not known
-	newest     int64         // the newest generation that any peer holds
-
-	call     call
-	gossip   gossip
-	assembly map[relay.RelayID]*assembly
-	counters Counters
+	settings Settings
+	random   *rand.Rand
+	now      relay.Seconds // of the latest step
+	output   Output        // of the step in progress
+
+	list    endpointList
+	version listVersion // of the list as known, from discovery or with the deltas of peers
+
+	answeredAt       relay.Seconds // when discovery last confirmed the version to any relay; Never: not known
+	failedPollAt     relay.Seconds // when the latest poll known to have failed began, of any relay; Never: none
+	agreedAt         relay.Seconds // when a peer with the same version was last heard; Never: not yet
+	messagesSince    relay.Seconds // when the peers' messages began that no silence has interrupted; Never: not yet
+	messageAt        relay.Seconds // when the latest message of a peer came; Never: not yet
+	confirmedAt      relay.Seconds // the latest time as of which the list was ever confirmed; Never: not yet
+	newestGeneration int64         // the highest that any peer is known to hold
+
+	poll       pollState
+	gossip     gossip
+	assemblies map[relay.RelayID]*assembly
+	counters   Counters
 }
 
-// call is the call to discovery that is under way.
-type call struct {
-	pending bool
-	begun   relay.Seconds
-	PollStarted
-}
-
-// Counters count what a node took and sent since its start.
+// Counters count what a node received and sent since its start.
 type Counters struct {
-	Heartbeats int // sent
-	Deltas     int // datagrams sent with units that left
-	Received   int // messages taken
-	Unreadable int // messages dropped
-	Conflicts  int // messages of a list with this node's generation and another content
-}
-
-// New returns the node of one relay, ready for its first step.
-func New(set Settings, seed int64) *Node {
-	set.PollInterval = unlessAbsent(set.PollInterval)
-	n := &Node{set: set, random: rand.New(rand.NewSource(seed)), list: newList(set.Epoch), answered: Never, attempted: Never,
-		contact: Never, heardSince: Never, heard: Never, confirmed: Never, newest: noGeneration, assembly: map[relay.RelayID]*assembly{}}
-	n.view = view{generation: noGeneration}
-	n.gossip = newGossip()
-	return n
+	Heartbeats int // heartbeats sent
+	Deltas     int // datagrams of deltas sent
+	Received   int // messages accepted
+	Unreadable int // messages dropped, as malformed or from this relay itself
+	Conflicts  int // messages of a list with this node's generation and another digest
 }
 
-// unlessAbsent is a time that settings may leave out, and then never comes.
-func unlessAbsent(t relay.Seconds) relay.Seconds {
-	if t <= 0 {
-		return Never
+// New returns the node of one relay, ready for its first step. The seed determines its random delays.
+func New(settings Settings, seed int64) *Node {
+	settings.PollInterval = orNever(settings.PollInterval)
+	return &Node{
+		settings:         settings,
+		random:           rand.New(rand.NewSource(seed)),
+		list:             newEndpointList(settings.Epoch),
+		version:          listVersion{generation: noGeneration},
+		answeredAt:       Never,
+		failedPollAt:     Never,
+		agreedAt:         Never,
+		messagesSince:    Never,
+		messageAt:        Never,
+		confirmedAt:      Never,
+		newestGeneration: noGeneration,
+		gossip:           newGossip(),
+		assemblies:       map[relay.RelayID]*assembly{},
 	}
-	return t
 }
 
 // Counters returns the counts since the start.
 func (n *Node) Counters() Counters { return n.counters }
 
-// Step takes one event at a time that never goes back. The output's slices are good until the next step.
-func (n *Node) Step(now relay.Seconds, event any) Output {
+// Step applies one event. A time before that of the previous step counts as the latter. The output's slices are valid until
+// the next step.
+func (n *Node) Step(now relay.Seconds, event Event) Output {
 	n.now = math.Max(now, n.now)
-	n.out = Output{Messages: n.out.Messages[:0], Removed: n.out.Removed[:0]}
-	switch event := event.(type) {
-	case CachedList:
-		n.held(event.List)
-	case PollStarted:
-		n.call = call{pending: true, begun: n.now, PollStarted: event}
-	case PollAnswered:
-		n.answer(event.List)
-	case PollFailed:
-		n.failed(event)
-	case MessageReceived:
-		n.hear(event)
-	}
-	n.send()
-	n.out.LeaseExpiresAt = n.lease()
-	n.out.TimerAt = n.gossip.wakeAt()
-	return n.out
-}
-
-// held takes the list of before the start, which nobody has confirmed.
-func (n *Node) held(given List) {
-	n.list.apply(given)
-	n.see(view{given.Generation, n.list.digest})
-	n.gossip.soon(n, newsBackoff)
+	n.output = Output{Messages: n.output.Messages[:0], Removed: n.output.Removed[:0]}
+	event.applyTo(n)
+	n.sendDue()
+	n.output.LeaseExpiresAt = n.leaseExpiry()
+	n.output.TimerAt = n.gossip.nextTimer()
+	return n.output
 }
-
-// see makes a view the present one.
-func (n *Node) see(v view) {
-	n.view = v
-	n.newest = max(n.newest, v.generation)
-	n.list.remember(v)
-}
-
-// answer takes a list from discovery itself.
-func (n *Node) answer(given List) {
-	n.call.pending = false
-	if given.Full && given.Generation < n.view.generation {
-		n.list.forget() // discovery counts its generations anew
-		n.view = view{generation: noGeneration}
-		n.newest = noGeneration
-	}
-	still := n.list.apply(given)
-	n.out.Removed = append(n.out.Removed, still...)
-	if given.Generation < n.view.generation {
-		return // written before what a peer told
-	}
-	latest := view{given.Generation, n.list.digest}
-	news := latest != n.view
-	if news || !slices.Contains(n.list.history, latest) {
-		n.see(latest)
-	}
-	n.answered = n.now
-	if news || n.now-n.gossip.advertised > staleAfter {
-		n.gossip.soon(n, newsBackoff)
-	}
-}
-
-// failed takes the end of a call that brought nothing.
-func (n *Node) failed(event PollFailed) {
-	if !n.call.pending {
-		return
-	}
-	n.call.pending = false
-	ended := n.call
-	if ended.ContinuesWatch && !event.Stalled && !event.Unreadable && !n.behind() {
-		n.answered = n.now // the watch stood until now, and would have told of a change
-		return
-	}
-	if !event.Unreadable {
-		n.attempted = later(n.attempted, ended.begun)
-	}
-}
-
-// behind says that a peer holds a newer list whose changes are not known here.
-func (n *Node) behind() bool { return n.newest > n.view.generation }
--- a/membership/membership_test.go
+++ b/membership/membership_test.go
@@ -24,7 +24,7 @@
 }
 
 // leaseTime is how long a lease lasts behind an answer of discovery.
-const leaseTime = toldAfter - leaseMargin
+const leaseTime = changeBindsAfter - leaseMargin
 
 // wantLease checks a lease up to the milliseconds that messages carry.
 func wantLease(t *testing.T, got, want relay.Seconds) {
@@ -37,13 +37,13 @@
 // restarted is a node of four that holds the units 1 to 100 of generation 5 from before its start.
 func restarted(now relay.Seconds) *Node {
 	n := New(testSettings(0, 4), 1)
-	n.Step(now, CachedList{wholeList(5, unitRange(1, 100)...)})
+	n.Step(now, CachedList{fullList(5, endpointRange(1, 100)...)})
 	return n
 }
 
-func TestOlderHeldListHasNoLeaseUntilAPeerTellsWhoLeft(t *testing.T) {
+func TestStaleCachedListHasNoLeaseUntilAPeerSendsADelta(t *testing.T) {
 	b := newBus(t, 3)
-	older, newer := wholeList(5, unitRange(1, 100)...), wholeList(6, unitRange(61, 100)...)
+	older, newer := fullList(5, endpointRange(1, 100)...), fullList(6, endpointRange(61, 100)...)
 	for i := range 3 {
 		b.step(i, PollAnswered{older})
 	}
@@ -56,15 +56,15 @@
 		}
 	})
 	b.run(23)
-	if n := b.nodes[0]; n.view != viewOf(newer) || len(n.left) != 60 || !n.left[1] || !n.left[60] {
-		t.Fatalf("view %v, %d units left", n.view, len(n.left))
+	if n := b.nodes[0]; n.version != versionOf(newer) || len(n.removed) != 60 || !n.removed[1] || !n.removed[60] {
+		t.Fatalf("view %v, %d units left", n.version, len(n.removed))
 	}
-	wantLease(t, b.nodes[0].lease, 20.5+leaseTime)
+	wantLease(t, b.nodes[0].leaseExpiresAt, 20.5+leaseTime)
 }
 
 func TestDeltaOfSeveralDatagrams(t *testing.T) {
-	target := viewOf(wholeList(6, unitRange(61, 100)...))
-	bodies := deltas(viewOf(wholeList(5, unitRange(1, 100)...)), target, 10, unitRange(1, 60)...)
+	target := versionOf(fullList(6, endpointRange(61, 100)...))
+	bodies := deltas(versionOf(fullList(5, endpointRange(1, 100)...)), target, 10, endpointRange(1, 60)...)
 	if len(bodies) != 3 {
 		t.Fatalf("%d datagrams", len(bodies))
 	}
@@ -79,19 +79,19 @@
 				wantLease(t, out.LeaseExpiresAt, 10+leaseTime)
 			}
 		}
-		if slices.Sort(left); !slices.Equal(left, unitRange(1, 60)) || n.view != target {
+		if slices.Sort(left); !slices.Equal(left, endpointRange(1, 60)) || n.version != target {
 			t.Fatalf("order %v: left %v", order, left)
 		}
 	}
 }
 
-func TestPartsOfTwoDeltasMakeNoWhole(t *testing.T) {
-	base := viewOf(wholeList(5, unitRange(1, 100)...))
-	one := deltas(base, viewOf(wholeList(6, unitRange(41, 100)...)), 10, unitRange(1, 40)...)
-	two := deltas(base, viewOf(wholeList(7, unitRange(46, 100)...)), 10, unitRange(1, 45)...)
+func TestPartsOfTwoDeltasAreNotCombined(t *testing.T) {
+	base := versionOf(fullList(5, endpointRange(1, 100)...))
+	one := deltas(base, versionOf(fullList(6, endpointRange(41, 100)...)), 10, endpointRange(1, 40)...)
+	two := deltas(base, versionOf(fullList(7, endpointRange(46, 100)...)), 10, endpointRange(1, 45)...)
 	n := restarted(10)
-	for _, heard := range []MessageReceived{{1, one[0]}, {1, two[1]}, {2, one[1]}} {
-		if out := n.Step(10.1, heard); out.LeaseExpiresAt != 0 {
+	for _, received := range []MessageReceived{{1, one[0]}, {1, two[1]}, {2, one[1]}} {
+		if out := n.Step(10.1, received); out.LeaseExpiresAt != 0 {
 			t.Fatal("a lease by parts of different deltas or peers")
 		}
 	}
@@ -100,166 +100,166 @@
 	}
 }
 
-func TestDeltaFromAnotherListGivesNothing(t *testing.T) {
+func TestDeltaFromAnotherBaseIsIgnored(t *testing.T) {
 	n := restarted(10)
-	base := viewOf(wholeList(5, unitRange(1, 99)...))
-	out := n.Step(10.1, MessageReceived{1, deltas(base, viewOf(wholeList(6, 100)), 10, unitRange(1, 99)...)[0]})
+	base := versionOf(fullList(5, endpointRange(1, 99)...))
+	out := n.Step(10.1, MessageReceived{1, deltas(base, versionOf(fullList(6, 100)), 10, endpointRange(1, 99)...)[0]})
 	if out.LeaseExpiresAt != 0 || len(out.Removed) != 0 {
 		t.Fatalf("%+v", out)
 	}
 }
 
-func TestEqualHeldListIsConfirmedByOneHeartbeat(t *testing.T) {
+func TestEqualCachedListIsConfirmedByOneHeartbeat(t *testing.T) {
 	n := restarted(10)
-	out := n.Step(10.2, MessageReceived{1, heartbeat(n.view, 8.5, Never)})
+	out := n.Step(10.2, MessageReceived{1, heartbeat(n.version, 8.5, Never)})
 	wantLease(t, out.LeaseExpiresAt, 8.5+leaseTime)
 	if len(out.Removed) != 0 {
 		t.Fatalf("left: %v", out.Removed)
 	}
 }
 
-// failedCall makes a call and has it fail.
-func failedCall(n *Node, begun, ended relay.Seconds, event PollFailed) Output {
+// failPoll makes a call and has it fail.
+func failPoll(n *Node, begun, ended relay.Seconds, event PollFailed) Output {
 	n.Step(begun, PollStarted{Wait: 2})
 	return n.Step(ended, event)
 }
 
-func TestFailedCallCountsOnlyInContact(t *testing.T) {
+func TestFailedPollCountsOnlyInContact(t *testing.T) {
 	n := restarted(10)
-	if out := failedCall(n, 10, 10.5, PollFailed{}); out.LeaseExpiresAt != 0 {
+	if out := failPoll(n, 10, 10.5, PollFailed{}); out.LeaseExpiresAt != 0 {
 		t.Fatalf("a lease until %v without a peer", out.LeaseExpiresAt)
 	}
-	if out := n.Step(11, MessageReceived{1, heartbeat(n.view, Never, Never)}); out.LeaseExpiresAt != 0 {
+	if out := n.Step(11, MessageReceived{1, heartbeat(n.version, Never, Never)}); out.LeaseExpiresAt != 0 {
 		t.Fatalf("a lease until %v on the first word of a peer", out.LeaseExpiresAt)
 	}
-	out := n.Step(11+firstContact, MessageReceived{1, heartbeat(n.view, Never, Never)})
+	out := n.Step(11+minContactTime, MessageReceived{1, heartbeat(n.version, Never, Never)})
 	wantLease(t, out.LeaseExpiresAt, 10+leaseTime)
-	out = failedCall(n, 13, 13.5, PollFailed{})
-	wantLease(t, out.LeaseExpiresAt, 11+firstContact+leaseTime) // as of the last contact, not of the call
-	out = n.Step(13.6, MessageReceived{1, heartbeat(n.view, Never, Never)})
+	out = failPoll(n, 13, 13.5, PollFailed{})
+	wantLease(t, out.LeaseExpiresAt, 11+minContactTime+leaseTime) // as of the last contact, not of the call
+	out = n.Step(13.6, MessageReceived{1, heartbeat(n.version, Never, Never)})
 	wantLease(t, out.LeaseExpiresAt, 13+leaseTime)
-	out = failedCall(n, 17, 17.5, PollFailed{}) // the peer was last heard at 13.6
+	out = failPoll(n, 17, 17.5, PollFailed{}) // the peer was last heard at 13.6
 	wantLease(t, out.LeaseExpiresAt, 13+leaseTime)
 }
 
-func TestPeersAreHeardForAWhileBehindASilenceBeforeAFailedCallCounts(t *testing.T) {
+func TestFailedPollCountsOnlyAfterMinContactTimeFollowingASilence(t *testing.T) {
 	n := restarted(10)
-	n.Step(11, MessageReceived{1, heartbeat(n.view, 10.5, Never)})
-	n.Step(11+firstContact, MessageReceived{1, heartbeat(n.view, 10.5, Never)})
-	failedCall(n, 29, 29.5, PollFailed{})
-	out := n.Step(30, MessageReceived{1, heartbeat(n.view, 10.5, Never)})
+	n.Step(11, MessageReceived{1, heartbeat(n.version, 10.5, Never)})
+	n.Step(11+minContactTime, MessageReceived{1, heartbeat(n.version, 10.5, Never)})
+	failPoll(n, 29, 29.5, PollFailed{})
+	out := n.Step(30, MessageReceived{1, heartbeat(n.version, 10.5, Never)})
 	wantLease(t, out.LeaseExpiresAt, 10.5+leaseTime)
-	out = n.Step(30+firstContact, MessageReceived{1, heartbeat(n.view, 10.5, Never)})
+	out = n.Step(30+minContactTime, MessageReceived{1, heartbeat(n.version, 10.5, Never)})
 	wantLease(t, out.LeaseExpiresAt, 29+leaseTime)
 }
 
-// TestRelaysStartedTogetherDoNotVouchForTheirOldList: one more of them is no sign that the list still holds.
-func TestRelaysStartedTogetherDoNotVouchForTheirOldList(t *testing.T) {
+// TestRelaysStartedTogetherDoNotConfirmTheirStaleList: one more of them is no sign that the list still holds.
+func TestRelaysStartedTogetherDoNotConfirmTheirStaleList(t *testing.T) {
 	n := restarted(10)
-	failedCall(n, 10, 10.05, PollFailed{})
-	n.Step(10.1, MessageReceived{1, heartbeat(n.view, Never, 10)})
-	n.Step(10.2, MessageReceived{2, heartbeat(n.view, Never, 10)})
-	out := n.Step(10.4, MessageReceived{3, heartbeat(viewOf(wholeList(6, 1)), 9, Never)})
+	failPoll(n, 10, 10.05, PollFailed{})
+	n.Step(10.1, MessageReceived{1, heartbeat(n.version, Never, 10)})
+	n.Step(10.2, MessageReceived{2, heartbeat(n.version, Never, 10)})
+	out := n.Step(10.4, MessageReceived{3, heartbeat(versionOf(fullList(6, 1)), 9, Never)})
 	if out.LeaseExpiresAt != 0 {
 		t.Fatalf("a lease until %v before the peer with the newer list spoke", out.LeaseExpiresAt)
 	}
-	out = n.Step(20, MessageReceived{1, heartbeat(n.view, Never, 19.9)})
+	out = n.Step(20, MessageReceived{1, heartbeat(n.version, Never, 19.9)})
 	wantLease(t, out.LeaseExpiresAt, 0)
 }
 
-// TestANodeHelpsOnlyFromListsThatItHeldWhole: one that was told of generation 6 by a peer doesn't know the unit 101 that
+// TestNodeSendsDeltasOnlyFromVersionsThatItHeldCompletely: one that was told of generation 6 by a peer doesn't know the unit 101 that
 // joined in it, so it can't say that 101 left in generation 7.
-func TestANodeHelpsOnlyFromListsThatItHeldWhole(t *testing.T) {
+func TestNodeSendsDeltasOnlyFromVersionsThatItHeldCompletely(t *testing.T) {
 	n := restarted(10)
-	six := viewOf(wholeList(6, unitRange(2, 101)...))
-	n.Step(10.1, MessageReceived{1, deltas(n.view, six, 10, 1)[0]})
+	six := versionOf(fullList(6, endpointRange(2, 101)...))
+	n.Step(10.1, MessageReceived{1, deltas(n.version, six, 10, 1)[0]})
 	gone := relay.Endpoint{ID: 101, State: relay.Draining}
-	n.Step(11, PollAnswered{List{Generation: 7, Endpoints: append(wholeList(7, 102).Endpoints, gone, relay.Endpoint{ID: 1})}})
-	if want := viewOf(wholeList(7, append(unitRange(2, 100), 102)...)); n.view != want {
-		t.Fatalf("view %v, want %v", n.view, want)
+	n.Step(11, PollAnswered{List{Generation: 7, Endpoints: append(fullList(7, 102).Endpoints, gone, relay.Endpoint{ID: 1})}})
+	if want := versionOf(fullList(7, append(endpointRange(2, 100), 102)...)); n.version != want {
+		t.Fatalf("view %v, want %v", n.version, want)
 	}
-	if units, known := n.list.leftSince(six); known {
-		t.Fatalf("says that %v left since a list that it never held whole", units)
+	if endpoints, known := n.list.removedSince(six); known {
+		t.Fatalf("says that %v left since a list that it never held whole", endpoints)
 	}
-	if units, known := n.list.leftSince(viewOf(wholeList(5, unitRange(1, 100)...))); !known || !slices.Equal(units, []relay.EndpointID{1}) {
-		t.Fatalf("left since the list of its start: %v, %v", units, known)
+	if endpoints, known := n.list.removedSince(versionOf(fullList(5, endpointRange(1, 100)...))); !known || !slices.Equal(endpoints, []relay.EndpointID{1}) {
+		t.Fatalf("left since the list of its start: %v, %v", endpoints, known)
 	}
 }
 
-// TestAnAnswerMakesAToldListWhole: discovery confirms what a peer told, with the units that joined.
-func TestAnAnswerMakesAToldListWhole(t *testing.T) {
+// TestAnswerCompletesAVersionLearnedFromAPeer: discovery confirms what a peer told, with the units that joined.
+func TestAnswerCompletesAVersionLearnedFromAPeer(t *testing.T) {
 	n := restarted(10)
-	six := viewOf(wholeList(6, unitRange(2, 101)...))
-	n.Step(10.1, MessageReceived{1, deltas(n.view, six, 10, 1)[0]})
-	n.Step(11, PollAnswered{List{Generation: 6, Endpoints: append(wholeList(6, 101).Endpoints, relay.Endpoint{ID: 1})}})
-	if _, known := n.list.leftSince(six); !known || n.view != six {
-		t.Fatalf("view %v, want %v; helps from it: %v", n.view, six, known)
+	six := versionOf(fullList(6, endpointRange(2, 101)...))
+	n.Step(10.1, MessageReceived{1, deltas(n.version, six, 10, 1)[0]})
+	n.Step(11, PollAnswered{List{Generation: 6, Endpoints: append(fullList(6, 101).Endpoints, relay.Endpoint{ID: 1})}})
+	if _, known := n.list.removedSince(six); !known || n.version != six {
+		t.Fatalf("view %v, want %v; helps from it: %v", n.version, six, known)
 	}
 }
 
-func TestFailedCallOfAPeerCounts(t *testing.T) {
+func TestFailedPollOfAPeerCounts(t *testing.T) {
 	n := restarted(10)
-	n.Step(11, MessageReceived{1, heartbeat(n.view, Never, 10.5)})
-	out := n.Step(11+firstContact, MessageReceived{2, heartbeat(n.view, Never, Never)})
+	n.Step(11, MessageReceived{1, heartbeat(n.version, Never, 10.5)})
+	out := n.Step(11+minContactTime, MessageReceived{2, heartbeat(n.version, Never, Never)})
 	wantLease(t, out.LeaseExpiresAt, 10.5+leaseTime)
 }
 
-func TestFailedCallNoLongerCountsOnceAPeerHasNews(t *testing.T) {
+func TestFailedPollNoLongerCountsOnceAPeerHasANewerList(t *testing.T) {
 	n := restarted(10)
-	n.Step(10, MessageReceived{1, heartbeat(n.view, Never, Never)})
-	n.Step(11, MessageReceived{1, heartbeat(n.view, 11, Never)})
-	newer := viewOf(wholeList(6, unitRange(2, 100)...))
+	n.Step(10, MessageReceived{1, heartbeat(n.version, Never, Never)})
+	n.Step(11, MessageReceived{1, heartbeat(n.version, 11, Never)})
+	newer := versionOf(fullList(6, endpointRange(2, 100)...))
 	n.Step(12, MessageReceived{2, heartbeat(newer, 12, Never)})
-	out := failedCall(n, 12.5, 13, PollFailed{})
+	out := failPoll(n, 12.5, 13, PollFailed{})
 	wantLease(t, out.LeaseExpiresAt, 11+leaseTime)
-	n.Step(13, MessageReceived{1, heartbeat(n.view, Never, 12.8)})
-	out = n.Step(13.1, MessageReceived{1, heartbeat(n.view, Never, 13)})
+	n.Step(13, MessageReceived{1, heartbeat(n.version, Never, 12.8)})
+	out = n.Step(13.1, MessageReceived{1, heartbeat(n.version, Never, 13)})
 	wantLease(t, out.LeaseExpiresAt, 11+leaseTime)
 }
 
-func TestUnreadableAnswerIsNoSignOfDiscoveryBeingDown(t *testing.T) {
+func TestUnreadableAnswerIsNotTakenForAnOutageOfDiscovery(t *testing.T) {
 	n := restarted(10)
-	n.Step(10.1, MessageReceived{1, heartbeat(n.view, Never, Never)})
-	n.Step(10.1+firstContact, MessageReceived{1, heartbeat(n.view, Never, Never)})
-	if out := failedCall(n, 12, 12.5, PollFailed{Unreadable: true}); out.LeaseExpiresAt != 0 {
+	n.Step(10.1, MessageReceived{1, heartbeat(n.version, Never, Never)})
+	n.Step(10.1+minContactTime, MessageReceived{1, heartbeat(n.version, Never, Never)})
+	if out := failPoll(n, 12, 12.5, PollFailed{Unreadable: true}); out.LeaseExpiresAt != 0 {
 		t.Fatalf("a lease until %v", out.LeaseExpiresAt)
 	}
-	out := failedCall(n, 13, 13.5, PollFailed{})
-	wantLease(t, out.LeaseExpiresAt, 10.1+firstContact+leaseTime)
+	out := failPoll(n, 13, 13.5, PollFailed{})
+	wantLease(t, out.LeaseExpiresAt, 10.1+minContactTime+leaseTime)
 }
 
-func TestFirstAnswerOfAPeerBehindFailuresIsTold(t *testing.T) {
+func TestFirstAnswerOfAPeerAfterFailuresIsReported(t *testing.T) {
 	n := restarted(10)
-	failedCall(n, 10, 10.5, PollFailed{})
-	if n.Step(11, MessageReceived{1, heartbeat(n.view, 9, Never)}).DiscoveryRecovered {
+	failPoll(n, 10, 10.5, PollFailed{})
+	if n.Step(11, MessageReceived{1, heartbeat(n.version, 9, Never)}).DiscoveryRecovered {
 		t.Fatal("an answer of before the failed call was told")
 	}
-	if !n.Step(12, MessageReceived{1, heartbeat(n.view, 11.5, Never)}).DiscoveryRecovered {
+	if !n.Step(12, MessageReceived{1, heartbeat(n.version, 11.5, Never)}).DiscoveryRecovered {
 		t.Fatal("the first answer was not told")
 	}
-	if n.Step(13, MessageReceived{2, heartbeat(n.view, 12.5, Never)}).DiscoveryRecovered {
+	if n.Step(13, MessageReceived{2, heartbeat(n.version, 12.5, Never)}).DiscoveryRecovered {
 		t.Fatal("the second answer was told")
 	}
 }
 
 func TestRelayAloneInItsFleet(t *testing.T) {
 	n := New(testSettings(0, 1), 1)
-	if out := n.Step(0, CachedList{wholeList(5, 1, 2)}); out.LeaseExpiresAt != 0 {
+	if out := n.Step(0, CachedList{fullList(5, 1, 2)}); out.LeaseExpiresAt != 0 {
 		t.Fatal("a lease on a held list")
 	}
-	out := failedCall(n, 1, 3, PollFailed{})
+	out := failPoll(n, 1, 3, PollFailed{})
 	wantLease(t, out.LeaseExpiresAt, 1+leaseTime)
-	out = n.Step(4, PollAnswered{wholeList(6, 1)})
+	out = n.Step(4, PollAnswered{fullList(6, 1)})
 	wantLease(t, out.LeaseExpiresAt, 4+leaseTime)
 	if out.TimerAt != Never || len(out.Messages) != 0 {
 		t.Fatalf("messages to nobody: %+v", out)
 	}
 }
 
-func TestRelayCutOffFromItsPeersLosesItsLease(t *testing.T) {
+func TestPartitionedRelayLosesItsLease(t *testing.T) {
 	b := newBus(t, 3)
 	for i := range 3 {
-		b.step(i, PollAnswered{wholeList(5, 1, 2)})
+		b.step(i, PollAnswered{fullList(5, 1, 2)})
 	}
 	b.lost = func(from, to int) bool { return b.now >= 10 && (from == 0 || to == 0) }
 	for at := 1.0; at < 30; at++ { // discovery answers node 1 alone
@@ -268,122 +268,122 @@
 		b.at(at+0.5, func() { b.step(0, PollFailed{}) })
 	}
 	b.run(9.9)
-	if b.nodes[0].lease < 12 {
-		t.Fatalf("a lease until %v in contact", b.nodes[0].lease)
+	if b.nodes[0].leaseExpiresAt < 12 {
+		t.Fatalf("a lease until %v in contact", b.nodes[0].leaseExpiresAt)
 	}
 	b.run(29.9)
-	if cutOff := b.nodes[0].lease; cutOff > 10+leaseTime {
+	if cutOff := b.nodes[0].leaseExpiresAt; cutOff > 10+leaseTime {
 		t.Fatalf("a lease until %v without contact", cutOff)
 	}
-	if b.nodes[2].lease < 32 {
-		t.Fatalf("a lease until %v in contact", b.nodes[2].lease)
+	if b.nodes[2].leaseExpiresAt < 32 {
+		t.Fatalf("a lease until %v in contact", b.nodes[2].leaseExpiresAt)
 	}
 }
 
-func TestLeaseOfAStandingWatch(t *testing.T) {
+func TestLeaseWhileDiscoveryHoldsAWatch(t *testing.T) {
 	n := New(testSettings(0, 4), 1)
-	n.Step(10, PollAnswered{wholeList(5, 1, 2)})
+	n.Step(10, PollAnswered{fullList(5, 1, 2)})
 	out := n.Step(10, PollStarted{Wait: 25, ContinuesWatch: true})
-	wantLease(t, out.LeaseExpiresAt, 10+25+toldAfterWait-leaseMargin)
+	wantLease(t, out.LeaseExpiresAt, 10+25+changeBindsAfterWait-leaseMargin)
 	out = n.Step(30, PollFailed{})
 	wantLease(t, out.LeaseExpiresAt, 30+leaseTime) // it stood until then
 	out = n.Step(30, PollStarted{Wait: 1, ContinuesWatch: true})
 	wantLease(t, out.LeaseExpiresAt, 30+leaseTime)
 }
 
-func TestFirstCallGivesNoLease(t *testing.T) {
+func TestFirstPollGrantsNoLease(t *testing.T) {
 	n := restarted(10)
 	if out := n.Step(10, PollStarted{Wait: 25}); out.LeaseExpiresAt != 0 {
 		t.Fatalf("a lease until %v", out.LeaseExpiresAt)
 	}
 }
 
-func TestSilentCallProlongsNothing(t *testing.T) {
+func TestStalledPollDoesNotExtendTheLease(t *testing.T) {
 	n := New(testSettings(0, 4), 1)
-	n.Step(10, PollAnswered{wholeList(5, 1, 2)})
+	n.Step(10, PollAnswered{fullList(5, 1, 2)})
 	standing := n.Step(10, PollStarted{Wait: 25, ContinuesWatch: true}).LeaseExpiresAt
 	if out := n.Step(36.9, PollFailed{Stalled: true}); out.LeaseExpiresAt > standing || out.LeaseExpiresAt > 36.9 {
 		t.Fatalf("a lease until %v behind a silent call, %v before", out.LeaseExpiresAt, standing)
 	}
 }
 
-func TestFailedWatchOfARelayThatIsBehindProlongsNothing(t *testing.T) {
+func TestFailedWatchOfARelayThatIsBehindDoesNotExtendTheLease(t *testing.T) {
 	n := New(testSettings(0, 4), 1)
-	n.Step(10, PollAnswered{wholeList(5, 1, 2)})
+	n.Step(10, PollAnswered{fullList(5, 1, 2)})
 	n.Step(10, PollStarted{Wait: 2, ContinuesWatch: true})
-	n.Step(11, MessageReceived{1, heartbeat(viewOf(wholeList(6, 1)), 11, Never)})
+	n.Step(11, MessageReceived{1, heartbeat(versionOf(fullList(6, 1)), 11, Never)})
 	out := n.Step(11.5, PollFailed{})
 	wantLease(t, out.LeaseExpiresAt, 10+leaseTime)
 }
 
-func TestDiscoveryThatStartsAnew(t *testing.T) {
+func TestDiscoveryThatRestartsItsGenerations(t *testing.T) {
 	n := New(testSettings(0, 4), 1)
-	n.Step(10, PollAnswered{wholeList(50, unitRange(1, 10)...)})
-	n.Step(11, MessageReceived{1, deltas(n.view, viewOf(wholeList(51, unitRange(2, 10)...)), 11, 1)[0]})
-	anew := wholeList(2, unitRange(1, 5)...)
+	n.Step(10, PollAnswered{fullList(50, endpointRange(1, 10)...)})
+	n.Step(11, MessageReceived{1, deltas(n.version, versionOf(fullList(51, endpointRange(2, 10)...)), 11, 1)[0]})
+	anew := fullList(2, endpointRange(1, 5)...)
 	out := n.Step(20, PollAnswered{anew})
 	wantLease(t, out.LeaseExpiresAt, 20+leaseTime)
-	if n.view != viewOf(anew) || len(out.Removed) != 0 || n.behind() {
-		t.Fatalf("view %v, left %v", n.view, out.Removed)
+	if n.version != versionOf(anew) || len(out.Removed) != 0 || n.isBehind() {
+		t.Fatalf("view %v, left %v", n.version, out.Removed)
 	}
 	out = n.Step(21, PollAnswered{List{Generation: 3, Endpoints: []relay.Endpoint{{ID: 3, State: relay.Draining}}}})
-	if wantLease(t, out.LeaseExpiresAt, 21+leaseTime); n.view != viewOf(wholeList(3, 1, 2, 4, 5)) {
-		t.Fatalf("view %v", n.view)
+	if wantLease(t, out.LeaseExpiresAt, 21+leaseTime); n.version != versionOf(fullList(3, 1, 2, 4, 5)) {
+		t.Fatalf("view %v", n.version)
 	}
 }
 
-func TestOlderAnswerDoesNotBringBackAUnitThatLeft(t *testing.T) {
+func TestOlderAnswerDoesNotRestoreARemovedEndpoint(t *testing.T) {
 	n := New(testSettings(0, 4), 1)
-	n.Step(10, PollAnswered{wholeList(5, 1, 2, 3)})
-	n.Step(11, MessageReceived{1, deltas(n.view, viewOf(wholeList(8, 1, 2)), 11, 3)[0]})
-	known := n.view
-	ready := wholeList(6, 3).Endpoints
+	n.Step(10, PollAnswered{fullList(5, 1, 2, 3)})
+	n.Step(11, MessageReceived{1, deltas(n.version, versionOf(fullList(8, 1, 2)), 11, 3)[0]})
+	known := n.version
+	ready := fullList(6, 3).Endpoints
 	out := n.Step(12, PollAnswered{List{Generation: 6, Endpoints: ready}})
-	if !slices.Equal(out.Removed, []relay.EndpointID{3}) || n.view != known {
-		t.Fatalf("left %v, view %v", out.Removed, n.view)
+	if !slices.Equal(out.Removed, []relay.EndpointID{3}) || n.version != known {
+		t.Fatalf("left %v, view %v", out.Removed, n.version)
 	}
 	wantLease(t, out.LeaseExpiresAt, 11+leaseTime)
 	out = n.Step(13, PollAnswered{List{Generation: 9, Endpoints: ready}})
-	if len(out.Removed) != 0 || n.view != viewOf(wholeList(9, 1, 2, 3)) {
-		t.Fatalf("left %v, view %v", out.Removed, n.view)
+	if len(out.Removed) != 0 || n.version != versionOf(fullList(9, 1, 2, 3)) {
+		t.Fatalf("left %v, view %v", out.Removed, n.version)
 	}
 	wantLease(t, out.LeaseExpiresAt, 13+leaseTime)
 }
 
-func TestConflictConfirmsNothing(t *testing.T) {
+func TestConflictingDigestConfirmsNothing(t *testing.T) {
 	n := restarted(10)
-	other := viewOf(wholeList(5, 1, 2))
+	other := versionOf(fullList(5, 1, 2))
 	out := n.Step(10.5, MessageReceived{1, heartbeat(other, 10.5, 10.2)})
 	if out.LeaseExpiresAt != 0 || n.Counters().Conflicts != 1 || len(out.Removed) != 0 {
 		t.Fatalf("%+v, %+v", out, n.Counters())
 	}
 }
 
-func TestMessagesThatAreDropped(t *testing.T) {
-	good := heartbeat(restarted(10).view, 10, Never)
-	for name, heard := range map[string]MessageReceived{
+func TestDroppedMessages(t *testing.T) {
+	good := heartbeat(restarted(10).version, 10, Never)
+	for name, received := range map[string]MessageReceived{
 		"of itself":    {0, good},
 		"empty":        {1, nil},
-		"of no form":   {1, []byte{messageMark, 7}},
+		"of no form":   {1, []byte{messageMagic, 7}},
 		"cut short":    {1, good[:len(good)-1]},
 		"with a rest":  {1, append(slices.Clone(good), 0)},
-		"too long":     {1, append(slices.Clone(good), make([]byte, maxBody)...)},
-		"part of none": {1, message{view: view{6, 0}, delta: &delta{parts: 0}}.encode()},
+		"too long":     {1, append(slices.Clone(good), make([]byte, maxDatagramBytes)...)},
+		"part of none": {1, message{version: listVersion{6, 0}, delta: &delta{parts: 0}}.encode()},
 	} {
 		n := restarted(10)
-		out := n.Step(10.5, heard)
+		out := n.Step(10.5, received)
 		if c := n.Counters(); out.LeaseExpiresAt != 0 || c.Unreadable != 1 || c.Received != 0 {
 			t.Errorf("%s: %+v, %+v", name, out, c)
 		}
 	}
 }
 
-func TestTimeInTheFutureIsNow(t *testing.T) {
+func TestTimesInTheFutureAreClampedToNow(t *testing.T) {
 	n := restarted(10)
-	out := n.Step(10.5, MessageReceived{1, heartbeat(n.view, 1e9, 2e9)})
+	out := n.Step(10.5, MessageReceived{1, heartbeat(n.version, 1e9, 2e9)})
 	wantLease(t, out.LeaseExpiresAt, 10.5+leaseTime)
 	n = restarted(10)
-	out = n.Step(10.5, MessageReceived{1, message{view: n.view, answered: math.MaxInt64}.encode()})
+	out = n.Step(10.5, MessageReceived{1, message{version: n.version, answeredAt: math.MaxInt64}.encode()})
 	wantLease(t, out.LeaseExpiresAt, 10.5+leaseTime)
 }
 
@@ -391,40 +391,40 @@
 	set := testSettings(0, 4)
 	set.PeerMessages = false
 	n := New(set, 1)
-	n.Step(0, CachedList{wholeList(5, 1, 2)})
-	n.Step(1, PollAnswered{wholeList(6, 1)})
+	n.Step(0, CachedList{fullList(5, 1, 2)})
+	n.Step(1, PollAnswered{fullList(6, 1)})
 	for i := range 100 {
-		out := n.Step(2+relay.Seconds(i), MessageReceived{1, heartbeat(viewOf(wholeList(5, 1, 2)), Never, Never)})
+		out := n.Step(2+relay.Seconds(i), MessageReceived{1, heartbeat(versionOf(fullList(5, 1, 2)), Never, Never)})
 		if len(out.Messages) != 0 || out.TimerAt != Never {
 			t.Fatalf("%+v", out)
 		}
 	}
 }
 
-func TestBytesStayWithinTheBudgetUnderProvocation(t *testing.T) {
+func TestSentBytesStayWithinTheBudgetUnderLoad(t *testing.T) {
 	const seconds = 30
 	random := rand.New(rand.NewSource(1))
 	n := New(testSettings(0, 300), 1)
-	n.Step(0, PollAnswered{wholeList(1, unitRange(1, 2000)...)})
-	var older []view
+	n.Step(0, PollAnswered{fullList(1, endpointRange(1, 2000)...)})
+	var older []listVersion
 	for generation := int64(2); generation < 12; generation++ {
-		older = append(older, n.view)
-		n.Step(0, PollAnswered{wholeList(generation, unitRange(relay.EndpointID(generation*60), 2000)...)})
+		older = append(older, n.version)
+		n.Step(0, PollAnswered{fullList(generation, endpointRange(relay.EndpointID(generation*60), 2000)...)})
 	}
-	bodies := [][]byte{heartbeat(n.view, Never, Never), heartbeat(view{1000, 1}, 1, 1), heartbeat(view{n.view.generation, 1}, 1, 1)}
+	bodies := [][]byte{heartbeat(n.version, Never, Never), heartbeat(listVersion{1000, 1}, 1, 1), heartbeat(listVersion{n.version.generation, 1}, 1, 1)}
 	for _, v := range older {
 		bodies = append(bodies, heartbeat(v, Never, Never))
 	}
 	sent, datagrams := 0, 0
 	for ms := range seconds * 1000 {
-		heard := MessageReceived{relay.RelayID(1 + random.Intn(299)), bodies[random.Intn(len(bodies))]}
-		for _, body := range n.Step(relay.Seconds(ms)/1000, heard).Messages {
-			sent += len(body) + headerBytes
+		received := MessageReceived{relay.RelayID(1 + random.Intn(299)), bodies[random.Intn(len(bodies))]}
+		for _, body := range n.Step(relay.Seconds(ms)/1000, received).Messages {
+			sent += len(body) + datagramHeaderBytes
 			datagrams++
 		}
 	}
-	if most := burstBytes + bytesPerSecond*seconds; sent > most || datagrams < 100 {
-		t.Fatalf("%d bytes in %d datagrams, at most %d may be sent", sent, datagrams, most)
+	if upperBound := burstBytes + bytesPerSecond*seconds; sent > upperBound || datagrams < 100 {
+		t.Fatalf("%d bytes in %d datagrams, at most %d may be sent", sent, datagrams, upperBound)
 	}
 }
 
@@ -433,19 +433,19 @@
 	for i := range b.nodes {
 		for round := range seconds / 10 {
 			at := relay.Seconds(round*10) + 10*relay.Seconds(i)/relay.Seconds(len(b.nodes))
-			given := List{Generation: list.Generation}
+			update := List{Generation: list.Generation}
 			if round == 0 {
-				given = list
+				update = list
 			}
-			b.at(at, func() { b.step(i, PollAnswered{given}) })
+			b.at(at, func() { b.step(i, PollAnswered{update}) })
 		}
 	}
 }
 
-func TestHeartbeatsOfAFleetDoNotGrowWithIt(t *testing.T) {
+func TestHeartbeatRateIsIndependentOfFleetSize(t *testing.T) {
 	for _, relays := range []int{300, 4300} {
 		b := newBus(t, relays)
-		answerEvery(b, wholeList(5, unitRange(1, 20)...), 30)
+		answerEvery(b, fullList(5, endpointRange(1, 20)...), 30)
 		b.run(30)
 		heartbeats, deltas := b.count(10)
 		t.Logf("%d relays: %.2f heartbeats a second", relays, float64(heartbeats)/20)
@@ -455,9 +455,9 @@
 	}
 }
 
-func TestFewDeltasHelpAFleetOfWhichMostRestart(t *testing.T) {
+func TestFewDeltasUpdateAFleetOfWhichMostRestart(t *testing.T) {
 	b := newBus(t, 300)
-	older, newer := wholeList(5, unitRange(1, 100)...), wholeList(6, unitRange(34, 100)...)
+	older, newer := fullList(5, endpointRange(1, 100)...), fullList(6, endpointRange(34, 100)...)
 	for i := range b.nodes {
 		b.step(i, PollAnswered{older})
 	}
@@ -472,8 +472,8 @@
 	})
 	b.run(17)
 	for i, n := range b.nodes[:210] {
-		if n.view != viewOf(newer) || len(n.left) != 33 || n.lease < 17 {
-			t.Fatalf("node %d: view %v, %d left, lease until %v", i, n.view, len(n.left), n.lease)
+		if n.version != versionOf(newer) || len(n.removed) != 33 || n.leaseExpiresAt < 17 {
+			t.Fatalf("node %d: view %v, %d left, lease until %v", i, n.version, len(n.removed), n.leaseExpiresAt)
 		}
 	}
 	b.run(25)
@@ -488,7 +488,7 @@
 	var sent [2][]busMessage
 	for k := range sent {
 		b := newBus(t, 5)
-		answerEvery(b, wholeList(5, 1, 2), 20)
+		answerEvery(b, fullList(5, 1, 2), 20)
 		b.run(20)
 		sent[k] = b.sent
 	}
--- /dev/null
+++ b/membership/receive.go
@@ -0,0 +1,121 @@
+package membership
+
+import "lichenroad/relay"
+
+// maxAssemblies bounds the peers whose deltas are being received at one time.
+const maxAssemblies = 8
+
+// assembly is a peer's delta of which some datagrams have come.
+type assembly struct {
+	base, target listVersion
+	parts        int
+	received     uint64 // a bit for each part
+}
+
+// receive handles a message of a peer.
+func (n *Node) receive(event MessageReceived) {
+	m, err := decode(event.Body)
+	if err != nil || event.From == n.settings.Self {
+		n.counters.Unreadable++
+		return
+	}
+	n.counters.Received++
+	n.noteContact()
+	answeredAt := n.timeFromWire(m.answeredAt)
+	n.noteDiscoveryAnswer(answeredAt)
+	n.failedPollAt = later(n.failedPollAt, n.timeFromWire(m.failedPollAt))
+	n.newestGeneration = max(n.newestGeneration, m.version.generation)
+	switch {
+	case m.version == n.version:
+		n.receiveSameVersion(m, answeredAt)
+	case m.version.generation > n.version.generation:
+		n.receiveNewerVersion(event.From, m, answeredAt)
+	case m.version.generation < n.version.generation:
+		n.gossip.scheduleDelta(n, m.version)
+	default:
+		n.counters.Conflicts++
+	}
+}
+
+// noteContact records that a peer was heard.
+func (n *Node) noteContact() {
+	afterSilence := n.messageAt == Never || n.now-n.messageAt >= contactTimeout
+	if afterSilence {
+		n.messagesSince = n.now
+	}
+	n.messageAt = n.now
+	n.gossip.heartbeatsUnheard = 0
+}
+
+// noteDiscoveryAnswer records an answer of discovery to any relay. The first one after failed polls is reported to the host,
+// as its own next poll may succeed too.
+func (n *Node) noteDiscoveryAnswer(answeredAt relay.Seconds) {
+	if answeredAt == Never {
+		return
+	}
+	g := &n.gossip
+	pollFailed := n.failedPollAt != Never
+	noneSinceFailure := g.discoveryAnsweredAt == Never || g.discoveryAnsweredAt < n.failedPollAt
+	g.discoveryAnsweredAt = later(g.discoveryAnsweredAt, answeredAt)
+	if pollFailed && noneSinceFailure && g.discoveryAnsweredAt > n.failedPollAt {
+		n.output.DiscoveryRecovered = true
+	}
+}
+
+// receiveSameVersion handles a message of a peer that holds the same list.
+func (n *Node) receiveSameVersion(m message, answeredAt relay.Seconds) {
+	if m.delta != nil {
+		n.gossip.cancelDelta(m.delta.base)
+	}
+	n.agreedAt = n.now
+	n.gossip.advertisedAt = n.now
+	peerIsStale := n.answeredAt != Never && (answeredAt == Never || n.answeredAt-answeredAt > staleAfter)
+	n.answeredAt = later(n.answeredAt, answeredAt)
+	if peerIsStale {
+		n.gossip.scheduleHeartbeat(n, changeBackoff)
+		return
+	}
+	n.gossip.suppressHeartbeat(n)
+}
+
+// receiveNewerVersion handles a message of a peer with a newer list. A delta from the list held here is applied; otherwise
+// a heartbeat with this node's version asks for one.
+func (n *Node) receiveNewerVersion(from relay.RelayID, m message, answeredAt relay.Seconds) {
+	if m.delta == nil || m.delta.base != n.version {
+		n.gossip.scheduleHeartbeat(n, deltaBackoff)
+		return
+	}
+	for _, endpoint := range m.delta.endpoints {
+		if n.list.removeByPeer(endpoint, m.version.generation) {
+			n.output.Removed = append(n.output.Removed, endpoint)
+		}
+	}
+	if complete := n.assemble(from, m); !complete {
+		return
+	}
+	// Not remembered as a base of deltas: the endpoints that joined are not known here, nor which of them leave later.
+	n.version = m.version
+	n.answeredAt = later(n.answeredAt, answeredAt)
+	n.agreedAt = n.now
+	n.gossip.advertisedAt = n.now
+	n.gossip.suppressHeartbeat(n)
+}
+
+// assemble records one datagram of a delta, and reports whether it was the last one missing.
+func (n *Node) assemble(from relay.RelayID, m message) (complete bool) {
+	a := n.assemblies[from]
+	sameDelta := a != nil && a.base == m.delta.base && a.target == m.version && a.parts == m.delta.parts
+	if !sameDelta {
+		if len(n.assemblies) >= maxAssemblies {
+			clear(n.assemblies)
+		}
+		a = &assembly{base: m.delta.base, target: m.version, parts: m.delta.parts}
+		n.assemblies[from] = a
+	}
+	a.received |= 1 << m.delta.part
+	if a.received != 1<<a.parts-1 {
+		return false
+	}
+	clear(n.assemblies)
+	return true
+}
