--- a/membership/backoff_test.go
+++ b/membership/backoff_test.go
@@ -8,31 +8,31 @@
 	"lichenroad/relay"
 )
 
-// caller is one relay that calls discovery as its back-off says.
+// poller is one relay that polls discovery at the times that its backoff sets.
 type poller struct {
 	Backoff
-	next relay.Seconds
+	nextAt relay.Seconds
 }
 
-// newPollers are a fleet of which all start at time zero.
+// newPollers returns a fleet of which all start at time zero.
 func newPollers(relays int, pollInterval relay.Seconds) []poller {
 	pollers := make([]poller, relays)
 	for i := range pollers {
 		pollers[i].Backoff = NewBackoff(relays, pollInterval, rand.New(rand.NewSource(int64(i))))
-		pollers[i].next = pollers[i].First()
+		pollers[i].nextAt = pollers[i].First()
 	}
 	return pollers
 }
 
-// failAll has all calls fail after a time, and counts them by the second in which they began.
-func failAll(pollers []poller, after, until relay.Seconds) []int {
-	calls := make([]int, int(until))
+// simulateFailures fails each poll the given time after its start, and returns the polls started in each second.
+func simulateFailures(pollers []poller, after, until relay.Seconds) []int {
+	polls := make([]int, int(until))
 	for i := range pollers {
-		for c := &pollers[i]; c.next < until; c.next += after + c.Failed(false) {
-			calls[int(c.next)]++
+		for c := &pollers[i]; c.nextAt < until; c.nextAt += after + c.Failed(false) {
+			polls[int(c.nextAt)]++
 		}
 	}
-	return calls
+	return polls
 }
 
 func sum(counts []int) (total int) {
@@ -44,14 +44,14 @@
 
 func TestFailingPollsOfAFleetAreSpread(t *testing.T) {
 	const relays = 300
-	calls := failAll(newPollers(relays, 60), 2, 320)
-	perSecond := float64(sum(calls[20:])) / 300
-	t.Logf("%.1f calls a second in the long run; the first ones %v", perSecond, calls[:16])
+	polls := simulateFailures(newPollers(relays, 60), 2, 320)
+	perSecond := float64(sum(polls[20:])) / 300
+	t.Logf("%.1f polls a second in the long run; the first seconds: %v", perSecond, polls[:16])
 	if perSecond >= relays/fleetPollSpread {
-		t.Errorf("%.1f calls a second in the long run", perSecond)
+		t.Errorf("%.1f polls a second in the long run", perSecond)
 	}
 	if perSecond < relays/maxBackoff {
-		t.Errorf("%.1f calls a second in the long run: no relay may wait longer than %v", perSecond, maxBackoff)
+		t.Errorf("%.1f polls a second in the long run: no relay may wait longer than %v", perSecond, maxBackoff)
 	}
 }
 
@@ -59,32 +59,32 @@
 	const relays = 300
 	var first [int(fleetPollSpread) + 1]int
 	for _, c := range newPollers(relays, 60) {
-		first[int(c.next)]++
+		first[int(c.nextAt)]++
 	}
-	for second, calls := range first {
-		if upperBound := 1.5 * relays / fleetPollSpread; float64(calls) > upperBound {
-			t.Errorf("%d first calls in second %d, at most %.0f wanted", calls, second, upperBound)
+	for second, polls := range first {
+		if upperBound := 1.5 * relays / fleetPollSpread; float64(polls) > upperBound {
+			t.Errorf("%d first polls in second %d, want at most %.0f", polls, second, upperBound)
 		}
 	}
 	if sum(first[:int(fleetPollSpread)]) != relays {
-		t.Errorf("first calls behind %v: %v", fleetPollSpread, first)
+		t.Errorf("first polls after %v s: %v", fleetPollSpread, first)
 	}
 }
 
 func TestSmallFleetPollsAboutEveryTwoSeconds(t *testing.T) {
 	for _, relays := range []int{1, 2, 3, 5} {
-		calls := failAll(newPollers(relays, 60), 0.1, 400)
-		if mean := 400 / float64(sum(calls)); mean > 2 {
-			t.Errorf("%d relays: a call every %.2f s", relays, mean)
+		polls := simulateFailures(newPollers(relays, 60), 0.1, 400)
+		if mean := 400 / float64(sum(polls)); mean > 2 {
+			t.Errorf("%d relays: a poll every %.2f s", relays, mean)
 		}
 	}
-	if first := newPollers(1, 60)[0].next; first != 0 {
-		t.Errorf("a relay alone calls first at %v", first)
+	if first := newPollers(1, 60)[0].nextAt; first != 0 {
+		t.Errorf("a relay alone first polls at %v", first)
 	}
 }
 
-// extremes draws many times and returns the least and the most.
-func extremes(draw func() relay.Seconds) (lowerBound, upperBound relay.Seconds) {
+// drawRange draws many delays and returns the shortest and the longest.
+func drawRange(draw func() relay.Seconds) (lowerBound, upperBound relay.Seconds) {
 	lowerBound = Never
 	for range 2000 {
 		drawn := draw()
@@ -96,17 +96,17 @@
 func TestStalledPollIsRetriedAtOnceThenBackedOff(t *testing.T) {
 	b := NewBackoff(300, 60, rand.New(rand.NewSource(1)))
 	if wait := b.Failed(true); wait != 0 {
-		t.Fatalf("the first call behind a silence waits %v", wait)
+		t.Fatalf("the first retry after a stalled poll waits %v", wait)
 	}
 	second := b
-	_, upperBound := extremes(func() relay.Seconds { b := second; return b.Failed(true) })
+	_, upperBound := drawRange(func() relay.Seconds { b := second; return b.Failed(true) })
 	if upperBound <= initialBackoff || upperBound > 2*initialBackoff {
-		t.Fatalf("the second waits up to %v", upperBound)
+		t.Fatalf("the second retry waits up to %v", upperBound)
 	}
 	b.Answered()
 	b.Failed(false)
 	if wait := b.Failed(true); wait == 0 {
-		t.Fatal("a silence behind another failure is called behind at once")
+		t.Fatal("a stalled poll after another failure is retried at once")
 	}
 }
 
@@ -115,9 +115,9 @@
 	check := func(want relay.Seconds) {
 		t.Helper()
 		now := b
-		lowerBound, upperBound := extremes(func() relay.Seconds { b := now; return b.Failed(false) })
+		lowerBound, upperBound := drawRange(func() relay.Seconds { b := now; return b.Failed(false) })
 		if upperBound > want || upperBound < 0.98*want || lowerBound > 0.02*want {
-			t.Fatalf("between %v and %v, want up to %v", lowerBound, upperBound, want)
+			t.Fatalf("delays between %v and %v, want up to %v", lowerBound, upperBound, want)
 		}
 		b.Failed(false)
 	}
@@ -137,27 +137,27 @@
 	for range 10 {
 		b.Failed(false)
 	}
-	lowerBound, upperBound := extremes(b.PeerAnswered)
+	lowerBound, upperBound := drawRange(b.PeerAnswered)
 	if lowerBound > 0.02*fleetPollSpread || upperBound > fleetPollSpread || upperBound < 0.98*fleetPollSpread {
-		t.Fatalf("between %v and %v", lowerBound, upperBound)
+		t.Fatalf("delays between %v and %v", lowerBound, upperBound)
 	}
-	if _, upperBound = extremes(func() relay.Seconds { b := b; return b.Failed(false) }); upperBound > 2*initialBackoff {
+	if _, upperBound = drawRange(func() relay.Seconds { b := b; return b.Failed(false) }); upperBound > 2*initialBackoff {
 		t.Fatalf("the next failure waits up to %v", upperBound)
 	}
 	b.Answered()
 	b.PeerAnswered()
 	if b.failures != 0 {
-		t.Fatalf("%d failures behind an answer", b.failures)
+		t.Fatalf("%d failures counted after an answer", b.failures)
 	}
 }
 
 func TestBackoffStaysWithinThePollInterval(t *testing.T) {
 	const pollInterval = 2.0
 	b := NewBackoff(300, pollInterval, rand.New(rand.NewSource(1)))
-	if _, upperBound := extremes(b.First); upperBound > pollIntervalFraction*pollInterval {
-		t.Errorf("the first call after up to %v", upperBound)
+	if _, upperBound := drawRange(b.First); upperBound > pollIntervalFraction*pollInterval {
+		t.Errorf("the first poll after up to %v", upperBound)
 	}
-	if _, upperBound := extremes(func() relay.Seconds { return b.Failed(false) }); upperBound > pollIntervalFraction*failedPollFactor*pollInterval {
-		t.Errorf("a failed call again after up to %v", upperBound)
+	if _, upperBound := drawRange(func() relay.Seconds { return b.Failed(false) }); upperBound > pollIntervalFraction*failedPollFactor*pollInterval {
+		t.Errorf("a failed poll retried after up to %v", upperBound)
 	}
 }
--- a/membership/bench_test.go
+++ b/membership/bench_test.go
@@ -14,18 +14,18 @@
 
 const (
 	datagramHeaders = 20 + 8 // bytes of IP and UDP
-	minDelay        = 0.02   // s that a datagram takes
+	minDelay        = 0.02   // of a datagram, in seconds
 	maxDelay        = 0.04
-	watchWait       = 15.0 // s that a call to discovery waits
+	watchWait       = 15.0 // for which discovery holds a watch, in seconds
 	changesPerDay   = 6300 // of the list, at the target
 	secondsPerDay   = 86400.0
-	settleTime      = 30.0 // s before the clock of a benchmark runs
+	settleTime      = 30.0 // simulated before the measurement, in seconds
 )
 
-// arrival is an event on its way to a node; from nobody: a wake-up.
+// arrival is an event due at a node.
 type arrival struct {
 	at    relay.Seconds
-	no    int // in the order of sending, for equal times
+	order int // of arrivals at one time
 	to    int
 	event Event
 }
@@ -34,7 +34,7 @@
 
 func (a arrivals) Len() int { return len(a) }
 func (a arrivals) Less(i, j int) bool {
-	return a[i].at < a[j].at || a[i].at == a[j].at && a[i].no < a[j].no
+	return a[i].at < a[j].at || a[i].at == a[j].at && a[i].order < a[j].order
 }
 func (a arrivals) Swap(i, j int) { a[i], a[j] = a[j], a[i] }
 func (a *arrivals) Push(x any)   { *a = append(*a, x.(arrival)) }
@@ -44,7 +44,7 @@
 	return last
 }
 
-// benchFleet is a fleet of nodes in virtual time, with a discovery that answers each watch at once on a change.
+// benchFleet is a fleet of nodes in virtual time, with a discovery that answers all watches at once on a change.
 type benchFleet struct {
 	random     *rand.Rand
 	nodes      []*Node
@@ -83,7 +83,7 @@
 	heap.Push(&f.queue, arrival{t, f.sent, to, event})
 }
 
-// change has a unit replaced, and every watch told of it within two tenths of a second.
+// change removes an endpoint, which every watch learns within 0.2 s.
 func (f *benchFleet) change(now relay.Seconds) {
 	f.generation++
 	endpoint := relay.EndpointID(uint64(f.random.Intn(f.endpoints)+1) * 0x9e3779b97f4a7c15)
@@ -93,12 +93,12 @@
 	}
 }
 
-// run plays up to a time.
+// run applies the events before a time.
 func (f *benchFleet) run(until relay.Seconds) {
 	for len(f.queue) > 0 && f.queue[0].at < until {
 		a := heap.Pop(&f.queue).(arrival)
 		if _, woken := a.event.(TimerFired); woken && a.at < f.timerAt[a.to] {
-			continue // it was put off
+			continue // postponed
 		}
 		out := f.nodes[a.to].Step(a.at, a.event)
 		f.steps++
@@ -121,8 +121,8 @@
 	}
 }
 
-// BenchmarkFleetSecond is a second of a whole fleet at the target's rate of changes. What all send is what each takes in,
-// but its own.
+// BenchmarkFleetSecond simulates a second of a fleet at the target's rate of changes. Each relay receives what all others
+// send.
 func BenchmarkFleetSecond(b *testing.B) {
 	for _, size := range []struct{ relays, units int }{{4, 150}, {43, 150}, {300, 150}, {1290, 150}, {4300, 150}, {300, 42_000}} {
 		relays, endpoints := size.relays, size.units
@@ -135,7 +135,7 @@
 				for owed += changesPerDay / secondsPerDay; owed >= 1; owed-- {
 					f.change(now)
 				}
-				for i := range f.nodes { // each watch comes back once in its wait
+				for i := range f.nodes { // each watch is answered once in its wait
 					if i%int(watchWait) == int(now)%int(watchWait) {
 						f.at(now+f.random.Float64(), i, PollAnswered{List{Generation: f.generation}})
 					}
@@ -152,7 +152,7 @@
 	}
 }
 
-// BenchmarkHold is a node's first whole list, and what it holds of it.
+// BenchmarkHold measures a node's first full list, and the memory that it takes.
 func BenchmarkHold(b *testing.B) {
 	for _, endpoints := range []int{150, 1000, 4096, 12_000, 42_000} {
 		b.Run(fmt.Sprintf("units=%d", endpoints), func(b *testing.B) {
@@ -170,7 +170,7 @@
 	}
 }
 
-// BenchmarkChange is one unit that leaves, at a node that holds so many.
+// BenchmarkChange measures the removal of one endpoint from a list of the given size.
 func BenchmarkChange(b *testing.B) {
 	for _, endpoints := range []int{150, 1000, 4096, 12_000, 42_000} {
 		b.Run(fmt.Sprintf("units=%d", endpoints), func(b *testing.B) {
@@ -190,7 +190,7 @@
 	}
 }
 
-// BenchmarkHeartbeat is a heartbeat of a peer with the same list, read and taken in.
+// BenchmarkHeartbeat measures the receipt of a heartbeat of a peer with the same list.
 func BenchmarkHeartbeat(b *testing.B) {
 	n := New(Settings{Relays: 4300, PeerMessages: true, PollInterval: 10, Epoch: 1.7e9}, 1)
 	n.Step(1, PollAnswered{listOf(150, 1)})
--- a/membership/bus_test.go
+++ b/membership/bus_test.go
@@ -13,12 +13,12 @@
 	busDelay  = relay.Seconds(0.005)
 )
 
-// testSettings are those of a node of a fleet that may send messages.
+// testSettings returns the settings of a node of a fleet that may send messages.
 func testSettings(self, relays int) Settings {
 	return Settings{Self: relay.RelayID(self), Relays: relays, PeerMessages: true, PollInterval: 60, Epoch: testEpoch}
 }
 
-// fullList is a whole list of ready units with the given ids.
+// fullList returns a full list of ready endpoints with the given ids.
 func fullList(generation int64, endpoints ...relay.EndpointID) List {
 	list := List{Generation: generation, Full: true}
 	for _, endpoint := range endpoints {
@@ -27,7 +27,7 @@
 	return list
 }
 
-// endpointRange is the ids from the first to the last.
+// endpointRange returns the ids from the first to the last.
 func endpointRange(first, last relay.EndpointID) (endpoints []relay.EndpointID) {
 	for endpoint := first; endpoint <= last; endpoint++ {
 		endpoints = append(endpoints, endpoint)
@@ -35,14 +35,14 @@
 	return endpoints
 }
 
-// versionOf is the view of a node that holds just this list.
+// versionOf returns the version of a node that holds exactly this list.
 func versionOf(update List) listVersion {
 	l := newEndpointList(testEpoch)
 	l.apply(update)
 	return listVersion{update.Generation, l.digest}
 }
 
-// wire is a time as messages carry it.
+// wireTime returns a time as messages carry it.
 func wireTime(t relay.Seconds) uint64 {
 	if t == Never {
 		return 0
@@ -50,12 +50,12 @@
 	return uint64((t + testEpoch) * 1000)
 }
 
-// heartbeat is the body of a heartbeat of a peer.
+// heartbeat returns the datagram of a peer's heartbeat.
 func heartbeat(v listVersion, answered, attempted relay.Seconds) []byte {
 	return message{version: v, answeredAt: wireTime(answered), failedPollAt: wireTime(attempted)}.encode()
 }
 
-// deltas are the bodies of a peer's delta between two views.
+// deltas returns the datagrams of a peer's delta between two versions.
 func deltas(base, target listVersion, answered relay.Seconds, endpoints ...relay.EndpointID) (bodies [][]byte) {
 	for _, d := range splitDelta(base, endpoints) {
 		bodies = append(bodies, message{version: target, answeredAt: wireTime(answered), delta: &d}.encode())
@@ -63,19 +63,19 @@
 	return bodies
 }
 
-// bus carries the messages of a fleet in virtual time. Each is heard by all other nodes a fixed delay after it was sent.
+// bus carries the messages of a fleet in virtual time. All other relays receive each a fixed delay after it was sent.
 type bus struct {
 	t      testing.TB
 	now    relay.Seconds
-	nodes  []*busNode
+	relays []*busRelay
 	events busEvents
-	lost   func(from, to int) bool // nil: none
+	lost   func(from, to int) bool // whether a message is lost on its way; nil: none
 	sent   []busMessage
 	order  int
 }
 
-// busNode is one node of the fleet and what its last steps returned.
-type busNode struct {
+// busRelay is one relay of the fleet and what the steps of its node returned.
+type busRelay struct {
 	*Node
 	timerAt        relay.Seconds
 	leaseExpiresAt relay.Seconds
@@ -84,16 +84,16 @@
 }
 
 type busMessage struct {
-	at   relay.Seconds
-	from int
-	body []byte
+	sentAt relay.Seconds
+	from   int
+	body   []byte
 }
 
-// busEvent is a wake-up of a node, an action of the test, or the arrival of a message.
+// busEvent is an action of the test, the arrival of a message, or else the timer of a relay.
 type busEvent struct {
 	at     relay.Seconds
 	order  int // of events at one time
-	node   int
+	relay  int
 	body   []byte
 	action func()
 }
@@ -113,19 +113,19 @@
 }
 
 func newBus(t testing.TB, relays int) *bus {
-	b := &bus{t: t, nodes: make([]*busNode, relays)}
-	for i := range b.nodes {
-		b.nodes[i] = &busNode{}
+	b := &bus{t: t, relays: make([]*busRelay, relays)}
+	for i := range b.relays {
+		b.relays[i] = &busRelay{}
 		b.restart(i)
 	}
 	return b
 }
 
-// restart replaces a node by one that knows nothing.
+// restart replaces a relay's node by one without any state.
 func (b *bus) restart(i int) {
 	seed := rand.New(rand.NewSource(int64(b.order)<<16 + int64(i))).Int63()
-	b.nodes[i] = &busNode{Node: New(testSettings(i, len(b.nodes)), seed), timerAt: Never, removed: map[relay.EndpointID]bool{},
-		bytes: b.nodes[i].bytes}
+	b.relays[i] = &busRelay{Node: New(testSettings(i, len(b.relays)), seed), timerAt: Never, removed: map[relay.EndpointID]bool{},
+		bytes: b.relays[i].bytes}
 }
 
 func (b *bus) push(event busEvent) {
@@ -134,12 +134,12 @@
 	heap.Push(&b.events, event)
 }
 
-// at has an action done at a time.
+// at schedules an action.
 func (b *bus) at(t relay.Seconds, action func()) { b.push(busEvent{at: t, action: action}) }
 
-// step lets a node see an event and sends what it wants sent.
+// step applies an event to a node and carries out its output.
 func (b *bus) step(i int, event Event) Output {
-	node := b.nodes[i]
+	node := b.relays[i]
 	out := node.Step(b.now, event)
 	node.leaseExpiresAt = out.LeaseExpiresAt
 	for _, endpoint := range out.Removed {
@@ -151,20 +151,20 @@
 		}
 		node.bytes += len(body) + datagramHeaderBytes
 		b.sent = append(b.sent, busMessage{b.now, i, body})
-		b.push(busEvent{at: b.now + busDelay, node: i, body: body})
+		b.push(busEvent{at: b.now + busDelay, relay: i, body: body})
 	}
 	if out.TimerAt != node.timerAt {
 		if out.TimerAt <= b.now {
-			b.t.Fatalf("a wake-up at %v was asked for at %v", out.TimerAt, b.now)
+			b.t.Fatalf("a timer for %v was set at %v", out.TimerAt, b.now)
 		}
 		if node.timerAt = out.TimerAt; out.TimerAt != Never {
-			b.push(busEvent{at: out.TimerAt, node: i})
+			b.push(busEvent{at: out.TimerAt, relay: i})
 		}
 	}
 	return out
 }
 
-// run plays all events up to a time.
+// run applies all events up to a time.
 func (b *bus) run(until relay.Seconds) {
 	for len(b.events) > 0 && b.events[0].at <= until {
 		event := heap.Pop(&b.events).(busEvent)
@@ -174,26 +174,26 @@
 			event.action()
 		case event.body != nil:
 			b.deliver(event)
-		case b.nodes[event.node].timerAt == event.at:
-			b.step(event.node, TimerFired{})
+		case b.relays[event.relay].timerAt == event.at:
+			b.step(event.relay, TimerFired{})
 		}
 	}
 	b.now = until
 }
 
 func (b *bus) deliver(event busEvent) {
-	for i := range b.nodes {
-		if i != event.node && (b.lost == nil || !b.lost(event.node, i)) {
-			b.step(i, MessageReceived{From: relay.RelayID(event.node), Body: event.body})
+	for i := range b.relays {
+		if i != event.relay && (b.lost == nil || !b.lost(event.relay, i)) {
+			b.step(i, MessageReceived{From: relay.RelayID(event.relay), Body: event.body})
 		}
 	}
 }
 
-// count counts the messages sent from a time on, by form.
+// count returns the number of messages sent from a time on, by kind.
 func (b *bus) count(from relay.Seconds) (heartbeats, deltas int) {
 	for _, m := range b.sent {
 		switch {
-		case m.at < from:
+		case m.sentAt < from:
 		case m.body[1] == kindDelta:
 			deltas++
 		default:
--- a/membership/membership_test.go
+++ b/membership/membership_test.go
@@ -1,10 +1,9 @@
 package membership
 
 import (
-	"bytes"
 	"flag"
+	"fmt"
 	"math"
-	"math/rand"
 	"os"
 	"slices"
 	"testing"
@@ -12,7 +11,7 @@
 	"lichenroad/relay"
 )
 
-// TestMain sets rapid's seed, so that each run has the same verdict.
+// TestMain fixes rapid's seed, so that each run has the same result.
 func TestMain(m *testing.M) {
 	flag.Parse()
 	for k, v := range map[string]string{"rapid.seed": "7", "rapid.nofailfile": "true", "rapid.checks": "100"} {
@@ -23,10 +22,10 @@
 	os.Exit(m.Run())
 }
 
-// leaseTime is how long a lease lasts behind an answer of discovery.
+// leaseTime is how long a lease lasts after an answer of discovery.
 const leaseTime = changeBindsAfter - leaseMargin
 
-// wantLease checks a lease up to the milliseconds that messages carry.
+// wantLease checks a lease's end up to the milliseconds that messages carry.
 func wantLease(t *testing.T, got, want relay.Seconds) {
 	t.Helper()
 	if math.Abs(got-want) > 0.0015 {
@@ -34,7 +33,7 @@
 	}
 }
 
-// restarted is a node of four that holds the units 1 to 100 of generation 5 from before its start.
+// restarted returns a node of a fleet of four that has the endpoints 1 to 100 of generation 5 cached.
 func restarted(now relay.Seconds) *Node {
 	n := New(testSettings(0, 4), 1)
 	n.Step(now, CachedList{fullList(5, endpointRange(1, 100)...)})
@@ -52,14 +51,14 @@
 	b.at(21, func() {
 		b.restart(0)
 		if out := b.step(0, CachedList{older}); out.LeaseExpiresAt != 0 {
-			t.Fatalf("a lease until %v on a list that nobody confirmed", out.LeaseExpiresAt)
+			t.Fatalf("a lease until %v on an unconfirmed list", out.LeaseExpiresAt)
 		}
 	})
 	b.run(23)
-	if n := b.nodes[0]; n.version != versionOf(newer) || len(n.removed) != 60 || !n.removed[1] || !n.removed[60] {
-		t.Fatalf("view %v, %d units left", n.version, len(n.removed))
+	if n := b.relays[0]; n.version != versionOf(newer) || len(n.removed) != 60 || !n.removed[1] || !n.removed[60] {
+		t.Fatalf("version %v, %d endpoints removed", n.version, len(n.removed))
 	}
-	wantLease(t, b.nodes[0].leaseExpiresAt, 20.5+leaseTime)
+	wantLease(t, b.relays[0].leaseExpiresAt, 20.5+leaseTime)
 }
 
 func TestDeltaOfSeveralDatagrams(t *testing.T) {
@@ -69,19 +68,23 @@
 		t.Fatalf("%d datagrams", len(bodies))
 	}
 	for _, order := range [][]int{{0, 1, 2}, {0, 2, 1}, {1, 0, 2}, {1, 2, 0}, {2, 0, 1}, {2, 1, 0}, {0, 0, 2, 0, 2, 1}} {
-		n, left := restarted(10), []relay.EndpointID{}
-		for i, part := range order {
-			out := n.Step(10.1+0.1*relay.Seconds(i), MessageReceived{From: 1, Body: bodies[part]})
-			left = append(left, out.Removed...)
-			if last := i == len(order)-1; !last && out.LeaseExpiresAt != 0 {
-				t.Fatalf("order %v: a lease with %d datagrams", order, i+1)
-			} else if last {
-				wantLease(t, out.LeaseExpiresAt, 10+leaseTime)
+		t.Run(fmt.Sprintf("order %v", order), func(t *testing.T) {
+			n := restarted(10)
+			var removed []relay.EndpointID
+			for i, part := range order {
+				out := n.Step(10.1+0.1*relay.Seconds(i), MessageReceived{From: 1, Body: bodies[part]})
+				removed = append(removed, out.Removed...)
+				if last := i == len(order)-1; !last && out.LeaseExpiresAt != 0 {
+					t.Fatalf("a lease after %d datagrams", i+1)
+				} else if last {
+					wantLease(t, out.LeaseExpiresAt, 10+leaseTime)
+				}
 			}
-		}
-		if slices.Sort(left); !slices.Equal(left, endpointRange(1, 60)) || n.version != target {
-			t.Fatalf("order %v: left %v", order, left)
-		}
+			slices.Sort(removed)
+			if !slices.Equal(removed, endpointRange(1, 60)) || n.version != target {
+				t.Fatalf("removed %v", removed)
+			}
+		})
 	}
 }
 
@@ -96,7 +99,7 @@
 		}
 	}
 	if out := n.Step(10.2, MessageReceived{2, one[0]}); out.LeaseExpiresAt == 0 {
-		t.Fatal("no lease by a whole delta")
+		t.Fatal("no lease by a complete delta")
 	}
 }
 
@@ -114,11 +117,11 @@
 	out := n.Step(10.2, MessageReceived{1, heartbeat(n.version, 8.5, Never)})
 	wantLease(t, out.LeaseExpiresAt, 8.5+leaseTime)
 	if len(out.Removed) != 0 {
-		t.Fatalf("left: %v", out.Removed)
+		t.Fatalf("removed: %v", out.Removed)
 	}
 }
 
-// failPoll makes a call and has it fail.
+// failPoll starts a poll and fails it.
 func failPoll(n *Node, begun, ended relay.Seconds, event PollFailed) Output {
 	n.Step(begun, PollStarted{Wait: 2})
 	return n.Step(ended, event)
@@ -130,19 +133,19 @@
 		t.Fatalf("a lease until %v without a peer", out.LeaseExpiresAt)
 	}
 	if out := n.Step(11, MessageReceived{1, heartbeat(n.version, Never, Never)}); out.LeaseExpiresAt != 0 {
-		t.Fatalf("a lease until %v on the first word of a peer", out.LeaseExpiresAt)
+		t.Fatalf("a lease until %v on the first message of a peer", out.LeaseExpiresAt)
 	}
 	out := n.Step(11+minContactTime, MessageReceived{1, heartbeat(n.version, Never, Never)})
 	wantLease(t, out.LeaseExpiresAt, 10+leaseTime)
 	out = failPoll(n, 13, 13.5, PollFailed{})
-	wantLease(t, out.LeaseExpiresAt, 11+minContactTime+leaseTime) // as of the last contact, not of the call
+	wantLease(t, out.LeaseExpiresAt, 11+minContactTime+leaseTime) // as of the last contact, not of the poll
 	out = n.Step(13.6, MessageReceived{1, heartbeat(n.version, Never, Never)})
 	wantLease(t, out.LeaseExpiresAt, 13+leaseTime)
 	out = failPoll(n, 17, 17.5, PollFailed{}) // the peer was last heard at 13.6
 	wantLease(t, out.LeaseExpiresAt, 13+leaseTime)
 }
 
-func TestFailedPollCountsOnlyAfterMinContactTimeFollowingASilence(t *testing.T) {
+func TestFailedPollCountsOnlyOnceContactIsBack(t *testing.T) {
 	n := restarted(10)
 	n.Step(11, MessageReceived{1, heartbeat(n.version, 10.5, Never)})
 	n.Step(11+minContactTime, MessageReceived{1, heartbeat(n.version, 10.5, Never)})
@@ -153,7 +156,8 @@
 	wantLease(t, out.LeaseExpiresAt, 29+leaseTime)
 }
 
-// TestRelaysStartedTogetherDoNotConfirmTheirStaleList: one more of them is no sign that the list still holds.
+// TestRelaysStartedTogetherDoNotConfirmTheirStaleList: another relay with the same old list does not show that the list
+// still holds.
 func TestRelaysStartedTogetherDoNotConfirmTheirStaleList(t *testing.T) {
 	n := restarted(10)
 	failPoll(n, 10, 10.05, PollFailed{})
@@ -161,39 +165,39 @@
 	n.Step(10.2, MessageReceived{2, heartbeat(n.version, Never, 10)})
 	out := n.Step(10.4, MessageReceived{3, heartbeat(versionOf(fullList(6, 1)), 9, Never)})
 	if out.LeaseExpiresAt != 0 {
-		t.Fatalf("a lease until %v before the peer with the newer list spoke", out.LeaseExpiresAt)
+		t.Fatalf("a lease until %v before the peer with the newer list sent a message", out.LeaseExpiresAt)
 	}
 	out = n.Step(20, MessageReceived{1, heartbeat(n.version, Never, 19.9)})
 	wantLease(t, out.LeaseExpiresAt, 0)
 }
 
-// TestNodeSendsDeltasOnlyFromVersionsThatItHeldCompletely: one that was told of generation 6 by a peer doesn't know the unit 101 that
-// joined in it, so it can't say that 101 left in generation 7.
+// TestNodeSendsDeltasOnlyFromVersionsThatItHeldCompletely: a node that learned of generation 6 by a peer's delta doesn't know
+// endpoint 101, which joined in it, so it can't report the removal of 101 in generation 7.
 func TestNodeSendsDeltasOnlyFromVersionsThatItHeldCompletely(t *testing.T) {
 	n := restarted(10)
-	six := versionOf(fullList(6, endpointRange(2, 101)...))
-	n.Step(10.1, MessageReceived{1, deltas(n.version, six, 10, 1)[0]})
-	gone := relay.Endpoint{ID: 101, State: relay.Draining}
-	n.Step(11, PollAnswered{List{Generation: 7, Endpoints: append(fullList(7, 102).Endpoints, gone, relay.Endpoint{ID: 1})}})
+	generationSix := versionOf(fullList(6, endpointRange(2, 101)...))
+	n.Step(10.1, MessageReceived{1, deltas(n.version, generationSix, 10, 1)[0]})
+	draining := relay.Endpoint{ID: 101, State: relay.Draining}
+	n.Step(11, PollAnswered{List{Generation: 7, Endpoints: append(fullList(7, 102).Endpoints, draining, relay.Endpoint{ID: 1})}})
 	if want := versionOf(fullList(7, append(endpointRange(2, 100), 102)...)); n.version != want {
-		t.Fatalf("view %v, want %v", n.version, want)
+		t.Fatalf("version %v, want %v", n.version, want)
 	}
-	if endpoints, known := n.list.removedSince(six); known {
-		t.Fatalf("says that %v left since a list that it never held whole", endpoints)
+	if endpoints, known := n.list.removedSince(generationSix); known {
+		t.Fatalf("reports the removal of %v since a version that it never held completely", endpoints)
 	}
 	if endpoints, known := n.list.removedSince(versionOf(fullList(5, endpointRange(1, 100)...))); !known || !slices.Equal(endpoints, []relay.EndpointID{1}) {
-		t.Fatalf("left since the list of its start: %v, %v", endpoints, known)
+		t.Fatalf("removed since the cached list: %v, %v", endpoints, known)
 	}
 }
 
-// TestAnswerCompletesAVersionLearnedFromAPeer: discovery confirms what a peer told, with the units that joined.
+// TestAnswerCompletesAVersionLearnedFromAPeer: discovery confirms a peer's delta and adds the endpoints that joined.
 func TestAnswerCompletesAVersionLearnedFromAPeer(t *testing.T) {
 	n := restarted(10)
-	six := versionOf(fullList(6, endpointRange(2, 101)...))
-	n.Step(10.1, MessageReceived{1, deltas(n.version, six, 10, 1)[0]})
+	generationSix := versionOf(fullList(6, endpointRange(2, 101)...))
+	n.Step(10.1, MessageReceived{1, deltas(n.version, generationSix, 10, 1)[0]})
 	n.Step(11, PollAnswered{List{Generation: 6, Endpoints: append(fullList(6, 101).Endpoints, relay.Endpoint{ID: 1})}})
-	if _, known := n.list.removedSince(six); !known || n.version != six {
-		t.Fatalf("view %v, want %v; helps from it: %v", n.version, six, known)
+	if _, known := n.list.removedSince(generationSix); !known || n.version != generationSix {
+		t.Fatalf("version %v, want %v; sends deltas from it: %v", n.version, generationSix, known)
 	}
 }
 
@@ -232,27 +236,27 @@
 	n := restarted(10)
 	failPoll(n, 10, 10.5, PollFailed{})
 	if n.Step(11, MessageReceived{1, heartbeat(n.version, 9, Never)}).DiscoveryRecovered {
-		t.Fatal("an answer of before the failed call was told")
+		t.Fatal("an answer of before the failed poll was reported")
 	}
 	if !n.Step(12, MessageReceived{1, heartbeat(n.version, 11.5, Never)}).DiscoveryRecovered {
-		t.Fatal("the first answer was not told")
+		t.Fatal("the first answer was not reported")
 	}
 	if n.Step(13, MessageReceived{2, heartbeat(n.version, 12.5, Never)}).DiscoveryRecovered {
-		t.Fatal("the second answer was told")
+		t.Fatal("the second answer was reported")
 	}
 }
 
 func TestRelayAloneInItsFleet(t *testing.T) {
 	n := New(testSettings(0, 1), 1)
 	if out := n.Step(0, CachedList{fullList(5, 1, 2)}); out.LeaseExpiresAt != 0 {
-		t.Fatal("a lease on a held list")
+		t.Fatal("a lease on a cached list")
 	}
 	out := failPoll(n, 1, 3, PollFailed{})
 	wantLease(t, out.LeaseExpiresAt, 1+leaseTime)
 	out = n.Step(4, PollAnswered{fullList(6, 1)})
 	wantLease(t, out.LeaseExpiresAt, 4+leaseTime)
 	if out.TimerAt != Never || len(out.Messages) != 0 {
-		t.Fatalf("messages to nobody: %+v", out)
+		t.Fatalf("messages without a peer: %+v", out)
 	}
 }
 
@@ -268,15 +272,15 @@
 		b.at(at+0.5, func() { b.step(0, PollFailed{}) })
 	}
 	b.run(9.9)
-	if b.nodes[0].leaseExpiresAt < 12 {
-		t.Fatalf("a lease until %v in contact", b.nodes[0].leaseExpiresAt)
+	if b.relays[0].leaseExpiresAt < 12 {
+		t.Fatalf("a lease until %v in contact", b.relays[0].leaseExpiresAt)
 	}
 	b.run(29.9)
-	if cutOff := b.nodes[0].leaseExpiresAt; cutOff > 10+leaseTime {
-		t.Fatalf("a lease until %v without contact", cutOff)
+	if partitioned := b.relays[0].leaseExpiresAt; partitioned > 10+leaseTime {
+		t.Fatalf("a lease until %v without contact", partitioned)
 	}
-	if b.nodes[2].leaseExpiresAt < 32 {
-		t.Fatalf("a lease until %v in contact", b.nodes[2].leaseExpiresAt)
+	if b.relays[2].leaseExpiresAt < 32 {
+		t.Fatalf("a lease until %v in contact", b.relays[2].leaseExpiresAt)
 	}
 }
 
@@ -286,7 +290,7 @@
 	out := n.Step(10, PollStarted{Wait: 25, ContinuesWatch: true})
 	wantLease(t, out.LeaseExpiresAt, 10+25+changeBindsAfterWait-leaseMargin)
 	out = n.Step(30, PollFailed{})
-	wantLease(t, out.LeaseExpiresAt, 30+leaseTime) // it stood until then
+	wantLease(t, out.LeaseExpiresAt, 30+leaseTime) // discovery held the watch until then
 	out = n.Step(30, PollStarted{Wait: 1, ContinuesWatch: true})
 	wantLease(t, out.LeaseExpiresAt, 30+leaseTime)
 }
@@ -301,9 +305,9 @@
 func TestStalledPollDoesNotExtendTheLease(t *testing.T) {
 	n := New(testSettings(0, 4), 1)
 	n.Step(10, PollAnswered{fullList(5, 1, 2)})
-	standing := n.Step(10, PollStarted{Wait: 25, ContinuesWatch: true}).LeaseExpiresAt
-	if out := n.Step(36.9, PollFailed{Stalled: true}); out.LeaseExpiresAt > standing || out.LeaseExpiresAt > 36.9 {
-		t.Fatalf("a lease until %v behind a silent call, %v before", out.LeaseExpiresAt, standing)
+	held := n.Step(10, PollStarted{Wait: 25, ContinuesWatch: true}).LeaseExpiresAt
+	if out := n.Step(36.9, PollFailed{Stalled: true}); out.LeaseExpiresAt > held || out.LeaseExpiresAt > 36.9 {
+		t.Fatalf("a lease until %v after a stalled poll, %v before", out.LeaseExpiresAt, held)
 	}
 }
 
@@ -324,11 +328,11 @@
 	out := n.Step(20, PollAnswered{anew})
 	wantLease(t, out.LeaseExpiresAt, 20+leaseTime)
 	if n.version != versionOf(anew) || len(out.Removed) != 0 || n.isBehind() {
-		t.Fatalf("view %v, left %v", n.version, out.Removed)
+		t.Fatalf("version %v, removed %v", n.version, out.Removed)
 	}
 	out = n.Step(21, PollAnswered{List{Generation: 3, Endpoints: []relay.Endpoint{{ID: 3, State: relay.Draining}}}})
 	if wantLease(t, out.LeaseExpiresAt, 21+leaseTime); n.version != versionOf(fullList(3, 1, 2, 4, 5)) {
-		t.Fatalf("view %v", n.version)
+		t.Fatalf("version %v", n.version)
 	}
 }
 
@@ -340,12 +344,12 @@
 	ready := fullList(6, 3).Endpoints
 	out := n.Step(12, PollAnswered{List{Generation: 6, Endpoints: ready}})
 	if !slices.Equal(out.Removed, []relay.EndpointID{3}) || n.version != known {
-		t.Fatalf("left %v, view %v", out.Removed, n.version)
+		t.Fatalf("removed %v, version %v", out.Removed, n.version)
 	}
 	wantLease(t, out.LeaseExpiresAt, 11+leaseTime)
 	out = n.Step(13, PollAnswered{List{Generation: 9, Endpoints: ready}})
 	if len(out.Removed) != 0 || n.version != versionOf(fullList(9, 1, 2, 3)) {
-		t.Fatalf("left %v, view %v", out.Removed, n.version)
+		t.Fatalf("removed %v, version %v", out.Removed, n.version)
 	}
 	wantLease(t, out.LeaseExpiresAt, 13+leaseTime)
 }
@@ -359,25 +363,6 @@
 	}
 }
 
-func TestDroppedMessages(t *testing.T) {
-	good := heartbeat(restarted(10).version, 10, Never)
-	for name, received := range map[string]MessageReceived{
-		"of itself":    {0, good},
-		"empty":        {1, nil},
-		"of no form":   {1, []byte{messageMagic, 7}},
-		"cut short":    {1, good[:len(good)-1]},
-		"with a rest":  {1, append(slices.Clone(good), 0)},
-		"too long":     {1, append(slices.Clone(good), make([]byte, maxDatagramBytes)...)},
-		"part of none": {1, message{version: listVersion{6, 0}, delta: &delta{parts: 0}}.encode()},
-	} {
-		n := restarted(10)
-		out := n.Step(10.5, received)
-		if c := n.Counters(); out.LeaseExpiresAt != 0 || c.Unreadable != 1 || c.Received != 0 {
-			t.Errorf("%s: %+v, %+v", name, out, c)
-		}
-	}
-}
-
 func TestTimesInTheFutureAreClampedToNow(t *testing.T) {
 	n := restarted(10)
 	out := n.Step(10.5, MessageReceived{1, heartbeat(n.version, 1e9, 2e9)})
@@ -386,114 +371,3 @@
 	out = n.Step(10.5, MessageReceived{1, message{version: n.version, answeredAt: math.MaxInt64}.encode()})
 	wantLease(t, out.LeaseExpiresAt, 10.5+leaseTime)
 }
-
-func TestNoMessagesWhereSettingsForbidThem(t *testing.T) {
-	set := testSettings(0, 4)
-	set.PeerMessages = false
-	n := New(set, 1)
-	n.Step(0, CachedList{fullList(5, 1, 2)})
-	n.Step(1, PollAnswered{fullList(6, 1)})
-	for i := range 100 {
-		out := n.Step(2+relay.Seconds(i), MessageReceived{1, heartbeat(versionOf(fullList(5, 1, 2)), Never, Never)})
-		if len(out.Messages) != 0 || out.TimerAt != Never {
-			t.Fatalf("%+v", out)
-		}
-	}
-}
-
-func TestSentBytesStayWithinTheBudgetUnderLoad(t *testing.T) {
-	const seconds = 30
-	random := rand.New(rand.NewSource(1))
-	n := New(testSettings(0, 300), 1)
-	n.Step(0, PollAnswered{fullList(1, endpointRange(1, 2000)...)})
-	var older []listVersion
-	for generation := int64(2); generation < 12; generation++ {
-		older = append(older, n.version)
-		n.Step(0, PollAnswered{fullList(generation, endpointRange(relay.EndpointID(generation*60), 2000)...)})
-	}
-	bodies := [][]byte{heartbeat(n.version, Never, Never), heartbeat(listVersion{1000, 1}, 1, 1), heartbeat(listVersion{n.version.generation, 1}, 1, 1)}
-	for _, v := range older {
-		bodies = append(bodies, heartbeat(v, Never, Never))
-	}
-	sent, datagrams := 0, 0
-	for ms := range seconds * 1000 {
-		received := MessageReceived{relay.RelayID(1 + random.Intn(299)), bodies[random.Intn(len(bodies))]}
-		for _, body := range n.Step(relay.Seconds(ms)/1000, received).Messages {
-			sent += len(body) + datagramHeaderBytes
-			datagrams++
-		}
-	}
-	if upperBound := burstBytes + bytesPerSecond*seconds; sent > upperBound || datagrams < 100 {
-		t.Fatalf("%d bytes in %d datagrams, at most %d may be sent", sent, datagrams, upperBound)
-	}
-}
-
-// answerEvery has discovery answer each node in turn, all of them in ten seconds.
-func answerEvery(b *bus, list List, seconds int) {
-	for i := range b.nodes {
-		for round := range seconds / 10 {
-			at := relay.Seconds(round*10) + 10*relay.Seconds(i)/relay.Seconds(len(b.nodes))
-			update := List{Generation: list.Generation}
-			if round == 0 {
-				update = list
-			}
-			b.at(at, func() { b.step(i, PollAnswered{update}) })
-		}
-	}
-}
-
-func TestHeartbeatRateIsIndependentOfFleetSize(t *testing.T) {
-	for _, relays := range []int{300, 4300} {
-		b := newBus(t, relays)
-		answerEvery(b, fullList(5, endpointRange(1, 20)...), 30)
-		b.run(30)
-		heartbeats, deltas := b.count(10)
-		t.Logf("%d relays: %.2f heartbeats a second", relays, float64(heartbeats)/20)
-		if heartbeats < 20 || heartbeats > 200 || deltas > 0 {
-			t.Errorf("%d relays: %d heartbeats and %d deltas in 20 s", relays, heartbeats, deltas)
-		}
-	}
-}
-
-func TestFewDeltasUpdateAFleetOfWhichMostRestart(t *testing.T) {
-	b := newBus(t, 300)
-	older, newer := fullList(5, endpointRange(1, 100)...), fullList(6, endpointRange(34, 100)...)
-	for i := range b.nodes {
-		b.step(i, PollAnswered{older})
-	}
-	for i := 210; i < 300; i++ {
-		b.at(10+relay.Seconds(i)/100, func() { b.step(i, PollAnswered{newer}) })
-	}
-	b.at(15, func() {
-		for i := range 210 {
-			b.restart(i)
-			b.step(i, CachedList{older})
-		}
-	})
-	b.run(17)
-	for i, n := range b.nodes[:210] {
-		if n.version != versionOf(newer) || len(n.removed) != 33 || n.leaseExpiresAt < 17 {
-			t.Fatalf("node %d: view %v, %d left, lease until %v", i, n.version, len(n.removed), n.leaseExpiresAt)
-		}
-	}
-	b.run(25)
-	heartbeats, deltas := b.count(15)
-	t.Logf("%d heartbeats and %d datagrams of deltas in 10 s", heartbeats, deltas)
-	if deltas > 40 || heartbeats > 100 {
-		t.Errorf("%d heartbeats and %d datagrams of deltas in 10 s", heartbeats, deltas)
-	}
-}
-
-func TestStepsWithOneSeedAreEqual(t *testing.T) {
-	var sent [2][]busMessage
-	for k := range sent {
-		b := newBus(t, 5)
-		answerEvery(b, fullList(5, 1, 2), 20)
-		b.run(20)
-		sent[k] = b.sent
-	}
-	same := func(a, b busMessage) bool { return a.at == b.at && a.from == b.from && bytes.Equal(a.body, b.body) }
-	if len(sent[0]) == 0 || !slices.EqualFunc(sent[0], sent[1], same) {
-		t.Fatalf("%d and %d messages", len(sent[0]), len(sent[1]))
-	}
-}
--- a/membership/message_test.go
+++ b/membership/message_test.go
@@ -4,9 +4,11 @@
 	"bytes"
 	"encoding/binary"
 	"encoding/hex"
+	"errors"
 	"math"
 	"reflect"
 	"slices"
+	"strings"
 	"testing"
 
 	"pgregory.net/rapid"
@@ -27,13 +29,63 @@
 			"4c06" + "ac02" + "0807060504030201" + "e807" + "d00f" + "ab02" + "a000000000000000" + "010202" +
 				"0700000000000000" + "00ff000000000000"},
 	} {
-		body := c.encode()
-		if got := hex.EncodeToString(body); got != c.want {
-			t.Errorf("%s: %s, want %s", c.name, got, c.want)
-		}
-		if back, err := decode(body); err != nil || !reflect.DeepEqual(back, c.message) {
-			t.Errorf("%s: %+v, %v", c.name, back, err)
-		}
+		t.Run(c.name, func(t *testing.T) {
+			body := c.encode()
+			if got := hex.EncodeToString(body); got != c.want {
+				t.Errorf("%s, want %s", got, c.want)
+			}
+			if back, err := decode(body); err != nil || !reflect.DeepEqual(back, c.message) {
+				t.Errorf("%+v, %v", back, err)
+			}
+		})
+	}
+}
+
+// mustDecodeHex returns the bytes of a test's datagram.
+func mustDecodeHex(t *testing.T, digits string) []byte {
+	t.Helper()
+	body, err := hex.DecodeString(digits)
+	if err != nil {
+		t.Fatal(err)
+	}
+	return body
+}
+
+func TestDecodeReportsTheFirstFault(t *testing.T) {
+	const (
+		version = "05" + "0000000000000000"
+		times   = "00" + "00"
+		header  = "4c06" + version + times
+	)
+	for name, c := range map[string]struct {
+		datagram string
+		want     error
+	}{
+		"empty":                        {"", errUnknownKind},
+		"another mark":                 {"4d05" + version + times, errUnknownKind},
+		"another kind":                 {"4c07" + version + times, errUnknownKind},
+		"longer than a datagram":       {"4c05" + version + times + strings.Repeat("00", maxDatagramBytes), errTooLong},
+		"without a generation":         {"4c05", errTruncated},
+		"within the digest":            {"4c05" + "05" + "0000", errTruncated},
+		"without times":                {"4c05" + version, errTruncated},
+		"trailing byte":                {"4c05" + version + times + "00", errTrailingBytes},
+		"number in too many bytes":     {"4c05" + "8500" + "0000000000000000" + times, errBadNumber},
+		"number beyond int64":          {"4c05" + "ffffffffffffffffff01" + "0000000000000000" + times, errBadNumber},
+		"number beyond uint64":         {"4c05" + "ffffffffffffffffffff01" + "0000000000000000" + times, errBadNumber},
+		"delta without parts":          {header + version + "000000", errBadPart},
+		"part beyond the parts":        {header + version + "020200", errBadPart},
+		"more parts than a delta has":  {header + version + "002100", errBadPart},
+		"more endpoints than fit":      {header + version + "000119", errBadPart},
+		"endpoints missing":            {header + version + "000101", errTruncated},
+		"base newer than the list":     {header + "06" + "0000000000000000" + "000100", errBaseAfterDelta},
+		"truncated, so parts are zero": {header + version, errTruncated},
+	} {
+		t.Run(name, func(t *testing.T) {
+			_, err := decode(mustDecodeHex(t, c.datagram))
+			if !errors.Is(err, c.want) {
+				t.Errorf("error %v, want %v", err, c.want)
+			}
+		})
 	}
 }
 
@@ -41,7 +93,7 @@
 	return listVersion{rapid.Int64Range(0, upperBound).Draw(t, "generation"), rapid.Uint64().Draw(t, "digest")}
 }
 
-// drawMessage draws a heartbeat, or a delta without its part.
+// drawMessage draws the fields that heartbeats and deltas share.
 func drawMessage(t *rapid.T) message {
 	m := message{version: drawVersion(t, math.MaxInt64)}
 	m.answeredAt = uint64(rapid.Int64Range(0, math.MaxInt64).Draw(t, "answered"))
@@ -55,8 +107,8 @@
 		if rapid.Bool().Draw(t, "delta") {
 			parts := rapid.IntRange(1, maxDeltaParts).Draw(t, "parts")
 			m.delta = &delta{base: drawVersion(t, m.version.generation), part: rapid.IntRange(0, parts-1).Draw(t, "part"), parts: parts}
-			for range rapid.IntRange(0, maxDeltaEndpoints).Draw(t, "units") {
-				m.delta.endpoints = append(m.delta.endpoints, relay.EndpointID(rapid.Uint64().Draw(t, "unit")))
+			for range rapid.IntRange(0, maxDeltaEndpoints).Draw(t, "endpoints") {
+				m.delta.endpoints = append(m.delta.endpoints, relay.EndpointID(rapid.Uint64().Draw(t, "endpoint")))
 			}
 		}
 		body := m.encode()
@@ -65,7 +117,7 @@
 		}
 		if cut := rapid.IntRange(0, len(body)-1).Draw(t, "cut"); len(body) > cut {
 			if _, err := decode(body[:cut]); err == nil {
-				t.Fatalf("the first %d of %d bytes were read", cut, len(body))
+				t.Fatalf("the first %d of %d bytes were accepted", cut, len(body))
 			}
 		}
 	})
@@ -75,38 +127,40 @@
 	rapid.Check(t, func(t *rapid.T) {
 		m := drawMessage(t)
 		base := drawVersion(t, m.version.generation)
-		count := rapid.OneOf(rapid.IntRange(0, 100), rapid.IntRange(0, 2*maxDeltaParts*maxDeltaEndpoints)).Draw(t, "units")
+		count := rapid.OneOf(rapid.IntRange(0, 100), rapid.IntRange(0, 2*maxDeltaParts*maxDeltaEndpoints)).Draw(t, "endpoints")
 		endpoints := make([]relay.EndpointID, count)
 		for i := range endpoints {
 			endpoints[i] = relay.EndpointID(math.MaxUint64 - uint64(i))
 		}
-		var reported []relay.EndpointID
+		var decoded []relay.EndpointID
 		for _, d := range splitDelta(base, endpoints) {
 			m.delta = &d
-			if body := m.encode(); len(body) > maxDatagramBytes {
+			body := m.encode()
+			if len(body) > maxDatagramBytes {
 				t.Fatalf("a datagram of %d bytes", len(body))
-			} else if back, err := decode(body); err != nil {
+			}
+			back, err := decode(body)
+			if err != nil {
 				t.Fatal(err)
-			} else {
-				reported = append(reported, back.delta.endpoints...)
 			}
+			decoded = append(decoded, back.delta.endpoints...)
 		}
-		if count > maxDeltaParts*maxDeltaEndpoints && reported != nil {
-			t.Fatalf("%d units of %d were told", len(reported), count)
-		} else if count <= maxDeltaParts*maxDeltaEndpoints && !slices.Equal(reported, endpoints) {
-			t.Fatalf("%d units were told, want %d", len(reported), count)
+		if count > maxDeltaParts*maxDeltaEndpoints && decoded != nil {
+			t.Fatalf("%d endpoints of %d were encoded", len(decoded), count)
+		} else if count <= maxDeltaParts*maxDeltaEndpoints && !slices.Equal(decoded, endpoints) {
+			t.Fatalf("%d endpoints were encoded, want %d", len(decoded), count)
 		}
 	})
 }
 
-// FuzzDecode holds that anything is either refused or a message with these very bytes, within its bounds.
+// FuzzDecode checks that any input is either rejected or encoded by the same bytes again, and within its bounds.
 func FuzzDecode(f *testing.F) {
 	m := message{version: listVersion{300, 1}, answeredAt: 1_700_000_000_123, failedPollAt: 5}
 	heartbeat := m.encode()
 	f.Add(heartbeat)
 	f.Add(heartbeat[:len(heartbeat)-1])
 	f.Add(append(slices.Clone(heartbeat), 0))
-	f.Add([]byte{messageMagic, kindHeartbeat, 0x80, 0x00, 1, 2, 3, 4, 5, 6, 7, 8, 0, 0}) // a generation of more bytes than it needs
+	f.Add([]byte{messageMagic, kindHeartbeat, 0x80, 0x00, 1, 2, 3, 4, 5, 6, 7, 8, 0, 0}) // a generation in more bytes than needed
 	f.Add(append([]byte{messageMagic, kindHeartbeat}, binary.AppendUvarint(nil, math.MaxUint64)...))
 	for _, endpoints := range []int{0, 1, maxDeltaEndpoints, maxDeltaEndpoints + 1} {
 		m.delta = &delta{listVersion{299, 2}, 0, 1, make([]relay.EndpointID, endpoints)}
--- a/membership/receive.go
+++ b/membership/receive.go
@@ -20,9 +20,9 @@
 		return
 	}
 	n.counters.Received++
-	n.noteContact()
+	n.recordContact()
 	answeredAt := n.timeFromWire(m.answeredAt)
-	n.noteDiscoveryAnswer(answeredAt)
+	n.recordDiscoveryAnswer(answeredAt)
 	n.failedPollAt = later(n.failedPollAt, n.timeFromWire(m.failedPollAt))
 	n.newestGeneration = max(n.newestGeneration, m.version.generation)
 	switch {
@@ -37,8 +37,8 @@
 	}
 }
 
-// noteContact records that a peer was heard.
-func (n *Node) noteContact() {
+// recordContact records that a peer was heard.
+func (n *Node) recordContact() {
 	afterSilence := n.messageAt == Never || n.now-n.messageAt >= contactTimeout
 	if afterSilence {
 		n.messagesSince = n.now
@@ -47,9 +47,9 @@
 	n.gossip.heartbeatsUnheard = 0
 }
 
-// noteDiscoveryAnswer records an answer of discovery to any relay. The first one after failed polls is reported to the host,
+// recordDiscoveryAnswer records an answer of discovery to any relay. The first one after failed polls is reported to the host,
 // as its own next poll may succeed too.
-func (n *Node) noteDiscoveryAnswer(answeredAt relay.Seconds) {
+func (n *Node) recordDiscoveryAnswer(answeredAt relay.Seconds) {
 	if answeredAt == Never {
 		return
 	}
--- /dev/null
+++ b/membership/simulation_test.go
@@ -0,0 +1,136 @@
+package membership
+
+import (
+	"container/heap"
+	"math/rand"
+
+	"lichenroad/relay"
+)
+
+// simulation plays a history in virtual time: discovery, the network, the hosts of the nodes and the true course of the
+// list, which the nodes are checked against.
+type simulation struct {
+	history
+	mutant
+	simulatedDiscovery
+	random      *rand.Rand
+	now         relay.Seconds
+	events      busEvents
+	order       int // of events at one time
+	violation   error
+	leasesHeld  int          // checks of a relay whose lease held
+	partitioned map[int]bool // relays partitioned from all peers
+	isolated    map[int]bool // relays partitioned from discovery
+	relays      []*simulatedRelay
+}
+
+// simulate plays a history and returns the first violation that the checker found.
+func simulate(h history, m mutant) (*simulation, error) {
+	s := &simulation{
+		history:            h,
+		mutant:             m,
+		simulatedDiscovery: newSimulatedDiscovery(),
+		random:             rand.New(rand.NewSource(h.seed)),
+		partitioned:        map[int]bool{},
+		isolated:           map[int]bool{},
+	}
+	s.join(100)
+	for i := range h.nodes {
+		s.relays = append(s.relays, &simulatedRelay{number: i})
+		s.startRelay(i, nil)
+	}
+	for _, a := range h.actions {
+		s.after(a.at, func() { s.applyAction(a) })
+	}
+	for at := 0.0; at < historySeconds; at += 0.05 {
+		s.after(at, s.check)
+	}
+	for len(s.events) > 0 && s.events[0].at < historySeconds && s.violation == nil {
+		event := heap.Pop(&s.events).(busEvent)
+		s.now = event.at
+		event.action()
+	}
+	return s, s.violation
+}
+
+// after schedules an action after a delay.
+func (s *simulation) after(wait relay.Seconds, action func()) {
+	s.order++
+	heap.Push(&s.events, busEvent{at: s.now + wait, order: s.order, action: action})
+}
+
+// uniform draws a duration between two bounds.
+func (s *simulation) uniform(lowerBound, upperBound relay.Seconds) relay.Seconds {
+	return lowerBound + (upperBound-lowerBound)*s.random.Float64()
+}
+
+// applyAction carries out an event of the history.
+func (s *simulation) applyAction(a simulationAction) {
+	switch a.kind {
+	case endpointsChange:
+		s.change(a.amount)
+	case discoveryDown:
+		s.stopDiscovery()
+	case discoveryUp:
+		s.startDiscovery()
+	case discoveryRenumbers:
+		if s.discoveryFault == renumbersGenerations && s.up {
+			s.stopDiscovery()
+			s.incarnation++
+			s.generation = 1
+			clear(s.changed)
+			s.after(s.uniform(0.1, 3), s.startDiscovery)
+		}
+	case pollsRejected:
+		if s.discoveryFault == rejectsPolls && len(s.rejected) < s.nodes-1 {
+			s.rejected[a.node] = true
+		}
+	case pollsAccepted:
+		clear(s.rejected)
+	case nodeRestarts:
+		if !s.rejected[a.node] {
+			clear(s.rejected) // or there might be nobody else who is answered
+		}
+		s.relays[a.node].stopped = true
+		s.after(s.uniform(0.1, 2), func() { s.startRelay(a.node, s.relays[a.node].stored) })
+	case nodePartitioned:
+		if s.discoveryFault != rejectsPolls {
+			s.partitioned[a.node] = true
+		}
+		if s.discoveryFault == noDiscoveryFault && a.amount%2 == 0 {
+			s.isolate(s.relays[a.node])
+		}
+	case nodeHealed:
+		clear(s.partitioned)
+		clear(s.isolated)
+	}
+}
+
+// isolate partitions a relay from discovery, which it notices by a stalled poll or by polls that fail.
+func (s *simulation) isolate(host *simulatedRelay) {
+	s.isolated[host.number] = true
+	if host.watchHeld {
+		host.watchHeld = false
+		s.stallPoll(host)
+	}
+}
+
+// send delivers a message to each relay with losses, duplicates and delays of its own.
+func (s *simulation) send(from *simulatedRelay, body []byte) {
+	for to := range s.relays {
+		if to == from.number || s.partitioned[to] || s.partitioned[from.number] || s.random.Float64() < s.loss {
+			continue
+		}
+		for range 1 + s.random.Intn(10)/9 {
+			delay := s.uniform(0.001, 0.02)
+			if s.random.Float64() < 0.05 {
+				delay = s.uniform(0.02, 2)
+			}
+			s.after(delay, func() {
+				if host := s.relays[to]; !host.stopped {
+					s.step(host, MessageReceived{relay.RelayID(from.number), body})
+				}
+			})
+		}
+	}
+}
