--- a/internal/peers/peers.go
+++ b/internal/peers/peers.go
@@ -1,4 +1,8 @@
-// Package peers carries the messages of relays to one another, as UDP datagrams.
+// Package peers carries the messages of relays to one another, as UDP datagrams without acknowledgement.
+//
+// A Transport owns one socket and the queue of messages to send. One goroutine reads the socket and posts what it receives
+// to the loop, one writes the queue. Messages of the membership protocol go to its host, all others to the decision code.
+// The package imports the loop (internal/pipeline), limits, metrics and membership.
 package peers
 
 import (
@@ -17,110 +21,127 @@
 	"lichenroad/relay"
 )
 
-// MaxBody of a datagram in bytes, by the protocol page.
+// MaxBody is the most bytes of a datagram, by the protocol page.
 const MaxBody = 256
 
-// Membership takes the messages about the list of units. It is called on the loop.
+// Membership receives the messages of the membership protocol. It is called on the loop.
 type Membership interface {
 	MembershipMessage(from relay.RelayID, body []byte)
 }
 
-// Tier is the relays that may tell one another things.
+// Transport sends and receives messages between the relays of a fleet. Its methods may be called on any goroutine.
 type Transport struct {
-	// Membership is set before Start; nil: such messages are dropped by the module, as unknown.
+	// Membership is set before Start. If it is nil, membership messages go to the decision code, which does not know them.
 	Membership Membership
 
-	loop *pipeline.Loop
-	conn *net.UDPConn
-	to   []netip.AddrPort
-	all  netip.AddrPort
-	from map[netip.AddrPort]relay.RelayID
-	out  chan relay.SendMessage
+	// The fields below do not change after Open.
+	loop             *pipeline.Loop
+	conn             *net.UDPConn
+	addresses        []netip.AddrPort // by relay number
+	numbers          map[netip.AddrPort]relay.RelayID
+	broadcastAddress netip.AddrPort         // of all other relays; not valid: none
+	sendQueue        chan relay.SendMessage // bounded by limits.PeerMessagesAhead
 }
 
-// Open binds the address for messages; peers are the relays' addresses in the order of their numbers.
-func Open(l *pipeline.Loop, listen string, peers []string, all string) (*Transport, error) {
-	t := &Transport{loop: l, from: map[netip.AddrPort]relay.RelayID{}, out: make(chan relay.SendMessage, limits.PeerMessagesAhead)}
-	for i, s := range peers {
-		a, err := parse("peers", s)
+// Open binds the address at which this relay receives messages. Peers are the addresses of all relays in the order of their
+// numbers; broadcast is the one that reaches all of them, or empty. Its errors name the setting that is wrong.
+func Open(loop *pipeline.Loop, listen string, peers []string, broadcast string) (*Transport, error) {
+	t := &Transport{
+		loop:      loop,
+		numbers:   map[netip.AddrPort]relay.RelayID{},
+		sendQueue: make(chan relay.SendMessage, limits.PeerMessagesAhead),
+	}
+	for i, peer := range peers {
+		address, err := parseAddress("peers", peer)
 		if err != nil {
 			return nil, err
 		}
-		t.to = append(t.to, a)
-		t.from[a] = relay.RelayID(i)
+		t.addresses = append(t.addresses, address)
+		t.numbers[address] = relay.RelayID(i)
 	}
-	if all != "" {
-		a, err := parse("peers_all", all)
-		if err != nil {
+	var err error
+	if broadcast != "" {
+		if t.broadcastAddress, err = parseAddress("peers_all", broadcast); err != nil {
 			return nil, err
 		}
-		t.all = a
 	}
-	a, err := parse("peer_listen", listen)
+	listenAddress, err := parseAddress("peer_listen", listen)
 	if err != nil {
 		return nil, err
 	}
-	if t.conn, err = net.ListenUDP("udp", net.UDPAddrFromAddrPort(a)); err != nil {
+	if t.conn, err = net.ListenUDP("udp", net.UDPAddrFromAddrPort(listenAddress)); err != nil {
 		return nil, fmt.Errorf("peer_listen: %w", err)
 	}
 	return t, nil
 }
 
-// parse reads an address; the error names the setting and what stands there.
-func parse(setting, text string) (netip.AddrPort, error) {
-	a, err := netip.ParseAddrPort(text)
+// parseAddress reads an address. Its error names the setting and quotes its value.
+func parseAddress(setting, text string) (netip.AddrPort, error) {
+	address, err := netip.ParseAddrPort(text)
 	if err != nil {
-		return a, fmt.Errorf("%s: %q: %w", setting, text, err)
+		return address, fmt.Errorf("%s: %q: %w", setting, text, err)
 	}
-	return a, nil
+	return address, nil
 }
 
-// Start serves until the program ends.
+// Start begins to send and receive, which goes on until the process ends.
 func (t *Transport) Start() {
-	go t.reading()
-	go t.writing()
+	go t.readLoop()
+	go t.writeLoop()
 }
 
-// Tell sends a message, or drops it: a message may be lost at any time.
+// SendMessage queues a message, or drops and counts it if it is too long or the queue is full. It does not block.
 func (t *Transport) SendMessage(m relay.SendMessage) {
 	if len(m.Body) > MaxBody {
-		t.loop.Metrics.Add(metrics.PeerMessagesDropped, 1)
+		t.countDropped()
 		t.loop.Log.WithFields(logrus.Fields{"peer": "relay", "bytes": len(m.Body)}).Error("message too long")
 		return
 	}
 	select {
-	case t.out <- m:
+	case t.sendQueue <- m:
 	default:
-		t.loop.Metrics.Add(metrics.PeerMessagesDropped, 1)
+		t.countDropped()
 	}
 }
 
-func (t *Transport) writing() {
-	for m := range t.out {
-		to := t.all
-		if m.To != relay.Broadcast {
-			to = netip.AddrPort{}
-			if int(m.To) < len(t.to) {
-				to = t.to[m.To]
-			}
-		}
-		if !to.IsValid() {
-			t.loop.Metrics.Add(metrics.PeerMessagesDropped, 1)
-			continue
-		}
-		if _, err := t.conn.WriteToUDPAddrPort(m.Body, to); err != nil {
-			t.loop.Metrics.Add(metrics.PeerMessagesDropped, 1)
-			t.loop.Log.WithField("peer", "relay").WithError(err).Debug("message not sent")
-			continue
-		}
-		t.loop.Metrics.Add(metrics.PeerMessagesOut, 1)
+// writeLoop sends the queued messages until the queue is closed, which happens in tests alone.
+func (t *Transport) writeLoop() {
+	for m := range t.sendQueue {
+		t.write(m)
+	}
+}
+
+// write sends one message. Errors are not retried: any message may be lost.
+func (t *Transport) write(m relay.SendMessage) {
+	address := t.addressOf(m.To)
+	if !address.IsValid() {
+		t.countDropped()
+		return
+	}
+	if _, err := t.conn.WriteToUDPAddrPort(m.Body, address); err != nil {
+		t.countDropped()
+		t.loop.Log.WithField("peer", "relay").WithError(err).Debug("message not sent")
+		return
 	}
+	t.loop.Metrics.Add(metrics.PeerMessagesOut, 1)
 }
 
-func (t *Transport) reading() {
-	var buf [MaxBody + 1]byte
+// addressOf returns the address of a relay or, for relay.Broadcast, of all; one that is not valid if there is none.
+func (t *Transport) addressOf(to relay.RelayID) netip.AddrPort {
+	if to == relay.Broadcast {
+		return t.broadcastAddress
+	}
+	if int(to) >= len(t.addresses) {
+		return netip.AddrPort{}
+	}
+	return t.addresses[to]
+}
+
+// readLoop receives messages until the socket is closed, which happens in tests alone.
+func (t *Transport) readLoop() {
+	var buffer [MaxBody + 1]byte // one more than allowed, to tell datagrams that are too long
 	for {
-		n, addr, err := t.conn.ReadFromUDPAddrPort(buf[:])
+		size, sender, err := t.conn.ReadFromUDPAddrPort(buffer[:])
 		if errors.Is(err, net.ErrClosed) {
 			return
 		}
@@ -129,23 +150,31 @@
 			time.Sleep(limits.PeerReadPause)
 			continue
 		}
-		no, known := t.from[netip.AddrPortFrom(addr.Addr().Unmap(), addr.Port())]
-		if !known || n > MaxBody || no == t.loop.Site.Self {
-			t.loop.Metrics.Add(metrics.PeerMessagesDropped, 1)
-			continue
-		}
-		heard := relay.MessageReceived{From: no, Body: append([]byte(nil), buf[:n]...)}
-		if t.loop.TryPost(pipeline.Func(func(l *pipeline.Loop) { t.deliver(l, heard) })) {
-			t.loop.Metrics.Add(metrics.PeerMessagesIn, 1)
-		}
+		t.receive(sender, buffer[:size])
 	}
 }
 
-// deliver hands a message to the part that it is for, on the loop.
-func (t *Transport) deliver(l *pipeline.Loop, heard relay.MessageReceived) {
-	if t.Membership != nil && membership.IsMessage(heard.Body) {
-		t.Membership.MembershipMessage(heard.From, heard.Body)
+// receive posts a datagram of another relay to the loop, unless its queue is full. The body is valid during the call.
+func (t *Transport) receive(sender netip.AddrPort, body []byte) {
+	number, known := t.numbers[netip.AddrPortFrom(sender.Addr().Unmap(), sender.Port())]
+	if !known || len(body) > MaxBody || number == t.loop.Site.Self {
+		t.countDropped()
 		return
 	}
-	l.AddEvent(heard)
+	received := relay.MessageReceived{From: number, Body: append([]byte(nil), body...)}
+	posted := t.loop.TryPost(pipeline.Func(func(l *pipeline.Loop) { t.deliver(l, received) }))
+	if posted {
+		t.loop.Metrics.Add(metrics.PeerMessagesIn, 1)
+	}
+}
+
+// deliver passes a message to its receiver, on the loop.
+func (t *Transport) deliver(l *pipeline.Loop, received relay.MessageReceived) {
+	if t.Membership != nil && membership.IsMessage(received.Body) {
+		t.Membership.MembershipMessage(received.From, received.Body)
+		return
+	}
+	l.AddEvent(received)
 }
+
+func (t *Transport) countDropped() { t.loop.Metrics.Add(metrics.PeerMessagesDropped, 1) }
--- a/internal/peers/peers_test.go
+++ b/internal/peers/peers_test.go
@@ -24,85 +24,84 @@
 )
 
 const (
-	patience = 10 * time.Second // for what has to happen; no test waits for it to pass
-	others   = 2                // relays that the test plays; they have the lowest numbers
-	self     = others           // the number of the relay under test: not 0, the number of one that is not known
+	testTimeout = 10 * time.Second // for what has to happen; no test waits until it is over
+	peerCount   = 2                // relays that the test plays, with the lowest numbers
+	self        = peerCount        // number of the relay under test; not 0, which an unknown sender would have
 )
 
-// fleet is a relay's tier under test and the sockets of the other relays, which the test plays. The test plays the
-// relay's loop, too.
+// fleet is the transport under test and the sockets of the other relays, which the test plays. It also plays the loop.
 type fleet struct {
-	t      *testing.T
-	tier   *Transport
-	loop   *pipeline.Loop
-	others [others]*net.UDPConn
-	all    *net.UDPConn // where what is told to everyone goes
-	log    *logtest.Hook
+	t         *testing.T
+	transport *Transport
+	loop      *pipeline.Loop
+	peers     [peerCount]*net.UDPConn
+	broadcast *net.UDPConn // receives broadcasts
+	log       *logtest.Hook
 }
 
-// newFleet opens a tier with the other relays, and starts nothing yet.
+// newFleet opens a transport that the test has to start.
 func newFleet(t *testing.T) *fleet {
 	t.Helper()
-	f := &fleet{t: t, all: socket(t)}
+	f := &fleet{t: t, broadcast: openSocket(t)}
 	f.loop, f.log = newLoop()
-	addresses := make([]string, others+1)
-	for i := range f.others {
-		f.others[i] = socket(t)
-		addresses[i] = addressOf(f.others[i]).String()
+	addresses := make([]string, peerCount+1)
+	for i := range f.peers {
+		f.peers[i] = openSocket(t)
+		addresses[i] = addressOf(f.peers[i]).String()
 	}
-	for f.tier == nil {
+	for f.transport == nil {
 		addresses[self] = freeAddress(t)
-		tier, err := Open(f.loop, addresses[self], addresses, addressOf(f.all).String())
+		transport, err := Open(f.loop, addresses[self], addresses, addressOf(f.broadcast).String())
 		if errors.Is(err, syscall.EADDRINUSE) {
-			continue // another program was given the port in between
+			continue // another process took the port in between
 		}
 		if err != nil {
 			t.Fatal(err)
 		}
-		f.tier = tier
+		f.transport = transport
 	}
 	t.Cleanup(func() {
-		f.tier.conn.Close()
-		close(f.tier.out)
+		f.transport.conn.Close()
+		close(f.transport.sendQueue)
 	})
 	return f
 }
 
-// newLoop is a loop of which the test takes the events, and what it logs.
+// newLoop returns a loop whose events the test takes, and what it logs.
 func newLoop() (*pipeline.Loop, *logtest.Hook) {
 	site := settings.Site{}
-	site.Settings.Self, site.Settings.Relays = self, others+1
+	site.Settings.Self, site.Settings.Relays = self, peerCount+1
 	log := logrus.New()
 	log.SetOutput(io.Discard)
 	hook := logtest.NewLocal(log)
 	return pipeline.NewLoop(site, 1, buffer.NewPool(1<<20), &metrics.Counters{}, log), hook
 }
 
-// socket is one on loopback that ends with the test.
-func socket(t *testing.T) *net.UDPConn {
+// openSocket returns a socket on loopback that is closed at the end of the test.
+func openSocket(t *testing.T) *net.UDPConn {
 	t.Helper()
 	c, err := net.ListenUDP("udp", net.UDPAddrFromAddrPort(netip.MustParseAddrPort("127.0.0.1:0")))
 	if err != nil {
 		t.Fatal(err)
 	}
 	t.Cleanup(func() { c.Close() })
-	if err := c.SetDeadline(time.Now().Add(patience)); err != nil {
+	if err := c.SetDeadline(time.Now().Add(testTimeout)); err != nil {
 		t.Fatal(err)
 	}
 	return c
 }
 
-// freeAddress is one that nobody listened on just now.
+// freeAddress returns an address on which nobody listened just now.
 func freeAddress(t *testing.T) string {
 	t.Helper()
-	c := socket(t)
+	c := openSocket(t)
 	defer c.Close()
 	return addressOf(c).String()
 }
 
 func addressOf(c *net.UDPConn) netip.AddrPort { return c.LocalAddr().(*net.UDPAddr).AddrPort() }
 
-// receive reads the next datagram at a socket, which must come from the tier.
+// receive reads the next datagram at a socket, which must come from the transport.
 func (f *fleet) receive(at *net.UDPConn) string {
 	f.t.Helper()
 	buf := make([]byte, 2*MaxBody)
@@ -110,220 +109,219 @@
 	if err != nil {
 		f.t.Fatal(err)
 	}
-	if from != addressOf(f.tier.conn) {
-		f.t.Errorf("from %v, not %v", from, addressOf(f.tier.conn))
+	if from != addressOf(f.transport.conn) {
+		f.t.Errorf("from %v, not %v", from, addressOf(f.transport.conn))
 	}
 	return string(buf[:n])
 }
 
-// send sends a datagram to the tier.
-func (f *fleet) send(from *net.UDPConn, body string) {
+// sendDatagram sends a datagram to the transport.
+func (f *fleet) sendDatagram(from *net.UDPConn, body string) {
 	f.t.Helper()
-	if _, err := from.WriteToUDPAddrPort([]byte(body), addressOf(f.tier.conn)); err != nil {
+	if _, err := from.WriteToUDPAddrPort([]byte(body), addressOf(f.transport.conn)); err != nil {
 		f.t.Fatal(err)
 	}
 }
 
-// tell has the tier send a message.
-func (f *fleet) tell(to relay.RelayID, body string) {
-	f.tier.SendMessage(relay.SendMessage{To: to, Body: []byte(body)})
+// sendMessage has the transport send a message.
+func (f *fleet) sendMessage(to relay.RelayID, body string) {
+	f.transport.SendMessage(relay.SendMessage{To: to, Body: []byte(body)})
 }
 
-// wait waits until a counter has reached a value, which it must not pass.
-func (f *fleet) wait(counter metrics.ID, want int64) {
+// waitForCounter waits until a counter has reached a value, which it must not exceed.
+func (f *fleet) waitForCounter(counter metrics.ID, want int64) {
 	f.t.Helper()
-	for end := time.Now().Add(patience); f.loop.Metrics.Get(counter) < want; time.Sleep(time.Millisecond) {
+	for end := time.Now().Add(testTimeout); f.loop.Metrics.Get(counter) < want; time.Sleep(time.Millisecond) {
 		if time.Now().After(end) {
 			f.t.Fatalf("counter %d at %d, not %d", counter, f.loop.Metrics.Get(counter), want)
 		}
 	}
-	f.hold(counter, want)
+	f.wantCounter(counter, want)
 }
 
-// hold fails the test where a counter has another value.
-func (f *fleet) hold(counter metrics.ID, want int64) {
+// wantCounter fails the test if a counter has another value.
+func (f *fleet) wantCounter(counter metrics.ID, want int64) {
 	f.t.Helper()
 	if got := f.loop.Metrics.Get(counter); got != want {
 		f.t.Errorf("counter %d at %d, not %d", counter, got, want)
 	}
 }
 
-// learned takes the events that wait for the loop, and gives what the module would hear of.
-func (f *fleet) learned() []relay.Event {
+// takeEvents applies the events posted to the loop, and returns those for the decision code.
+func (f *fleet) takeEvents() []relay.Event {
 	for _, e := range f.loop.TakePosted() {
 		e.Apply(f.loop)
 	}
 	return f.loop.TakeEvents()
 }
 
-// hears fails the test unless exactly these were heard, in this order.
-func (f *fleet) hears(want ...relay.MessageReceived) {
+// wantReceived fails the test unless exactly these messages were received, in this order.
+func (f *fleet) wantReceived(want ...relay.MessageReceived) {
 	f.t.Helper()
 	same := func(got relay.Event, want relay.MessageReceived) bool {
 		h, ok := got.(relay.MessageReceived)
 		return ok && h.From == want.From && bytes.Equal(h.Body, want.Body)
 	}
-	if got := f.learned(); !slices.EqualFunc(got, want, same) {
+	if got := f.takeEvents(); !slices.EqualFunc(got, want, same) {
 		f.t.Errorf("%q, not %q", got, want)
 	}
 }
 
-// TestTellGoesToOneRelay tells two relays different things: each gets its own alone.
-func TestTellGoesToOneRelay(t *testing.T) {
+// TestMessageGoesToOneRelay sends each of two relays a message of its own.
+func TestMessageGoesToOneRelay(t *testing.T) {
 	f := newFleet(t)
-	f.tier.Start()
-	f.tell(0, "to the first")
-	f.tell(1, "to the second")
-	if got := f.receive(f.others[0]); got != "to the first" {
+	f.transport.Start()
+	f.sendMessage(0, "to the first")
+	f.sendMessage(1, "to the second")
+	if got := f.receive(f.peers[0]); got != "to the first" {
 		t.Errorf("%q", got)
 	}
-	if got := f.receive(f.others[1]); got != "to the second" { // and nothing before it
+	if got := f.receive(f.peers[1]); got != "to the second" { // and nothing before it
 		t.Errorf("%q", got)
 	}
-	f.wait(metrics.PeerMessagesOut, 2)
-	f.hold(metrics.PeerMessagesDropped, 0)
+	f.waitForCounter(metrics.PeerMessagesOut, 2)
+	f.wantCounter(metrics.PeerMessagesDropped, 0)
 }
 
-// TestTellGoesToEveryone sends once, to the address of all, and nothing to a single relay.
-func TestTellGoesToEveryone(t *testing.T) {
+// TestBroadcastGoesToTheBroadcastAddress sends a broadcast once, and not to single relays.
+func TestBroadcastGoesToTheBroadcastAddress(t *testing.T) {
 	f := newFleet(t)
-	f.tier.Start()
-	f.tell(relay.Broadcast, "to everyone")
-	f.tell(0, "to one")
-	if got := f.receive(f.all); got != "to everyone" {
+	f.transport.Start()
+	f.sendMessage(relay.Broadcast, "to everyone")
+	f.sendMessage(0, "to one")
+	if got := f.receive(f.broadcast); got != "to everyone" {
 		t.Errorf("%q", got)
 	}
-	if got := f.receive(f.others[0]); got != "to one" { // and nothing before it
+	if got := f.receive(f.peers[0]); got != "to one" { // and nothing before it
 		t.Errorf("%q", got)
 	}
-	f.wait(metrics.PeerMessagesOut, 2)
-	f.hold(metrics.PeerMessagesDropped, 0)
+	f.waitForCounter(metrics.PeerMessagesOut, 2)
+	f.wantCounter(metrics.PeerMessagesDropped, 0)
 }
 
-// TestTellDropsWhatHasNoWay tells a relay that is not listed, one whose address this socket can't reach, and everyone
-// where no address of all is configured. Each is counted as dropped, and the next message goes out.
-func TestTellDropsWhatHasNoWay(t *testing.T) {
+// TestSendDropsMessagesWithoutAnAddress sends to a relay that is not listed, to one whose address this socket can't reach, and
+// a broadcast without a broadcast address. Each is counted as dropped, and the next message is sent.
+func TestSendDropsMessagesWithoutAnAddress(t *testing.T) {
 	loop, _ := newLoop()
-	one := socket(t)
+	one := openSocket(t)
 	peers := []string{"127.0.0.1:9", addressOf(one).String(), "[::1]:9"}
-	tier, err := Open(loop, "127.0.0.1:0", peers, "")
+	transport, err := Open(loop, "127.0.0.1:0", peers, "")
 	if err != nil {
 		t.Fatal(err)
 	}
-	f := &fleet{t: t, tier: tier, loop: loop}
+	f := &fleet{t: t, transport: transport, loop: loop}
 	t.Cleanup(func() {
-		tier.conn.Close()
-		close(tier.out)
+		transport.conn.Close()
+		close(transport.sendQueue)
 	})
-	tier.Start()
-	f.tell(relay.RelayID(len(peers)), "to a relay that is not listed")
-	f.tell(2, "to another family of addresses")
-	f.tell(relay.Broadcast, "to everyone")
-	f.tell(1, "to one")
+	transport.Start()
+	f.sendMessage(relay.RelayID(len(peers)), "to a relay that is not listed")
+	f.sendMessage(2, "to another family of addresses")
+	f.sendMessage(relay.Broadcast, "to everyone")
+	f.sendMessage(1, "to one")
 	if got := f.receive(one); got != "to one" {
 		t.Errorf("%q", got)
 	}
-	f.wait(metrics.PeerMessagesOut, 1)
-	f.hold(metrics.PeerMessagesDropped, 3) // the messages before it have been worked off
+	f.waitForCounter(metrics.PeerMessagesOut, 1)
+	f.wantCounter(metrics.PeerMessagesDropped, 3) // the messages before it are done with
 }
 
-// TestTellDropsWhatIsTooLong holds messages to their bound: the longest goes out whole, a longer one is dropped and logged.
-func TestTellDropsWhatIsTooLong(t *testing.T) {
+// TestSendDropsMessagesThatAreTooLong sends the longest message allowed, and drops and logs a longer one.
+func TestSendDropsMessagesThatAreTooLong(t *testing.T) {
 	f := newFleet(t)
-	f.tier.Start()
+	f.transport.Start()
 	longest := strings.Repeat("x", MaxBody)
-	f.tell(0, longest+"y")
-	f.tell(0, longest)
-	if got := f.receive(f.others[0]); got != longest {
+	f.sendMessage(0, longest+"y")
+	f.sendMessage(0, longest)
+	if got := f.receive(f.peers[0]); got != longest {
 		t.Errorf("%d bytes: %q", len(got), got)
 	}
-	f.wait(metrics.PeerMessagesOut, 1)
-	f.hold(metrics.PeerMessagesDropped, 1)
+	f.waitForCounter(metrics.PeerMessagesOut, 1)
+	f.wantCounter(metrics.PeerMessagesDropped, 1)
 	if line := f.log.LastEntry(); line == nil || line.Level != logrus.ErrorLevel || line.Data["bytes"] != MaxBody+1 {
 		t.Errorf("%+v", line)
 	}
 }
 
-// TestTellDropsAtAFullQueue tells more than may wait while nothing is sent: Tell does not block, what is too much is
-// dropped, and what waited goes out.
-func TestTellDropsAtAFullQueue(t *testing.T) {
+// TestSendDropsMessagesAtAFullQueue queues more than is allowed before anything is sent: SendMessage does not block, the
+// excess is dropped, and the queued messages are sent.
+func TestSendDropsMessagesAtAFullQueue(t *testing.T) {
 	const extra = 3
 	f := newFleet(t)
 	body := func(i int) string { return string([]byte{byte(i >> 8), byte(i)}) }
 	for i := range limits.PeerMessagesAhead + extra {
-		f.tell(0, body(i))
+		f.sendMessage(0, body(i))
 	}
-	f.hold(metrics.PeerMessagesDropped, extra)
-	f.tier.Start()
+	f.wantCounter(metrics.PeerMessagesDropped, extra)
+	f.transport.Start()
 	for i := range limits.PeerMessagesAhead {
-		if got := f.receive(f.others[0]); got != body(i) {
+		if got := f.receive(f.peers[0]); got != body(i) {
 			t.Fatalf("%q instead of message %d", got, i)
 		}
 	}
-	f.wait(metrics.PeerMessagesOut, limits.PeerMessagesAhead)
-	f.hold(metrics.PeerMessagesDropped, extra)
+	f.waitForCounter(metrics.PeerMessagesOut, limits.PeerMessagesAhead)
+	f.wantCounter(metrics.PeerMessagesDropped, extra)
 }
 
-// TestHeardFromOthers hands on what other relays tell, with their numbers, up to the longest message; each has a body of
-// its own.
-func TestHeardFromOthers(t *testing.T) {
+// TestReceivesMessagesOfPeers receives messages of other relays with their numbers, up to the longest; each has a body of its own.
+func TestReceivesMessagesOfPeers(t *testing.T) {
 	f := newFleet(t)
-	f.tier.Start()
+	f.transport.Start()
 	longest := strings.Repeat("x", MaxBody)
-	f.send(f.others[1], longest)
-	f.wait(metrics.PeerMessagesIn, 1)
-	f.send(f.others[0], "from the first")
-	f.wait(metrics.PeerMessagesIn, 2)
-	f.send(f.others[0], "")
-	f.wait(metrics.PeerMessagesIn, 3)
-	f.hears(relay.MessageReceived{From: 1, Body: []byte(longest)}, relay.MessageReceived{From: 0, Body: []byte("from the first")},
+	f.sendDatagram(f.peers[1], longest)
+	f.waitForCounter(metrics.PeerMessagesIn, 1)
+	f.sendDatagram(f.peers[0], "from the first")
+	f.waitForCounter(metrics.PeerMessagesIn, 2)
+	f.sendDatagram(f.peers[0], "")
+	f.waitForCounter(metrics.PeerMessagesIn, 3)
+	f.wantReceived(relay.MessageReceived{From: 1, Body: []byte(longest)}, relay.MessageReceived{From: 0, Body: []byte("from the first")},
 		relay.MessageReceived{From: 0, Body: []byte{}})
-	f.hold(metrics.PeerMessagesDropped, 0)
+	f.wantCounter(metrics.PeerMessagesDropped, 0)
 }
 
-// TestDropsWhatIsNotOfThisTier drops datagrams from an address that is not listed, from the relay itself and beyond the
-// longest message, counts them, and hears the next one.
-func TestDropsWhatIsNotOfThisTier(t *testing.T) {
+// TestDropsDatagramsFromOutsideTheFleet drops and counts datagrams from an address that is not listed, from the relay itself
+// and of too many bytes, and receives the next message.
+func TestDropsDatagramsFromOutsideTheFleet(t *testing.T) {
 	for name, play := range map[string]func(f *fleet){
-		"unknown sender": func(f *fleet) { f.send(socket(f.t), "from a stranger") },
-		"itself":         func(f *fleet) { f.tell(self, "to itself") },
-		"one too long":   func(f *fleet) { f.send(f.others[0], strings.Repeat("x", MaxBody+1)) },
-		"far too long":   func(f *fleet) { f.send(f.others[0], strings.Repeat("x", 8*MaxBody)) },
+		"unknown sender": func(f *fleet) { f.sendDatagram(openSocket(f.t), "from a stranger") },
+		"itself":         func(f *fleet) { f.sendMessage(self, "to itself") },
+		"one too long":   func(f *fleet) { f.sendDatagram(f.peers[0], strings.Repeat("x", MaxBody+1)) },
+		"far too long":   func(f *fleet) { f.sendDatagram(f.peers[0], strings.Repeat("x", 8*MaxBody)) },
 	} {
 		t.Run(name, func(t *testing.T) {
 			f := newFleet(t)
-			f.tier.Start()
+			f.transport.Start()
 			play(f)
-			f.wait(metrics.PeerMessagesDropped, 1)
-			f.send(f.others[0], "from the first")
-			f.wait(metrics.PeerMessagesIn, 1)
-			f.hears(relay.MessageReceived{From: 0, Body: []byte("from the first")})
-			f.hold(metrics.PeerMessagesDropped, 1)
+			f.waitForCounter(metrics.PeerMessagesDropped, 1)
+			f.sendDatagram(f.peers[0], "from the first")
+			f.waitForCounter(metrics.PeerMessagesIn, 1)
+			f.wantReceived(relay.MessageReceived{From: 0, Body: []byte("from the first")})
+			f.wantCounter(metrics.PeerMessagesDropped, 1)
 		})
 	}
 }
 
-// TestHeardDropsAtAFullQueue lets a message come while the loop has as many events waiting as it may: it is dropped, and
-// one that comes when there is room again is heard.
-func TestHeardDropsAtAFullQueue(t *testing.T) {
+// TestReceiveDropsMessagesAtAFullQueue receives a message while the loop's queue is full, which is dropped, and another one once
+// there is capacity again.
+func TestReceiveDropsMessagesAtAFullQueue(t *testing.T) {
 	f := newFleet(t)
 	for range limits.EventQueue {
 		f.loop.Post(pipeline.Func(func(*pipeline.Loop) {}))
 	}
-	f.tier.Start()
-	f.send(f.others[0], "too much")
-	f.wait(metrics.BoundQueue, 1)
-	f.hold(metrics.PeerMessagesIn, 0)
-	f.hears()
-	f.send(f.others[0], "there is room")
-	f.wait(metrics.PeerMessagesIn, 1)
-	f.hears(relay.MessageReceived{From: 0, Body: []byte("there is room")})
-	f.hold(metrics.BoundQueue, 1)
+	f.transport.Start()
+	f.sendDatagram(f.peers[0], "queue full")
+	f.waitForCounter(metrics.BoundQueue, 1)
+	f.wantCounter(metrics.PeerMessagesIn, 0)
+	f.wantReceived()
+	f.sendDatagram(f.peers[0], "capacity again")
+	f.waitForCounter(metrics.PeerMessagesIn, 1)
+	f.wantReceived(relay.MessageReceived{From: 0, Body: []byte("capacity again")})
+	f.wantCounter(metrics.BoundQueue, 1)
 }
 
-// TestOpenRefuses starts with addresses that can't be read or bound: one plain line names the setting and the fault.
-func TestOpenRefuses(t *testing.T) {
-	taken := addressOf(socket(t)).String()
+// TestOpenRejectsBadAddresses opens addresses that can't be parsed or bound: the error names the setting and the fault in one line.
+func TestOpenRejectsBadAddresses(t *testing.T) {
+	taken := addressOf(openSocket(t)).String()
 	for name, x := range map[string]struct {
 		listen string
 		peers  []string
@@ -339,9 +337,9 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			loop, _ := newLoop()
-			tier, err := Open(loop, x.listen, x.peers, x.all)
-			if err == nil || tier != nil {
-				t.Fatalf("opened: %v, error: %v", tier != nil, err)
+			transport, err := Open(loop, x.listen, x.peers, x.all)
+			if err == nil || transport != nil {
+				t.Fatalf("opened: %v, error: %v", transport != nil, err)
 			}
 			for _, part := range x.want {
 				if !strings.Contains(err.Error(), part) {
