--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -185,5 +185,6 @@
 		}
 		return string(fields[name])
 	}
-	return linewire.ParseStatus(word("image"), word("ring"), word("progress"), word("ceiling"), word("lag_ms"))
+	return linewire.StatusFields{Build: word("image"), Stage: word("ring"), Phase: word("progress"), ExposureLimit: word("ceiling"),
+		AgeMilliseconds: word("lag_ms")}.Parse()
 }
--- a/internal/linewire/linewire_test.go
+++ b/internal/linewire/linewire_test.go
@@ -9,67 +9,139 @@
 	"lichenroad/relay"
 )
 
-func split(stream string, cut int) string {
-	var s Splitter
-	var got []string
-	emit := func(line string) { got = append(got, line) }
-	err := s.Feed([]byte(stream[:cut]), emit)
+// splitAt returns the lines and the error of a stream that is fed in two parts.
+func splitAt(stream string, cut int) string {
+	var splitter Splitter
+	var lines []string
+	emit := func(line string) { lines = append(lines, line) }
+	err := splitter.Feed([]byte(stream[:cut]), emit)
 	if err == nil {
-		err = s.Feed([]byte(stream[cut:]), emit)
+		err = splitter.Feed([]byte(stream[cut:]), emit)
 	}
-	return fmt.Sprintf("%q %v", got, err)
+	return fmt.Sprintf("%q %v", lines, err)
 }
 
 func TestLinesCutAnywhere(t *testing.T) {
 	stream := "OK\r\n* news 42 1 canary 0.28 310\r\n*\r\nERR Throttling\r\nOK 42"
 	want := `["OK" "* news 42 1 canary 0.28 310" "*" "ERR Throttling"] <nil>`
 	for cut := 0; cut <= len(stream); cut++ {
-		if got := split(stream, cut); got != want {
+		if got := splitAt(stream, cut); got != want {
 			t.Errorf("cut at %d: %s", cut, got)
 		}
 	}
 }
 
 func TestBadLines(t *testing.T) {
-	var s Splitter
-	if err := s.Feed([]byte("OK\n"), nil); !errors.Is(err, ErrMalformed) {
+	var splitter Splitter
+	if err := splitter.Feed([]byte("OK\n"), nil); !errors.Is(err, ErrMalformed) {
 		t.Error("without CR:", err)
 	}
-	if err := s.Feed([]byte(strings.Repeat("a", MaxLine+1)), nil); !errors.Is(err, ErrTooLong) {
+	if err := splitter.Feed([]byte(strings.Repeat("a", MaxLine+1)), nil); !errors.Is(err, ErrTooLong) {
 		t.Error("too long:", err)
 	}
 	for _, line := range []string{"", "HELLO", "ERR", "OK 42", "OK 42 1 canary 0.28 x", "OK 42 1 flying 0.28 310", "* news 42",
 		"OK -1 1 canary 0.28 310", "OK 42 1 canary NaN 310", "OK 42 1 canary 1.5 310", "OK 99999 1 canary 0.1 310"} {
-		if r, err := ParseReply(line); err == nil {
-			t.Errorf("%q: %+v", line, r)
-		}
+		t.Run(line, func(t *testing.T) {
+			if reply, err := ParseReply(line); !errors.Is(err, ErrMalformed) {
+				t.Errorf("%+v, %v", reply, err)
+			}
+		})
 	}
 }
 
 func TestParse(t *testing.T) {
-	news := relay.RolloutStatus{Valid: true, Build: 42, Stage: 1, Phase: relay.PhaseRollingBack, ExposureLimit: 0.25, Age: 0.31}
+	status := relay.RolloutStatus{Valid: true, Build: 42, Stage: 1, Phase: relay.PhaseRollingBack, ExposureLimit: 0.25, Age: 0.31}
 	for line, want := range map[string]Reply{
-		"*": {Unsolicited: true}, "* counts 1 2": {Unsolicited: true}, "OK": {}, "ERR ConditionFailed": {Error: "ConditionFailed"},
-		"* news 42 1 reverting 0.25 310": {Unsolicited: true, Status: news}, "OK 42 1 reverting 0.25 310": {Status: news},
+		"*":                              {Unsolicited: true},
+		"* counts 1 2":                   {Unsolicited: true},
+		"OK":                             {},
+		"ERR ConditionFailed":            {Error: "ConditionFailed"},
+		"* news 42 1 reverting 0.25 310": {Unsolicited: true, Status: status},
+		"OK 42 1 reverting 0.25 310":     {Status: status},
 	} {
-		if got, err := ParseReply(line); got != want || err != nil {
-			t.Errorf("%q: %+v %v", line, got, err)
-		}
+		t.Run(line, func(t *testing.T) {
+			if got, err := ParseReply(line); got != want || err != nil {
+				t.Errorf("%+v, %v", got, err)
+			}
+		})
 	}
 	if got := VoteLine(relay.Vote{Build: 42, Stage: 1, Verdict: relay.VoteRollBack}); got != "VOTE 42 1 reject\r\n" {
 		t.Errorf("%q", got)
 	}
 }
 
+// TestStatusLines holds the bytes of a status in each phase, which is read back as it was.
+func TestStatusLines(t *testing.T) {
+	for phase, word := range map[relay.Phase]string{
+		relay.PhaseCanary:      "canary",
+		relay.PhaseRollingBack: "reverting",
+		relay.PhaseReleased:    "stable",
+		relay.PhaseWithdrawn:   "reverted",
+	} {
+		t.Run(word, func(t *testing.T) {
+			status := relay.RolloutStatus{Valid: true, Build: 42, Stage: 3, Phase: phase, ExposureLimit: 0.05, Age: 1.25}
+			wantReply := Reply{Status: status}
+			wantNotice := Reply{Unsolicited: true, Status: status}
+			for line, want := range map[string]Reply{StatusReplyLine(status): wantReply, StatusNoticeLine(status): wantNotice} {
+				if got, err := ParseReply(strings.TrimSuffix(line, "\r\n")); got != want || err != nil {
+					t.Errorf("%q: %+v, %v", line, got, err)
+				}
+			}
+			if got, want := StatusReplyLine(status), "OK 42 3 "+word+" 0.05 1250\r\n"; got != want {
+				t.Errorf("%q, want %q", got, want)
+			}
+			if got, want := StatusNoticeLine(status), "* news 42 3 "+word+" 0.05 1250\r\n"; got != want {
+				t.Errorf("%q, want %q", got, want)
+			}
+		})
+	}
+}
+
+// TestVotesAreReadBack holds the word of each verdict.
+func TestVotesAreReadBack(t *testing.T) {
+	for verdict, word := range map[relay.Verdict]string{
+		relay.NoVote:       "clear",
+		relay.VotePromote:  "approve",
+		relay.VoteHold:     "wait",
+		relay.VoteRollBack: "reject",
+	} {
+		t.Run(word, func(t *testing.T) {
+			vote := relay.Vote{Build: 65535, Stage: 255, Verdict: verdict}
+			line := VoteLine(vote)
+			if want := "VOTE 65535 255 " + word + "\r\n"; line != want {
+				t.Errorf("%q, want %q", line, want)
+			}
+			call, err := ParseCall(strings.TrimSuffix(line, "\r\n"))
+			if err != nil || call != (Call{Vote: vote}) {
+				t.Errorf("%+v, %v", call, err)
+			}
+		})
+	}
+}
+
+func TestParseCall(t *testing.T) {
+	if call, err := ParseCall("WATCH"); err != nil || call != (Call{Watch: true}) {
+		t.Errorf("WATCH: %+v, %v", call, err)
+	}
+	for _, line := range []string{"", "WATCH 1", "VOTE", "VOTE 42 1", "VOTE 42 1 approve x", "VOTE 42 1 maybe", "VOTE -1 1 wait",
+		"VOTE 65536 1 wait", "VOTE 42 256 wait", "vote 42 1 wait"} {
+		t.Run(line, func(t *testing.T) {
+			if call, err := ParseCall(line); !errors.Is(err, ErrMalformed) {
+				t.Errorf("%+v, %v", call, err)
+			}
+		})
+	}
+}
+
 func FuzzLines(f *testing.F) {
 	f.Add("OK 42 1 canary 0.28 310\r\n*\r\n", 7)
 	f.Fuzz(func(t *testing.T, stream string, cut int) {
 		if cut < 0 || cut > len(stream) {
 			cut = 0
 		}
-		if a, b := split(stream, cut), split(stream, 0); a != b {
-			t.Errorf("cut at %d: %s\nwhole: %s", cut, a, b)
+		if inParts, whole := splitAt(stream, cut), splitAt(stream, 0); inParts != whole {
+			t.Errorf("cut at %d: %s\nwhole: %s", cut, inParts, whole)
 		}
-		ParseReply(strings.TrimSuffix(stream, "\r\n"))
+		_, _ = ParseReply(strings.TrimSuffix(stream, "\r\n")) // must not panic
 	})
 }
--- a/internal/platform/watch.go
+++ b/internal/platform/watch.go
@@ -15,7 +15,7 @@
 
 const (
 	watchEstablished watchEventKind = iota // the platform accepted it
-	watchSilent                            // it received no line for a while
+	watchStalled                           // it received no line for a while
 	watchEnded                             // its connection ended, or was never established
 	addressChanged                         // the platform is at another address
 )
@@ -136,7 +136,7 @@
 		line, err := conn.nextLine(timeout)
 		switch {
 		case errors.Is(err, errLineTimeout) && established:
-			w.client.watchEvents <- watchEvent{w, watchSilent}
+			w.client.watchEvents <- watchEvent{w, watchStalled}
 		case err != nil:
 			return err
 		case !established && line == "OK":
