--- a/internal/guard/guard.go
+++ b/internal/guard/guard.go
@@ -117,7 +117,7 @@
 	for _, dependency := range rollout.DependenciesOf(h.plan, service) {
 		spec := &h.plan.Services[dependency]
 		if watch := h.watches[spec.Name]; watch != nil {
-			watch.Move(spec.Watch)
+			watch.SetAddress(spec.Watch)
 			continue
 		}
 		if spec.Watch == "" {
@@ -133,7 +133,7 @@
 func (h *Host) watch(serviceName, address string) *platform.Client {
 	watch := platform.New(h.loop, address)
 	watch.OnStatus = func(_ *pipeline.Loop, status relay.RolloutStatus) { h.dependencyStatusReceived(serviceName, status) }
-	watch.Listen()
+	watch.StartWatch()
 	return watch
 }
 
