--- a/cmd/lichenroad/serve.go
+++ b/cmd/lichenroad/serve.go
@@ -22,6 +22,7 @@
 	"lichenroad/internal/metrics"
 	"lichenroad/internal/peers"
 	"lichenroad/internal/pipeline"
+	"lichenroad/internal/planxml"
 	"lichenroad/internal/platform"
 	"lichenroad/internal/upstream"
 	"lichenroad/plan"
@@ -156,7 +157,7 @@
 	p.loop.Post(pipeline.Func(func(l *pipeline.Loop) {
 		p.asker.ChangeAddress(next.Discovery)
 		if next.Platform != "" {
-			p.desk.Move(next.Platform)
+			p.desk.SetAddress(next.Platform)
 		}
 		l.Metrics.Add(metrics.Reloads, 1)
 		l.Log.WithFields(logrus.Fields{"discovery": next.Discovery, "platform": next.Platform,
@@ -170,7 +171,7 @@
 	if p.guard == nil {
 		return
 	}
-	next, err := plan.Load(p.plan.plan)
+	next, err := planxml.Load(p.plan.plan)
 	p.loop.Post(pipeline.Func(func(l *pipeline.Loop) {
 		if err == nil {
 			err = p.guard.Replan(next)
--- a/internal/discovery/events.go
+++ b/internal/discovery/events.go
@@ -42,7 +42,7 @@
 	if e.server != c.current {
 		return
 	}
-	c.membership.step(membership.PollStarted{Wait: e.poll.wait.Seconds(), Continues: e.poll.continues})
+	c.membership.step(membership.PollStarted{Wait: e.poll.wait.Seconds(), ContinuesWatch: e.poll.continues})
 }
 
 // Apply hands the list to the listener, the decision module and the membership node. Once the new address has sent a list,
--- a/internal/discovery/fleet_relay_test.go
+++ b/internal/discovery/fleet_relay_test.go
@@ -129,7 +129,7 @@
 	next := r.schedule.nextPoll()
 	poll := &fleetPoll{poll: next, from: r, startedAt: r.fleet.now, afterGeneration: r.schedule.generation}
 	r.poll = poll
-	r.stepMembership(membership.PollStarted{Wait: poll.wait.Seconds(), Continues: poll.continues})
+	r.stepMembership(membership.PollStarted{Wait: poll.wait.Seconds(), ContinuesWatch: poll.continues})
 	r.runAt(r.fleet.now+poll.timeout.Seconds(), func() { r.pollFailed(poll, true) })
 	r.fleet.discovery.receive(poll)
 }
@@ -201,7 +201,7 @@
 }
 
 // stepMembership hands an event to the membership node, and carries out what it returns.
-func (r *fleetRelay) stepMembership(event any) {
+func (r *fleetRelay) stepMembership(event membership.Event) {
 	now, output := r.fleet.now, r.node.Step(r.fleet.now, event)
 	for _, body := range output.Messages {
 		r.fleet.broadcast(relay.RelayID(r.id), body)
@@ -214,8 +214,8 @@
 		}
 		r.addEvents(update)
 	}
-	r.setLease(output.Lease)
-	if output.Answers {
+	r.setLease(output.LeaseExpiresAt)
+	if output.DiscoveryRecovered {
 		r.addEvents(relay.DiscoveryRecovered{})
 	}
 	if output.TimerAt < r.timerAt {
--- a/internal/discovery/fleet_simulation_test.go
+++ b/internal/discovery/fleet_simulation_test.go
@@ -165,7 +165,7 @@
 	node := membership.New(membership.Settings{
 		Self:         settings.Self,
 		Relays:       fleetRelays,
-		Messages:     !f.disabled.noMessages,
+		PeerMessages: !f.disabled.noMessages,
 		PollInterval: settings.Rules.PollInterval,
 		Epoch:        1e9,
 	}, seed)
--- a/internal/discovery/membership.go
+++ b/internal/discovery/membership.go
@@ -25,7 +25,7 @@
 	node := membership.New(membership.Settings{
 		Self:         site.Self,
 		Relays:       site.Relays,
-		Messages:     site.Limits.PeerMessages,
+		PeerMessages: site.Limits.PeerMessages,
 		PollInterval: site.Rules.PollInterval,
 		Epoch:        -c.loop.Clock.Unix(0),
 	}, seed)
@@ -46,15 +46,15 @@
 }
 
 // step hands an event to the node, and carries out what it returns.
-func (m *membershipHost) step(event any) {
+func (m *membershipHost) step(event membership.Event) {
 	now := m.loop.Clock.Now()
 	output := m.node.Step(now, event)
 	for _, body := range output.Messages {
 		m.loop.Peers.SendMessage(relay.SendMessage{To: relay.Broadcast, Body: body})
 	}
 	m.endpointsLeaving(output.Removed)
-	m.setLease(now, output.Lease)
-	if output.Answers {
+	m.setLease(now, output.LeaseExpiresAt)
+	if output.DiscoveryRecovered {
 		m.loop.AddEvent(relay.DiscoveryRecovered{})
 	}
 	m.setTimer(output.TimerAt)
--- a/internal/guard/guard_test.go
+++ b/internal/guard/guard_test.go
@@ -10,6 +10,7 @@
 	"lichenroad/internal/buffer"
 	"lichenroad/internal/metrics"
 	"lichenroad/internal/pipeline"
+	"lichenroad/internal/planxml"
 	"lichenroad/plan"
 	"lichenroad/relay"
 	"lichenroad/settings"
@@ -38,7 +39,7 @@
 
 func newHostHarness(t *testing.T) *hostHarness {
 	t.Helper()
-	p, err := plan.Parse("p", []byte(planText))
+	p, err := planxml.Parse("p", []byte(planText))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -138,14 +139,14 @@
 	h.dependencyStatusReceived("a", relay.RolloutStatus{Valid: true, Build: 1, Phase: relay.PhaseReleased, ExposureLimit: 1})
 	h.loop.RolloutStatusReceived(canaryStatus(3, 0, 0.2))
 	h.moduleEvents()
-	bad, err := plan.Parse("p", []byte(strings.NewReplacer(`name="b"`, `name="c"`).Replace(planText)))
+	bad, err := planxml.Parse("p", []byte(strings.NewReplacer(`name="b"`, `name="c"`).Replace(planText)))
 	if err != nil {
 		t.Fatal(err)
 	}
 	if err := h.Replan(bad); err == nil {
 		t.Error("a plan without the service was accepted")
 	}
-	next, err := plan.Parse("p", []byte(strings.Replace(planText, `cap="0.2"`, `cap="0.1"`, 1)))
+	next, err := planxml.Parse("p", []byte(strings.Replace(planText, `cap="0.2"`, `cap="0.1"`, 1)))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -158,7 +159,7 @@
 }
 
 func TestNewChecksNames(t *testing.T) {
-	p, err := plan.Parse("p", []byte(planText))
+	p, err := planxml.Parse("p", []byte(planText))
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/membership/message_test.go
+++ b/membership/message_test.go
@@ -4,9 +4,11 @@
 	"bytes"
 	"encoding/binary"
 	"encoding/hex"
+	"errors"
 	"math"
 	"reflect"
 	"slices"
+	"strings"
 	"testing"
 
 	"pgregory.net/rapid"
@@ -15,37 +17,87 @@
 )
 
 func TestBytesOfMessages(t *testing.T) {
-	latest, base := view{300, 0x0102030405060708}, view{299, 0xa0}
+	latest, base := listVersion{300, 0x0102030405060708}, listVersion{299, 0xa0}
 	for _, c := range []struct {
 		name string
 		message
 		want string
 	}{
-		{"heartbeat", message{view: latest, answered: 1_700_000_000_123},
+		{"heartbeat", message{version: latest, answeredAt: 1_700_000_000_123},
 			"4c05" + "ac02" + "0807060504030201" + "fbd095ffbc31" + "00"},
-		{"delta", message{view: latest, answered: 1000, attempted: 2000, delta: &delta{base, 1, 2, []relay.EndpointID{7, 0xff00}}},
+		{"delta", message{version: latest, answeredAt: 1000, failedPollAt: 2000, delta: &delta{base, 1, 2, []relay.EndpointID{7, 0xff00}}},
 			"4c06" + "ac02" + "0807060504030201" + "e807" + "d00f" + "ab02" + "a000000000000000" + "010202" +
 				"0700000000000000" + "00ff000000000000"},
 	} {
-		body := c.encode()
-		if got := hex.EncodeToString(body); got != c.want {
-			t.Errorf("%s: %s, want %s", c.name, got, c.want)
-		}
-		if back, err := decode(body); err != nil || !reflect.DeepEqual(back, c.message) {
-			t.Errorf("%s: %+v, %v", c.name, back, err)
-		}
+		t.Run(c.name, func(t *testing.T) {
+			body := c.encode()
+			if got := hex.EncodeToString(body); got != c.want {
+				t.Errorf("%s, want %s", got, c.want)
+			}
+			if back, err := decode(body); err != nil || !reflect.DeepEqual(back, c.message) {
+				t.Errorf("%+v, %v", back, err)
+			}
+		})
+	}
+}
+
+// mustDecodeHex returns the bytes of a test's datagram.
+func mustDecodeHex(t *testing.T, digits string) []byte {
+	t.Helper()
+	body, err := hex.DecodeString(digits)
+	if err != nil {
+		t.Fatal(err)
 	}
+	return body
 }
 
-func drawView(t *rapid.T, most int64) view {
-	return view{rapid.Int64Range(0, most).Draw(t, "generation"), rapid.Uint64().Draw(t, "digest")}
+func TestDecodeReportsTheFirstFault(t *testing.T) {
+	const (
+		version = "05" + "0000000000000000"
+		times   = "00" + "00"
+		header  = "4c06" + version + times
+	)
+	for name, c := range map[string]struct {
+		datagram string
+		want     error
+	}{
+		"empty":                        {"", errUnknownKind},
+		"another mark":                 {"4d05" + version + times, errUnknownKind},
+		"another kind":                 {"4c07" + version + times, errUnknownKind},
+		"longer than a datagram":       {"4c05" + version + times + strings.Repeat("00", maxDatagramBytes), errTooLong},
+		"without a generation":         {"4c05", errTruncated},
+		"within the digest":            {"4c05" + "05" + "0000", errTruncated},
+		"without times":                {"4c05" + version, errTruncated},
+		"trailing byte":                {"4c05" + version + times + "00", errTrailingBytes},
+		"number in too many bytes":     {"4c05" + "8500" + "0000000000000000" + times, errBadNumber},
+		"number beyond int64":          {"4c05" + "ffffffffffffffffff01" + "0000000000000000" + times, errBadNumber},
+		"number beyond uint64":         {"4c05" + "ffffffffffffffffffff01" + "0000000000000000" + times, errBadNumber},
+		"delta without parts":          {header + version + "000000", errBadPart},
+		"part beyond the parts":        {header + version + "020200", errBadPart},
+		"more parts than a delta has":  {header + version + "002100", errBadPart},
+		"more endpoints than fit":      {header + version + "000119", errBadPart},
+		"endpoints missing":            {header + version + "000101", errTruncated},
+		"base newer than the list":     {header + "06" + "0000000000000000" + "000100", errBaseAfterDelta},
+		"truncated, so parts are zero": {header + version, errTruncated},
+	} {
+		t.Run(name, func(t *testing.T) {
+			_, err := decode(mustDecodeHex(t, c.datagram))
+			if !errors.Is(err, c.want) {
+				t.Errorf("error %v, want %v", err, c.want)
+			}
+		})
+	}
 }
 
-// drawMessage draws a heartbeat, or a delta without its part.
+func drawVersion(t *rapid.T, upperBound int64) listVersion {
+	return listVersion{rapid.Int64Range(0, upperBound).Draw(t, "generation"), rapid.Uint64().Draw(t, "digest")}
+}
+
+// drawMessage draws the fields that heartbeats and deltas share.
 func drawMessage(t *rapid.T) message {
-	m := message{view: drawView(t, math.MaxInt64)}
-	m.answered = uint64(rapid.Int64Range(0, math.MaxInt64).Draw(t, "answered"))
-	m.attempted = uint64(rapid.Int64Range(0, math.MaxInt64).Draw(t, "attempted"))
+	m := message{version: drawVersion(t, math.MaxInt64)}
+	m.answeredAt = uint64(rapid.Int64Range(0, math.MaxInt64).Draw(t, "answered"))
+	m.failedPollAt = uint64(rapid.Int64Range(0, math.MaxInt64).Draw(t, "attempted"))
 	return m
 }
 
@@ -53,10 +105,10 @@
 	rapid.Check(t, func(t *rapid.T) {
 		m := drawMessage(t)
 		if rapid.Bool().Draw(t, "delta") {
-			parts := rapid.IntRange(1, maxParts).Draw(t, "parts")
-			m.delta = &delta{base: drawView(t, m.view.generation), part: rapid.IntRange(0, parts-1).Draw(t, "part"), parts: parts}
-			for range rapid.IntRange(0, maxUnits).Draw(t, "units") {
-				m.delta.units = append(m.delta.units, relay.EndpointID(rapid.Uint64().Draw(t, "unit")))
+			parts := rapid.IntRange(1, maxDeltaParts).Draw(t, "parts")
+			m.delta = &delta{base: drawVersion(t, m.version.generation), part: rapid.IntRange(0, parts-1).Draw(t, "part"), parts: parts}
+			for range rapid.IntRange(0, maxDeltaEndpoints).Draw(t, "endpoints") {
+				m.delta.endpoints = append(m.delta.endpoints, relay.EndpointID(rapid.Uint64().Draw(t, "endpoint")))
 			}
 		}
 		body := m.encode()
@@ -65,7 +117,7 @@
 		}
 		if cut := rapid.IntRange(0, len(body)-1).Draw(t, "cut"); len(body) > cut {
 			if _, err := decode(body[:cut]); err == nil {
-				t.Fatalf("the first %d of %d bytes were read", cut, len(body))
+				t.Fatalf("the first %d of %d bytes were accepted", cut, len(body))
 			}
 		}
 	})
@@ -74,45 +126,47 @@
 func TestDatagramsOfAnyListAreBounded(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		m := drawMessage(t)
-		base := drawView(t, m.view.generation)
-		count := rapid.OneOf(rapid.IntRange(0, 100), rapid.IntRange(0, 2*maxParts*maxUnits)).Draw(t, "units")
-		units := make([]relay.EndpointID, count)
-		for i := range units {
-			units[i] = relay.EndpointID(math.MaxUint64 - uint64(i))
+		base := drawVersion(t, m.version.generation)
+		count := rapid.OneOf(rapid.IntRange(0, 100), rapid.IntRange(0, 2*maxDeltaParts*maxDeltaEndpoints)).Draw(t, "endpoints")
+		endpoints := make([]relay.EndpointID, count)
+		for i := range endpoints {
+			endpoints[i] = relay.EndpointID(math.MaxUint64 - uint64(i))
 		}
-		var told []relay.EndpointID
-		for _, d := range split(base, units) {
+		var decoded []relay.EndpointID
+		for _, d := range splitDelta(base, endpoints) {
 			m.delta = &d
-			if body := m.encode(); len(body) > maxBody {
+			body := m.encode()
+			if len(body) > maxDatagramBytes {
 				t.Fatalf("a datagram of %d bytes", len(body))
-			} else if back, err := decode(body); err != nil {
+			}
+			back, err := decode(body)
+			if err != nil {
 				t.Fatal(err)
-			} else {
-				told = append(told, back.delta.units...)
 			}
+			decoded = append(decoded, back.delta.endpoints...)
 		}
-		if count > maxParts*maxUnits && told != nil {
-			t.Fatalf("%d units of %d were told", len(told), count)
-		} else if count <= maxParts*maxUnits && !slices.Equal(told, units) {
-			t.Fatalf("%d units were told, want %d", len(told), count)
+		if count > maxDeltaParts*maxDeltaEndpoints && decoded != nil {
+			t.Fatalf("%d endpoints of %d were encoded", len(decoded), count)
+		} else if count <= maxDeltaParts*maxDeltaEndpoints && !slices.Equal(decoded, endpoints) {
+			t.Fatalf("%d endpoints were encoded, want %d", len(decoded), count)
 		}
 	})
 }
 
-// FuzzDecode holds that anything is either refused or a message with these very bytes, within its bounds.
+// FuzzDecode checks that any input is either rejected or encoded by the same bytes again, and within its bounds.
 func FuzzDecode(f *testing.F) {
-	m := message{view: view{300, 1}, answered: 1_700_000_000_123, attempted: 5}
+	m := message{version: listVersion{300, 1}, answeredAt: 1_700_000_000_123, failedPollAt: 5}
 	heartbeat := m.encode()
 	f.Add(heartbeat)
 	f.Add(heartbeat[:len(heartbeat)-1])
 	f.Add(append(slices.Clone(heartbeat), 0))
-	f.Add([]byte{messageMark, formHeartbeat, 0x80, 0x00, 1, 2, 3, 4, 5, 6, 7, 8, 0, 0}) // a generation of more bytes than it needs
-	f.Add(append([]byte{messageMark, formHeartbeat}, binary.AppendUvarint(nil, math.MaxUint64)...))
-	for _, units := range []int{0, 1, maxUnits, maxUnits + 1} {
-		m.delta = &delta{view{299, 2}, 0, 1, make([]relay.EndpointID, units)}
+	f.Add([]byte{messageMagic, kindHeartbeat, 0x80, 0x00, 1, 2, 3, 4, 5, 6, 7, 8, 0, 0}) // a generation in more bytes than needed
+	f.Add(append([]byte{messageMagic, kindHeartbeat}, binary.AppendUvarint(nil, math.MaxUint64)...))
+	for _, endpoints := range []int{0, 1, maxDeltaEndpoints, maxDeltaEndpoints + 1} {
+		m.delta = &delta{listVersion{299, 2}, 0, 1, make([]relay.EndpointID, endpoints)}
 		f.Add(m.encode())
 	}
-	for _, d := range []delta{{view{301, 2}, 0, 1, nil}, {view{1, 2}, 1, 1, nil}, {view{1, 2}, 0, 0, nil}, {view{1, 2}, 0, maxParts + 1, nil}} {
+	for _, d := range []delta{{listVersion{301, 2}, 0, 1, nil}, {listVersion{1, 2}, 1, 1, nil}, {listVersion{1, 2}, 0, 0, nil}, {listVersion{1, 2}, 0, maxDeltaParts + 1, nil}} {
 		m.delta = &d
 		f.Add(m.encode())
 	}
@@ -124,11 +178,11 @@
 		if again := m.encode(); !bytes.Equal(again, body) {
 			t.Fatalf("%x became %x", body, again)
 		}
-		if len(body) > maxBody || m.view.generation < 0 || m.answered > math.MaxInt64 || m.attempted > math.MaxInt64 {
+		if len(body) > maxDatagramBytes || m.version.generation < 0 || m.answeredAt > math.MaxInt64 || m.failedPollAt > math.MaxInt64 {
 			t.Fatalf("out of bounds: %+v", m)
 		}
-		if d := m.delta; d != nil && (d.base.generation < 0 || d.base.generation > m.view.generation || d.parts < 1 ||
-			d.parts > maxParts || d.part < 0 || d.part >= d.parts || len(d.units) > maxUnits) {
+		if d := m.delta; d != nil && (d.base.generation < 0 || d.base.generation > m.version.generation || d.parts < 1 ||
+			d.parts > maxDeltaParts || d.part < 0 || d.part >= d.parts || len(d.endpoints) > maxDeltaEndpoints) {
 			t.Fatalf("out of bounds: %+v", d)
 		}
 	})
--- a/rollout/guard.go
+++ b/rollout/guard.go
@@ -130,9 +130,9 @@
 func (g *Guard) advanceClock(now plan.Unix) { g.clock = math.Max(g.clock, now) }
 
 // frozen returns the freeze that stands here now and has an effect, if there is one.
-func (g *Guard) frozen(effect plan.FreezeEffect) (plan.Frozen, bool) {
+func (g *Guard) frozen(effect plan.FreezeEffect) (plan.ActiveFreeze, bool) {
 	if g.disabled.Freezes {
-		return plan.Frozen{}, false
+		return plan.ActiveFreeze{}, false
 	}
 	return g.calendar.Frozen(g.clock, g.service, g.site, effect)
 }
--- a/rollout/guard_exposure.go
+++ b/rollout/guard_exposure.go
@@ -73,7 +73,7 @@
 	}
 	scope.GroupOfTenant, scope.GroupOpen = g.groupOfTenant, make([]bool, len(g.plan.Groups))
 	for i := range scope.GroupOpen {
-		scope.GroupOpen[i] = g.spec().Open(key.step, g.site, plan.GroupIndex(i))
+		scope.GroupOpen[i] = g.spec().IsOpen(key.step, g.site, plan.GroupIndex(i))
 	}
 	return scope
 }
@@ -84,7 +84,7 @@
 	if int(current.step) >= len(g.spec().Steps) {
 		return 1
 	}
-	if current.step < 0 || group == plan.NoGroup || !g.spec().Open(current.step, g.site, group) {
+	if current.step < 0 || group == plan.NoGroup || !g.spec().IsOpen(current.step, g.site, group) {
 		return 0
 	}
 	return current.limit
--- a/rollout/guard_test.go
+++ b/rollout/guard_test.go
@@ -270,7 +270,7 @@
 				}
 				for i, open := range h.scope.GroupOpen {
 					step := plan.StepIndex(h.scope.Stage)
-					if open && !h.spec().Open(step, siteX, plan.GroupIndex(i)) {
+					if open && !h.spec().IsOpen(step, siteX, plan.GroupIndex(i)) {
 						t.Fatalf("%+v", h.scope)
 					}
 				}
--- a/rollout/promotion.go
+++ b/rollout/promotion.go
@@ -116,14 +116,14 @@
 	var latest BlockReason
 	for i := range p.Sites {
 		site := plan.SiteIndex(i)
-		if int(step) < len(spec.Steps) && !spec.Touches(step, site) {
+		if int(step) < len(spec.Steps) && !spec.OpenAtSite(step, site) {
 			continue
 		}
-		if freeze, frozen := calendar.Frozen(now, service, site, effect); frozen && freeze.Till > latest.Until {
+		if freeze, frozen := calendar.Frozen(now, service, site, effect); frozen && freeze.Until > latest.Until {
 			latest = BlockReason{
 				Code:  BlockedByPlanFreeze,
-				Text:  fmt.Sprintf("freeze %s until %s", p.Freezes[freeze.Freeze].Name, formatTime(freeze.Till)),
-				Until: freeze.Till,
+				Text:  fmt.Sprintf("freeze %s until %s", p.Freezes[freeze.Freeze].Name, formatTime(freeze.Until)),
+				Until: freeze.Until,
 			}
 		}
 	}
--- a/rollout/status.go
+++ b/rollout/status.go
@@ -37,7 +37,7 @@
 		return 0
 	}
 	step := c.SupportedStep(service)
-	if step < 0 || !spec.Open(step, site, group) {
+	if step < 0 || !spec.IsOpen(step, site, group) {
 		return 0
 	}
 	return spec.Steps[step].ExposureLimit
