--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -55,8 +55,8 @@
 	if err != nil {
 		return Config{}, err
 	}
-	if info.Size() > limits.ConfigFile {
-		return Config{}, fmt.Errorf("%s: over %d bytes", path, limits.ConfigFile)
+	if info.Size() > limits.MaxConfigBytes {
+		return Config{}, fmt.Errorf("%s: over %d bytes", path, limits.MaxConfigBytes)
 	}
 	raw, err := os.ReadFile(path)
 	if err != nil {
--- a/internal/config/parse.go
+++ b/internal/config/parse.go
@@ -119,14 +119,14 @@
 	}
 	p.config.MemoryMB = int64(p.wire.Limits.MemoryMB)
 	if p.config.MemoryMB == 0 {
-		p.config.MemoryMB = limits.NormalMemory
+		p.config.MemoryMB = limits.DefaultMemoryMB
 	}
 	p.config.Sockets = p.wire.Limits.Sockets
 	if p.config.Sockets == 0 {
-		p.config.Sockets = limits.NormalSockets
+		p.config.Sockets = limits.DefaultDescriptors
 	}
-	if p.config.MemoryMB < limits.LeastMemory || p.config.Sockets < limits.LeastSockets {
-		p.fault("limits: less than %d MB or %d sockets", limits.LeastMemory, limits.LeastSockets)
+	if p.config.MemoryMB < limits.MinMemoryMB || p.config.Sockets < limits.MinDescriptors {
+		p.fault("limits: less than %d MB or %d sockets", limits.MinMemoryMB, limits.MinDescriptors)
 	}
 }
 
--- a/internal/discovery/roster.go
+++ b/internal/discovery/roster.go
@@ -102,7 +102,7 @@
 	}
 	a.parts = true
 	old := a.before
-	a.loop.RunAt(a.loop.Clock.Now()+limits.PartFor.Seconds(), func() {
+	a.loop.RunAt(a.loop.Clock.Now()+limits.AddressChangeOverlap.Seconds(), func() {
 		if a.before == old {
 			a.moved()
 		}
@@ -282,7 +282,7 @@
 	}
 	if t.list.Unreadable > 0 {
 		l.Metrics.Add(metrics.BadInput, int64(t.list.Unreadable))
-		l.Log.WithFields(logrus.Fields{"peer": "roster", "entries": t.list.Unreadable}).Warn("entries that can't be read")
+		l.Log.WithFields(logrus.Fields{"peer": "discovery", "entries": t.list.Unreadable}).Warn("unreadable endpoint list entries")
 	}
 	l.AddEvent(r)
 }
@@ -297,7 +297,7 @@
 		form = relay.ListWatchStalled
 		l.Metrics.Add(metrics.DiscoveryStalled, 1)
 	}
-	l.Log.WithFields(logrus.Fields{"peer": "roster", "reason": string(why)}).WithError(err).Warn("call failed")
+	l.Log.WithFields(logrus.Fields{"peer": "discovery", "reason": string(why)}).WithError(err).Warn("call failed")
 	l.Post(told{from: p, form: form, unread: why == metrics.ClosedByBadInput})
 }
 
@@ -368,7 +368,7 @@
 			default:
 			}
 		}
-		c.end(metrics.ClosedByCommand)
+		c.end(metrics.ClosedByPolicy)
 	}
 }
 
@@ -410,7 +410,7 @@
 			continue
 		}
 		p.got(list, true, true)
-		c.end(metrics.ClosedByCommand)
+		c.end(metrics.ClosedByPolicy)
 	}
 }
 
@@ -433,7 +433,8 @@
 	c.p.holds(c.net, false)
 	c.net.Close()
 	c.net = nil
-	metrics.LogConnectionEnd(c.p.a.loop.Log, "roster", c.p.address, why, time.Since(c.begun).Seconds(), c.calls, nil)
+	end := metrics.ConnectionEnd{Peer: metrics.PeerDiscovery, Name: c.p.address, Reason: why, Age: time.Since(c.begun).Seconds(), Requests: c.calls}
+	end.Log(c.p.a.loop.Log)
 }
 
 // get makes one call, on the connection that stands or on a new one. One that crosses the end of a connection which
@@ -457,12 +458,12 @@
 		c.end(metrics.ClosedByPeer)
 	}
 	if c.net == nil {
-		n, err := netpoll.DialConnection("tcp", c.p.address, limits.DialFor)
+		n, err := netpoll.DialConnection("tcp", c.p.address, limits.DiscoveryDialTimeout)
 		if err != nil {
 			return List{}, metrics.ClosedByConnectError, err
 		}
 		c.net, c.begun, c.calls = n, time.Now(), 0
-		n.SetWriteTimeout(limits.DialFor)
+		n.SetWriteTimeout(limits.DiscoveryDialTimeout)
 		c.p.holds(n, true)
 	}
 	c.calls++
@@ -476,7 +477,7 @@
 	if err == nil {
 		resp, why, err = c.answer(written.Add(r.limit))
 	}
-	if err != nil && why == metrics.ClosedByPeer && c.calls > 1 && !resp.Begun() && time.Since(written) < limits.CrossFor {
+	if err != nil && why == metrics.ClosedByPeer && c.calls > 1 && !resp.Begun() && time.Since(written) < limits.KeepAliveRaceWindow {
 		err = fmt.Errorf("%w: %w", errCrossed, err)
 	}
 	if err != nil {
--- a/internal/peers/peers.go
+++ b/internal/peers/peers.go
@@ -40,7 +40,7 @@
 
 // Open binds the address for messages; peers are the relays' addresses in the order of their numbers.
 func Open(l *pipeline.Loop, listen string, peers []string, all string) (*Transport, error) {
-	t := &Transport{loop: l, from: map[netip.AddrPort]relay.RelayID{}, out: make(chan relay.SendMessage, limits.PeerMessagesAhead)}
+	t := &Transport{loop: l, from: map[netip.AddrPort]relay.RelayID{}, out: make(chan relay.SendMessage, limits.MaxQueuedPeerMessages)}
 	for i, s := range peers {
 		a, err := parse("peers", s)
 		if err != nil {
@@ -85,7 +85,7 @@
 func (t *Transport) SendMessage(m relay.SendMessage) {
 	if len(m.Body) > MaxBody {
 		t.loop.Metrics.Add(metrics.PeerMessagesDropped, 1)
-		t.loop.Log.WithFields(logrus.Fields{"peer": "relay", "bytes": len(m.Body)}).Error("message too long")
+		t.loop.Log.WithFields(logrus.Fields{"peer": "relay", "bytes": len(m.Body)}).Error("peer message too long")
 		return
 	}
 	select {
@@ -110,7 +110,7 @@
 		}
 		if _, err := t.conn.WriteToUDPAddrPort(m.Body, to); err != nil {
 			t.loop.Metrics.Add(metrics.PeerMessagesDropped, 1)
-			t.loop.Log.WithField("peer", "relay").WithError(err).Debug("message not sent")
+			t.loop.Log.WithField("peer", "relay").WithError(err).Debug("peer message not sent")
 			continue
 		}
 		t.loop.Metrics.Add(metrics.PeerMessagesOut, 1)
@@ -125,8 +125,8 @@
 			return
 		}
 		if err != nil {
-			t.loop.Log.WithField("peer", "relay").WithError(err).Warn("reading messages")
-			time.Sleep(limits.PeerReadPause)
+			t.loop.Log.WithField("peer", "relay").WithError(err).Warn("peer message read failed")
+			time.Sleep(limits.PeerReadRetryDelay)
 			continue
 		}
 		no, known := t.from[netip.AddrPortFrom(addr.Addr().Unmap(), addr.Port())]
--- a/lab/slope/slope_test.go
+++ b/lab/slope/slope_test.go
@@ -44,12 +44,12 @@
 
 func TestLine(t *testing.T) {
 	all, _ := Read(strings.NewReader(output), "units", "ns/op")
-	f, err := New(Line, all[0].Samples)
-	if err != nil || !near(f.A, 200) || !near(f.B, 10) || f.Sizes != 4 || f.Least != 100 || f.Most != 800 || f.Residual > 1e-9 {
+	f, err := FitSamples(Line, all[0].Samples)
+	if err != nil || !near(f.A, 200) || !near(f.B, 10) || f.Sizes != 4 || f.MinSize != 100 || f.MaxSize != 800 || f.Residual > 1e-9 {
 		t.Fatalf("%+v %v", f, err)
 	}
-	if !near(f.At(1600), 16200) || !near(f.Reaches(5200), 500) || f.Reaches(100) != 0 || f.Extrapolated(1600) != 2 || f.Extrapolated(50) != 1 {
-		t.Errorf("at 1600 %v, reaches %v and %v", f.At(1600), f.Reaches(5200), f.Reaches(100))
+	if !near(f.ValueAt(1600), 16200) || !near(f.SizeAt(5200), 500) || f.SizeAt(100) != 0 || f.ExtrapolationFactor(1600) != 2 || f.ExtrapolationFactor(50) != 1 {
+		t.Errorf("at 1600 %v, reaches %v and %v", f.ValueAt(1600), f.SizeAt(5200), f.SizeAt(100))
 	}
 	if got := all[0].Within(200, 400); len(got) != 5 || got[0] != (Sample{200, 2100}) {
 		t.Errorf("%v", got)
@@ -61,7 +61,7 @@
 
 // TestResidual gives one size that lies a tenth off the line of the others: the residual tells so.
 func TestResidual(t *testing.T) {
-	f, err := New(Line, []Sample{{10, 100}, {20, 200}, {40, 400}, {80, 800}, {160, 1760}})
+	f, err := FitSamples(Line, []Sample{{10, 100}, {20, 200}, {40, 400}, {80, 800}, {160, 1760}})
 	if err != nil || f.Residual < 0.02 || f.Residual > 0.1 {
 		t.Errorf("%+v %v", f, err)
 	}
@@ -72,34 +72,40 @@
 	for _, n := range []float64{10, 20, 40, 80} {
 		samples = append(samples, Sample{n, 3 * n * n})
 	}
-	f, err := New(Power, samples)
-	if err != nil || !near(f.A, 3) || !near(f.B, 2) || !near(f.At(100), 30000) || !near(f.Reaches(30000), 100) {
+	f, err := FitSamples(Power, samples)
+	if err != nil || !near(f.A, 3) || !near(f.B, 2) || !near(f.ValueAt(100), 30000) || !near(f.SizeAt(30000), 100) {
 		t.Errorf("%+v %v", f, err)
 	}
 	if f.Formula("n") != "3 n^2.000" {
 		t.Error(f.Formula("n"))
 	}
-	if line, _ := New(Line, samples); line.Residual < 0.2 {
+	if line, _ := FitSamples(Line, samples); line.Residual < 0.2 {
 		t.Errorf("a square passes for a line: %+v", line)
 	}
 }
 
 func TestFlatNeverReaches(t *testing.T) {
-	f, err := New(Line, []Sample{{1, 5}, {2, 5}, {3, 5}, {4, 5}})
-	if err != nil || !math.IsInf(f.Reaches(6), 1) || f.Reaches(4) != 0 {
+	f, err := FitSamples(Line, []Sample{{1, 5}, {2, 5}, {3, 5}, {4, 5}})
+	if err != nil || !math.IsInf(f.SizeAt(6), 1) || f.SizeAt(4) != 0 {
 		t.Errorf("%+v %v", f, err)
 	}
 }
 
 func TestWhatCannotBeFitted(t *testing.T) {
-	if _, err := New(Line, []Sample{{1, 1}, {1, 2}, {2, 2}, {3, 3}}); !errors.Is(err, ErrFewSizes) {
-		t.Error(err)
-	}
-	four := []Sample{{0, 1}, {1, 2}, {2, 2}, {3, 3}}
-	if _, err := New(Power, four); !errors.Is(err, ErrSample) {
-		t.Error(err)
-	}
-	if _, err := New("cubic", four); !errors.Is(err, ErrForm) {
-		t.Error(err)
+	fourSizes := []Sample{{0, 1}, {1, 2}, {2, 2}, {3, 3}}
+	for name, c := range map[string]struct {
+		form    Form
+		samples []Sample
+		want    error
+	}{
+		"four samples of three sizes": {Line, []Sample{{1, 1}, {1, 2}, {2, 2}, {3, 3}}, ErrTooFewSizes},
+		"a power law from size 0":     {Power, fourSizes, ErrNotPositive},
+		"a form that is none":         {"cubic", fourSizes, ErrUnknownForm},
+	} {
+		t.Run(name, func(t *testing.T) {
+			if _, err := FitSamples(c.form, c.samples); !errors.Is(err, c.want) {
+				t.Errorf("%v instead of %v", err, c.want)
+			}
+		})
 	}
 }
--- a/policy/exposure.go
+++ b/policy/exposure.go
@@ -1,154 +1,163 @@
-// Exposure: how many queries may meet the build on trial, and which.
-
 package policy
 
 import (
-	"fmt"
 	"math"
 
 	"lichenroad/relay"
 )
 
 const (
-	capShare   = 0.8  // of the cap that the build on trial may get (DESIGN)
-	steadyTime = 12.0 // s after a release that the usual pace is held: a window of evidence
+	exposureTarget = 0.8      // of the limit that the build on trial may get (DESIGN)
+	oneAttempt     = 1 - 1e-9 // of a budget, less what rounding may have taken
 )
 
-func (t *trial) take(n note) {
-	switch n := n.(type) {
-	case relay.RolloutStatus:
-		if n.Valid && (!t.known || n.Build >= t.news.Build) {
-			t.hear(n)
-		}
-	case relay.CanaryScope:
-		t.narrow(n)
-	case noteTick:
-		if t.p.now >= t.judgeAt && t.known {
-			t.judgeAt = t.p.now + judgeEvery
-			t.judge()
-		}
-	}
+// exposureBudget is what a relay may still send to one build on trial, by class where the rule counts so.
+type exposureBudget struct {
+	build          relay.Build
+	limit          float64
+	allowed        []float64 // attempts that the rule leaves
+	allowedByGroup []float64 // the same by group of tenants, where a scope holds
+	target         []float64 // attempts that the design's share of the limit leaves
+}
+
+// exhaust takes away all that is left.
+func (b *exposureBudget) exhaust() {
+	clear(b.allowed)
+	clear(b.allowedByGroup)
+	clear(b.target)
 }
 
-func (t *trial) hear(n relay.RolloutStatus) {
-	if !t.known || n.Build != t.news.Build || n.Stage != t.news.Stage || n.Phase != t.news.Phase {
-		t.listedAt, t.doubted = 0, false
-		if t.p.set.Self == 0 {
-			t.p.do(relay.Log{Line: fmt.Sprintf("build %d stage %d phase %d", n.Build, n.Stage, n.Phase)})
+// index is the place of a class in the budget.
+func (b *exposureBudget) index(class relay.RequestClass) int {
+	return min(int(class), len(b.allowed)-1)
+}
+
+// budgetOf returns the budget of a build, started when the build is first met.
+func (c *canary) budgetOf(build relay.Build) *exposureBudget {
+	for _, budget := range c.budgets {
+		if budget.build == build {
+			return budget
 		}
 	}
-	for k, b := range t.keys {
-		if b < n.Build || b == n.Build && (n.Phase == relay.PhaseRollingBack || n.Phase == relay.PhaseWithdrawn) {
-			delete(t.keys, k)
-		}
+	rollout := &c.p.settings.Rollout
+	n := 1
+	if rollout.PerClass {
+		n = len(c.p.classes)
 	}
-	if t.known && n.Build != t.news.Build {
-		if t.offered > 0 {
-			t.cycle = t.p.now - t.offered
-		}
-		t.offered = t.p.now
-		t.calm = t.fleet()
-		clear(t.last[own])
-		clear(t.last[told])
+	budget := &exposureBudget{build: build, allowed: make([]float64, n), target: make([]float64, n)}
+	if len(rollout.ExposureLimits) > 0 {
+		budget.limit = rollout.ExposureLimits[0]
 	}
-	t.known, t.news, t.since = true, n, t.p.now-n.Age
-	x := t.limit(n.Build)
-	if n.ExposureLimit < x.cap {
-		x.empty()
-		t.p.desk.recall(n.Build) // a lower cap binds legs that still wait for a connection, too
+	for i := range budget.allowed {
+		budget.allowed[i] = rollout.ExposureAllowance
+		budget.target[i] = c.p.random.Float64()
 	}
-	x.cap = n.ExposureLimit
+	budget.allowedByGroup = make([]float64, len(c.scope.GroupOpen))
+	c.budgets = append(c.budgets, budget)
+	return budget
+}
+
+// exposure is what holds for attempts at a build.
+type exposure struct {
+	limit   float64 // part of the requests
+	stage   relay.Stage
+	onTrial bool
 }
 
-// capOf gives a build's cap and stage, and whether it is on trial. One not named yet is in the first stage.
-func (t *trial) capOf(b relay.Build) (cap float64, stage relay.Stage, onTrial bool) {
+// exposureOf returns a build's exposure. A build that is not announced yet is in the first stage.
+func (c *canary) exposureOf(build relay.Build) exposure {
+	released := build == c.status.Build && c.status.Phase == relay.PhaseReleased
 	switch {
-	case !t.known || b < t.news.Build || b == t.news.Build && t.news.Phase == relay.PhaseReleased:
-		return 1, 0, false
-	case b > t.news.Build:
-		return t.limit(b).cap, 0, true
+	case !c.hasStatus || build < c.status.Build || released:
+		return exposure{limit: 1}
+	case build > c.status.Build:
+		return exposure{limit: c.budgetOf(build).limit, onTrial: true}
 	}
-	return t.news.ExposureLimit, t.news.Stage, true
+	return exposure{limit: c.status.ExposureLimit, stage: c.status.Stage, onTrial: true}
 }
 
-// took adds a query's part to the rule's budgets, which hold no more than its uncounted legs at any time.
-func (t *trial) took(q *query) {
-	limits, g := t.budgets(q)
-	for _, x := range limits {
-		i := x.slot(q.Class)
-		x.hard[i] = math.Min(x.hard[i]+x.cap, t.p.set.Rollout.ExposureAllowance)
-		if g >= 0 {
-			x.parts[g] = math.Min(x.parts[g]+x.cap, t.p.set.Rollout.ExposureAllowance)
+// budgetsFor returns the budgets that a request counts in, none where a scope keeps it from builds on
+// trial, and its group.
+func (c *canary) budgetsFor(request *trackedRequest) (budgets []*exposureBudget, group int) {
+	group, open := c.groupOf(request.Tenant)
+	if !open {
+		return nil, group
+	}
+	return c.budgets, group
+}
+
+// requestArrived adds a request's part to the rule's budgets, which hold no more than its allowance at any
+// time.
+func (c *canary) requestArrived(request *trackedRequest) {
+	allowance := c.p.settings.Rollout.ExposureAllowance
+	budgets, group := c.budgetsFor(request)
+	for _, budget := range budgets {
+		i := budget.index(request.Class)
+		budget.allowed[i] = math.Min(budget.allowed[i]+budget.limit, allowance)
+		if group != noGroup {
+			budget.allowedByGroup[group] = math.Min(budget.allowedByGroup[group]+budget.limit, allowance)
 		}
 	}
 }
 
-// may is the guard's part on exposure (rule 5).
-func (t *trial) may(q *query, b relay.Build) bool {
-	ro := &t.p.set.Rollout
-	if ro.StickyKeys && q.Key != 0 && b < t.keys[q.Key] {
+// permits is the guard's part on exposure (rule 5).
+func (c *canary) permits(request *trackedRequest, build relay.Build) bool {
+	rollout := &c.p.settings.Rollout
+	if rollout.StickyKeys && request.Key != 0 && build < c.stickyKeys[request.Key] {
 		return false
 	}
-	cap, stage, onTrial := t.capOf(b)
-	if !onTrial {
+	exposure := c.exposureOf(build)
+	if !exposure.onTrial {
 		return true
 	}
-	x := t.limit(b)
-	if g, open := t.group(q.Tenant); t.scoped {
-		if !open || b > t.scope.Build || x.parts[g] < 1-1e-9 {
+	budget := c.budgetOf(build)
+	stage := exposure.stage
+	if c.hasScope {
+		if !c.scopePermits(request, budget) {
 			return false
 		}
-		stage = min(stage, t.scope.Stage)
+		stage = min(stage, c.scope.Stage)
 	}
-	if cap <= 0 || int(stage) < ro.IdempotentOnlyStages && q.row.repeat != relay.Idempotent {
+	idempotentOnly := int(stage) < rollout.IdempotentOnlyStages
+	if exposure.limit <= 0 || idempotentOnly && request.class.idempotency != relay.Idempotent {
 		return false
 	}
-	return x.hard[x.slot(q.Class)] >= 1-1e-9
+	return budget.allowed[budget.index(request.Class)] >= oneAttempt
 }
 
-// within says whether the design's share of the cap leaves room for a leg at a build, announced or not.
-func (t *trial) within(q *query, b relay.Build) bool {
-	x := t.limit(b)
-	return x.soft[x.slot(q.Class)] >= 1-1e-9
+func (c *canary) scopePermits(request *trackedRequest, budget *exposureBudget) bool {
+	group, open := c.groupOf(request.Tenant)
+	return open && budget.build <= c.scope.Build && budget.allowedByGroup[group] >= oneAttempt
 }
 
-// spend takes a leg off the budgets. The design's share is one of the legs sent: a share of all that is taken
-// in an overload would push the build's few units over.
-func (t *trial) spend(q *query, b relay.Build) {
-	limits, g := t.budgets(q)
-	for _, x := range limits {
-		i := x.slot(q.Class)
-		part, most := math.Min(capShare*x.cap, t.room), t.p.set.Rollout.ExposureAllowance+1
-		if !t.p.set.Rollout.InPlace {
-			most += part // a bound that this leg's part may pass: else two legs in three were the most
+// withinTarget says whether the design's share of the limit leaves an attempt at a build, announced or not.
+func (c *canary) withinTarget(request *trackedRequest, build relay.Build) bool {
+	budget := c.budgetOf(build)
+	return budget.target[budget.index(request.Class)] >= oneAttempt
+}
+
+// chargeAttempt takes an attempt off the budgets. The design's share is one of the attempts sent: a share
+// of all requests in an overload would push the build's few endpoints over.
+func (c *canary) chargeAttempt(request *trackedRequest, build relay.Build) {
+	rollout := &c.p.settings.Rollout
+	budgets, group := c.budgetsFor(request)
+	for _, budget := range budgets {
+		i := budget.index(request.Class)
+		part := math.Min(exposureTarget*budget.limit, c.capacityShare)
+		maxTarget := rollout.ExposureAllowance + 1
+		if !rollout.InPlace {
+			maxTarget += part // a bound that this attempt's part may pass: else two attempts in three were the most
 		}
-		x.soft[i] = math.Min(x.soft[i]+part, most)
+		budget.target[i] = math.Min(budget.target[i]+part, maxTarget)
 	}
-	if _, _, onTrial := t.capOf(b); onTrial {
-		x := t.limit(b)
-		x.hard[x.slot(q.Class)]--
-		x.soft[x.slot(q.Class)]--
-		if g >= 0 {
-			x.parts[g]--
-		}
+	if !c.exposureOf(build).onTrial {
+		return
 	}
-}
-
-// answered pins a key to the newest build once it has answered there.
-func (t *trial) answered(q *query, b relay.Build) {
-	if t.p.set.Rollout.StickyKeys && q.Key != 0 && b > t.keys[q.Key] &&
-		(!t.known || b > t.news.Build || b == t.news.Build && t.judging()) {
-		t.keys[q.Key] = b
+	budget := c.budgetOf(build)
+	i := budget.index(request.Class)
+	budget.allowed[i]--
+	budget.target[i]--
+	if group != noGroup {
+		budget.allowedByGroup[group]--
 	}
 }
-
-// judging says whether the newest build can still be sent back.
-func (t *trial) judging() bool {
-	return t.known && (t.news.Phase == relay.PhaseCanary || t.news.Phase == relay.PhaseReleased)
-}
-
-// steady says that the usual pace of each kind is held as it was before the trial, for comparison.
-func (t *trial) steady() bool {
-	return t.p.now > steadyTime/2 && t.judging() &&
-		(t.news.Phase == relay.PhaseCanary || t.p.now-t.since < steadyTime)
-}
