--- a/settings/bench_test.go
+++ b/settings/bench_test.go
@@ -24,8 +24,8 @@
 			before := inUse()
 			for b.Loop() {
 				var err error
-				if site, err = Parse(raw.Bytes()); err != nil || len(site.Settings.Tenants) != tenants {
-					b.Fatal(len(site.Settings.Tenants), err)
+				if site, err = Parse(raw.Bytes()); err != nil || len(site.Tenants) != tenants {
+					b.Fatal(len(site.Tenants), err)
 				}
 			}
 			b.ReportMetric(inUse()-before, "heap-B")
--- a/settings/settings.go
+++ b/settings/settings.go
@@ -27,7 +27,7 @@
 // MaxDeadline is the longest deadline of any class.
 func (s Site) MaxDeadline() relay.Seconds {
 	var longest relay.Seconds
-	for _, class := range s.Settings.Classes {
+	for _, class := range s.Classes {
 		longest = max(longest, class.Deadline)
 	}
 	return longest
--- a/trace/trace_test.go
+++ b/trace/trace_test.go
@@ -97,6 +97,8 @@
 			google(4*sec, 1, 0, 1) + google(6*sec, 1, 0, 5), "1 2 killed 2 1;", ""},
 		{"fails and does not come again", google(sec, 1, 0, 0) + google(2*sec, 1, 0, 1) + google(3*sec, 1, 0, 3) + google(500*sec, 2, 0, 0) +
 			google(501*sec, 2, 0, 1) + google(502*sec, 2, 0, 4), "1 1 failed 1 0;500 1 finished 1 0;", ""},
+		{"two tasks of one job", google(sec, 1, 0, 0) + google(2*sec, 1, 1, 0) + google(3*sec, 1, 1, 5) + google(4*sec, 1, 0, 4),
+			"1 0 finished 0 0;2 0 killed 0 0;", ""},
 		{"killed before it ran", google(sec, 1, 0, 0) + google(2*sec, 1, 0, 5), "1 0 killed 0 0;", ""},
 		{"a duration of nothing", google(sec, 1, 0, 0) + google(sec, 1, 0, 1) + google(sec, 1, 0, 4), "1 0 finished 1 0;", ""},
 		{"never ends", google(sec, 1, 0, 0) + google(2*sec, 1, 0, 1) + google(3*sec, 2, 0, 0) + google(3*sec, 2, 0, 1) + google(4*sec, 2, 0, 4),
@@ -335,9 +337,9 @@
 			for i := 1; text.Len() < 16<<20; i++ {
 				switch layout {
 				case "azure-2021":
-					text.WriteString(fmt.Sprintf("%064x,%064x,%.6f,%.3f\n", i%500, i%3000, 1e6+float64(i)/50, r.ExpFloat64()*5))
+					fmt.Fprintf(&text, "%064x,%064x,%.6f,%.3f\n", i%500, i%3000, 1e6+float64(i)/50, r.ExpFloat64()*5)
 				case "alibaba-2018":
-					text.WriteString(fmt.Sprintf("ins_%d,task_LTg0MTUwNTA5Mjg4MDkwNjIzMA==,j_%d,10,Terminated,%d,%d,m_%d,1,1,60,140,0.02,0.05\n", i, i%9000, 1+i/300, 1+i/300+r.Intn(100), i%4000))
+					fmt.Fprintf(&text, "ins_%d,task_LTg0MTUwNTA5Mjg4MDkwNjIzMA==,j_%d,10,Terminated,%d,%d,m_%d,1,1,60,140,0.02,0.05\n", i, i%9000, 1+i/300, 1+i/300+r.Intn(100), i%4000)
 				default:
 					at := int64(i) * 1000
 					text.WriteString(google(at, i, 0, 0) + google(at+100, i, 0, 1) + google(at+900, i, 0, 4))
