--- a/internal/clients/clients_test.go
+++ b/internal/clients/clients_test.go
@@ -158,7 +158,7 @@
 }
 
 func (d door) finish(c *conn) {
-	c.current.q.Text.Free()
+	c.current.q.Body.Free()
 	c.current.Respond(d.Pool.Filled(pgwire.EmptyQueryResponse()))
 }
 
--- a/internal/clients/conn.go
+++ b/internal/clients/conn.go
@@ -66,7 +66,7 @@
 // drop gives up an item that never had its turn.
 func (it *item) drop() {
 	if it.q != nil {
-		it.q.Text.Free()
+		it.q.Body.Free()
 	}
 }
 
@@ -402,7 +402,7 @@
 		return
 	}
 	if it.q != nil {
-		from := math.Max(it.q.Arrived, c.idleAt)
+		from := math.Max(it.q.ReceivedAt, c.idleAt)
 		if left := c.server.lastWord - from; c.server.lastWord > 0 { // the program may be killed behind that
 			it.q.DeadlineMillis = min(it.q.DeadlineMillis, int64(math.Max(left, 0)*1000))
 		}
--- /dev/null
+++ b/internal/pipeline/accept.go
@@ -0,0 +1,36 @@
+package pipeline
+
+import (
+	"fmt"
+
+	"lichenroad/internal/buffer"
+	"lichenroad/internal/pgwire"
+	"lichenroad/relay"
+	"lichenroad/settings"
+)
+
+// Accept makes the record of a request from the text of its statement and from body, the body of the message that
+// holds the text. It takes body over unless it returns an error, which wraps pgwire.ErrMalformed or
+// pgwire.ErrTooLong. It touches no state of the loop, so connections call it on the goroutine that reads.
+func Accept(site *settings.Site, text []byte, body *buffer.Chain, receivedAt relay.Seconds) (*Request, error) {
+	query, err := pgwire.ParseQuery(text)
+	if err != nil {
+		return nil, err
+	}
+	request := &Request{Query: query, Body: body, ReceivedAt: receivedAt}
+	var known bool
+	if request.Class, known = site.ClassByName[query.Class]; !known {
+		return nil, fmt.Errorf("%w: category %q is not known", pgwire.ErrMalformed, query.Class)
+	}
+	request.Tenant, known = site.TenantByName[query.Tenant]
+	if !known && len(site.TenantByName) > 0 {
+		return nil, fmt.Errorf("%w: customer %q is not known", pgwire.ErrMalformed, query.Tenant)
+	}
+	return request, nil
+}
+
+// NewRejected makes the record of a request that is rejected for the given reason without having been read, as there
+// is no capacity for it. It is counted like any other.
+func NewRejected(reason string, receivedAt relay.Seconds) *Request {
+	return &Request{RejectReason: reason, ReceivedAt: receivedAt}
+}
--- a/internal/pipeline/admit.go
+++ b/internal/pipeline/admit.go
@@ -2,80 +2,85 @@
 
 import (
 	"hash/fnv"
-	"math"
 	"strconv"
 
 	"lichenroad/internal/limits"
+	"lichenroad/internal/metrics"
 	"lichenroad/internal/pgwire"
 	"lichenroad/relay"
 )
 
 const (
-	textFull   = "no room for another query"
-	textDenied = "turned away, nothing was done"
-	textFailed = "given up, with no word on what was done"
+	millisPerSecond = 1e3
+	microsPerSecond = 1e6
 )
 
-// admit shows a query to the module, which denies it or orders legs; near a bound it is denied unseen.
-func (l *Loop) admit(q *Request) {
-	most := l.Site.MaxInFlight
-	if most <= 0 || most > limits.HeldQueries {
-		most = limits.HeldQueries
-	}
-	if q.RejectReason == "" && len(l.queries) >= most {
-		q.RejectReason = textFull
-	}
-	if q.RejectReason != "" {
-		l.answerError(q, StatusRejected, pgwire.CodeFull, q.RejectReason, l.RetryAfterDetail())
-		return
-	}
-	for l.lastID++; l.queries[l.lastID] != nil; l.lastID++ {
-	}
-	q.ID = l.lastID
-	l.queries[q.ID] = q
-	l.AddEvent(relay.Request{ID: q.ID, Deadline: q.Deadline, Work: float64(q.Work) / 1e6, HasWork: q.HasWork,
-		Retried: q.Retried, Key: keyOf(q.Object), Tenant: q.Tenant, Class: q.Class})
+// BeginRequest starts a request whose turn on its connection has come. Its time to answer counts from the given moment.
+// Only on the loop.
+func (l *Loop) BeginRequest(request *Request, from relay.Seconds) {
+	l.Metrics.Add(metrics.Accepted, 1)
+	l.Metrics.Add(metrics.Open, 1)
+	request.Deadline = from + float64(request.DeadlineMillis)/millisPerSecond
+	l.admit(request)
 }
 
-// keyOf gives what a query concerns as a number: the number that it is, or a hash.
-func keyOf(object string) relay.Key {
-	if n, err := strconv.ParseUint(object, 16, 64); err == nil {
-		return relay.Key(n)
+// admit shows a request to the decision module, which rejects it or orders attempts. At the bound of open requests it is
+// rejected before the module sees it.
+func (l *Loop) admit(request *Request) {
+	if request.RejectReason == "" && len(l.requests) >= l.maxOpenRequests() {
+		request.RejectReason = messageTooManyOpen
+	}
+	if request.RejectReason != "" {
+		l.respondError(request, StatusRejected, pgwire.CodeFull, request.RejectReason, l.RetryAfterDetail())
+		return
 	}
-	h := fnv.New64a()
-	h.Write([]byte(object))
-	return relay.Key(h.Sum64())
+	request.ID = l.nextRequestID()
+	l.requests[request.ID] = request
+	l.AddEvent(relay.Request{
+		ID:       request.ID,
+		Deadline: request.Deadline,
+		Work:     float64(request.Work) / microsPerSecond,
+		HasWork:  request.HasWork,
+		Retried:  request.Retried,
+		Key:      keyOf(request.Object),
+		Tenant:   request.Tenant,
+		Class:    request.Class,
+	})
 }
 
-// RetryAfterDetail is the detail of a denial at a bound, which the module does not see: the longest time to come back, where
-// the settings allow to name one. A client that comes again at once would find the same bound.
-func (l *Loop) RetryAfterDetail() string {
-	if set := l.Site.Limits; set.RetryAfter && set.MaxRetryAfter > 0 {
-		return pgwire.RetryAfterDetail(int64(math.Ceil(set.MaxRetryAfter * 1000)))
+// maxOpenRequests is the settings' bound of open requests, as far as the program allows so many.
+func (l *Loop) maxOpenRequests() int {
+	configured := l.Site.MaxInFlight
+	if configured <= 0 || configured > limits.HeldQueries {
+		return limits.HeldQueries
 	}
-	return ""
+	return configured
 }
 
-func (l *Loop) deny(o relay.Reject) {
-	if q := l.queries[o.Request]; q != nil && q.Status == StatusOpen {
-		detail := ""
-		if o.RetryAfter > 0 {
-			detail = pgwire.RetryAfterDetail(int64(math.Ceil(o.RetryAfter * 1000)))
-		}
-		l.answerError(q, StatusRejected, pgwire.CodeFull, textDenied, detail)
+// nextRequestID gives an id that no held record has. Ids start over when their type is exhausted.
+func (l *Loop) nextRequestID() relay.RequestID {
+	l.lastID++
+	for l.requests[l.lastID] != nil {
+		l.lastID++
 	}
+	return l.lastID
 }
 
-func (l *Loop) writeOff(o relay.Fail) {
-	if q := l.queries[o.Request]; q != nil && q.Status == StatusOpen {
-		l.answerError(q, StatusFailed, pgwire.CodeFailed, textFailed, "")
+// keyOf gives the object of a request as a number: the hexadecimal number that it is, or else its hash.
+func keyOf(object string) relay.Key {
+	const base, bits = 16, 64
+	if number, err := strconv.ParseUint(object, base, bits); err == nil {
+		return relay.Key(number)
 	}
+	hash := fnv.New64a()
+	_, _ = hash.Write([]byte(object)) // a hash never returns an error
+	return relay.Key(hash.Sum64())
 }
 
-// ClientDisconnected tells that the client of an open query is gone. Only on the loop.
-func (l *Loop) ClientLeft(q *Request) {
-	if q.Status == StatusOpen {
-		l.finish(q, StatusClientLeft)
-		l.AddEvent(relay.ClientDisconnected{Request: q.ID})
+// ClientLeft ends an open request whose client has disconnected. Only on the loop.
+func (l *Loop) ClientLeft(request *Request) {
+	if request.Status == StatusOpen {
+		l.finish(request, StatusClientLeft)
+		l.AddEvent(relay.ClientDisconnected{Request: request.ID})
 	}
 }
--- /dev/null
+++ b/internal/pipeline/commands.go
@@ -0,0 +1,58 @@
+package pipeline
+
+import (
+	"lichenroad/internal/metrics"
+	"lichenroad/relay"
+)
+
+// execute carries out one command of the module. A command about something that is over is skipped.
+func (l *Loop) execute(command relay.Command) {
+	switch command := command.(type) {
+	case relay.SendAttempt:
+		l.route(command)
+	case relay.CancelUnsent:
+		l.cancelUnsent(command)
+	case relay.CancelAttempt:
+		l.cancelAttempt(command)
+	case relay.Reject:
+		l.reject(command)
+	case relay.Fail:
+		l.fail(command)
+	case relay.SetTimer:
+		l.RunAt(command.At, func() { l.AddEvent(relay.TimerFired{ID: command.ID}) })
+	case relay.HealthCheck:
+		l.Metrics.Add(metrics.HealthChecks, 1)
+		l.Upstream.HealthCheck(command.Endpoint)
+	case relay.CloseIdle:
+		l.Upstream.CloseIdle(command.Endpoint)
+	case relay.SendMessage:
+		l.Peers.SendMessage(command)
+	case relay.Vote:
+		l.vote(command)
+	case relay.Watch:
+		l.Discovery.Watch(command.On, command.Restart)
+	case relay.FetchList:
+		l.Discovery.FetchList()
+	case relay.Log:
+		l.Log.WithField("from", "module").Info(command.Line)
+	}
+}
+
+// vote hands a vote to the guard, or to the platform where there is none.
+func (l *Loop) vote(vote relay.Vote) {
+	l.Metrics.Add(metrics.Votes, 1)
+	if l.Guard != nil {
+		l.Guard.Vote(vote)
+	} else {
+		l.Platform.Vote(vote)
+	}
+}
+
+// RolloutStatusReceived takes what the platform says of a rollout. Only on the loop.
+func (l *Loop) RolloutStatusReceived(status relay.RolloutStatus) {
+	if l.Guard != nil {
+		l.Guard.RolloutStatusReceived(status)
+	} else {
+		l.AddEvent(status)
+	}
+}
--- a/internal/upstream/conn.go
+++ b/internal/upstream/conn.go
@@ -155,6 +155,12 @@
 	c.leg = nil
 }
 
+// Cancel implements pipeline.UpstreamConn.
+func (c *conn) Cancel() (sent bool) {
+	c.close(metrics.ClosedByAttemptEnd)
+	return c.sentAt.Load() != 0 // after the close, so that a write under way either shows or fails
+}
+
 // begin sends a leg on an idle connection.
 func (c *conn) begin(leg *pipeline.Attempt) {
 	c.state, c.leg = busy, leg
--- a/internal/upstream/conn_test.go
+++ b/internal/upstream/conn_test.go
@@ -97,7 +97,7 @@
 func (b bench) leg() *pipeline.Attempt {
 	text := b.Pool.Chain()
 	text.Write([]byte("SELECT /* d=500 */\x00"))
-	q := &pipeline.Request{Text: text, Deadline: b.Clock.Now() + 60}
+	q := &pipeline.Request{Body: text, Deadline: b.Clock.Now() + 60}
 	q.DeadlineStart, q.DeadlineEnd = 12, 15
 	leg := &pipeline.Attempt{Request: q, Endpoint: 1, StartedAt: b.Clock.Now(), Deadline: q.Deadline}
 	q.Attempts = append(q.Attempts, leg)
--- a/internal/upstream/units.go
+++ b/internal/upstream/units.go
@@ -186,12 +186,10 @@
 	if u == nil || u.leave(leg) {
 		return false
 	}
-	c, ok := leg.Conn.(*conn)
-	if !ok {
+	if leg.Conn == nil {
 		return false
 	}
-	c.close(metrics.ClosedByAttemptEnd)
-	return c.sentAt.Load() != 0 // after the close, so that a write under way either shows or fails
+	return leg.Conn.Cancel()
 }
 
 // leave takes a leg out of those that wait, and says whether it was there.
