--- a/internal/upstream/bench_test.go
+++ b/internal/upstream/bench_test.go
@@ -15,25 +15,25 @@
 	"lichenroad/settings"
 )
 
-var unitSizes = []int{300, 1000, 2048, 4096, 8192, 12_000, 20_000, 30_000, 42_000}
+var listSizes = []int{300, 1000, 2048, 4096, 8192, 12_000, 20_000, 30_000, 42_000}
 
-// BenchmarkListed tells the pool of a whole list, unit by unit, as the loop does; heap-B is what the pool holds then,
+// BenchmarkListed gives the pool a full list, endpoint by endpoint, as the loop does; heap-B is what the pool holds then,
 // without any connection.
 func BenchmarkListed(b *testing.B) {
-	for _, units := range unitSizes {
+	for _, units := range listSizes {
 		b.Run(fmt.Sprintf("units=%d", units), func(b *testing.B) {
 			names, addresses := make([]string, units), make([]string, units)
 			for i := range units {
 				names[i], addresses[i] = fmt.Sprintf("planner-%04d-%05d", i%2100, i), fmt.Sprintf("10.%d.%d.%d:5433", i>>16, i>>8&255, i&255)
 			}
 			p := emptyPool()
-			before := inUse()
+			before := heapInUse()
 			for b.Loop() {
 				for i := range units {
 					p.EndpointsListed(relay.Endpoint{ID: relay.EndpointID(i), Build: 41}, names[i], addresses[i])
 				}
 			}
-			b.ReportMetric(inUse()-before, "heap-B")
+			b.ReportMetric(heapInUse()-before, "heap-B")
 			runtime.KeepAlive(p)
 			runtime.KeepAlive(names)
 			runtime.KeepAlive(addresses)
@@ -50,7 +50,7 @@
 	return New(pipeline.NewLoop(site, 1, buffer.NewPool(1<<20), &metrics.Counters{}, log), 4)
 }
 
-func inUse() float64 {
+func heapInUse() float64 {
 	var m runtime.MemStats
 	runtime.GC()
 	runtime.ReadMemStats(&m)
--- /dev/null
+++ b/internal/upstream/pool.go
@@ -0,0 +1,189 @@
+// Package upstream keeps the connections to the endpoints: one request at a time on each, the one last used first. It
+// sends attempts and health checks and reports how each ended; which endpoint gets one is not its choice.
+//
+// Its state belongs to the pipeline's loop and is used on that goroutine alone. Off the loop run the dialling of a
+// connection (dial.go), the write of a long request (write.go) and the reading of what comes (read.go), each of which
+// posts what became of it to the loop. It implements pipeline.Upstream and imports the codec (internal/pgwire), the
+// bounds (internal/limits) and the counters (internal/metrics).
+package upstream
+
+import (
+	"time"
+
+	"lichenroad/internal/limits"
+	"lichenroad/internal/metrics"
+	"lichenroad/internal/pgwire"
+	"lichenroad/internal/pipeline"
+	"lichenroad/relay"
+)
+
+// The session that a connection opens, and what a health check asks where there are no load reports.
+const (
+	sessionUser      = "worker"
+	sessionDatabase  = "catalog"
+	healthCheckQuery = "SELECT 1"
+)
+
+// Pool holds the connections to all endpoints. It belongs to the loop, as do its methods.
+type Pool struct {
+	loop               *pipeline.Loop
+	endpoints          map[relay.EndpointID]*endpointConns
+	maxConns           int
+	openConns          int           // those coming up included
+	connectTimeout     relay.Seconds // for a connection, and for an attempt that waits for one
+	idleTimeout        relay.Seconds // 0: none
+	startupMessage     []byte
+	healthCheckMessage []byte
+}
+
+// New returns a pool that holds at most maxConns connections.
+func New(l *pipeline.Loop, maxConns int) *Pool {
+	p := &Pool{
+		loop:               l,
+		endpoints:          map[relay.EndpointID]*endpointConns{},
+		maxConns:           maxConns,
+		connectTimeout:     l.Site.Limits.ConnectTimeout,
+		idleTimeout:        l.Site.EndpointIdleTimeout * limits.IdlePart,
+		startupMessage:     pgwire.Startup(sessionUser, sessionDatabase),
+		healthCheckMessage: pgwire.QueryMessage(healthCheckQuery),
+	}
+	if len(l.Site.LoadReportFields) > 0 {
+		p.healthCheckMessage = pgwire.QueryMessage("SHOW " + loadReportParameter)
+	}
+	if p.connectTimeout <= 0 {
+		p.connectTimeout = limits.ConnectWait.Seconds()
+	}
+	if p.idleTimeout > 0 {
+		l.RunAt(l.Clock.Now()+limits.SweepEvery.Seconds(), p.closeExpired)
+	}
+	return p
+}
+
+// Send implements pipeline.Upstream.
+func (p *Pool) Send(attempt *pipeline.Attempt) {
+	endpoint := p.endpoints[attempt.Endpoint]
+	if endpoint == nil || endpoint.unavailable { // a health check, say, or a command of the step that was under way
+		p.loop.EndAttempt(attempt, pipeline.AttemptResult{Outcome: relay.NotSent})
+		return
+	}
+	endpoint.waiting = append(endpoint.waiting, attempt)
+	p.serveWaiting(endpoint)
+	last := len(endpoint.waiting) - 1
+	stillWaiting := !attempt.Ended && last >= 0 && endpoint.waiting[last] == attempt
+	if !stillWaiting {
+		return
+	}
+	p.loop.RunAt(attempt.StartedAt+p.connectTimeout, func() {
+		if !attempt.Ended && endpoint.removeWaiting(attempt) {
+			p.endUnconnected(attempt)
+		}
+	})
+	if sendBy, ok := attempt.SendBy(); ok {
+		p.loop.RunAt(sendBy, func() { p.CancelUnsent(attempt) })
+	}
+}
+
+// CancelUnsent implements pipeline.Upstream. An attempt that is being written is given up before its last byte, by
+// whoever writes it.
+func (p *Pool) CancelUnsent(attempt *pipeline.Attempt) {
+	endpoint := p.endpoints[attempt.Endpoint]
+	if endpoint != nil && !attempt.Ended && endpoint.removeWaiting(attempt) {
+		p.endReleased(attempt)
+	}
+}
+
+// HealthCheck implements pipeline.Upstream. A health check takes a connection as an attempt does.
+func (p *Pool) HealthCheck(id relay.EndpointID) {
+	now := p.loop.Clock.Now()
+	check := &pipeline.Attempt{Endpoint: id, StartedAt: now, Deadline: now + p.connectTimeout}
+	p.loop.RunAt(check.Deadline, func() {
+		if !check.Ended {
+			p.Cancel(check)
+			p.loop.EndAttempt(check, pipeline.AttemptResult{Outcome: relay.TimedOut, Duration: p.connectTimeout})
+		}
+	})
+	p.Send(check)
+}
+
+// CloseIdle implements pipeline.Upstream.
+func (p *Pool) CloseIdle(id relay.EndpointID) {
+	if endpoint := p.endpoints[id]; endpoint != nil {
+		p.closeIdleConns(endpoint, metrics.ClosedByCommand)
+	}
+}
+
+// Cancel implements pipeline.Upstream. The attempt loses its place in the queue, or its connection is closed. Only an
+// attempt whose last byte was handed to a connection may have been sent.
+func (p *Pool) Cancel(attempt *pipeline.Attempt) (sent bool) {
+	endpoint := p.endpoints[attempt.Endpoint]
+	if endpoint == nil || endpoint.removeWaiting(attempt) || attempt.Conn == nil {
+		return false
+	}
+	return attempt.Conn.Cancel()
+}
+
+// serveWaiting gives the attempts that wait the idle connections, and opens new ones for those that are left.
+func (p *Pool) serveWaiting(endpoint *endpointConns) {
+	for len(endpoint.waiting) > 0 && len(endpoint.idle) > 0 {
+		attempt := endpoint.waiting[0]
+		if attempt.RequestFinished() || attempt.SendExpired(p.loop.Clock.Now()) {
+			endpoint.waiting = endpoint.waiting[1:]
+			p.loop.EndAttempt(attempt, pipeline.AttemptResult{Outcome: relay.NotSent})
+			continue
+		}
+		c := endpoint.idle[len(endpoint.idle)-1]
+		if reason := c.unusable(); reason != "" {
+			c.close(reason)
+			continue
+		}
+		endpoint.waiting = endpoint.waiting[1:]
+		endpoint.idle = endpoint.idle[:len(endpoint.idle)-1]
+		c.start(attempt)
+	}
+	for endpoint.pendingConns < len(endpoint.waiting) {
+		if p.openConns < p.maxConns || p.closeLongestIdle() {
+			p.openConn(endpoint)
+			continue
+		}
+		p.loop.Metrics.Add(metrics.BoundConns, 1)
+		last := len(endpoint.waiting) - 1
+		attempt := endpoint.waiting[last]
+		endpoint.waiting = endpoint.waiting[:last]
+		p.loop.EndAttempt(attempt, pipeline.AttemptResult{Outcome: relay.NotSent})
+	}
+}
+
+// openConn counts a new connection and has it come up.
+func (p *Pool) openConn(endpoint *endpointConns) {
+	p.openConns++
+	endpoint.openConns++
+	endpoint.pendingConns++
+	p.loop.Metrics.Add(metrics.EndpointConns, 1)
+	p.loop.Metrics.Add(metrics.EndpointConnsOpen, 1)
+	go dial(p, endpoint, endpoint.address)
+}
+
+// connEnded is the one place where a connection is counted as closed, whether it came up or not.
+func (p *Pool) connEnded(endpoint *endpointConns, reason metrics.CloseReason, age relay.Seconds, requests int, fault error) {
+	p.openConns--
+	endpoint.openConns--
+	defer p.dropIfUnused(endpoint)
+	p.loop.Metrics.Add(metrics.EndpointConnsOpen, -1)
+	metrics.LogConnectionEnd(p.loop.Log, "unit", endpoint.name, reason, age, requests, fault)
+}
+
+// endUnconnected ends an attempt that got no connection.
+func (p *Pool) endUnconnected(attempt *pipeline.Attempt) {
+	p.loop.EndAttempt(attempt, pipeline.AttemptResult{
+		Outcome:  relay.ConnectFailed,
+		Duration: p.loop.Clock.Now() - attempt.StartedAt,
+	})
+}
+
+// endReleased ends an attempt that was commanded for what no longer holds.
+func (p *Pool) endReleased(attempt *pipeline.Attempt) {
+	p.loop.Metrics.Add(metrics.AttemptsReleased, 1)
+	p.loop.EndAttempt(attempt, pipeline.AttemptResult{Outcome: relay.NotSent})
+}
+
+func toDuration(s relay.Seconds) time.Duration { return time.Duration(s * float64(time.Second)) }
