--- a/internal/clients/clients_test.go
+++ b/internal/clients/clients_test.go
@@ -20,17 +20,18 @@
 	"lichenroad/settings"
 )
 
-// patience is how long a test waits for what should come at once.
-const patience = 10 * time.Second
+// testTimeout is how long a test waits for what should come at once.
+const testTimeout = 10 * time.Second
 
-// door is a server on loopback whose loop is stepped by hand: the test chooses what the loop sees before what.
-type door struct {
+// harness is a server on loopback whose loop is stepped by hand: the test chooses the order in which the loop sees
+// events.
+type harness struct {
 	*testing.T
 	*pipeline.Loop
-	s *Server
+	server *Server
 }
 
-func newDoor(t *testing.T, most, over int) door {
+func newHarness(t *testing.T, maxConns, maxOverLimit int) harness {
 	t.Helper()
 	site := settings.Site{ClassByName: map[string]relay.RequestClass{"look": 0}}
 	site.Settings.Relays = 1
@@ -40,65 +41,73 @@
 	log.SetOutput(io.Discard)
 	l := pipeline.NewLoop(site, 1, buffer.NewPool(1<<20), &metrics.Counters{}, log)
 	l.OpenService()
-	d := door{t, l, New(l, most, over)}
-	if err := d.s.Listen("127.0.0.1:0", func(error) {}); err != nil {
+	h := harness{t, l, New(l, maxConns, maxOverLimit)}
+	if err := h.server.Listen("127.0.0.1:0", func(error) {}); err != nil {
 		t.Fatal(err)
 	}
-	t.Cleanup(func() { d.s.Close() })
-	return d
+	t.Cleanup(func() { h.server.Close() })
+	return h
 }
 
-// pump has the loop take what is in its queue.
-func (d door) pump() {
-	for _, e := range d.TakePosted() {
-		e.Apply(d.Loop)
+// applyPosted has the loop apply the events posted so far.
+func (h harness) applyPosted() {
+	for _, e := range h.TakePosted() {
+		e.Apply(h.Loop)
 	}
 }
 
-// until pumps up to a moment; held does the same and leaves the loop's queue alone.
-func (d door) until(what string, is func() bool) { d.Helper(); d.wait(what, is, d.pump) }
-func (d door) held(what string, is func() bool)  { d.Helper(); d.wait(what, is, func() {}) }
+// waitFor applies posted events until a condition holds.
+func (h harness) waitFor(what string, holds func() bool) {
+	h.Helper()
+	h.poll(what, holds, h.applyPosted)
+}
+
+// waitWithoutLoop waits until a condition holds, and applies nothing meanwhile.
+func (h harness) waitWithoutLoop(what string, holds func() bool) {
+	h.Helper()
+	h.poll(what, holds, func() {})
+}
 
-func (d door) wait(what string, is func() bool, each func()) {
-	d.Helper()
-	for end := time.Now().Add(patience); !is(); time.Sleep(100 * time.Microsecond) {
-		if each(); time.Now().After(end) {
-			d.Fatal("not in time: " + what)
+func (h harness) poll(what string, holds func() bool, step func()) {
+	h.Helper()
+	for end := time.Now().Add(testTimeout); !holds(); time.Sleep(100 * time.Microsecond) {
+		if step(); time.Now().After(end) {
+			h.Fatal("not in time: " + what)
 		}
 	}
 }
 
-// caller is a client's side of a connection.
-type caller struct {
-	door
+// testClient is the client's side of a connection.
+type testClient struct {
+	harness
 	net.Conn
-	r *bufio.Reader
+	reader *bufio.Reader
 }
 
-func (d door) dial() caller {
-	d.Helper()
-	n, err := net.Dial("tcp", d.s.Addr().String())
+func (h harness) dial() testClient {
+	h.Helper()
+	n, err := net.Dial("tcp", h.server.Addr().String())
 	if err != nil {
-		d.Fatal(err)
+		h.Fatal(err)
 	}
-	n.SetDeadline(time.Now().Add(patience))
-	d.Cleanup(func() { n.Close() })
-	return caller{d, n, bufio.NewReader(n)}
+	n.SetDeadline(time.Now().Add(testTimeout))
+	h.Cleanup(func() { n.Close() })
+	return testClient{h, n, bufio.NewReader(n)}
 }
 
 // read gives the next message.
-func (c caller) read() (kind byte, body []byte, err error) {
+func (c testClient) read() (kind byte, body []byte, err error) {
 	var head [5]byte
-	if _, err := io.ReadFull(c.r, head[:]); err != nil {
+	if _, err := io.ReadFull(c.reader, head[:]); err != nil {
 		return 0, nil, err
 	}
 	body = make([]byte, binary.BigEndian.Uint32(head[1:])-4)
-	_, err = io.ReadFull(c.r, body)
+	_, err = io.ReadFull(c.reader, body)
 	return head[0], body, err
 }
 
-// hears reads messages up to one of a kind, and gives the code of an error on the way.
-func (c caller) hears(kind byte) (code string) {
+// readUntil reads messages up to one of a kind, and gives the code of an error on the way.
+func (c testClient) readUntil(kind byte) (code string) {
 	c.Helper()
 	for {
 		k, body, err := c.read()
@@ -114,204 +123,207 @@
 	}
 }
 
-// ends says that the connection ends, and with nothing more on it.
-func (c caller) ends() bool {
-	b, _ := io.ReadAll(c.r)
+// atEnd waits for the end of the connection, and says whether nothing more came before it.
+func (c testClient) atEnd() bool {
+	b, _ := io.ReadAll(c.reader)
 	return len(b) == 0
 }
 
 var (
-	startup = pgwire.Startup("worker", "catalog")
-	look    = pgwire.QueryMessage("SELECT body FROM objects WHERE oid = '7f3a' /* id=9b1f,c=look,d=900 */")
+	startupMessage = pgwire.Startup("worker", "catalog")
+	queryMessage   = pgwire.QueryMessage("SELECT body FROM objects WHERE oid = '7f3a' /* id=9b1f,c=look,d=900 */")
 )
 
-// session opens a connection that is idle, and gives both sides.
-func (d door) session() (caller, *conn) {
-	d.Helper()
+// session opens a connection, waits until it is idle, and gives both sides.
+func (h harness) session() (testClient, *conn) {
+	h.Helper()
 	before := map[*conn]bool{}
-	for c := range d.s.conns {
+	for c := range h.server.conns {
 		before[c] = true
 	}
-	cl := d.dial()
-	cl.Write(startup)
-	var it *conn
-	d.until("a session", func() bool {
-		for c := range d.s.conns {
-			if !before[c] && c.greeted.Load() && c.current == nil {
-				it = c
+	client := h.dial()
+	client.Write(startupMessage)
+	var session *conn
+	h.waitFor("a session", func() bool {
+		for c := range h.server.conns {
+			if !before[c] && c.startupAnswered.Load() && c.current == nil {
+				session = c
 			}
 		}
-		return it != nil
+		return session != nil
 	})
-	cl.hears('Z')
-	return cl, it
+	client.readUntil('Z')
+	return client, session
 }
 
-// answer has the open query answered, and the client hear it.
-func (d door) answer(cl caller, c *conn) {
-	d.Helper()
-	d.until("the query's turn", func() bool { return c.current != nil && c.current.q != nil })
-	d.finish(c)
-	if code := cl.hears('Z'); code != "" {
-		d.Errorf("served a %s", code)
+// respond has the open request succeed, and the client read the response.
+func (h harness) respond(client testClient, c *conn) {
+	h.Helper()
+	h.waitFor("the query's turn", func() bool { return c.current != nil && c.current.request != nil })
+	h.finish(c)
+	if code := client.readUntil('Z'); code != "" {
+		h.Errorf("responded with error %s", code)
 	}
 }
 
-func (d door) finish(c *conn) {
-	c.current.q.Body.Free()
-	c.current.Respond(d.Pool.Filled(pgwire.EmptyQueryResponse()))
+// finish responds to the open request.
+func (h harness) finish(c *conn) {
+	c.current.request.Body.Free()
+	c.current.Respond(h.Pool.Filled(pgwire.EmptyQueryResponse()))
 }
 
-// TestIdleCloseCrossesAQuery wants to close a connection as idle while a query is at each place on its way in: it is
-// not idle, and the query is served.
-func TestIdleCloseCrossesAQuery(t *testing.T) {
-	d := newDoor(t, 100, 10)
-	for _, why := range []metrics.CloseReason{metrics.ClosedByIdleTimeout, metrics.ClosedByShutdown} {
-		cl, c := d.session()
-		cl.Write(look)
-		d.held("the query is read", func() bool { return c.ahead.Load() == 1 })
-		if c.evict(why) {
+// TestIdleCloseRacesAQuery tries to close a connection as idle while a query is at each place on its way in: it is not idle,
+// and the query is served.
+func TestIdleCloseRacesAQuery(t *testing.T) {
+	h := newHarness(t, 100, 10)
+	for _, reason := range []metrics.CloseReason{metrics.ClosedByIdleTimeout, metrics.ClosedByShutdown} {
+		client, c := h.session()
+		client.Write(queryMessage)
+		h.waitWithoutLoop("the query is read", func() bool { return c.unanswered.Load() == 1 })
+		if c.closeIfQuiescent(reason) {
 			t.Error("closed with a query on its way to the loop")
 		}
-		d.answer(cl, c)
+		h.respond(client, c)
 
-		cl.Write(look[:20])
-		d.held("half of the query is read", func() bool { return c.partial.Load() != 0 })
-		d.until("the answer is booked", func() bool { return c.current == nil })
-		if c.evict(why) {
+		client.Write(queryMessage[:20])
+		h.waitWithoutLoop("half of the query is read", func() bool { return c.partialSince.Load() != 0 })
+		h.waitFor("the response is written", func() bool { return c.current == nil })
+		if c.closeIfQuiescent(reason) {
 			t.Error("closed with half of a query read")
 		}
-		cl.Write(look[20:])
-		d.answer(cl, c)
+		client.Write(queryMessage[20:])
+		h.respond(client, c)
 
-		gate := make(chan struct{})
-		hold := func() { <-gate }
-		d.s.reading.Store(&hold)
-		cl.Write(look)
-		d.until("the library has the query", func() bool { return c.net.Reader().Len() == len(look) && c.current == nil })
-		if c.evict(why) {
+		release := make(chan struct{})
+		hook := func() { <-release }
+		h.server.beforeRead.Store(&hook)
+		client.Write(queryMessage)
+		h.waitFor("the library has the query", func() bool { return c.net.Reader().Len() == len(queryMessage) && c.current == nil })
+		if c.closeIfQuiescent(reason) {
 			t.Error("closed with a query in the library's buffer")
 		}
-		close(gate)
-		d.answer(cl, c)
-		d.until("idle again", func() bool { return c.current == nil })
-		d.s.reading.Store(nil)
-		if !c.evict(why) || !cl.ends() {
+		close(release)
+		h.respond(client, c)
+		h.waitFor("idle again", func() bool { return c.current == nil })
+		h.server.beforeRead.Store(nil)
+		if !c.closeIfQuiescent(reason) || !client.atEnd() {
 			t.Error("an idle connection is not closed")
 		}
 	}
-	if d.Metrics.Get(metrics.RejectedAfterClose) != 0 {
-		t.Error("refused:", d.Metrics.Get(metrics.RejectedAfterClose))
+	if h.Metrics.Get(metrics.RejectedAfterClose) != 0 {
+		t.Error("rejected:", h.Metrics.Get(metrics.RejectedAfterClose))
 	}
 }
 
-// TestLastWords has the close fall between the look and what was read: the query gets a refusal, not silence.
-func TestLastWords(t *testing.T) {
-	d := newDoor(t, 100, 10)
+// TestQueryReadWhileClosing has the close fall between the look and what was read: the query is rejected, not left
+// without a response.
+func TestQueryReadWhileClosing(t *testing.T) {
+	h := newHarness(t, 100, 10)
 	closeAnyway := func(c *conn) {
-		c.because(metrics.ClosedByIdleTimeout)
-		c.evicted.Store(true)
-		c.shutting = true
-		c.rests(false)
+		c.setCloseReason(metrics.ClosedByIdleTimeout)
+		c.closedAsIdle.Store(true)
+		c.closing = true
+		c.setIdle(false)
 		c.net.Close()
 	}
-	cl, c := d.session()
-	cl.Write(append(look[:len(look):len(look)], look...))
-	d.held("two queries are read", func() bool { return c.ahead.Load() == 2 })
+	client, c := h.session()
+	client.Write(append(queryMessage[:len(queryMessage):len(queryMessage)], queryMessage...))
+	h.waitWithoutLoop("two queries are read", func() bool { return c.unanswered.Load() == 2 })
 	closeAnyway(c)
 	for range 2 {
-		if code := cl.hears('Z'); code != pgwire.CodeShuttingDown {
+		if code := client.readUntil('Z'); code != pgwire.CodeShuttingDown {
 			t.Errorf("%q", code)
 		}
 	}
-	if !cl.ends() {
+	if !client.atEnd() {
 		t.Error("more, or no end")
 	}
 
-	cl, c = d.session()
-	gate := make(chan struct{})
-	hold := func() { <-gate }
-	d.s.reading.Store(&hold)
-	cl.Write(look)
-	d.held("the library has the query", func() bool { return c.net.Reader().Len() == len(look) })
+	client, c = h.session()
+	release := make(chan struct{})
+	hook := func() { <-release }
+	h.server.beforeRead.Store(&hook)
+	client.Write(queryMessage)
+	h.waitWithoutLoop("the library has the query", func() bool { return c.net.Reader().Len() == len(queryMessage) })
 	closeAnyway(c)
-	close(gate)
-	if code := cl.hears('Z'); code != pgwire.CodeShuttingDown || !cl.ends() {
+	close(release)
+	if code := client.readUntil('Z'); code != pgwire.CodeShuttingDown || !client.atEnd() {
 		t.Errorf("%q", code)
 	}
-	d.until("both are forgotten", func() bool { return len(d.s.conns) == 0 && d.Pool.Out() == 0 })
-	if d.Metrics.Get(metrics.RejectedAfterClose) != 3 || len(d.TakeEvents()) != 0 {
-		t.Error("not counted, or shown to the module all the same")
+	h.waitFor("both are forgotten", func() bool { return len(h.server.conns) == 0 && h.Pool.Out() == 0 })
+	if h.Metrics.Get(metrics.RejectedAfterClose) != 3 || len(h.TakeEvents()) != 0 {
+		t.Error("not counted, or shown to the module")
 	}
 }
 
-// TestClientLeavesInEachState has the client go while its query is read, behind another one or open: nothing of it is
-// left for the loop to send on, and the module hears of the open one alone.
+// TestClientLeavesInEachState has the client disconnect while its query is read, behind another one or open: nothing of it is
+// left for the loop to forward, and the module is notified of the open one alone.
 func TestClientLeavesInEachState(t *testing.T) {
 	for name, c := range map[string]struct {
 		sends [][]byte
-		halve bool // close the sending half only: the client has gone all the same
+		halve bool // close the sending half only, which counts as a disconnect too
 		open  int
 	}{
-		"query and end at once":     {[][]byte{look}, false, 1},
-		"half-close":                {[][]byte{look}, true, 1},
-		"a query behind another":    {[][]byte{look, look}, false, 1},
-		"half of a query behind it": {[][]byte{look, look[:20]}, false, 1},
-		"half of a query":           {[][]byte{look[:20]}, false, 0},
+		"query and end at once":     {[][]byte{queryMessage}, false, 1},
+		"half-close":                {[][]byte{queryMessage}, true, 1},
+		"a query behind another":    {[][]byte{queryMessage, queryMessage}, false, 1},
+		"half of a query behind it": {[][]byte{queryMessage, queryMessage[:20]}, false, 1},
+		"half of a query":           {[][]byte{queryMessage[:20]}, false, 0},
 	} {
 		t.Run(name, func(t *testing.T) {
-			d := newDoor(t, 100, 10)
-			cl, _ := d.session()
+			h := newHarness(t, 100, 10)
+			client, _ := h.session()
 			var all []byte
 			for _, b := range c.sends {
 				all = append(all, b...)
 			}
-			cl.Write(all)
+			client.Write(all)
 			if c.halve {
-				cl.Conn.(*net.TCPConn).CloseWrite()
+				client.Conn.(*net.TCPConn).CloseWrite()
 			} else {
-				cl.Close()
+				client.Close()
 			}
-			d.until("the end", func() bool { return len(d.s.conns) == 0 })
-			took, left := 0, 0
-			for _, e := range d.TakeEvents() {
+			h.waitFor("the end", func() bool { return len(h.server.conns) == 0 })
+			accepted, disconnected := 0, 0
+			for _, e := range h.TakeEvents() {
 				switch e.(type) {
 				case relay.Request:
-					took++
+					accepted++
 				case relay.ClientDisconnected:
-					left++
+					disconnected++
 				}
 			}
-			if took != c.open || left != c.open {
-				t.Errorf("%d shown, %d left", took, left)
+			if accepted != c.open || disconnected != c.open {
+				t.Errorf("%d requests, %d disconnects", accepted, disconnected)
 			}
-			if d.Pool.Out() != 0 {
-				t.Error("buffers are out")
+			if h.Pool.Out() != 0 {
+				t.Error("buffers are not freed")
 			}
 		})
 	}
 }
 
-// TestOverTheBoundIsTold has a client come with its query right behind the startup when not even those over the bound
-// are listened to: it is refused with a time to come back, not cut off without a word.
-func TestOverTheBoundIsTold(t *testing.T) {
-	d := newDoor(t, 1, 1)
-	d.session()
-	second := d.dial()
-	second.Write(startup)
-	d.until("told that it is full", func() bool {
-		for c := range d.s.conns {
-			if c.full && c.current != nil {
+// TestConnectionOverTheLimitIsRejected has a client connect, with its query right behind the startup, beyond the
+// connections that are told of the limit once their startup is read: it is rejected with a time to come back.
+// One connection below that is told of the limit behind its startup.
+func TestConnectionOverTheLimitIsRejected(t *testing.T) {
+	h := newHarness(t, 1, 1)
+	h.session()
+	second := h.dial()
+	second.Write(startupMessage)
+	h.waitFor("told of the limit", func() bool {
+		for c := range h.server.conns {
+			if c.overLimit && c.current != nil {
 				return true
 			}
 		}
 		return false
 	})
-	if code := second.hears('E'); code != pgwire.CodeFull {
+	if code := second.readUntil('E'); code != pgwire.CodeFull {
 		t.Error(code)
 	}
-	third := d.dial()
-	third.Write(append(startup[:len(startup):len(startup)], look...))
+	third := h.dial()
+	third.Write(append(startupMessage[:len(startupMessage):len(startupMessage)], queryMessage...))
 	kind, body, err := third.read()
 	if err != nil || kind != 'E' || !strings.Contains(string(body), "D750\x00") {
 		t.Fatalf("%c %q %v", kind, body, err)
@@ -321,68 +333,69 @@
 	}
 }
 
-// TestSilentOnesMakeRoomFirst has clients connect and say nothing: they go before one that was served, and before
-// that would be idle for long enough itself.
-func TestSilentOnesMakeRoomFirst(t *testing.T) {
-	d := newDoor(t, 100, 10)
-	_, served := d.session()
-	quietOne := d.dial()
-	d.until("both are there", func() bool { return len(d.s.conns) == 2 })
-	if d.s.evictIdle() {
+// TestConnectionsWithoutAStartupAreEvictedFirst has a client connect and send nothing: it is closed before one that was
+// served, and before that would be idle for long enough itself.
+func TestConnectionsWithoutAStartupAreEvictedFirst(t *testing.T) {
+	h := newHarness(t, 100, 10)
+	_, served := h.session()
+	silentClient := h.dial()
+	h.waitFor("both are accepted", func() bool { return len(h.server.conns) == 2 })
+	if h.server.evictIdle() {
 		t.Error("closed at once: its startup may be on the way")
 	}
-	for c := range d.s.conns {
-		c.idleAt -= limits.SilentLeast.Seconds()
+	for c := range h.server.conns {
+		c.idleSince -= limits.SilentLeast.Seconds()
 	}
-	if !d.s.evictIdle() || !quietOne.ends() || d.s.evictIdle() {
-		t.Error("the silent one is not the one to go")
+	if !h.server.evictIdle() || !silentClient.atEnd() || h.server.evictIdle() {
+		t.Error("the connection without a startup is not the one closed")
 	}
-	d.until("it went", func() bool { return len(d.s.conns) == 1 })
-	if served.shutting {
-		t.Error("the one that was served went too")
+	h.waitFor("it is closed", func() bool { return len(h.server.conns) == 1 })
+	if served.closing {
+		t.Error("the one that was served was closed too")
 	}
 }
 
-// TestNewConnectionAtTheEnd has connections come in as the program ends: each gets a moment for its first query.
-func TestNewConnectionAtTheEnd(t *testing.T) {
-	d := newDoor(t, 100, 10)
+// TestNewConnectionDuringShutdown has a connection accepted during the shutdown: it gets a moment for its first query.
+func TestNewConnectionDuringShutdown(t *testing.T) {
+	h := newHarness(t, 100, 10)
 	ended := false
-	d.s.stopping, d.s.stopped = true, func() { ended = true }
-	d.s.lastWord = d.Clock.Now() + 60
-	cl := d.dial()
-	d.until("it is there", func() bool { return len(d.s.conns) == 1 })
-	cl.Write(startup)
-	if cl.Write(look); len(d.s.conns) != 1 {
+	h.server.shuttingDown, h.server.onShutdown = true, func() { ended = true }
+	h.server.respondBy = h.Clock.Now() + 60
+	client := h.dial()
+	h.waitFor("it is accepted", func() bool { return len(h.server.conns) == 1 })
+	client.Write(startupMessage)
+	if client.Write(queryMessage); len(h.server.conns) != 1 {
 		t.Fatal("closed before its first query")
 	}
 	var c *conn
-	for c = range d.s.conns {
+	for c = range h.server.conns {
 	}
-	d.until("the query's turn", func() bool { return c.current != nil && c.current.q != nil })
-	d.finish(c)
-	d.until("closed behind its answer", func() bool { return len(d.s.conns) == 0 })
-	if code := cl.hears('Z'); code != "" {
+	h.waitFor("the query's turn", func() bool { return c.current != nil && c.current.request != nil })
+	h.finish(c)
+	h.waitFor("closed behind its response", func() bool { return len(h.server.conns) == 0 })
+	if code := client.readUntil('Z'); code != "" {
 		t.Error(code)
 	}
-	if code := cl.hears('Z'); code != "" || !cl.ends() {
-		t.Error("no answer, or no end:", code)
+	if code := client.readUntil('Z'); code != "" || !client.atEnd() {
+		t.Error("no response, or no end:", code)
 	}
-	d.s.stopAccepting()
-	if d.until("the end", func() bool { return ended }); !ended {
-		t.Error("not told of the end")
+	h.server.stopAccepting()
+	if h.waitFor("the end", func() bool { return ended }); !ended {
+		t.Error("onShutdown was not called")
 	}
 }
 
-// TestQueriesBehindSigtermEndBeforeSigkill clips what a query may take to the time at which the program may be killed.
-func TestQueriesBehindSigtermEndBeforeSigkill(t *testing.T) {
-	d := newDoor(t, 100, 10)
-	cl, c := d.session()
-	d.s.Shutdown(func() {})
-	d.s.lastWord = d.Clock.Now() + 0.5
-	cl.Write(look) // d=900
-	d.until("the query's turn", func() bool { return c.current != nil && c.current.q != nil })
-	if until := c.current.q.Deadline; until > d.s.lastWord+1e-9 || until < d.s.lastWord-0.4 {
-		t.Errorf("may take until %v, killed behind %v", until, d.s.lastWord)
+// TestQueriesAfterSigtermEndBeforeSigkill shortens the deadline of a query to the time at which the program may be
+// killed.
+func TestQueriesAfterSigtermEndBeforeSigkill(t *testing.T) {
+	h := newHarness(t, 100, 10)
+	client, c := h.session()
+	h.server.Shutdown(func() {})
+	h.server.respondBy = h.Clock.Now() + 0.5
+	client.Write(queryMessage) // d=900
+	h.waitFor("the query's turn", func() bool { return c.current != nil && c.current.request != nil })
+	if until := c.current.request.Deadline; until > h.server.respondBy+1e-9 || until < h.server.respondBy-0.4 {
+		t.Errorf("its deadline is %v, killed after %v", until, h.server.respondBy)
 	}
-	d.finish(c)
+	h.finish(c)
 }
--- /dev/null
+++ b/internal/clients/process.go
@@ -0,0 +1,158 @@
+package clients
+
+import (
+	"errors"
+	"math"
+
+	"lichenroad/internal/buffer"
+	"lichenroad/internal/metrics"
+	"lichenroad/internal/pgwire"
+	"lichenroad/internal/pipeline"
+)
+
+const millisPerSecond = 1000
+
+// inputKind says what an inputMessage is.
+type inputKind int
+
+const (
+	kindStartup inputKind = iota
+	kindRequest
+	kindEmptyQuery
+	kindInvalid // input that ends the connection
+)
+
+// inputMessage is what was read on a connection and has its turn there. It is posted to the loop as an event, and is the
+// client of its request.
+type inputMessage struct {
+	conn    *conn
+	kind    inputKind
+	request *pipeline.Request // of kindRequest
+	err     error             // of kindInvalid
+}
+
+// discard gives up a message that never had its turn.
+func (m *inputMessage) discard() {
+	if m.request != nil {
+		m.request.Body.Free()
+	}
+}
+
+// Apply implements pipeline.Event: the message has its turn, or waits for it.
+func (m *inputMessage) Apply(*pipeline.Loop) {
+	c := m.conn
+	if c.closing {
+		m.discard() // it was read while the connection was being closed
+		return
+	}
+	if c.current != nil {
+		c.queued = append(c.queued, m)
+		return
+	}
+	c.process(m)
+}
+
+// process takes a message whose turn it is. On the loop.
+func (c *conn) process(m *inputMessage) {
+	l := c.server.loop
+	c.current = m
+	c.setIdle(false)
+	switch m.kind {
+	case kindStartup:
+		if c.overLimit {
+			c.respondFatal(errTooManyConns)
+			return
+		}
+		c.startupAnswered.Store(true)
+		m.Respond(l.Pool.Filled(pgwire.StartupResponse(c.server.lastSession.Add(1))))
+	case kindRequest:
+		c.beginRequest(m.request)
+	case kindEmptyQuery:
+		l.OnServiceOpen(func() { m.Respond(l.Pool.Filled(pgwire.EmptyQueryResponse())) })
+	case kindInvalid:
+		c.respondFatal(m.err)
+	}
+}
+
+// beginRequest begins a request. Its time counts from its arrival, or from the response before it. After SIGTERM it is
+// shortened to end before the program may be killed.
+func (c *conn) beginRequest(request *pipeline.Request) {
+	s := c.server
+	from := math.Max(request.ReceivedAt, c.idleSince)
+	if s.respondBy > 0 {
+		remaining := math.Max(s.respondBy-from, 0)
+		request.DeadlineMillis = min(request.DeadlineMillis, int64(remaining*millisPerSecond))
+	}
+	s.loop.BeginRequest(request, from)
+}
+
+// Respond implements pipeline.Client. The next message has its turn when the response is written. On the loop.
+func (m *inputMessage) Respond(response *buffer.Chain) {
+	c := m.conn
+	if c.current != m {
+		response.Free() // the client has disconnected
+		return
+	}
+	c.send(response, func() {
+		if m.kind != kindStartup {
+			c.unanswered.Add(-1)
+		}
+		c.server.loop.Post(pipeline.Func(func(l *pipeline.Loop) {
+			if c.current == m {
+				c.finishCurrent(l)
+			}
+		}))
+	})
+}
+
+// finishCurrent ends the turn of the current message. On the loop.
+func (c *conn) finishCurrent(l *pipeline.Loop) {
+	c.current, c.idleSince = nil, l.Clock.Now()
+	if len(c.queued) > 0 {
+		next := c.queued[0]
+		c.queued = c.queued[1:]
+		c.process(next)
+		return
+	}
+	c.setIdle(true)
+	if c.server.shuttingDown {
+		c.closeWhenQuiescent()
+	}
+}
+
+// respondFatal ends the connection with an ErrorResponse. On the loop.
+func (c *conn) respondFatal(err error) {
+	l := c.server.loop
+	code, reason := c.classify(err)
+	if reason == metrics.ClosedByBadInput {
+		l.Metrics.Add(metrics.BadInput, 1)
+	}
+	c.setCloseReason(reason)
+	c.setFault(err)
+	detail := ""
+	if code == pgwire.CodeFull {
+		detail = l.RetryAfterDetail()
+	}
+	message := pgwire.ErrorResponse(pgwire.Fatal, code, err.Error(), detail)
+	c.send(l.Pool.Filled(message), func() {
+		l.Post(pipeline.Func(func(*pipeline.Loop) { c.halfClose(reason) }))
+	})
+}
+
+// classify gives the error code that the client is told, and the reason that the connection is closed for.
+func (c *conn) classify(err error) (code string, reason metrics.CloseReason) {
+	switch {
+	case errors.Is(err, errTooManyConns):
+		return pgwire.CodeFull, metrics.ClosedByBound
+	case errors.Is(err, errTooManyQueued):
+		return pgwire.CodeTooLong, metrics.ClosedByBound
+	case errors.Is(err, errUnsupported):
+		return pgwire.CodeUnsupported, metrics.ClosedByBadInput
+	case errors.Is(err, pgwire.ErrTooLong):
+		return pgwire.CodeTooLong, metrics.ClosedByBadInput
+	case c.startupReceived.Load():
+		return pgwire.CodeSyntax, metrics.ClosedByBadInput
+	default:
+		return pgwire.CodeProtocol, metrics.ClosedByBadInput
+	}
+}
--- /dev/null
+++ b/internal/clients/read.go
@@ -0,0 +1,142 @@
+package clients
+
+import (
+	"errors"
+	"fmt"
+
+	"lichenroad/internal/buffer"
+	"lichenroad/internal/limits"
+	"lichenroad/internal/metrics"
+	"lichenroad/internal/pgwire"
+	"lichenroad/internal/pipeline"
+	"lichenroad/relay"
+)
+
+const (
+	// maxStartupPackets is how many startup packets a connection may send: two requests for encryption and the startup.
+	maxStartupPackets = 3
+
+	// messageNoBuffers is the text of the error to a request that came while no buffers were free.
+	messageNoBuffers = "no room for the query"
+)
+
+// Errors that end a connection, each with an error code of its own.
+var (
+	errUnsupported   = errors.New("only simple queries are offered")
+	errTooManyQueued = fmt.Errorf("more than %d queries ahead of their answers", limits.Ahead)
+	errTooManyConns  = errors.New("too many connections")
+)
+
+// read takes what has come, on the connection's goroutine.
+func (c *conn) read() error {
+	if hook := c.server.beforeRead.Load(); hook != nil {
+		(*hook)()
+	}
+	receivedAt := c.server.loop.Clock.Now()
+	reader := c.net.Reader()
+	for reader.Len() > 0 {
+		input, err := reader.Next(min(reader.Len(), buffer.Size))
+		if err != nil {
+			break
+		}
+		if c.inputIgnored.Load() {
+			continue
+		}
+		err = c.splitter.Feed(input, func(m pgwire.Message) error { return c.handleMessage(m, receivedAt) })
+		if err != nil {
+			c.failInput(err)
+		}
+		c.partialSince.Store(0)
+		if c.splitter.Partial() && !c.inputIgnored.Load() {
+			c.partialSince.Store(max(1, int64(receivedAt*nanosPerSecond)))
+		}
+	}
+	return reader.Release()
+}
+
+// failInput ignores all further input; the error has its turn behind the requests that came before it.
+func (c *conn) failInput(err error) {
+	c.inputIgnored.Store(true)
+	c.server.loop.Post(&inputMessage{conn: c, kind: kindInvalid, err: err})
+}
+
+// handleMessage takes one message of the client, on the connection's goroutine.
+func (c *conn) handleMessage(m pgwire.Message, receivedAt relay.Seconds) error {
+	if m.Type == pgwire.TypeQuery && !c.inputIgnored.Load() {
+		return c.handleQuery(m, receivedAt)
+	}
+	defer m.Body.Free()
+	switch {
+	case c.inputIgnored.Load():
+		return nil
+	case m.Type == pgwire.TypeStartup:
+		return c.handleStartup(m.Body.Bytes())
+	case m.Type == pgwire.TypeTerminate:
+		c.closeNow(metrics.ClosedByTerminate)
+		return nil
+	default:
+		return errUnsupported
+	}
+}
+
+// handleQuery posts the request, or the empty query, that a Query message holds.
+func (c *conn) handleQuery(m pgwire.Message, receivedAt relay.Seconds) error {
+	request, err := c.parseRequest(m, receivedAt)
+	if err != nil {
+		m.Body.Free()
+		return err
+	}
+	message := &inputMessage{conn: c, kind: kindEmptyQuery}
+	if request != nil {
+		message.kind, message.request = kindRequest, request
+		request.Client = message
+		c.requestCount.Add(1)
+	}
+	if c.unanswered.Add(1) > limits.Ahead {
+		message.discard()
+		return errTooManyQueued
+	}
+	c.server.loop.Post(message)
+	return nil
+}
+
+// parseRequest makes the record of a request; nil for an empty query. Unless it returns an error, it takes the message's
+// body over.
+func (c *conn) parseRequest(m pgwire.Message, receivedAt relay.Seconds) (*pipeline.Request, error) {
+	if m.Discarded {
+		c.server.loop.Metrics.Add(metrics.BoundBuffers, 1)
+		return pipeline.NewRejected(messageNoBuffers, receivedAt), nil
+	}
+	text, err := pgwire.Statement(m.Body.Bytes())
+	if err != nil {
+		return nil, err
+	}
+	if pgwire.IsEmpty(text) {
+		m.Body.Free()
+		return nil, nil
+	}
+	return pipeline.Accept(&c.server.loop.Site, text, m.Body, receivedAt)
+}
+
+// handleStartup takes a startup packet.
+func (c *conn) handleStartup(body []byte) error {
+	c.startupPackets++
+	if c.startupPackets > maxStartupPackets {
+		return fmt.Errorf("%w: %d startup packets", pgwire.ErrMalformed, c.startupPackets)
+	}
+	kind, err := pgwire.ParseStartup(body)
+	if err != nil {
+		return err
+	}
+	switch kind {
+	case pgwire.OpenEncryption:
+		c.send(c.server.loop.Pool.Filled([]byte{pgwire.NoEncryption}), nil)
+	case pgwire.OpenCancel:
+		c.closeNow(metrics.ClosedByCancelRequest)
+	case pgwire.OpenSession:
+		c.splitter.Startup = false
+		c.startupReceived.Store(true)
+		c.server.loop.Post(&inputMessage{conn: c, kind: kindStartup})
+	}
+	return nil
+}
