--- a/internal/clients/read.go
+++ b/internal/clients/read.go
@@ -129,11 +129,11 @@
 		return err
 	}
 	switch kind {
-	case pgwire.OpenEncryption:
+	case pgwire.StartupEncryption:
 		c.send(c.server.loop.Pool.Filled([]byte{pgwire.NoEncryption}), nil)
-	case pgwire.OpenCancel:
+	case pgwire.StartupCancel:
 		c.closeNow(metrics.ClosedByCancelRequest)
-	case pgwire.OpenSession:
+	case pgwire.StartupSession:
 		c.splitter.Startup = false
 		c.startupReceived.Store(true)
 		c.server.loop.Post(&inputMessage{conn: c, kind: kindStartup})
--- a/internal/pgwire/pgwire_test.go
+++ b/internal/pgwire/pgwire_test.go
@@ -16,7 +16,7 @@
 		"/* id=9b1f,c=order,t=acme,d=480,k=5c0f,r=1,h=1500,new=1 */"
 )
 
-// split feeds a stream in two pieces and writes down what came of it.
+// split feeds a stream in two pieces, and gives the messages and the error that came of it as text.
 func split(stream []byte, cut int) string {
 	pool := buffer.NewPool(1 << 20)
 	s := Splitter{Pool: pool, Startup: true}
@@ -26,7 +26,7 @@
 		if m.Type == 0 {
 			what, err := ParseStartup(m.Body.Bytes())
 			fmt.Fprint(&b, what, err, " ")
-			s.Startup = what != OpenSession
+			s.Startup = what != StartupSession
 		}
 		m.Body.Free()
 		return nil
@@ -37,7 +37,7 @@
 	}
 	s.Free()
 	if pool.Out() != 0 {
-		return fmt.Sprintf("%d bytes are not given back", pool.Out())
+		return fmt.Sprintf("%d bytes are not freed", pool.Out())
 	}
 	fmt.Fprint(&b, err)
 	return b.String()
@@ -50,7 +50,7 @@
 	return append(b, 'X', 0, 0, 0, 4)
 }
 
-func TestSplitterCutAnywhere(t *testing.T) {
+func TestSplitterAtEachCut(t *testing.T) {
 	stream := session()
 	whole := split(stream, 0)
 	if !strings.HasSuffix(whole, "<nil>") || strings.Count(whole, "81:") != 2 {
@@ -79,23 +79,26 @@
 
 func TestSplitterBounds(t *testing.T) {
 	for _, c := range []struct {
+		name    string
 		stream  []byte
 		startup bool
 		want    error
 	}{
-		{[]byte{'Q', 0, 0, 0, 3}, false, ErrMalformed},
-		{[]byte{'Q', 0x7f, 0, 0, 0}, false, ErrTooLong},
-		{[]byte{0, 0, 0x20, 0}, true, ErrTooLong},
-		{[]byte{'Q', 0, 2, 0, 0}, false, nil}, // under the bound: it may still come
+		{"shorter than its length field", []byte{'Q', 0, 0, 0, 3}, false, ErrMalformed},
+		{"message too long", []byte{'Q', 0x7f, 0, 0, 0}, false, ErrTooLong},
+		{"startup packet too long", []byte{0, 0, 0x20, 0}, true, ErrTooLong},
+		{"below the bound, to be continued", []byte{'Q', 0, 2, 0, 0}, false, nil},
 	} {
-		s := Splitter{Pool: buffer.NewPool(1), Startup: c.startup}
-		if err := s.Feed(c.stream, nil); !errors.Is(err, c.want) {
-			t.Errorf("%v: %v", c.stream, err)
-		}
+		t.Run(c.name, func(t *testing.T) {
+			s := Splitter{Pool: buffer.NewPool(1), Startup: c.startup}
+			if err := s.Feed(c.stream, nil); !errors.Is(err, c.want) {
+				t.Errorf("%v: %v", c.stream, err)
+			}
+		})
 	}
 }
 
-func TestSplitterShedsWhenFull(t *testing.T) {
+func TestSplitterDiscardsQueriesWhenFull(t *testing.T) {
 	pool := buffer.NewPool(1)
 	pool.Chain().Write([]byte("x"))
 	s := Splitter{Pool: pool, Discard: true}
@@ -107,20 +110,20 @@
 	s.Startup = true
 	s.Feed(Startup("worker", "catalog"), func(m Message) error { got = append(got, m); return nil })
 	if len(got) != 3 || got[2].Discarded {
-		t.Error("a startup was passed over")
+		t.Error("a startup packet was discarded")
 	}
 }
 
 func TestParseQuery(t *testing.T) {
-	q, err := ParseQuery([]byte(readText))
-	if err != nil || q.ID != "9b1f" || q.Class != "basket" || q.Tenant != "acme" || q.DeadlineMillis != 480 || q.Write ||
-		q.Object != "7f3a" || readText[q.DeadlineStart:q.DeadlineEnd] != "480" {
-		t.Errorf("%+v %v", q, err)
+	query, err := ParseQuery([]byte(readText))
+	if err != nil || query.ID != "9b1f" || query.Class != "basket" || query.Tenant != "acme" || query.DeadlineMillis != 480 || query.Write ||
+		query.Object != "7f3a" || readText[query.DeadlineStart:query.DeadlineEnd] != "480" {
+		t.Errorf("%+v %v", query, err)
 	}
-	q, err = ParseQuery([]byte(writeText))
-	if err != nil || !q.Write || q.Number != "5c0f" || !q.Retried || !q.HasWork || q.Work != 1500 ||
-		writeText[q.DeadlineStart:q.DeadlineEnd] != "480" {
-		t.Errorf("%+v %v", q, err)
+	query, err = ParseQuery([]byte(writeText))
+	if err != nil || !query.Write || query.IdempotencyKey != "5c0f" || !query.Retried || !query.HasWork || query.WorkMicros != 1500 ||
+		writeText[query.DeadlineStart:query.DeadlineEnd] != "480" {
+		t.Errorf("%+v %v", query, err)
 	}
 	for _, change := range [][2]string{
 		{"SELECT", "select"}, {"'7f3a'", "''"}, {"7f3a", "7f'; DROP"}, {"t=acme", "t=a*/b"}, {"id=9b1f,", ""}, {"c=basket,", ""}, {"d=480", "d=x"},
@@ -128,12 +131,12 @@
 		{"d=480", "d=99999999999"}, {"d=480 ", "d=480, "},
 	} {
 		if _, err := ParseQuery([]byte(strings.Replace(readText, change[0], change[1], 1))); err == nil && change[0] != "d=480 " {
-			t.Errorf("taken with %q for %q", change[1], change[0])
+			t.Errorf("accepted with %q for %q", change[1], change[0])
 		}
 	}
 	for _, value := range []string{"9f0", "9g", strings.Repeat("00", MaxValue+1)} {
 		if _, err := ParseQuery([]byte(strings.Replace(writeText, "9f03", value, 1))); err == nil {
-			t.Errorf("taken with a value of %d digits", len(value))
+			t.Errorf("accepted with a value of %d digits", len(value))
 		}
 	}
 	big := strings.Replace(writeText, "9f03", strings.Repeat("ab", MaxValue), 1)
@@ -146,9 +149,9 @@
 	f.Add([]byte(readText))
 	f.Add([]byte(writeText))
 	f.Fuzz(func(t *testing.T, text []byte) {
-		q, err := ParseQuery(text)
-		if err == nil && (q.DeadlineStart <= 0 || q.DeadlineEnd > len(text) || q.DeadlineEnd <= q.DeadlineStart) {
-			t.Errorf("%q: %+v", text, q)
+		query, err := ParseQuery(text)
+		if err == nil && (query.DeadlineStart <= 0 || query.DeadlineEnd > len(text) || query.DeadlineEnd <= query.DeadlineStart) {
+			t.Errorf("%q: %+v", text, query)
 		}
 	})
 }
@@ -159,15 +162,15 @@
 	}
 	for _, bad := range []string{"", "a", "a\x00b\x00", "a\x00b"} {
 		if _, err := Statement([]byte(bad)); err == nil {
-			t.Errorf("%q was taken", bad)
+			t.Errorf("%q was accepted", bad)
 		}
 	}
 }
 
 func TestStartup(t *testing.T) {
-	for body, want := range map[string]Opening{
-		"\x00\x03\x00\x00user\x00a\x00\x00": OpenSession, "\x00\x03\x00\x02\x00": OpenSession,
-		"\x04\xd2\x16\x2f": OpenEncryption, "\x04\xd2\x16\x30": OpenEncryption, "\x04\xd2\x16\x2e12345678": OpenCancel,
+	for body, want := range map[string]StartupKind{
+		"\x00\x03\x00\x00user\x00a\x00\x00": StartupSession, "\x00\x03\x00\x02\x00": StartupSession,
+		"\x04\xd2\x16\x2f": StartupEncryption, "\x04\xd2\x16\x30": StartupEncryption, "\x04\xd2\x16\x2e12345678": StartupCancel,
 	} {
 		if got, err := ParseStartup([]byte(body)); got != want || err != nil {
 			t.Errorf("%q: %v %v", body, got, err)
@@ -175,20 +178,20 @@
 	}
 	for _, bad := range []string{"", "\x00\x03", "\x00\x02\x00\x00\x00", "\x00\x04\x00\x00\x00", "\x00\x03\x00\x00user"} {
 		if _, err := ParseStartup([]byte(bad)); err == nil {
-			t.Errorf("%q was taken", bad)
+			t.Errorf("%q was accepted", bad)
 		}
 	}
 }
 
-func TestErrorAnswer(t *testing.T) {
+func TestErrorResponse(t *testing.T) {
 	b := ErrorResponse(Error, CodeFull, "no room", RetryAfterDetail(250))
-	severity, code, text, err := ParseError(b[headLen:])
+	severity, code, text, err := ParseError(b[headerLength:])
 	if severity != Error || code != CodeFull || text != "no room" || err != nil || !bytes.Contains(b, []byte("D250\x00")) {
 		t.Errorf("%q %q %q %v", severity, code, text, err)
 	}
-	for n := headLen; n < len(b); n++ {
-		if _, _, _, err := ParseError(b[headLen:n]); err == nil {
-			t.Errorf("taken when cut at %d", n)
+	for n := headerLength; n < len(b); n++ {
+		if _, _, _, err := ParseError(b[headerLength:n]); err == nil {
+			t.Errorf("accepted when cut at %d", n)
 		}
 	}
 }
@@ -200,36 +203,36 @@
 	}
 	for n := range row {
 		if _, err := ParseRow(row[:n]); err == nil {
-			t.Errorf("row taken when cut at %d", n)
+			t.Errorf("row accepted when cut at %d", n)
 		}
 	}
 	null := []byte{0, 1, 255, 255, 255, 255}
 	if _, err := ParseRow(null); err == nil {
-		t.Error("a row without a value was taken")
+		t.Error("a row without a value was accepted")
 	}
 	column := append([]byte("\x00\x01body\x00"), make([]byte, 18)...)
 	if err := CheckRowDescription(column); err != nil {
 		t.Error(err)
 	}
 	if CheckRowDescription(column[:len(column)-1]) == nil || CheckRowDescription([]byte{0, 2}) == nil {
-		t.Error("a wrong RowDescription was taken")
+		t.Error("a wrong RowDescription was accepted")
 	}
 	if n, v, err := ParseStatus([]byte("vitals\x00a=1\x00")); n != "vitals" || v != "a=1" || err != nil {
 		t.Error(n, v, err)
 	}
 	if _, _, err := ParseStatus([]byte("vitals\x00a=1")); err == nil {
-		t.Error("a cut ParameterStatus was taken")
+		t.Error("a cut ParameterStatus was accepted")
 	}
 	fields := []string{"recent_ms", "outstanding"}
 	if got := ParseLoadReport("outstanding=7, recent_ms=0.5,more=1", fields); len(got) != 2 || got[0] != 0.5 || got[1] != 7 {
 		t.Error(got)
 	}
 	if ParseLoadReport("outstanding=7", fields) != nil || ParseLoadReport("outstanding=7,recent_ms=x", fields) != nil {
-		t.Error("a report with a field missing was taken")
+		t.Error("a report with a field missing was accepted")
 	}
 	for _, absurd := range []string{"NaN", "Inf", "-1", "1e300", "\xff\x00"} {
 		if got := ParseLoadReport("outstanding=7,recent_ms="+absurd, fields); got != nil {
-			t.Errorf("%q was taken as %v", absurd, got)
+			t.Errorf("%q was read as %v", absurd, got)
 		}
 	}
 }
--- a/internal/pipeline/admit.go
+++ b/internal/pipeline/admit.go
@@ -39,7 +39,7 @@
 	l.AddEvent(relay.Request{
 		ID:       request.ID,
 		Deadline: request.Deadline,
-		Work:     float64(request.Work) / microsPerSecond,
+		Work:     float64(request.WorkMicros) / microsPerSecond,
 		HasWork:  request.HasWork,
 		Retried:  request.Retried,
 		Key:      keyOf(request.Object),
--- a/internal/upstream/dial.go
+++ b/internal/upstream/dial.go
@@ -29,7 +29,7 @@
 		net:      connection,
 		dialedAt: dialedAt,
 		writing:  true,
-		splitter: pgwire.Splitter{Pool: p.loop.Pool, Types: pgwire.FromUnits, MaxLength: pgwire.MaxResponse},
+		splitter: pgwire.Splitter{Pool: p.loop.Pool, Types: pgwire.BackendTypes, MaxLength: pgwire.MaxResponse},
 	}
 	c.attachCallbacks()
 	p.loop.Post(pipeline.Func(func(l *pipeline.Loop) {
--- a/internal/upstream/send_test.go
+++ b/internal/upstream/send_test.go
@@ -161,7 +161,7 @@
 	b := newHarness(t, nil)
 	n := &fakeConn{accepts: 1 << 20}
 	c := b.pendingConn(n)
-	c.splitter = pgwire.Splitter{Pool: b.Loop.Pool, Types: pgwire.FromUnits, MaxLength: pgwire.MaxResponse}
+	c.splitter = pgwire.Splitter{Pool: b.Loop.Pool, Types: pgwire.BackendTypes, MaxLength: pgwire.MaxResponse}
 	readyForQuery{c}.Apply(b.Loop)
 	b.pool.Send(b.attempt())
 	whole := append(pgwire.Header(nil, 'T', 25), "\x00\x01body\x00"...)
--- a/lab/live/live_test.go
+++ b/lab/live/live_test.go
@@ -19,8 +19,8 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		if q.Class != term.Name || q.Tenant != "dairy" || q.DeadlineMillis != 1500 || !q.HasWork || q.Work != 125000 || q.Write != (term.Repeat != relay.Idempotent) ||
-			(q.Number != "") != (term.Repeat == relay.IdempotencyKeyed) {
+		if q.Class != term.Name || q.Tenant != "dairy" || q.DeadlineMillis != 1500 || !q.HasWork || q.WorkMicros != 125000 || q.Write != (term.Repeat != relay.Idempotent) ||
+			(q.IdempotencyKey != "") != (term.Repeat == relay.IdempotencyKeyed) {
 			t.Errorf("%d: %+v", i, q)
 		}
 		b := newBook()
--- a/lab/live/units.go
+++ b/lab/live/units.go
@@ -64,7 +64,7 @@
 	if r.legs > 1 && b.once(q.Class) {
 		b.twice = append(b.twice, r.id)
 	}
-	return time.Duration(q.Work) * time.Microsecond, fails
+	return time.Duration(q.WorkMicros) * time.Microsecond, fails
 }
 
 func (b *book) once(category string) bool {
