--- a/internal/pipeline/admit.go
+++ b/internal/pipeline/admit.go
@@ -24,7 +24,7 @@
 	l.admit(request)
 }
 
-// admit shows a request to the decision module, which rejects it or orders attempts. At the bound of open requests it is
+// admit shows a request to the decision module, which rejects it or commands attempts. At the bound of open requests it is
 // rejected before the module sees it.
 func (l *Loop) admit(request *Request) {
 	if request.RejectReason == "" && len(l.requests) >= l.maxOpenRequests() {
--- a/internal/pipeline/loop.go
+++ b/internal/pipeline/loop.go
@@ -4,8 +4,8 @@
 // Whatever happens on a socket or elsewhere is posted to the loop as an Event. The loop applies the events, fires its
 // timers, has the module step over what all that meant, and carries out the module's commands in their order. It never
 // blocks and decides nothing. Accept runs on the goroutine that reads a connection, all else on the loop, unless a method
-// says otherwise. The parts that do I/O implement the interfaces of this package; of them it imports only the codec
-// (internal/pgwire), the buffers and the counters.
+// says otherwise. The parts that do I/O import this package and implement its interfaces; it imports the module (policy,
+// relay, settings), the codec (internal/pgwire), the buffers, the bounds and the counters.
 package pipeline
 
 import (
--- a/internal/upstream/conn.go
+++ b/internal/upstream/conn.go
@@ -25,8 +25,8 @@
 	stateClosed
 )
 
-// conn is one connection to an endpoint. Its fields belong to the loop, to the goroutine that reads (one at a time, a
-// poller's, which netpoll runs until the close callback), or to both.
+// conn is one connection to an endpoint. Each of its fields says which goroutines use it: the loop, the one that reads
+// (a poller's, one call at a time, up to the close callback) or the one that writes a long request (write.go).
 type conn struct {
 	// Constant.
 	pool     *Pool
@@ -53,7 +53,7 @@
 	rowValue   string // where it is short enough for a load report
 	loadReport []float32
 
-	// Of whoever writes, the loop and the goroutine that reads.
+	// Of the loop and the goroutine that writes.
 	sentAt atomic.Int64 // ns of the loop's clock when the last byte went; 0: not yet
 }
 
