--- a/internal/clients/clients_test.go
+++ b/internal/clients/clients_test.go
@@ -34,9 +34,9 @@
 func newHarness(t *testing.T, maxConns, maxOverLimit int) harness {
 	t.Helper()
 	site := settings.Site{ClassByName: map[string]relay.RequestClass{"look": 0}}
-	site.Settings.Relays = 1
-	site.Settings.Classes = []relay.ClassSettings{{Deadline: 2}}
-	site.Settings.Limits = relay.Limits{RetryAfter: true, MaxRetryAfter: 0.75}
+	site.Relays = 1
+	site.Classes = []relay.ClassSettings{{Deadline: 2}}
+	site.Limits = relay.Limits{RetryAfter: true, MaxRetryAfter: 0.75}
 	log := logrus.New()
 	log.SetOutput(io.Discard)
 	l := pipeline.NewLoop(site, 1, buffer.NewPool(1<<20), &metrics.Counters{}, log)
@@ -344,7 +344,7 @@
 		t.Error("closed at once: its startup may be on the way")
 	}
 	for c := range h.server.conns {
-		c.idleSince -= limits.SilentLeast.Seconds()
+		c.idleSince -= limits.MinIdleBeforeStartup.Seconds()
 	}
 	if !h.server.evictIdle() || !silentClient.atEnd() || h.server.evictIdle() {
 		t.Error("the connection without a startup is not the one closed")
--- a/internal/clients/close.go
+++ b/internal/clients/close.go
@@ -40,7 +40,7 @@
 	c.setIdle(false)
 	c.shutdownWrite()
 	l := c.server.loop
-	l.RunAt(l.Clock.Now()+limits.CloseWait.Seconds(), c.closeSocket)
+	l.RunAt(l.Clock.Now()+limits.ClientCloseTimeout.Seconds(), c.closeSocket)
 }
 
 // shutdownWrite closes the sending half of the socket.
@@ -62,7 +62,7 @@
 	}
 	if since := c.partialSince.Load(); since > 0 {
 		age := c.server.loop.Clock.Now() - float64(since)/nanosPerSecond
-		if age < limits.QueryRest.Seconds() {
+		if age < limits.PartialMessageTimeout.Seconds() {
 			return false
 		}
 	}
--- a/internal/clients/conn.go
+++ b/internal/clients/conn.go
@@ -67,8 +67,15 @@
 	s := c.server
 	s.openConns.Add(-1)
 	s.loop.Metrics.Add(metrics.ClientConnsOpen, -1)
-	age := s.loop.Clock.Now() - c.acceptedAt
-	metrics.LogConnectionEnd(s.loop.Log, "client", c.net.RemoteAddr().String(), reason, age, int(c.requestCount.Load()), fault)
+	end := metrics.ConnectionEnd{
+		Peer:     metrics.PeerClient,
+		Name:     c.net.RemoteAddr().String(),
+		Reason:   reason,
+		Age:      s.loop.Clock.Now() - c.acceptedAt,
+		Requests: int(c.requestCount.Load()),
+		Err:      fault,
+	}
+	end.Log(s.loop.Log)
 	s.loop.Post(pipeline.Func(func(*pipeline.Loop) { s.removeConn(c) }))
 	return nil
 }
--- a/internal/clients/process.go
+++ b/internal/clients/process.go
@@ -143,9 +143,9 @@
 func (c *conn) classify(err error) (code string, reason metrics.CloseReason) {
 	switch {
 	case errors.Is(err, errTooManyConns):
-		return pgwire.CodeFull, metrics.ClosedByBound
+		return pgwire.CodeFull, metrics.ClosedByLimit
 	case errors.Is(err, errTooManyQueued):
-		return pgwire.CodeTooLong, metrics.ClosedByBound
+		return pgwire.CodeTooLong, metrics.ClosedByLimit
 	case errors.Is(err, errUnsupported):
 		return pgwire.CodeUnsupported, metrics.ClosedByBadInput
 	case errors.Is(err, pgwire.ErrTooLong):
--- a/internal/clients/read.go
+++ b/internal/clients/read.go
@@ -23,7 +23,7 @@
 // Errors that end a connection, each with an error code of its own.
 var (
 	errUnsupported   = errors.New("only simple queries are offered")
-	errTooManyQueued = fmt.Errorf("more than %d queries ahead of their answers", limits.Ahead)
+	errTooManyQueued = fmt.Errorf("more than %d queries ahead of their answers", limits.MaxPipelinedQueries)
 	errTooManyConns  = errors.New("too many connections")
 )
 
@@ -92,7 +92,7 @@
 		request.Client = message
 		c.requestCount.Add(1)
 	}
-	if c.unanswered.Add(1) > limits.Ahead {
+	if c.unanswered.Add(1) > limits.MaxPipelinedQueries {
 		message.discard()
 		return errTooManyQueued
 	}
@@ -104,7 +104,7 @@
 // body over.
 func (c *conn) parseRequest(m pgwire.Message, receivedAt relay.Seconds) (*pipeline.Request, error) {
 	if m.Discarded {
-		c.server.loop.Metrics.Add(metrics.BoundBuffers, 1)
+		c.server.loop.Metrics.Add(metrics.BufferLimitReached, 1)
 		return pipeline.NewRejected(messageNoBuffers, receivedAt), nil
 	}
 	text, err := pgwire.Statement(m.Body.Bytes())
--- a/internal/clients/server.go
+++ b/internal/clients/server.go
@@ -54,7 +54,7 @@
 	return &Server{
 		loop:         l,
 		maxConns:     int64(maxConns),
-		evictAbove:   int64(limits.TidyPart * float64(maxConns)),
+		evictAbove:   int64(limits.ReclaimFraction * float64(maxConns)),
 		maxOverLimit: int64(maxOverLimit),
 		conns:        map[*conn]struct{}{},
 	}
@@ -109,8 +109,8 @@
 	openConns := s.openConns.Add(1)
 	s.loop.Metrics.Add(metrics.ClientConns, 1)
 	s.loop.Metrics.Add(metrics.ClientConnsOpen, 1)
-	_ = n.SetWriteTimeout(limits.AnswerWait) // never fails
-	_ = n.AddCloseCallback(c.handleClosed)   // the same
+	_ = n.SetWriteTimeout(limits.ClientWriteTimeout) // never fails
+	_ = n.AddCloseCallback(c.handleClosed)           // the same
 	if openConns > s.maxConns+s.maxOverLimit {
 		s.rejectConn(c)
 		return context.Background()
@@ -122,10 +122,10 @@
 // rejectConn closes a connection beyond all bounds. The first request may have come already, so the client is told that
 // nothing was done with it: a close alone says that, too, but not that a retry at once is of no use.
 func (s *Server) rejectConn(c *conn) {
-	s.loop.Metrics.Add(metrics.BoundConns, 1)
+	s.loop.Metrics.Add(metrics.ConnLimitReached, 1)
 	message := pgwire.ErrorResponse(pgwire.Fatal, pgwire.CodeFull, errTooManyConns.Error(), s.loop.RetryAfterDetail())
 	_, _ = c.net.Write(message) // the connection ends whether or not the client takes it
-	c.closeNow(metrics.ClosedByBound)
+	c.closeNow(metrics.ClosedByLimit)
 }
 
 // addConn takes a new connection in. On the loop.
@@ -134,20 +134,20 @@
 	c.setIdle(true)
 	hasCapacity := s.openConns.Load() <= s.evictAbove || s.evictIdle()
 	if !hasCapacity && s.openConns.Load() > s.maxConns {
-		s.loop.Metrics.Add(metrics.BoundConns, 1)
+		s.loop.Metrics.Add(metrics.ConnLimitReached, 1)
 		c.overLimit = true
 	}
 	if s.shuttingDown {
 		c.closeWhenQuiescent() // it was accepted just before the listener closed
 	}
-	s.loop.RunAt(c.acceptedAt+limits.StartupWait.Seconds(), c.enforceStartupTimeout)
+	s.loop.RunAt(c.acceptedAt+limits.StartupTimeout.Seconds(), c.enforceStartupTimeout)
 }
 
 // evictIdle closes the connection that has been without a startup, or else idle, for longest, if that was long enough.
 // Clients keep connections that they may never use again, and some connect by the hundred and send nothing. It says
 // whether one was closed. On the loop.
 func (s *Server) evictIdle() bool {
-	return s.evictFrom(&s.awaitingStartup, limits.SilentLeast) || s.evictFrom(&s.idle, limits.IdleLeast)
+	return s.evictFrom(&s.awaitingStartup, limits.MinIdleBeforeStartup) || s.evictFrom(&s.idle, limits.MinClientIdleTime)
 }
 
 // evictFrom closes the first connection of a list that nothing has come on, if it has been idle for at least minIdle.
--- a/internal/clients/shutdown.go
+++ b/internal/clients/shutdown.go
@@ -11,9 +11,9 @@
 func (s *Server) Shutdown(onShutdown func()) {
 	now := s.loop.Clock.Now()
 	s.loop.OpenService() // whoever waits for an endpoint list is told that there is none
-	longestDeadline := min(s.loop.Site.MaxDeadline(), limits.LongestWait)
-	s.respondBy = now + longestDeadline + limits.KillAfter - limits.WordBefore
-	s.loop.RunAt(now+limits.StillComing.Seconds(), func() {
+	longestDeadline := min(s.loop.Site.MaxDeadline(), limits.PlatformMaxDeadline)
+	s.respondBy = now + longestDeadline + limits.KillDelay - limits.FinalAnswerMargin
+	s.loop.RunAt(now+limits.ShutdownAcceptTime.Seconds(), func() {
 		s.shuttingDown, s.onShutdown = true, onShutdown
 		s.stopAccepting()
 		for c := range s.conns {
@@ -27,7 +27,7 @@
 // first, as it would be reset there, with a first request that may have come. On the loop.
 func (s *Server) stopAccepting() {
 	if sockets.Backlog(s.listener) && s.loop.Clock.Now() < s.respondBy {
-		s.loop.RunAt(s.loop.Clock.Now()+limits.LookAgain.Seconds(), s.stopAccepting)
+		s.loop.RunAt(s.loop.Clock.Now()+limits.RecheckDelay.Seconds(), s.stopAccepting)
 		return
 	}
 	s.listenerClosed.Store(true)
@@ -52,10 +52,10 @@
 	}
 	l := c.server.loop
 	now := l.Clock.Now()
-	firstRequestBy := c.acceptedAt + limits.FirstQuery.Seconds()
+	firstRequestBy := c.acceptedAt + limits.FirstQueryTimeout.Seconds()
 	if c.requestCount.Load() == 0 && now < firstRequestBy {
 		l.RunAt(firstRequestBy, c.closeWhenQuiescent)
 	} else if !c.closeIfQuiescent(metrics.ClosedByShutdown) {
-		l.RunAt(now+limits.LookAgain.Seconds(), c.closeWhenQuiescent)
+		l.RunAt(now+limits.RecheckDelay.Seconds(), c.closeWhenQuiescent)
 	}
 }
--- a/internal/pipeline/account.go
+++ b/internal/pipeline/account.go
@@ -14,7 +14,7 @@
 	Response   *buffer.Chain // of an attempt that succeeded: what the client gets
 }
 
-var outcomeCounters = [...]metrics.ID{
+var outcomeCounters = [...]metrics.Counter{
 	relay.Succeeded:          metrics.AttemptSucceeded,
 	relay.Errored:            metrics.AttemptErrored,
 	relay.RejectedByEndpoint: metrics.AttemptRejected,
@@ -25,7 +25,7 @@
 	relay.NotSent:            metrics.AttemptNotSent,
 }
 
-var statusCounters = [...]metrics.ID{
+var statusCounters = [...]metrics.Counter{
 	StatusSucceeded:  metrics.Succeeded,
 	StatusRejected:   metrics.Rejected,
 	StatusFailed:     metrics.Failed,
--- a/internal/pipeline/admit.go
+++ b/internal/pipeline/admit.go
@@ -51,8 +51,8 @@
 // maxOpenRequests is the settings' bound of open requests, as far as the program allows so many.
 func (l *Loop) maxOpenRequests() int {
 	configured := l.Site.MaxInFlight
-	if configured <= 0 || configured > limits.HeldQueries {
-		return limits.HeldQueries
+	if configured <= 0 || configured > limits.MaxOpenRequests {
+		return limits.MaxOpenRequests
 	}
 	return configured
 }
--- a/internal/pipeline/commands.go
+++ b/internal/pipeline/commands.go
@@ -34,7 +34,7 @@
 	case relay.FetchList:
 		l.Discovery.FetchList()
 	case relay.Log:
-		l.Log.WithField("from", "module").Info(command.Line)
+		l.Log.WithField("source", "policy").Info(command.Line)
 	}
 }
 
--- a/internal/pipeline/mailbox.go
+++ b/internal/pipeline/mailbox.go
@@ -33,10 +33,10 @@
 // TryPost posts an event that may be lost, and says whether the queue had space for it. On any goroutine.
 func (l *Loop) TryPost(event Event) bool {
 	l.mu.Lock()
-	full := len(l.posted) >= limits.EventQueue
+	full := len(l.posted) >= limits.MaxQueuedEvents
 	l.mu.Unlock()
 	if full {
-		l.Metrics.Add(metrics.BoundQueue, 1)
+		l.Metrics.Add(metrics.QueueLimitReached, 1)
 		return false
 	}
 	l.Post(event)
@@ -46,7 +46,7 @@
 // TakePosted empties the queue of posted events. The slice is good until the next call. Only on the loop.
 func (l *Loop) TakePosted() []Event {
 	clear(l.spare)
-	if cap(l.spare) > limits.EventsKept {
+	if cap(l.spare) > limits.MaxRetainedEvents {
 		l.spare = nil
 	}
 	l.mu.Lock()
--- a/internal/pipeline/pipeline_test.go
+++ b/internal/pipeline/pipeline_test.go
@@ -42,8 +42,8 @@
 func newLoop(t *testing.T) (*Loop, *fakeEnvironment) {
 	t.Helper()
 	site := settings.Site{ClassByName: map[string]relay.RequestClass{"look": 0}}
-	site.Settings.Relays = 1
-	site.Settings.Classes = make([]relay.ClassSettings, 1)
+	site.Relays = 1
+	site.Classes = make([]relay.ClassSettings, 1)
 	log := logrus.New()
 	log.SetOutput(io.Discard)
 	l := NewLoop(site, 1, buffer.NewPool(1<<20), &metrics.Counters{}, log)
@@ -227,12 +227,12 @@
 
 func TestPostedEventsAreBoundedAndInOrder(t *testing.T) {
 	l, _ := newLoop(t)
-	for range limits.EventQueue {
+	for range limits.MaxQueuedEvents {
 		if !l.TryPost(Func(func(*Loop) {})) {
 			t.Fatal("rejected below the bound")
 		}
 	}
-	if l.TryPost(Func(func(*Loop) {})) || l.Metrics.Get(metrics.BoundQueue) != 1 {
+	if l.TryPost(Func(func(*Loop) {})) || l.Metrics.Get(metrics.QueueLimitReached) != 1 {
 		t.Error("accepted over the bound")
 	}
 	l.TakePosted()
--- a/internal/upstream/bench_test.go
+++ b/internal/upstream/bench_test.go
@@ -43,8 +43,8 @@
 
 func emptyPool() *Pool {
 	site := settings.Site{}
-	site.Settings.Relays = 1
-	site.Settings.Classes = make([]relay.ClassSettings, 1)
+	site.Relays = 1
+	site.Classes = make([]relay.ClassSettings, 1)
 	log := logrus.New()
 	log.SetOutput(io.Discard)
 	return New(pipeline.NewLoop(site, 1, buffer.NewPool(1<<20), &metrics.Counters{}, log), 4)
--- a/internal/upstream/conn.go
+++ b/internal/upstream/conn.go
@@ -79,7 +79,12 @@
 	c.state = stateClosed
 	now := c.pool.loop.Clock.Now()
 	_ = c.net.Close() // there is nothing left to do about a failure
-	c.pool.connEnded(c.endpoint, reason, now-c.dialedAt, c.requestCount, c.fault)
+	c.pool.connEnded(c.endpoint, metrics.ConnectionEnd{
+		Reason:   reason,
+		Age:      now - c.dialedAt,
+		Requests: c.requestCount,
+		Err:      c.fault,
+	})
 	switch previous {
 	case stateStarting:
 		c.endpoint.pendingConns--
--- a/internal/upstream/conn_test.go
+++ b/internal/upstream/conn_test.go
@@ -57,8 +57,8 @@
 func newHarness(t *testing.T, change func(*settings.Site)) harness {
 	t.Helper()
 	site := settings.Site{EndpointIdleTimeout: 10}
-	site.Settings.Relays = 1
-	site.Settings.Classes = make([]relay.ClassSettings, 1)
+	site.Relays = 1
+	site.Classes = make([]relay.ClassSettings, 1)
 	if change != nil {
 		change(&site)
 	}
@@ -149,7 +149,7 @@
 func TestUnsolicitedInputBehindAResponse(t *testing.T) {
 	for name, unsolicited := range map[string]func(b harness, c *conn) pipeline.Event{
 		"a second response": func(b harness, c *conn) pipeline.Event {
-			return responseReceived{conn: c, receivedAt: b.Clock.Now(), outcome: relay.Succeeded, response: b.Loop.Pool.Chain()}
+			return responseReceived{conn: c, receivedAt: b.Clock.Now(), outcome: relay.Succeeded, response: b.Pool.Chain()}
 		},
 		"part of a response":     func(_ harness, c *conn) pipeline.Event { return responseBegun{c} },
 		"a second ReadyForQuery": func(_ harness, c *conn) pipeline.Event { return readyForQuery{c} },
@@ -164,7 +164,7 @@
 			b.pool.Send(first)
 			b.endpoint.pendingConns++ // one is coming up for the second, and never does
 			b.pool.Send(second)
-			b.Post(responseReceived{conn: c, receivedAt: b.Clock.Now(), outcome: relay.Succeeded, response: b.Loop.Pool.Chain()})
+			b.Post(responseReceived{conn: c, receivedAt: b.Clock.Now(), outcome: relay.Succeeded, response: b.Pool.Chain()})
 			b.Post(readyForQuery{c})
 			b.Post(unsolicited(b, c))
 			if ended := b.drain(); len(ended) != 1 || ended[0].Request != 0 || ended[0].Outcome != relay.Succeeded || second.Ended {
@@ -183,7 +183,7 @@
 	c := b.idleConn(&fakeConn{accepts: 1 << 20})
 	at := b.Clock.Now()
 	b.pool.Send(b.attempt())
-	responseReceived{conn: c, receivedAt: at, outcome: relay.Succeeded, response: b.Loop.Pool.Chain()}.Apply(b.Loop)
+	responseReceived{conn: c, receivedAt: at, outcome: relay.Succeeded, response: b.Pool.Chain()}.Apply(b.Loop)
 	if ended := b.drain(); len(ended) != 1 || ended[0].Outcome != relay.ConnectionBroken || c.state != stateClosed {
 		t.Errorf("%+v", ended)
 	}
--- a/internal/upstream/dial.go
+++ b/internal/upstream/dial.go
@@ -17,7 +17,8 @@
 	if err != nil {
 		p.loop.Post(pipeline.Func(func(l *pipeline.Loop) {
 			endpoint.pendingConns--
-			p.connEnded(endpoint, metrics.ClosedByConnectError, l.Clock.Now()-dialedAt, 0, err)
+			age := l.Clock.Now() - dialedAt
+			p.connEnded(endpoint, metrics.ConnectionEnd{Reason: metrics.ClosedByConnectError, Age: age, Err: err})
 			p.connectFailed(endpoint)
 		}))
 		return
--- a/internal/upstream/endpoints_test.go
+++ b/internal/upstream/endpoints_test.go
@@ -3,6 +3,7 @@
 import (
 	"testing"
 
+	"lichenroad/internal/metrics"
 	"lichenroad/internal/pipeline"
 	"lichenroad/relay"
 )
@@ -98,7 +99,7 @@
 		t.Errorf("%d kept", len(b.pool.endpoints))
 	}
 	b.pool.openConns++
-	b.pool.connEnded(b.pool.endpoints[2], "", 0, 0, nil)
+	b.pool.connEnded(b.pool.endpoints[2], metrics.ConnectionEnd{})
 	if len(b.pool.endpoints) != 1 {
 		t.Error("kept without a connection")
 	}
--- a/internal/upstream/events.go
+++ b/internal/upstream/events.go
@@ -34,7 +34,7 @@
 		return
 	}
 	c.partialAttempt = attempt
-	l.RunAt(l.Clock.Now()+limits.AnswerRest.Seconds(), func() {
+	l.RunAt(l.Clock.Now()+limits.ResponseRestTimeout.Seconds(), func() {
 		if c.attempt == attempt {
 			protocolError{c, errIncomplete}.Apply(l)
 		}
@@ -71,10 +71,10 @@
 		return
 	}
 	if e.errorCode == pgwire.CodeProtocol {
-		l.Log.WithField("unit", c.endpoint.name).Error("a unit did not understand a query: " + e.errorText)
+		l.Log.WithField("endpoint", c.endpoint.name).Error("endpoint reported a protocol error: " + e.errorText)
 	}
 	c.attempt, c.lastResponseAt = nil, e.receivedAt
-	l.RunAt(l.Clock.Now()+limits.AnswerRest.Seconds(), func() {
+	l.RunAt(l.Clock.Now()+limits.ResponseRestTimeout.Seconds(), func() {
 		if c.state == stateBusy && c.attempt == nil && c.lastResponseAt == e.receivedAt {
 			protocolError{c, errIncomplete}.Apply(l) // it never said that it is ready, and would stay for good
 		}
@@ -127,7 +127,7 @@
 	case c.state == stateBusy && c.attempt == nil:
 		c.state = stateSettling
 		c.endpoint.pendingConns++
-		l.RunAt(l.Clock.Now()+limits.SettleFor.Seconds(), func() {
+		l.RunAt(l.Clock.Now()+limits.ResponseSettleTime.Seconds(), func() {
 			if c.state == stateSettling {
 				c.becomeIdle()
 			}
--- a/internal/upstream/idle.go
+++ b/internal/upstream/idle.go
@@ -67,7 +67,7 @@
 	if oldest == nil {
 		return false
 	}
-	oldest.close(metrics.ClosedByBound)
+	oldest.close(metrics.ClosedByLimit)
 	return true
 }
 
@@ -86,5 +86,5 @@
 			endpoint.idle[0].close(metrics.ClosedByIdleTimeout)
 		}
 	}
-	p.loop.RunAt(now+limits.SweepEvery.Seconds(), p.closeExpired)
+	p.loop.RunAt(now+limits.IdleSweepInterval.Seconds(), p.closeExpired)
 }
--- a/internal/upstream/pool.go
+++ b/internal/upstream/pool.go
@@ -43,7 +43,7 @@
 		endpoints:          map[relay.EndpointID]*endpointConns{},
 		maxConns:           maxConns,
 		connectTimeout:     l.Site.Limits.ConnectTimeout,
-		idleTimeout:        l.Site.EndpointIdleTimeout * limits.IdlePart,
+		idleTimeout:        l.Site.EndpointIdleTimeout * limits.EndpointIdleFraction,
 		startupMessage:     pgwire.Startup(sessionUser, sessionDatabase),
 		healthCheckMessage: pgwire.QueryMessage(healthCheckQuery),
 	}
@@ -51,10 +51,10 @@
 		p.healthCheckMessage = pgwire.QueryMessage("SHOW " + loadReportParameter)
 	}
 	if p.connectTimeout <= 0 {
-		p.connectTimeout = limits.ConnectWait.Seconds()
+		p.connectTimeout = limits.DefaultConnectTimeout.Seconds()
 	}
 	if p.idleTimeout > 0 {
-		l.RunAt(l.Clock.Now()+limits.SweepEvery.Seconds(), p.closeExpired)
+		l.RunAt(l.Clock.Now()+limits.IdleSweepInterval.Seconds(), p.closeExpired)
 	}
 	return p
 }
@@ -108,7 +108,7 @@
 // CloseIdle implements pipeline.Upstream.
 func (p *Pool) CloseIdle(id relay.EndpointID) {
 	if endpoint := p.endpoints[id]; endpoint != nil {
-		p.closeIdleConns(endpoint, metrics.ClosedByCommand)
+		p.closeIdleConns(endpoint, metrics.ClosedByPolicy)
 	}
 }
 
@@ -145,7 +145,7 @@
 			p.openConn(endpoint)
 			continue
 		}
-		p.loop.Metrics.Add(metrics.BoundConns, 1)
+		p.loop.Metrics.Add(metrics.ConnLimitReached, 1)
 		last := len(endpoint.waiting) - 1
 		attempt := endpoint.waiting[last]
 		endpoint.waiting = endpoint.waiting[:last]
@@ -163,13 +163,15 @@
 	go dial(p, endpoint, endpoint.address)
 }
 
-// connEnded is the one place where a connection is counted as closed, whether it came up or not.
-func (p *Pool) connEnded(endpoint *endpointConns, reason metrics.CloseReason, age relay.Seconds, requests int, fault error) {
+// connEnded is the one place where a connection is counted as closed, whether it came up or not. It fills in whose end it
+// is.
+func (p *Pool) connEnded(endpoint *endpointConns, end metrics.ConnectionEnd) {
 	p.openConns--
 	endpoint.openConns--
 	defer p.dropIfUnused(endpoint)
 	p.loop.Metrics.Add(metrics.EndpointConnsOpen, -1)
-	metrics.LogConnectionEnd(p.loop.Log, "unit", endpoint.name, reason, age, requests, fault)
+	end.Peer, end.Name = metrics.PeerEndpoint, endpoint.name
+	end.Log(p.loop.Log)
 }
 
 // endUnconnected ends an attempt that got no connection.
--- a/internal/upstream/read.go
+++ b/internal/upstream/read.go
@@ -90,7 +90,7 @@
 		return errOutOfPlace
 	}
 	c.rowValue = ""
-	if len(value) <= limits.ReportSize {
+	if len(value) <= limits.MaxLoadReportBytes {
 		c.rowValue = string(value)
 	}
 	c.appendToResponse(m)
--- a/internal/upstream/send_test.go
+++ b/internal/upstream/send_test.go
@@ -161,7 +161,7 @@
 	b := newHarness(t, nil)
 	n := &fakeConn{accepts: 1 << 20}
 	c := b.pendingConn(n)
-	c.splitter = pgwire.Splitter{Pool: b.Loop.Pool, Types: pgwire.BackendTypes, MaxLength: pgwire.MaxResponse}
+	c.splitter = pgwire.Splitter{Pool: b.Pool, Types: pgwire.BackendTypes, MaxLength: pgwire.MaxResponse}
 	readyForQuery{c}.Apply(b.Loop)
 	b.pool.Send(b.attempt())
 	whole := append(pgwire.Header(nil, 'T', 25), "\x00\x01body\x00"...)
@@ -191,9 +191,9 @@
 	attempt := b.attempt()
 	attempt.Request.Client = discardingClient{}
 	b.pool.Send(attempt)
-	responseReceived{conn: c, receivedAt: b.Clock.Now(), outcome: relay.Succeeded, response: b.Loop.Pool.Chain()}.Apply(b.Loop)
+	responseReceived{conn: c, receivedAt: b.Clock.Now(), outcome: relay.Succeeded, response: b.Pool.Chain()}.Apply(b.Loop)
 	stop := make(chan struct{})
-	b.RunAt(b.Clock.Now()+limits.AnswerRest.Seconds()+0.01, func() { close(stop) })
+	b.RunAt(b.Clock.Now()+limits.ResponseRestTimeout.Seconds()+0.01, func() { close(stop) })
 	b.drain()
 	b.Run(stop)
 	if n.closed == 0 || b.pool.openConns != 0 {
--- a/internal/upstream/write.go
+++ b/internal/upstream/write.go
@@ -26,7 +26,7 @@
 	c.sentAt.Store(0)
 	message := c.message(attempt)
 	if message.Len() <= maxInlineSize {
-		_ = c.net.SetWriteTimeout(limits.InlineWait) // it never fails
+		_ = c.net.SetWriteTimeout(limits.InlineWriteTimeout) // it never fails
 		c.write(attempt, message)
 		return
 	}
