--- a/internal/pgwire/pgwire_test.go
+++ b/internal/pgwire/pgwire_test.go
@@ -115,33 +115,63 @@
 }
 
 func TestParseQuery(t *testing.T) {
-	query, err := ParseQuery([]byte(readText))
-	if err != nil || query.ID != "9b1f" || query.Class != "basket" || query.Tenant != "acme" || query.DeadlineMillis != 480 || query.Write ||
-		query.Object != "7f3a" || readText[query.DeadlineStart:query.DeadlineEnd] != "480" {
-		t.Errorf("%+v %v", query, err)
-	}
-	query, err = ParseQuery([]byte(writeText))
-	if err != nil || !query.Write || query.IdempotencyKey != "5c0f" || !query.Retried || !query.HasWork || query.WorkMicros != 1500 ||
-		writeText[query.DeadlineStart:query.DeadlineEnd] != "480" {
-		t.Errorf("%+v %v", query, err)
+	for _, c := range []struct {
+		name, text string
+		want       Query
+	}{
+		{"read", readText, Query{ID: "9b1f", Class: "basket", Tenant: "acme", Object: "7f3a", DeadlineMillis: 480}},
+		{"write", writeText, Query{ID: "9b1f", Class: "order", Tenant: "acme", Object: "7f3a", DeadlineMillis: 480,
+			IdempotencyKey: "5c0f", Retried: true, HasWork: true, WorkMicros: 1500, Write: true}},
+		{"comma behind the last parameter", strings.Replace(readText, "d=480 ", "d=480, ", 1),
+			Query{ID: "9b1f", Class: "basket", Tenant: "acme", Object: "7f3a", DeadlineMillis: 480}},
+	} {
+		t.Run(c.name, func(t *testing.T) {
+			got, err := ParseQuery([]byte(c.text))
+			if err != nil {
+				t.Fatal(err)
+			}
+			if deadline := c.text[got.DeadlineStart:got.DeadlineEnd]; deadline != "480" {
+				t.Errorf("the deadline is said to stand at %q", deadline)
+			}
+			got.DeadlineStart, got.DeadlineEnd = 0, 0
+			if got != c.want {
+				t.Errorf("%+v", got)
+			}
+		})
 	}
+}
+
+func TestParseQueryRejectsMalformedReads(t *testing.T) {
 	for _, change := range [][2]string{
 		{"SELECT", "select"}, {"'7f3a'", "''"}, {"7f3a", "7f'; DROP"}, {"t=acme", "t=a*/b"}, {"id=9b1f,", ""}, {"c=basket,", ""}, {"d=480", "d=x"},
 		{"d=480", "d=-1"}, {"d=480", "d="}, {",d=480", ""}, {" */", " */;"}, {" */", ""}, {"t=acme", "t"}, {"t=acme", "t=a b"},
-		{"d=480", "d=99999999999"}, {"d=480 ", "d=480, "},
+		{"d=480", "d=99999999999"},
 	} {
-		if _, err := ParseQuery([]byte(strings.Replace(readText, change[0], change[1], 1))); err == nil && change[0] != "d=480 " {
-			t.Errorf("accepted with %q for %q", change[1], change[0])
+		if _, err := ParseQuery([]byte(strings.Replace(readText, change[0], change[1], 1))); !errors.Is(err, ErrMalformed) {
+			t.Errorf("with %q for %q: %v", change[1], change[0], err)
 		}
 	}
-	for _, value := range []string{"9f0", "9g", strings.Repeat("00", MaxValue+1)} {
-		if _, err := ParseQuery([]byte(strings.Replace(writeText, "9f03", value, 1))); err == nil {
-			t.Errorf("accepted with a value of %d digits", len(value))
-		}
-	}
-	big := strings.Replace(writeText, "9f03", strings.Repeat("ab", MaxValue), 1)
-	if _, err := ParseQuery([]byte(big)); err != nil || len(big)+6 > MaxMessage {
-		t.Error(len(big), err)
+}
+
+func TestParseQueryChecksTheValue(t *testing.T) {
+	for _, c := range []struct {
+		name, value string
+		want        error
+	}{
+		{"half a byte", "9f0", ErrMalformed},
+		{"not hexadecimal", "9g", ErrMalformed},
+		{"too long", strings.Repeat("00", MaxValue+1), ErrTooLong},
+		{"the longest", strings.Repeat("ab", MaxValue), nil},
+	} {
+		t.Run(c.name, func(t *testing.T) {
+			text := strings.Replace(writeText, "9f03", c.value, 1)
+			if _, err := ParseQuery([]byte(text)); !errors.Is(err, c.want) {
+				t.Error(err)
+			}
+			if c.want == nil && len(text)+headerLength+1 > MaxMessage {
+				t.Errorf("a message of %d bytes is allowed, %d are needed", MaxMessage, len(text)+headerLength+1)
+			}
+		})
 	}
 }
 
