--- a/internal/config/parse.go
+++ b/internal/config/parse.go
@@ -166,7 +166,13 @@
 		}
 		return string(fields[name])
 	}
-	return linewire.ParseStatus(text("image"), text("ring"), text("progress"), text("ceiling"), text("lag_ms"))
+	return linewire.StatusFields{
+		Build:           text("image"),
+		Stage:           text("ring"),
+		Phase:           text("progress"),
+		ExposureLimit:   text("ceiling"),
+		AgeMilliseconds: text("lag_ms"),
+	}.Parse()
 }
 
 // knownList takes the list as it is: one that can't be read is reported at the start, and neither keeps a relay from
--- a/membership/bench_test.go
+++ b/membership/bench_test.go
@@ -14,27 +14,27 @@
 
 const (
 	datagramHeaders = 20 + 8 // bytes of IP and UDP
-	leastDelay      = 0.02   // s that a datagram takes
-	mostDelay       = 0.04
-	watchWait       = 15.0 // s that a call to discovery waits
+	minDelay        = 0.02   // of a datagram, in seconds
+	maxDelay        = 0.04
+	watchWait       = 15.0 // for which discovery holds a watch, in seconds
 	changesPerDay   = 6300 // of the list, at the target
 	secondsPerDay   = 86400.0
-	settleTime      = 30.0 // s before the clock of a benchmark runs
+	settleTime      = 30.0 // simulated before the measurement, in seconds
 )
 
-// arrival is an event on its way to a node; from nobody: a wake-up.
+// arrival is an event due at a node.
 type arrival struct {
 	at    relay.Seconds
-	no    int // in the order of sending, for equal times
+	order int // of arrivals at one time
 	to    int
-	event any
+	event Event
 }
 
 type arrivals []arrival
 
 func (a arrivals) Len() int { return len(a) }
 func (a arrivals) Less(i, j int) bool {
-	return a[i].at < a[j].at || a[i].at == a[j].at && a[i].no < a[j].no
+	return a[i].at < a[j].at || a[i].at == a[j].at && a[i].order < a[j].order
 }
 func (a arrivals) Swap(i, j int) { a[i], a[j] = a[j], a[i] }
 func (a *arrivals) Push(x any)   { *a = append(*a, x.(arrival)) }
@@ -44,90 +44,90 @@
 	return last
 }
 
-// benchFleet is a fleet of nodes in virtual time, with a discovery that answers each watch at once on a change.
+// benchFleet is a fleet of nodes in virtual time, with a discovery that answers all watches at once on a change.
 type benchFleet struct {
 	random     *rand.Rand
 	nodes      []*Node
-	wakeAt     []relay.Seconds
+	timerAt    []relay.Seconds
 	queue      arrivals
 	sent       int
 	generation int64
-	units      int
+	endpoints  int
 
 	steps    int
 	messages float64 // sent by all
 	bytes    float64
 }
 
-func newBenchFleet(nodes, units int) *benchFleet {
-	f := &benchFleet{random: rand.New(rand.NewSource(1)), generation: 1, units: units, wakeAt: make([]relay.Seconds, nodes)}
-	list := listOf(units, f.generation)
+func newBenchFleet(nodes, endpoints int) *benchFleet {
+	f := &benchFleet{random: rand.New(rand.NewSource(1)), generation: 1, endpoints: endpoints, timerAt: make([]relay.Seconds, nodes)}
+	list := listOf(endpoints, f.generation)
 	for i := range nodes {
-		f.nodes = append(f.nodes, New(Settings{Self: relay.RelayID(i), Relays: nodes, Messages: true, PollInterval: 10, Epoch: 1.7e9}, int64(i)))
-		f.wakeAt[i] = Never
+		f.nodes = append(f.nodes, New(Settings{Self: relay.RelayID(i), Relays: nodes, PeerMessages: true, PollInterval: 10, Epoch: 1.7e9}, int64(i)))
+		f.timerAt[i] = Never
 		f.at(watchWait*f.random.Float64(), i, PollAnswered{list})
 	}
 	return f
 }
 
-func listOf(units int, generation int64) List {
+func listOf(endpoints int, generation int64) List {
 	l := List{Generation: generation, Full: true}
-	for i := range units {
+	for i := range endpoints {
 		l.Endpoints = append(l.Endpoints, relay.Endpoint{ID: relay.EndpointID(uint64(i+1) * 0x9e3779b97f4a7c15), Build: 41, State: relay.Ready})
 	}
 	return l
 }
 
-func (f *benchFleet) at(t relay.Seconds, to int, event any) {
+func (f *benchFleet) at(t relay.Seconds, to int, event Event) {
 	f.sent++
 	heap.Push(&f.queue, arrival{t, f.sent, to, event})
 }
 
-// change has a unit replaced, and every watch told of it within two tenths of a second.
+// change removes an endpoint, which every watch learns within 0.2 s.
 func (f *benchFleet) change(now relay.Seconds) {
 	f.generation++
-	unit := relay.EndpointID(uint64(f.random.Intn(f.units)+1) * 0x9e3779b97f4a7c15)
-	list := List{Generation: f.generation, Endpoints: []relay.Endpoint{{ID: unit, Build: 41, State: relay.Draining}}}
+	endpoint := relay.EndpointID(uint64(f.random.Intn(f.endpoints)+1) * 0x9e3779b97f4a7c15)
+	list := List{Generation: f.generation, Endpoints: []relay.Endpoint{{ID: endpoint, Build: 41, State: relay.Draining}}}
 	for i := range f.nodes {
 		f.at(now+0.2*f.random.Float64(), i, PollAnswered{list})
 	}
 }
 
-// run plays up to a time.
+// run applies the events before a time.
 func (f *benchFleet) run(until relay.Seconds) {
 	for len(f.queue) > 0 && f.queue[0].at < until {
 		a := heap.Pop(&f.queue).(arrival)
-		if _, woken := a.event.(TimerFired); woken && a.at < f.wakeAt[a.to] {
-			continue // it was put off
+		if _, woken := a.event.(TimerFired); woken && a.at < f.timerAt[a.to] {
+			continue // postponed
 		}
 		out := f.nodes[a.to].Step(a.at, a.event)
 		f.steps++
 		if _, answered := a.event.(PollAnswered); answered {
-			f.nodes[a.to].Step(a.at, PollStarted{Wait: watchWait, Continues: true})
+			f.nodes[a.to].Step(a.at, PollStarted{Wait: watchWait, ContinuesWatch: true})
 		}
 		for _, body := range out.Messages {
 			f.messages++
 			f.bytes += float64(len(body) + datagramHeaders)
 			for i := range f.nodes {
 				if i != a.to {
-					f.at(a.at+leastDelay+(mostDelay-leastDelay)*f.random.Float64(), i, MessageReceived{relay.RelayID(a.to), body})
+					f.at(a.at+minDelay+(maxDelay-minDelay)*f.random.Float64(), i, MessageReceived{relay.RelayID(a.to), body})
 				}
 			}
 		}
-		if out.TimerAt != f.wakeAt[a.to] && out.TimerAt != Never {
+		if out.TimerAt != f.timerAt[a.to] && out.TimerAt != Never {
 			f.at(out.TimerAt, a.to, TimerFired{})
 		}
-		f.wakeAt[a.to] = out.TimerAt
+		f.timerAt[a.to] = out.TimerAt
 	}
 }
 
-// BenchmarkFleetSecond is a second of a whole fleet at the target's rate of changes. What all send is what each takes in,
-// but its own.
+// BenchmarkFleetSecond simulates a second of a fleet at the target's rate of changes. Each relay receives what all others
+// send.
 func BenchmarkFleetSecond(b *testing.B) {
 	for _, size := range []struct{ relays, units int }{{4, 150}, {43, 150}, {300, 150}, {1290, 150}, {4300, 150}, {300, 42_000}} {
-		relays, units := size.relays, size.units
-		b.Run(fmt.Sprintf("relays=%d/units=%d", relays, units), func(b *testing.B) {
-			f := newBenchFleet(relays, units)
+		relays, endpoints := size.relays, size.units
+		b.Run(fmt.Sprintf("relays=%d/units=%d", relays, endpoints), func(b *testing.B) {
+			f := newBenchFleet(relays, endpoints)
 			f.run(settleTime)
 			f.messages, f.bytes, f.steps = 0, 0, 0
 			now, owed := settleTime, 0.0
@@ -135,7 +135,7 @@
 				for owed += changesPerDay / secondsPerDay; owed >= 1; owed-- {
 					f.change(now)
 				}
-				for i := range f.nodes { // each watch comes back once in its wait
+				for i := range f.nodes { // each watch is answered once in its wait
 					if i%int(watchWait) == int(now)%int(watchWait) {
 						f.at(now+f.random.Float64(), i, PollAnswered{List{Generation: f.generation}})
 					}
@@ -152,15 +152,15 @@
 	}
 }
 
-// BenchmarkHold is a node's first whole list, and what it holds of it.
+// BenchmarkHold measures a node's first full list, and the memory that it takes.
 func BenchmarkHold(b *testing.B) {
-	for _, units := range []int{150, 1000, 4096, 12_000, 42_000} {
-		b.Run(fmt.Sprintf("units=%d", units), func(b *testing.B) {
-			list := listOf(units, 1)
+	for _, endpoints := range []int{150, 1000, 4096, 12_000, 42_000} {
+		b.Run(fmt.Sprintf("units=%d", endpoints), func(b *testing.B) {
+			list := listOf(endpoints, 1)
 			var n *Node
 			before := inUse()
 			for b.Loop() {
-				n = New(Settings{Relays: 4300, Messages: true, PollInterval: 10}, 1)
+				n = New(Settings{Relays: 4300, PeerMessages: true, PollInterval: 10}, 1)
 				n.Step(1, PollAnswered{list})
 			}
 			b.ReportMetric(inUse()-before, "heap-B")
@@ -170,31 +170,31 @@
 	}
 }
 
-// BenchmarkChange is one unit that leaves, at a node that holds so many.
+// BenchmarkChange measures the removal of one endpoint from a list of the given size.
 func BenchmarkChange(b *testing.B) {
-	for _, units := range []int{150, 1000, 4096, 12_000, 42_000} {
-		b.Run(fmt.Sprintf("units=%d", units), func(b *testing.B) {
-			n := New(Settings{Relays: 4300, Messages: true, PollInterval: 10}, 1)
-			list := listOf(units, 1)
+	for _, endpoints := range []int{150, 1000, 4096, 12_000, 42_000} {
+		b.Run(fmt.Sprintf("units=%d", endpoints), func(b *testing.B) {
+			n := New(Settings{Relays: 4300, PeerMessages: true, PollInterval: 10}, 1)
+			list := listOf(endpoints, 1)
 			n.Step(1, PollAnswered{list})
-			no := 0
+			number := 0
 			for b.Loop() {
-				e := list.Endpoints[no%units]
-				if no/units%2 == 0 {
+				e := list.Endpoints[number%endpoints]
+				if number/endpoints%2 == 0 {
 					e.State = relay.Draining
 				}
-				no++
-				n.Step(1+float64(no), PollAnswered{List{Generation: int64(1 + no), Endpoints: []relay.Endpoint{e}}})
+				number++
+				n.Step(1+float64(number), PollAnswered{List{Generation: int64(1 + number), Endpoints: []relay.Endpoint{e}}})
 			}
 		})
 	}
 }
 
-// BenchmarkHeartbeat is a heartbeat of a peer with the same list, read and taken in.
+// BenchmarkHeartbeat measures the receipt of a heartbeat of a peer with the same list.
 func BenchmarkHeartbeat(b *testing.B) {
-	n := New(Settings{Relays: 4300, Messages: true, PollInterval: 10, Epoch: 1.7e9}, 1)
+	n := New(Settings{Relays: 4300, PeerMessages: true, PollInterval: 10, Epoch: 1.7e9}, 1)
 	n.Step(1, PollAnswered{listOf(150, 1)})
-	body := message{view: n.view, answered: n.toWire(1)}.encode()
+	body := message{version: n.version, answeredAt: n.wireTime(1)}.encode()
 	for b.Loop() {
 		n.Step(2, MessageReceived{From: 7, Body: body})
 	}
--- a/membership/bus_test.go
+++ b/membership/bus_test.go
@@ -13,87 +13,87 @@
 	busDelay  = relay.Seconds(0.005)
 )
 
-// testSettings are those of a node of a fleet that may send messages.
+// testSettings returns the settings of a node of a fleet that may send messages.
 func testSettings(self, relays int) Settings {
-	return Settings{Self: relay.RelayID(self), Relays: relays, Messages: true, PollInterval: 60, Epoch: testEpoch}
+	return Settings{Self: relay.RelayID(self), Relays: relays, PeerMessages: true, PollInterval: 60, Epoch: testEpoch}
 }
 
-// wholeList is a whole list of ready units with the given ids.
-func wholeList(generation int64, units ...relay.EndpointID) List {
+// fullList returns a full list of ready endpoints with the given ids.
+func fullList(generation int64, endpoints ...relay.EndpointID) List {
 	list := List{Generation: generation, Full: true}
-	for _, unit := range units {
-		list.Endpoints = append(list.Endpoints, relay.Endpoint{ID: unit, Build: 1, State: relay.Ready})
+	for _, endpoint := range endpoints {
+		list.Endpoints = append(list.Endpoints, relay.Endpoint{ID: endpoint, Build: 1, State: relay.Ready})
 	}
 	return list
 }
 
-// unitRange is the ids from the first to the last.
-func unitRange(first, last relay.EndpointID) (units []relay.EndpointID) {
-	for unit := first; unit <= last; unit++ {
-		units = append(units, unit)
+// endpointRange returns the ids from the first to the last.
+func endpointRange(first, last relay.EndpointID) (endpoints []relay.EndpointID) {
+	for endpoint := first; endpoint <= last; endpoint++ {
+		endpoints = append(endpoints, endpoint)
 	}
-	return units
+	return endpoints
 }
 
-// viewOf is the view of a node that holds just this list.
-func viewOf(given List) view {
-	l := newList(testEpoch)
-	l.apply(given)
-	return view{given.Generation, l.digest}
+// versionOf returns the version of a node that holds exactly this list.
+func versionOf(update List) listVersion {
+	l := newEndpointList(testEpoch)
+	l.apply(update)
+	return listVersion{update.Generation, l.digest}
 }
 
-// wire is a time as messages carry it.
-func wire(t relay.Seconds) uint64 {
+// wireTime returns a time as messages carry it.
+func wireTime(t relay.Seconds) uint64 {
 	if t == Never {
 		return 0
 	}
 	return uint64((t + testEpoch) * 1000)
 }
 
-// heartbeat is the body of a heartbeat of a peer.
-func heartbeat(v view, answered, attempted relay.Seconds) []byte {
-	return message{view: v, answered: wire(answered), attempted: wire(attempted)}.encode()
+// heartbeat returns the datagram of a peer's heartbeat.
+func heartbeat(v listVersion, answered, attempted relay.Seconds) []byte {
+	return message{version: v, answeredAt: wireTime(answered), failedPollAt: wireTime(attempted)}.encode()
 }
 
-// deltas are the bodies of a peer's delta between two views.
-func deltas(base, target view, answered relay.Seconds, units ...relay.EndpointID) (bodies [][]byte) {
-	for _, d := range split(base, units) {
-		bodies = append(bodies, message{view: target, answered: wire(answered), delta: &d}.encode())
+// deltas returns the datagrams of a peer's delta between two versions.
+func deltas(base, target listVersion, answered relay.Seconds, endpoints ...relay.EndpointID) (bodies [][]byte) {
+	for _, d := range splitDelta(base, endpoints) {
+		bodies = append(bodies, message{version: target, answeredAt: wireTime(answered), delta: &d}.encode())
 	}
 	return bodies
 }
 
-// bus carries the messages of a fleet in virtual time. Each is heard by all other nodes a fixed delay after it was sent.
+// bus carries the messages of a fleet in virtual time. All other relays receive each a fixed delay after it was sent.
 type bus struct {
 	t      testing.TB
 	now    relay.Seconds
-	nodes  []*busNode
+	relays []*busRelay
 	events busEvents
-	lost   func(from, to int) bool // nil: none
+	lost   func(from, to int) bool // whether a message is lost on its way; nil: none
 	sent   []busMessage
 	order  int
 }
 
-// busNode is one node of the fleet and what its last steps returned.
-type busNode struct {
+// busRelay is one relay of the fleet and what the steps of its node returned.
+type busRelay struct {
 	*Node
-	wakeAt relay.Seconds
-	lease  relay.Seconds
-	left   map[relay.EndpointID]bool
-	bytes  int // sent, with headers
+	timerAt        relay.Seconds
+	leaseExpiresAt relay.Seconds
+	removed        map[relay.EndpointID]bool
+	bytes          int // sent, with headers
 }
 
 type busMessage struct {
-	at   relay.Seconds
-	from int
-	body []byte
+	sentAt relay.Seconds
+	from   int
+	body   []byte
 }
 
-// busEvent is a wake-up of a node, an action of the test, or the arrival of a message.
+// busEvent is an action of the test, the arrival of a message, or else the timer of a relay.
 type busEvent struct {
 	at     relay.Seconds
 	order  int // of events at one time
-	node   int
+	relay  int
 	body   []byte
 	action func()
 }
@@ -113,19 +113,19 @@
 }
 
 func newBus(t testing.TB, relays int) *bus {
-	b := &bus{t: t, nodes: make([]*busNode, relays)}
-	for i := range b.nodes {
-		b.nodes[i] = &busNode{}
+	b := &bus{t: t, relays: make([]*busRelay, relays)}
+	for i := range b.relays {
+		b.relays[i] = &busRelay{}
 		b.restart(i)
 	}
 	return b
 }
 
-// restart replaces a node by one that knows nothing.
+// restart replaces a relay's node by one without any state.
 func (b *bus) restart(i int) {
 	seed := rand.New(rand.NewSource(int64(b.order)<<16 + int64(i))).Int63()
-	b.nodes[i] = &busNode{Node: New(testSettings(i, len(b.nodes)), seed), wakeAt: Never, left: map[relay.EndpointID]bool{},
-		bytes: b.nodes[i].bytes}
+	b.relays[i] = &busRelay{Node: New(testSettings(i, len(b.relays)), seed), timerAt: Never, removed: map[relay.EndpointID]bool{},
+		bytes: b.relays[i].bytes}
 }
 
 func (b *bus) push(event busEvent) {
@@ -134,37 +134,37 @@
 	heap.Push(&b.events, event)
 }
 
-// at has an action done at a time.
+// at schedules an action.
 func (b *bus) at(t relay.Seconds, action func()) { b.push(busEvent{at: t, action: action}) }
 
-// step lets a node see an event and sends what it wants sent.
-func (b *bus) step(i int, event any) Output {
-	node := b.nodes[i]
+// step applies an event to a node and carries out its output.
+func (b *bus) step(i int, event Event) Output {
+	node := b.relays[i]
 	out := node.Step(b.now, event)
-	node.lease = out.Lease
-	for _, unit := range out.Removed {
-		node.left[unit] = true
+	node.leaseExpiresAt = out.LeaseExpiresAt
+	for _, endpoint := range out.Removed {
+		node.removed[endpoint] = true
 	}
 	for _, body := range out.Messages {
-		if len(body) > maxBody {
+		if len(body) > maxDatagramBytes {
 			b.t.Fatalf("a datagram of %d bytes", len(body))
 		}
-		node.bytes += len(body) + headerBytes
+		node.bytes += len(body) + datagramHeaderBytes
 		b.sent = append(b.sent, busMessage{b.now, i, body})
-		b.push(busEvent{at: b.now + busDelay, node: i, body: body})
+		b.push(busEvent{at: b.now + busDelay, relay: i, body: body})
 	}
-	if out.TimerAt != node.wakeAt {
+	if out.TimerAt != node.timerAt {
 		if out.TimerAt <= b.now {
-			b.t.Fatalf("a wake-up at %v was asked for at %v", out.TimerAt, b.now)
+			b.t.Fatalf("a timer for %v was set at %v", out.TimerAt, b.now)
 		}
-		if node.wakeAt = out.TimerAt; out.TimerAt != Never {
-			b.push(busEvent{at: out.TimerAt, node: i})
+		if node.timerAt = out.TimerAt; out.TimerAt != Never {
+			b.push(busEvent{at: out.TimerAt, relay: i})
 		}
 	}
 	return out
 }
 
-// run plays all events up to a time.
+// run applies all events up to a time.
 func (b *bus) run(until relay.Seconds) {
 	for len(b.events) > 0 && b.events[0].at <= until {
 		event := heap.Pop(&b.events).(busEvent)
@@ -174,27 +174,27 @@
 			event.action()
 		case event.body != nil:
 			b.deliver(event)
-		case b.nodes[event.node].wakeAt == event.at:
-			b.step(event.node, TimerFired{})
+		case b.relays[event.relay].timerAt == event.at:
+			b.step(event.relay, TimerFired{})
 		}
 	}
 	b.now = until
 }
 
 func (b *bus) deliver(event busEvent) {
-	for i := range b.nodes {
-		if i != event.node && (b.lost == nil || !b.lost(event.node, i)) {
-			b.step(i, MessageReceived{From: relay.RelayID(event.node), Body: event.body})
+	for i := range b.relays {
+		if i != event.relay && (b.lost == nil || !b.lost(event.relay, i)) {
+			b.step(i, MessageReceived{From: relay.RelayID(event.relay), Body: event.body})
 		}
 	}
 }
 
-// count counts the messages sent from a time on, by form.
+// count returns the number of messages sent from a time on, by kind.
 func (b *bus) count(from relay.Seconds) (heartbeats, deltas int) {
 	for _, m := range b.sent {
 		switch {
-		case m.at < from:
-		case m.body[1] == formDelta:
+		case m.sentAt < from:
+		case m.body[1] == kindDelta:
 			deltas++
 		default:
 			heartbeats++
