--- /dev/null
+++ b/compat/config_test.go
@@ -0,0 +1,92 @@
+package compat_test
+
+import (
+	"os"
+	"path/filepath"
+	"strings"
+	"testing"
+)
+
+const goodConfig = `{"name":"n3","listen":"127.0.0.1:5433","discovery":"127.0.0.1:8500","seed":"8c1f30d27a5be964",
+ "limits":{"cores":1.0,"memory_mb":192,"sockets":1024},"peer_listen":"127.0.0.1:7946","peers":["127.0.0.1:7946"],"peers_all":"127.0.0.1:7947",
+ "platform":{"address":"127.0.0.1:6400","news":{"image":42,"ring":"1","progress":"canary","ceiling":0.28,"lag_ms":310}},
+ "known":{"generation":41,"reset":true,"instances":[]},"settings":{"grades":[{"name":"basket","repeat":"retryable"}]}}`
+
+// TestConfigurations reads configurations that are good, or have one fault each: check says ok, or check and serve end with 1
+// and one line that names the field.
+func TestConfigurations(t *testing.T) {
+	for _, c := range []struct {
+		name     string
+		old, new string
+		names    string // what the line must hold behind the file; empty: no fault
+	}{
+		{"as it stands", "", "", ""},
+		{"unknown keys", `{"name"`, `{"more":{"x":1},"name"`, ""},
+		{"no list as last held", `{"generation":41,"reset":true,"instances":[]}`, `null`, ""},
+		{"a list that can't be read", `"generation":41`, `"generation":"x"`, ""},
+		{"no limits", `"limits":{"cores":1.0,"memory_mb":192,"sockets":1024},`, ``, ""},
+		{"no platform", `"platform":{"address":"127.0.0.1:6400","news":{"image":42,"ring":"1","progress":"canary","ceiling":0.28,"lag_ms":310}},`, ``, ""},
+		{"no peers", `"peers":["127.0.0.1:7946"],`, ``, ""},
+		{"listen without a port", `"listen":"127.0.0.1:5433"`, `"listen":"127.0.0.1"`, "listen"},
+		{"no listen", `"listen":"127.0.0.1:5433",`, ``, "listen"},
+		{"listen by name", `"listen":"127.0.0.1:5433"`, `"listen":"localhost:5433"`, "listen"},
+		{"no discovery", `"discovery":"127.0.0.1:8500",`, ``, "discovery"},
+		{"peer_listen", `"peer_listen":"127.0.0.1:7946"`, `"peer_listen":"x"`, "peer_listen"},
+		{"peers", `"peers":["127.0.0.1:7946"]`, `"peers":["x"]`, "peers"},
+		{"peers_all", `"peers_all":"127.0.0.1:7947"`, `"peers_all":"x"`, "peers_all"},
+		{"platform.address", `"address":"127.0.0.1:6400"`, `"address":"x"`, "platform.address"},
+		{"seed", `8c1f30d27a5be964`, `xyz`, "seed"},
+		{"memory", `"memory_mb":192`, `"memory_mb":8`, "limits"},
+		{"sockets", `"sockets":1024`, `"sockets":8`, "limits"},
+		{"news of no phase", `"canary"`, `"flying"`, "platform.news"},
+		{"news of no build", `"image":42`, `"image":"x"`, "platform.news"},
+		{"news with a cap over 1", `0.28`, `1.28`, "platform.news"},
+		{"no categories", `[{"name":"basket","repeat":"retryable"}]`, `[]`, "settings"},
+		{"no settings", `"settings":{`, `"other":{`, "settings"},
+		{"settings of a wrong type", `"repeat":"retryable"`, `"repeat":7`, "settings"},
+		{"a field of a wrong type", `"name":"n3"`, `"name":3`, "name"},
+		{"no JSON", `"seed"`, `seed`, ":"},
+		{"an empty file", goodConfig, ``, ":"},
+		{"two faults", `"listen":"127.0.0.1:5433","discovery":"127.0.0.1:8500"`, `"listen":"x","discovery":"y"`, "listen"},
+	} {
+		t.Run(c.name, func(t *testing.T) {
+			t.Parallel()
+			path := filepath.Join(t.TempDir(), "config.json")
+			text := goodConfig
+			if c.old != "" {
+				text = strings.Replace(goodConfig, c.old, c.new, 1)
+				if text == goodConfig {
+					t.Fatal("the configuration was not changed")
+				}
+			}
+			if err := os.WriteFile(path, []byte(text), 0o600); err != nil {
+				t.Fatal(err)
+			}
+			r := call(t, "check", "--config", path)
+			if c.names == "" {
+				if want := "ok: n3 listens on 127.0.0.1:5433\n"; r.code != 0 || r.out != want || r.errs != "" {
+					t.Errorf("exit %d, %q, %q", r.code, r.out, r.errs)
+				}
+				return
+			}
+			for _, r := range []result{r, call(t, "serve", "--config", path)} {
+				file, fault, named := strings.Cut(r.errs, path) // the path holds the case's name
+				if lines := r.errorLines(); r.code != 1 || len(lines) != 1 || !named || !strings.Contains(file+fault, c.names) || r.out != "" {
+					t.Errorf("exit %d, %q, %q; want one line that names %s", r.code, r.out, r.errs, c.names)
+				}
+			}
+		})
+	}
+}
+
+// TestConfigurationTooLarge reads a file over the bound, which is refused unread.
+func TestConfigurationTooLarge(t *testing.T) {
+	path := filepath.Join(t.TempDir(), "config.json")
+	if err := os.WriteFile(path, []byte(goodConfig+strings.Repeat(" ", 64<<20)), 0o600); err != nil {
+		t.Fatal(err)
+	}
+	r := call(t, "check", "--config", path)
+	if lines := r.errorLines(); r.code != 1 || len(lines) != 1 || !strings.Contains(lines[0], path) {
+		t.Errorf("exit %d, %q", r.code, r.errs)
+	}
+}
