--- a/internal/discovery/fleet_discovery_test.go
+++ b/internal/discovery/fleet_discovery_test.go
@@ -6,138 +6,144 @@
 	"lichenroad/relay"
 )
 
-// fleetDiscovery answers new calls in turn, and fails those that waited too long but works on them all the same.
+// fleetDiscovery is the discovery service. It answers new polls in turn, and fails those that waited too long but works on
+// them all the same.
 type fleetDiscovery struct {
-	fleet    *fleet
-	down     bool
-	version  int
-	units    []relay.Endpoint
-	leftAt   []relay.Seconds   // when each unit left; 0: it has not
-	told     [][]relay.Seconds // by relay and unit, when a change was written to it; 0: it was not
-	lastAt   []relay.Seconds   // by relay, when a call was last answered
-	queue    []*fleetCall
-	working  bool
-	standing map[*fleetCall]bool
+	fleet        *fleet
+	down         bool
+	version      int
+	endpoints    []relay.Endpoint
+	leftAt       []relay.Seconds   // when each endpoint left; 0: it has not
+	notifiedAt   [][]relay.Seconds // by relay and endpoint, when the change was written; 0: it was not
+	lastAnswerAt []relay.Seconds   // by relay, when a poll was last answered
+	queue        []*fleetPoll
+	busy         bool
+	waiting      map[*fleetPoll]bool
 }
 
-// fleetCall is a call to discovery.
-type fleetCall struct {
-	request
-	from   *fleetRelay
-	at     relay.Seconds
-	after  int64
-	closed bool // answered or failed
+// fleetPoll is a poll of a relay.
+type fleetPoll struct {
+	poll
+	from            *fleetRelay
+	startedAt       relay.Seconds
+	afterGeneration int64
+	closed          bool // answered or failed
 }
 
 func newFleetDiscovery(f *fleet) *fleetDiscovery {
-	d := &fleetDiscovery{fleet: f, leftAt: make([]relay.Seconds, fleetUnits), told: make([][]relay.Seconds, fleetRelays),
-		lastAt: make([]relay.Seconds, fleetRelays), standing: map[*fleetCall]bool{}}
-	for i := range fleetUnits {
-		d.units = append(d.units, relay.Endpoint{ID: relay.EndpointID(i + 1), Build: 1, Weight: 1, State: relay.Ready})
+	d := &fleetDiscovery{
+		fleet:        f,
+		leftAt:       make([]relay.Seconds, fleetEndpoints),
+		notifiedAt:   make([][]relay.Seconds, fleetRelays),
+		lastAnswerAt: make([]relay.Seconds, fleetRelays),
+		waiting:      map[*fleetPoll]bool{},
 	}
-	for i := range d.told {
-		d.told[i], d.lastAt[i] = make([]relay.Seconds, fleetUnits), -1
+	for i := range fleetEndpoints {
+		d.endpoints = append(d.endpoints, relay.Endpoint{ID: relay.EndpointID(i + 1), Build: 1, Weight: 1, State: relay.Ready})
+	}
+	for i := range d.notifiedAt {
+		d.notifiedAt[i], d.lastAnswerAt[i] = make([]relay.Seconds, fleetEndpoints), -1
 	}
 	return d
 }
 
-// take takes a call.
-func (d *fleetDiscovery) take(c *fleetCall) {
-	f := d.fleet
-	if !d.down && c.continues && f.now <= d.lastAt[c.from.no]+continuesFor {
-		d.standing[c] = true
-		if int64(d.version) > c.after {
-			d.answer(c)
+// receive receives a poll: one that continues a watch waits, any other one queues.
+func (d *fleetDiscovery) receive(poll *fleetPoll) {
+	fleet := d.fleet
+	if !d.down && poll.continues && fleet.now <= d.lastAnswerAt[poll.from.id]+continuesFor {
+		d.waiting[poll] = true
+		if int64(d.version) > poll.afterGeneration {
+			d.answer(poll)
 			return
 		}
-		f.at(f.now+c.wait.Seconds(), func() {
-			if !c.closed {
-				d.answer(c)
+		fleet.runAt(fleet.now+poll.wait.Seconds(), func() {
+			if !poll.closed {
+				d.answer(poll)
 			}
 		})
 		return
 	}
-	f.found.calls[int(f.now)]++
-	f.at(c.at+discoveryWait, func() { d.fail(c) })
+	fleet.findings.pollsBySecond[int(fleet.now)]++
+	fleet.runAt(poll.startedAt+discoveryWait, func() { d.fail(poll) })
 	if !d.down {
-		d.queue = append(d.queue, c)
-		d.work()
+		d.queue = append(d.queue, poll)
+		d.serveQueue()
 	}
 }
 
-// work takes the next turn of the queue.
-func (d *fleetDiscovery) work() {
-	if d.working || len(d.queue) == 0 {
+// serveQueue works on the first poll of the queue, then on the next.
+func (d *fleetDiscovery) serveQueue() {
+	if d.busy || len(d.queue) == 0 {
 		return
 	}
-	c := d.queue[0]
-	d.queue, d.working = d.queue[1:], true
-	d.fleet.at(d.fleet.now+1/discoveryPace, func() {
-		d.working = false
-		if !c.closed && !d.down {
-			d.answer(c)
+	poll := d.queue[0]
+	d.queue, d.busy = d.queue[1:], true
+	d.fleet.runAt(d.fleet.now+1/discoveryRate, func() {
+		d.busy = false
+		if !poll.closed && !d.down {
+			d.answer(poll)
 		}
-		d.work()
+		d.serveQueue()
 	})
 }
 
-// answer writes a call what changed since its list.
-func (d *fleetDiscovery) answer(c *fleetCall) {
-	f, r := d.fleet, c.from
-	c.closed = true
-	delete(d.standing, c)
+// answer answers a poll by what changed since the relay's list.
+func (d *fleetDiscovery) answer(poll *fleetPoll) {
+	fleet, r := d.fleet, poll.from
+	poll.closed = true
+	delete(d.waiting, poll)
 	if r.dead {
 		return
 	}
 	list := List{Generation: int64(d.version)}
-	for i, unit := range d.units {
-		if d.leftAt[i] == 0 || c.after >= int64(d.version) {
+	for i, endpoint := range d.endpoints {
+		if d.leftAt[i] == 0 || poll.afterGeneration >= int64(d.version) {
 			continue
 		}
-		list.Endpoints = append(list.Endpoints, ListedEndpoint{Endpoint: unit})
-		if d.told[r.no][i] == 0 {
-			d.told[r.no][i] = f.now
+		list.Endpoints = append(list.Endpoints, ListedEndpoint{Endpoint: endpoint})
+		if d.notifiedAt[r.id][i] == 0 {
+			d.notifiedAt[r.id][i] = fleet.now
 		}
 	}
-	d.lastAt[r.no] = f.now
-	r.at(f.now+0.001+0.029*f.Float64(), func() { r.answered(c, list) })
+	d.lastAnswerAt[r.id] = fleet.now
+	r.runAt(fleet.now+0.001+0.029*fleet.Float64(), func() { r.pollAnswered(poll, list) })
 }
 
-func (d *fleetDiscovery) fail(c *fleetCall) {
-	if c.closed {
+func (d *fleetDiscovery) fail(poll *fleetPoll) {
+	if poll.closed {
 		return
 	}
-	c.closed = true
-	delete(d.standing, c)
-	if r := c.from; !r.dead {
-		r.at(d.fleet.now, func() { r.failed(c, false) })
+	poll.closed = true
+	delete(d.waiting, poll)
+	if r := poll.from; !r.dead {
+		r.runAt(d.fleet.now, func() { r.pollFailed(poll, false) })
 	}
 }
 
-// fall ends all watches and loses the queue, whose calls fail in their time.
-func (d *fleetDiscovery) fall() {
+// goDown ends all watches and loses the queue, whose polls fail in their time.
+func (d *fleetDiscovery) goDown() {
 	d.down, d.queue = true, nil
 	for _, r := range d.fleet.relays { // in an order that the seed fixes
-		if r != nil && d.standing[r.call] {
-			d.fail(r.call)
+		if r != nil && d.waiting[r.poll] {
+			d.fail(r.poll)
 		}
 	}
 }
 
-// comeBack takes calls again; a third of the units leave at that moment.
+// comeBack takes polls again; a third of the endpoints leave at that moment.
 func (d *fleetDiscovery) comeBack() {
 	d.down = false
 	d.version++
-	for _, i := range d.fleet.Perm(fleetUnits)[:fleetUnits/3] {
-		d.units[i].State, d.leftAt[i] = relay.Draining, d.fleet.now
+	for _, i := range d.fleet.Perm(fleetEndpoints)[:fleetEndpoints/3] {
+		d.endpoints[i].State, d.leftAt[i] = relay.Draining, d.fleet.now
 	}
 }
 
-// toldBy is when a relay counts as told that a unit left.
-func (d *fleetDiscovery) toldBy(no, unit int) relay.Seconds {
-	by := d.leftAt[unit] + mostToldAfter
-	if written := d.told[no][unit]; written > 0 {
-		by = math.Min(by, written)
+// notifiedBy is when a relay counts as notified that an endpoint left.
+func (d *fleetDiscovery) notifiedBy(relayID, index int) relay.Seconds {
+	at := d.leftAt[index] + maxNotifyDelay
+	if written := d.notifiedAt[relayID][index]; written > 0 {
+		at = math.Min(at, written)
 	}
-	return by
+	return at
 }
