--- a/cmd/lichenroad/desk.go
+++ b/cmd/lichenroad/desk.go
@@ -87,7 +87,7 @@
 
 func (t *tool) deskVerb(state *string, use, short string, args int, take func(*releasecontroller.Request, []string) error) *cobra.Command {
 	c := &cobra.Command{Use: use, Short: short, Args: cobra.ExactArgs(args)}
-	r := releasecontroller.Request{Verb: c.Name()}
+	r := releasecontroller.Request{Verb: releasecontroller.Verb(c.Name())}
 	c.Flags().StringVar(&r.Who, "who", operator(), "who says so; kept in the journal")
 	c.Flags().StringVar(&r.Why, "why", "", "why; kept in the journal")
 	c.MarkFlagRequired("why")
--- a/cmd/lichenroad/tools_test.go
+++ b/cmd/lichenroad/tools_test.go
@@ -51,7 +51,7 @@
 		{"plan simulate ../../deploy/plan.xml --guard maybe", 2, "", "guard", 1},
 		{"plan simulate ../../deploy/plan.xml --days 99", 2, "", "days", 1},
 		{"plan simulate " + bad, 1, "", "bad.xml:", 5},
-		{"desk status --state " + dir, 1, "", "no desk runs", 1},
+		{"desk status --state " + dir, 1, "", "no release controller runs", 1},
 		{"lab ledger " + dir, 1, "", "no *.log", 1},
 		{"lab ledger", 2, "", "arg", 1},
 		{"desk status", 2, "", "state", 1},
--- a/internal/releasecontroller/control.go
+++ b/internal/releasecontroller/control.go
@@ -22,46 +22,74 @@
 )
 
 const (
-	controlName  = "control"       // file with the address and the word that operators must know
-	mostRequest  = 16 << 10        // bytes of a request
-	mostAnswer   = 16 << 20        // bytes of an answer: a long history
-	controlFor   = 5 * time.Second // that a request and its answer may take
-	mostControls = 16              // operators at once
-	mostHistory  = 10000           // events in an answer
+	controlName      = "control"       // file with the address and the token that operators need
+	maxRequestBytes  = 16 << 10        // of a request
+	maxReplyBytes    = 16 << 20        // of a reply: a long history
+	controlTimeout   = 5 * time.Second // that a request and its reply may take
+	maxControlConns  = 16              // operators at once
+	maxHistoryEvents = 10000           // in a reply
+	tokenBytes       = 16              // of chance in the control file's token
 )
 
-// Request is one operator's word. A request is a line of JSON and so is its answer.
+// Verb is what an operator asks for.
+type Verb string
+
+// The verbs of the control socket.
+const (
+	VerbStatus   Verb = "status"  // of all services
+	VerbHistory  Verb = "history" // the journal's events
+	VerbOffer    Verb = "offer"   // a new build to a service
+	VerbFreeze   Verb = "freeze"  // stops moves, of one service or of all
+	VerbUnfreeze Verb = "thaw"    // ends such a freeze
+	VerbHalt     Verb = "halt"    // stops a service's moves
+	VerbResume   Verb = "resume"  // ends a halt
+	VerbRollBack Verb = "back"    // sends a service's newest build back
+)
+
+// operations are the events that rollout.Core makes for the verbs that need nothing else.
+var operations = map[Verb]rollout.EventKind{
+	VerbFreeze:   rollout.EventFrozen,
+	VerbUnfreeze: rollout.EventUnfrozen,
+	VerbHalt:     rollout.EventHalted,
+	VerbResume:   rollout.EventResumed,
+	VerbRollBack: rollout.EventRollingBack,
+}
+
+// Request is one command of an operator. On the control socket it is a line of JSON, as is its reply.
 type Request struct {
-	Argument string      `json:"word"` // what the control file holds
-	Verb     string      `json:"verb"` // status, history, offer, freeze, thaw, halt, resume, back
-	Service  string      `json:"service,omitempty"`
-	Build    relay.Build `json:"build,omitempty"`
-	Name     string      `json:"name,omitempty"`
-	Until    plan.Unix   `json:"until,omitempty"`
-	Who      string      `json:"who,omitempty"`
-	Why      string      `json:"why,omitempty"`
-	Votes    bool        `json:"votes,omitempty"`
-	Last     int         `json:"last,omitempty"`
-}
-
-// Reply is the answer to it.
+	Token   string      `json:"word"` // of the control file; Call fills it in
+	Verb    Verb        `json:"verb"`
+	Service string      `json:"service,omitempty"` // empty in a freeze: all services
+	Build   relay.Build `json:"build,omitempty"`   // of an offer
+	Name    string      `json:"name,omitempty"`    // of a freeze
+	Until   plan.Unix   `json:"until,omitempty"`   // end of a freeze; 0: until it is ended by hand
+	Who     string      `json:"who,omitempty"`     // the operator, for the journal
+	Why     string      `json:"why,omitempty"`     // the reason, for the journal
+	Votes   bool        `json:"votes,omitempty"`   // history: votes too
+	Last    int         `json:"last,omitempty"`    // history: so many of the latest events
+}
+
+// Reply is the answer to a Request. Error is empty if the request was carried out.
 type Reply struct {
 	Error   string           `json:"error,omitempty"`
 	At      plan.Unix        `json:"at,omitempty"`
 	Status  []rollout.Status `json:"status,omitempty"`
-	Freezes []rollout.Event  `json:"freezes,omitempty"`
-	Events  []rollout.Event  `json:"events,omitempty"`
+	Freezes []rollout.Event  `json:"freezes,omitempty"` // those that operators set
+	Events  []rollout.Event  `json:"events,omitempty"`  // history
 }
 
-type control struct {
-	desk *Controller
-	ln   net.Listener
-	word string
-	slot chan struct{}
+// controlServer serves the control socket. One goroutine accepts, until close; one more for each connection ends at
+// controlTimeout at the latest.
+type controlServer struct {
+	controller *Controller
+	listener   net.Listener
+	token      string
+	slots      chan struct{} // one taken by each open connection
 }
 
-// openControl listens on loopback and writes down where, with a word that only who may read the file knows.
-func openControl(d *Controller, address string) (*control, error) {
+// openControl listens on loopback and writes the control file: the address, and a token that only someone who may read
+// the file knows.
+func openControl(controller *Controller, address string) (*controlServer, error) {
 	if address == "" {
 		address = "127.0.0.1:0"
 	}
@@ -69,159 +97,192 @@
 	if ip := net.ParseIP(host); err != nil || ip == nil || !ip.IsLoopback() {
 		return nil, fmt.Errorf("%s is no loopback address with a port", address)
 	}
-	ln, err := net.Listen("tcp", address)
+	listener, err := net.Listen("tcp", address)
 	if err != nil {
 		return nil, err
 	}
-	b := make([]byte, 16)
-	rand.Read(b)
-	c := &control{desk: d, ln: ln, word: hex.EncodeToString(b), slot: make(chan struct{}, mostControls)}
-	name := filepath.Join(d.dir, controlName)
-	if err = os.WriteFile(name+".next", []byte(ln.Addr().String()+" "+c.word+"\n"), 0o600); err == nil {
-		err = os.Rename(name+".next", name)
+	token := make([]byte, tokenBytes)
+	_, _ = rand.Read(token) // never fails: it ends the program instead
+	s := &controlServer{
+		controller: controller,
+		listener:   listener,
+		token:      hex.EncodeToString(token),
+		slots:      make(chan struct{}, maxControlConns),
 	}
-	if err != nil {
-		ln.Close()
+	if err := s.writeFile(); err != nil {
+		s.close()
 		return nil, err
 	}
-	go c.serve()
-	return c, nil
+	go s.serve()
+	return s, nil
+}
+
+// writeFile puts the control file in place, complete or not at all.
+func (s *controlServer) writeFile() error {
+	name := filepath.Join(s.controller.dir, controlName)
+	next := name + ".next"
+	content := s.listener.Addr().String() + " " + s.token + "\n"
+	if err := os.WriteFile(next, []byte(content), 0o600); err != nil {
+		return err
+	}
+	return os.Rename(next, name)
 }
 
-func (c *control) close() { c.ln.Close() }
+func (s *controlServer) close() {
+	_ = s.listener.Close() // a listener holds nothing that could be lost
+}
 
-func (c *control) serve() {
+func (s *controlServer) serve() {
 	for {
-		n, err := c.ln.Accept()
+		connection, err := s.listener.Accept()
 		if err != nil {
 			return
 		}
 		select {
-		case c.slot <- struct{}{}:
-			go func() {
-				defer func() { n.Close(); <-c.slot }()
-				n.SetDeadline(time.Now().Add(controlFor))
-				c.answer(n)
-			}()
+		case s.slots <- struct{}{}:
+			go s.serveConn(connection)
 		default:
-			n.Close()
+			_ = connection.Close() // too many operators: nothing was said on it
 		}
 	}
 }
 
-func (c *control) answer(n net.Conn) {
-	var r Request
-	line, err := bufio.NewReader(io.LimitReader(n, mostRequest)).ReadBytes('\n')
+func (s *controlServer) serveConn(connection net.Conn) {
+	defer func() {
+		_ = connection.Close() // the reply is written, or can't be
+		<-s.slots
+	}()
+	_ = connection.SetDeadline(time.Now().Add(controlTimeout)) // fails only where the reads and writes after it fail too
+	reply := s.reply(connection)
+	_ = json.NewEncoder(connection).Encode(reply) // an operator who has left misses the reply; the journal has the command
+}
+
+// reply reads a request and carries it out.
+func (s *controlServer) reply(from io.Reader) Reply {
+	var request Request
+	line, err := bufio.NewReader(io.LimitReader(from, maxRequestBytes)).ReadBytes('\n')
 	if err == nil {
-		err = json.Unmarshal(line, &r)
+		err = json.Unmarshal(line, &request)
 	}
-	var out Reply
 	switch {
 	case err != nil:
-		out.Error = "the request can't be read"
-	case subtle.ConstantTimeCompare([]byte(r.Argument), []byte(c.word)) != 1:
-		out.Error = "the word is wrong"
-	default:
-		out = c.desk.operate(r)
+		return Reply{Error: "the request can't be read"}
+	case subtle.ConstantTimeCompare([]byte(request.Token), []byte(s.token)) != 1:
+		return Reply{Error: "the word is wrong"}
 	}
-	json.NewEncoder(n).Encode(out)
+	return s.controller.handle(request)
 }
 
-// operate carries out a request and waits until it is on disk.
-func (d *Controller) operate(r Request) Reply {
-	if r.Verb == "history" { // read beside the loop; a record that is being written is not whole yet, and left out
-		events, err := History(d.dir, r.Votes, min(max(r.Last, 1), mostHistory))
+// handle carries out a request and waits until it is on disk. Any goroutine but the loop may call it.
+func (d *Controller) handle(request Request) Reply {
+	if request.Verb == VerbHistory { // read beside the loop; a record that is being written is incomplete, and left out
+		events, err := History(d.dir, request.Votes, min(max(request.Last, 1), maxHistoryEvents))
 		if err != nil {
 			return Reply{Error: oneLine(err)}
 		}
 		return Reply{Events: events}
 	}
-	got := make(chan Reply, 1)
+	replies := make(chan Reply, 1)
 	d.post(func(d *Controller) {
-		var out Reply
-		if err := d.word(r); err != nil {
-			out.Error = oneLine(err)
+		var reply Reply
+		if err := d.execute(request); err != nil {
+			reply.Error = oneLine(err)
 		}
-		d.answers = append(d.answers, func() {
+		d.pendingReplies = append(d.pendingReplies, func() {
 			now := d.now()
-			out.At, out.Status, out.Freezes = now, d.core.Status(now), d.core.Closures()
-			got <- out
+			reply.At, reply.Status, reply.Freezes = now, d.core.Status(now), d.core.Closures()
+			replies <- reply
 		})
 	})
 	select {
-	case out := <-got:
-		return out
+	case reply := <-replies:
+		return reply
 	case <-d.done:
 		return Reply{Error: "the desk ends"}
 	}
 }
 
-var verbs = map[string]rollout.EventKind{"freeze": rollout.EventFrozen, "thaw": rollout.EventUnfrozen, "halt": rollout.EventHalted,
-	"resume": rollout.EventResumed, "back": rollout.EventRollingBack}
-
-func (d *Controller) word(r Request) error {
-	switch kind := verbs[r.Verb]; {
-	case r.Verb == "status":
+// execute applies a request to the state machine. Loop only.
+func (d *Controller) execute(request Request) error {
+	if request.Verb == VerbStatus {
 		return nil
-	case r.Verb == "offer":
-		no, ok := d.core.Plan().Service(r.Service)
-		if !ok {
-			return fmt.Errorf("there is no service %q", r.Service)
-		}
-		if r.Who == "" || r.Why == "" {
-			return errors.New("who and why must be said")
-		}
-		e, err := d.core.Offer(no, r.Build, r.Who, r.Why, d.now())
-		if err != nil {
-			return err
-		}
-		d.do(e)
-	case kind != "":
-		e, err := d.core.Operate(kind, r.Service, r.Name, r.Who, r.Why, r.Until, d.now())
-		if err != nil {
-			return err
-		}
-		d.do(e)
-	default:
-		return fmt.Errorf("%q is no verb", r.Verb)
 	}
-	d.events = append(d.events, d.core.Advance(d.now())...)
+	event, err := d.eventOf(request)
+	if err != nil {
+		return err
+	}
+	d.apply(event)
+	d.advance()
 	return nil
 }
 
-// Ask sends a request to the desk that has a directory open.
-func Call(ctx context.Context, dir string, r Request) (Reply, error) {
-	raw, err := os.ReadFile(filepath.Join(dir, controlName))
-	if err != nil {
-		return Reply{}, fmt.Errorf("no desk runs with %s: %w", dir, err)
+// eventOf is the event that a request leads to.
+func (d *Controller) eventOf(request Request) (rollout.Event, error) {
+	if request.Verb == VerbOffer {
+		return d.offer(request)
 	}
-	words := strings.Fields(string(raw))
-	if len(words) != 2 {
-		return Reply{}, fmt.Errorf("%s: can't be read", filepath.Join(dir, controlName))
+	kind, known := operations[request.Verb]
+	if !known {
+		return rollout.Event{}, fmt.Errorf("%q is no verb", request.Verb)
 	}
-	r.Argument = words[1]
-	var dial net.Dialer
-	ctx, cancel := context.WithTimeout(ctx, controlFor)
+	return d.core.Operate(kind, request.Service, request.Name, request.Who, request.Why, request.Until, d.now())
+}
+
+func (d *Controller) offer(request Request) (rollout.Event, error) {
+	service, ok := d.core.Plan().Service(request.Service)
+	if !ok {
+		return rollout.Event{}, fmt.Errorf("there is no service %q", request.Service)
+	}
+	if request.Who == "" || request.Why == "" {
+		return rollout.Event{}, errors.New("who and why must be said")
+	}
+	return d.core.Offer(service, request.Build, request.Who, request.Why, d.now())
+}
+
+// Call sends a request to the release controller that runs with a directory, and returns its reply. The error is that of
+// the connection, or the reply's own.
+func Call(ctx context.Context, dir string, request Request) (Reply, error) {
+	address, token, err := readControlFile(dir)
+	if err != nil {
+		return Reply{}, err
+	}
+	request.Token = token
+	ctx, cancel := context.WithTimeout(ctx, controlTimeout)
 	defer cancel()
-	n, err := dial.DialContext(ctx, "tcp", words[0])
+	var dialer net.Dialer
+	connection, err := dialer.DialContext(ctx, "tcp", address)
 	if err != nil {
-		return Reply{}, fmt.Errorf("the desk does not answer: %w", err)
+		return Reply{}, fmt.Errorf("the release controller does not answer: %w", err)
 	}
-	defer n.Close()
-	if until, ok := ctx.Deadline(); ok {
-		n.SetDeadline(until)
+	defer func() { _ = connection.Close() }() // the reply has been read, or the error says why not
+	if deadline, ok := ctx.Deadline(); ok {
+		_ = connection.SetDeadline(deadline) // fails only where the write after it fails too
 	}
-	if err := json.NewEncoder(n).Encode(r); err != nil {
+	if err := json.NewEncoder(connection).Encode(request); err != nil {
 		return Reply{}, err
 	}
-	var out Reply
-	if err := json.NewDecoder(io.LimitReader(n, mostAnswer)).Decode(&out); err != nil {
-		return Reply{}, fmt.Errorf("the desk's answer: %w", err)
+	var reply Reply
+	if err := json.NewDecoder(io.LimitReader(connection, maxReplyBytes)).Decode(&reply); err != nil {
+		return Reply{}, fmt.Errorf("the release controller's answer: %w", err)
+	}
+	if reply.Error != "" {
+		return reply, errors.New(reply.Error)
+	}
+	return reply, nil
+}
+
+// readControlFile returns what a running release controller left for operators in its directory.
+func readControlFile(dir string) (address, token string, err error) {
+	name := filepath.Join(dir, controlName)
+	content, err := os.ReadFile(name)
+	if err != nil {
+		return "", "", fmt.Errorf("no release controller runs with %s: %w", dir, err)
 	}
-	if out.Error != "" {
-		return out, errors.New(out.Error)
+	fields := strings.Fields(string(content))
+	if len(fields) != 2 {
+		return "", "", fmt.Errorf("%s: can't be read", name)
 	}
-	return out, nil
+	return fields[0], fields[1], nil
 }
 
 func oneLine(err error) string { return strings.ReplaceAll(err.Error(), "\n", "; ") }
--- /dev/null
+++ b/internal/releasecontroller/control_test.go
@@ -0,0 +1,85 @@
+package releasecontroller
+
+import (
+	"context"
+	"encoding/json"
+	"errors"
+	"io/fs"
+	"os"
+	"path/filepath"
+	"strings"
+	"testing"
+
+	"lichenroad/rollout"
+)
+
+func TestOperatorCommands(t *testing.T) {
+	dir := t.TempDir()
+	r := start(t, dir, 1000, nil)
+	r.must(Request{Verb: "offer", Service: "a", Build: 7})
+	r.must(Request{Verb: "freeze", Name: "audit"})
+	a, b := dial(t, r.at.Relays["a"]["r0"]), dial(t, r.at.Relays["a"]["r1"])
+	a.call("VOTE 7 0 approve")
+	if s := b.call("VOTE 7 0 approve"); !strings.HasPrefix(s, "OK 7 0 ") {
+		t.Error("it went on in the freeze: ", s)
+	}
+	if out := r.must(Request{Verb: "status"}); out.Status[0].Code != rollout.BlockedByOperatorFreeze || len(out.Freezes) != 1 {
+		t.Errorf("%+v", out)
+	}
+	if out := r.must(Request{Verb: "thaw", Name: "audit"}); out.Status[0].Step != "two" {
+		t.Errorf("%+v", out.Status[0])
+	}
+	if out := r.must(Request{Verb: "back", Service: "a"}); out.Status[0].Phase != "going back" {
+		t.Errorf("%+v", out.Status[0])
+	}
+	for _, bad := range []Request{{Verb: "offer", Service: "z", Build: 1}, {Verb: "offer", Service: "a", Build: 7}, {Verb: "dance"},
+		{Verb: "halt", Service: "z"}, {Verb: "thaw", Name: "nights"}, {Verb: "halt", Service: "a", Who: "x"}} {
+		if out, err := r.call(bad); err == nil {
+			t.Errorf("%+v: %+v", bad, out)
+		}
+	}
+	events, err := History(dir, false, 100)
+	var kinds []string
+	for _, e := range events {
+		kinds = append(kinds, string(e.Kind))
+		if (e.Kind == rollout.EventFrozen || e.Kind == rollout.EventRollingBack) && (e.Who != "ops" || e.Why != "a test") {
+			t.Errorf("%+v", e)
+		}
+	}
+	if got := strings.Join(kinds, " "); err != nil || got != "started offered began froze thawed moved sent_back" {
+		t.Error(got, err)
+	}
+	if _, err := Call(context.Background(), t.TempDir(), Request{Verb: "status"}); err == nil {
+		t.Error("no release controller answered")
+	}
+	raw, _ := os.ReadFile(filepath.Join(dir, controlName))
+	os.WriteFile(filepath.Join(dir, controlName), []byte(strings.Fields(string(raw))[0]+" 00\n"), 0o600)
+	if _, err := r.call(Request{Verb: "status"}); err == nil || !strings.Contains(err.Error(), "word") {
+		t.Error(err)
+	}
+	if _, err := Open(dir, func(rollout.Event) error { return nil }); err == nil || !strings.Contains(err.Error(), "another release controller") {
+		t.Error("two release controllers have one directory: ", err)
+	}
+}
+
+// TestControlNeedsItsFile opens the operators' socket of a release controller whose directory can't be written: without the file
+// nobody could reach it, so it must be refused.
+func TestControlNeedsItsFile(t *testing.T) {
+	missing := filepath.Join(t.TempDir(), "missing")
+	if c, err := openControl(&Controller{dir: missing}, ""); !errors.Is(err, fs.ErrNotExist) {
+		t.Errorf("opened: %v, error: %v", c != nil, err)
+	}
+}
+
+// TestRequestFormat pins the words of the control socket, which other programs may send.
+func TestRequestFormat(t *testing.T) {
+	got, err := json.Marshal(Request{Token: "w", Verb: VerbFreeze, Service: "a", Build: 7, Name: "n", Until: 2, Who: "o", Why: "y",
+		Votes: true, Last: 3})
+	if err != nil {
+		t.Fatal(err)
+	}
+	want := `{"word":"w","verb":"freeze","service":"a","build":7,"name":"n","until":2,"who":"o","why":"y","votes":true,"last":3}`
+	if string(got) != want {
+		t.Errorf("got  %s\nwant %s", got, want)
+	}
+}
--- /dev/null
+++ b/internal/releasecontroller/history.go
@@ -0,0 +1,61 @@
+package releasecontroller
+
+import (
+	"fmt"
+	"os"
+	"path/filepath"
+
+	"lichenroad/rollout"
+)
+
+// History returns the events of the journals that are kept in a directory, the earliest first, at most limit of the
+// latest. Votes are left out unless they are asked for. It works beside a running release controller.
+func History(dir string, votes bool, limit int) ([]rollout.Event, error) {
+	paths, err := archives(dir)
+	if err != nil {
+		return nil, err
+	}
+	var history []rollout.Event
+	for i, path := range append(paths, filepath.Join(dir, journalName)) {
+		events, err := readEvents(path)
+		if err != nil {
+			return nil, err
+		}
+		if i > 0 {
+			events = withoutSnapshot(events) // the journal before it has what led to the snapshot
+		}
+		for _, e := range events {
+			if votes || e.Kind != rollout.EventVoted {
+				history = append(history, e)
+			}
+		}
+	}
+	return history[max(0, len(history)-limit):], nil
+}
+
+// readEvents returns the events of one journal.
+func readEvents(path string) ([]rollout.Event, error) {
+	content, err := os.ReadFile(path)
+	if err != nil {
+		return nil, err
+	}
+	var events []rollout.Event
+	collect := func(e rollout.Event) error {
+		events = append(events, e)
+		return nil
+	}
+	if _, err := Scan(content, collect); err != nil {
+		return nil, fmt.Errorf("%s: %w", path, err)
+	}
+	return events, nil
+}
+
+// withoutSnapshot returns the events behind the snapshot that a compacted journal begins with; its last event says so.
+func withoutSnapshot(events []rollout.Event) []rollout.Event {
+	for i, e := range events {
+		if e.Kind == rollout.EventControllerStarted && e.Why == "snapshot" {
+			return events[i+1:]
+		}
+	}
+	return events
+}
--- /dev/null
+++ b/internal/releasecontroller/journal_test.go
@@ -0,0 +1,197 @@
+package releasecontroller
+
+import (
+	"cmp"
+	"errors"
+	"fmt"
+	"os"
+	"path/filepath"
+	"reflect"
+	"strings"
+	"testing"
+
+	"lichenroad/relay"
+	"lichenroad/rollout"
+)
+
+// controllerEvents are the events of three releases and three freezes.
+func controllerEvents(t *testing.T) []rollout.Event {
+	c := rollout.New(testPlan(t))
+	var out []rollout.Event
+	take := func(e rollout.Event) {
+		if err := c.Apply(e); err != nil {
+			t.Fatal(err)
+		}
+		out = append(out, e)
+		out = append(out, c.Advance(e.At)...)
+	}
+	for b := relay.Build(1); b <= 3; b++ {
+		at := 1000 * float64(b)
+		e, err := c.Offer(0, b, "ops", "new", at)
+		if err != nil {
+			t.Fatal(err)
+		}
+		take(e)
+		for step := relay.Stage(0); step < 2; step++ {
+			for _, r := range []string{"r0", "r1"} {
+				if e, no := c.Vote(0, r, relay.Vote{Build: b, Stage: step, Verdict: relay.VotePromote}, at+1+float64(step)); no == "" {
+					take(e)
+				}
+			}
+		}
+		e, err = c.Operate(rollout.EventFrozen, "b", fmt.Sprint("f", b), "ops", "why", 0, at+5)
+		if err != nil {
+			t.Fatal(err)
+		}
+		take(e)
+	}
+	return out
+}
+
+func status(t *testing.T, events []rollout.Event) []rollout.Status {
+	c := rollout.New(testPlan(t))
+	for _, e := range events {
+		if err := c.Apply(e); err != nil {
+			t.Fatal(err)
+		}
+	}
+	return c.Status(5000)
+}
+
+// TestTornRecords cuts a journal at every byte: each start folds the whole records before the cut, and goes on.
+func TestTornRecords(t *testing.T) {
+	events := controllerEvents(t)
+	dir := t.TempDir()
+	j, err := Open(dir, func(rollout.Event) error { return nil })
+	if err != nil {
+		t.Fatal(err)
+	}
+	ends := []int64{j.size}
+	for _, e := range events {
+		if err := j.Append([]rollout.Event{e}); err != nil {
+			t.Fatal(err)
+		}
+		ends = append(ends, j.size)
+	}
+	j.Close()
+	raw, err := os.ReadFile(filepath.Join(dir, journalName))
+	if err != nil {
+		t.Fatal(err)
+	}
+	name := filepath.Join(dir, journalName)
+	for cut := 0; cut <= len(raw); cut++ {
+		if err := os.WriteFile(name, raw[:cut], 0o600); err != nil {
+			t.Fatal(err)
+		}
+		var got []rollout.Event
+		j, err := Open(dir, func(e rollout.Event) error { got = append(got, e); return nil })
+		if err != nil {
+			t.Fatalf("cut at %d: %v", cut, err)
+		}
+		whole := 0
+		for whole < len(events) && ends[whole+1] <= int64(cut) {
+			whole++
+		}
+		if len(got) != whole || whole > 0 && !reflect.DeepEqual(got, events[:whole]) {
+			t.Fatalf("cut at %d: %d events, wanted %d", cut, len(got), whole)
+		}
+		if whole < len(events) {
+			if err := j.Append(events[whole : whole+1]); err != nil {
+				t.Fatal(err)
+			}
+		}
+		j.Close()
+		again, err := History(dir, true, 1000)
+		if err != nil || len(again) != min(whole+1, len(events)) {
+			t.Fatalf("cut at %d, then one more: %d events, %v", cut, len(again), err)
+		}
+	}
+	// A byte that is wrong in the middle is damage, not a torn end: nothing is thrown away.
+	for _, at := range []int64{ends[1] + 2, ends[1] + recordHeader + 3} {
+		bad := append([]byte(nil), raw...)
+		bad[at] ^= 0x55
+		if err := os.WriteFile(name, bad, 0o600); err != nil {
+			t.Fatal(err)
+		}
+		if _, err := Open(dir, func(rollout.Event) error { return nil }); !errors.Is(err, ErrDamaged) || !strings.Contains(err.Error(), fmt.Sprint("byte ", ends[1])) {
+			t.Errorf("byte %d: %v", at, err)
+		}
+		if left, _ := os.ReadFile(name); len(left) != len(bad) {
+			t.Error("something was cut off")
+		}
+	}
+}
+
+// TestCrashWhileCompacting ends the writing at each place: the state is the same after the next start, and the history whole.
+func TestCrashWhileCompacting(t *testing.T) {
+	events := controllerEvents(t)
+	want := status(t, events)
+	for _, place := range []string{"within snapshot", "before archive", "before rename", "after rename", ""} {
+		t.Run(cmp.Or(place, "no crash"), func(t *testing.T) {
+			dir := t.TempDir()
+			j, err := Open(dir, func(rollout.Event) error { return nil })
+			if err != nil {
+				t.Fatal(err)
+			}
+			if err := j.Append(events); err != nil {
+				t.Fatal(err)
+			}
+			c := rollout.New(testPlan(t))
+			for _, e := range events {
+				c.Apply(e)
+			}
+			j.CrashPoint = func(at string) error {
+				if at == place {
+					return errKilled
+				}
+				return nil
+			}
+			if err := j.Compact(c.Snapshot()); (err == nil) != (place == "") {
+				t.Fatal(err)
+			}
+			j.Close()
+			for range 2 { // and once more
+				var got []rollout.Event
+				j, err := Open(dir, func(e rollout.Event) error { got = append(got, e); return nil })
+				if err != nil {
+					t.Fatal(err)
+				}
+				if s := status(t, got); !reflect.DeepEqual(s, want) {
+					t.Errorf("%+v", s)
+				}
+				j.Close()
+			}
+			all, err := History(dir, true, 1000)
+			if place != "before rename" && (err != nil || len(all) != len(events)) { // there it stands twice, until the next time
+				t.Errorf("a history of %d events, %d happened, %v", len(all), len(events), err)
+			}
+		})
+	}
+}
+
+// TestRecordFormat pins the bytes of a journal: those that earlier versions have written stay readable.
+func TestRecordFormat(t *testing.T) {
+	dir := t.TempDir()
+	journal, err := Open(dir, func(rollout.Event) error { return nil })
+	if err != nil {
+		t.Fatal(err)
+	}
+	err = journal.Append([]rollout.Event{
+		{At: 1000.5, Kind: rollout.EventOffered, Service: "a", Build: 7, Who: "ops", Why: "new"},
+		{At: 1001, Kind: rollout.EventFrozen, Name: "audit", Until: 2000},
+	})
+	if err != nil {
+		t.Fatal(err)
+	}
+	journal.Close()
+	got, err := os.ReadFile(filepath.Join(dir, "journal"))
+	if err != nil {
+		t.Fatal(err)
+	}
+	want := "lichenroad desk journal 1\n\x87\x00\x00\x00\x93\xe1\x1bx" +
+		`[{"at":1000.5,"kind":"offered","service":"a","build":7,"who":"ops","why":"new"},` +
+		`{"at":1001,"kind":"froze","name":"audit","until":2000}]`
+	if string(got) != want {
+		t.Errorf("got  %q\nwant %q", got, want)
+	}
+}
