--- /dev/null
+++ b/cmd/lichenroad/controllertext.go
@@ -0,0 +1,107 @@
+package main
+
+import (
+	"fmt"
+	"strconv"
+	"strings"
+	"text/tabwriter"
+	"time"
+
+	"lichenroad/internal/releasecontroller"
+	"lichenroad/plan"
+	"lichenroad/relay"
+	"lichenroad/rollout"
+)
+
+// newTable is a writer that aligns columns, which tabs separate; they are printed by its Flush.
+func (t *tool) newTable() *tabwriter.Writer {
+	const padding = 2
+	return tabwriter.NewWriter(t.out, 0, 0, padding, ' ', 0)
+}
+
+// printStatus prints a table of the services, and the operators' freezes below it.
+func (t *tool) printStatus(reply releasecontroller.Reply) error {
+	table := t.newTable()
+	printf(table, "SERVICE\tBUILD\tPHASE\tSTEP\tSINCE\tCAP\tON\tBACK\tNEXT\tWAITS FOR\n")
+	for _, s := range reply.Status {
+		printf(table, "%s\t%d\t%s\t%s\t%s\t%g%%\t%d/%d\t%d/%d\t%s\t%s\n", s.Service, s.Build, s.Phase, orDash(s.Step), sinceText(s), 100*s.Cap,
+			s.On, s.OnOf, s.Back, s.BackOf, nextBuildText(s), waitsForText(s))
+	}
+	if err := table.Flush(); err != nil {
+		return failed(err)
+	}
+	for _, f := range reply.Freezes {
+		until := "until it is thawed"
+		if f.Until > 0 {
+			until = "until " + plan.Time(f.Until).Format(time.RFC3339)
+		}
+		service := f.Service
+		if service == "" {
+			service = "all services"
+		}
+		printf(t.out, "freeze %s of %s %s, by %s: %s\n", f.Name, service, until, f.Who, f.Why)
+	}
+	return nil
+}
+
+func sinceText(s rollout.Status) string {
+	if s.Since <= 0 {
+		return "-"
+	}
+	return plan.Time(s.Since).Format("01-02 15:04:05Z")
+}
+
+func nextBuildText(s rollout.Status) string {
+	if s.Waiting == 0 {
+		return "-"
+	}
+	return strconv.Itoa(int(s.Waiting))
+}
+
+func waitsForText(s rollout.Status) string {
+	text := s.Why
+	if s.Code != "" {
+		text = string(s.Code) + ": " + s.Why
+	}
+	if s.Lost {
+		text += " (a need was lost)"
+	}
+	return text
+}
+
+func orDash(s string) string {
+	if s == "" {
+		return "-"
+	}
+	return s
+}
+
+// verdictTexts are the words of `controller history` for a vote.
+var verdictTexts = [...]string{relay.NoVote: "none", relay.VotePromote: "on", relay.VoteHold: "hold", relay.VoteRollBack: "back"}
+
+// eventText is an event on one line.
+func eventText(e rollout.Event) string {
+	words := []string{plan.Time(e.At).Format(time.RFC3339), string(e.Kind)}
+	if e.Service != "" {
+		words = append(words, e.Service)
+	}
+	if e.Build != 0 {
+		words = append(words, fmt.Sprintf("build %d", e.Build))
+	}
+	if e.Kind == rollout.EventPromoted || e.Kind == rollout.EventVoted {
+		words = append(words, fmt.Sprintf("step %d", e.Step))
+	}
+	if e.Kind == rollout.EventVoted {
+		words = append(words, fmt.Sprintf("%s: %s", e.Relay, verdictTexts[e.Verdict]))
+	}
+	if e.Name != "" {
+		words = append(words, e.Name)
+	}
+	if e.Who != "" {
+		words = append(words, "by "+e.Who)
+	}
+	if e.Why != "" {
+		words = append(words, "("+e.Why+")")
+	}
+	return strings.Join(words, " ")
+}
--- a/cmd/lichenroad/crossing_test.go
+++ b/cmd/lichenroad/crossing_test.go
@@ -106,20 +106,20 @@
 // crossing is one query, held at one point of its way, while something else happens.
 type crossing struct {
 	*testing.T
-	p      *program
-	f      *fleet
-	next   *fleet // discovery at another address
-	a, b   *gated
-	c      *client
-	query  []byte
-	unsent []byte // of the query
-	left   bool   // the client has gone
-	told   bool   // the unit was told as draining
+	p                *program
+	f                *fakeDiscovery
+	next             *fakeDiscovery // discovery at another address
+	a, b             *gated
+	c                *client
+	query            []byte
+	unsent           []byte // of the query
+	left             bool   // the client has gone
+	notifiedDraining bool   // the list has named the endpoint as draining
 }
 
 func (x *crossing) wait(what string, is func() bool) {
 	x.Helper()
-	for end := time.Now().Add(patience); !is(); time.Sleep(time.Millisecond) {
+	for end := time.Now().Add(testTimeout); !is(); time.Sleep(time.Millisecond) {
 		if time.Now().After(end) {
 			x.Fatal("not in time: " + what)
 		}
@@ -178,7 +178,7 @@
 	{"list news", func(x *crossing) {
 		x.f.set(0, "DRAINING")
 		x.wait("the news", func() bool { return x.p.loop.Metrics.Get(metrics.DiscoveryCalls) >= 3 }) // the next call follows it
-		x.told = true
+		x.notifiedDraining = true
 	}},
 	{"client close", func(x *crossing) { x.c.Close(); x.left = true }},
 	{"unit close", func(x *crossing) {
@@ -203,7 +203,7 @@
 
 // TestCrossings has each happening come at each point of a query's way, for a query that may run again and one that may
 // not, and holds the rules: one final answer in time, or none to a client that has gone; no statement twice where that
-// could do harm; nothing new to a unit told as draining, nor for a client that has gone; and the books add up.
+// could do harm; nothing new to an endpoint listed as draining, nor for a client that has gone; and the books add up.
 func TestCrossings(t *testing.T) {
 	for _, class := range []string{"look", "order", "pay"} {
 		for _, point := range points {
@@ -220,8 +220,8 @@
 func cross(t *testing.T, class string, hold, come func(*crossing)) {
 	turns := new(atomic.Int32)
 	x := &crossing{T: t, a: newGated(t, turns), b: newGated(t, turns)}
-	x.f = newFleet(t, &unit{ln: x.a.ln}, &unit{ln: x.b.ln})
-	x.next = newFleet(t, &unit{ln: x.a.ln}, &unit{ln: x.b.ln})
+	x.f = newFakeDiscovery(t, &fakeEndpoint{ln: x.a.ln}, &fakeEndpoint{ln: x.b.ln})
+	x.next = newFakeDiscovery(t, &fakeEndpoint{ln: x.a.ln}, &fakeEndpoint{ln: x.b.ln})
 	x.p = running(t, x.f, nil)
 	x.query = pgwire.QueryMessage(strings.Replace(read(class, int(crossingWaits.Milliseconds())), "t=acme", "t=acme,k=5c", 1))
 	x.c = dialClient(t, x.p)
@@ -267,8 +267,8 @@
 	if ran := x.ran(); class == "pay" && ran > 1 {
 		t.Errorf("ran %d times", ran)
 	}
-	if after := x.a.took(); x.told && after != ranAtA {
-		t.Errorf("%d statements to a unit told as draining", after-ranAtA)
+	if after := x.a.took(); x.notifiedDraining && after != ranAtA {
+		t.Errorf("%d statements to an endpoint listed as draining", after-ranAtA)
 	}
 	settled(t, x.p, metrics.AttemptsOpen, 0)
 	sums(t, x.p)
--- a/cmd/lichenroad/standin_test.go
+++ b/cmd/lichenroad/fakes_test.go
@@ -24,37 +24,37 @@
 )
 
 // patience is how long a test waits for what should come at once.
-const patience = 10 * time.Second
+const testTimeout = 10 * time.Second
 
-// deed is what a stand-in unit does with a query.
-type deed int
+// deed is what a fake endpoint does with a request.
+type behaviour int
 
 const (
-	honour   deed = iota
-	failing       // XX000
-	turnAway      // 53300
-	silent
-	reset    // the connection breaks after the query has come
-	garbage  // no message of the protocol
-	twoRows  // an answer of the wrong form
-	lastWord // honour, then close the connection
-	half     // an answer that stops in the middle
-	noise    // a message of no known type, whose body does not come
-	badTag   // an answer whose last message can't be read
-	badLoad  // honour, with a load report that can't be read
+	succeed    behaviour = iota
+	failing              // XX000
+	rejectFull           // 53300
+	noAnswer
+	reset            // the connection breaks after the query has come
+	garbage          // no message of the protocol
+	twoRows          // an answer of the wrong form
+	succeedThenClose // honour, then close the connection
+	half             // an answer that stops in the middle
+	noise            // a message of no known type, whose body does not come
+	badTag           // an answer whose last message can't be read
+	badLoad          // honour, with a load report that can't be read
 )
 
 // unit is a small stand-in for a server.
-type unit struct {
+type fakeEndpoint struct {
 	t    *testing.T
 	ln   net.Listener
-	does func(statement string) deed
+	does func(statement string) behaviour
 
-	mu     sync.Mutex
-	asked  []string
-	opened int         // connections that carried a statement: one that was too slow to come up is none
-	seen   chan string // each statement as it comes
-	ended  chan struct{}
+	mu         sync.Mutex
+	statements []string
+	opened     int         // connections that carried a statement: one that was too slow to come up is none
+	seen       chan string // each statement as it comes
+	ended      chan struct{}
 }
 
 func listening(t *testing.T) net.Listener {
@@ -67,9 +67,9 @@
 	return ln
 }
 
-func newUnit(t *testing.T, does func(string) deed) *unit {
+func newFakeEndpoint(t *testing.T, does func(string) behaviour) *fakeEndpoint {
 	ln := listening(t)
-	u := &unit{t: t, ln: ln, does: does, seen: make(chan string, 1000), ended: make(chan struct{}, 1000)}
+	u := &fakeEndpoint{t: t, ln: ln, does: does, seen: make(chan string, 1000), ended: make(chan struct{}, 1000)}
 	go func() {
 		for {
 			c, err := ln.Accept()
@@ -82,9 +82,9 @@
 	return u
 }
 
-func always(d deed) func(string) deed { return func(string) deed { return d } }
+func always(d behaviour) func(string) behaviour { return func(string) behaviour { return d } }
 
-func (u *unit) serve(c net.Conn) {
+func (u *fakeEndpoint) serve(c net.Conn) {
 	defer func() { c.Close(); u.ended <- struct{}{} }()
 	r := bufio.NewReader(c)
 	if _, _, err := fakes.ReadMessage(r, true); err != nil {
@@ -98,16 +98,16 @@
 		}
 		text := strings.TrimRight(string(body), "\x00")
 		u.mu.Lock()
-		u.asked = append(u.asked, text)
+		u.statements = append(u.statements, text)
 		if first {
 			u.opened++
 		}
 		u.mu.Unlock()
 		u.seen <- text
 		switch u.does(text) {
-		case honour:
+		case succeed:
 			c.Write(pgwire.Ready(fakes.Row("value of " + text[:6])))
-		case lastWord:
+		case succeedThenClose:
 			c.Write(pgwire.Ready(fakes.Row("value of " + text[:6])))
 			return
 		case half:
@@ -120,7 +120,7 @@
 			c.Write(append([]byte("S\x00\x00\x00\x0evitals=\xff\xff\xff"), pgwire.Ready(fakes.Row("a"))...))
 		case failing:
 			c.Write(pgwire.Ready(pgwire.ErrorResponse(pgwire.Error, "XX000", "broken", "")))
-		case turnAway:
+		case rejectFull:
 			c.Write(pgwire.Ready(pgwire.ErrorResponse(pgwire.Error, pgwire.CodeFull, "full", "")))
 		case reset:
 			return
@@ -133,16 +133,16 @@
 	}
 }
 
-func (u *unit) count() (asked, opened int) {
+func (u *fakeEndpoint) count() (statements, opened int) {
 	u.mu.Lock()
 	defer u.mu.Unlock()
-	return len(u.asked), u.opened
+	return len(u.statements), u.opened
 }
 
-func (u *unit) address() string { return u.ln.Addr().String() }
+func (u *fakeEndpoint) address() string { return u.ln.Addr().String() }
 
 // fleet is a stand-in for discovery: it answers calls with the entries it holds.
-type fleet struct {
+type fakeDiscovery struct {
 	mu      sync.Mutex
 	version int
 	entries []map[string]any
@@ -151,8 +151,8 @@
 	srv     *httptest.Server
 }
 
-func newFleet(t *testing.T, units ...*unit) *fleet {
-	f := &fleet{version: 1, changed: make(chan struct{})}
+func newFakeDiscovery(t *testing.T, units ...*fakeEndpoint) *fakeDiscovery {
+	f := &fakeDiscovery{version: 1, changed: make(chan struct{})}
 	for i, u := range units {
 		f.entries = append(f.entries, map[string]any{"instanceId": fmt.Sprint("s-", i), "hostPort": u.address(),
 			"zone": "a", "machineType": "m1", "lifecycle": "SERVING", "build": 1})
@@ -162,13 +162,13 @@
 	return f
 }
 
-func (f *fleet) isDown() bool {
+func (f *fakeDiscovery) isDown() bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return f.down
 }
 
-func (f *fleet) list() string {
+func (f *fakeDiscovery) list() string {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	raw, _ := json.Marshal(map[string]any{"generation": f.version, "reset": true, "instances": f.entries})
@@ -176,7 +176,7 @@
 }
 
 // set changes an entry and ends the watches that wait for that.
-func (f *fleet) set(i int, lifecycle string) {
+func (f *fakeDiscovery) set(i int, lifecycle string) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.entries[i]["lifecycle"] = lifecycle
@@ -185,7 +185,7 @@
 	f.changed = make(chan struct{})
 }
 
-func (f *fleet) ServeHTTP(w http.ResponseWriter, r *http.Request) {
+func (f *fakeDiscovery) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	f.mu.Lock()
 	changed, down := f.changed, f.down
 	same := r.FormValue("after") == fmt.Sprint(f.version)
@@ -216,7 +216,7 @@
   "decided_by":"first_voice","to_advance":1,"to_abort":1,"ballot_ttl":10000000000,"votes_per_s":100}}`
 
 // running starts a whole relay on loopback.
-func running(t *testing.T, f *fleet, change func(*config.Config)) *program {
+func running(t *testing.T, f *fakeDiscovery, change func(*config.Config)) *program {
 	t.Helper()
 	raw := fmt.Sprintf(`{"name":"n0","listen":"127.0.0.1:0","discovery":%q,"known":%s,"settings":%s}`,
 		f.srv.Listener.Addr().String(), f.list(), testSettings)
@@ -229,13 +229,13 @@
 	}
 	log := logrus.New()
 	log.SetOutput(io.Discard)
-	p, err := start(c, guarded{}, log, &metrics.Counters{})
+	p, err := start(c, releasePlan{}, log, &metrics.Counters{})
 	if err != nil {
 		t.Fatal(err)
 	}
 	done := make(chan struct{})
 	go func() { p.loop.Run(p.stop); close(done) }()
-	t.Cleanup(func() { p.end(); <-done; p.front.Close() })
+	t.Cleanup(func() { p.end(); <-done; p.clients.Close() })
 	if !f.isDown() {
 		ready(t, p)
 	}
@@ -249,7 +249,7 @@
 	p.loop.Post(pipeline.Func(func(l *pipeline.Loop) { l.OnServiceOpen(func() { close(listed) }) }))
 	select {
 	case <-listed:
-	case <-time.After(patience):
+	case <-time.After(testTimeout):
 		t.Fatal("not ready")
 	}
 }
@@ -263,11 +263,11 @@
 
 func dialClient(t *testing.T, p *program, first ...byte) *client {
 	t.Helper()
-	n, err := net.Dial("tcp", p.front.Addr().String())
+	n, err := net.Dial("tcp", p.clients.Addr().String())
 	if err != nil {
 		t.Fatal(err)
 	}
-	n.SetDeadline(time.Now().Add(patience))
+	n.SetDeadline(time.Now().Add(testTimeout))
 	t.Cleanup(func() { n.Close() })
 	c := &client{t, n, bufio.NewReader(n)}
 	n.Write(append(pgwire.Startup("worker", "catalog"), first...))
@@ -327,7 +327,7 @@
 // settled waits until a counter has a value.
 func settled(t *testing.T, p *program, id metrics.ID, want int64) {
 	t.Helper()
-	for until := time.Now().Add(patience); p.loop.Metrics.Get(id) != want; {
+	for until := time.Now().Add(testTimeout); p.loop.Metrics.Get(id) != want; {
 		if time.Now().After(until) {
 			t.Fatalf("%s: want %d of counter %d", p.loop.Metrics.Fields(), want, id)
 		}
@@ -351,7 +351,7 @@
 	if legs != s.Get(metrics.AttemptsSent) {
 		t.Errorf("%d legs sent, %d ended", s.Get(metrics.AttemptsSent), legs)
 	}
-	for until := time.Now().Add(patience); p.loop.Pool.Out() != 0; {
+	for until := time.Now().Add(testTimeout); p.loop.Pool.Out() != 0; {
 		if time.Now().After(until) {
 			t.Fatalf("%d bytes of buffers are out", p.loop.Pool.Out()/buffer.Size)
 		}
@@ -360,16 +360,16 @@
 }
 
 // counter is a stand-in for the platform: it answers each line by a function, and hands over its connections.
-type counter struct {
+type fakePlatform struct {
 	ln    net.Listener
 	lines chan string
 	conns chan net.Conn
 	mu    sync.Mutex // held while a line is answered
 }
 
-func newDesk(t *testing.T, answer func(line string) string) *counter {
+func newFakePlatform(t *testing.T, answer func(line string) string) *fakePlatform {
 	ln := listening(t)
-	d := &counter{ln: ln, lines: make(chan string, 100), conns: make(chan net.Conn, 100)}
+	d := &fakePlatform{ln: ln, lines: make(chan string, 100), conns: make(chan net.Conn, 100)}
 	go func() {
 		for {
 			c, err := ln.Accept()
@@ -392,7 +392,7 @@
 	return d
 }
 
-func (d *counter) line(t *testing.T, begins string) string {
+func (d *fakePlatform) line(t *testing.T, begins string) string {
 	t.Helper()
 	for {
 		select {
@@ -400,12 +400,12 @@
 			if strings.HasPrefix(s, begins) {
 				return s
 			}
-		case <-time.After(patience):
+		case <-time.After(testTimeout):
 			t.Fatalf("no %s", begins)
 		}
 	}
 }
 
-func withDesk(d *counter) func(*config.Config) {
+func withPlatform(d *fakePlatform) func(*config.Config) {
 	return func(c *config.Config) { c.Platform = d.ln.Addr().String() }
 }
--- a/cmd/lichenroad/fit.go
+++ b/cmd/lichenroad/fit.go
@@ -13,39 +13,40 @@
 	"lichenroad/lab/slope"
 )
 
+// fitFlags are the flags of `lab fit`.
+type fitFlags struct {
+	size   string // the size in the benchmarks' names
+	unit   string // of the figure
+	form   string
+	from   float64 // sizes that are fitted: from, to
+	to     float64
+	at     float64 // 0: none
+	budget float64 // 0: none
+}
+
 func (t *tool) labFit() *cobra.Command {
 	c := &cobra.Command{Use: "fit FILE", Args: cobra.ExactArgs(1),
 		Short: "Fit what go test -bench measured at several sizes (FILE, or - for standard input), and tell the figure at another"}
-	size := c.Flags().String("size", "units", "the size in the benchmarks' names, as in units=1024")
-	unit := c.Flags().String("unit", "ns/op", "of the figure")
-	form := c.Flags().String("form", string(slope.Line), "line: a + b n; power: a n^b")
-	from := c.Flags().Float64("from", 0, "smaller sizes are left out")
-	to := c.Flags().Float64("to", math.Inf(1), "larger sizes are left out")
-	at := c.Flags().Float64("at", 0, "size for which to tell the figure; 0: none")
-	budget := c.Flags().Float64("budget", 0, "figure for which to tell the size that reaches it; 0: none")
+	var flags fitFlags
+	f := c.Flags()
+	f.StringVar(&flags.size, "size", "units", "the size in the benchmarks' names, as in units=1024")
+	f.StringVar(&flags.unit, "unit", "ns/op", "of the figure")
+	f.StringVar(&flags.form, "form", string(slope.Line), "line: a + b n; power: a n^b")
+	f.Float64Var(&flags.from, "from", 0, "smaller sizes are left out")
+	f.Float64Var(&flags.to, "to", math.Inf(1), "larger sizes are left out")
+	f.Float64Var(&flags.at, "at", 0, "size for which to tell the figure; 0: none")
+	f.Float64Var(&flags.budget, "budget", 0, "figure for which to tell the size that reaches it; 0: none")
 	c.RunE = func(_ *cobra.Command, args []string) error {
-		if f := slope.Form(*form); f != slope.Line && f != slope.Power {
-			return fmt.Errorf("--form: %q is neither %s nor %s", *form, slope.Line, slope.Power)
-		}
-		in := io.Reader(os.Stdin)
-		if args[0] != "-" {
-			f, err := os.Open(args[0])
-			if err != nil {
-				return failed(err)
-			}
-			defer f.Close()
-			in = f
+		if form := slope.Form(flags.form); form != slope.Line && form != slope.Power {
+			return fmt.Errorf("--form: %q is neither %s nor %s", flags.form, slope.Line, slope.Power)
 		}
-		all, err := slope.Read(in, *size, *unit)
+		series, err := flags.read(args[0])
 		if err != nil {
 			return failed(err)
 		}
-		if len(all) == 0 {
-			return failed(fmt.Errorf("%s: no benchmark with a size %s= and a figure in %s", args[0], *size, *unit))
-		}
-		for _, s := range all {
-			s.Samples = s.Within(*from, *to)
-			if err := t.fitted(s, slope.Form(*form), *size, *unit, *at, *budget); err != nil {
+		for _, s := range series {
+			s.Samples = s.Within(flags.from, flags.to)
+			if err := t.printFit(s, &flags); err != nil {
 				return failed(fmt.Errorf("%s: %w", s.Name, err))
 			}
 		}
@@ -54,25 +55,46 @@
 	return c
 }
 
-// fitted prints one series' fit on one line.
-func (t *tool) fitted(s slope.Series, form slope.Form, size, unit string, at, budget float64) error {
+// read reads the benchmarks of a file, or of the standard input for -.
+func (flags *fitFlags) read(name string) ([]slope.Series, error) {
+	in := io.Reader(os.Stdin)
+	if name != "-" {
+		file, err := os.Open(name)
+		if err != nil {
+			return nil, err
+		}
+		defer func() { _ = file.Close() }() // only read
+		in = file
+	}
+	series, err := slope.Read(in, flags.size, flags.unit)
+	if err != nil {
+		return nil, err
+	}
+	if len(series) == 0 {
+		return nil, fmt.Errorf("%s: no benchmark with a size %s= and a figure in %s", name, flags.size, flags.unit)
+	}
+	return series, nil
+}
+
+// printFit prints one series' fit on one line.
+func (t *tool) printFit(s slope.Series, flags *fitFlags) error {
 	const percent = 100
-	f, err := slope.New(form, s.Samples)
+	fit, err := slope.New(slope.Form(flags.form), s.Samples)
 	if err != nil {
 		return err
 	}
-	fmt.Fprintf(t.out, "%s: %s = %s; %d sizes from %g to %g, residual %.1f%%", s.Name, unit, f.Formula(size), f.Sizes, f.Least, f.Most,
-		percent*f.Residual)
-	if at > 0 {
-		fmt.Fprintf(t.out, "; at %g: %.4g, %.2f times the largest size", at, f.At(at), f.Extrapolated(at))
+	printf(t.out, "%s: %s = %s; %d sizes from %g to %g, residual %.1f%%", s.Name, flags.unit, fit.Formula(flags.size), fit.Sizes,
+		fit.Least, fit.Most, percent*fit.Residual)
+	if flags.at > 0 {
+		printf(t.out, "; at %g: %.4g, %.2f times the largest size", flags.at, fit.At(flags.at), fit.Extrapolated(flags.at))
 	}
-	if budget > 0 {
-		reached := f.Reaches(budget)
-		fmt.Fprintf(t.out, "; %g at %s=%.4g", budget, size, reached)
-		if at > 0 && !math.IsInf(reached, 1) {
-			fmt.Fprintf(t.out, " (%.4f of %g)", reached/at, at)
+	if flags.budget > 0 {
+		reached := fit.Reaches(flags.budget)
+		printf(t.out, "; %g at %s=%.4g", flags.budget, flags.size, reached)
+		if flags.at > 0 && !math.IsInf(reached, 1) {
+			printf(t.out, " (%.4f of %g)", reached/flags.at, flags.at)
 		}
 	}
-	fmt.Fprintln(t.out)
+	printf(t.out, "\n")
 	return nil
 }
--- a/cmd/lichenroad/lab.go
+++ b/cmd/lichenroad/lab.go
@@ -21,11 +21,13 @@
 )
 
 func (t *tool) labCommand() *cobra.Command {
-	c := &cobra.Command{Use: "lab", Short: "Stand-ins on loopback, and a demonstration with them", RunE: needsVerb}
+	c := &cobra.Command{Use: "lab", Short: "Emulators on loopback, a demonstration with them, and measurements", RunE: needsVerb}
 	c.AddCommand(t.labDemo(), t.labPlanner(), t.labSweep(), t.labCompare(), t.labShape(), t.labLedger(), t.labFit(), t.labScale())
 	return c
 }
 
+const demoLimit = 55 * time.Second // after which a demonstration is given up
+
 func (t *tool) labDemo() *cobra.Command {
 	c := &cobra.Command{Use: "demo", Short: "Take a good and a bad build through a plan, with real processes on loopback", Args: cobra.NoArgs}
 	dir := c.Flags().String("dir", "found/demo", "for configurations, logs, journal and report")
@@ -39,98 +41,115 @@
 		}
 		ctx, cancel := untilSignal()
 		defer cancel()
-		r, err := demo.Run(ctx, demo.Options{Self: self, Dir: *dir, Out: t.out, Limit: 55 * time.Second})
+		r, err := demo.Run(ctx, demo.Options{Self: self, Dir: *dir, Out: t.out, Limit: demoLimit})
 		if err != nil {
 			return failed(err)
 		}
-		fmt.Fprintf(t.out, "%d queries: %d honoured, %d denied, %d failed; %d legs at builds on trial, at most %.2f of any allowance\n",
+		printf(t.out, "%d queries: %d honoured, %d denied, %d failed; %d legs at builds on trial, at most %.2f of any allowance\n",
 			r.Queries, r.Honoured, r.Denied, r.Failed, r.TrialLegs, r.MostOfCap)
-		fmt.Fprintln(t.out, "report:", r.Report)
+		printf(t.out, "report: %s\n", r.Report)
 		if len(r.Broken) > 0 {
-			return fault{exitBroke, errors.New(strings.Join(r.Broken, "; "))}
+			return ruleBroken("%s", strings.Join(r.Broken, "; "))
 		}
 		return nil
 	}
 	return c
 }
 
+// isLoopback reports whether an address is an IP address of loopback with a port.
+func isLoopback(address string) bool {
+	host, _, err := net.SplitHostPort(address)
+	ip := net.ParseIP(host)
+	return err == nil && ip != nil && ip.IsLoopback()
+}
+
 func (t *tool) labLedger() *cobra.Command {
 	c := &cobra.Command{Use: "ledger DIR", Short: "Add up what the relays of a fleet logged, a file *.log each: kinds of lines, relays, busiest second",
 		Args: cobra.ExactArgs(1)}
-	l := logsummary.New()
-	c.Flags().Float64Var(&l.From, "from", 0, "s; earlier lines are left out")
-	c.Flags().Float64Var(&l.To, "to", 0, "s; lines from then on are left out; 0: none")
+	summary := logsummary.New()
+	c.Flags().Float64Var(&summary.From, "from", 0, "s; earlier lines are left out")
+	c.Flags().Float64Var(&summary.To, "to", 0, "s; lines from then on are left out; 0: none")
 	c.RunE = func(_ *cobra.Command, args []string) error {
-		files, err := filepath.Glob(filepath.Join(args[0], "*.log"))
-		if err != nil || len(files) == 0 {
+		names, err := filepath.Glob(filepath.Join(args[0], "*.log"))
+		if err != nil || len(names) == 0 {
 			return failed(fmt.Errorf("%s: no *.log", args[0]))
 		}
-		for _, name := range files {
-			f, err := os.Open(name)
-			if err != nil {
-				return failed(err)
-			}
-			err = l.Read(filepath.Base(name), f)
-			f.Close()
-			if err != nil {
+		for _, name := range names {
+			if err := summarize(summary, name); err != nil {
 				return failed(err)
 			}
 		}
-		fmt.Fprintf(t.out, "%d relays, %d lines that are none of a relay's\n%8s %7s %9s %9s %9s %6s  %s\n", l.Relays(), l.Unread,
+		printf(t.out, "%d relays, %d lines that are none of a relay's\n%8s %7s %9s %9s %9s %6s  %s\n", summary.Relays(), summary.Unread,
 			"lines", "relays", "first s", "last s", "busiest", "in it", "kind")
-		for _, r := range l.Rows() {
-			fmt.Fprintf(t.out, "%8d %7d %9.3f %9.3f %9.0f %6d  %s\n", r.Lines, r.Relays, r.First, r.Last, r.Busiest, r.Most, r.Kind)
+		for _, r := range summary.Rows() {
+			printf(t.out, "%8d %7d %9.3f %9.3f %9.0f %6d  %s\n", r.Lines, r.Relays, r.First, r.Last, r.Busiest, r.Most, r.Kind)
 		}
 		return nil
 	}
 	return c
 }
 
+// summarize adds one file to the summary.
+func summarize(summary *logsummary.Ledger, name string) error {
+	file, err := os.Open(name)
+	if err != nil {
+		return err
+	}
+	defer func() { _ = file.Close() }() // only read
+	return summary.Read(filepath.Base(name), file)
+}
+
+const maxShapeArrivals = 1e8 // of a made-up trace
+
 func (t *tool) labShape() *cobra.Command {
 	var names []string
-	for _, s := range lab.Shapes {
-		names = append(names, s.Name+" ("+s.Layout+")")
+	for _, shape := range lab.Shapes {
+		names = append(names, shape.Name+" ("+shape.Layout+")")
 	}
 	c := &cobra.Command{Use: "shape NAME FILE", Short: "Write a made-up trace of a kind of load: " + strings.Join(names, ", "), Args: cobra.ExactArgs(2)}
 	span := c.Flags().Float64("span", 300, "s")
 	rate := c.Flags().Float64("rate", 100, "mean arrivals a second")
 	seed := c.Flags().Int64("seed", 1, "of all chance")
 	c.RunE = func(_ *cobra.Command, args []string) error {
-		if !(*span > 0 && *rate > 0 && *span**rate <= 1e8) {
-			return fmt.Errorf("--span and --rate: above 0, and 100 million arrivals at most")
+		inRange := *span > 0 && *rate > 0 && *span**rate <= maxShapeArrivals
+		if !inRange {
+			return errors.New("--span and --rate: above 0, and 100 million arrivals at most")
 		}
-		var b bytes.Buffer
-		if err := lab.WriteShape(&b, args[0], *span, *rate, *seed); err != nil {
+		var content bytes.Buffer
+		if err := lab.WriteShape(&content, args[0], *span, *rate, *seed); err != nil {
 			return err
 		}
-		return failed(lab.WriteFile(args[1], b.Bytes()))
+		return failed(lab.WriteFile(args[1], content.Bytes()))
 	}
 	return c
 }
 
 func (t *tool) labPlanner() *cobra.Command {
-	c := &cobra.Command{Use: "planner", Short: "Run a stand-in planner; it prints each query that it takes in", Args: cobra.NoArgs}
-	var p fakes.Planner
+	c := &cobra.Command{Use: "planner", Short: "Run an emulated planner; it prints each request that it receives", Args: cobra.NoArgs}
+	var planner fakes.Planner
 	listen := c.Flags().String("listen", "127.0.0.1:0", "address on loopback")
-	c.Flags().StringVar(&p.Name, "name", "planner", "it answers queries with this")
-	c.Flags().IntVar(&p.Cores, "cores", 4, "queries at a time")
-	c.Flags().DurationVar(&p.Took, "took", 5*time.Millisecond, "time for a query")
-	c.Flags().Float64Var(&p.Fails, "fails", 0, "part of the queries that fail, from 0 to 1")
-	c.Flags().DurationVar(&p.After, "after", 0, "time from the start from which they do")
-	c.Flags().Int64Var(&p.Seed, "seed", 1, "of all chance")
+	c.Flags().StringVar(&planner.Name, "name", "planner", "its name, which its responses carry")
+	c.Flags().IntVar(&planner.Cores, "cores", 4, "requests at a time")
+	c.Flags().DurationVar(&planner.Took, "took", 5*time.Millisecond, "time for a request")
+	c.Flags().Float64Var(&planner.Fails, "fails", 0, "part of the requests that fail, from 0 to 1")
+	c.Flags().DurationVar(&planner.After, "after", 0, "time from the start from which they fail")
+	c.Flags().Int64Var(&planner.Seed, "seed", 1, "of all chance")
 	c.RunE = func(*cobra.Command, []string) error {
-		if host, _, err := net.SplitHostPort(*listen); err != nil || net.ParseIP(host) == nil || !net.ParseIP(host).IsLoopback() {
+		if !isLoopback(*listen) {
 			return fmt.Errorf("--listen: %q is no loopback address with a port", *listen)
 		}
-		ln, err := net.Listen("tcp", *listen)
+		listener, err := net.Listen("tcp", *listen)
 		if err != nil {
 			return failed(err)
 		}
 		ctx, cancel := untilSignal()
 		defer cancel()
-		go func() { <-ctx.Done(); ln.Close() }()
-		p.Seen = t.out
-		if err := p.Serve(ln); ctx.Err() == nil {
+		go func() { // ends with the command
+			<-ctx.Done()
+			_ = listener.Close() // ends Serve
+		}()
+		planner.Seen = t.out
+		if err := planner.Serve(listener); ctx.Err() == nil {
 			return failed(err)
 		}
 		return nil
--- a/cmd/lichenroad/main_test.go
+++ b/cmd/lichenroad/main_test.go
@@ -58,7 +58,7 @@
 func TestLogHoldsNobodyUp(t *testing.T) {
 	counters := &metrics.Counters{}
 	to := &stuck{free: make(chan struct{})}
-	l := newLines(to, counters)
+	l := newAsyncWriter(to, counters)
 	for range limits.LogAhead + 10 {
 		l.Write([]byte("line\n"))
 	}
--- /dev/null
+++ b/cmd/lichenroad/peers_test.go
@@ -0,0 +1,53 @@
+package main
+
+import (
+	"net"
+	"testing"
+	"time"
+
+	"lichenroad/internal/config"
+	"lichenroad/internal/metrics"
+	"lichenroad/relay"
+)
+
+func TestPeerMessages(t *testing.T) {
+	open := func() *net.UDPConn {
+		c, err := net.ListenUDP("udp", &net.UDPAddr{IP: net.IPv4(127, 0, 0, 1)})
+		if err != nil {
+			t.Fatal(err)
+		}
+		c.SetDeadline(time.Now().Add(testTimeout))
+		t.Cleanup(func() { c.Close() })
+		return c
+	}
+	own, peer, all, stranger := open(), open(), open(), open()
+	listen := own.LocalAddr().String()
+	own.Close()
+	p := running(t, newFakeDiscovery(t, newFakeEndpoint(t, always(succeed))), func(c *config.Config) {
+		c.PeerListen, c.PeersAll = listen, all.LocalAddr().String()
+		c.Peers = []string{listen, peer.LocalAddr().String()}
+		c.Site.Relays = 2
+	})
+	var buf [512]byte
+	if n, _, err := all.ReadFromUDP(buf[:]); err != nil || n > 256 { // the module's own decision
+		t.Error(n, err)
+	}
+	p.loop.Peers.SendMessage(relay.SendMessage{To: 1, Body: []byte("hello")})
+	if n, _, err := peer.ReadFromUDP(buf[:]); err != nil || string(buf[:n]) != "hello" {
+		t.Errorf("%q %v", buf[:n], err)
+	}
+	to := net.UDPAddrFromAddrPort(own.LocalAddr().(*net.UDPAddr).AddrPort())
+	for _, c := range []struct {
+		from *net.UDPConn
+		n    int
+		id   metrics.ID
+	}{{peer, 5, metrics.PeerMessagesIn}, {stranger, 5, metrics.PeerMessagesDropped}, {peer, 257, metrics.PeerMessagesDropped}} {
+		before := p.loop.Metrics.Get(c.id)
+		c.from.WriteToUDP(make([]byte, c.n), to)
+		settled(t, p, c.id, before+1)
+	}
+	before := p.loop.Metrics.Get(metrics.PeerMessagesDropped)
+	p.loop.Peers.SendMessage(relay.SendMessage{To: relay.Broadcast, Body: make([]byte, 257)})
+	p.loop.Peers.SendMessage(relay.SendMessage{To: 7, Body: []byte("x")})
+	settled(t, p, metrics.PeerMessagesDropped, before+2)
+}
--- a/cmd/lichenroad/plan.go
+++ b/cmd/lichenroad/plan.go
@@ -1,10 +1,8 @@
 package main
 
 import (
-	"errors"
 	"fmt"
 	"strings"
-	"text/tabwriter"
 	"time"
 
 	"github.com/spf13/cobra"
@@ -14,23 +12,32 @@
 
 func (t *tool) planCommand() *cobra.Command {
 	c := &cobra.Command{Use: "plan", Short: "Check, show and try out plans of releases", RunE: needsVerb}
-	check := &cobra.Command{Use: "check FILE", Short: "Read a plan and name all of its faults", Args: cobra.ExactArgs(1),
-		RunE: func(_ *cobra.Command, args []string) error {
-			p, err := plan.Load(args[0])
-			if err != nil {
-				return failed(err)
-			}
-			steps := 0
-			for _, s := range p.Services {
-				steps += len(s.Steps)
-			}
-			fmt.Fprintf(t.out, "ok: %d services with %d steps, %d sites, %d groups, %d freezes\n", len(p.Services), steps,
-				len(p.Sites), len(p.Groups), len(p.Freezes))
-			return nil
-		}}
-	show := &cobra.Command{Use: "show FILE", Short: "Show a plan: steps, who is open at each, what is frozen", Args: cobra.ExactArgs(1)}
-	at := show.Flags().String("at", "", "the time to look at, such as 2026-12-24T18:00:00Z; now where not given")
-	show.RunE = func(_ *cobra.Command, args []string) error {
+	c.AddCommand(t.planCheck(), t.planShow(), t.planSimulate())
+	return c
+}
+
+func (t *tool) planCheck() *cobra.Command {
+	c := &cobra.Command{Use: "check FILE", Short: "Read a plan and name all of its faults", Args: cobra.ExactArgs(1)}
+	c.RunE = func(_ *cobra.Command, args []string) error {
+		p, err := plan.Load(args[0])
+		if err != nil {
+			return failed(err)
+		}
+		steps := 0
+		for _, s := range p.Services {
+			steps += len(s.Steps)
+		}
+		printf(t.out, "ok: %d services with %d steps, %d sites, %d groups, %d freezes\n", len(p.Services), steps,
+			len(p.Sites), len(p.Groups), len(p.Freezes))
+		return nil
+	}
+	return c
+}
+
+func (t *tool) planShow() *cobra.Command {
+	c := &cobra.Command{Use: "show FILE", Short: "Show a plan: steps, who is open at each, what is frozen", Args: cobra.ExactArgs(1)}
+	at := c.Flags().String("at", "", "the time to look at, such as 2026-12-24T18:00:00Z; now where not given")
+	c.RunE = func(_ *cobra.Command, args []string) error {
 		when := time.Now()
 		if *at != "" {
 			var err error
@@ -42,55 +49,55 @@
 		if err != nil {
 			return failed(err)
 		}
-		t.show(p, when)
-		return nil
+		if err := t.printSteps(p); err != nil {
+			return failed(err)
+		}
+		printf(t.out, "\nat %s:\n", when.UTC().Format(time.RFC3339))
+		return failed(t.printFreezes(p, when))
 	}
-	c.AddCommand(check, show, t.simulate())
 	return c
 }
 
-func needsVerb(c *cobra.Command, args []string) error {
-	if len(args) > 0 {
-		return fmt.Errorf("%q is no command of %s; see lichenroad help %s", args[0], c.Name(), c.Name())
-	}
-	c.Help()
-	return errors.New("a command is missing")
-}
-
-// show prints a plan as tables.
-func (t *tool) show(p *plan.Plan, when time.Time) {
-	w := tabwriter.NewWriter(t.out, 0, 0, 2, ' ', 0)
-	fmt.Fprintln(w, "SERVICE\tSTEP\tSHARE\tCAP\tLEAST\tOPENS\tNEEDS")
-	for _, s := range p.Services {
-		for _, st := range s.Steps {
+// printSteps prints a table of the steps of all services.
+func (t *tool) printSteps(p *plan.Plan) error {
+	table := t.newTable()
+	printf(table, "SERVICE\tSTEP\tSHARE\tCAP\tLEAST\tOPENS\tNEEDS\n")
+	for _, service := range p.Services {
+		for _, step := range service.Steps {
 			var opens, needs []string
-			for _, o := range st.OpenGroups {
-				opens = append(opens, p.Sites[o.Site]+"/"+p.Groups[o.Group].Name)
+			for _, open := range step.OpenGroups {
+				opens = append(opens, p.Sites[open.Site]+"/"+p.Groups[open.Group].Name)
 			}
-			for _, n := range st.Dependencies {
-				needs = append(needs, p.DependencyText(n))
+			for _, dependency := range step.Dependencies {
+				needs = append(needs, p.DependencyText(dependency))
 			}
-			fmt.Fprintf(w, "%s\t%s\t%g%%\t%g%%\t%s\t%s\t%s\n", s.Name, st.Name, 100*st.Share, 100*st.ExposureLimit,
-				time.Duration(st.MinTime*float64(time.Second)), strings.Join(opens, " "), strings.Join(needs, ", "))
+			minTime := time.Duration(step.MinTime * float64(time.Second))
+			printf(table, "%s\t%s\t%g%%\t%g%%\t%s\t%s\t%s\n", service.Name, step.Name, 100*step.Share, 100*step.ExposureLimit,
+				minTime, strings.Join(opens, " "), strings.Join(needs, ", "))
 		}
 	}
-	w.Flush()
-	c, now := plan.NewCalendar(p, false), float64(when.UnixNano())/1e9
-	fmt.Fprintf(t.out, "\nat %s:\n", when.UTC().Format(time.RFC3339))
-	w = tabwriter.NewWriter(t.out, 0, 0, 2, ' ', 0)
-	fmt.Fprintln(w, "SERVICE\tSITE\tBEGIN\tON")
-	for i, s := range p.Services {
+	return table.Flush()
+}
+
+// printFreezes prints, for each service and site, which freeze is in force at a time.
+func (t *tool) printFreezes(p *plan.Plan, when time.Time) error {
+	calendar := plan.NewCalendar(p, false)
+	now := float64(when.UnixNano()) / 1e9
+	table := t.newTable()
+	printf(table, "SERVICE\tSITE\tBEGIN\tON\n")
+	for i, service := range p.Services {
 		for j, site := range p.Sites {
-			fmt.Fprintf(w, "%s\t%s", s.Name, site)
-			for _, what := range []plan.FreezeEffect{plan.FreezeStarts, plan.FreezePromotions} {
-				if f, in := c.Frozen(now, plan.ServiceIndex(i), plan.SiteIndex(j), what); in {
-					fmt.Fprintf(w, "\tfrozen by %s until %s", p.Freezes[f.Freeze].Name, plan.Time(f.Till).Format(time.RFC3339))
+			printf(table, "%s\t%s", service.Name, site)
+			for _, effect := range []plan.FreezeEffect{plan.FreezeStarts, plan.FreezePromotions} {
+				interval, frozen := calendar.Frozen(now, plan.ServiceIndex(i), plan.SiteIndex(j), effect)
+				if frozen {
+					printf(table, "\tfrozen by %s until %s", p.Freezes[interval.Freeze].Name, plan.Time(interval.Till).Format(time.RFC3339))
 				} else {
-					fmt.Fprint(w, "\tfree")
+					printf(table, "\tfree")
 				}
 			}
-			fmt.Fprintln(w)
+			printf(table, "\n")
 		}
 	}
-	w.Flush()
+	return table.Flush()
 }
--- a/cmd/lichenroad/ready_test.go
+++ b/cmd/lichenroad/ready_test.go
@@ -25,7 +25,7 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			f := newFleet(t, newUnit(t, always(honour)))
+			f := newFakeDiscovery(t, newFakeEndpoint(t, always(succeed)))
 			f.down = true
 			begun := time.Now()
 			p := running(t, f, func(to *config.Config) {
@@ -51,7 +51,7 @@
 
 // TestSigtermBeforeReady ends a relay that has no list yet: whoever waits hears so, and the program ends.
 func TestSigtermBeforeReady(t *testing.T) {
-	f := newFleet(t)
+	f := newFakeDiscovery(t)
 	f.down = true
 	p := running(t, f, func(to *config.Config) { to.KnownList = nil })
 	cl := dialClient(t, p, pgwire.QueryMessage("")...)
@@ -65,7 +65,7 @@
 	}
 	select {
 	case <-p.stop:
-	case <-time.After(patience):
+	case <-time.After(testTimeout):
 		t.Error("the program does not end")
 	}
 }
--- /dev/null
+++ b/cmd/lichenroad/relay.go
@@ -0,0 +1,59 @@
+package main
+
+import (
+	"errors"
+	"strings"
+
+	"github.com/spf13/cobra"
+
+	"lichenroad/internal/config"
+	"lichenroad/plan"
+)
+
+// configFlag adds the flag that names a relay's configuration.
+func (t *tool) configFlag(c *cobra.Command) *string {
+	return c.Flags().String("config", t.env("BALANCER_CONFIG"), "the configuration, a JSON file; $BALANCER_CONFIG where not given")
+}
+
+func (t *tool) checkCommand() *cobra.Command {
+	c := &cobra.Command{Use: "check", Short: "Read a configuration and report its faults", Args: cobra.NoArgs}
+	path := t.configFlag(c)
+	c.RunE = func(*cobra.Command, []string) error {
+		got, err := config.Load(*path, t.env)
+		if err != nil {
+			return failed(err)
+		}
+		printf(t.out, "ok: %s listens on %s\n", got.Name, got.Listen)
+		return nil
+	}
+	return c
+}
+
+func (t *tool) serveCommand() *cobra.Command {
+	c := &cobra.Command{Use: "serve", Short: "Run a relay in the foreground", Args: cobra.NoArgs,
+		Long: "Run a relay in the foreground.\n\nWith --plan and --service it keeps to a plan of releases: who may meet a canary build, and when its votes\nmay promote it. SIGHUP reads configuration and plan again."}
+	path := t.configFlag(c)
+	var releases releasePlan
+	c.Flags().StringVar(&releases.path, "plan", "", "a plan of releases, an XML file")
+	c.Flags().StringVar(&releases.service, "service", "", "the service of the plan that this relay serves")
+	c.MarkFlagsRequiredTogether("plan", "service")
+	c.RunE = func(*cobra.Command, []string) error {
+		got, err := config.Load(*path, t.env)
+		if err != nil {
+			return failed(err)
+		}
+		if releases.path != "" {
+			if releases.plan, err = plan.Load(releases.path); err != nil {
+				return failed(errors.New(strings.ReplaceAll(err.Error(), "\n", "; ")))
+			}
+		}
+		log, counters, flush, err := t.logger()
+		if err != nil {
+			return err
+		}
+		defer flush()
+		reload := func() (config.Config, error) { return config.Reload(*path, t.env) }
+		return failed(serve(got, reload, releases, log, counters))
+	}
+	return c
+}
--- a/cmd/lichenroad/reload_test.go
+++ b/cmd/lichenroad/reload_test.go
@@ -32,13 +32,13 @@
 
 // TestReloadBySignal has a relay read its file again under a watch that waits: a good file, a half-written one.
 func TestReloadBySignal(t *testing.T) {
-	before, after := newUnit(t, always(honour)), newUnit(t, always(honour))
-	old, fresh := newFleet(t, before), newFleet(t, after)
+	before, after := newFakeEndpoint(t, always(succeed)), newFakeEndpoint(t, always(succeed))
+	old, fresh := newFakeDiscovery(t, before), newFakeDiscovery(t, after)
 	ln := listening(t)
 	listen := ln.Addr().String()
 	ln.Close()
 	path := filepath.Join(t.TempDir(), "config.json")
-	file := func(f *fleet) []byte {
+	file := func(f *fakeDiscovery) []byte {
 		return []byte(fmt.Sprintf(`{"name":"n0","listen":%q,"discovery":%q,"known":%s,"settings":%s}`, listen,
 			f.srv.Listener.Addr(), f.list(), testSettings))
 	}
@@ -63,7 +63,7 @@
 		t.Helper()
 		for log.Scan() {
 			if strings.Contains(log.Text(), "call failed") {
-				t.Error("a move of our own was told as a failure:", log.Text())
+				t.Error("a move of our own was logged as a failure:", log.Text())
 			}
 			if strings.Contains(log.Text(), part) {
 				return log.Text()
@@ -78,7 +78,7 @@
 			t.Fatal(err)
 		}
 		defer n.Close()
-		n.SetDeadline(time.Now().Add(patience))
+		n.SetDeadline(time.Now().Add(testTimeout))
 		c := &client{t, n, bufio.NewReader(n)}
 		n.Write(pgwire.Startup("worker", "catalog"))
 		c.until('Z')
@@ -103,7 +103,7 @@
 	write(file(fresh))
 	cmd.Process.Signal(syscall.SIGHUP)
 	line("configuration reloaded")
-	for until := time.Now().Add(patience); len(after.seen) == 0; { // the new list has another unit
+	for until := time.Now().Add(testTimeout); len(after.seen) == 0; { // the new list has another unit
 		if ask() == "" && time.Now().After(until) {
 			t.Fatal("the list of the new discovery does not serve")
 		}
@@ -126,10 +126,10 @@
 		}
 		return ""
 	}
-	old, fresh := newDesk(t, answer), newDesk(t, answer)
-	p := running(t, newFleet(t, newUnit(t, always(honour))), func(c *config.Config) {
-		withDesk(old)(c)
-		c.Site.Rollout.CallTimeout = 10 * patience.Seconds()
+	old, fresh := newFakePlatform(t, answer), newFakePlatform(t, answer)
+	p := running(t, newFakeDiscovery(t, newFakeEndpoint(t, always(succeed))), func(c *config.Config) {
+		withPlatform(old)(c)
+		c.Site.Rollout.CallTimeout = 10 * testTimeout.Seconds()
 	})
 	watch := <-old.conns
 	old.line(t, "WATCH")
@@ -147,7 +147,7 @@
 	fmt.Fprint(votes, "OK 2 0 canary 0.5 10\r\n")
 	settled(t, p, metrics.VotesCounted, 1)
 	fmt.Fprint(watch, "*\r\n")
-	watch.SetDeadline(time.Now().Add(patience))
+	watch.SetDeadline(time.Now().Add(testTimeout))
 	if _, err := watch.Read(make([]byte, 1)); err != io.EOF {
 		t.Error("the watch at the old address is kept:", err)
 	}
--- a/cmd/lichenroad/scale_test.go
+++ b/cmd/lichenroad/scale_test.go
@@ -39,18 +39,18 @@
 func TestLabScaleRefusals(t *testing.T) {
 	for _, c := range []struct {
 		args []string
-		code int
+		code exitCode
 		want string
 	}{
-		{[]string{"--relays", "0"}, exitCall, "--relays: 0 is not from 1 to 20000"},
-		{[]string{"--rate", "-3"}, exitCall, "--rate: -3 is not from 0.1 to 1000"},
-		{[]string{"--shape", "round"}, exitCall, `--shape: "round" is neither wide nor skewed`},
-		{[]string{"--fault", "flood"}, exitCall, `--fault: "flood" is none of `},
-		{[]string{"--without", "moat"}, exitCall, `--without: "moat" is none of `},
-		{[]string{"--shape", "wide", "--relays", "4300", "--units", "42000", "--measured", "4300"}, exitFault, "this size needs about "},
+		{[]string{"--relays", "0"}, exitUsage, "--relays: 0 is not from 1 to 20000"},
+		{[]string{"--rate", "-3"}, exitUsage, "--rate: -3 is not from 0.1 to 1000"},
+		{[]string{"--shape", "round"}, exitUsage, `--shape: "round" is neither wide nor skewed`},
+		{[]string{"--fault", "flood"}, exitUsage, `--fault: "flood" is none of `},
+		{[]string{"--without", "moat"}, exitUsage, `--without: "moat" is none of `},
+		{[]string{"--shape", "wide", "--relays", "4300", "--units", "42000", "--measured", "4300"}, exitFailed, "this size needs about "},
 	} {
 		code, out, errs := call(append([]string{"lab", "scale"}, c.args...)...)
-		if code != c.code || out != "" || !strings.HasPrefix(errs, "lichenroad: "+c.want) || strings.Count(errs, "\n") != 1 {
+		if code != int(c.code) || out != "" || !strings.HasPrefix(errs, "lichenroad: "+c.want) || strings.Count(errs, "\n") != 1 {
 			t.Errorf("%v: %d %q %q", c.args, code, out, errs)
 		}
 	}
--- a/cmd/lichenroad/serve.go
+++ b/cmd/lichenroad/serve.go
@@ -28,124 +28,160 @@
 	"lichenroad/relay"
 )
 
-// guarded names the plan of releases that a relay keeps to; none where now is nil.
-type guarded struct {
-	plan, service string
-	now           *plan.Plan
+// releasePlan is the plan of releases that a relay keeps to, and where it was read; plan is nil without one.
+type releasePlan struct {
+	path    string
+	service string // of the plan, that this relay serves
+	plan    *plan.Plan
 }
 
-// program is a relay that runs.
+// program is a relay that runs. Its parts run on goroutines of their own and post to the loop, which runs on the
+// goroutine of serve until stop is closed.
 type program struct {
-	config config.Config // of the loop: what holds now
-	plan   guarded
-	guard  *guard.Host // nil: no plan
-	loop   *pipeline.Loop
-	front  *clients.Server
-	asker  *discovery.Client
-	desk   *platform.Client
-	stop   chan struct{}
-	end    func() // at once; may be called again
-	fault  atomic.Pointer[error]
+	config    config.Config // in force; owned by the loop
+	releases  releasePlan
+	guard     *guard.Host // nil: no plan
+	loop      *pipeline.Loop
+	clients   *clients.Server
+	discovery *discovery.Client
+	platform  *platform.Client
+	stop      chan struct{}
+	end       func()                // closes stop; any goroutine may call it, more than once
+	listenErr atomic.Pointer[error] // that ended the program; nil: none
 }
 
-// serve runs a relay until it is told to end; load reads the configuration again.
-func serve(c config.Config, load func() (config.Config, error), g guarded, log *logrus.Logger, counters *metrics.Counters) error {
-	got, hups := make(chan os.Signal, 4), make(chan os.Signal, 1)
-	signal.Notify(got, syscall.SIGTERM, os.Interrupt, syscall.SIGUSR1)
-	signal.Notify(hups, syscall.SIGHUP) // one that finds another waiting is covered by that one
+// serve runs a relay until a signal ends it; reload reads the configuration again. Two more goroutines handle signals,
+// until the program ends.
+func serve(c config.Config, reload func() (config.Config, error), releases releasePlan, log *logrus.Logger,
+	counters *metrics.Counters) error {
+	const maxQueuedSignals = 4
+	signals := make(chan os.Signal, maxQueuedSignals)
+	hangups := make(chan os.Signal, 1) // one that finds another waiting is covered by that one
+	signal.Notify(signals, syscall.SIGTERM, os.Interrupt, syscall.SIGUSR1)
+	signal.Notify(hangups, syscall.SIGHUP)
 	runtime.GOMAXPROCS(max(1, int(c.Cores)))
 	debug.SetMemoryLimit(int64(limits.HeapPart * float64(c.MemoryMB<<20)))
-	lib := netpoll.Config{PollerNum: limits.Pollers, LoggerOutput: log.WriterLevel(logrus.DebugLevel)}
-	if err := netpoll.Configure(lib); err != nil {
+	poller := netpoll.Config{PollerNum: limits.Pollers, LoggerOutput: log.WriterLevel(logrus.DebugLevel)}
+	if err := netpoll.Configure(poller); err != nil {
 		return err
 	}
-	p, err := start(c, g, log, counters)
+	p, err := start(c, releases, log, counters)
 	if err != nil {
 		return err
 	}
-	go p.signals(got)
+	go p.handleSignals(signals)
 	go func() {
-		for range hups {
-			p.reload(load())
+		for range hangups {
+			p.reload(reload())
 		}
 	}()
 	p.loop.Run(p.stop)
-	p.front.Close()
+	p.clients.Close()
 	log.WithFields(counters.Fields()).Info("counters")
-	if fault := p.fault.Load(); fault != nil {
-		return *fault
+	if err := p.listenErr.Load(); err != nil {
+		return *err
 	}
 	return nil
 }
 
-// start puts the parts together and listens; what comes waits for the loop to run.
-func start(c config.Config, g guarded, log *logrus.Logger, counters *metrics.Counters) (*program, error) {
+// socketShares divides the sockets that a relay may open.
+type socketShares struct {
+	clients   int // connections from clients
+	endpoints int // connections to endpoints
+	rejecting int // connections from clients over the bound, which are told so
+}
+
+func divideSockets(total int) socketShares {
+	spare := max(limits.SpareLeast, min(limits.SpareSockets, int(limits.SparePart*float64(total))))
+	usable := total - spare
+	endpoints := int(limits.UnitPart * float64(usable))
+	return socketShares{clients: usable - endpoints, endpoints: endpoints, rejecting: int(limits.OverPart * float64(spare))}
+}
+
+// start puts the parts together and listens; what is received waits for the loop to run.
+func start(c config.Config, releases releasePlan, log *logrus.Logger, counters *metrics.Counters) (*program, error) {
 	pool := buffer.NewPool(int64(limits.BufferPart * float64(c.MemoryMB<<20)))
 	loop := pipeline.NewLoop(c.Site, c.Seed, pool, counters, log)
-	spare := max(limits.SpareLeast, min(limits.SpareSockets, int(limits.SparePart*float64(c.Sockets))))
-	sockets := c.Sockets - spare
-	forUnits := int(limits.UnitPart * float64(sockets))
-	legs := upstream.New(loop, forUnits)
+	sockets := divideSockets(c.Sockets)
+	endpoints := upstream.New(loop, sockets.endpoints)
 	reader := discovery.NewReader(c.Site.Zones, c.Site.MachineTypes, loop.Clock.Unix)
-	asker := discovery.New(loop, c.Discovery, reader, legs, c.Seed)
-	desk := platform.New(loop, c.Platform)
-	loop.Upstream, loop.Discovery, loop.Platform, loop.Peers = legs, asker, desk, noPeers{counters}
-	var host *guard.Host
-	if g.now != nil {
-		var err error
-		if host, err = guard.New(loop, g.now, g.service, desk, nil); err != nil {
-			return nil, err
-		}
-		loop.Guard = host
+	discoveryClient := discovery.New(loop, c.Discovery, reader, endpoints, c.Seed)
+	platformClient := platform.New(loop, c.Platform)
+	loop.Upstream, loop.Discovery, loop.Platform, loop.Peers = endpoints, discoveryClient, platformClient, noPeers{counters}
+	p := &program{config: c, releases: releases, loop: loop, discovery: discoveryClient, platform: platformClient, stop: make(chan struct{})}
+	p.end = sync.OnceFunc(func() { close(p.stop) })
+	if err := p.openGuard(); err != nil {
+		return nil, err
 	}
-	if c.PeerListen != "" {
-		tier, err := peers.Open(loop, c.PeerListen, c.Peers, c.PeersAll)
-		if err != nil {
-			return nil, err
-		}
-		loop.Peers = tier
-		tier.Membership = asker
-		tier.Start()
+	if err := p.openPeers(); err != nil {
+		return nil, err
 	}
 
 	// The module's first step sees the list as last held, then where the newest build stands.
 	if known, err := reader.Parse(c.KnownList); err == nil {
-		asker.UseKnownList(known)
+		discoveryClient.UseKnownList(known)
 	} else {
 		log.WithField("peer", "roster").WithError(err).Warn("no list to start with")
 	}
 	loop.Post(pipeline.Func(func(l *pipeline.Loop) { l.RolloutStatusReceived(c.RolloutStatus) }))
-	asker.Start()
-	desk.Start()
-	if host != nil {
-		host.Start()
+	discoveryClient.Start()
+	platformClient.Start()
+	if p.guard != nil {
+		p.guard.Start()
 	}
-	front := clients.New(loop, sockets-forUnits, int(limits.OverPart*float64(spare)))
-	p := &program{config: c, plan: g, guard: host, loop: loop, front: front, asker: asker, desk: desk, stop: make(chan struct{})}
-	p.end = sync.OnceFunc(func() { close(p.stop) })
-	failed := func(err error) {
-		p.fault.Store(&err)
+	p.clients = clients.New(loop, sockets.clients, sockets.rejecting)
+	acceptFailed := func(err error) {
+		p.listenErr.Store(&err)
 		p.end()
 	}
-	if err := front.Listen(c.Listen, failed); err != nil {
+	if err := p.clients.Listen(c.Listen, acceptFailed); err != nil {
 		return nil, err
 	}
-	log.WithFields(logrus.Fields{"name": c.Name, "listen": front.Addr().String()}).Info("serving")
+	log.WithFields(logrus.Fields{"name": c.Name, "listen": p.clients.Addr().String()}).Info("serving")
 	return p, nil
 }
 
-// shutdownGracefully goes on for a little while, closes each connection between its queries, and ends when none is
-// left, or when every query must have been answered.
+// openGuard makes the guard that holds the relay to its plan, if it has one.
+func (p *program) openGuard() error {
+	if p.releases.plan == nil {
+		return nil
+	}
+	host, err := guard.New(p.loop, p.releases.plan, p.releases.service, p.platform, nil)
+	if err != nil {
+		return err
+	}
+	p.guard = host
+	p.loop.Guard = host
+	return nil
+}
+
+// openPeers opens the socket for messages between relays, if the configuration names one.
+func (p *program) openPeers() error {
+	if p.config.PeerListen == "" {
+		return nil
+	}
+	transport, err := peers.Open(p.loop, p.config.PeerListen, p.config.Peers, p.config.PeersAll)
+	if err != nil {
+		return err
+	}
+	p.loop.Peers = transport
+	transport.Membership = p.discovery
+	transport.Start()
+	return nil
+}
+
+// shutdownGracefully goes on for a little while, closes each connection between its requests, and ends when none is
+// left, or when every request must have been answered.
 func (p *program) shutdownGracefully() {
-	longest := max(limits.LongestWait, p.loop.Site.MaxDeadline())
+	maxWait := max(limits.LongestWait, p.loop.Site.MaxDeadline())
 	p.loop.Post(pipeline.Func(func(l *pipeline.Loop) {
-		p.front.Shutdown(p.end)
-		l.RunAt(l.Clock.Now()+longest+limits.LastWait, p.end)
+		p.clients.Shutdown(p.end)
+		l.RunAt(l.Clock.Now()+maxWait+limits.LastWait, p.end)
 	}))
 }
 
-// reload puts the next configuration in the place of the one that holds: discovery and platform are asked at
-// the addresses that it names. One that can't be read leaves everything as it is.
+// reload puts the next configuration in place of the one in force: discovery and platform are called at the addresses
+// that it names. One that can't be read changes nothing.
 func (p *program) reload(next config.Config, err error) {
 	if err != nil {
 		p.loop.Metrics.Add(metrics.ReloadsRefused, 1)
@@ -154,9 +190,9 @@
 	}
 	p.replan()
 	p.loop.Post(pipeline.Func(func(l *pipeline.Loop) {
-		p.asker.Move(next.Discovery)
+		p.discovery.Move(next.Discovery)
 		if next.Platform != "" {
-			p.desk.Move(next.Platform)
+			p.platform.Move(next.Platform)
 		}
 		l.Metrics.Add(metrics.Reloads, 1)
 		l.Log.WithFields(logrus.Fields{"discovery": next.Discovery, "platform": next.Platform,
@@ -165,12 +201,12 @@
 	}))
 }
 
-// replan reads the plan again. One with a fault leaves the old one as it is, with one line.
+// replan reads the plan again. One with an error changes nothing and is logged.
 func (p *program) replan() {
 	if p.guard == nil {
 		return
 	}
-	next, err := plan.Load(p.plan.plan)
+	next, err := plan.Load(p.releases.path)
 	p.loop.Post(pipeline.Func(func(l *pipeline.Loop) {
 		if err == nil {
 			err = p.guard.Replan(next)
@@ -180,15 +216,15 @@
 			l.Log.WithField("error", strings.ReplaceAll(err.Error(), "\n", "; ")).Error("plan refused, the old one stays")
 			return
 		}
-		l.Log.WithField("plan", p.plan.plan).Info("plan reloaded")
+		l.Log.WithField("plan", p.releases.path).Info("plan reloaded")
 	}))
 }
 
-// signals ends the program gently at the first SIGTERM or interrupt and at once at the second, and prints
+// handleSignals shuts the program down gracefully at the first SIGTERM or interrupt and at once at the second, and logs
 // the counters on SIGUSR1.
-func (p *program) signals(got <-chan os.Signal) {
+func (p *program) handleSignals(signals <-chan os.Signal) {
 	ending := false
-	for s := range got {
+	for s := range signals {
 		switch {
 		case s == syscall.SIGUSR1:
 			p.loop.Log.WithFields(p.loop.Metrics.Fields()).Info("counters")
@@ -202,7 +238,8 @@
 	}
 }
 
-// noPeers stands in where the configuration names no address for messages.
+// noPeers takes the place of peers where the configuration names no address for messages.
 type noPeers struct{ counters *metrics.Counters }
 
+// SendMessage drops the message and counts it.
 func (n noPeers) SendMessage(relay.SendMessage) { n.counters.Add(metrics.PeerMessagesDropped, 1) }
--- a/cmd/lichenroad/serve_test.go
+++ b/cmd/lichenroad/serve_test.go
@@ -15,9 +15,9 @@
 	"lichenroad/lab/fakes"
 )
 
-func TestHonoured(t *testing.T) {
-	u := newUnit(t, always(honour))
-	p := running(t, newFleet(t, u), nil)
+func TestRequestSucceeds(t *testing.T) {
+	u := newFakeEndpoint(t, always(succeed))
+	p := running(t, newFakeDiscovery(t, u), nil)
 	c := dialClient(t, p, pgwire.QueryMessage(read("look", 1500))...) // the first query right behind the startup
 	c.until('Z')
 	if v, code := c.answer(); v != "value of SELECT" || code != "" {
@@ -51,14 +51,14 @@
 }
 
 func TestQueriesSplitAnywhere(t *testing.T) {
-	p := running(t, newFleet(t, newUnit(t, always(honour))), nil)
+	p := running(t, newFakeDiscovery(t, newFakeEndpoint(t, always(succeed))), nil)
 	stream := append(pgwire.Startup("worker", "catalog"), pgwire.QueryMessage(read("look", 1500))...)
 	for cut := 1; cut < len(stream); cut += 7 {
-		n, err := net.Dial("tcp", p.front.Addr().String())
+		n, err := net.Dial("tcp", p.clients.Addr().String())
 		if err != nil {
 			t.Fatal(err)
 		}
-		n.SetDeadline(time.Now().Add(patience))
+		n.SetDeadline(time.Now().Add(testTimeout))
 		n.Write(stream[:cut])
 		n.Write(stream[cut:])
 		c := &client{t, n, bufio.NewReader(n)}
@@ -71,15 +71,15 @@
 	sums(t, p)
 }
 
-func TestSeveralAheadAreAnsweredInOrder(t *testing.T) {
-	u := newUnit(t, always(honour))
-	p := running(t, newFleet(t, u), nil)
-	var ahead []byte
+func TestPipelinedRequestsAreAnsweredInOrder(t *testing.T) {
+	u := newFakeEndpoint(t, always(succeed))
+	p := running(t, newFakeDiscovery(t, u), nil)
+	var pipelined []byte
 	for range 5 {
-		ahead = append(ahead, pgwire.QueryMessage(read("look", 1500))...)
-		ahead = append(ahead, pgwire.QueryMessage("")...)
+		pipelined = append(pipelined, pgwire.QueryMessage(read("look", 1500))...)
+		pipelined = append(pipelined, pgwire.QueryMessage("")...)
 	}
-	c := dialClient(t, p, ahead...)
+	c := dialClient(t, p, pipelined...)
 	c.until('Z')
 	for range 5 {
 		c.until('D')
@@ -106,20 +106,20 @@
 // query may have run.
 func TestOutcomes(t *testing.T) {
 	for _, c := range []struct {
-		name   string
-		does   deed
-		class  string
-		code   string
-		least  int // statements that come to units
-		most   int
-		inTime bool // answered before the patience ends
+		name          string
+		does          behaviour
+		class         string
+		code          string
+		minStatements int // at endpoints
+		maxStatements int
+		inTime        bool // answered before the patience ends
 	}{
 		{"an error of a query that may run again", failing, "look", pgwire.CodeFull, 2, 3, true},
 		{"an error of one that may not", failing, "pay", pgwire.CodeFailed, 1, 1, true},
-		{"turned away", turnAway, "pay", pgwire.CodeFull, 1, 3, true},
+		{"turned away", rejectFull, "pay", pgwire.CodeFull, 1, 3, true},
 		{"reset behind the last byte", reset, "pay", pgwire.CodeFailed, 1, 1, true},
 		{"reset of a numbered one", reset, "order", pgwire.CodeFull, 2, 3, true},
-		{"silence", silent, "pay", pgwire.CodeFailed, 1, 1, false},
+		{"silence", noAnswer, "pay", pgwire.CodeFailed, 1, 1, false},
 		{"garbage", garbage, "pay", pgwire.CodeFailed, 1, 1, true},
 		{"two rows", twoRows, "pay", pgwire.CodeFailed, 1, 1, true},
 		{"half an answer", half, "pay", pgwire.CodeFailed, 1, 1, true},
@@ -129,8 +129,8 @@
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			t.Parallel()
-			a, b := newUnit(t, always(c.does)), newUnit(t, always(c.does))
-			p := running(t, newFleet(t, a, b), nil)
+			a, b := newFakeEndpoint(t, always(c.does)), newFakeEndpoint(t, always(c.does))
+			p := running(t, newFakeDiscovery(t, a, b), nil)
 			cl := dialClient(t, p)
 			cl.until('Z')
 			begun := time.Now()
@@ -138,7 +138,7 @@
 			_, code := cl.answer()
 			n, _ := a.count()
 			m, _ := b.count()
-			if code != c.code || n+m < c.least || n+m > c.most {
+			if code != c.code || n+m < c.minStatements || n+m > c.maxStatements {
 				t.Errorf("%q after %d statements", code, n+m)
 			}
 			if in := time.Since(begun) < 1490*time.Millisecond; in != c.inTime {
@@ -150,9 +150,9 @@
 }
 
 func TestRefusedConnectsNeverRan(t *testing.T) {
-	gone, well := newUnit(t, always(honour)), newUnit(t, always(honour))
+	gone, well := newFakeEndpoint(t, always(succeed)), newFakeEndpoint(t, always(succeed))
 	gone.ln.Close()
-	f := newFleet(t, gone, well)
+	f := newFakeDiscovery(t, gone, well)
 	p := running(t, f, nil)
 	c := dialClient(t, p)
 	c.until('Z')
@@ -170,7 +170,7 @@
 
 func TestUnitThatNeverComesUp(t *testing.T) {
 	// It accepts, and says nothing to the startup.
-	f := newFleet(t, &unit{ln: listening(t)})
+	f := newFakeDiscovery(t, &fakeEndpoint{ln: listening(t)})
 	p := running(t, f, nil)
 	c := dialClient(t, p)
 	c.until('Z')
@@ -185,8 +185,8 @@
 }
 
 func TestClientLeaves(t *testing.T) {
-	u := newUnit(t, always(silent))
-	p := running(t, newFleet(t, u), nil)
+	u := newFakeEndpoint(t, always(noAnswer))
+	p := running(t, newFakeDiscovery(t, u), nil)
 	c := dialClient(t, p)
 	c.until('Z')
 	c.send(read("look", 1900))
@@ -201,13 +201,13 @@
 }
 
 func TestConnectionIsNotKeptAfterATimeout(t *testing.T) {
-	u := newUnit(t, func(s string) deed {
+	u := newFakeEndpoint(t, func(s string) behaviour {
 		if strings.Contains(s, "c=pay") {
-			return silent
+			return noAnswer
 		}
-		return honour
+		return succeed
 	})
-	p := running(t, newFleet(t, u), nil)
+	p := running(t, newFakeDiscovery(t, u), nil)
 	c := dialClient(t, p)
 	c.until('Z')
 	c.send(read("pay", 200))
@@ -226,8 +226,8 @@
 }
 
 func TestUnitThatClosesBetweenQueries(t *testing.T) {
-	u := newUnit(t, always(lastWord))
-	p := running(t, newFleet(t, u), nil)
+	u := newFakeEndpoint(t, always(succeedThenClose))
+	p := running(t, newFakeDiscovery(t, u), nil)
 	c := dialClient(t, p)
 	c.until('Z')
 	for range 5 {
@@ -242,7 +242,7 @@
 }
 
 func TestBadInputFromClients(t *testing.T) {
-	p := running(t, newFleet(t, newUnit(t, always(honour))), nil)
+	p := running(t, newFakeDiscovery(t, newFakeEndpoint(t, always(succeed))), nil)
 	for name, c := range map[string]struct {
 		bytes []byte
 		code  string
@@ -278,7 +278,7 @@
 
 func TestComplaintWaitsForTheAnswersBeforeIt(t *testing.T) {
 	release := make(chan struct{})
-	p := running(t, newFleet(t, newUnit(t, func(string) deed { <-release; return honour })), nil)
+	p := running(t, newFakeDiscovery(t, newFakeEndpoint(t, func(string) behaviour { <-release; return succeed })), nil)
 	c := dialClient(t, p)
 	c.until('Z')
 	c.Write(append(pgwire.QueryMessage(read("pay", 1900)), 'P', 0, 0, 0, 4))
@@ -294,8 +294,8 @@
 	sums(t, p)
 }
 
-func TestTooManyClientsAreTold(t *testing.T) {
-	p := running(t, newFleet(t, newUnit(t, always(honour))), func(c *config.Config) { c.Sockets = 128 })
+func TestTooManyClientsAreRejected(t *testing.T) {
+	p := running(t, newFakeDiscovery(t, newFakeEndpoint(t, always(succeed))), func(c *config.Config) { c.Sockets = 128 })
 	var kept []*client
 	for i := 0; ; i++ {
 		c := dialClient(t, p)
@@ -326,11 +326,11 @@
 // one with an open query is kept, an idle one is closed in time for others to be served.
 func TestIdleClientsMakeRoom(t *testing.T) {
 	release := make(chan struct{})
-	p := running(t, newFleet(t, newUnit(t, func(s string) deed {
+	p := running(t, newFakeDiscovery(t, newFakeEndpoint(t, func(s string) behaviour {
 		if strings.Contains(s, "c=pay") {
 			<-release
 		}
-		return honour
+		return succeed
 	})), func(c *config.Config) { c.Sockets = 128 })
 	busy := dialClient(t, p)
 	busy.until('Z')
@@ -346,7 +346,7 @@
 			first = c
 		}
 	}
-	for until := time.Now().Add(patience); ; {
+	for until := time.Now().Add(testTimeout); ; {
 		c := dialClient(t, p, pgwire.QueryMessage(read("look", 1500))...)
 		if kind, _, err := fakes.ReadMessage(c.r, false); err == nil && kind == 'R' {
 			c.until('Z')
@@ -369,8 +369,8 @@
 	}
 }
 
-func TestFullBuffersDeny(t *testing.T) {
-	p := running(t, newFleet(t, newUnit(t, always(honour))), nil)
+func TestFullBuffersReject(t *testing.T) {
+	p := running(t, newFakeDiscovery(t, newFakeEndpoint(t, always(succeed))), nil)
 	c := dialClient(t, p)
 	c.until('Z')
 	hog := p.loop.Pool.Chain()
@@ -390,8 +390,8 @@
 }
 
 func TestDrainedUnitGetsNothingNew(t *testing.T) {
-	a, b := newUnit(t, always(honour)), newUnit(t, always(honour))
-	f := newFleet(t, a, b)
+	a, b := newFakeEndpoint(t, always(succeed)), newFakeEndpoint(t, always(succeed))
+	f := newFakeDiscovery(t, a, b)
 	p := running(t, f, nil)
 	c := dialClient(t, p)
 	c.until('Z')
@@ -414,7 +414,7 @@
 }
 
 func TestDiscoveryDown(t *testing.T) {
-	f := newFleet(t, newUnit(t, always(honour)))
+	f := newFakeDiscovery(t, newFakeEndpoint(t, always(succeed)))
 	f.down = true
 	p := running(t, f, nil)
 	settled(t, p, metrics.DiscoveryFailed, 1)
@@ -431,13 +431,13 @@
 
 func TestGentleEnd(t *testing.T) {
 	release := make(chan struct{})
-	u := newUnit(t, func(s string) deed {
+	u := newFakeEndpoint(t, func(s string) behaviour {
 		if strings.Contains(s, "c=pay") {
 			<-release
 		}
-		return honour
+		return succeed
 	})
-	p := running(t, newFleet(t, u), nil)
+	p := running(t, newFakeDiscovery(t, u), nil)
 	busy, idle := dialClient(t, p), dialClient(t, p)
 	busy.until('Z')
 	idle.until('Z')
@@ -465,10 +465,10 @@
 	late.Close()
 	select {
 	case <-p.stop:
-	case <-time.After(patience):
+	case <-time.After(testTimeout):
 		t.Error("the program does not end")
 	}
-	if _, err := net.Dial("tcp", p.front.Addr().String()); err == nil {
+	if _, err := net.Dial("tcp", p.clients.Addr().String()); err == nil {
 		t.Error("the listener still takes connections")
 	}
 }
--- a/cmd/lichenroad/simulate.go
+++ b/cmd/lichenroad/simulate.go
@@ -4,134 +4,177 @@
 
 import (
 	"fmt"
-	"os"
 	"strings"
-	"time"
 
-	"github.com/schollz/progressbar/v3"
 	"github.com/spf13/cobra"
 
 	"lichenroad/lab"
 	"lichenroad/plan"
 )
 
-func (t *tool) simulate() *cobra.Command {
+// Bounds of `plan simulate`.
+const (
+	maxSimulatedDays   = 60
+	maxSimulatedRelays = 1000 // and planners
+	maxSimulatedLoad   = 10   // times the ordinary day's
+	maxPrintedBroken   = 10
+)
+
+// simulateFlags are the flags of `plan simulate` that are not fields of lab.Options as they stand.
+type simulateFlags struct {
+	guard   string
+	faults  string
+	without []string
+	byClock bool
+	json    string
+	report  string
+}
+
+func (t *tool) planSimulate() *cobra.Command {
 	c := &cobra.Command{Use: "simulate FILE", Short: "Try a plan out in virtual time, with real decision modules", Args: cobra.ExactArgs(1),
-		Long: "Try a plan out in virtual time: the real decision modules, guards and desk against emulated planners, clients and\nfaults. The same call gives the same result. Exit code 3 where a rule or a line of the plan was broken."}
-	var o lab.Options
+		Long: "Try a plan out in virtual time: the real decision modules, guards and release controller against emulated planners, clients\nand faults. The same call gives the same result. Exit code 3 where a rule or a line of the plan was broken."}
+	var options lab.Options
+	var flags simulateFlags
 	f := c.Flags()
-	f.Float64Var(&o.Days, "days", 7, "days to play, up to 60")
-	f.Int64Var(&o.Seed, "seed", 1, "of all chance")
-	f.IntVar(&o.Relays, "relays", 40, "relays, of all services together, up to 1000")
-	f.IntVar(&o.Units, "planners", 30, "planners, of all services together, up to 1000")
-	f.Float64Var(&o.BadPart, "bad", 0.4, "part of the builds that are bad")
-	f.Float64Var(&o.Load, "load", 1, "times the ordinary day's queries")
-	guard := f.String("guard", "on", "on, or off: relays that know no plan")
-	faults := f.String("faults", "ordinary", "one of "+strings.Join(lab.Kinds(), ", ")+"; or several with a + between")
-	without := f.StringSlice("without", nil, "a defence to take out, such as guard-freezes or desk-needs; may stand more than once")
-	clock := f.Bool("by-clock", false, "the baseline: time alone moves steps, no vote counts")
-	file := f.String("json", "", "a file for the result")
-	dir := f.String("report", "", "a directory for the report, an HTML page")
-	c.RunE = func(c *cobra.Command, args []string) error {
-		var ok bool
-		switch {
-		case o.Days <= 0 || o.Days > 60 || o.Relays < 1 || o.Relays > 1000 || o.Units < 1 || o.Units > 1000:
-			return fmt.Errorf("--days up to 60, --relays and --planners from 1 to 1000")
-		case !(o.BadPart >= 0 && o.BadPart <= 1) || !(o.Load > 0 && o.Load <= 10):
-			return fmt.Errorf("--bad from 0 to 1, --load above 0 and up to 10")
-		case *guard != "on" && *guard != "off":
-			return fmt.Errorf("--guard: on or off")
-		}
-		if o.Faults, ok = lab.Worst(*faults); !ok {
-			return fmt.Errorf("--faults: %q is none of %s", *faults, strings.Join(lab.Kinds(), ", "))
-		}
-		o.Guard.All = *guard == "off"
-		for _, name := range *without {
-			if !o.Without(name) {
-				return fmt.Errorf("--without: there is no defence %q", name)
-			}
+	f.Float64Var(&options.Days, "days", 7, "days to play, up to 60")
+	f.Int64Var(&options.Seed, "seed", 1, "of all chance")
+	f.IntVar(&options.Relays, "relays", 40, "relays, of all services together, up to 1000")
+	f.IntVar(&options.Units, "planners", 30, "planners, of all services together, up to 1000")
+	f.Float64Var(&options.BadPart, "bad", 0.4, "part of the builds that are bad")
+	f.Float64Var(&options.Load, "load", 1, "times the ordinary day's requests")
+	f.StringVar(&flags.guard, "guard", "on", "on, or off: relays that know no plan")
+	f.StringVar(&flags.faults, "faults", "ordinary", "one of "+strings.Join(lab.Kinds(), ", ")+"; or several with a + between")
+	f.StringSliceVar(&flags.without, "without", nil, "a defence to take out, such as guard-freezes or desk-needs; may be given more than once")
+	f.BoolVar(&flags.byClock, "by-clock", false, "the baseline: time alone promotes, no vote counts")
+	f.StringVar(&flags.json, "json", "", "a file for the result")
+	f.StringVar(&flags.report, "report", "", "a directory for the report, an HTML page")
+	c.RunE = func(_ *cobra.Command, args []string) error {
+		if err := flags.apply(&options); err != nil {
+			return err
 		}
 		p, err := plan.Load(args[0])
 		if err != nil {
 			return failed(err)
 		}
-		o.Plan = p
-		if *clock {
-			o.ByClock()
+		options.Plan = p
+		if flags.byClock {
+			options.ByClock()
 		}
-		if bar := t.progress(int64(o.Days*1000), "days"); bar != nil {
-			o.Progress = func(day float64) { bar.Set64(int64(day * 1000)) }
+		return t.runSimulation(options, flags)
+	}
+	return c
+}
+
+// apply checks the options and sets those that the flags name in words.
+func (flags simulateFlags) apply(options *lab.Options) error {
+	if err := checkBounds(options); err != nil {
+		return err
+	}
+	switch flags.guard {
+	case "on":
+	case "off":
+		options.Guard.All = true
+	default:
+		return fmt.Errorf("--guard: on or off")
+	}
+	faults, ok := lab.Worst(flags.faults)
+	if !ok {
+		return fmt.Errorf("--faults: %q is none of %s", flags.faults, strings.Join(lab.Kinds(), ", "))
+	}
+	options.Faults = faults
+	for _, name := range flags.without {
+		if !options.Without(name) {
+			return fmt.Errorf("--without: there is no defence %q", name)
 		}
-		ctx, cancel := untilSignal()
-		defer cancel()
-		r, err := lab.Run(ctx, o)
-		if err != nil && ctx.Err() == nil {
+	}
+	return nil
+}
+
+func checkBounds(options *lab.Options) error {
+	daysOutOfRange := options.Days <= 0 || options.Days > maxSimulatedDays
+	relaysOutOfRange := options.Relays < 1 || options.Relays > maxSimulatedRelays
+	plannersOutOfRange := options.Units < 1 || options.Units > maxSimulatedRelays
+	if daysOutOfRange || relaysOutOfRange || plannersOutOfRange {
+		return fmt.Errorf("--days up to 60, --relays and --planners from 1 to 1000")
+	}
+	badInRange := options.BadPart >= 0 && options.BadPart <= 1
+	loadInRange := options.Load > 0 && options.Load <= maxSimulatedLoad
+	if !badInRange || !loadInRange {
+		return fmt.Errorf("--bad from 0 to 1, --load above 0 and up to 10")
+	}
+	return nil
+}
+
+// runSimulation runs a simulation and prints its result, of the part before a signal too.
+func (t *tool) runSimulation(options lab.Options, flags simulateFlags) error {
+	options.Progress = t.virtualProgress(options.Days, "days")
+	ctx, cancel := untilSignal()
+	defer cancel()
+	result, err := lab.Run(ctx, options)
+	if err != nil && ctx.Err() == nil {
+		return failed(err)
+	}
+	if err := t.writeJSON(flags.json, result); err != nil {
+		return err
+	}
+	if flags.report != "" {
+		name, err := result.Report(options.Plan, flags.report)
+		if err != nil {
 			return failed(err)
 		}
-		if err := t.writeJSON(*file, r); err != nil {
-			return err
-		}
-		if *dir != "" {
-			name, err := r.Report(p, *dir)
-			if err != nil {
-				return failed(err)
-			}
-			fmt.Fprintln(t.out, "report:", name)
-		}
-		t.summary(&r)
-		if ctx.Err() != nil {
-			return failed(fmt.Errorf("ended by a signal after %.2f days", r.Days))
-		}
-		if len(r.Broken) > 0 {
-			return fault{exitBroke, fmt.Errorf("%d times a rule or a line of the plan was broken", len(r.Broken)+r.BrokenMore)}
-		}
-		return nil
+		printf(t.out, "report: %s\n", name)
 	}
-	return c
+	t.printSummary(&result)
+	if ctx.Err() != nil {
+		return failed(fmt.Errorf("ended by a signal after %.2f days", result.Days))
+	}
+	if len(result.Broken) > 0 {
+		return ruleBroken("%d times a rule or a line of the plan was broken", len(result.Broken)+result.BrokenMore)
+	}
+	return nil
 }
 
-// summary prints the result in plain lines.
-func (t *tool) summary(r *lab.Result) {
-	good, bad, out, stayed := 0, 0, 0, 0
-	for _, x := range r.Releases {
-		switch is := x.Released >= 0 && x.Back < 0; {
-		case x.Bad:
-			bad++
-			if is {
-				stayed++
-			}
-		default:
-			good++
-			if is {
-				out++
-			}
+// releaseCounts counts the builds of a simulation, and those that are released in the end.
+type releaseCounts struct {
+	good, goodReleased int
+	bad, badReleased   int
+}
+
+func countReleases(result *lab.Result) releaseCounts {
+	var counts releaseCounts
+	for _, r := range result.Releases {
+		released := 0
+		if r.Released >= 0 && r.Back < 0 {
+			released = 1
+		}
+		if r.Bad {
+			counts.bad++
+			counts.badReleased += released
+		} else {
+			counts.good++
+			counts.goodReleased += released
 		}
 	}
-	fmt.Fprintf(t.out, "simulated: %g days, %d relays, %d planners, seed %d: %d queries in %.0f s of traffic\n", r.Days, r.Relays, r.Units, r.Seed, r.Queries, r.Awake)
-	fmt.Fprintf(t.out, "releases: %d good, %d of them out after %.1f h on average; %d bad, %d of them out\n", good, out, r.GoodTook/3600, bad, stayed)
-	fmt.Fprintf(t.out, "service %.4f; worth lost by bad builds %.1f; at most %.2f of any allowance used\n", r.Service, r.BadWorth, r.MostOfCap)
+	return counts
+}
+
+// printSummary prints the result in plain lines.
+func (t *tool) printSummary(r *lab.Result) {
+	const secondsPerHour = 3600
+	counts := countReleases(r)
+	printf(t.out, "simulated: %g days, %d relays, %d planners, seed %d: %d queries in %.0f s of traffic\n", r.Days, r.Relays, r.Units, r.Seed, r.Queries, r.Awake)
+	printf(t.out, "releases: %d good, %d of them out after %.1f h on average; %d bad, %d of them out\n", counts.good, counts.goodReleased,
+		r.GoodTook/secondsPerHour, counts.bad, counts.badReleased)
+	printf(t.out, "service %.4f; worth lost by bad builds %.1f; at most %.2f of any allowance used\n", r.Service, r.BadWorth, r.MostOfCap)
 	if len(r.Broken) == 0 {
-		fmt.Fprintln(t.out, "broken: nothing")
+		printf(t.out, "broken: nothing\n")
 	}
 	for i, b := range r.Broken {
-		if i == 10 {
-			fmt.Fprintf(t.out, "broken: and %d more\n", len(r.Broken)-i+r.BrokenMore)
+		if i == maxPrintedBroken {
+			printf(t.out, "broken: and %d more\n", len(r.Broken)-i+r.BrokenMore)
 			break
 		}
-		fmt.Fprintf(t.out, "broken: at %.3f s %s by %s: %s\n", b.Time, b.Rule, b.Relay, b.Text)
-	}
-	fmt.Fprintln(t.out, "timeline", r.Hash)
-}
-
-// progress is a bar up to a number, -1 where none is known; none where nobody sees it, as in a pipe.
-func (t *tool) progress(most int64, what string, more ...progressbar.Option) *progressbar.ProgressBar {
-	f, ok := t.errs.(*os.File)
-	if !ok {
-		return nil
-	}
-	if info, err := f.Stat(); err != nil || info.Mode()&os.ModeCharDevice == 0 {
-		return nil
+		printf(t.out, "broken: at %.3f s %s by %s: %s\n", b.Time, b.Rule, b.Relay, b.Text)
 	}
-	return progressbar.NewOptions64(most, append(more, progressbar.OptionSetWriter(f), progressbar.OptionSetDescription(what),
-		progressbar.OptionThrottle(200*time.Millisecond), progressbar.OptionClearOnFinish(), progressbar.OptionSetPredictTime(true))...)
+	printf(t.out, "timeline %s\n", r.Hash)
 }
--- a/cmd/lichenroad/size_test.go
+++ b/cmd/lichenroad/size_test.go
@@ -16,16 +16,16 @@
 // over a megabyte, within the smallest limits, and has it serve. A delta that drains half of the units holds at once:
 // neither idle connections nor new ones carry another query there.
 func TestThousandRelaysAndUnits(t *testing.T) {
-	const count, stood = 1024, 8
-	var units []*unit
-	for range stood {
-		units = append(units, newUnit(t, always(honour)))
+	const count, servers = 1024, 8
+	var units []*fakeEndpoint
+	for range servers {
+		units = append(units, newFakeEndpoint(t, always(succeed)))
 	}
 	list := func(generation int, whole bool, lifecycle string, from, to int) []byte {
 		var entries []map[string]any
 		for i := from; i < to; i++ {
 			entries = append(entries, map[string]any{"instanceId": fmt.Sprintf("s-%d-%s", i, strings.Repeat("x", 800)),
-				"hostPort": units[i*stood/count].address(), "zone": "a", "machineType": "m1", "cell": i % 8,
+				"hostPort": units[i*servers/count].address(), "zone": "a", "machineType": "m1", "cell": i % 8,
 				"lifecycle": lifecycle, "weight": 1, "startedAtMs": 0, "build": 1})
 		}
 		raw, err := json.MarshalIndent(map[string]any{"generation": generation, "reset": whole, "instances": entries}, "", "    ")
@@ -55,7 +55,7 @@
 		<-r.Context().Done()
 	}))
 	t.Cleanup(func() { discovery.Listener.Close(); discovery.CloseClientConnections(); discovery.Close() })
-	f := &fleet{srv: discovery}
+	f := &fakeDiscovery{srv: discovery}
 	p := running(t, f, func(c *config.Config) {
 		c.KnownList, c.MemoryMB, c.Sockets, c.PeerListen = nil, 32, 256, "127.0.0.1:0"
 		for i := range count {
@@ -74,14 +74,14 @@
 		}
 	}
 	ask(200)
-	asked := func(from, to int) (n int) {
+	statements := func(from, to int) (n int) {
 		for _, u := range units[from:to] {
 			k, _ := u.count()
 			n += k
 		}
 		return n
 	}
-	if asked(0, stood/2) == 0 || asked(stood/2, stood) == 0 {
+	if statements(0, servers/2) == 0 || statements(servers/2, servers) == 0 {
 		t.Error("half of the fleet got nothing")
 	}
 	close(drain)
@@ -92,10 +92,10 @@
 		c.send(";")
 	}
 	c.until('Z')
-	before := asked(0, stood/2)
+	before := statements(0, servers/2)
 	ask(200)
-	if after := asked(0, stood/2); after != before {
-		t.Errorf("%d queries went to units told as draining", after-before)
+	if after := statements(0, servers/2); after != before {
+		t.Errorf("%d requests went to endpoints listed as draining", after-before)
 	}
 	sums(t, p)
 }
--- a/cmd/lichenroad/sweep.go
+++ b/cmd/lichenroad/sweep.go
@@ -4,15 +4,11 @@
 
 import (
 	"context"
-	"encoding/json"
 	"fmt"
-	"os"
 	"runtime"
-	"sort"
 	"strconv"
 	"strings"
 	"sync"
-	"text/tabwriter"
 
 	"github.com/spf13/cobra"
 
@@ -21,238 +17,241 @@
 	"lichenroad/relay"
 )
 
-// swept is the file that a sweep leaves and a comparison reads.
-type swept struct {
+const (
+	maxSweptRequests = 4 << 20 // 64 bytes each
+	maxSeeds         = 200
+)
+
+// sweepResult is the file that a sweep leaves and a comparison reads.
+type sweepResult struct {
 	Trace []string         `json:"trace"`
 	Vary  string           `json:"vary"`
 	Runs  []experiment.Run `json:"runs"`
 }
 
+// sweepFlags are the flags of `lab sweep` besides those of its input.
+type sweepFlags struct {
+	fault      string
+	report     string
+	vary       string
+	seeds      int
+	relays     int
+	planners   int
+	json       string
+	comparison experiment.Options
+}
+
 func (t *tool) labSweep() *cobra.Command {
 	c := &cobra.Command{Use: "sweep FILE...", Short: "Replay a trace with one thing changed, on several seeds, and say what it does", Args: cobra.MinimumNArgs(1),
 		Long: "Replay a trace with one thing changed, on several seeds. --vary names it and its values: relays=4,8, planners=8,10,12,\nmodule=" + strings.Join(lab.Baselines(), ",") +
 			". Or a fault: fault=" + strings.Join(lab.Troubles(), ",") +
-			",\nor a setting: legs=1,2,3, cancel=true,false, retry-after=true,false. Each value is held against the first, by the same\nseeds; with one value the file alone is left, for lab compare, such as of another version of the program."}
-	var x traced
-	x.flags(c)
-	c.MarkFlagRequired("mapping")
-	all := c.Flags().String("fault", "none", "what goes wrong with planners in all runs: "+strings.Join(lab.Troubles(), ", "))
-	chart := c.Flags().String("report", "", "a directory for the chart, an HTML page")
-	vary := c.Flags().String("vary", "", "what is changed, and its values: NAME=A,B,...")
-	c.MarkFlagRequired("vary")
-	seeds := c.Flags().Int("seeds", 5, "seeds, from 1 on; up to 200")
-	relays := c.Flags().Int("relays", 4, "relays, where they are not varied")
-	units := c.Flags().Int("planners", 10, "planners, where they are not varied")
-	file := c.Flags().String("json", "", "a file for all runs")
-	confidence := c.Flags().Float64("confidence", 0.95, "of the intervals")
-	margin := c.Flags().Float64("margin", 0, "a difference that matters to nobody, as a part")
-	c.RunE = func(_ *cobra.Command, args []string) error {
-		name, list, ok := strings.Cut(*vary, "=")
-		values := strings.Split(list, ",")
-		if !ok || list == "" || *seeds < 1 || *seeds > 200 {
-			return fmt.Errorf("--vary NAME=A,B,..., --seeds from 1 to 200")
-		}
-		trouble, err := lab.TroubleOf(*all)
-		if err != nil {
-			return err
-		}
-		var arrivals []lab.Arrival // a trace that is swept is held whole: its queries, not its rows
-		_, err = x.play(context.Background(), t, args, 1, func(a lab.Arrival) error {
-			if len(arrivals) >= mostSwept {
-				return fmt.Errorf("over %d queries: thin or cut the trace", mostSwept)
-			}
-			arrivals = append(arrivals, a)
-			return nil
-		})
+			",\nor a setting: legs=1,2,3, cancel=true,false, retry-after=true,false. Each value is compared with the first, by the same\nseeds; with one value the file alone is left, for lab compare, such as of another version of the program."}
+	var in traceInput
+	var flags sweepFlags
+	in.addFlags(c)
+	flags.add(c)
+	markRequired(c.MarkFlagRequired("mapping"))
+	markRequired(c.MarkFlagRequired("vary"))
+	c.RunE = func(_ *cobra.Command, files []string) error { return t.sweep(&in, files, &flags) }
+	return c
+}
+
+func (flags *sweepFlags) add(c *cobra.Command) {
+	f := c.Flags()
+	f.StringVar(&flags.fault, "fault", noFault, "what goes wrong with planners in all runs: "+strings.Join(lab.Troubles(), ", "))
+	f.StringVar(&flags.report, "report", "", "a directory for the chart, an HTML page")
+	f.StringVar(&flags.vary, "vary", "", "what is changed, and its values: NAME=A,B,...")
+	f.IntVar(&flags.seeds, "seeds", 5, "seeds, from 1 on; up to 200")
+	f.IntVar(&flags.relays, "relays", 4, "relays, where they are not varied")
+	f.IntVar(&flags.planners, "planners", 10, "planners, where they are not varied")
+	f.StringVar(&flags.json, "json", "", "a file for all runs")
+	addComparisonFlags(c, &flags.comparison)
+}
+
+// variation is what --vary changes, and its values.
+type variation struct {
+	name   string
+	values []string
+}
+
+func parseVariation(text string) (variation, bool) {
+	name, list, ok := strings.Cut(text, "=")
+	return variation{name: name, values: strings.Split(list, ",")}, ok && list != ""
+}
+
+// sweep plays all runs of a sweep, and compares each value with the first.
+func (t *tool) sweep(in *traceInput, files []string, flags *sweepFlags) error {
+	vary, ok := parseVariation(flags.vary)
+	if !ok || flags.seeds < 1 || flags.seeds > maxSeeds {
+		return fmt.Errorf("--vary NAME=A,B,..., --seeds from 1 to 200")
+	}
+	fault, err := lab.TroubleOf(flags.fault)
+	if err != nil {
+		return err
+	}
+	arrivals, err := t.readArrivals(in, files)
+	if err != nil {
+		return err
+	}
+	base := lab.ReplayOptions{Trouble: fault, Relays: flags.relays, Units: flags.planners, Categories: in.mapping.Categories,
+		Customers: in.mapping.Customers}
+	replays, err := vary.replays(base, flags.seeds)
+	if err != nil {
+		return err
+	}
+	runs, err := playAll(arrivals, replays)
+	if err != nil {
+		return failed(err)
+	}
+	if err := t.writeJSON(flags.json, sweepResult{files, vary.name, runs}); err != nil {
+		return err
+	}
+	values, byValue := experiment.Split(runs)
+	if flags.report != "" {
+		page, err := writeSweepPage(flags.report, vary.name, values, byValue, flags.comparison.Confidence)
 		if err != nil {
-			return err
-		}
-		var todo []lab.ReplayOptions
-		var at []experiment.Run
-		for _, v := range values {
-			o := lab.ReplayOptions{Trouble: trouble, Relays: *relays, Units: *units, Categories: x.m.Categories, Customers: x.m.Customers}
-			switch name {
-			case "relays", "planners":
-				n, err := strconv.Atoi(v)
-				if err != nil {
-					return fmt.Errorf("--vary: %q is no number", v)
-				}
-				if name == "relays" {
-					o.Relays = n
-				} else {
-					o.Units = n
-				}
-			case "module":
-				if o.Module, err = lab.Baseline(v); err != nil {
-					return err
-				}
-			case "fault":
-				if o.Trouble, err = lab.TroubleOf(v); err != nil {
-					return err
-				}
-			case "legs", "cancel", "retry-after":
-				if o.Change, err = setting(name, v); err != nil {
-					return fmt.Errorf("--vary: %w", err)
-				}
-			default:
-				return fmt.Errorf("--vary: %q is none of relays, planners, module, fault, legs, cancel, retry-after", name)
-			}
-			for s := range *seeds {
-				o.Seed = int64(s + 1)
-				todo, at = append(todo, o), append(at, experiment.Run{Value: v, Seed: o.Seed})
-			}
-		}
-		if err := sweep(arrivals, todo, at); err != nil {
 			return failed(err)
 		}
-		if err := t.writeJSON(*file, swept{args, name, at}); err != nil {
+		printf(t.out, "report: %s\n", page)
+	}
+	first := values[0]
+	for _, value := range values[1:] {
+		printf(t.out, "\n%s=%s against %s=%s (simulated)\n", vary.name, value, vary.name, first)
+		if err := t.compare(byValue[first], byValue[value], flags.comparison); err != nil {
 			return err
 		}
-		order, by := experiment.Split(at)
-		if *chart != "" {
-			page, err := sweepPage(*chart, name, order, by, *confidence)
-			if err != nil {
-				return failed(err)
-			}
-			fmt.Fprintln(t.out, "report:", page)
-		}
-		for _, v := range order[1:] {
-			fmt.Fprintf(t.out, "\n%s=%s against %s=%s (simulated)\n", name, v, name, order[0])
-			if err := t.compare(by[order[0]], by[v], experiment.Options{Confidence: *confidence, Margin: *margin}); err != nil {
-				return err
-			}
+	}
+	return nil
+}
+
+// readArrivals reads a trace that is swept: its requests are held in memory, not its rows.
+func (t *tool) readArrivals(in *traceInput, files []string) ([]lab.Arrival, error) {
+	const thinningSeed = 1 // the same requests for all runs
+	var arrivals []lab.Arrival
+	_, err := in.play(context.Background(), t, files, thinningSeed, func(arrival lab.Arrival) error {
+		if len(arrivals) >= maxSweptRequests {
+			return fmt.Errorf("over %d queries: thin or cut the trace", maxSweptRequests)
 		}
+		arrivals = append(arrivals, arrival)
 		return nil
+	})
+	return arrivals, err
+}
+
+// sweptReplay is one run of a sweep, before it is played.
+type sweptReplay struct {
+	value   string
+	options lab.ReplayOptions
+}
+
+// replays lists the runs: for each value, one for each seed from 1 on.
+func (v variation) replays(base lab.ReplayOptions, seeds int) ([]sweptReplay, error) {
+	var replays []sweptReplay
+	for _, value := range v.values {
+		options := base
+		if err := vary(&options, v.name, value); err != nil {
+			return nil, err
+		}
+		for seed := 1; seed <= seeds; seed++ {
+			options.Seed = int64(seed)
+			replays = append(replays, sweptReplay{value: value, options: options})
+		}
 	}
-	return c
+	return replays, nil
 }
 
-// sweepPage writes the charts of a sweep: each figure's mean and interval, by value.
-func sweepPage(dir, name string, order []string, by map[string][]experiment.Run, confidence float64) (string, error) {
-	figures, of := []string{"service", "worst_10s", "denied_part", "written_off_part", "legs_a_query", "p99_s"}, map[string][]lab.Bar{}
-	for _, f := range figures {
-		for _, v := range order {
-			mean, low, top := experiment.Mean(by[v], f, confidence)
-			of[f] = append(of[f], lab.Bar{Name: v, Mean: mean, Low: low, Top: top})
+// vary puts a value of what is varied into a replay's options.
+func vary(options *lab.ReplayOptions, name, value string) (err error) {
+	switch name {
+	case "relays":
+		options.Relays, err = varyCount(value)
+	case "planners":
+		options.Units, err = varyCount(value)
+	case "module":
+		options.Module, err = lab.Baseline(value)
+	case "fault":
+		options.Trouble, err = lab.TroubleOf(value)
+	case "legs", "cancel", "retry-after":
+		if options.Change, err = settingChange(name, value); err != nil {
+			err = fmt.Errorf("--vary: %w", err)
 		}
+	default:
+		err = fmt.Errorf("--vary: %q is none of relays, planners, module, fault, legs, cancel, retry-after", name)
+	}
+	return err
+}
+
+func varyCount(value string) (int, error) {
+	n, err := strconv.Atoi(value)
+	if err != nil {
+		return 0, fmt.Errorf("--vary: %q is no number", value)
 	}
-	return lab.SweepPage(dir, "What "+name+" does", figures, of)
+	return n, nil
 }
 
-// setting gives the change of a setting that relays are told.
-func setting(name, v string) (func(*relay.Settings), error) {
+// settingChange is the change of a setting that relays are started with.
+func settingChange(name, value string) (func(*relay.Settings), error) {
 	if name == "legs" {
-		n, err := strconv.Atoi(v)
-		if err != nil || n < 1 || n > 10 {
-			return nil, fmt.Errorf("legs: %q is none from 1 to 10", v)
+		const maxAttempts = 10
+		n, err := strconv.Atoi(value)
+		if err != nil || n < 1 || n > maxAttempts {
+			return nil, fmt.Errorf("legs: %q is none from 1 to %d", value, maxAttempts)
 		}
 		return func(s *relay.Settings) { s.Limits.MaxAttempts = n }, nil
 	}
-	on, err := strconv.ParseBool(v)
+	on, err := strconv.ParseBool(value)
 	if err != nil {
-		return nil, fmt.Errorf("%s: %q is neither true nor false", name, v)
+		return nil, fmt.Errorf("%s: %q is neither true nor false", name, value)
 	}
-	return func(s *relay.Settings) {
-		if name == "cancel" {
-			s.Limits.CancelAttempts = on
-		} else {
-			s.Limits.RetryAfter = on
-		}
-	}, nil
+	if name == "cancel" {
+		return func(s *relay.Settings) { s.Limits.CancelAttempts = on }, nil
+	}
+	return func(s *relay.Settings) { s.Limits.RetryAfter = on }, nil
 }
 
-// mostSwept bounds the queries of a sweep: 64 bytes each.
-const mostSwept = 4 << 20
-
-// sweep plays all runs, as many at a time as there are cores. Each is a world of its own.
-func sweep(arrivals []lab.Arrival, todo []lab.ReplayOptions, at []experiment.Run) error {
-	errs := make([]error, len(todo))
+// playAll plays all runs, as many at a time as there are cores. Each is a simulation of its own, on a goroutine that
+// ends with it. The error is that of the first run that failed, in the order of the list.
+func playAll(arrivals []lab.Arrival, replays []sweptReplay) ([]experiment.Run, error) {
+	runs := make([]experiment.Run, len(replays))
+	errs := make([]error, len(replays))
 	slots := make(chan struct{}, runtime.GOMAXPROCS(0))
 	var wait sync.WaitGroup
-	for i := range todo {
-		wait.Add(1)
+	for i, r := range replays {
 		slots <- struct{}{}
-		go func() {
-			defer func() { <-slots; wait.Done() }()
-			r, err := lab.NewReplay(todo[i])
-			if err != nil {
-				errs[i] = err
-				return
-			}
-			for _, a := range arrivals {
-				r.Play(a)
-			}
-			at[i].Figures = figures(r.End())
-		}()
+		wait.Go(func() {
+			defer func() { <-slots }()
+			runs[i], errs[i] = play(arrivals, r)
+		})
 	}
 	wait.Wait()
 	for _, err := range errs {
 		if err != nil {
-			return err
+			return nil, err
 		}
 	}
-	return nil
-}
-
-func figures(r lab.Replayed) map[string]float64 {
-	n := float64(max(r.All.Queries, 1))
-	return map[string]float64{"service": r.All.Service, "worst_10s": r.Worst10, "tail": r.Tail, "figure": r.Figure, "denied_part": float64(r.Denied) / n, "written_off_part": float64(r.WrittenOff) / n,
-		"legs_a_query": r.LegsEach, "p50_s": r.Latency["p50"], "p99_s": r.Latency["p99"], "broken": float64(len(r.Broken))}
+	return runs, nil
 }
 
-func (t *tool) compare(a, b []experiment.Run, o experiment.Options) error {
-	list, err := experiment.Compare(a, b, o)
+func play(arrivals []lab.Arrival, r sweptReplay) (experiment.Run, error) {
+	replay, err := lab.NewReplay(r.options)
 	if err != nil {
-		return failed(err)
+		return experiment.Run{}, err
 	}
-	w := tabwriter.NewWriter(t.out, 0, 0, 2, ' ', 0)
-	fmt.Fprintf(w, "FIGURE\tSEEDS\tFIRST\tTHIS\tDIFFERENCE\t%g%% INTERVAL\tVERDICT\n", 100*o.Confidence)
-	for _, c := range list {
-		fmt.Fprintf(w, "%s\t%d\t%.4f\t%.4f\t%+.4f\t%+.4f to %+.4f\t%s\n", c.Figure, c.Pairs, c.A, c.B, c.Diff, c.Low, c.High, c.Verdict)
+	for _, arrival := range arrivals {
+		replay.Play(arrival)
 	}
-	return w.Flush()
+	return experiment.Run{Value: r.value, Seed: r.options.Seed, Figures: figures(replay.End())}, nil
 }
 
-func (t *tool) labCompare() *cobra.Command {
-	c := &cobra.Command{Use: "compare A.json B.json", Short: "Hold the runs of two sweeps or replays against each other, by seed", Args: cobra.ExactArgs(2)}
-	confidence := c.Flags().Float64("confidence", 0.95, "of the intervals")
-	margin := c.Flags().Float64("margin", 0, "a difference that matters to nobody, as a part")
-	c.RunE = func(_ *cobra.Command, args []string) error {
-		var both [2][]experiment.Run
-		for i, name := range args {
-			raw, err := os.ReadFile(name)
-			if err != nil {
-				return failed(err)
-			}
-			if both[i], err = runsOf(raw); err != nil {
-				return failed(fmt.Errorf("%s: %w", name, err))
-			}
+// writeSweepPage writes the charts of a sweep: each figure's mean and interval, by value.
+func writeSweepPage(dir, varied string, values []string, byValue map[string][]experiment.Run, confidence float64) (string, error) {
+	charted := []string{"service", "worst_10s", "denied_part", "written_off_part", "legs_a_query", "p99_s"}
+	bars := map[string][]lab.Bar{}
+	for _, figure := range charted {
+		for _, value := range values {
+			mean, low, top := experiment.Mean(byValue[value], figure, confidence)
+			bars[figure] = append(bars[figure], lab.Bar{Name: value, Mean: mean, Low: low, Top: top})
 		}
-		return t.compare(both[0], both[1], experiment.Options{Confidence: *confidence, Margin: *margin})
-	}
-	return c
-}
-
-// runsOf reads the runs of a sweep with one value, or the one run of a replay.
-func runsOf(raw []byte) ([]experiment.Run, error) {
-	var s swept
-	if err := json.Unmarshal(raw, &s); err != nil {
-		return nil, err
-	}
-	if len(s.Runs) > 0 {
-		values, _ := experiment.Split(s.Runs)
-		if len(values) > 1 {
-			sort.Strings(values)
-			return nil, fmt.Errorf("it has %d values (%s): compare them by the sweep itself", len(values), strings.Join(values, ", "))
-		}
-		return s.Runs, nil
-	}
-	var r lab.Replayed
-	if err := json.Unmarshal(raw, &r); err != nil {
-		return nil, err
-	}
-	if r.All.Queries == 0 {
-		return nil, fmt.Errorf("no sweep and no replay")
 	}
-	return []experiment.Run{{Seed: r.Seed, Figures: figures(r)}}, nil
+	return lab.SweepPage(dir, "What "+varied+" does", charted, bars)
 }
--- a/cmd/lichenroad/tools_test.go
+++ b/cmd/lichenroad/tools_test.go
@@ -24,7 +24,7 @@
 }
 
 func TestTools(t *testing.T) {
-	dir := t.TempDir()
+	dir, controllerDir := t.TempDir(), t.TempDir()
 	bad := filepath.Join(dir, "bad.xml")
 	text, err := os.ReadFile("../../deploy/plan.xml")
 	if err != nil {
@@ -60,6 +60,19 @@
 		{"desk history --state " + dir, 1, "", "journal", 1},
 		{"desk run --plan " + bad + " --state " + dir, 1, "", "bad.xml:", 5},
 		{"desk run --plan ../../deploy/plan.xml --state " + dir + " --control 10.0.0.1:1", 1, "", "loopback", 1},
+		{"controller status --state " + controllerDir, 1, "", "no release controller runs", 1},
+		{"controller status", 2, "", "state", 1},
+		{"controller back a --state " + controllerDir, 2, "", "why", 1},
+		{"controller offer a x --why y --state " + controllerDir, 2, "", "no build", 1},
+		{"controller offer a --why y --state " + controllerDir, 2, "", "arg", 1},
+		{"controller freeze --why y --state " + controllerDir, 2, "", "arg", 1},
+		{"controller dance --state " + controllerDir, 2, "", "dance", 1},
+		{"controller history --state " + controllerDir, 1, "", "journal", 1},
+		{"controller run --plan " + bad + " --state " + controllerDir, 1, "", "bad.xml:", 5},
+		{"controller run --plan ../../deploy/plan.xml --state " + controllerDir + " --control 10.0.0.1:1", 1, "", "loopback", 1},
+		{"help controller", 0, "history", "", 0},
+		{"desk --help", 0, "Deprecated: use controller", "", 0},
+		{"help desk", 0, "Deprecated: use controller", "", 0},
 		{"lab planner --listen 0.0.0.0:1", 2, "", "loopback", 1},
 		{"serve --plan x", 2, "", "service", 1},
 		{"exit-codes", 0, "3  a simulation found", "", 0},
@@ -105,7 +118,7 @@
 	}
 }
 
-// TestDemo takes two builds through a plan with real processes: planner stand-ins, relays with their guard, and a desk
+// TestDemo takes two builds through a plan with real processes: planner stand-ins, relays with their guard, and a release controller
 // that is killed in the middle of a step. No leg may go over its cap, and no process may be left.
 func TestDemo(t *testing.T) {
 	if testing.Short() {
@@ -187,7 +200,7 @@
 	}
 }
 
-// TestLiveReplay plays a sample twice to relays as processes: every query is asked and ends, and the figures lie close.
+// TestLiveReplay plays a sample twice to relays as processes: every request is sent and ends, and the figures lie close.
 func TestLiveReplay(t *testing.T) {
 	dir := t.TempDir()
 	mapping := filepath.Join(dir, "fast.xml")
@@ -228,7 +241,7 @@
 	}
 }
 
-// TestLiveReplayIsEndedBySignal: what was played is told, and nothing goes on.
+// TestLiveReplayIsEndedBySignal ends a replay early: the result of what was played is printed, and no process goes on.
 func TestLiveReplayIsEndedBySignal(t *testing.T) {
 	dir := t.TempDir()
 	file := filepath.Join(dir, "live.json")
@@ -240,7 +253,7 @@
 	if err := c.Start(); err != nil {
 		t.Fatal(err)
 	}
-	for until := time.Now().Add(patience); ; time.Sleep(10 * time.Millisecond) {
+	for until := time.Now().Add(testTimeout); ; time.Sleep(10 * time.Millisecond) {
 		if logs, _ := filepath.Glob(filepath.Join(dir, "serve-*.log")); len(logs) == 1 || time.Now().After(until) {
 			break
 		}
@@ -291,7 +304,7 @@
 	if code != 0 || !strings.Contains(out, "planners=8 against planners=2") || !strings.Contains(out, "worst_10s") {
 		t.Errorf("%d %s %s", code, out, errs)
 	}
-	var got swept
+	var got sweepResult
 	if raw, err := os.ReadFile(file); err != nil || json.Unmarshal(raw, &got) != nil || len(got.Runs) != 6 {
 		t.Errorf("%v %d runs", err, len(got.Runs))
 	}
@@ -303,7 +316,7 @@
 	for _, m := range []string{"random", "least-in-flight"} { // the baselines keep the rules too
 		code, out, errs := call(append(words, "--vary", "module=policy,"+m)...)
 		raw, _ := os.ReadFile(file)
-		if got = (swept{}); code != 0 || json.Unmarshal(raw, &got) != nil {
+		if got = (sweepResult{}); code != 0 || json.Unmarshal(raw, &got) != nil {
 			t.Errorf("%d %s %s", code, out, errs)
 		}
 		for _, r := range got.Runs {
@@ -314,7 +327,7 @@
 	}
 	code, out, errs = call(append(words, "--vary", "fault="+strings.Join(lab.Troubles(), ","), "--report", dir)...)
 	raw, _ := os.ReadFile(file)
-	if got = (swept{}); code != 0 || json.Unmarshal(raw, &got) != nil || len(got.Runs) != 3*len(lab.Troubles()) {
+	if got = (sweepResult{}); code != 0 || json.Unmarshal(raw, &got) != nil || len(got.Runs) != 3*len(lab.Troubles()) {
 		t.Errorf("%d %s %s", code, out, errs)
 	}
 	for _, r := range got.Runs { // no trouble brings the module to break a rule
--- /dev/null
+++ b/cmd/lichenroad/tracecheck.go
@@ -0,0 +1,79 @@
+//go:build !slim
+
+package main
+
+import (
+	"fmt"
+	"strings"
+
+	"github.com/spf13/cobra"
+
+	"lichenroad/trace"
+)
+
+// checkResult is the JSON result of `trace check`.
+type checkResult struct {
+	Rows       int64                  `json:"rows"`
+	Taken      int64                  `json:"taken"`
+	Reordered  int64                  `json:"reordered"`
+	Reported   map[trace.Reason]int64 `json:"reported"`
+	First      map[trace.Reason]int64 `json:"first"`
+	Tasks      int64                  `json:"tasks"`
+	Span       float64                `json:"span_s"`
+	Rate       map[string]float64     `json:"rate"`
+	Categories map[string]int64       `json:"categories"`
+	Unplaced   map[trace.Reason]int64 `json:"unplaced"` // tasks that the mapping has no place for
+}
+
+// addAudit puts what was read of the trace into the result.
+func (r *checkResult) addAudit(a *trace.Audit) {
+	r.Rows = a.Rows
+	r.Taken = a.Taken
+	r.Reordered = a.Reordered
+	r.Reported = a.Reported
+	r.First = a.First
+	r.Tasks = a.Tasks
+	r.Span = a.To - a.From
+	r.Rate = map[string]float64{"mean": a.Rate(), "peak": a.Peak}
+}
+
+// place counts a task by the request class that the mapping gives it.
+func (r *checkResult) place(mapping *trace.Mapping, task *trace.Task) {
+	request, why := mapping.Place(task)
+	if why != trace.Taken {
+		r.Unplaced[why]++
+		return
+	}
+	r.Categories[mapping.Categories[request.Category]]++
+}
+
+func (t *tool) traceCheck() *cobra.Command {
+	c := &cobra.Command{Use: "check FILE...", Short: "Read a trace and tell of every row that can't be used", Args: cobra.MinimumNArgs(1),
+		Long: "Read a trace and tell of every row that can't be used. Plain or gzip; - is the standard input; several files are\nread as one. Exit code 1 where no row could be used."}
+	var in traceInput
+	in.addFlags(c)
+	file := c.Flags().String("json", "", "a file for the result")
+	c.RunE = func(_ *cobra.Command, args []string) error {
+		result := checkResult{Categories: map[string]int64{}, Unplaced: map[trace.Reason]int64{}}
+		audit, err := in.read(t, args, func(task *trace.Task) error {
+			if in.mapping != nil {
+				result.place(in.mapping, task)
+			}
+			return nil
+		})
+		if err != nil {
+			return err
+		}
+		result.addAudit(audit)
+		if err := t.writeJSON(*file, result); err != nil {
+			return err
+		}
+		t.printAudit(audit)
+		t.printUnplaced(result.Unplaced)
+		if audit.Taken == 0 {
+			return failed(fmt.Errorf("%s: no row could be used", strings.Join(args, ", ")))
+		}
+		return nil
+	}
+	return c
+}
--- /dev/null
+++ b/cmd/lichenroad/tracelive.go
@@ -0,0 +1,105 @@
+//go:build !slim
+
+package main
+
+import (
+	"context"
+	"fmt"
+	"os"
+
+	"lichenroad/lab"
+	"lichenroad/lab/live"
+	"lichenroad/trace"
+)
+
+// Bounds of a live replay, whose relays and planners are processes and sockets of this machine.
+const (
+	maxLiveRelays     = 40
+	minLivePlanners   = 2
+	maxLivePlanners   = 200
+	maxQueuedArrivals = 4096 // read ahead of the sender
+)
+
+// replayLive replays over sockets. The trace is read as it is played, a few arrivals ahead. After a signal it prints the
+// result of what was played.
+func (t *tool) replayLive(ctx context.Context, in *traceInput, files []string, flags *replayFlags) error {
+	options, err := flags.liveOptions(in)
+	if err != nil {
+		return failed(err)
+	}
+	reading, stopReading := context.WithCancel(ctx)
+	arrivals, readEnded := t.prefetch(reading, in, files, options.Seed)
+	result, err := live.Run(ctx, options, arrivals)
+	stopReading()
+	if readErr := <-readEnded; readErr != nil {
+		return readErr
+	}
+	if err != nil {
+		return failed(err)
+	}
+	if err := t.writeJSON(flags.json, result); err != nil {
+		return err
+	}
+	if err := t.printReplay("measured on loopback", &result.Replayed, flags.report); err != nil {
+		return err
+	}
+	t.printSender(result.Sender)
+	if result.Overran > 0 {
+		printf(t.out, "%d answers came after their patience had ended\n", result.Overran)
+	}
+	switch {
+	case result.Ended:
+		return failed(fmt.Errorf("ended by a signal after %d queries", result.All.Queries))
+	case result.Sender.Invalid != "":
+		return failed(fmt.Errorf("invalid: %s", result.Sender.Invalid))
+	}
+	return replayError(&result.Replayed)
+}
+
+// liveOptions checks the size of a live replay, reads the mapping, and puts the options together.
+func (flags *replayFlags) liveOptions(in *traceInput) (live.Options, error) {
+	relays, planners := flags.options.Relays, flags.options.Units
+	if relays < 1 || relays > maxLiveRelays || planners < minLivePlanners || planners > maxLivePlanners {
+		return live.Options{}, fmt.Errorf("from 1 to 40 relays and from 2 to 200 planners with --live")
+	}
+	self, err := os.Executable()
+	if err != nil {
+		return live.Options{}, err
+	}
+	mapping, err := trace.LoadMapping(in.mappingFile)
+	if err != nil {
+		return live.Options{}, err
+	}
+	in.mapping = mapping
+	return live.Options{Self: self, Dir: flags.liveDir, Relays: relays, Units: planners, Seed: flags.options.Seed,
+		Categories: mapping.Categories, Customers: mapping.Customers, Bounds: flags.bounds}, nil
+}
+
+// prefetch reads the trace ahead of the sender on a goroutine, which ends at the trace's end or with the context; it closes arrivals then,
+// and sends its error.
+func (t *tool) prefetch(ctx context.Context, in *traceInput, files []string, seed int64) (<-chan lab.Arrival, <-chan error) {
+	arrivals := make(chan lab.Arrival, maxQueuedArrivals)
+	ended := make(chan error, 1)
+	emit := func(arrival lab.Arrival) error {
+		if arrival.BadFor > 0 {
+			return failed(fmt.Errorf("%s: failures as hours can't be played with --live", in.mappingFile))
+		}
+		select {
+		case arrivals <- arrival:
+			return nil
+		case <-ctx.Done():
+			return ctx.Err()
+		}
+	}
+	go func() {
+		_, err := in.play(ctx, t, files, seed, emit)
+		close(arrivals)
+		ended <- err
+	}()
+	return arrivals, ended
+}
+
+func (t *tool) printSender(s live.Lateness) {
+	printf(t.out, "sender: %d sent, %d not; late p50 %.4f s, p99 %.4f s, most %.4f s; %.2f%% over %g s; at most %d connections to a relay, %d broke\n", s.Sent,
+		s.Unsent, s.Quantiles["p50"], s.Quantiles["p99"], s.Quantiles["max"], 100*s.Share, s.LateAfter, s.Lanes, s.Broken)
+}
