--- /dev/null
+++ b/simwire/cursor.go
@@ -0,0 +1,77 @@
+package simwire
+
+import (
+	"encoding/binary"
+	"math"
+)
+
+const (
+	endpointBytes = 6 // of an endpoint's id: an IPv4 address, big endian, and a port, little endian
+	addressShift  = 16
+)
+
+// cursor walks over a body. Once it has been asked for more than is left, overrun stays set and all values are zero.
+type cursor struct {
+	body    []byte
+	at      int
+	overrun bool
+}
+
+func (c *cursor) bytes(n int) []byte {
+	if c.overrun || n < 0 || n > len(c.body)-c.at {
+		c.overrun = true
+		return nil
+	}
+	taken := c.body[c.at : c.at+n]
+	c.at += n
+	return taken
+}
+
+func (c *cursor) u8() uint8 {
+	if b := c.bytes(1); b != nil {
+		return b[0]
+	}
+	return 0
+}
+
+func (c *cursor) u16() uint16 {
+	if b := c.bytes(2); b != nil {
+		return binary.LittleEndian.Uint16(b)
+	}
+	return 0
+}
+
+func (c *cursor) u32() uint32 {
+	if b := c.bytes(4); b != nil {
+		return binary.LittleEndian.Uint32(b)
+	}
+	return 0
+}
+
+func (c *cursor) u64() uint64 {
+	if b := c.bytes(8); b != nil {
+		return binary.LittleEndian.Uint64(b)
+	}
+	return 0
+}
+
+func (c *cursor) f32() float32 { return math.Float32frombits(c.u32()) }
+
+func (c *cursor) endpoint() uint64 {
+	if b := c.bytes(endpointBytes); b != nil {
+		return uint64(binary.BigEndian.Uint32(b))<<addressShift | uint64(binary.LittleEndian.Uint16(b[4:]))
+	}
+	return 0
+}
+
+func (c *cursor) loadReport() []float32 {
+	count := int(c.u8())
+	if count == 0 {
+		return nil
+	}
+	report := make([]float32, 0, count)
+	for i := 0; i < count && !c.overrun; i++ {
+		report = append(report, c.f32())
+	}
+	return report
+}
