--- a/cmd/lichenroad/compare.go
+++ b/cmd/lichenroad/compare.go
@@ -48,7 +48,7 @@
 	table := t.newTable()
 	printf(table, "FIGURE\tSEEDS\tFIRST\tTHIS\tDIFFERENCE\t%g%% INTERVAL\tVERDICT\n", 100*options.Confidence)
 	for _, c := range comparisons {
-		printf(table, "%s\t%d\t%.4f\t%.4f\t%+.4f\t%+.4f to %+.4f\t%s\n", c.Figure, c.Pairs, c.A, c.B, c.Diff, c.Low, c.High, c.Verdict)
+		printf(table, "%s\t%d\t%.4f\t%.4f\t%+.4f\t%+.4f to %+.4f\t%s\n", c.Metric, c.Pairs, c.A, c.B, c.Difference, c.Low, c.High, c.Verdict)
 	}
 	return table.Flush()
 }
@@ -73,7 +73,7 @@
 		return nil, err
 	}
 	if len(swept.Runs) > 0 {
-		values, _ := experiment.Split(swept.Runs)
+		values, _ := experiment.GroupByValue(swept.Runs)
 		if len(values) > 1 {
 			sort.Strings(values)
 			return nil, fmt.Errorf("it has %d values (%s): compare them by the sweep itself", len(values), strings.Join(values, ", "))
@@ -87,7 +87,7 @@
 	if replayed.All.Queries == 0 {
 		return nil, errors.New("no sweep and no replay")
 	}
-	return []experiment.Run{{Seed: replayed.Seed, Figures: figures(replayed)}}, nil
+	return []experiment.Run{{Seed: replayed.Seed, Metrics: figures(replayed)}}, nil
 }
 
 // figures are the figures of a replay by which runs are compared.
--- a/cmd/lichenroad/controller.go
+++ b/cmd/lichenroad/controller.go
@@ -14,8 +14,8 @@
 	"github.com/sirupsen/logrus"
 	"github.com/spf13/cobra"
 
+	"lichenroad/internal/planxml"
 	"lichenroad/internal/releasecontroller"
-	"lichenroad/plan"
 	"lichenroad/relay"
 )
 
@@ -55,7 +55,7 @@
 	address := c.Flags().String("control", "", "address on loopback for operators; a free port where not given")
 	markRequired(c.MarkFlagRequired("plan"))
 	c.RunE = func(*cobra.Command, []string) error {
-		releases, err := plan.Load(*file)
+		releases, err := planxml.Load(*file)
 		if err != nil {
 			return failed(err)
 		}
@@ -70,10 +70,10 @@
 		signal.Notify(hangups, syscall.SIGHUP)
 		defer signal.Stop(hangups)
 		ready := func(controller *releasecontroller.Controller, at releasecontroller.Addresses) {
-			log.WithFields(logrus.Fields{"control": at.Control, "watch": at.Watch, "relays": at.Relays}).Info("desk open")
+			log.WithFields(logrus.Fields{"control": at.Control, "watch": at.Watch, "relays": at.Relays}).Info("release controller ready")
 			go func() { // ends with the program
 				for range hangups {
-					controller.Replan(plan.Load(*file))
+					controller.Replan(planxml.Load(*file))
 				}
 			}()
 		}
--- a/cmd/lichenroad/controllertext.go
+++ b/cmd/lichenroad/controllertext.go
@@ -24,8 +24,8 @@
 	table := t.newTable()
 	printf(table, "SERVICE\tBUILD\tPHASE\tSTEP\tSINCE\tCAP\tON\tBACK\tNEXT\tWAITS FOR\n")
 	for _, s := range reply.Status {
-		printf(table, "%s\t%d\t%s\t%s\t%s\t%g%%\t%d/%d\t%d/%d\t%s\t%s\n", s.Service, s.Build, s.Phase, orDash(s.Step), sinceText(s), 100*s.Cap,
-			s.On, s.OnOf, s.Back, s.BackOf, nextBuildText(s), waitsForText(s))
+		printf(table, "%s\t%d\t%s\t%s\t%s\t%g%%\t%d/%d\t%d/%d\t%s\t%s\n", s.Service, s.Build, s.Phase, orDash(s.Step), sinceText(s), 100*s.ExposureLimit,
+			s.PromoteVotes, s.PromoteVotesNeeded, s.RollBackVotes, s.RollBackVotesNeeded, nextBuildText(s), waitsForText(s))
 	}
 	if err := table.Flush(); err != nil {
 		return failed(err)
@@ -39,7 +39,7 @@
 		if service == "" {
 			service = "all services"
 		}
-		printf(t.out, "freeze %s of %s %s, by %s: %s\n", f.Name, service, until, f.Who, f.Why)
+		printf(t.out, "freeze %s of %s %s, by %s: %s\n", f.FreezeName, service, until, f.Actor, f.Reason)
 	}
 	return nil
 }
@@ -52,18 +52,18 @@
 }
 
 func nextBuildText(s rollout.Status) string {
-	if s.Waiting == 0 {
+	if s.WaitingBuild == 0 {
 		return "-"
 	}
-	return strconv.Itoa(int(s.Waiting))
+	return strconv.Itoa(int(s.WaitingBuild))
 }
 
 func waitsForText(s rollout.Status) string {
-	text := s.Why
-	if s.Code != "" {
-		text = string(s.Code) + ": " + s.Why
+	text := s.BlockText
+	if s.BlockCode != "" {
+		text = string(s.BlockCode) + ": " + s.BlockText
 	}
-	if s.Lost {
+	if s.DependencyLost {
 		text += " (a need was lost)"
 	}
 	return text
@@ -94,14 +94,14 @@
 	if e.Kind == rollout.EventVoted {
 		words = append(words, fmt.Sprintf("%s: %s", e.Relay, verdictTexts[e.Verdict]))
 	}
-	if e.Name != "" {
-		words = append(words, e.Name)
+	if e.FreezeName != "" {
+		words = append(words, e.FreezeName)
 	}
-	if e.Who != "" {
-		words = append(words, "by "+e.Who)
+	if e.Actor != "" {
+		words = append(words, "by "+e.Actor)
 	}
-	if e.Why != "" {
-		words = append(words, "("+e.Why+")")
+	if e.Reason != "" {
+		words = append(words, "("+e.Reason+")")
 	}
 	return strings.Join(words, " ")
 }
--- a/cmd/lichenroad/exit.go
+++ b/cmd/lichenroad/exit.go
@@ -61,7 +61,7 @@
 		code = exit.code
 	}
 	lines := []string{strings.ReplaceAll(err.Error(), "\n", "; ")}
-	var faults *xmlconfig.Faults
+	var faults *xmlconfig.Error
 	if errors.As(err, &faults) && code == exitFailed {
 		lines = faults.Lines()
 	}
--- a/cmd/lichenroad/fit.go
+++ b/cmd/lichenroad/fit.go
@@ -79,17 +79,17 @@
 // printFit prints one series' fit on one line.
 func (t *tool) printFit(s slope.Series, flags *fitFlags) error {
 	const percent = 100
-	fit, err := slope.New(slope.Form(flags.form), s.Samples)
+	fit, err := slope.FitSamples(slope.Form(flags.form), s.Samples)
 	if err != nil {
 		return err
 	}
 	printf(t.out, "%s: %s = %s; %d sizes from %g to %g, residual %.1f%%", s.Name, flags.unit, fit.Formula(flags.size), fit.Sizes,
-		fit.Least, fit.Most, percent*fit.Residual)
+		fit.MinSize, fit.MaxSize, percent*fit.Residual)
 	if flags.at > 0 {
-		printf(t.out, "; at %g: %.4g, %.2f times the largest size", flags.at, fit.At(flags.at), fit.Extrapolated(flags.at))
+		printf(t.out, "; at %g: %.4g, %.2f times the largest size", flags.at, fit.ValueAt(flags.at), fit.ExtrapolationFactor(flags.at))
 	}
 	if flags.budget > 0 {
-		reached := fit.Reaches(flags.budget)
+		reached := fit.SizeAt(flags.budget)
 		printf(t.out, "; %g at %s=%.4g", flags.budget, flags.size, reached)
 		if flags.at > 0 && !math.IsInf(reached, 1) {
 			printf(t.out, " (%.4f of %g)", reached/flags.at, flags.at)
--- a/cmd/lichenroad/lab.go
+++ b/cmd/lichenroad/lab.go
@@ -79,10 +79,10 @@
 				return failed(err)
 			}
 		}
-		printf(t.out, "%d relays, %d lines that are none of a relay's\n%8s %7s %9s %9s %9s %6s  %s\n", summary.Relays(), summary.Unread,
+		printf(t.out, "%d relays, %d lines that are none of a relay's\n%8s %7s %9s %9s %9s %6s  %s\n", summary.Relays(), summary.Unparsed,
 			"lines", "relays", "first s", "last s", "busiest", "in it", "kind")
 		for _, r := range summary.Rows() {
-			printf(t.out, "%8d %7d %9.3f %9.3f %9.0f %6d  %s\n", r.Lines, r.Relays, r.First, r.Last, r.Busiest, r.Most, r.Kind)
+			printf(t.out, "%8d %7d %9.3f %9.3f %9.0f %6d  %s\n", r.Lines, r.Relays, r.First, r.Last, r.PeakSecond, r.PeakLines, r.Kind)
 		}
 		return nil
 	}
@@ -90,7 +90,7 @@
 }
 
 // summarize adds one file to the summary.
-func summarize(summary *logsummary.Ledger, name string) error {
+func summarize(summary *logsummary.Summary, name string) error {
 	file, err := os.Open(name)
 	if err != nil {
 		return err
@@ -126,13 +126,13 @@
 
 func (t *tool) labPlanner() *cobra.Command {
 	c := &cobra.Command{Use: "planner", Short: "Run an emulated planner; it prints each request that it receives", Args: cobra.NoArgs}
-	var planner fakes.Planner
+	var planner fakes.Server
 	listen := c.Flags().String("listen", "127.0.0.1:0", "address on loopback")
 	c.Flags().StringVar(&planner.Name, "name", "planner", "its name, which its responses carry")
-	c.Flags().IntVar(&planner.Cores, "cores", 4, "requests at a time")
-	c.Flags().DurationVar(&planner.Took, "took", 5*time.Millisecond, "time for a request")
-	c.Flags().Float64Var(&planner.Fails, "fails", 0, "part of the requests that fail, from 0 to 1")
-	c.Flags().DurationVar(&planner.After, "after", 0, "time from the start from which they fail")
+	c.Flags().IntVar(&planner.Workers, "cores", 4, "requests at a time")
+	c.Flags().DurationVar(&planner.ServiceTime, "took", 5*time.Millisecond, "time for a request")
+	c.Flags().Float64Var(&planner.FailureRate, "fails", 0, "part of the requests that fail, from 0 to 1")
+	c.Flags().DurationVar(&planner.FailAfter, "after", 0, "time from the start from which they fail")
 	c.Flags().Int64Var(&planner.Seed, "seed", 1, "of all chance")
 	c.RunE = func(*cobra.Command, []string) error {
 		if !isLoopback(*listen) {
@@ -148,7 +148,7 @@
 			<-ctx.Done()
 			_ = listener.Close() // ends Serve
 		}()
-		planner.Seen = t.out
+		planner.QueryLog = t.out
 		if err := planner.Serve(listener); ctx.Err() == nil {
 			return failed(err)
 		}
--- a/cmd/lichenroad/logs.go
+++ b/cmd/lichenroad/logs.go
@@ -39,7 +39,7 @@
 
 func newAsyncWriter(to io.Writer, counters *metrics.Counters) *asyncWriter {
 	w := &asyncWriter{
-		queue:    make(chan []byte, limits.LogAhead),
+		queue:    make(chan []byte, limits.MaxQueuedLogLines),
 		done:     make(chan struct{}),
 		counters: counters,
 	}
@@ -62,11 +62,11 @@
 	return len(line), nil
 }
 
-// Close writes what is queued, but waits limits.LogWait at most. Write must not be called after it.
+// Close writes what is queued, but waits limits.LogFlushTimeout at most. Write must not be called after it.
 func (w *asyncWriter) Close() {
 	close(w.queue)
 	select {
 	case <-w.done:
-	case <-time.After(limits.LogWait):
+	case <-time.After(limits.LogFlushTimeout):
 	}
 }
--- a/cmd/lichenroad/peers_test.go
+++ b/cmd/lichenroad/peers_test.go
@@ -40,7 +40,7 @@
 	for _, c := range []struct {
 		from *net.UDPConn
 		n    int
-		id   metrics.ID
+		id   metrics.Counter
 	}{{peer, 5, metrics.PeerMessagesIn}, {stranger, 5, metrics.PeerMessagesDropped}, {peer, 257, metrics.PeerMessagesDropped}} {
 		before := p.loop.Metrics.Get(c.id)
 		c.from.WriteToUDP(make([]byte, c.n), to)
--- a/cmd/lichenroad/plan.go
+++ b/cmd/lichenroad/plan.go
@@ -7,6 +7,7 @@
 
 	"github.com/spf13/cobra"
 
+	"lichenroad/internal/planxml"
 	"lichenroad/plan"
 )
 
@@ -19,7 +20,7 @@
 func (t *tool) planCheck() *cobra.Command {
 	c := &cobra.Command{Use: "check FILE", Short: "Read a plan and name all of its faults", Args: cobra.ExactArgs(1)}
 	c.RunE = func(_ *cobra.Command, args []string) error {
-		p, err := plan.Load(args[0])
+		p, err := planxml.Load(args[0])
 		if err != nil {
 			return failed(err)
 		}
@@ -45,7 +46,7 @@
 				return fmt.Errorf("--at: %q is no time such as 2026-12-24T18:00:00Z", *at)
 			}
 		}
-		p, err := plan.Load(args[0])
+		p, err := planxml.Load(args[0])
 		if err != nil {
 			return failed(err)
 		}
@@ -91,7 +92,7 @@
 			for _, effect := range []plan.FreezeEffect{plan.FreezeStarts, plan.FreezePromotions} {
 				interval, frozen := calendar.Frozen(now, plan.ServiceIndex(i), plan.SiteIndex(j), effect)
 				if frozen {
-					printf(table, "\tfrozen by %s until %s", p.Freezes[interval.Freeze].Name, plan.Time(interval.Till).Format(time.RFC3339))
+					printf(table, "\tfrozen by %s until %s", p.Freezes[interval.Freeze].Name, plan.Time(interval.Until).Format(time.RFC3339))
 				} else {
 					printf(table, "\tfree")
 				}
--- a/cmd/lichenroad/platform_test.go
+++ b/cmd/lichenroad/platform_test.go
@@ -34,7 +34,7 @@
 	p := running(t, newFakeDiscovery(t, newFakeEndpoint(t, always(succeed))), withPlatform(d))
 	settled(t, p, metrics.RolloutStatuses, 1)
 	vote := func() { p.loop.Platform.Vote(relay.Vote{Build: 2, Verdict: relay.VotePromote}) }
-	for i, want := range []metrics.ID{metrics.VotesCounted, metrics.VotesNotCounted, metrics.VotesMaybeCounted, metrics.VotesMaybeCounted} {
+	for i, want := range []metrics.Counter{metrics.VotesCounted, metrics.VotesNotCounted, metrics.VotesMaybeCounted, metrics.VotesMaybeCounted} {
 		before := p.loop.Metrics.Get(want)
 		vote()
 		if got := d.line(t, "VOTE"); got != "VOTE 2 0 approve" {
--- a/cmd/lichenroad/relay.go
+++ b/cmd/lichenroad/relay.go
@@ -7,7 +7,7 @@
 	"github.com/spf13/cobra"
 
 	"lichenroad/internal/config"
-	"lichenroad/plan"
+	"lichenroad/internal/planxml"
 )
 
 // configFlag adds the flag that names a relay's configuration.
@@ -43,7 +43,7 @@
 			return failed(err)
 		}
 		if releases.path != "" {
-			if releases.plan, err = plan.Load(releases.path); err != nil {
+			if releases.plan, err = planxml.Load(releases.path); err != nil {
 				return failed(errors.New(strings.ReplaceAll(err.Error(), "\n", "; ")))
 			}
 		}
--- a/cmd/lichenroad/serve.go
+++ b/cmd/lichenroad/serve.go
@@ -22,6 +22,7 @@
 	"lichenroad/internal/metrics"
 	"lichenroad/internal/peers"
 	"lichenroad/internal/pipeline"
+	"lichenroad/internal/planxml"
 	"lichenroad/internal/platform"
 	"lichenroad/internal/upstream"
 	"lichenroad/plan"
@@ -60,8 +61,8 @@
 	signal.Notify(signals, syscall.SIGTERM, os.Interrupt, syscall.SIGUSR1)
 	signal.Notify(hangups, syscall.SIGHUP)
 	runtime.GOMAXPROCS(max(1, int(c.Cores)))
-	debug.SetMemoryLimit(int64(limits.HeapPart * float64(c.MemoryMB<<20)))
-	poller := netpoll.Config{PollerNum: limits.Pollers, LoggerOutput: log.WriterLevel(logrus.DebugLevel)}
+	debug.SetMemoryLimit(int64(limits.HeapFraction * float64(c.MemoryMB<<20)))
+	poller := netpoll.Config{PollerNum: limits.PollerCount, LoggerOutput: log.WriterLevel(logrus.DebugLevel)}
 	if err := netpoll.Configure(poller); err != nil {
 		return err
 	}
@@ -92,15 +93,15 @@
 }
 
 func divideSockets(total int) socketShares {
-	spare := max(limits.SpareLeast, min(limits.SpareSockets, int(limits.SparePart*float64(total))))
+	spare := max(limits.MinSpareDescriptors, min(limits.MaxSpareDescriptors, int(limits.SpareDescriptorFraction*float64(total))))
 	usable := total - spare
-	endpoints := int(limits.UnitPart * float64(usable))
-	return socketShares{clients: usable - endpoints, endpoints: endpoints, rejecting: int(limits.OverPart * float64(spare))}
+	endpoints := int(limits.EndpointDescriptorFraction * float64(usable))
+	return socketShares{clients: usable - endpoints, endpoints: endpoints, rejecting: int(limits.OverflowClientFraction * float64(spare))}
 }
 
 // start puts the parts together and listens; what is received waits for the loop to run.
 func start(c config.Config, releases releasePlan, log *logrus.Logger, counters *metrics.Counters) (*program, error) {
-	pool := buffer.NewPool(int64(limits.BufferPart * float64(c.MemoryMB<<20)))
+	pool := buffer.NewPool(int64(limits.BufferFraction * float64(c.MemoryMB<<20)))
 	loop := pipeline.NewLoop(c.Site, c.Seed, pool, counters, log)
 	sockets := divideSockets(c.Sockets)
 	endpoints := upstream.New(loop, sockets.endpoints)
@@ -121,7 +122,7 @@
 	if known, err := reader.Parse(c.KnownList); err == nil {
 		discoveryClient.UseKnownList(known)
 	} else {
-		log.WithField("peer", "roster").WithError(err).Warn("no list to start with")
+		log.WithField("peer", "discovery").WithError(err).Warn("no endpoint list at start")
 	}
 	loop.Post(pipeline.Func(func(l *pipeline.Loop) { l.RolloutStatusReceived(c.RolloutStatus) }))
 	discoveryClient.Start()
@@ -173,10 +174,10 @@
 // shutdownGracefully goes on for a little while, closes each connection between its requests, and ends when none is
 // left, or when every request must have been answered.
 func (p *program) shutdownGracefully() {
-	maxWait := max(limits.LongestWait, p.loop.Site.MaxDeadline())
+	maxWait := max(limits.PlatformMaxDeadline, p.loop.Site.MaxDeadline())
 	p.loop.Post(pipeline.Func(func(l *pipeline.Loop) {
 		p.clients.Shutdown(p.end)
-		l.RunAt(l.Clock.Now()+maxWait+limits.LastWait, p.end)
+		l.RunAt(l.Clock.Now()+maxWait+limits.ForcedShutdownDelay, p.end)
 	}))
 }
 
@@ -185,14 +186,14 @@
 func (p *program) reload(next config.Config, err error) {
 	if err != nil {
 		p.loop.Metrics.Add(metrics.ReloadsRefused, 1)
-		p.loop.Log.WithError(err).Error("configuration refused, the old one stays")
+		p.loop.Log.WithError(err).Error("configuration rejected, keeping the old one")
 		return
 	}
 	p.replan()
 	p.loop.Post(pipeline.Func(func(l *pipeline.Loop) {
 		p.discovery.Move(next.Discovery)
 		if next.Platform != "" {
-			p.platform.Move(next.Platform)
+			p.platform.SetAddress(next.Platform)
 		}
 		l.Metrics.Add(metrics.Reloads, 1)
 		l.Log.WithFields(logrus.Fields{"discovery": next.Discovery, "platform": next.Platform,
@@ -206,14 +207,14 @@
 	if p.guard == nil {
 		return
 	}
-	next, err := plan.Load(p.releases.path)
+	next, err := planxml.Load(p.releases.path)
 	p.loop.Post(pipeline.Func(func(l *pipeline.Loop) {
 		if err == nil {
 			err = p.guard.Replan(next)
 		}
 		if err != nil {
 			l.Metrics.Add(metrics.ReloadsRefused, 1)
-			l.Log.WithField("error", strings.ReplaceAll(err.Error(), "\n", "; ")).Error("plan refused, the old one stays")
+			l.Log.WithField("error", strings.ReplaceAll(err.Error(), "\n", "; ")).Error("plan rejected, keeping the old one")
 			return
 		}
 		l.Log.WithField("plan", p.releases.path).Info("plan reloaded")
@@ -232,7 +233,7 @@
 			p.end()
 		default:
 			ending = true
-			p.loop.Log.WithField("signal", s.String()).Info("ending")
+			p.loop.Log.WithField("signal", s.String()).Info("shutting down")
 			p.shutdownGracefully()
 		}
 	}
--- a/cmd/lichenroad/simulate.go
+++ b/cmd/lichenroad/simulate.go
@@ -8,8 +8,8 @@
 
 	"github.com/spf13/cobra"
 
+	"lichenroad/internal/planxml"
 	"lichenroad/lab"
-	"lichenroad/plan"
 )
 
 // Bounds of `plan simulate`.
@@ -52,7 +52,7 @@
 		if err := flags.apply(&options); err != nil {
 			return err
 		}
-		p, err := plan.Load(args[0])
+		p, err := planxml.Load(args[0])
 		if err != nil {
 			return failed(err)
 		}
--- a/cmd/lichenroad/sweep.go
+++ b/cmd/lichenroad/sweep.go
@@ -93,8 +93,8 @@
 	if err != nil {
 		return err
 	}
-	base := lab.ReplayOptions{Trouble: fault, Relays: flags.relays, Units: flags.planners, Categories: in.mapping.Categories,
-		Customers: in.mapping.Customers}
+	base := lab.ReplayOptions{Trouble: fault, Relays: flags.relays, Units: flags.planners, Categories: in.mapping.Classes,
+		Customers: in.mapping.Tenants}
 	replays, err := vary.replays(base, flags.seeds)
 	if err != nil {
 		return err
@@ -106,7 +106,7 @@
 	if err := t.writeJSON(flags.json, sweepResult{files, vary.name, runs}); err != nil {
 		return err
 	}
-	values, byValue := experiment.Split(runs)
+	values, byValue := experiment.GroupByValue(runs)
 	if flags.report != "" {
 		page, err := writeSweepPage(flags.report, vary.name, values, byValue, flags.comparison.Confidence)
 		if err != nil {
@@ -240,7 +240,7 @@
 	for _, arrival := range arrivals {
 		replay.Play(arrival)
 	}
-	return experiment.Run{Value: r.value, Seed: r.options.Seed, Figures: figures(replay.End())}, nil
+	return experiment.Run{Value: r.value, Seed: r.options.Seed, Metrics: figures(replay.End())}, nil
 }
 
 // writeSweepPage writes the charts of a sweep: each figure's mean and interval, by value.
@@ -249,8 +249,8 @@
 	bars := map[string][]lab.Bar{}
 	for _, figure := range charted {
 		for _, value := range values {
-			mean, low, top := experiment.Mean(byValue[value], figure, confidence)
-			bars[figure] = append(bars[figure], lab.Bar{Name: value, Mean: mean, Low: low, Top: top})
+			estimate := experiment.Mean(byValue[value], figure, confidence)
+			bars[figure] = append(bars[figure], lab.Bar{Name: value, Mean: estimate.Mean, Low: estimate.Low, Top: estimate.High})
 		}
 	}
 	return lab.SweepPage(dir, "What "+varied+" does", charted, bars)
--- a/cmd/lichenroad/trace.go
+++ b/cmd/lichenroad/trace.go
@@ -68,7 +68,7 @@
 
 // options reads the mapping and puts the options of the trace's reader together.
 func (in *traceInput) options() (trace.Options, error) {
-	options := trace.Usual(in.layout)
+	options := trace.DefaultOptions(in.layout)
 	if in.mappingFile != "" {
 		mapping, err := trace.LoadMapping(in.mappingFile)
 		if err != nil {
@@ -139,17 +139,17 @@
 		if ctx.Err() != nil {
 			return ctx.Err()
 		}
-		if !in.inCut(task.At-first) || !in.mapping.Kept(task, seed) {
+		if !in.inCut(task.At-first) || !in.mapping.Sampled(task, seed) {
 			return nil
 		}
 		request, why := in.mapping.Place(task)
-		if why != trace.Taken {
+		if why != trace.Accepted {
 			unplaced[why]++
 			return nil
 		}
 		played++
-		return emit(lab.Arrival{At: request.At, Category: request.Category, Customer: request.Customer, Work: request.Work,
-			Relay: request.Relay, Fails: request.Fails, Machine: request.Machine, BadFor: request.BadFor, BadPart: request.BadPart})
+		return emit(lab.Arrival{At: request.At, Category: request.Class, Customer: request.Tenant, Work: request.Work,
+			Relay: request.Relay, Fails: request.FailedAttempts, Machine: request.Machine, BadFor: request.FaultTime, BadPart: request.FaultShare})
 	})
 	if err != nil && ctx.Err() == nil {
 		return played, err
@@ -172,7 +172,7 @@
 // printAudit prints what was read of a trace, and each kind of row that could not be used.
 func (t *tool) printAudit(a *trace.Audit) {
 	printf(t.out, "%d rows: %d taken (%d put back in order), %d reported; %d tasks over %.1f s, %.2f a second, %g in the fullest\n", a.Rows,
-		a.Taken, a.Reordered, a.Left(), a.Tasks, a.To-a.From, a.Rate(), a.Peak)
+		a.Accepted, a.Reordered, a.ReportedRows(), a.Tasks, a.To-a.From, a.Rate(), a.Peak)
 	for _, line := range a.Lines() {
 		printf(t.out, "  %s\n", line)
 	}
--- a/cmd/lichenroad/tracecheck.go
+++ b/cmd/lichenroad/tracecheck.go
@@ -28,10 +28,10 @@
 // addAudit puts what was read of the trace into the result.
 func (r *checkResult) addAudit(a *trace.Audit) {
 	r.Rows = a.Rows
-	r.Taken = a.Taken
+	r.Taken = a.Accepted
 	r.Reordered = a.Reordered
 	r.Reported = a.Reported
-	r.First = a.First
+	r.First = a.FirstLine
 	r.Tasks = a.Tasks
 	r.Span = a.To - a.From
 	r.Rate = map[string]float64{"mean": a.Rate(), "peak": a.Peak}
@@ -40,11 +40,11 @@
 // place counts a task by the request class that the mapping gives it.
 func (r *checkResult) place(mapping *trace.Mapping, task *trace.Task) {
 	request, why := mapping.Place(task)
-	if why != trace.Taken {
+	if why != trace.Accepted {
 		r.Unplaced[why]++
 		return
 	}
-	r.Categories[mapping.Categories[request.Category]]++
+	r.Categories[mapping.Classes[request.Class]]++
 }
 
 func (t *tool) traceCheck() *cobra.Command {
@@ -70,7 +70,7 @@
 		}
 		t.printAudit(audit)
 		t.printUnplaced(result.Unplaced)
-		if audit.Taken == 0 {
+		if audit.Accepted == 0 {
 			return failed(fmt.Errorf("%s: no row could be used", strings.Join(args, ", ")))
 		}
 		return nil
--- a/cmd/lichenroad/tracelive.go
+++ b/cmd/lichenroad/tracelive.go
@@ -72,7 +72,7 @@
 	}
 	in.mapping = mapping
 	return live.Options{Self: self, Dir: flags.liveDir, Relays: relays, Units: planners, Seed: flags.options.Seed,
-		Categories: mapping.Categories, Customers: mapping.Customers, Bounds: flags.bounds}, nil
+		Categories: mapping.Classes, Customers: mapping.Tenants, Bounds: flags.bounds}, nil
 }
 
 // prefetch reads the trace ahead of the sender on a goroutine, which ends at the trace's end or with the context; it closes arrivals then,
--- a/cmd/lichenroad/tracereplay.go
+++ b/cmd/lichenroad/tracereplay.go
@@ -90,7 +90,7 @@
 	var replay *lab.Replay
 	played, err := in.play(ctx, t, files, options.Seed, func(arrival lab.Arrival) error {
 		if replay == nil { // the mapping, and with it the classes, is read with the trace
-			options.Categories, options.Customers = in.mapping.Categories, in.mapping.Customers
+			options.Categories, options.Customers = in.mapping.Classes, in.mapping.Tenants
 			var err error
 			if replay, err = lab.NewReplay(options); err != nil {
 				return err
--- a/internal/releasecontroller/control.go
+++ b/internal/releasecontroller/control.go
@@ -190,7 +190,7 @@
 		}
 		d.pendingReplies = append(d.pendingReplies, func() {
 			now := d.now()
-			reply.At, reply.Status, reply.Freezes = now, d.core.Status(now), d.core.Closures()
+			reply.At, reply.Status, reply.Freezes = now, d.core.ServiceStatuses(now), d.core.OperatorFreezes()
 			replies <- reply
 		})
 	})
@@ -225,7 +225,8 @@
 	if !known {
 		return rollout.Event{}, fmt.Errorf("%q is no verb", request.Verb)
 	}
-	return d.core.Operate(kind, request.Service, request.Name, request.Who, request.Why, request.Until, d.now())
+	return d.core.Operate(rollout.Operation{Kind: kind, Service: request.Service, FreezeName: request.Name, Until: request.Until,
+		Actor: request.Who, Reason: request.Why}, d.now())
 }
 
 func (d *Controller) offer(request Request) (rollout.Event, error) {
--- a/internal/releasecontroller/control_test.go
+++ b/internal/releasecontroller/control_test.go
@@ -23,7 +23,7 @@
 	if s := b.call("VOTE 7 0 approve"); !strings.HasPrefix(s, "OK 7 0 ") {
 		t.Error("it went on in the freeze: ", s)
 	}
-	if out := r.must(Request{Verb: "status"}); out.Status[0].Code != rollout.BlockedByOperatorFreeze || len(out.Freezes) != 1 {
+	if out := r.must(Request{Verb: "status"}); out.Status[0].BlockCode != rollout.BlockedByOperatorFreeze || len(out.Freezes) != 1 {
 		t.Errorf("%+v", out)
 	}
 	if out := r.must(Request{Verb: "thaw", Name: "audit"}); out.Status[0].Step != "two" {
@@ -42,7 +42,7 @@
 	var kinds []string
 	for _, e := range events {
 		kinds = append(kinds, string(e.Kind))
-		if (e.Kind == rollout.EventFrozen || e.Kind == rollout.EventRollingBack) && (e.Who != "ops" || e.Why != "a test") {
+		if (e.Kind == rollout.EventFrozen || e.Kind == rollout.EventRollingBack) && (e.Actor != "ops" || e.Reason != "a test") {
 			t.Errorf("%+v", e)
 		}
 	}
--- a/internal/releasecontroller/controller.go
+++ b/internal/releasecontroller/controller.go
@@ -117,7 +117,7 @@
 	journal.CrashPoint = options.CrashPoint
 	d.journal = journal
 	if journal.TruncatedBytes > 0 {
-		d.log.WithField("bytes", journal.TruncatedBytes).Warn("a torn last record was cut off the journal")
+		d.log.WithField("bytes", journal.TruncatedBytes).Warn("truncated a torn record at the end of the journal")
 	}
 	d.log.WithField("events", events).Info("journal read")
 	return nil
@@ -183,7 +183,7 @@
 // apply applies an event to the state machine; it goes to disk with the batch. Loop only.
 func (d *Controller) apply(e rollout.Event) {
 	if err := d.core.Apply(e); err != nil {
-		d.log.WithError(err).Error("event refused") // Core made it from its own state
+		d.log.WithError(err).Error("event rejected") // Core made it from its own state
 		return
 	}
 	d.pendingEvents = append(d.pendingEvents, e)
@@ -223,7 +223,7 @@
 			continue
 		}
 		d.log.WithFields(logrus.Fields{"event": string(e.Kind), "service": e.Service, "build": e.Build, "step": e.Step,
-			"name": e.Name, "who": e.Who, "why": e.Why}).Info("release")
+			"name": e.FreezeName, "who": e.Actor, "why": e.Reason}).Info("rollout event")
 	}
 }
 
@@ -261,14 +261,14 @@
 	if err := d.journal.Compact(d.core.Snapshot()); err != nil {
 		return fmt.Errorf("journal: %w", err)
 	}
-	d.log.Info("journal begun anew")
+	d.log.Info("journal compacted")
 	return nil
 }
 
 // sleep is the time until the loop must look at the state machine again, from a millisecond to maxSleep.
 func (d *Controller) sleep() time.Duration {
 	const minSeconds = 0.001
-	untilNext := d.core.Next(d.now()) - d.now()
+	untilNext := d.core.NextAdvance(d.now()) - d.now()
 	seconds := math.Min(math.Max(untilNext, minSeconds), maxSleep.Seconds())
 	return time.Duration(seconds * float64(time.Second))
 }
@@ -284,7 +284,7 @@
 			err = d.replan(next)
 		}
 		if err != nil {
-			d.log.WithField("error", oneLine(err)).Error("plan refused, the old one stays")
+			d.log.WithField("error", oneLine(err)).Error("plan rejected, keeping the old one")
 			return
 		}
 		d.log.Info("plan reloaded")
--- a/internal/releasecontroller/controller_test.go
+++ b/internal/releasecontroller/controller_test.go
@@ -15,6 +15,7 @@
 
 	"github.com/sirupsen/logrus"
 
+	"lichenroad/internal/planxml"
 	"lichenroad/plan"
 	"lichenroad/rollout"
 )
@@ -22,7 +23,7 @@
 const testTimeout = 10 * time.Second
 
 func testPlan(t *testing.T) *plan.Plan {
-	p, err := plan.Parse("p", []byte(`<plan version="1"><site name="x"/><group name="g"/>
+	p, err := planxml.Parse("p", []byte(`<plan version="1"><site name="x"/><group name="g"/>
 <service name="a" watch="127.0.0.1:0" back-for="1s" settle="0s"><votes on="0.6" back="0.3"/>
 <step name="one" share="0.1" cap="0.1" least="0s"><open/></step><step name="two" share="1" cap="0.5" least="0s"/>
 <relay name="r0" listen="127.0.0.1:0"/><relay name="r1" listen="127.0.0.1:0"/><relay name="r2" listen="127.0.0.1:0"/></service>
@@ -262,7 +263,7 @@
 func TestReplan(t *testing.T) {
 	r := start(t, t.TempDir(), 1000, nil)
 	r.must(Request{Verb: "offer", Service: "a", Build: 7})
-	step := func() float64 { return r.must(Request{Verb: "status"}).Status[0].Cap }
+	step := func() float64 { return r.must(Request{Verb: "status"}).Status[0].ExposureLimit }
 	r.controller.Replan(nil, errors.New("p.xml:3: <step>: cap: no number"))
 	less, more := testPlan(t), testPlan(t)
 	less.Services = less.Services[:1]
--- a/internal/releasecontroller/history.go
+++ b/internal/releasecontroller/history.go
@@ -53,7 +53,7 @@
 // withoutSnapshot returns the events behind the snapshot that a compacted journal begins with; its last event says so.
 func withoutSnapshot(events []rollout.Event) []rollout.Event {
 	for i, e := range events {
-		if e.Kind == rollout.EventControllerStarted && e.Why == "snapshot" {
+		if e.Kind == rollout.EventControllerStarted && e.Reason == "snapshot" {
 			return events[i+1:]
 		}
 	}
--- a/internal/releasecontroller/journal_test.go
+++ b/internal/releasecontroller/journal_test.go
@@ -39,7 +39,7 @@
 				}
 			}
 		}
-		e, err = c.Operate(rollout.EventFrozen, "b", fmt.Sprint("f", b), "ops", "why", 0, at+5)
+		e, err = c.Operate(rollout.Operation{Kind: rollout.EventFrozen, Service: "b", FreezeName: fmt.Sprint("f", b), Actor: "ops", Reason: "why"}, at+5)
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -55,7 +55,7 @@
 			t.Fatal(err)
 		}
 	}
-	return c.Status(5000)
+	return c.ServiceStatuses(5000)
 }
 
 // TestTornRecords cuts a journal at every byte: each start folds the whole records before the cut, and goes on.
@@ -177,8 +177,8 @@
 		t.Fatal(err)
 	}
 	err = journal.Append([]rollout.Event{
-		{At: 1000.5, Kind: rollout.EventOffered, Service: "a", Build: 7, Who: "ops", Why: "new"},
-		{At: 1001, Kind: rollout.EventFrozen, Name: "audit", Until: 2000},
+		{At: 1000.5, Kind: rollout.EventOffered, Service: "a", Build: 7, Actor: "ops", Reason: "new"},
+		{At: 1001, Kind: rollout.EventFrozen, FreezeName: "audit", Until: 2000},
 	})
 	if err != nil {
 		t.Fatal(err)
--- a/internal/releasecontroller/relayconn.go
+++ b/internal/releasecontroller/relayconn.go
@@ -64,7 +64,9 @@
 	if name == "" {
 		name = c.net.RemoteAddr().String()
 	}
-	metrics.LogConnectionEnd(controller.log, "relay", name, reason, time.Since(c.openedAt).Seconds(), int(c.calls.Load()), err)
+	end := metrics.ConnectionEnd{Peer: metrics.PeerRelay, Name: name, Reason: reason, Age: time.Since(c.openedAt).Seconds(),
+		Requests: int(c.calls.Load()), Err: err}
+	end.Log(controller.log)
 	controller.post(func(d *Controller) { delete(d.conns, c) })
 	return nil
 }
@@ -130,7 +132,7 @@
 // startWatch makes the connection a watcher and returns the first text for it. Loop only.
 func (d *Controller) startWatch(c *relayConn) string {
 	c.watching = true
-	status := d.core.Statuses(c.listener.service, d.now())
+	status := d.core.RolloutStatus(c.listener.service, d.now())
 	if !status.Valid {
 		return linewire.OKLine
 	}
@@ -150,7 +152,7 @@
 		return
 	}
 	d.apply(event)
-	d.replyAfterFlush(c, func() string { return linewire.StatusReplyLine(d.core.Statuses(service, d.now())) })
+	d.replyAfterFlush(c, func() string { return linewire.StatusReplyLine(d.core.RolloutStatus(service, d.now())) })
 }
 
 // send queues text for drain, so that nobody waits for a slow reader. Any goroutine may call it.
--- a/internal/releasecontroller/relaylistener.go
+++ b/internal/releasecontroller/relaylistener.go
@@ -54,7 +54,7 @@
 	_ = connection.SetWriteTimeout(writeTimeout) // netpoll stores it and returns nil
 	_ = connection.AddCloseCallback(c.closed)    // as above
 	if l.open.Add(1) > maxConnsEach {
-		c.close(metrics.ClosedByBound, nil)
+		c.close(metrics.ClosedByLimit, nil)
 	} else {
 		l.controller.post(func(d *Controller) { d.conns[c] = struct{}{} })
 	}
--- a/internal/releasecontroller/watch.go
+++ b/internal/releasecontroller/watch.go
@@ -43,7 +43,7 @@
 func (d *Controller) statusNotices(now plan.Unix, all bool) []string {
 	notices := make([]string, len(d.notified))
 	for i := range d.notified {
-		status := d.core.Statuses(plan.ServiceIndex(i), now)
+		status := d.core.RolloutStatus(plan.ServiceIndex(i), now)
 		last := d.notified[i]
 		last.Age = status.Age
 		if status == last && !all {
--- a/lab/scale/hollow_control.go
+++ b/lab/scale/hollow_control.go
@@ -37,8 +37,8 @@
 	case after >= 0 && !h.stands:
 		path = fmt.Sprintf("%s?after=%d&wait_ms=0", listPath, after)
 	case after >= 0:
-		part := limits.WatchPart + (1-limits.WatchPart)*h.random.Float64()
-		wait = part * limits.WatchFor.Seconds()
+		part := limits.MinWatchFraction + (1-limits.MinWatchFraction)*h.random.Float64()
+		wait = part * limits.MaxWatchTime.Seconds()
 		path = fmt.Sprintf("%s?after=%d&wait_ms=%.0f", listPath, after, 1000*wait)
 	}
 	h.meter.sent(listClass, len(httpwire.Get(discoveryHost, path)))
@@ -46,7 +46,7 @@
 	h.calling = h.calls
 	h.out.calls = append(h.out.calls, listCall{from: h, number: h.calls, after: after, until: now + wait, continues: h.stands})
 	if h.member != nil {
-		h.member.step(now, membership.PollStarted{Wait: wait, Continues: h.stands})
+		h.member.step(now, membership.PollStarted{Wait: wait, ContinuesWatch: h.stands})
 	}
 }
 
