--- a/cmd/lichenroad/controller.go
+++ b/cmd/lichenroad/controller.go
@@ -95,7 +95,7 @@
 type fillRequest func(request *releasecontroller.Request, args []string) error
 
 func byName(request *releasecontroller.Request, args []string) error {
-	request.Name = args[0]
+	request.FreezeName = args[0]
 	return nil
 }
 
@@ -109,8 +109,8 @@
 func (t *tool) operation(dir *string, use, short string, fill fillRequest) *cobra.Command {
 	c := &cobra.Command{Use: use, Short: short, Args: cobra.ExactArgs(countArgs(use))}
 	request := releasecontroller.Request{Verb: releasecontroller.Verb(c.Name())}
-	c.Flags().StringVar(&request.Who, "who", operator(), "who says so; kept in the journal")
-	c.Flags().StringVar(&request.Why, "why", "", "why; kept in the journal")
+	c.Flags().StringVar(&request.Actor, "who", operator(), "who says so; kept in the journal")
+	c.Flags().StringVar(&request.Reason, "why", "", "why; kept in the journal")
 	markRequired(c.MarkFlagRequired("why"))
 	c.RunE = func(c *cobra.Command, args []string) error {
 		if err := fill(&request, args); err != nil {
@@ -141,7 +141,7 @@
 	var service string
 	var length time.Duration
 	fill := func(request *releasecontroller.Request, args []string) error {
-		request.Name, request.Service = args[0], service
+		request.FreezeName, request.Service = args[0], service
 		if length > 0 {
 			request.Until = float64(time.Now().Add(length).UnixNano()) / 1e9
 		}
--- a/cmd/lichenroad/serve.go
+++ b/cmd/lichenroad/serve.go
@@ -89,7 +89,7 @@
 type socketShares struct {
 	clients   int // connections from clients
 	endpoints int // connections to endpoints
-	rejecting int // connections from clients over the bound, which are told so
+	rejecting int // connections from clients over the bound, which are rejected
 }
 
 func divideSockets(total int) socketShares {
--- a/internal/releasecontroller/control.go
+++ b/internal/releasecontroller/control.go
@@ -57,19 +57,20 @@
 
 // Request is one command of an operator. On the control socket it is a line of JSON, as is its reply.
 type Request struct {
-	Token   string      `json:"word"` // of the control file; Call fills it in
-	Verb    Verb        `json:"verb"`
-	Service string      `json:"service,omitempty"` // empty in a freeze: all services
-	Build   relay.Build `json:"build,omitempty"`   // of an offer
-	Name    string      `json:"name,omitempty"`    // of a freeze
-	Until   plan.Unix   `json:"until,omitempty"`   // end of a freeze; 0: until it is ended by hand
-	Who     string      `json:"who,omitempty"`     // the operator, for the journal
-	Why     string      `json:"why,omitempty"`     // the reason, for the journal
-	Votes   bool        `json:"votes,omitempty"`   // history: votes too
-	Last    int         `json:"last,omitempty"`    // history: so many of the latest events
+	Token        string      `json:"word"` // of the control file; Call fills it in
+	Verb         Verb        `json:"verb"`
+	Service      string      `json:"service,omitempty"` // empty in a freeze: all services
+	Build        relay.Build `json:"build,omitempty"`   // of an offer
+	FreezeName   string      `json:"name,omitempty"`    // of a freeze
+	Until        plan.Unix   `json:"until,omitempty"`   // end of a freeze; 0: until it is ended by hand
+	Actor        string      `json:"who,omitempty"`     // the operator, for the journal
+	Reason       string      `json:"why,omitempty"`     // the reason, for the journal
+	IncludeVotes bool        `json:"votes,omitempty"`   // history: votes too
+	MaxEvents    int         `json:"last,omitempty"`    // history: so many of the latest events
 }
 
-// Reply is the answer to a Request. Error is empty if the request was carried out.
+// Reply is the answer to a Request. Error is empty if the request was carried out; its texts are part of the protocol, as
+// the field names are.
 type Reply struct {
 	Error   string           `json:"error,omitempty"`
 	At      plan.Unix        `json:"at,omitempty"`
@@ -176,7 +177,7 @@
 // handle carries out a request and waits until it is on disk. Any goroutine but the loop may call it.
 func (d *Controller) handle(request Request) Reply {
 	if request.Verb == VerbHistory { // read beside the loop; a record that is being written is incomplete, and left out
-		events, err := History(d.dir, request.Votes, min(max(request.Last, 1), maxHistoryEvents))
+		events, err := History(d.dir, request.IncludeVotes, min(max(request.MaxEvents, 1), maxHistoryEvents))
 		if err != nil {
 			return Reply{Error: oneLine(err)}
 		}
@@ -225,8 +226,8 @@
 	if !known {
 		return rollout.Event{}, fmt.Errorf("%q is no verb", request.Verb)
 	}
-	return d.core.Operate(rollout.Operation{Kind: kind, Service: request.Service, FreezeName: request.Name, Until: request.Until,
-		Actor: request.Who, Reason: request.Why}, d.now())
+	return d.core.Operate(rollout.Operation{Kind: kind, Service: request.Service, FreezeName: request.FreezeName, Until: request.Until,
+		Actor: request.Actor, Reason: request.Reason}, d.now())
 }
 
 func (d *Controller) offer(request Request) (rollout.Event, error) {
@@ -234,10 +235,10 @@
 	if !ok {
 		return rollout.Event{}, fmt.Errorf("there is no service %q", request.Service)
 	}
-	if request.Who == "" || request.Why == "" {
+	if request.Actor == "" || request.Reason == "" {
 		return rollout.Event{}, errors.New("who and why must be said")
 	}
-	return d.core.Offer(service, request.Build, request.Who, request.Why, d.now())
+	return d.core.Offer(service, request.Build, request.Actor, request.Reason, d.now())
 }
 
 // Call sends a request to the release controller that runs with a directory, and returns its reply. The error is that of
--- a/internal/releasecontroller/control_test.go
+++ b/internal/releasecontroller/control_test.go
@@ -17,7 +17,7 @@
 	dir := t.TempDir()
 	r := start(t, dir, 1000, nil)
 	r.must(Request{Verb: "offer", Service: "a", Build: 7})
-	r.must(Request{Verb: "freeze", Name: "audit"})
+	r.must(Request{Verb: "freeze", FreezeName: "audit"})
 	a, b := dial(t, r.at.Relays["a"]["r0"]), dial(t, r.at.Relays["a"]["r1"])
 	a.call("VOTE 7 0 approve")
 	if s := b.call("VOTE 7 0 approve"); !strings.HasPrefix(s, "OK 7 0 ") {
@@ -26,14 +26,14 @@
 	if out := r.must(Request{Verb: "status"}); out.Status[0].BlockCode != rollout.BlockedByOperatorFreeze || len(out.Freezes) != 1 {
 		t.Errorf("%+v", out)
 	}
-	if out := r.must(Request{Verb: "thaw", Name: "audit"}); out.Status[0].Step != "two" {
+	if out := r.must(Request{Verb: "thaw", FreezeName: "audit"}); out.Status[0].Step != "two" {
 		t.Errorf("%+v", out.Status[0])
 	}
 	if out := r.must(Request{Verb: "back", Service: "a"}); out.Status[0].Phase != "going back" {
 		t.Errorf("%+v", out.Status[0])
 	}
 	for _, bad := range []Request{{Verb: "offer", Service: "z", Build: 1}, {Verb: "offer", Service: "a", Build: 7}, {Verb: "dance"},
-		{Verb: "halt", Service: "z"}, {Verb: "thaw", Name: "nights"}, {Verb: "halt", Service: "a", Who: "x"}} {
+		{Verb: "halt", Service: "z"}, {Verb: "thaw", FreezeName: "nights"}, {Verb: "halt", Service: "a", Actor: "x"}} {
 		if out, err := r.call(bad); err == nil {
 			t.Errorf("%+v: %+v", bad, out)
 		}
@@ -73,8 +73,8 @@
 
 // TestRequestFormat pins the words of the control socket, which other programs may send.
 func TestRequestFormat(t *testing.T) {
-	got, err := json.Marshal(Request{Token: "w", Verb: VerbFreeze, Service: "a", Build: 7, Name: "n", Until: 2, Who: "o", Why: "y",
-		Votes: true, Last: 3})
+	got, err := json.Marshal(Request{Token: "w", Verb: VerbFreeze, Service: "a", Build: 7, FreezeName: "n", Until: 2, Actor: "o", Reason: "y",
+		IncludeVotes: true, MaxEvents: 3})
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/releasecontroller/controller_test.go
+++ b/internal/releasecontroller/controller_test.go
@@ -80,8 +80,8 @@
 }
 
 func (r *running) call(q Request) (Reply, error) {
-	if q.Who == "" {
-		q.Who, q.Why = "ops", "a test"
+	if q.Actor == "" {
+		q.Actor, q.Reason = "ops", "a test"
 	}
 	return Call(context.Background(), r.dir, q)
 }
--- a/internal/releasecontroller/record.go
+++ b/internal/releasecontroller/record.go
@@ -14,7 +14,8 @@
 )
 
 // The journal's format: a header line, then records. A record is the length and the CRC-32C of its payload, four bytes
-// each, little endian, and the payload, a JSON array of events that are applied together.
+// each, little endian, and the payload, a JSON array of events that are applied together. The header keeps the name that the
+// release controller had first: journals written then stay readable.
 const (
 	journalHeader  = "lichenroad desk journal 1\n"
 	recordHeader   = 8       // bytes before a payload
--- a/lab/demo/demo.go
+++ b/lab/demo/demo.go
@@ -442,7 +442,7 @@
 	}
 	go s.follow(life)
 	word := func(q releasecontroller.Request) error {
-		q.Who, q.Why = "demo", "a demonstration"
+		q.Actor, q.Reason = "demo", "a demonstration"
 		_, err := releasecontroller.Call(ctx, state, q)
 		return err
 	}
