--- a/Makefile
+++ b/Makefile
@@ -1,4 +1,4 @@
-# build: both programs into bin/; test: what CI runs; lint: format, vet and staticcheck; run: one relay in the foreground,
+# build: both programs into bin/; test: what CI runs; lint: format, vet, staticcheck and golangci-lint; run: one relay in the foreground,
 # with the configuration of $BALANCER_CONFIG or CONFIG=file.
 CONFIG ?= $(BALANCER_CONFIG)
 
@@ -14,6 +14,7 @@
 	@bad=$$(gofmt -l .); if [ -n "$$bad" ]; then echo "gofmt would change: $$bad" >&2; exit 1; fi
 	go vet ./...
 	go tool staticcheck ./...
+	go tool -modfile=tools/go.mod golangci-lint run ./...
 
 race:
 	go test -race -count=1 ./...
--- a/test.sh
+++ b/test.sh
@@ -1,6 +1,6 @@
 #!/usr/bin/env bash
-# The test command: format check, vet, staticcheck, build, tests, the network half's once more with -race, and the deploy
-# file's own build started and ended. Random runs use a fixed seed and leave no fail files.
+# The test command: format check, vet, staticcheck, golangci-lint, build, tests, the network half's once more with -race, and
+# the deploy file's own build started and ended. Random runs use a fixed seed and leave no fail files.
 set -euo pipefail
 cd "$(dirname "$0")"
 bad=$(gofmt -l .)
@@ -10,6 +10,7 @@
 fi
 go vet ./...
 go tool staticcheck ./...
+go tool -modfile=tools/go.mod golangci-lint run ./...
 mkdir -p bin
 go build -o bin/ ./cmd/...
 go test -count=1 ./...
