--- a/cmd/lichenroad/compare.go
+++ b/cmd/lichenroad/compare.go
@@ -80,29 +80,29 @@
 		}
 		return swept.Runs, nil
 	}
-	var replayed lab.Replayed
+	var replayed lab.ReplayResult
 	if err := json.Unmarshal(content, &replayed); err != nil {
 		return nil, err
 	}
-	if replayed.All.Queries == 0 {
+	if replayed.All.Requests == 0 {
 		return nil, errors.New("no sweep and no replay")
 	}
 	return []experiment.Run{{Seed: replayed.Seed, Metrics: figures(replayed)}}, nil
 }
 
 // figures are the figures of a replay by which runs are compared.
-func figures(r lab.Replayed) map[string]float64 {
-	requests := float64(max(r.All.Queries, 1))
+func figures(r lab.ReplayResult) map[string]float64 {
+	requests := float64(max(r.All.Requests, 1))
 	return map[string]float64{
-		"service":          r.All.Service,
+		"service":          r.All.ServedFraction,
 		"worst_10s":        r.Worst10,
 		"tail":             r.Tail,
-		"figure":           r.Figure,
-		"denied_part":      float64(r.Denied) / requests,
-		"written_off_part": float64(r.WrittenOff) / requests,
-		"legs_a_query":     r.LegsEach,
+		"figure":           r.Score,
+		"denied_part":      float64(r.Rejected) / requests,
+		"written_off_part": float64(r.Failed) / requests,
+		"legs_a_query":     r.AttemptsPerRequest,
 		"p50_s":            r.Latency["p50"],
 		"p99_s":            r.Latency["p99"],
-		"broken":           float64(len(r.Broken)),
+		"broken":           float64(len(r.Violations)),
 	}
 }
--- a/cmd/lichenroad/simulate.go
+++ b/cmd/lichenroad/simulate.go
@@ -39,11 +39,11 @@
 	f.Float64Var(&options.Days, "days", 7, "days to play, up to 60")
 	f.Int64Var(&options.Seed, "seed", 1, "of all chance")
 	f.IntVar(&options.Relays, "relays", 40, "relays, of all services together, up to 1000")
-	f.IntVar(&options.Units, "planners", 30, "planners, of all services together, up to 1000")
-	f.Float64Var(&options.BadPart, "bad", 0.4, "part of the builds that are bad")
-	f.Float64Var(&options.Load, "load", 1, "times the ordinary day's requests")
+	f.IntVar(&options.Endpoints, "planners", 30, "planners, of all services together, up to 1000")
+	f.Float64Var(&options.BadBuildFraction, "bad", 0.4, "part of the builds that are bad")
+	f.Float64Var(&options.LoadFactor, "load", 1, "times the ordinary day's requests")
 	f.StringVar(&flags.guard, "guard", "on", "on, or off: relays that know no plan")
-	f.StringVar(&flags.faults, "faults", "ordinary", "one of "+strings.Join(lab.Kinds(), ", ")+"; or several with a + between")
+	f.StringVar(&flags.faults, "faults", "ordinary", "one of "+strings.Join(lab.FaultNames(), ", ")+"; or several with a + between")
 	f.StringSliceVar(&flags.without, "without", nil, "a defence to take out, such as guard-freezes or desk-needs; may be given more than once")
 	f.BoolVar(&flags.byClock, "by-clock", false, "the baseline: time alone promotes, no vote counts")
 	f.StringVar(&flags.json, "json", "", "a file for the result")
@@ -58,7 +58,7 @@
 		}
 		options.Plan = p
 		if flags.byClock {
-			options.ByClock()
+			options.UseClockBaseline()
 		}
 		return t.runSimulation(options, flags)
 	}
@@ -77,13 +77,13 @@
 	default:
 		return fmt.Errorf("--guard: on or off")
 	}
-	faults, ok := lab.Worst(flags.faults)
+	faults, ok := lab.FaultsByName(flags.faults)
 	if !ok {
-		return fmt.Errorf("--faults: %q is none of %s", flags.faults, strings.Join(lab.Kinds(), ", "))
+		return fmt.Errorf("--faults: %q is none of %s", flags.faults, strings.Join(lab.FaultNames(), ", "))
 	}
 	options.Faults = faults
 	for _, name := range flags.without {
-		if !options.Without(name) {
+		if !options.DisableSafeguard(name) {
 			return fmt.Errorf("--without: there is no defence %q", name)
 		}
 	}
@@ -93,12 +93,12 @@
 func checkBounds(options *lab.Options) error {
 	daysOutOfRange := options.Days <= 0 || options.Days > maxSimulatedDays
 	relaysOutOfRange := options.Relays < 1 || options.Relays > maxSimulatedRelays
-	plannersOutOfRange := options.Units < 1 || options.Units > maxSimulatedRelays
+	plannersOutOfRange := options.Endpoints < 1 || options.Endpoints > maxSimulatedRelays
 	if daysOutOfRange || relaysOutOfRange || plannersOutOfRange {
 		return fmt.Errorf("--days up to 60, --relays and --planners from 1 to 1000")
 	}
-	badInRange := options.BadPart >= 0 && options.BadPart <= 1
-	loadInRange := options.Load > 0 && options.Load <= maxSimulatedLoad
+	badInRange := options.BadBuildFraction >= 0 && options.BadBuildFraction <= 1
+	loadInRange := options.LoadFactor > 0 && options.LoadFactor <= maxSimulatedLoad
 	if !badInRange || !loadInRange {
 		return fmt.Errorf("--bad from 0 to 1, --load above 0 and up to 10")
 	}
@@ -128,8 +128,8 @@
 	if ctx.Err() != nil {
 		return failed(fmt.Errorf("ended by a signal after %.2f days", result.Days))
 	}
-	if len(result.Broken) > 0 {
-		return ruleBroken("%d times a rule or a line of the plan was broken", len(result.Broken)+result.BrokenMore)
+	if len(result.Violations) > 0 {
+		return ruleBroken("%d times a rule or a line of the plan was broken", len(result.Violations)+result.UnlistedViolations)
 	}
 	return nil
 }
@@ -144,7 +144,7 @@
 	var counts releaseCounts
 	for _, r := range result.Releases {
 		released := 0
-		if r.Released >= 0 && r.Back < 0 {
+		if r.ReleasedAt >= 0 && r.RolledBackAt < 0 {
 			released = 1
 		}
 		if r.Bad {
@@ -162,19 +162,19 @@
 func (t *tool) printSummary(r *lab.Result) {
 	const secondsPerHour = 3600
 	counts := countReleases(r)
-	printf(t.out, "simulated: %g days, %d relays, %d planners, seed %d: %d queries in %.0f s of traffic\n", r.Days, r.Relays, r.Units, r.Seed, r.Queries, r.Awake)
+	printf(t.out, "simulated: %g days, %d relays, %d planners, seed %d: %d queries in %.0f s of traffic\n", r.Days, r.Relays, r.Endpoints, r.Seed, r.Requests, r.TrafficTime)
 	printf(t.out, "releases: %d good, %d of them out after %.1f h on average; %d bad, %d of them out\n", counts.good, counts.goodReleased,
-		r.GoodTook/secondsPerHour, counts.bad, counts.badReleased)
-	printf(t.out, "service %.4f; worth lost by bad builds %.1f; at most %.2f of any allowance used\n", r.Service, r.BadWorth, r.MostOfCap)
-	if len(r.Broken) == 0 {
+		r.GoodReleaseTime/secondsPerHour, counts.bad, counts.badReleased)
+	printf(t.out, "service %.4f; worth lost by bad builds %.1f; at most %.2f of any allowance used\n", r.ServedFraction, r.WeightLostToBadBuilds, r.MaxAllowanceUsed)
+	if len(r.Violations) == 0 {
 		printf(t.out, "broken: nothing\n")
 	}
-	for i, b := range r.Broken {
+	for i, b := range r.Violations {
 		if i == maxPrintedBroken {
-			printf(t.out, "broken: and %d more\n", len(r.Broken)-i+r.BrokenMore)
+			printf(t.out, "broken: and %d more\n", len(r.Violations)-i+r.UnlistedViolations)
 			break
 		}
 		printf(t.out, "broken: at %.3f s %s by %s: %s\n", b.Time, b.Rule, b.Relay, b.Text)
 	}
-	printf(t.out, "timeline %s\n", r.Hash)
+	printf(t.out, "timeline %s\n", r.TimelineHash)
 }
--- a/cmd/lichenroad/sweep.go
+++ b/cmd/lichenroad/sweep.go
@@ -44,7 +44,7 @@
 func (t *tool) labSweep() *cobra.Command {
 	c := &cobra.Command{Use: "sweep FILE...", Short: "Replay a trace with one thing changed, on several seeds, and say what it does", Args: cobra.MinimumNArgs(1),
 		Long: "Replay a trace with one thing changed, on several seeds. --vary names it and its values: relays=4,8, planners=8,10,12,\nmodule=" + strings.Join(lab.Baselines(), ",") +
-			". Or a fault: fault=" + strings.Join(lab.Troubles(), ",") +
+			". Or a fault: fault=" + strings.Join(lab.EndpointFaultNames(), ",") +
 			",\nor a setting: legs=1,2,3, cancel=true,false, retry-after=true,false. Each value is compared with the first, by the same\nseeds; with one value the file alone is left, for lab compare, such as of another version of the program."}
 	var in traceInput
 	var flags sweepFlags
@@ -58,7 +58,7 @@
 
 func (flags *sweepFlags) add(c *cobra.Command) {
 	f := c.Flags()
-	f.StringVar(&flags.fault, "fault", noFault, "what goes wrong with planners in all runs: "+strings.Join(lab.Troubles(), ", "))
+	f.StringVar(&flags.fault, "fault", noFault, "what goes wrong with planners in all runs: "+strings.Join(lab.EndpointFaultNames(), ", "))
 	f.StringVar(&flags.report, "report", "", "a directory for the chart, an HTML page")
 	f.StringVar(&flags.vary, "vary", "", "what is changed, and its values: NAME=A,B,...")
 	f.IntVar(&flags.seeds, "seeds", 5, "seeds, from 1 on; up to 200")
@@ -85,7 +85,7 @@
 	if !ok || flags.seeds < 1 || flags.seeds > maxSeeds {
 		return fmt.Errorf("--vary NAME=A,B,..., --seeds from 1 to 200")
 	}
-	fault, err := lab.TroubleOf(flags.fault)
+	fault, err := lab.EndpointFaultByName(flags.fault)
 	if err != nil {
 		return err
 	}
@@ -93,8 +93,8 @@
 	if err != nil {
 		return err
 	}
-	base := lab.ReplayOptions{Trouble: fault, Relays: flags.relays, Units: flags.planners, Categories: in.mapping.Classes,
-		Customers: in.mapping.Tenants}
+	base := lab.ReplayOptions{Fault: fault, Relays: flags.relays, Endpoints: flags.planners, Classes: in.mapping.Classes,
+		Tenants: in.mapping.Tenants}
 	replays, err := vary.replays(base, flags.seeds)
 	if err != nil {
 		return err
@@ -166,13 +166,13 @@
 	case "relays":
 		options.Relays, err = varyCount(value)
 	case "planners":
-		options.Units, err = varyCount(value)
+		options.Endpoints, err = varyCount(value)
 	case "module":
-		options.Module, err = lab.Baseline(value)
+		options.NewModule, err = lab.Baseline(value)
 	case "fault":
-		options.Trouble, err = lab.TroubleOf(value)
+		options.Fault, err = lab.EndpointFaultByName(value)
 	case "legs", "cancel", "retry-after":
-		if options.Change, err = settingChange(name, value); err != nil {
+		if options.ChangeSettings, err = settingChange(name, value); err != nil {
 			err = fmt.Errorf("--vary: %w", err)
 		}
 	default:
@@ -238,9 +238,9 @@
 		return experiment.Run{}, err
 	}
 	for _, arrival := range arrivals {
-		replay.Play(arrival)
+		replay.Arrive(arrival)
 	}
-	return experiment.Run{Value: r.value, Seed: r.options.Seed, Metrics: figures(replay.End())}, nil
+	return experiment.Run{Value: r.value, Seed: r.options.Seed, Metrics: figures(replay.Finish())}, nil
 }
 
 // writeSweepPage writes the charts of a sweep: each figure's mean and interval, by value.
@@ -250,7 +250,7 @@
 	for _, figure := range charted {
 		for _, value := range values {
 			estimate := experiment.Mean(byValue[value], figure, confidence)
-			bars[figure] = append(bars[figure], lab.Bar{Name: value, Mean: estimate.Mean, Low: estimate.Low, Top: estimate.High})
+			bars[figure] = append(bars[figure], lab.Bar{Name: value, Mean: estimate.Mean, Low: estimate.Low, High: estimate.High})
 		}
 	}
 	return lab.SweepPage(dir, "What "+varied+" does", charted, bars)
--- a/cmd/lichenroad/tools_test.go
+++ b/cmd/lichenroad/tools_test.go
@@ -220,11 +220,11 @@
 		if code != 0 || err != nil || json.Unmarshal(raw, &got[i]) != nil || !strings.Contains(out, "measured on loopback: 316 queries") {
 			t.Fatalf("%d %s %s %v", code, out, errs, err)
 		}
-		if r := got[i]; r.All.Queries != 316 || r.Sender.Sent+r.Sender.Unsent != 316 || r.Unheard > 0 || r.Legs < 300 || r.All.Service < 0.5 {
+		if r := got[i]; r.All.Requests != 316 || r.Sender.Sent+r.Sender.Unsent != 316 || r.Unanswered > 0 || r.Attempts < 300 || r.All.ServedFraction < 0.5 {
 			t.Errorf("%+v", r)
 		}
 	}
-	if d := got[0].All.Service - got[1].All.Service; d > 0.2 || d < -0.2 {
+	if d := got[0].All.ServedFraction - got[1].All.ServedFraction; d > 0.2 || d < -0.2 {
 		t.Errorf("two runs lie %g apart", d)
 	}
 	for _, c := range []struct {
@@ -263,7 +263,7 @@
 	err := c.Wait()
 	var got live.Result
 	raw, _ := os.ReadFile(file)
-	if err == nil || c.ProcessState.ExitCode() != 1 || json.Unmarshal(raw, &got) != nil || !got.Ended || got.All.Queries >= 316 ||
+	if err == nil || c.ProcessState.ExitCode() != 1 || json.Unmarshal(raw, &got) != nil || !got.Ended || got.All.Requests >= 316 ||
 		!strings.Contains(errs.String(), "ended by a signal after") || !strings.Contains(out.String(), "measured on loopback") {
 		t.Errorf("%v %s %s %+v", err, out.String(), errs.String(), got)
 	}
@@ -325,9 +325,9 @@
 			}
 		}
 	}
-	code, out, errs = call(append(words, "--vary", "fault="+strings.Join(lab.Troubles(), ","), "--report", dir)...)
+	code, out, errs = call(append(words, "--vary", "fault="+strings.Join(lab.EndpointFaultNames(), ","), "--report", dir)...)
 	raw, _ := os.ReadFile(file)
-	if got = (sweepResult{}); code != 0 || json.Unmarshal(raw, &got) != nil || len(got.Runs) != 3*len(lab.Troubles()) {
+	if got = (sweepResult{}); code != 0 || json.Unmarshal(raw, &got) != nil || len(got.Runs) != 3*len(lab.EndpointFaultNames()) {
 		t.Errorf("%d %s %s", code, out, errs)
 	}
 	for _, r := range got.Runs { // no trouble brings the module to break a rule
--- a/cmd/lichenroad/trace.go
+++ b/cmd/lichenroad/trace.go
@@ -148,8 +148,8 @@
 			return nil
 		}
 		played++
-		return emit(lab.Arrival{At: request.At, Category: request.Class, Customer: request.Tenant, Work: request.Work,
-			Relay: request.Relay, Fails: request.FailedAttempts, Machine: request.Machine, BadFor: request.FaultTime, BadPart: request.FaultShare})
+		return emit(lab.Arrival{At: request.At, Class: request.Class, Tenant: request.Tenant, Work: request.Work,
+			Relay: request.Relay, FailedAttempts: request.FailedAttempts, Machine: request.Machine, FaultDuration: request.FaultTime, FailureRate: request.FaultShare})
 	})
 	if err != nil && ctx.Err() == nil {
 		return played, err
--- a/cmd/lichenroad/tracelive.go
+++ b/cmd/lichenroad/tracelive.go
@@ -40,7 +40,7 @@
 	if err := t.writeJSON(flags.json, result); err != nil {
 		return err
 	}
-	if err := t.printReplay("measured on loopback", &result.Replayed, flags.report); err != nil {
+	if err := t.printReplay("measured on loopback", &result.ReplayResult, flags.report); err != nil {
 		return err
 	}
 	t.printSender(result.Sender)
@@ -49,16 +49,16 @@
 	}
 	switch {
 	case result.Ended:
-		return failed(fmt.Errorf("ended by a signal after %d queries", result.All.Queries))
+		return failed(fmt.Errorf("ended by a signal after %d queries", result.All.Requests))
 	case result.Sender.Invalid != "":
 		return failed(fmt.Errorf("invalid: %s", result.Sender.Invalid))
 	}
-	return replayError(&result.Replayed)
+	return replayError(&result.ReplayResult)
 }
 
 // liveOptions checks the size of a live replay, reads the mapping, and puts the options together.
 func (flags *replayFlags) liveOptions(in *traceInput) (live.Options, error) {
-	relays, planners := flags.options.Relays, flags.options.Units
+	relays, planners := flags.options.Relays, flags.options.Endpoints
 	if relays < 1 || relays > maxLiveRelays || planners < minLivePlanners || planners > maxLivePlanners {
 		return live.Options{}, fmt.Errorf("from 1 to 40 relays and from 2 to 200 planners with --live")
 	}
@@ -81,7 +81,7 @@
 	arrivals := make(chan lab.Arrival, maxQueuedArrivals)
 	ended := make(chan error, 1)
 	emit := func(arrival lab.Arrival) error {
-		if arrival.BadFor > 0 {
+		if arrival.FaultDuration > 0 {
 			return failed(fmt.Errorf("%s: failures as hours can't be played with --live", in.mappingFile))
 		}
 		select {
--- a/cmd/lichenroad/tracereplay.go
+++ b/cmd/lichenroad/tracereplay.go
@@ -54,8 +54,8 @@
 	f := c.Flags()
 	f.Int64Var(&flags.options.Seed, "seed", 1, "of all chance, and of the thinning")
 	f.IntVar(&flags.options.Relays, "relays", 4, "relays, up to 1000")
-	f.IntVar(&flags.options.Units, "planners", 10, "planners, up to 1000")
-	f.StringVar(&flags.fault, "fault", noFault, "what goes wrong with planners, virtual replay alone: "+strings.Join(lab.Troubles(), ", "))
+	f.IntVar(&flags.options.Endpoints, "planners", 10, "planners, up to 1000")
+	f.StringVar(&flags.fault, "fault", noFault, "what goes wrong with planners, virtual replay alone: "+strings.Join(lab.EndpointFaultNames(), ", "))
 	f.StringVar(&flags.json, "json", "", "a file for the result")
 	f.StringVar(&flags.report, "report", "", "a directory for the report, an HTML page")
 	f.BoolVar(&flags.live, "live", false, "over sockets on loopback, at the recorded pace")
@@ -82,34 +82,34 @@
 // replayVirtual replays in virtual time. After a signal it prints the result of what was played.
 func (t *tool) replayVirtual(ctx context.Context, in *traceInput, files []string, flags *replayFlags) error {
 	options := flags.options
-	fault, err := lab.TroubleOf(flags.fault)
+	fault, err := lab.EndpointFaultByName(flags.fault)
 	if err != nil {
 		return err
 	}
-	options.Trouble = fault
+	options.Fault = fault
 	var replay *lab.Replay
 	played, err := in.play(ctx, t, files, options.Seed, func(arrival lab.Arrival) error {
 		if replay == nil { // the mapping, and with it the classes, is read with the trace
-			options.Categories, options.Customers = in.mapping.Classes, in.mapping.Tenants
+			options.Classes, options.Tenants = in.mapping.Classes, in.mapping.Tenants
 			var err error
 			if replay, err = lab.NewReplay(options); err != nil {
 				return err
 			}
 		}
-		replay.Play(arrival)
+		replay.Arrive(arrival)
 		return nil
 	})
 	if err != nil {
 		return err
 	}
-	result := replay.End()
+	result := replay.Finish()
 	if err := t.writeJSON(flags.json, result); err != nil {
 		return err
 	}
 	if err := t.printReplay("simulated", &result, flags.report); err != nil {
 		return err
 	}
-	printf(t.out, "timeline %s\n", result.Hash)
+	printf(t.out, "timeline %s\n", result.TimelineHash)
 	if ctx.Err() != nil {
 		return failed(fmt.Errorf("ended by a signal after %d queries", played))
 	}
@@ -117,7 +117,7 @@
 }
 
 // printReplay prints what a replay showed, and writes its page where a directory is named.
-func (t *tool) printReplay(how string, r *lab.Replayed, dir string) error {
+func (t *tool) printReplay(how string, r *lab.ReplayResult, dir string) error {
 	if dir != "" {
 		name, err := r.Report(dir, how)
 		if err != nil {
@@ -125,17 +125,17 @@
 		}
 		printf(t.out, "report: %s\n", name)
 	}
-	printf(t.out, "%s: %d queries over %.1f s, %d relays, %d planners: service %.4f, worst 10 s %.4f, tail %.4f\n", how, r.All.Queries, r.Span, r.Relays,
-		r.Units, r.All.Service, r.Worst10, r.Tail)
-	printf(t.out, "%d denied, %d written off, %d unanswered, %.3f legs a query, %d crossings; latency p50 %.3f s, p99 %.3f s, most %.3f s\n", r.Denied, r.WrittenOff,
-		r.Unheard, r.LegsEach, r.Crossings, r.Latency["p50"], r.Latency["p99"], r.Latency["max"])
+	printf(t.out, "%s: %d queries over %.1f s, %d relays, %d planners: service %.4f, worst 10 s %.4f, tail %.4f\n", how, r.All.Requests, r.Duration, r.Relays,
+		r.Endpoints, r.All.ServedFraction, r.Worst10, r.Tail)
+	printf(t.out, "%d denied, %d written off, %d unanswered, %.3f legs a query, %d crossings; latency p50 %.3f s, p99 %.3f s, most %.3f s\n", r.Rejected, r.Failed,
+		r.Unanswered, r.AttemptsPerRequest, r.CrossSiteAttempts, r.Latency["p50"], r.Latency["p99"], r.Latency["max"])
 	return nil
 }
 
 // replayError is the error of a replay whose checker found something.
-func replayError(r *lab.Replayed) error {
-	if len(r.Broken) > 0 {
-		return ruleBroken("%d times a rule was broken, first: %s", len(r.Broken), r.Broken[0].Text)
+func replayError(r *lab.ReplayResult) error {
+	if len(r.Violations) > 0 {
+		return ruleBroken("%d times a rule was broken, first: %s", len(r.Violations), r.Violations[0].Text)
 	}
 	return nil
 }
--- a/lab/compare.go
+++ b/lab/compare.go
@@ -10,16 +10,16 @@
 
 // Bar is one value of what a sweep varied: a figure's mean over seeds and its interval.
 type Bar struct {
-	Name           string
-	Mean, Low, Top float64
+	Name            string
+	Mean, Low, High float64
 }
 
 // bars are points with their intervals.
-type bars []Bar
+type barChart []Bar
 
-func (b bars) Len() int                       { return len(b) }
-func (b bars) XY(i int) (x, y float64)        { return float64(i), b[i].Mean }
-func (b bars) YError(i int) (low, up float64) { return b[i].Mean - b[i].Low, b[i].Top - b[i].Mean }
+func (b barChart) Len() int                       { return len(b) }
+func (b barChart) XY(i int) (x, y float64)        { return float64(i), b[i].Mean }
+func (b barChart) YError(i int) (low, up float64) { return b[i].Mean - b[i].Low, b[i].High - b[i].Mean }
 
 var sweepPage = template.Must(template.New("sweep").Parse(`<!DOCTYPE html>
 <html lang="en"><head><meta charset="utf-8"><title>lichenroad: a sweep</title><style>
@@ -34,7 +34,7 @@
 	for _, name := range figures {
 		p := plot.New()
 		p.Title.Text = name
-		b := bars(of[name])
+		b := barChart(of[name])
 		var names []string
 		for _, x := range b {
 			names = append(names, x.Name)
@@ -56,7 +56,7 @@
 		}
 		charts = append(charts, h)
 	}
-	return putPage(dir, "sweep.html", sweepPage, struct {
+	return writePage(dir, "sweep.html", sweepPage, struct {
 		Title  string
 		Charts []template.HTML
 	}{title, charts})
--- a/lab/fleet.go
+++ b/lab/fleet.go
@@ -11,34 +11,34 @@
 
 // Facts of the emulated site, each with its unit.
 const (
-	CoresEach   = 3     // cores of a planner
-	MostQueue   = 60    // queries that a planner holds before it turns more away
-	warmUp      = 4.0   // s until a started planner can do all of its work
-	coldFrom    = 0.4   // part of it that it can do at first
-	fallTimes   = 3.0   // times what a cold planner can do at which it falls over
-	fallAfter   = 1.0   // s of that
-	drainFor    = 2.0   // s from a planner's drain to its end
-	startFor    = 1.5   // s that a planner takes to start
-	retellEvery = 5.0   // s between news that say the same again
-	signEvery   = 1.0   // s between signs of life of the other services' desks
-	queriesEach = 8.0   // queries a second for each planner of a fleet, on an ordinary day
-	crossTook   = 0.001 // s one way between sites
-	nearTook    = 0.0003
+	CoresPerEndpoint     = 3     // cores of a planner
+	MaxQueue             = 60    // queries that a planner holds before it turns more away
+	slowStartTime        = 4.0   // s until a started planner can do all of its work
+	slowStartFloor       = 0.4   // part of it that it can do at first
+	overloadMultiple     = 3.0   // times what a cold planner can do at which it falls over
+	overloadWindow       = 1.0   // s of that
+	drainTime            = 2.0   // s from a planner's drain to its end
+	startTime            = 1.5   // s that a planner takes to start
+	statusRepeatInterval = 5.0   // s between news that say the same again
+	aliveInterval        = 1.0   // s between signs of life of the other services' desks
+	requestsPerEndpoint  = 8.0   // queries a second for each planner of a fleet, on an ordinary day
+	crossSiteDelay       = 0.001 // s one way between sites
+	sameSiteDelay        = 0.0003
 )
 
 // category is what a query of a kind is like.
-type category struct {
-	name     string
-	share    float64
-	work     [2]float64 // s on a core of speed 1
-	due      float64
-	patience float64
-	value    float64
-	repeat   relay.Idempotency
-	window   float64 // in which a site drops a repeat
+type requestClass struct {
+	name           string
+	share          float64
+	work           [2]float64 // s on a core of speed 1
+	objective      float64
+	deadline       float64
+	priorityWeight float64
+	idempotency    relay.Idempotency
+	dedupWindow    float64 // in which a site drops a repeat
 }
 
-var categories = []category{
+var requestClasses = []requestClass{
 	{"next-turn", 0.38, [2]float64{0.08, 0.13}, 0.8, 2.5, 2, relay.Idempotent, 0},
 	{"full-route", 0.31, [2]float64{0.11, 0.19}, 1.5, 4, 1, relay.Idempotent, 0},
 	{"stop-done", 0.16, [2]float64{0.08, 0.13}, 1, 4, 3, relay.IdempotencyKeyed, 4},
@@ -46,109 +46,109 @@
 }
 
 // fault is what is wrong with a build.
-type fault struct {
-	name   string
-	fails  float64 // part of its queries
-	only   int     // of this category alone; -1: all
-	slower float64 // times the work
-	after  float64 // s of a planner's age from which it shows
+type buildFault struct {
+	name        string
+	failureRate float64 // part of its queries
+	onlyClass   int     // of this category alone; -1: all
+	slowdown    float64 // times the work
+	fromAge     float64 // s of a planner's age from which it shows
 }
 
 // good says that nothing is wrong.
-func (f fault) good() bool { return f.fails == 0 && f.slower <= 1.2 }
+func (f buildFault) isGood() bool { return f.failureRate == 0 && f.slowdown <= 1.2 }
 
-func drawFault(r *rand.Rand, badPart float64) fault {
+func drawBuildFault(r *rand.Rand, badPart float64) buildFault {
 	if r.Float64() >= badPart {
-		return fault{name: "good", only: -1, slower: between(r, 0.92, 1.08)}
+		return buildFault{name: "good", onlyClass: -1, slowdown: uniform(r, 0.92, 1.08)}
 	}
 	switch r.Intn(4) {
 	case 0:
-		return fault{name: "fails", fails: between(r, 0.08, 0.36), only: -1, slower: 1}
+		return buildFault{name: "fails", failureRate: uniform(r, 0.08, 0.36), onlyClass: -1, slowdown: 1}
 	case 1:
-		return fault{name: "more work", only: -1, slower: between(r, 2, 3.5)}
+		return buildFault{name: "more work", onlyClass: -1, slowdown: uniform(r, 2, 3.5)}
 	case 2:
-		return fault{name: "fails one category", fails: between(r, 0.4, 0.9), only: r.Intn(len(categories)), slower: 1}
+		return buildFault{name: "fails one category", failureRate: uniform(r, 0.4, 0.9), onlyClass: r.Intn(len(requestClasses)), slowdown: 1}
 	}
-	return fault{name: "turns slow late", fails: between(r, 0.15, 0.4), only: -1, slower: between(r, 2, 3), after: between(r, 5, 11)}
+	return buildFault{name: "turns slow late", failureRate: uniform(r, 0.15, 0.4), onlyClass: -1, slowdown: uniform(r, 2, 3), fromAge: uniform(r, 5, 11)}
 }
 
 // planner is one server of a fleet.
-type planner struct {
-	f       *fleet
-	id      relay.EndpointID
-	site    plan.SiteIndex
-	build   relay.Build
-	speed   float64
-	state   relay.EndpointState
-	started float64
-	cold    bool // it was started within the run: it warms up
-	listed  bool
-	paused  float64 // until when it stands still
-	running int
-	waiting []*leg
-	fallen  bool
-	ill     illness
-	rng     *rand.Rand
-	sent    []load // legs sent to it while it is cold, for rule 4
+type endpoint struct {
+	fleet       *fleet
+	id          relay.EndpointID
+	site        plan.SiteIndex
+	build       relay.Build
+	speed       float64
+	state       relay.EndpointState
+	startedAt   float64
+	inSlowStart bool // it was started within the run: it warms up
+	listed      bool
+	pausedUntil float64 // until when it stands still
+	running     int
+	waiting     []*attempt
+	overloaded  bool
+	fault       activeFault
+	random      *rand.Rand
+	recentLoad  []load // legs sent to it while it is cold, for rule 4
 }
 
 // load is a leg's work, by when it was sent.
 type load struct{ at, work float64 }
 
 // warmth is the part of its work that it can do.
-func (p *planner) warmth() float64 {
-	if !p.cold {
+func (p *endpoint) slowStartFraction() float64 {
+	if !p.inSlowStart {
 		return 1
 	}
-	return math.Min(1, coldFrom+(1-coldFrom)*(p.f.w.now-p.started)/warmUp)
+	return math.Min(1, slowStartFloor+(1-slowStartFloor)*(p.fleet.simulation.now-p.startedAt)/slowStartTime)
 }
 
 // come takes a leg in.
-func (p *planner) come(l *leg) {
-	w := p.f.w
+func (p *endpoint) receive(l *attempt) {
+	w := p.fleet.simulation
 	switch {
 	case p.state == relay.Removed:
-		w.in(l.way, func() { l.end(relay.ConnectFailed) })
+		w.runAfter(l.delay, func() { l.end(relay.ConnectFailed) })
 		return
-	case p.fallen: // it answers nothing any more
+	case p.overloaded: // it answers nothing any more
 		return
-	case len(p.waiting) >= MostQueue || p.state == relay.Draining && w.now > l.q.x.unitTold[p.id]+1:
-		w.in(l.way, func() { l.end(relay.RejectedByEndpoint) })
+	case len(p.waiting) >= MaxQueue || p.state == relay.Draining && w.now > l.request.relay.leavingSince[p.id]+1:
+		w.runAfter(l.delay, func() { l.end(relay.RejectedByEndpoint) })
 		return
 	}
-	w.check.ran(l)
+	w.checker.attemptRan(l)
 	p.waiting = append(p.waiting, l)
-	p.start()
+	p.startWaiting()
 }
 
-func (p *planner) start() {
-	w := p.f.w
-	if p.paused > w.now || p.fallen {
+func (p *endpoint) startWaiting() {
+	w := p.fleet.simulation
+	if p.pausedUntil > w.now || p.overloaded {
 		return
 	}
-	for p.running < CoresEach && len(p.waiting) > 0 {
+	for p.running < CoresPerEndpoint && len(p.waiting) > 0 {
 		l := p.waiting[0]
 		p.waiting = p.waiting[1:]
-		if l.over {
+		if l.ended {
 			continue // given up while it waited
 		}
 		p.running++
-		bad := p.f.builds[p.build]
-		took := l.q.work / p.speed / p.warmth()
+		bad := p.fleet.builds[p.build]
+		took := l.request.work / p.speed / p.slowStartFraction()
 		fails := false
-		if w.now-p.started >= bad.after {
-			took *= bad.slower
-			fails = (bad.only < 0 || bad.only == int(l.q.Class)) && p.rng.Float64() < bad.fails
+		if w.now-p.startedAt >= bad.fromAge {
+			took *= bad.slowdown
+			fails = (bad.onlyClass < 0 || bad.onlyClass == int(l.request.Class)) && p.random.Float64() < bad.failureRate
 		}
-		if p.ill.until > w.now {
-			took *= math.Max(p.ill.slower, 1)
-			fails = fails || p.rng.Float64() < p.ill.fails
+		if p.fault.until > w.now {
+			took *= math.Max(p.fault.slowdown, 1)
+			fails = fails || p.random.Float64() < p.fault.failureRate
 		}
-		if l.q.fails > 0 {
-			l.q.fails--
+		if l.request.failuresLeft > 0 {
+			l.request.failuresLeft--
 			fails = true
 		}
-		w.in(took, func() {
+		w.runAfter(took, func() {
 			p.running--
 			how := relay.Succeeded
 			if fails {
@@ -157,41 +157,41 @@
 			if p.state == relay.Removed {
 				how = relay.ConnectionBroken
 			}
-			w.in(l.way, func() { l.end(how) })
-			p.start()
+			w.runAfter(l.delay, func() { l.end(how) })
+			p.startWaiting()
 		})
 	}
 }
 
 // pause has the planner stand still.
-func (p *planner) pause(d float64) {
-	p.paused = p.f.w.now + d
-	p.f.w.in(d, p.start)
+func (p *endpoint) pause(d float64) {
+	p.pausedUntil = p.fleet.simulation.now + d
+	p.fleet.simulation.runAfter(d, p.startWaiting)
 }
 
 // fleet is one service: its planners, what lists them, what starts and drains them, and its relays.
 type fleet struct {
-	w       *world
-	no      plan.ServiceIndex
-	name    string
-	set     relay.Settings
-	units   []*planner
-	nodes   []*node
-	builds  map[relay.Build]fault
-	stable  relay.Build // that the earlier planners run
-	size    int
-	nextID  relay.EndpointID
-	rng     *rand.Rand
-	stalled bool
-	pending []relay.RolloutStatus // that a stalled deployer has not looked at
-	heard   relay.RolloutStatus   // that the deployer acts on
+	simulation      *simulation
+	service         plan.ServiceIndex
+	name            string
+	settings        relay.Settings
+	endpoints       []*endpoint
+	relays          []*simulatedRelay
+	builds          map[relay.Build]buildFault
+	stable          relay.Build // that the earlier planners run
+	size            int
+	nextID          relay.EndpointID
+	random          *rand.Rand
+	stalled         bool
+	pendingStatuses []relay.RolloutStatus // that a stalled deployer has not looked at
+	deployed        relay.RolloutStatus   // that the deployer acts on
 }
 
 // told is news to the deployer.
-func (f *fleet) told(n relay.RolloutStatus, lag float64) {
-	f.w.in(lag, func() {
+func (f *fleet) statusReceived(n relay.RolloutStatus, lag float64) {
+	f.simulation.runAfter(lag, func() {
 		if f.stalled {
-			f.pending = append(f.pending, n)
+			f.pendingStatuses = append(f.pendingStatuses, n)
 			return
 		}
 		f.deploy(n)
@@ -199,12 +199,12 @@
 }
 
 // stall has the deployer stand still.
-func (f *fleet) stall(d float64) {
+func (f *fleet) stallDeployer(d float64) {
 	f.stalled = true
-	f.w.in(d, func() {
+	f.simulation.runAfter(d, func() {
 		f.stalled = false
-		late := f.pending
-		f.pending = nil
+		late := f.pendingStatuses
+		f.pendingStatuses = nil
 		for _, n := range late {
 			f.deploy(n)
 		}
@@ -214,12 +214,12 @@
 // deploy brings the fleet to where the news has it: planners of the trial where the step is open, all of a released
 // build, none of one that goes back.
 func (f *fleet) deploy(n relay.RolloutStatus) {
-	if n.Build < f.heard.Build || n.Build == f.heard.Build && (f.heard.Phase == relay.PhaseWithdrawn || f.heard.Phase == relay.PhaseRollingBack && n.Phase == relay.PhaseCanary) {
+	if n.Build < f.deployed.Build || n.Build == f.deployed.Build && (f.deployed.Phase == relay.PhaseWithdrawn || f.deployed.Phase == relay.PhaseRollingBack && n.Phase == relay.PhaseCanary) {
 		return
 	}
-	f.heard = n
-	t := &f.w.plan.Services[f.no]
-	bySite := make([]int, len(f.w.plan.Sites))
+	f.deployed = n
+	t := &f.simulation.plan.Services[f.service]
+	bySite := make([]int, len(f.simulation.plan.Sites))
 	for _, u := range f.live() {
 		if u.build == n.Build {
 			bySite[u.site]++
@@ -246,50 +246,50 @@
 			if n.Phase == relay.PhaseReleased {
 				want = int(math.Ceil(each))
 			}
-			if s > 0 && n.Phase == relay.PhaseCanary && f.oneSide(n.Build) {
+			if s > 0 && n.Phase == relay.PhaseCanary && f.canaryAtOneSite(n.Build) {
 				want = 0
 			}
 			for k := bySite[s]; k < want; k++ {
-				f.launch(n.Build, plan.SiteIndex(s), between(f.rng, 0, 1)+startFor)
+				f.launch(n.Build, plan.SiteIndex(s), uniform(f.random, 0, 1)+startTime)
 			}
 		}
 		if n.Phase == relay.PhaseReleased && f.stable < n.Build {
 			f.stable = n.Build
-			f.drain(func(u *planner) bool { return u.build < n.Build }, 6)
+			f.drain(func(u *endpoint) bool { return u.build < n.Build }, 6)
 		}
 	case relay.PhaseRollingBack, relay.PhaseWithdrawn:
 		if n.Build == f.stable { // it was released: the one before comes back
-			f.stable = f.before(n.Build)
+			f.stable = f.stableBefore(n.Build)
 			for s := range bySite {
 				for range int(math.Ceil(float64(f.size) / float64(len(bySite)))) {
-					f.launch(f.stable, plan.SiteIndex(s), between(f.rng, 0, 1)+startFor)
+					f.launch(f.stable, plan.SiteIndex(s), uniform(f.random, 0, 1)+startTime)
 				}
 			}
-			f.drain(func(u *planner) bool { return u.build >= n.Build }, 6)
+			f.drain(func(u *endpoint) bool { return u.build >= n.Build }, 6)
 			return
 		}
-		f.drain(func(u *planner) bool { return u.build >= n.Build }, 0)
+		f.drain(func(u *endpoint) bool { return u.build >= n.Build }, 0)
 	}
 }
 
-// oneSide says whether a build's trial gets planners at the first site alone, as the same draw says each time.
-func (f *fleet) oneSide(b relay.Build) bool {
-	return f.w.random("one-side"+f.name, int(b)).Float64() < f.w.opt.Faults.OneSide
+// canaryAtOneSite says whether a build's trial gets planners at the first site alone, as the same draw says each time.
+func (f *fleet) canaryAtOneSite(b relay.Build) bool {
+	return f.simulation.newRandom("one-side"+f.name, int(b)).Float64() < f.simulation.options.Faults.OneSiteCanaries
 }
 
 // before is the latest good enough build before another: the one that was stable then.
-func (f *fleet) before(b relay.Build) relay.Build {
+func (f *fleet) stableBefore(b relay.Build) relay.Build {
 	best := relay.Build(1)
 	for x := range f.builds {
-		if x < b && x > best && f.w.check.wasReleased(f.name, x) {
+		if x < b && x > best && f.simulation.checker.wasReleased(f.name, x) {
 			best = x
 		}
 	}
 	return best
 }
 
-func (f *fleet) live() (out []*planner) {
-	for _, u := range f.units {
+func (f *fleet) live() (out []*endpoint) {
+	for _, u := range f.endpoints {
 		if u.state == relay.Ready {
 			out = append(out, u)
 		}
@@ -298,140 +298,140 @@
 }
 
 // launch starts a planner.
-func (f *fleet) launch(b relay.Build, site plan.SiteIndex, after float64) *planner {
+func (f *fleet) launch(b relay.Build, site plan.SiteIndex, after float64) *endpoint {
 	f.nextID++
-	u := &planner{f: f, id: f.nextID, site: site, build: b, state: relay.Removed, cold: after > 0,
-		rng: f.w.random("planner"+f.name, int(f.nextID))}
-	u.speed = between(u.rng, 1.3, 1.7)
-	if u.rng.Float64() < 0.39 {
-		u.speed = between(u.rng, 0.9, 1.1)
+	u := &endpoint{fleet: f, id: f.nextID, site: site, build: b, state: relay.Removed, inSlowStart: after > 0,
+		random: f.simulation.newRandom("planner"+f.name, int(f.nextID))}
+	u.speed = uniform(u.random, 1.3, 1.7)
+	if u.random.Float64() < 0.39 {
+		u.speed = uniform(u.random, 0.9, 1.1)
 	}
-	f.units = append(f.units, u)
+	f.endpoints = append(f.endpoints, u)
 	u.state = relay.Ready // counted on, and listed once it runs
 	up := func() {
 		if u.state == relay.Ready {
-			u.started = f.w.now
+			u.startedAt = f.simulation.now
 			u.listed = true
-			f.list(u)
+			f.announce(u)
 		}
 	}
 	if after <= 0 {
-		u.started, u.listed = -1e6, true
+		u.startedAt, u.listed = -1e6, true
 	} else {
-		f.w.in(after, up)
+		f.simulation.runAfter(after, up)
 	}
 	return u
 }
 
 // drain takes planners out, a little later, and lists them so.
-func (f *fleet) drain(which func(*planner) bool, after float64) {
-	f.w.in(after, func() {
-		for _, u := range f.units {
+func (f *fleet) drain(which func(*endpoint) bool, after float64) {
+	f.simulation.runAfter(after, func() {
+		for _, u := range f.endpoints {
 			if u.state != relay.Ready || !which(u) {
 				continue
 			}
 			u := u
 			u.state = relay.Draining
-			f.list(u)
-			f.w.in(drainFor, func() {
+			f.announce(u)
+			f.simulation.runAfter(drainTime, func() {
 				u.state = relay.Removed
-				f.list(u)
-				f.w.in(20, f.forget)
+				f.announce(u)
+				f.simulation.runAfter(20, f.forgetRemoved)
 			})
 		}
 	})
 }
 
 // forget drops planners that are gone.
-func (f *fleet) forget() {
-	kept := f.units[:0]
-	for _, u := range f.units {
+func (f *fleet) forgetRemoved() {
+	kept := f.endpoints[:0]
+	for _, u := range f.endpoints {
 		if u.state != relay.Removed || u.running > 0 {
 			kept = append(kept, u)
 		}
 	}
-	clear(f.units[len(kept):])
-	f.units = kept
+	clear(f.endpoints[len(kept):])
+	f.endpoints = kept
 }
 
 // list tells every relay of the fleet of a planner, each with its own lag.
-func (f *fleet) list(u *planner) {
+func (f *fleet) announce(u *endpoint) {
 	if !u.listed && u.state == relay.Ready {
 		return
 	}
-	e := u.entry()
-	for _, x := range f.nodes {
-		x, life := x, x.life
-		f.w.in(between(f.rng, 0.1, 0.5)+f.w.opt.Faults.RosterLag*between(f.rng, 0, 4), func() {
-			if x.alive && x.life == life {
-				x.list(relay.ListUpdate{Kind: relay.ListDelta, Endpoints: []relay.Endpoint{e}})
+	e := u.listEntry()
+	for _, x := range f.relays {
+		x, life := x, x.incarnation
+		f.simulation.runAfter(uniform(f.random, 0.1, 0.5)+f.simulation.options.Faults.ListLag*uniform(f.random, 0, 4), func() {
+			if x.alive && x.incarnation == life {
+				x.listUpdated(relay.ListUpdate{Kind: relay.ListDelta, Endpoints: []relay.Endpoint{e}})
 			}
 		})
 	}
 }
 
-func (u *planner) entry() relay.Endpoint {
+func (u *endpoint) listEntry() relay.Endpoint {
 	return relay.Endpoint{ID: u.id, Zone: relay.Zone(u.site), Build: u.build, Weight: 1, State: u.state,
-		StartKnown: u.cold, StartedAt: u.started}
+		StartKnown: u.inSlowStart, StartedAt: u.startedAt}
 }
 
 // moved notes what the desk did.
-func (f *fleet) moved(e rollout.Event) {
+func (f *fleet) controllerStepped(e rollout.Event) {
 	if e.Kind == rollout.EventOffered || e.Kind == rollout.EventSuperseded {
 		return
 	}
-	if f.w.opt.Faults.Early > 0 && e.Kind == rollout.EventBegan && f.rng.Float64() < f.w.opt.Faults.Early {
+	if f.simulation.options.Faults.UnannouncedBuilds > 0 && e.Kind == rollout.EventBegan && f.random.Float64() < f.simulation.options.Faults.UnannouncedBuilds {
 		// The deployer errs: a planner of a build that nobody has announced yet is there already.
-		f.builds[e.Build+1] = fault{name: "unannounced", fails: 0.5, only: -1, slower: 1}
-		f.launch(e.Build+1, plan.SiteIndex(f.rng.Intn(len(f.w.plan.Sites))), startFor)
-		f.drain(func(u *planner) bool { return u.build == e.Build+1 && f.builds[u.build].name == "unannounced" }, 45) // it is noticed
+		f.builds[e.Build+1] = buildFault{name: "unannounced", failureRate: 0.5, onlyClass: -1, slowdown: 1}
+		f.launch(e.Build+1, plan.SiteIndex(f.random.Intn(len(f.simulation.plan.Sites))), startTime)
+		f.drain(func(u *endpoint) bool { return u.build == e.Build+1 && f.builds[u.build].name == "unannounced" }, 45) // it is noticed
 	}
 }
 
 // query is one query of a client.
-type query struct {
+type simulatedRequest struct {
 	relay.Request
-	x       *node
-	at, due float64
-	work    float64
-	legs    []*leg
-	over    bool
-	until   float64
-	group   plan.GroupIndex
-	fails   int // legs of it that fail, as a trace has it
+	relay                  *simulatedRelay
+	arrivedAt, objectiveAt float64
+	work                   float64
+	attempts               []*attempt
+	ended                  bool
+	deadlineAt             float64
+	group                  plan.GroupIndex
+	failuresLeft           int // legs of it that fail, as a trace has it
 }
 
 // leg is one try of it.
-type leg struct {
-	q    *query
-	no   relay.AttemptNumber
-	u    *planner
-	at   float64
-	way  float64 // s one way
-	over bool    // it has its end
-	ran  bool    // the planner took it in
+type attempt struct {
+	request  *simulatedRequest
+	number   relay.AttemptNumber
+	endpoint *endpoint
+	sentAt   float64
+	delay    float64 // s one way
+	ended    bool    // it has its end
+	ran      bool    // the planner took it in
 }
 
 // node is one relay that runs: the real module, and its guard.
-type node struct {
-	f        *fleet
-	no       relay.RelayID
-	name     string
-	site     plan.SiteIndex
-	offset   float64 // of its clock
-	weight   float64
-	hears    []bool // by service: whose desk it watches
-	alive    bool
-	life     int
-	born     float64
-	mod      module
-	guard    *rollout.Guard
-	queries  map[relay.RequestID]*query
-	lastID   relay.RequestID
-	guardAt  float64
-	unitTold map[relay.EndpointID]float64 // when it was told that a unit drains or is gone
-	rng      *rand.Rand
-	buffer   []relay.Event
+type simulatedRelay struct {
+	fleet        *fleet
+	id           relay.RelayID
+	name         string
+	site         plan.SiteIndex
+	clockOffset  float64 // of its clock
+	weight       float64
+	watches      []bool // by service: whose desk it watches
+	alive        bool
+	incarnation  int
+	startedAt    float64
+	module       module
+	guard        *rollout.Guard
+	requests     map[relay.RequestID]*simulatedRequest
+	lastID       relay.RequestID
+	guardTimerAt float64
+	leavingSince map[relay.EndpointID]float64 // when it was told that a unit drains or is gone
+	random       *rand.Rand
+	guardEvents  []relay.Event
 }
 
 // module is a decision module; the real one, or a baseline.
--- a/lab/lab_test.go
+++ b/lab/lab_test.go
@@ -11,7 +11,7 @@
 	"lichenroad/plan"
 )
 
-func example(t testing.TB) *plan.Plan {
+func examplePlan(t testing.TB) *plan.Plan {
 	p, err := planxml.Load("../deploy/plan.xml")
 	if err != nil {
 		t.Fatal(err)
@@ -20,15 +20,15 @@
 }
 
 // short is a run that CI has the time for: a day, a dozen relays.
-func short(t testing.TB, seed int64, faults string) Options {
-	f, ok := Worst(faults)
+func shortRun(t testing.TB, seed int64, faults string) Options {
+	f, ok := FaultsByName(faults)
 	if !ok {
 		t.Fatal(faults)
 	}
-	return Options{Plan: example(t), Seed: seed, Days: 1, Relays: 12, Units: 18, Faults: f, BadPart: 0.4}
+	return Options{Plan: examplePlan(t), Seed: seed, Days: 1, Relays: 12, Endpoints: 18, Faults: f, BadBuildFraction: 0.4}
 }
 
-func play(t testing.TB, o Options) Result {
+func mustRun(t testing.TB, o Options) Result {
 	r, err := Run(context.Background(), o)
 	if err != nil {
 		t.Fatal(err)
@@ -36,26 +36,26 @@
 	return r
 }
 
-// TestNothingBreaks plays a day of each kind of fault at its worst.
-func TestNothingBreaks(t *testing.T) {
-	for i, kind := range Kinds() {
+// TestNoViolations plays a day of each kind of fault at its worst.
+func TestNoViolations(t *testing.T) {
+	for i, kind := range FaultNames() {
 		t.Run(kind, func(t *testing.T) {
 			t.Parallel()
-			r := play(t, short(t, int64(i+1), kind))
-			for i, b := range r.Broken {
+			r := mustRun(t, shortRun(t, int64(i+1), kind))
+			for i, b := range r.Violations {
 				if i < 5 {
 					t.Errorf("%.3f %s by %s: %s", b.Time, b.Rule, b.Relay, b.Text)
 				}
 			}
-			if r.TrialLegs < 100 || r.MostOfCap <= 0.3 || len(r.Releases) < 6 {
-				t.Errorf("hardly anything was tried: %d legs on trial, %.2f of an allowance, %d releases", r.TrialLegs, r.MostOfCap, len(r.Releases))
+			if r.CanaryAttempts < 100 || r.MaxAllowanceUsed <= 0.3 || len(r.Releases) < 6 {
+				t.Errorf("hardly anything was tried: %d legs on trial, %.2f of an allowance, %d releases", r.CanaryAttempts, r.MaxAllowanceUsed, len(r.Releases))
 			}
 		})
 	}
 }
 
-// TestEachDefenceIsNeeded takes out one defence after another: the checker finds what it is there for.
-func TestEachDefenceIsNeeded(t *testing.T) {
+// TestCheckerDetectsDisabledSafeguards takes out one defence after another: the checker finds what it is there for.
+func TestCheckerDetectsDisabledSafeguards(t *testing.T) {
 	for _, c := range []struct {
 		without string // names, set apart by spaces
 		faults  string
@@ -74,19 +74,19 @@
 		t.Run(c.without, func(t *testing.T) {
 			t.Parallel()
 			for seed := int64(1); seed <= 4; seed++ { // a fault must meet it: not on every day
-				o := short(t, seed, c.faults)
+				o := shortRun(t, seed, c.faults)
 				for _, name := range strings.Fields(c.without) {
-					if !o.Without(name) {
+					if !o.DisableSafeguard(name) {
 						t.Fatal(name)
 					}
 				}
-				r := play(t, o)
-				for rule := range r.BrokenBy {
+				r := mustRun(t, o)
+				for rule := range r.ViolationsByRule {
 					if strings.Contains(rule, c.finds) {
 						return
 					}
 				}
-				t.Logf("seed %d: %v", seed, r.BrokenBy)
+				t.Logf("seed %d: %v", seed, r.ViolationsByRule)
 			}
 			t.Errorf("without %s nothing was found", c.without)
 		})
@@ -95,35 +95,35 @@
 
 func TestSameSeedSameTimeline(t *testing.T) {
 	t.Parallel()
-	o := short(t, 5, "ordinary")
+	o := shortRun(t, 5, "ordinary")
 	o.Days = 0.4
-	a, b := play(t, o), play(t, o)
-	if a.Hash != b.Hash || a.Queries != b.Queries || a.Service != b.Service {
-		t.Errorf("%s %s", a.Hash, b.Hash)
+	a, b := mustRun(t, o), mustRun(t, o)
+	if a.TimelineHash != b.TimelineHash || a.Requests != b.Requests || a.ServedFraction != b.ServedFraction {
+		t.Errorf("%s %s", a.TimelineHash, b.TimelineHash)
 	}
 	o.Seed++
-	if play(t, o).Hash == a.Hash {
+	if mustRun(t, o).TimelineHash == a.TimelineHash {
 		t.Error("another seed gives the same timeline")
 	}
 }
 
-func TestBaselineLetsBadBuildsOut(t *testing.T) {
+func TestClockBaselineReleasesBadBuilds(t *testing.T) {
 	t.Parallel()
-	o := short(t, 3, "none")
-	o.BadPart = 1
-	voted := play(t, o)
-	o.ByClock()
-	clock := play(t, o)
-	if voted.BadOut > 0.2 || clock.BadOut < 0.5 || clock.BadWorth < 2*voted.BadWorth {
-		t.Errorf("bad builds out: %g by votes, %g by the clock; worth lost: %.1f, %.1f", voted.BadOut, clock.BadOut, voted.BadWorth, clock.BadWorth)
+	o := shortRun(t, 3, "none")
+	o.BadBuildFraction = 1
+	voted := mustRun(t, o)
+	o.UseClockBaseline()
+	clock := mustRun(t, o)
+	if voted.BadReleased > 0.2 || clock.BadReleased < 0.5 || clock.WeightLostToBadBuilds < 2*voted.WeightLostToBadBuilds {
+		t.Errorf("bad builds out: %g by votes, %g by the clock; worth lost: %.1f, %.1f", voted.BadReleased, clock.BadReleased, voted.WeightLostToBadBuilds, clock.WeightLostToBadBuilds)
 	}
 }
 
 func TestReport(t *testing.T) {
 	t.Parallel()
-	o := short(t, 2, "ordinary")
+	o := shortRun(t, 2, "ordinary")
 	o.Days = 0.4
-	r := play(t, o)
+	r := mustRun(t, o)
 	name, err := r.Report(o.Plan, filepath.Join(t.TempDir(), "out"))
 	if err != nil {
 		t.Fatal(err)
--- a/lab/live/live.go
+++ b/lab/live/live.go
@@ -42,7 +42,7 @@
 
 // Result is what it showed.
 type Result struct {
-	lab.Replayed
+	lab.ReplayResult
 	Sender  Lateness `json:"sender"`
 	Overran int      `json:"answers_after_patience"`
 	Ended   bool     `json:"ended_early"`
@@ -55,13 +55,13 @@
 	kept bool
 	went float64
 	at   float64
-	how  lab.Ended
+	how  lab.RequestOutcome
 }
 
 // session is a live replay that goes on. Its loop owns all state; connections have a goroutine each.
 type session struct {
 	o      Options
-	terms  []lab.Term
+	terms  []lab.ClassTerms
 	places []int
 	begun  time.Time
 	sender *Sender
@@ -79,17 +79,17 @@
 
 type playing struct {
 	lab.Arrival
-	asked lab.Asked
-	term  *lab.Term
+	asked lab.CountedRequest
+	term  *lab.ClassTerms
 }
 
 // Run plays arrivals, which come in their order, until there are no more or the context ends. It ends every process
 // that it started. Queries that are out at an early end are still waited for, as long as their patience lasts.
 func Run(ctx context.Context, o Options, arrivals <-chan lab.Arrival) (Result, error) {
-	s := &session{o: o, terms: lab.Terms(), sender: NewSender(o.Relays, o.Bounds), tally: lab.NewTally(o.Customers), book: newBook(),
+	s := &session{o: o, terms: lab.AllClassTerms(), sender: NewSender(o.Relays, o.Bounds), tally: lab.NewTally(o.Customers), book: newBook(),
 		over: make(chan over, 1024), conns: map[[2]int]*fakes.Client{}, asked: map[int]playing{}}
 	for _, name := range o.Categories {
-		at, err := lab.Place(name)
+		at, err := lab.ClassIndex(name)
 		if err != nil {
 			return Result{}, err
 		}
@@ -107,15 +107,15 @@
 		return Result{}, err
 	}
 	span, early := s.play(ctx, arrivals)
-	r := Result{Replayed: s.tally.Done(), Sender: s.sender.Lateness(), Overran: s.ran, Ended: early}
-	r.Seed, r.Relays, r.Units, r.Span = o.Seed, o.Relays, o.Units, span
+	r := Result{ReplayResult: s.tally.Result(), Sender: s.sender.Lateness(), Overran: s.ran, Ended: early}
+	r.Seed, r.Relays, r.Endpoints, r.Duration = o.Seed, o.Relays, o.Units, span
 	s.book.mu.Lock()
-	r.Legs, r.Crossings = s.book.legs, s.book.cross
+	r.Attempts, r.CrossSiteAttempts = s.book.legs, s.book.cross
 	for _, id := range s.book.twice {
-		r.Broken = append(r.Broken, lab.Broken{Rule: "effect twice", Text: "query " + id + " ran twice and may only once"})
+		r.Violations = append(r.Violations, lab.Violation{Rule: "effect twice", Text: "query " + id + " ran twice and may only once"})
 	}
 	s.book.mu.Unlock()
-	r.LegsEach = float64(r.Legs) / math.Max(float64(r.All.Queries), 1)
+	r.AttemptsPerRequest = float64(r.Attempts) / math.Max(float64(r.All.Requests), 1)
 	return r, nil
 }
 
@@ -137,7 +137,7 @@
 		}
 		s.closer = append(s.closer, func() { ln.Close() })
 		name := fmt.Sprintf("p%d", i)
-		p := &fakes.Server{Name: name, Workers: lab.CoresEach, MaxInFlight: lab.MostQueue, Seed: s.o.Seed + int64(i), Handle: func(text string) (time.Duration, bool) {
+		p := &fakes.Server{Name: name, Workers: lab.CoresPerEndpoint, MaxInFlight: lab.MaxQueue, Seed: s.o.Seed + int64(i), Handle: func(text string) (time.Duration, bool) {
 			return s.book.leg(text, i%len(sites), time.Now())
 		}, InProgress: &s.busy}
 		go p.Serve(ln)
@@ -173,9 +173,9 @@
 	var grades, tenants []any
 	for _, t := range s.terms {
 		g := map[string]any{"name": t.Name, "repeat": map[relay.Idempotency]string{relay.Idempotent: "retryable", relay.IdempotencyKeyed: "dedup",
-			relay.AtMostOnce: "fragile"}[t.Repeat], "target": int64(t.Due * 1e9), "deadline": int64(t.Patience * 1e9), "worth": t.Value}
-		if t.Repeat == relay.IdempotencyKeyed {
-			g["group"], g["repeat_window"] = "zone", int64(t.Window*1e9)
+			relay.AtMostOnce: "fragile"}[t.Idempotency], "target": int64(t.LatencyObjective * 1e9), "deadline": int64(t.Deadline * 1e9), "worth": t.PriorityWeight}
+		if t.Idempotency == relay.IdempotencyKeyed {
+			g["group"], g["repeat_window"] = "zone", int64(t.DedupWindow*1e9)
 		}
 		grades = append(grades, g)
 	}
@@ -241,17 +241,17 @@
 
 // unheard ends a query that does not go out.
 func (s *session) unheard(j Job) {
-	s.tally.Ended(s.asked[j.No].asked, s.now(), lab.EndedUnheard)
+	s.tally.RequestEnded(s.asked[j.No].asked, s.now(), lab.RequestUnanswered)
 	delete(s.asked, j.No)
 }
 
 func (s *session) ask(a lab.Arrival) {
-	p := playing{Arrival: a, asked: lab.Asked{At: a.At, Category: s.places[a.Category], Customer: a.Customer, Work: a.Work}}
-	p.term = &s.terms[p.asked.Category]
+	p := playing{Arrival: a, asked: lab.CountedRequest{At: a.At, Class: s.places[a.Class], Tenant: a.Tenant, Work: a.Work}}
+	p.term = &s.terms[p.asked.Class]
 	j := Job{No: s.sent, Due: a.At, Relay: int(a.Relay % uint64(len(s.relays)))}
 	s.sent++
 	s.asked[j.No] = p
-	s.tally.Asked(p.asked, float64(s.busy.Load())/float64(lab.CoresEach*s.o.Units))
+	s.tally.RequestArrived(p.asked, float64(s.busy.Load())/float64(lab.CoresPerEndpoint*s.o.Units))
 	act, lane := s.sender.Due(j)
 	s.act(j, act, lane)
 }
@@ -274,7 +274,7 @@
 // exchange asks one query on a connection and waits for its answer. Its patience is what is left of it: the sender's own
 // delay is part of what the client waits.
 func (s *session) exchange(j Job, lane Lane, p playing, c *fakes.Client) {
-	e := over{job: j, lane: lane, how: lab.EndedUnheard}
+	e := over{job: j, lane: lane, how: lab.RequestUnanswered}
 	defer func() { e.at = s.now(); s.over <- e }()
 	if c.Conn == nil {
 		n, err := fakes.Dial(s.relays[j.Relay])
@@ -285,31 +285,31 @@
 		*c = *n
 	}
 	e.went = s.now()
-	left := j.Due + p.term.Patience - e.went
+	left := j.Due + p.term.Deadline - e.went
 	if left <= 0.001 {
 		e.kept = true
 		return
 	}
-	out, err := c.Query(statement(uint64(j.Relay)<<relayBits|uint64(j.No), p.term, s.o.Customers[p.Customer], left, p.Work, p.Fails), time.Duration(left*1e9))
+	out, err := c.Query(statement(uint64(j.Relay)<<relayBits|uint64(j.No), p.term, s.o.Customers[p.Tenant], left, p.Work, p.FailedAttempts), time.Duration(left*1e9))
 	if err != nil {
 		return
 	}
 	e.kept = true
 	switch {
 	case out.Value != "":
-		e.how = lab.EndedHonoured
+		e.how = lab.RequestSucceeded
 	case out.Code == pgwire.CodeFull:
-		e.how = lab.EndedDenied
+		e.how = lab.RequestRejected
 	default:
-		e.how = lab.EndedWrittenOff
+		e.how = lab.RequestFailed
 	}
 }
 
 // statement is a query in the form that relays and planners read: h is its work, the object says how many of its legs fail.
-func statement(no uint64, t *lab.Term, customer string, left, work float64, fails int) string {
+func statement(no uint64, t *lab.ClassTerms, customer string, left, work float64, fails int) string {
 	note := fmt.Sprintf("/* id=%016x,c=%s,t=%s,d=%d,h=%d", no, t.Name, customer, int(left*1000), int(work*1e6))
 	object := fmt.Sprintf("f%d-%x", fails, no)
-	switch t.Repeat {
+	switch t.Idempotency {
 	case relay.Idempotent:
 		return fmt.Sprintf("SELECT body FROM objects WHERE oid = '%s' %s */", object, note)
 	case relay.IdempotencyKeyed:
@@ -323,8 +323,8 @@
 	p := s.asked[e.job.No]
 	delete(s.asked, e.job.No)
 	s.sender.Went(e.job, e.went)
-	s.tally.Ended(p.asked, e.at, e.how)
-	if e.at > e.job.Due+p.term.Patience+overrun {
+	s.tally.RequestEnded(p.asked, e.at, e.how)
+	if e.at > e.job.Due+p.term.Deadline+overrun {
 		s.ran++
 	}
 	key := [2]int{e.job.Relay, int(e.lane)}
--- a/lab/live/live_test.go
+++ b/lab/live/live_test.go
@@ -11,7 +11,7 @@
 
 // TestStatementsAreRead holds what the sender writes to the relay's own reader and to the planners' book.
 func TestStatementsAreRead(t *testing.T) {
-	terms := lab.Terms()
+	terms := lab.AllClassTerms()
 	for i := range terms {
 		term := &terms[i]
 		text := statement(77, term, "dairy", 1.5, 0.125, 2)
@@ -19,8 +19,8 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		if q.Class != term.Name || q.Tenant != "dairy" || q.DeadlineMillis != 1500 || !q.HasWork || q.WorkMicros != 125000 || q.Write != (term.Repeat != relay.Idempotent) ||
-			(q.IdempotencyKey != "") != (term.Repeat == relay.IdempotencyKeyed) {
+		if q.Class != term.Name || q.Tenant != "dairy" || q.DeadlineMillis != 1500 || !q.HasWork || q.WorkMicros != 125000 || q.Write != (term.Idempotency != relay.Idempotent) ||
+			(q.IdempotencyKey != "") != (term.Idempotency == relay.IdempotencyKeyed) {
 			t.Errorf("%d: %+v", i, q)
 		}
 		b := newBook()
@@ -29,7 +29,7 @@
 				t.Errorf("%s leg %d: %v %v", term.Name, n, took, fails)
 			}
 		}
-		if twice := len(b.twice) > 0; twice != (term.Repeat == relay.AtMostOnce) {
+		if twice := len(b.twice) > 0; twice != (term.Idempotency == relay.AtMostOnce) {
 			t.Errorf("%s that ran three times: %v", term.Name, b.twice)
 		}
 		b.leg(statement(78, term, "dairy", 1, 0.1, 0), 1, time.Unix(0, 0).Add(2*forgetAfter))
--- a/lab/live/units.go
+++ b/lab/live/units.go
@@ -18,7 +18,7 @@
 // watches rule 2 from outside: what may have an effect once must not run twice.
 type book struct {
 	mu    sync.Mutex
-	terms []lab.Term
+	terms []lab.ClassTerms
 	runs  map[string]*ran
 	old   []*ran // in the order in which they came
 	legs  int
@@ -33,7 +33,7 @@
 	legs  int // that began, failed ones too: each may have had its effect
 }
 
-func newBook() *book { return &book{terms: lab.Terms(), runs: map[string]*ran{}} }
+func newBook() *book { return &book{terms: lab.AllClassTerms(), runs: map[string]*ran{}} }
 
 // leg is a statement that a planner of a site begins: how long it takes and whether it fails.
 func (b *book) leg(statement string, site int, now time.Time) (time.Duration, bool) {
@@ -70,7 +70,7 @@
 func (b *book) once(category string) bool {
 	for _, t := range b.terms {
 		if t.Name == category {
-			return t.Repeat == relay.AtMostOnce
+			return t.Idempotency == relay.AtMostOnce
 		}
 	}
 	return false
--- a/lab/replay.go
+++ b/lab/replay.go
@@ -16,32 +16,32 @@
 
 // Arrival is one query of a replay.
 type Arrival struct {
-	At       float64 // s; never earlier than the one before
-	Category int     // place in the replay's list
-	Customer int
-	Work     float64
-	Relay    uint64
-	Fails    int
-	Machine  uint64  // whose planner is bad from this on,
-	BadFor   float64 // for so many s
-	BadPart  float64 // with so much of its queries
+	At             float64 // s; never earlier than the one before
+	Class          int     // place in the replay's list
+	Tenant         int
+	Work           float64
+	Relay          uint64
+	FailedAttempts int
+	Machine        uint64  // whose planner is bad from this on,
+	FaultDuration  float64 // for so many s
+	FailureRate    float64 // with so much of its queries
 }
 
 // ReplayOptions are what a replay is made of.
 type ReplayOptions struct {
-	Seed       int64
-	Relays     int
-	Units      int
-	Categories []string // by name, of those that the laboratory knows
-	Customers  []string
-	Module     func(relay.Settings, int64) module
-	Trouble    Trouble
-	Change     func(*relay.Settings) // of what relays are told, where given
+	Seed           int64
+	Relays         int
+	Endpoints      int
+	Classes        []string // by name, of those that the laboratory knows
+	Tenants        []string
+	NewModule      func(relay.Settings, int64) module
+	Fault          EndpointFault
+	ChangeSettings func(*relay.Settings) // of what relays are told, where given
 }
 
-// CategoryNames lists the categories that the laboratory knows.
-func CategoryNames() (out []string) {
-	for _, c := range categories {
+// ClassNames lists the categories that the laboratory knows.
+func ClassNames() (out []string) {
+	for _, c := range requestClasses {
 		out = append(out, c.name)
 	}
 	return out
@@ -49,186 +49,186 @@
 
 // Share is the value honoured in due time of the value asked for.
 type Share struct {
-	Queries int     `json:"queries"`
-	Asked   float64 `json:"value_asked"`
-	Served  float64 `json:"value_served"`
-	Service float64 `json:"service"`
+	Requests       int     `json:"queries"`
+	WeightOffered  float64 `json:"value_asked"`
+	WeightServed   float64 `json:"value_served"`
+	ServedFraction float64 `json:"service"`
 }
 
 func (s *Share) add(asked, served float64) {
-	s.Asked, s.Served = s.Asked+asked, s.Served+served
+	s.WeightOffered, s.WeightServed = s.WeightOffered+asked, s.WeightServed+served
 }
 
-func (s *Share) done() Share {
-	if s.Asked > 0 {
-		s.Service = s.Served / s.Asked
+func (s *Share) withFraction() Share {
+	if s.WeightOffered > 0 {
+		s.ServedFraction = s.WeightServed / s.WeightOffered
 	}
 	return *s
 }
 
 // Replayed is what a replay showed. Times are seconds.
-type Replayed struct {
-	Seed       int64              `json:"seed"`
-	Relays     int                `json:"relays"`
-	Units      int                `json:"units"`
-	Span       float64            `json:"span_s"`
-	All        Share              `json:"all"`
-	Categories map[string]Share   `json:"categories"`
-	Customers  map[string]Share   `json:"customers"`
-	Worst10    float64            `json:"worst_10s"`
-	Tail       float64            `json:"tail"`
-	Figure     float64            `json:"figure"`    // the brief's, before its deductions
-	Crossings  int                `json:"crossings"` // legs to the other site
-	Denied     int                `json:"denied"`
-	WrittenOff int                `json:"written_off"`
-	Unheard    int                `json:"unanswered"`
-	Legs       int                `json:"legs"`
-	LegsEach   float64            `json:"legs_a_query"`
-	Latency    map[string]float64 `json:"latency_s"` // of honoured queries, from the intended start
-	Broken     []Broken           `json:"broken"`
-	Hash       string             `json:"timeline_sha256,omitempty"`
+type ReplayResult struct {
+	Seed               int64              `json:"seed"`
+	Relays             int                `json:"relays"`
+	Endpoints          int                `json:"units"`
+	Duration           float64            `json:"span_s"`
+	All                Share              `json:"all"`
+	Classes            map[string]Share   `json:"categories"`
+	Tenants            map[string]Share   `json:"customers"`
+	Worst10            float64            `json:"worst_10s"`
+	Tail               float64            `json:"tail"`
+	Score              float64            `json:"figure"`    // the brief's, before its deductions
+	CrossSiteAttempts  int                `json:"crossings"` // legs to the other site
+	Rejected           int                `json:"denied"`
+	Failed             int                `json:"written_off"`
+	Unanswered         int                `json:"unanswered"`
+	Attempts           int                `json:"legs"`
+	AttemptsPerRequest float64            `json:"legs_a_query"`
+	Latency            map[string]float64 `json:"latency_s"` // of honoured queries, from the intended start
+	Violations         []Violation        `json:"broken"`
+	TimelineHash       string             `json:"timeline_sha256,omitempty"`
 
 	series *series
 }
 
 const (
-	worstWidth = 10.0 // s of the worst stretch
-	worstLeast = 20   // queries that a stretch must have to count
-	afterLast  = 10.0 // s that a replay goes on after the last arrival: longer than any patience
+	worstStretch       = 10.0 // s of the worst stretch
+	minStretchRequests = 20   // queries that a stretch must have to count
+	drainAfterLast     = 10.0 // s that a replay goes on after the last arrival: longer than any patience
 )
 
 // Ended is how a query ended for its client.
-type Ended int
+type RequestOutcome int
 
 // The ends.
 const (
-	EndedHonoured Ended = iota
-	EndedDenied
-	EndedWrittenOff
-	EndedUnheard // no answer came
+	RequestSucceeded RequestOutcome = iota
+	RequestRejected
+	RequestFailed
+	RequestUnanswered // no answer came
 )
 
 // Asked is a query as a tally counts it.
-type Asked struct {
-	At       float64 // s; when it was to be asked
-	Category int     // place in the laboratory's table
-	Customer int
-	Work     float64
+type CountedRequest struct {
+	At     float64 // s; when it was to be asked
+	Class  int     // place in the laboratory's table
+	Tenant int
+	Work   float64
 }
 
 // Tally keeps a replay's figures. Value is counted where it is asked for; it is served when it is answered in due time,
 // by the time at which the query was to be asked. A replay over sockets counts by it too.
 type Tally struct {
-	all        Share
-	categories []Share
-	customers  []Share
-	names      []string
-	stretch    Share // the present ten seconds
-	stretchAt  int64
-	worst      float64
-	latency    *hdrhistogram.Histogram
-	tail       tail
-	series     series
-	denied     int
-	writtenOff int
-	unheard    int
+	all         Share
+	classes     []Share
+	tenants     []Share
+	tenantNames []string
+	stretch     Share // the present ten seconds
+	stretchAt   int64
+	worst       float64
+	latency     *hdrhistogram.Histogram
+	tail        tail
+	series      series
+	rejected    int
+	failed      int
+	unanswered  int
 }
 
 // NewTally begins the figures of a replay with customers.
 func NewTally(customers []string) *Tally {
-	return &Tally{worst: 1, categories: make([]Share, len(categories)), customers: make([]Share, len(customers)+1), names: customers,
-		latency: hdrhistogram.New(1, 60e6, 3), series: series{width: 1}, tail: tail{cells: make([][tailSlots]tailCell, len(categories))}}
+	return &Tally{worst: 1, classes: make([]Share, len(requestClasses)), tenants: make([]Share, len(customers)+1), tenantNames: customers,
+		latency: hdrhistogram.New(1, 60e6, 3), series: series{width: 1}, tail: tail{cells: make([][openTailCells]tailCell, len(requestClasses))}}
 }
 
 // Asked counts a query in; busy is the part of the planners' cores that works.
-func (t *Tally) Asked(q Asked, busy float64) {
-	v := categories[q.Category].value * q.Work
-	t.all.Queries++
-	p := t.series.at(q.At)
-	p.asked++
+func (t *Tally) RequestArrived(q CountedRequest, busy float64) {
+	v := requestClasses[q.Class].priorityWeight * q.Work
+	t.all.Requests++
+	p := t.series.pointAt(q.At)
+	p.arrived++
 	p.busy += busy
-	t.categories[q.Category].Queries++
-	t.customers[q.Customer].Queries++
+	t.classes[q.Class].Requests++
+	t.tenants[q.Tenant].Requests++
 	t.all.add(v, 0)
-	t.categories[q.Category].add(v, 0)
-	t.customers[q.Customer].add(v, 0)
-	if at := int64(q.At / worstWidth); at != t.stretchAt {
-		t.turn()
+	t.classes[q.Class].add(v, 0)
+	t.tenants[q.Tenant].add(v, 0)
+	if at := int64(q.At / worstStretch); at != t.stretchAt {
+		t.endStretch()
 		t.stretchAt = at
 	}
-	t.stretch.Queries++
+	t.stretch.Requests++
 	t.stretch.add(v, 0)
-	if c := t.tail.at(q.Category, q.At); c != nil {
-		c.queries, c.asked = c.queries+1, c.asked+v
+	if c := t.tail.cellOf(q.Class, q.At); c != nil {
+		c.requests, c.offered = c.requests+1, c.offered+v
 	}
 }
 
 // turn ends a stretch of ten seconds.
-func (t *Tally) turn() {
-	if t.stretch.Queries >= worstLeast {
-		t.worst = math.Min(t.worst, t.stretch.Served/t.stretch.Asked)
+func (t *Tally) endStretch() {
+	if t.stretch.Requests >= minStretchRequests {
+		t.worst = math.Min(t.worst, t.stretch.WeightServed/t.stretch.WeightOffered)
 	}
 	t.stretch = Share{}
 }
 
 // Ended counts a query's end.
-func (t *Tally) Ended(q Asked, now float64, how Ended) {
-	p := t.series.at(q.At)
-	due := now <= q.At+categories[q.Category].due
-	cell := t.tail.at(q.Category, q.At)
-	if cell != nil && due && how == EndedDenied {
-		cell.early++
+func (t *Tally) RequestEnded(q CountedRequest, now float64, how RequestOutcome) {
+	p := t.series.pointAt(q.At)
+	due := now <= q.At+requestClasses[q.Class].objective
+	cell := t.tail.cellOf(q.Class, q.At)
+	if cell != nil && due && how == RequestRejected {
+		cell.rejectedInTime++
 	}
 	switch {
-	case how == EndedUnheard:
-		t.unheard++
-		p.writtenOff++
-	case how == EndedDenied:
-		t.denied++
-		p.denied++
-	case how == EndedWrittenOff:
-		t.writtenOff++
-		p.writtenOff++
+	case how == RequestUnanswered:
+		t.unanswered++
+		p.failed++
+	case how == RequestRejected:
+		t.rejected++
+		p.rejected++
+	case how == RequestFailed:
+		t.failed++
+		p.failed++
 	case !due:
 		p.late++
 	default:
 		p.inTime++
 	}
-	if how != EndedHonoured {
+	if how != RequestSucceeded {
 		return
 	}
-	p.hist().RecordValue(int64((now - q.At) * 1e6))
+	p.histogram().RecordValue(int64((now - q.At) * 1e6))
 	t.latency.RecordValue(int64((now - q.At) * 1e6))
 	if !due {
 		return
 	}
-	v := categories[q.Category].value * q.Work
+	v := requestClasses[q.Class].priorityWeight * q.Work
 	if cell != nil {
 		cell.inTime, cell.served = cell.inTime+1, cell.served+v
 	}
 	t.all.add(0, v)
-	t.categories[q.Category].add(0, v)
-	t.customers[q.Customer].add(0, v)
-	if int64(q.At/worstWidth) == t.stretchAt { // an answer that comes after the turn counts for the whole alone
+	t.classes[q.Class].add(0, v)
+	t.tenants[q.Tenant].add(0, v)
+	if int64(q.At/worstStretch) == t.stretchAt { // an answer that comes after the turn counts for the whole alone
 		t.stretch.add(0, v)
 	}
 }
 
 // Done gives the figures that the tally knows.
-func (t *Tally) Done() Replayed {
-	t.turn()
-	out := Replayed{All: t.all.done(), Categories: map[string]Share{}, Customers: map[string]Share{}, Worst10: t.worst, Denied: t.denied,
-		WrittenOff: t.writtenOff, Unheard: t.unheard, Latency: map[string]float64{}, Broken: []Broken{}, series: &t.series}
-	for i := range t.categories {
-		if s := t.categories[i].done(); s.Queries > 0 {
-			out.Categories[categories[i].name] = s
+func (t *Tally) Result() ReplayResult {
+	t.endStretch()
+	out := ReplayResult{All: t.all.withFraction(), Classes: map[string]Share{}, Tenants: map[string]Share{}, Worst10: t.worst, Rejected: t.rejected,
+		Failed: t.failed, Unanswered: t.unanswered, Latency: map[string]float64{}, Violations: []Violation{}, series: &t.series}
+	for i := range t.classes {
+		if s := t.classes[i].withFraction(); s.Requests > 0 {
+			out.Classes[requestClasses[i].name] = s
 		}
 	}
-	for i, name := range t.names {
-		out.Customers[name] = t.customers[i].done()
+	for i, name := range t.tenantNames {
+		out.Tenants[name] = t.tenants[i].withFraction()
 	}
-	out.Tail = t.tail.done()
-	out.Figure = out.figure()
+	out.Tail = t.tail.fraction()
+	out.Score = out.score()
 	for name, q := range map[string]float64{"p50": 50, "p90": 90, "p99": 99, "p99.9": 99.9, "max": 100} {
 		out.Latency[name] = float64(t.latency.ValueAtQuantile(q)) / 1e6
 	}
@@ -236,94 +236,94 @@
 }
 
 // Place finds a category in the laboratory's table.
-func Place(name string) (int, error) {
-	for i, c := range categories {
+func ClassIndex(name string) (int, error) {
+	for i, c := range requestClasses {
 		if c.name == name {
 			return i, nil
 		}
 	}
-	return -1, fmt.Errorf("category %q is none of %v", name, CategoryNames())
+	return -1, fmt.Errorf("category %q is none of %v", name, ClassNames())
 }
 
 // Term is what the laboratory has for a category: value, s of due time and patience, what a repeat may do.
-type Term struct {
-	Name                         string
-	Value, Due, Patience, Window float64
-	Repeat                       relay.Idempotency
+type ClassTerms struct {
+	Name                                                    string
+	PriorityWeight, LatencyObjective, Deadline, DedupWindow float64
+	Idempotency                                             relay.Idempotency
 }
 
 // Terms lists them, in the order of the table.
-func Terms() (out []Term) {
-	for _, c := range categories {
-		out = append(out, Term{c.name, c.value, c.due, c.patience, c.window, c.repeat})
+func AllClassTerms() (out []ClassTerms) {
+	for _, c := range requestClasses {
+		out = append(out, ClassTerms{c.name, c.priorityWeight, c.objective, c.deadline, c.dedupWindow, c.idempotency})
 	}
 	return out
 }
 
 // Replay is a replay that goes on: arrivals are handed to it in their order.
 type Replay struct {
-	w      *world
-	o      ReplayOptions
-	places []int // of the categories
-	first  float64
-	last   float64
-	any    bool
+	simulation   *simulation
+	options      ReplayOptions
+	classIndexes []int // of the categories
+	first        float64
+	last         float64
+	started      bool
 }
 
 // NewReplay begins a replay.
 func NewReplay(o ReplayOptions) (*Replay, error) {
-	r := &Replay{o: o}
-	if o.Relays < 1 || o.Units < 2 || o.Relays > 1000 || o.Units > 1000 {
+	r := &Replay{options: o}
+	if o.Relays < 1 || o.Endpoints < 2 || o.Relays > 1000 || o.Endpoints > 1000 {
 		return nil, fmt.Errorf("from 1 to 1000 relays and from 2 to 1000 planners")
 	}
-	for _, name := range o.Categories {
-		at, err := Place(name)
+	for _, name := range o.Classes {
+		at, err := ClassIndex(name)
 		if err != nil {
 			return nil, err
 		}
-		r.places = append(r.places, at)
+		r.classIndexes = append(r.classIndexes, at)
 	}
-	p := &plan.Plan{Sites: []string{"bole", "kality"}, Groups: []plan.Group{{Name: "all", Tenants: o.Customers}},
+	p := &plan.Plan{Sites: []string{"bole", "kality"}, Groups: []plan.Group{{Name: "all", Tenants: o.Tenants}},
 		Services: []plan.Service{{Name: "replay", Votes: plan.Votes{Promote: 0.5, RollBack: 0.15, TTL: 10, PerSecond: 100},
 			Steps: []plan.Step{{Name: "all", Share: 1, ExposureLimit: 1, OpenGroups: []plan.Scope{{Site: 0, Group: 0}, {Site: 1, Group: 0}}}}}}}
-	opt := Options{Plan: p, Seed: o.Seed, Days: 1, Start: 1, Relays: o.Relays, Units: o.Units, Module: o.Module, Change: o.Change,
+	opt := Options{Plan: p, Seed: o.Seed, Days: 1, Start: 1, Relays: o.Relays, Endpoints: o.Endpoints, NewModule: o.NewModule, ChangeSettings: o.ChangeSettings,
 		Guard: rollout.GuardSafeguards{All: true}}
-	w := &world{opt: opt, plan: withRelays(p, o.Relays), epoch: 1, log: sha256.New(), awake: true}
-	w.rng = rand.New(rand.NewSource(o.Seed))
-	w.check = newChecker(w)
-	w.spell = spell{w: w}
-	w.desk = newDeskLink(w)
-	w.build(opt)
-	w.tally = NewTally(o.Customers)
-	r.w = w
-	w.fleets[0].trouble(o.Trouble)
+	w := &simulation{options: opt, plan: withRelays(p, o.Relays), epoch: 1, timelineHash: sha256.New(), hasTraffic: true}
+	w.random = rand.New(rand.NewSource(o.Seed))
+	w.checker = newChecker(w)
+	w.traffic = trafficWindow{simulation: w}
+	w.controller = newControllerLink(w)
+	w.addFleets(opt)
+	w.tally = NewTally(o.Tenants)
+	r.simulation = w
+	w.fleets[0].injectFaults(o.Fault)
 	return r, nil
 }
 
 // Play plays up to an arrival and brings it. Arrivals at one instant come one behind another in it.
-func (r *Replay) Play(a Arrival) {
-	if !r.any {
-		r.any, r.first = true, a.At-1 // a second for the relays to come up
+func (r *Replay) Arrive(a Arrival) {
+	if !r.started {
+		r.started, r.first = true, a.At-1 // a second for the relays to come up
 	}
 	r.last = a.At - r.first
-	r.w.run(math.Max(r.last, r.w.now))
-	x := r.w.fleets[0].nodes[a.Relay%uint64(len(r.w.fleets[0].nodes))]
-	if a.BadFor > 0 {
-		r.w.fleets[0].hour(a.Machine, a.BadFor, a.BadPart)
+	r.simulation.runUntil(math.Max(r.last, r.simulation.now))
+	x := r.simulation.fleets[0].relays[a.Relay%uint64(len(r.simulation.fleets[0].relays))]
+	if a.FaultDuration > 0 {
+		r.simulation.fleets[0].injectMachineFault(a.Machine, a.FaultDuration, a.FailureRate)
 	}
-	x.take(r.places[a.Category], a.Customer, a.Work, a.Fails)
+	x.startRequest(r.classIndexes[a.Class], a.Tenant, a.Work, a.FailedAttempts)
 }
 
 // End plays to the end and gives the figures.
-func (r *Replay) End() Replayed {
-	w, t := r.w, r.w.tally
-	w.run(r.last + afterLast)
-	out := t.Done()
-	out.Seed, out.Relays, out.Units, out.Span, out.Legs = r.o.Seed, r.o.Relays, r.o.Units, r.last, w.stats.legs
-	out.Crossings = w.stats.crossed
-	out.LegsEach = float64(w.stats.legs) / math.Max(float64(w.stats.queries), 1)
-	out.Broken = append(out.Broken, w.check.broken...)
-	fmt.Fprintf(w.log, "%d %g %d %d %d", t.all.Queries, t.all.Served, w.stats.denied, w.stats.writtenOff, w.stats.legs)
-	out.Hash = hex.EncodeToString(w.log.Sum(nil))
+func (r *Replay) Finish() ReplayResult {
+	w, t := r.simulation, r.simulation.tally
+	w.runUntil(r.last + drainAfterLast)
+	out := t.Result()
+	out.Seed, out.Relays, out.Endpoints, out.Duration, out.Attempts = r.options.Seed, r.options.Relays, r.options.Endpoints, r.last, w.counters.attempts
+	out.CrossSiteAttempts = w.counters.crossSiteAttempts
+	out.AttemptsPerRequest = float64(w.counters.attempts) / math.Max(float64(w.counters.requests), 1)
+	out.Violations = append(out.Violations, w.checker.violations...)
+	fmt.Fprintf(w.timelineHash, "%d %g %d %d %d", t.all.Requests, t.all.WeightServed, w.counters.rejected, w.counters.failed, w.counters.attempts)
+	out.TimelineHash = hex.EncodeToString(w.timelineHash.Sum(nil))
 	return out
 }
--- a/lab/replay_test.go
+++ b/lab/replay_test.go
@@ -10,40 +10,40 @@
 	s := series{width: 1}
 	n := 0
 	for at := 0.0; at < 3.6e6; at += 997 {
-		p := s.at(at)
-		p.asked++
-		p.hist().RecordValue(int64(at) + 1)
+		p := s.pointAt(at)
+		p.arrived++
+		p.histogram().RecordValue(int64(at) + 1)
 		n++
 	}
 	sum, values := 0, int64(0)
 	for i := range s.points {
-		sum += s.points[i].asked
+		sum += s.points[i].arrived
 		if s.points[i].latency != nil {
 			values += s.points[i].latency.TotalCount()
 		}
 	}
-	if len(s.points) > mostPoints || sum != n || values != int64(n) {
+	if len(s.points) > maxPoints || sum != n || values != int64(n) {
 		t.Errorf("%d points, %d and %d of %d", len(s.points), sum, values, n)
 	}
 }
 
-// TestFailuresOfATraceAreLegsThatFail has queries whose first leg fails: what may run again does, what must not is written off.
-func TestFailuresOfATraceAreLegsThatFail(t *testing.T) {
-	r, err := NewReplay(ReplayOptions{Seed: 1, Relays: 2, Units: 4, Categories: []string{"next-turn", "reassign"}, Customers: []string{"a"}})
+// TestTraceFailuresAreFailedAttempts has queries whose first leg fails: what may run again does, what must not is written off.
+func TestTraceFailuresAreFailedAttempts(t *testing.T) {
+	r, err := NewReplay(ReplayOptions{Seed: 1, Relays: 2, Endpoints: 4, Classes: []string{"next-turn", "reassign"}, Tenants: []string{"a"}})
 	if err != nil {
 		t.Fatal(err)
 	}
 	for i := range 400 {
-		r.Play(Arrival{At: float64(i) * 0.05, Category: i % 2, Work: 0.05, Relay: uint64(i), Fails: 1 - i/2%2})
+		r.Arrive(Arrival{At: float64(i) * 0.05, Class: i % 2, Work: 0.05, Relay: uint64(i), FailedAttempts: 1 - i/2%2})
 	}
-	got := r.End()
-	if got.All.Queries != 400 || got.WrittenOff != 100 || got.Legs < 480 || got.Legs > 520 || len(got.Broken) > 0 {
+	got := r.Finish()
+	if got.All.Requests != 400 || got.Failed != 100 || got.Attempts < 480 || got.Attempts > 520 || len(got.Violations) > 0 {
 		t.Errorf("%+v", got)
 	}
-	if s := got.Categories["reassign"].Service; s < 0.45 || s > 0.55 {
+	if s := got.Classes["reassign"].ServedFraction; s < 0.45 || s > 0.55 {
 		t.Error("half of the reassigns fail: ", s)
 	}
-	if s := got.Categories["next-turn"].Service; s < 0.99 {
+	if s := got.Classes["next-turn"].ServedFraction; s < 0.99 {
 		t.Error("a turn may be asked for again: ", s)
 	}
 }
@@ -51,13 +51,13 @@
 func BenchmarkReplay(b *testing.B) {
 	for _, relays := range []int{4, 40, 400} {
 		b.Run(fmt.Sprintf("relays=%d", relays), func(b *testing.B) {
-			r, err := NewReplay(ReplayOptions{Seed: 1, Relays: relays, Units: min(4*relays, 1000), Categories: []string{"next-turn"}, Customers: []string{"a"}})
+			r, err := NewReplay(ReplayOptions{Seed: 1, Relays: relays, Endpoints: min(4*relays, 1000), Classes: []string{"next-turn"}, Tenants: []string{"a"}})
 			if err != nil {
 				b.Fatal(err)
 			}
 			b.ResetTimer()
 			for i := range b.N {
-				r.Play(Arrival{At: float64(i) / (30 * float64(relays)), Work: 0.1, Relay: uint64(i)})
+				r.Arrive(Arrival{At: float64(i) / (30 * float64(relays)), Work: 0.1, Relay: uint64(i)})
 			}
 			b.StopTimer()
 			b.ReportMetric(float64(b.N)/b.Elapsed().Seconds(), "queries/s")
--- a/lab/report.go
+++ b/lab/report.go
@@ -20,17 +20,17 @@
 )
 
 const (
-	chartWide = 26 * vg.Centimeter
-	chartHigh = 7 * vg.Centimeter
-	hour      = 3600.0
+	chartWidth  = 26 * vg.Centimeter
+	chartHeight = 7 * vg.Centimeter
+	hour        = 3600.0
 )
 
 var (
-	shade  = color.RGBA{R: 205, G: 222, B: 240, A: 255}
-	blue   = color.RGBA{R: 30, G: 80, B: 160, A: 255}
-	green  = color.RGBA{R: 20, G: 140, B: 60, A: 255}
-	red    = color.RGBA{R: 190, G: 30, B: 30, A: 255}
-	orange = color.RGBA{R: 220, G: 130, B: 0, A: 255}
+	freezeShade = color.RGBA{R: 205, G: 222, B: 240, A: 255}
+	blue        = color.RGBA{R: 30, G: 80, B: 160, A: 255}
+	green       = color.RGBA{R: 20, G: 140, B: 60, A: 255}
+	red         = color.RGBA{R: 190, G: 30, B: 30, A: 255}
+	orange      = color.RGBA{R: 220, G: 130, B: 0, A: 255}
 )
 
 // chart begins a chart over the run's time with its freezes shaded up to a height.
@@ -38,7 +38,7 @@
 	p := plot.New()
 	p.Title.Text, p.X.Label.Text, p.Y.Label.Text = title, "hours since the start", y
 	p.Title.TextStyle.Font.Size, p.X.Label.TextStyle.Font.Size = font.Points(11), font.Points(9)
-	for _, spans := range r.Spans {
+	for _, spans := range r.FreezeTimes {
 		for i := 0; i+1 < len(spans); i += 2 {
 			from, to := max(spans[i]/hour, 0), min(spans[i+1]/hour, r.Days*24)
 			if to <= from {
@@ -48,7 +48,7 @@
 			if err != nil {
 				return nil, err
 			}
-			box.Color, box.LineStyle.Width = shade, 0
+			box.Color, box.LineStyle.Width = freezeShade, 0
 			p.Add(box)
 		}
 	}
@@ -58,7 +58,7 @@
 
 // SVG draws a chart to stand in a page.
 func SVG(p *plot.Plot) (template.HTML, error) {
-	w, err := p.WriterTo(chartWide, chartHigh, "svg")
+	w, err := p.WriterTo(chartWidth, chartHeight, "svg")
 	if err != nil {
 		return "", err
 	}
@@ -73,7 +73,7 @@
 	return template.HTML(text), nil
 }
 
-func marks(p *plot.Plot, at plotter.XYs, c color.Color, name string) error {
+func addMarks(p *plot.Plot, at plotter.XYs, c color.Color, name string) error {
 	if len(at) == 0 {
 		return nil
 	}
@@ -88,7 +88,7 @@
 }
 
 // timeline draws one service's week: the step that is open, releases, ways back.
-func (r *Result) timeline(p *plan.Plan, no int) (template.HTML, error) {
+func (r *Result) timelineChart(p *plan.Plan, no int) (template.HTML, error) {
 	s := &p.Services[no]
 	high := float64(len(s.Steps)) + 1.5
 	c, err := r.chart(s.Name+": step on trial, releases and ways back; freezes are shaded", "step", high)
@@ -97,7 +97,7 @@
 	}
 	line := plotter.XYs{{X: 0, Y: 0}}
 	var released, back, offered plotter.XYs
-	for _, m := range r.Moves {
+	for _, m := range r.Steps {
 		if m.Service != s.Name {
 			continue
 		}
@@ -126,7 +126,7 @@
 		c    color.Color
 		name string
 	}{{offered, orange, "offered"}, {released, green, "released"}, {back, red, "sent back"}} {
-		if err := marks(c, x.at, x.c, x.name); err != nil {
+		if err := addMarks(c, x.at, x.c, x.name); err != nil {
 			return "", err
 		}
 	}
@@ -135,7 +135,7 @@
 }
 
 // exposure draws the highest part of any allowance that was used, by service and ten minutes.
-func (r *Result) exposure(p *plan.Plan) (template.HTML, error) {
+func (r *Result) exposureChart(p *plan.Plan) (template.HTML, error) {
 	c, err := r.chart("Exposure: the highest part of an allowance (cap times queries, and a leg) that a group of a relay used", "part", 1.2)
 	if err != nil {
 		return "", err
@@ -149,12 +149,12 @@
 	c.Legend.Add("the cap", limit)
 	for i, s := range p.Services {
 		var at plotter.XYs
-		for _, u := range r.Use {
+		for _, u := range r.AllowanceUse {
 			if u.Service == s.Name {
-				at = append(at, plotter.XY{X: u.Hour, Y: min(u.Most, 1.2)})
+				at = append(at, plotter.XY{X: u.Hour, Y: min(u.Max, 1.2)})
 			}
 		}
-		if err := marks(c, at, []color.Color{blue, green, orange}[i%3], s.Name); err != nil {
+		if err := addMarks(c, at, []color.Color{blue, green, orange}[i%3], s.Name); err != nil {
 			return "", err
 		}
 	}
@@ -175,29 +175,29 @@
 table{border-collapse:collapse;margin:1em 0}td,th{padding:.2em .8em;text-align:left;border-bottom:1px solid #ddd}
 svg{max-width:100%;height:auto}.bad{color:#b00}</style></head><body>
 <h1>A plan tried out for {{.R.Days}} days, seed {{.R.Seed}}</h1>
-<p>All figures are simulated: {{.R.Relays}} relays with the real decision module, {{.R.Units}} emulated planners, {{.R.Queries}} queries in
-{{printf "%.0f" .R.Awake}} s with traffic. Timeline {{.R.Hash}}.</p>
+<p>All figures are simulated: {{.R.Relays}} relays with the real decision module, {{.R.Endpoints}} emulated planners, {{.R.Requests}} queries in
+{{printf "%.0f" .R.TrafficTime}} s with traffic. Timeline {{.R.TimelineHash}}.</p>
 <table>
-<tr><th>Service (value in due time)</th><td>{{pct .R.Service}}</td></tr>
-<tr><th>Good builds released, on average after</th><td>{{pct .R.GoodOut}}, {{hours .R.GoodTook}} h</td></tr>
-<tr><th>Bad builds released for good</th><td>{{pct .R.BadOut}}</td></tr>
-<tr><th>Highest part of any allowance used</th><td>{{pct .R.MostOfCap}}</td></tr>
-<tr><th>Rules or lines of the plan broken</th><td>{{if .R.BrokenBy}}<span class="bad">{{range $k, $n := .R.BrokenBy}}{{$k}}: {{$n}} {{end}}</span>{{else}}none{{end}}</td></tr>
+<tr><th>Service (value in due time)</th><td>{{pct .R.ServedFraction}}</td></tr>
+<tr><th>Good builds released, on average after</th><td>{{pct .R.GoodReleased}}, {{hours .R.GoodReleaseTime}} h</td></tr>
+<tr><th>Bad builds released for good</th><td>{{pct .R.BadReleased}}</td></tr>
+<tr><th>Highest part of any allowance used</th><td>{{pct .R.MaxAllowanceUsed}}</td></tr>
+<tr><th>Rules or lines of the plan broken</th><td>{{if .R.ViolationsByRule}}<span class="bad">{{range $k, $n := .R.ViolationsByRule}}{{$k}}: {{$n}} {{end}}</span>{{else}}none{{end}}</td></tr>
 </table>
 {{range .Charts}}{{.}}
 {{end}}
 <h2>Releases</h2><table><tr><th>service</th><th>build</th><th>it is</th><th>offered, h</th><th>began</th><th>released</th><th>sent back</th><th>steps</th></tr>
-{{range .R.Releases}}<tr><td>{{.Service}}</td><td>{{.Build}}</td><td{{if .Bad}} class="bad"{{end}}>{{.Fault}}</td><td>{{hours .Offered}}</td><td>{{hours .Began}}</td><td>{{hours .Released}}</td><td>{{hours .Back}}</td><td>{{.Steps}}</td></tr>
+{{range .R.Releases}}<tr><td>{{.Service}}</td><td>{{.Build}}</td><td{{if .Bad}} class="bad"{{end}}>{{.BuildFault}}</td><td>{{hours .OfferedAt}}</td><td>{{hours .BeganAt}}</td><td>{{hours .ReleasedAt}}</td><td>{{hours .RolledBackAt}}</td><td>{{.Promotions}}</td></tr>
 {{end}}</table>
 <h2>What held releases, hours over all services</h2><table>{{range .Held}}<tr><td>{{.Code}}</td><td>{{hours .For}}</td></tr>
 {{end}}</table>
-{{if .R.Broken}}<h2 class="bad">Broken</h2><table><tr><th>h</th><th>relay</th><th>rule</th><th>figure</th><th></th></tr>
-{{range .R.Broken}}<tr><td>{{hours .Time}}</td><td>{{.Relay}}</td><td>{{.Rule}}</td><td>{{printf "%.3g" .Figure}}</td><td>{{.Text}}</td></tr>
+{{if .R.Violations}}<h2 class="bad">Broken</h2><table><tr><th>h</th><th>relay</th><th>rule</th><th>figure</th><th></th></tr>
+{{range .R.Violations}}<tr><td>{{hours .Time}}</td><td>{{.Relay}}</td><td>{{.Rule}}</td><td>{{printf "%.3g" .Figure}}</td><td>{{.Text}}</td></tr>
 {{end}}</table>{{end}}
 </body></html>
 `))
 
-type heldFor struct {
+type blockedTime struct {
 	Code string
 	For  float64
 }
@@ -207,25 +207,25 @@
 	data := struct {
 		R      *Result
 		Charts []template.HTML
-		Held   []heldFor
+		Held   []blockedTime
 	}{R: r}
 	for i := range p.Services {
-		c, err := r.timeline(p, i)
+		c, err := r.timelineChart(p, i)
 		if err != nil {
 			return "", err
 		}
 		data.Charts = append(data.Charts, c)
 	}
-	c, err := r.exposure(p)
+	c, err := r.exposureChart(p)
 	if err != nil {
 		return "", err
 	}
 	data.Charts = append(data.Charts, c)
-	for code, s := range r.Held {
-		data.Held = append(data.Held, heldFor{code, s})
+	for code, s := range r.BlockedFor {
+		data.Held = append(data.Held, blockedTime{code, s})
 	}
 	sort.Slice(data.Held, func(i, j int) bool { return data.Held[i].For > data.Held[j].For })
-	return putPage(dir, "plan.html", page, data)
+	return writePage(dir, "plan.html", page, data)
 }
 
 // WriteFile puts a file in place whole, or not at all.
@@ -236,8 +236,8 @@
 	return os.Rename(name+".part", name)
 }
 
-// putPage writes a page into a directory, whole or not at all.
-func putPage(dir, name string, page *template.Template, data any) (string, error) {
+// writePage writes a page into a directory, whole or not at all.
+func writePage(dir, name string, page *template.Template, data any) (string, error) {
 	var b bytes.Buffer
 	if err := page.Execute(&b, data); err != nil {
 		return "", err
--- a/lab/shapes.go
+++ b/lab/shapes.go
@@ -12,18 +12,18 @@
 // Shape makes a trace of a kind of load, in a public layout, by rate and seed. None is taken from any recorded trace.
 type Shape struct {
 	Name, Layout string
-	make         func(w io.Writer, span, rate float64, rng *rand.Rand)
+	write        func(w io.Writer, span, rate float64, rng *rand.Rand)
 }
 
 // Shapes are the kinds of load that can be made.
-var Shapes = []Shape{{"bursty", "azure-2021", bursty}, {"tails", "google-2011", tails}, {"failing", "google-2011", bulkFailures}}
+var Shapes = []Shape{{"bursty", "azure-2021", writeBursty}, {"tails", "google-2011", writeTails}, {"failing", "google-2011", writeBulkFailures}}
 
 // WriteShape writes a trace: so many seconds at a mean rate.
 func WriteShape(w io.Writer, name string, span, rate float64, seed int64) error {
 	for _, s := range Shapes {
 		if s.Name == name {
 			b := bufio.NewWriter(w)
-			s.make(b, span, rate, rand.New(rand.NewSource(seed)))
+			s.write(b, span, rate, rand.New(rand.NewSource(seed)))
 			return b.Flush()
 		}
 	}
@@ -31,7 +31,7 @@
 }
 
 // arrivals draws a Poisson stream whose rate is a function of time, at most so much.
-func arrivals(span, most float64, rate func(t float64) float64, rng *rand.Rand, each func(t float64)) {
+func poissonArrivals(span, most float64, rate func(t float64) float64, rng *rand.Rand, each func(t float64)) {
 	for t := rng.ExpFloat64() / most; t < span; t += rng.ExpFloat64() / most {
 		if rng.Float64()*most < rate(t) {
 			each(t)
@@ -41,7 +41,7 @@
 
 // bursty has three quarters of its arrivals in bursts of 1.5 s at ten times the rate, one in 20 s; each burst is one app's
 // calls, as when a schedule fires.
-func bursty(w io.Writer, span, rate float64, rng *rand.Rand) {
+func writeBursty(w io.Writer, span, rate float64, rng *rand.Rand) {
 	type call struct {
 		app            int
 		end, took, key float64
@@ -57,10 +57,10 @@
 			calls = append(calls, call{app, t + took, took, rng.Float64()})
 		}
 	}
-	arrivals(span, rate/4, func(float64) float64 { return rate / 4 }, rng, func(t float64) { add(rng.Intn(40))(t) })
+	poissonArrivals(span, rate/4, func(float64) float64 { return rate / 4 }, rng, func(t float64) { add(rng.Intn(40))(t) })
 	for _, s := range starts {
 		app := rng.Intn(40)
-		arrivals(1.5, 10*rate, func(float64) float64 { return 10 * rate }, rng, func(t float64) { add(app)(s + t) })
+		poissonArrivals(1.5, 10*rate, func(float64) float64 { return 10 * rate }, rng, func(t float64) { add(app)(s + t) })
 	}
 	sort.Slice(calls, func(i, j int) bool { return calls[i].end < calls[j].end })
 	fmt.Fprintln(w, "app,func,end_timestamp,duration")
@@ -70,56 +70,56 @@
 }
 
 // row is one event of a task, in the layout of events.
-type row struct {
-	at                                  float64
-	job, task, machine, kind, user, top int
+type taskEvent struct {
+	time                                     float64
+	job, task, machine, kind, user, priority int
 }
 
-func writeRows(w io.Writer, rows []row) {
-	sort.SliceStable(rows, func(i, j int) bool { return rows[i].at < rows[j].at })
+func writeTaskEvents(w io.Writer, rows []taskEvent) {
+	sort.SliceStable(rows, func(i, j int) bool { return rows[i].time < rows[j].time })
 	for _, r := range rows {
 		machine := ""
 		if r.kind != 0 {
 			machine = fmt.Sprint(r.machine)
 		}
-		fmt.Fprintf(w, "%d,,%d,%d,%s,%d,u%02d,%d,%d,0.1,0.1,0.1,0\n", int64((r.at+600)*1e6), r.job, r.task, machine, r.kind, r.user, r.job%4, r.top)
+		fmt.Fprintf(w, "%d,,%d,%d,%s,%d,u%02d,%d,%d,0.1,0.1,0.1,0\n", int64((r.time+600)*1e6), r.job, r.task, machine, r.kind, r.user, r.job%4, r.priority)
 	}
 }
 
 // tails is steady, with durations whose tail is Pareto's of 1.3: most are short, and one in some hundred is a hundred times as long.
-func tails(w io.Writer, span, rate float64, rng *rand.Rand) {
-	var rows []row
+func writeTails(w io.Writer, span, rate float64, rng *rand.Rand) {
+	var rows []taskEvent
 	n := 0
-	arrivals(span, rate, func(float64) float64 { return rate }, rng, func(t float64) {
+	poissonArrivals(span, rate, func(float64) float64 { return rate }, rng, func(t float64) {
 		n++
 		took := math.Min(3*math.Pow(rng.Float64(), -1/1.3), 120)
-		r := row{t, n, rng.Intn(50), rng.Intn(200), 0, rng.Intn(60), rng.Intn(12)}
+		r := taskEvent{t, n, rng.Intn(50), rng.Intn(200), 0, rng.Intn(60), rng.Intn(12)}
 		for _, e := range [...]struct {
 			kind int
 			at   float64
 		}{{0, t}, {1, t + 0.01}, {4, t + 0.01 + took}} {
-			r.kind, r.at = e.kind, e.at
+			r.kind, r.time = e.kind, e.at
 			rows = append(rows, r)
 		}
 	})
-	writeRows(w, rows)
+	writeTaskEvents(w, rows)
 }
 
-// bulkFailures is steady; every 40 s or so all that runs on one machine in eight fails, for 8 s, comes again a second
+// writeBulkFailures is steady; every 40 s or so all that runs on one machine in eight fails, for 8 s, comes again a second
 // later, and finishes elsewhere.
-func bulkFailures(w io.Writer, span, rate float64, rng *rand.Rand) {
+func writeBulkFailures(w io.Writer, span, rate float64, rng *rand.Rand) {
 	type bad struct{ from, to, part float64 }
 	var spells []bad
 	for t := rng.Float64() * 40; t < span; t += 25 + 30*rng.Float64() {
 		spells = append(spells, bad{t, t + 8, rng.Float64() * 7 / 8})
 	}
-	var rows []row
+	var rows []taskEvent
 	n := 0
-	arrivals(span, rate, func(float64) float64 { return rate }, rng, func(t float64) {
+	poissonArrivals(span, rate, func(float64) float64 { return rate }, rng, func(t float64) {
 		n++
-		r := row{t, n, rng.Intn(50), rng.Intn(200), 0, rng.Intn(60), rng.Intn(12)}
+		r := taskEvent{t, n, rng.Intn(50), rng.Intn(200), 0, rng.Intn(60), rng.Intn(12)}
 		add := func(kind int, at float64) {
-			r.kind, r.at = kind, at
+			r.kind, r.time = kind, at
 			rows = append(rows, r)
 		}
 		took := 4 + 14*rng.Float64()
@@ -136,5 +136,5 @@
 		}
 		add(4, t+took)
 	})
-	writeRows(w, rows)
+	writeTaskEvents(w, rows)
 }
--- a/lab/tail_test.go
+++ b/lab/tail_test.go
@@ -13,28 +13,28 @@
 	}{{0, 0, 1}, {3, 0, 0.97}, {9, 0, 0.91 * 0.5}, {15, 0, 0}, {50, 0, 0}, {0, 40, 0.6}, {3, 40, 0.57 * (5 - 5.0/3) / 4}} {
 		y := NewTally([]string{"a"})
 		for i := range 100 {
-			q := Asked{At: 7, Work: 1}
-			y.Asked(q, 0)
+			q := CountedRequest{At: 7, Work: 1}
+			y.RequestArrived(q, 0)
 			switch {
 			case i < c.missed:
-				y.Ended(q, 20, EndedHonoured)
+				y.RequestEnded(q, 20, RequestSucceeded)
 			case i < c.missed+c.denied:
-				y.Ended(q, 7.1, EndedDenied)
+				y.RequestEnded(q, 7.1, RequestRejected)
 			default:
-				y.Ended(q, 7.1, EndedHonoured)
+				y.RequestEnded(q, 7.1, RequestSucceeded)
 			}
 		}
-		if got := y.Done().Tail; math.Abs(got-c.want) > 1e-9 {
+		if got := y.Result().Tail; math.Abs(got-c.want) > 1e-9 {
 			t.Errorf("%+v: %g", c, got)
 		}
 	}
 	y := NewTally([]string{"a"})
 	for i := range 10000 { // an hour and more: cells are counted once, and the ring stays
-		q := Asked{At: float64(i) * 0.5, Work: 1}
-		y.Asked(q, 0)
-		y.Ended(q, q.At+0.1, EndedHonoured)
+		q := CountedRequest{At: float64(i) * 0.5, Work: 1}
+		y.RequestArrived(q, 0)
+		y.RequestEnded(q, q.At+0.1, RequestSucceeded)
 	}
-	if r := y.Done(); r.Tail != 1 || math.Abs(r.Figure-1) > 1e-9 {
+	if r := y.Result(); r.Tail != 1 || math.Abs(r.Score-1) > 1e-9 {
 		t.Errorf("%+v", r)
 	}
 }
