--- a/lab/scenario.go
+++ b/lab/scenario.go
@@ -548,7 +548,7 @@
 	}
 	out.foldReleases(w)
 	for k, most := range c.allowanceUse {
-		out.AllowanceUse = append(out.AllowanceUse, AllowanceUse{float64(k.tenMinutes) / 6, w.plan.Services[k.service].Name, most})
+		out.AllowanceUse = append(out.AllowanceUse, AllowanceUse{float64(k.period) / 6, w.plan.Services[k.service].Name, most})
 	}
 	sort.Slice(out.AllowanceUse, func(i, j int) bool {
 		a, b := out.AllowanceUse[i], out.AllowanceUse[j]
