--- a/lab/fleet.go
+++ b/lab/fleet.go
@@ -26,25 +26,6 @@
 	sameSiteDelay        = 0.0003
 )
 
-// category is what a query of a kind is like.
-type requestClass struct {
-	name           string
-	share          float64
-	work           [2]float64 // s on a core of speed 1
-	objective      float64
-	deadline       float64
-	priorityWeight float64
-	idempotency    relay.Idempotency
-	dedupWindow    float64 // in which a site drops a repeat
-}
-
-var requestClasses = []requestClass{
-	{"next-turn", 0.38, [2]float64{0.08, 0.13}, 0.8, 2.5, 2, relay.Idempotent, 0},
-	{"full-route", 0.31, [2]float64{0.11, 0.19}, 1.5, 4, 1, relay.Idempotent, 0},
-	{"stop-done", 0.16, [2]float64{0.08, 0.13}, 1, 4, 3, relay.IdempotencyKeyed, 4},
-	{"reassign", 0.15, [2]float64{0.11, 0.19}, 1.2, 4, 3, relay.AtMostOnce, 0},
-}
-
 // fault is what is wrong with a build.
 type buildFault struct {
 	name        string
--- /dev/null
+++ b/lab/tally.go
@@ -0,0 +1,234 @@
+package lab
+
+import (
+	"math"
+
+	"github.com/HdrHistogram/hdrhistogram-go"
+)
+
+// Share is the priority weight of requests, and how much of it was answered in time.
+type Share struct {
+	Requests       int     `json:"queries"`
+	WeightOffered  float64 `json:"value_asked"`
+	WeightServed   float64 `json:"value_served"`
+	ServedFraction float64 `json:"service"`
+}
+
+func (s *Share) add(offered, served float64) {
+	s.WeightOffered += offered
+	s.WeightServed += served
+}
+
+// withFraction returns the share with its fraction set.
+func (s *Share) withFraction() Share {
+	if s.WeightOffered > 0 {
+		s.ServedFraction = s.WeightServed / s.WeightOffered
+	}
+	return *s
+}
+
+// ReplayResult is what a replay showed. Times are in seconds.
+type ReplayResult struct {
+	Seed               int64              `json:"seed"`
+	Relays             int                `json:"relays"`
+	Endpoints          int                `json:"units"`
+	Duration           float64            `json:"span_s"`
+	All                Share              `json:"all"`
+	Classes            map[string]Share   `json:"categories"`
+	Tenants            map[string]Share   `json:"customers"`
+	Worst10            float64            `json:"worst_10s"`
+	Tail               float64            `json:"tail"`
+	Score              float64            `json:"figure"`    // the brief's, before its deductions
+	CrossSiteAttempts  int                `json:"crossings"` // attempts to the other site
+	Rejected           int                `json:"denied"`
+	Failed             int                `json:"written_off"`
+	Unanswered         int                `json:"unanswered"`
+	Attempts           int                `json:"legs"`
+	AttemptsPerRequest float64            `json:"legs_a_query"`
+	Latency            map[string]float64 `json:"latency_s"` // of requests that succeeded, from their intended start
+	Violations         []Violation        `json:"broken"`
+	TimelineHash       string             `json:"timeline_sha256,omitempty"`
+
+	series *series
+}
+
+// The worst stretch, and the resolution of latencies.
+const (
+	worstStretch       = 10.0 // s
+	minStretchRequests = 20   // in a stretch, for it to count
+	microsPerSecond    = 1e6  // latencies are kept in microseconds
+	maxLatencyMicros   = 60e6
+)
+
+// latencyQuantiles are the quantiles of the result, by name.
+var latencyQuantiles = map[string]float64{"p50": 50, "p90": 90, "p99": 99, "p99.9": 99.9, "max": 100}
+
+// RequestOutcome is how a request ended for its client.
+type RequestOutcome int
+
+// The outcomes.
+const (
+	RequestSucceeded RequestOutcome = iota
+	RequestRejected
+	RequestFailed
+	RequestUnanswered // no answer came
+)
+
+// CountedRequest is a request as a tally counts it.
+type CountedRequest struct {
+	At     float64 // s; when it was to be sent
+	Class  int     // index of the lab's classes
+	Tenant int
+	Work   float64
+}
+
+func (r *CountedRequest) class() *requestClass { return &requestClasses[r.Class] }
+
+// weight is the priority weight of the request.
+func (r *CountedRequest) weight() float64 { return r.class().priorityWeight * r.Work }
+
+// stretch is the index of the stretch in which the request was to be sent.
+func (r *CountedRequest) stretch() int64 { return int64(r.At / worstStretch) }
+
+// Tally counts the requests of a replay, in virtual time or over sockets. Priority weight is offered when a request comes;
+// it is served when the request succeeds within its latency objective, from the time at which it was to be sent.
+type Tally struct {
+	all          Share
+	classes      []Share
+	tenants      []Share
+	tenantNames  []string
+	stretch      Share // the present one
+	stretchIndex int64
+	worst        float64 // fraction served in a stretch
+	latency      *hdrhistogram.Histogram
+	tail         tail
+	series       series
+	rejected     int
+	failed       int
+	unanswered   int
+}
+
+// NewTally returns an empty tally of requests by these tenants, and one more.
+func NewTally(tenants []string) *Tally {
+	return &Tally{
+		classes:     make([]Share, len(requestClasses)),
+		tenants:     make([]Share, len(tenants)+1),
+		tenantNames: tenants,
+		worst:       1,
+		latency:     hdrhistogram.New(1, maxLatencyMicros, 3),
+		tail:        tail{cells: make([][openTailCells]tailCell, len(requestClasses))},
+		series:      series{width: 1},
+	}
+}
+
+// RequestArrived counts a request; busy is the fraction of the endpoints' cores that work.
+func (t *Tally) RequestArrived(request CountedRequest, busy float64) {
+	weight := request.weight()
+	point := t.series.pointAt(request.At)
+	point.arrived++
+	point.busy += busy
+	if index := request.stretch(); index != t.stretchIndex {
+		t.endStretch()
+		t.stretchIndex = index
+	}
+	for _, share := range []*Share{&t.all, &t.classes[request.Class], &t.tenants[request.Tenant], &t.stretch} {
+		share.Requests++
+		share.add(weight, 0)
+	}
+	if cell := t.tail.cellOf(request.Class, request.At); cell != nil {
+		cell.requests++
+		cell.offered += weight
+	}
+}
+
+// endStretch ends the present stretch.
+func (t *Tally) endStretch() {
+	if t.stretch.Requests >= minStretchRequests {
+		t.worst = math.Min(t.worst, t.stretch.WeightServed/t.stretch.WeightOffered)
+	}
+	t.stretch = Share{}
+}
+
+// RequestEnded counts the end of a request.
+func (t *Tally) RequestEnded(request CountedRequest, now float64, outcome RequestOutcome) {
+	latency := now - request.At
+	inTime := now <= request.At+request.class().objective
+	point := t.series.pointAt(request.At)
+	cell := t.tail.cellOf(request.Class, request.At)
+	switch outcome {
+	case RequestUnanswered:
+		t.unanswered++
+		point.failed++
+	case RequestFailed:
+		t.failed++
+		point.failed++
+	case RequestRejected:
+		t.rejected++
+		point.rejected++
+		if cell != nil && inTime {
+			cell.rejectedInTime++
+		}
+	case RequestSucceeded:
+		t.recordLatency(point, latency)
+		if !inTime {
+			point.late++
+			return
+		}
+		point.inTime++
+		t.servedInTime(request, cell)
+	}
+}
+
+// recordLatency records the latency of a request that succeeded. Values over the histograms' bound are left out.
+func (t *Tally) recordLatency(point *point, latency float64) {
+	micros := int64(latency * microsPerSecond)
+	_ = point.histogram().RecordValue(micros) // an error says that the value is over the bound
+	_ = t.latency.RecordValue(micros)         // likewise
+}
+
+// servedInTime counts the weight of a request that succeeded in time. One that ends after its stretch counts in the other
+// figures alone.
+func (t *Tally) servedInTime(request CountedRequest, cell *tailCell) {
+	weight := request.weight()
+	if cell != nil {
+		cell.inTime++
+		cell.served += weight
+	}
+	t.all.add(0, weight)
+	t.classes[request.Class].add(0, weight)
+	t.tenants[request.Tenant].add(0, weight)
+	if request.stretch() == t.stretchIndex {
+		t.stretch.add(0, weight)
+	}
+}
+
+// Result returns what the tally knows of a replay. Nothing is counted after it.
+func (t *Tally) Result() ReplayResult {
+	t.endStretch()
+	result := ReplayResult{
+		All:        t.all.withFraction(),
+		Classes:    map[string]Share{},
+		Tenants:    map[string]Share{},
+		Worst10:    t.worst,
+		Tail:       t.tail.fraction(),
+		Rejected:   t.rejected,
+		Failed:     t.failed,
+		Unanswered: t.unanswered,
+		Latency:    map[string]float64{},
+		Violations: []Violation{}, // an empty list in JSON
+		series:     &t.series,
+	}
+	for i := range t.classes {
+		if share := t.classes[i].withFraction(); share.Requests > 0 {
+			result.Classes[requestClasses[i].name] = share
+		}
+	}
+	for i, name := range t.tenantNames {
+		result.Tenants[name] = t.tenants[i].withFraction()
+	}
+	result.Score = result.score()
+	for name, quantile := range latencyQuantiles {
+		result.Latency[name] = float64(t.latency.ValueAtQuantile(quantile)) / microsPerSecond
+	}
+	return result
+}
