--- /dev/null
+++ b/lab/deployer.go
@@ -0,0 +1,168 @@
+package lab
+
+import (
+	"math"
+
+	"lichenroad/plan"
+	"lichenroad/relay"
+	"lichenroad/rollout"
+)
+
+// Delays of the deployer, in seconds.
+const (
+	replaceDelay   = 6.0  // from the start of a released build's endpoints to the drain of the others
+	noticeDelay    = 45.0 // until an endpoint of a build not announced is noticed
+	roundingMargin = 1e-9
+)
+
+// unannouncedName is the name of a build that no controller has offered.
+const unannouncedName = "unannounced"
+
+// statusReceived brings a rollout status to the deployer.
+func (f *fleet) statusReceived(status relay.RolloutStatus, lag float64) {
+	f.simulation.runAfter(lag, func() {
+		if f.stalled {
+			f.pendingStatuses = append(f.pendingStatuses, status)
+			return
+		}
+		f.deploy(status)
+	})
+}
+
+// stallDeployer lets the deployer do nothing for a while.
+func (f *fleet) stallDeployer(duration float64) {
+	f.stalled = true
+	f.simulation.runAfter(duration, func() {
+		f.stalled = false
+		pending := f.pendingStatuses
+		f.pendingStatuses = nil
+		for _, status := range pending {
+			f.deploy(status)
+		}
+	})
+}
+
+// deploy brings the fleet to where the status has it: endpoints of the canary where the step is open, all of a released
+// build, none of one that is rolled back.
+func (f *fleet) deploy(status relay.RolloutStatus) {
+	if f.isOutdated(status) {
+		return
+	}
+	f.deployed = status
+	switch status.Phase {
+	case relay.PhaseCanary:
+		f.deployCanary(status)
+	case relay.PhaseReleased:
+		f.deployRelease(status.Build)
+	case relay.PhaseRollingBack, relay.PhaseWithdrawn:
+		f.rollBack(status.Build)
+	}
+}
+
+// isOutdated says whether a status is behind that which the deployer acts on.
+func (f *fleet) isOutdated(status relay.RolloutStatus) bool {
+	if status.Build != f.deployed.Build {
+		return status.Build < f.deployed.Build
+	}
+	wasRollingBack := f.deployed.Phase == relay.PhaseRollingBack
+	return f.deployed.Phase == relay.PhaseWithdrawn || wasRollingBack && status.Phase == relay.PhaseCanary
+}
+
+// deployCanary starts the endpoints of a step: a share of the whole fleet, at the sites that are open.
+func (f *fleet) deployCanary(status relay.RolloutStatus) {
+	service, step := &f.simulation.plan.Services[f.service], plan.StepIndex(status.Stage)
+	running := f.countBySite(status.Build)
+	openSites := 0.0
+	for site := range running {
+		if service.OpenAtSite(step, plan.SiteIndex(site)) {
+			openSites++
+		}
+	}
+	for site, count := range running {
+		isOpen := service.OpenAtSite(step, plan.SiteIndex(site))
+		if !isOpen || site > 0 && f.canaryAtOneSite(status.Build) {
+			continue
+		}
+		wanted := int(math.Ceil(float64(f.size)*service.Steps[step].Share/openSites - roundingMargin))
+		f.launchMore(status.Build, plan.SiteIndex(site), wanted-count)
+	}
+}
+
+// deployRelease starts the rest of a released build's endpoints, and drains the others.
+func (f *fleet) deployRelease(build relay.Build) {
+	for site, count := range f.countBySite(build) {
+		f.launchMore(build, plan.SiteIndex(site), f.endpointsPerSite()-count)
+	}
+	if f.stable < build {
+		f.stable = build
+		f.drain(func(candidate *endpoint) bool { return candidate.build < build }, replaceDelay)
+	}
+}
+
+// rollBack drains the endpoints of a build. Where it was released before, those of the build before it are started first.
+func (f *fleet) rollBack(build relay.Build) {
+	isRolledBack := func(candidate *endpoint) bool { return candidate.build >= build }
+	if build != f.stable {
+		f.drain(isRolledBack, 0)
+		return
+	}
+	f.stable = f.stableBefore(build)
+	for site := range f.simulation.plan.Sites {
+		f.launchMore(f.stable, plan.SiteIndex(site), f.endpointsPerSite())
+	}
+	f.drain(isRolledBack, replaceDelay)
+}
+
+// countBySite counts the ready endpoints of a build.
+func (f *fleet) countBySite(build relay.Build) []int {
+	counts := make([]int, len(f.simulation.plan.Sites))
+	for _, counted := range f.live() {
+		if counted.build == build {
+			counts[counted.site]++
+		}
+	}
+	return counts
+}
+
+// endpointsPerSite is the even part of the fleet at a site.
+func (f *fleet) endpointsPerSite() int {
+	return int(math.Ceil(float64(f.size) / float64(len(f.simulation.plan.Sites))))
+}
+
+func (f *fleet) launchMore(build relay.Build, site plan.SiteIndex, count int) {
+	for range count {
+		f.launch(build, site, uniform(f.random, 0, 1)+startTime)
+	}
+}
+
+// canaryAtOneSite says whether a build's canary gets endpoints at the first site alone; the same draw each time.
+func (f *fleet) canaryAtOneSite(build relay.Build) bool {
+	draw := f.simulation.newRandom("one-side"+f.name, int(build)).Float64()
+	return draw < f.simulation.options.Faults.OneSiteCanaries
+}
+
+// stableBefore is the latest build before another that was released.
+func (f *fleet) stableBefore(build relay.Build) relay.Build {
+	latest := relay.Build(1)
+	for candidate := range f.builds {
+		if candidate < build && candidate > latest && f.simulation.checker.wasReleased(f.name, candidate) {
+			latest = candidate
+		}
+	}
+	return latest
+}
+
+// controllerStepped lets the deployer err at the beginning of a release: an endpoint of a build that is not announced is
+// there already, until it is noticed.
+func (f *fleet) controllerStepped(event rollout.Event) {
+	chance := f.simulation.options.Faults.UnannouncedBuilds
+	if event.Kind != rollout.EventBegan || chance <= 0 || f.random.Float64() >= chance {
+		return
+	}
+	build := event.Build + 1
+	f.builds[build] = buildFault{name: unannouncedName, failureRate: 0.5, onlyClass: allClasses, slowdown: 1}
+	f.launch(build, plan.SiteIndex(f.random.Intn(len(f.simulation.plan.Sites))), startTime)
+	f.drain(func(candidate *endpoint) bool {
+		return candidate.build == build && f.builds[build].name == unannouncedName
+	}, noticeDelay)
+}
--- a/lab/endpointfault.go
+++ b/lab/endpointfault.go
@@ -6,19 +6,18 @@
 	"sort"
 
 	"lichenroad/plan"
-	"lichenroad/relay"
 )
 
-// Trouble is what goes wrong with the planners of a replay, again and again, each time with one drawn by the seed.
+// EndpointFault is what goes wrong with the endpoints of a replay, again and again, each time with one drawn by the seed.
 type EndpointFault struct {
-	Interval    float64 // s between, on the average; 0: never
-	Duration    float64 // s that it lasts
+	Interval    float64 // s between two faults, on average; 0: never
+	Duration    float64 // s
 	Slowdown    float64 // times the work
-	FailureRate float64 // part of the queries
-	Pauses      bool    // it stands still, and goes on where it was
-	Dies        bool    // it is gone with all that it holds; another starts cold, a little later
-	WholeSite   bool    // every planner of one site at once
-	MessageLoss float64 // part of the relays' memos that are lost, all the time
+	FailureRate float64 // of its requests
+	Pauses      bool    // it starts no work, and goes on where it was
+	Dies        bool    // it is gone with all its requests; another starts a little later
+	WholeSite   bool    // every endpoint of one site has it at once
+	MessageLoss float64 // fraction of the relays' messages that are lost, all the time
 }
 
 var endpointFaults = map[string]EndpointFault{
@@ -32,98 +31,91 @@
 	"memos":        {MessageLoss: 0.5},
 }
 
-// Troubles lists the names that EndpointFaultByName knows.
-func EndpointFaultNames() (out []string) {
+// EndpointFaultNames lists the names that EndpointFaultByName knows.
+func EndpointFaultNames() (names []string) {
 	for name := range endpointFaults {
-		out = append(out, name)
+		names = append(names, name)
 	}
-	sort.Strings(out)
-	return out
+	sort.Strings(names)
+	return names
 }
 
-// EndpointFaultByName gives a trouble by name.
+// EndpointFaultByName returns a fault by its name.
 func EndpointFaultByName(name string) (EndpointFault, error) {
-	t, ok := endpointFaults[name]
+	fault, ok := endpointFaults[name]
 	if !ok {
-		return t, fmt.Errorf("fault %q is none of %v", name, EndpointFaultNames())
+		return fault, fmt.Errorf("fault %q is none of %v", name, EndpointFaultNames())
 	}
-	return t, nil
+	return fault, nil
 }
 
-// illness is what a planner has for a while.
+// activeFault is a fault that an endpoint has for a while.
 type activeFault struct {
 	until       float64
 	slowdown    float64
 	failureRate float64
 }
 
-// fall has a planner fall ill. One that is ill already stays so for the longer time and with the worse of both.
-func (p *endpoint) inject(i activeFault) {
-	if now := p.fleet.simulation.now; p.fault.until > now {
-		i.until, i.slowdown, i.failureRate = max(i.until, p.fault.until), max(i.slowdown, p.fault.slowdown), max(i.failureRate, p.fault.failureRate)
+// inject gives an endpoint a fault. One that has a fault already keeps the longer time and the worse of both.
+func (e *endpoint) inject(fault activeFault) {
+	if e.fault.until > e.fleet.simulation.now {
+		fault.until = max(fault.until, e.fault.until)
+		fault.slowdown = max(fault.slowdown, e.fault.slowdown)
+		fault.failureRate = max(fault.failureRate, e.fault.failureRate)
 	}
-	p.fault = i
+	e.fault = fault
 }
 
-// trouble begins what goes wrong.
-func (f *fleet) injectFaults(t EndpointFault) {
-	f.simulation.options.Faults.MessageLoss = t.MessageLoss
-	if t.Interval <= 0 {
+// injectFaults injects a fault again and again.
+func (f *fleet) injectFaults(fault EndpointFault) {
+	f.simulation.options.Faults.MessageLoss = fault.MessageLoss
+	if fault.Interval <= 0 {
 		return
 	}
-	rng := f.simulation.newRandom("trouble", 0)
-	var again func()
-	again = func() {
-		f.injectOnce(t, rng)
-		f.simulation.runAfter(t.Interval*uniform(rng, 0.5, 1.5), again)
+	random := f.simulation.newRandom("trouble", 0)
+	var repeat func()
+	repeat = func() {
+		f.injectOnce(fault, random)
+		f.simulation.runAfter(fault.Interval*uniform(random, 0.5, 1.5), repeat)
 	}
-	f.simulation.runAfter(t.Interval*uniform(rng, 0.2, 1), again)
+	f.simulation.runAfter(fault.Interval*uniform(random, 0.2, 1), repeat)
 }
 
-func (f *fleet) injectOnce(t EndpointFault, rng *rand.Rand) {
+// injectOnce injects a fault into one endpoint, or all of its site.
+func (f *fleet) injectOnce(fault EndpointFault, random *rand.Rand) {
 	live := f.live()
 	if len(live) == 0 {
 		return
 	}
-	one := live[rng.Intn(len(live))]
-	for _, u := range live {
-		if u != one && !(t.WholeSite && u.site == one.site) {
+	drawn := live[random.Intn(len(live))]
+	for _, candidate := range live {
+		if candidate != drawn && !(fault.WholeSite && candidate.site == drawn.site) {
 			continue
 		}
 		switch {
-		case t.Pauses:
-			u.pause(t.Duration)
-		case t.Dies:
-			u.die()
+		case fault.Pauses:
+			candidate.pause(fault.Duration)
+		case fault.Dies:
+			candidate.die()
 		default:
-			u.inject(activeFault{f.simulation.now + t.Duration, t.Slowdown, t.FailureRate})
+			candidate.inject(activeFault{f.simulation.now + fault.Duration, fault.Slowdown, fault.FailureRate})
 		}
 	}
-	f.simulation.record("trouble with planner %d", one.id)
+	f.simulation.record("trouble with planner %d", drawn.id)
 }
 
-// die ends a planner with all that it holds. Relays hear of it with the list's lag.
-func (p *endpoint) die() {
-	p.state = relay.Removed
-	p.fleet.announce(p)
-	for _, l := range p.waiting {
-		p.fleet.simulation.runAfter(l.delay, func() { l.end(relay.ConnectionBroken) })
-	}
-	p.waiting = nil
-	p.fleet.launch(p.build, p.site, startTime)
-	p.fleet.simulation.runAfter(20, p.fleet.forgetRemoved)
-}
-
-// hour has the planner that a machine of the trace stands for fail for a while.
-func (f *fleet) injectMachineFault(machine uint64, d, fails float64) {
+// injectMachineFault lets the endpoint that stands for a machine of a trace fail for a while.
+func (f *fleet) injectMachineFault(machine uint64, duration, failureRate float64) {
 	site := plan.SiteIndex(machine >> 32 % uint64(len(f.simulation.plan.Sites)))
-	var at []*endpoint
-	for _, u := range f.live() {
-		if u.site == site {
-			at = append(at, u)
+	var atSite []*endpoint
+	for _, candidate := range f.live() {
+		if candidate.site == site {
+			atSite = append(atSite, candidate)
 		}
 	}
-	if len(at) > 0 {
-		at[machine%uint64(len(at))].inject(activeFault{f.simulation.now + d, 1, fails})
+	if len(atSite) == 0 {
+		return
 	}
+	failing := atSite[machine%uint64(len(atSite))]
+	failing.inject(activeFault{f.simulation.now + duration, 1, failureRate})
 }
