--- a/lab/endpointfault.go
+++ b/lab/endpointfault.go
@@ -89,7 +89,8 @@
 	}
 	drawn := live[random.Intn(len(live))]
 	for _, candidate := range live {
-		if candidate != drawn && !(fault.WholeSite && candidate.site == drawn.site) {
+		isHit := candidate == drawn || fault.WholeSite && candidate.site == drawn.site
+		if !isHit {
 			continue
 		}
 		switch {
--- a/lab/report.go
+++ b/lab/report.go
@@ -48,7 +48,7 @@
 			if err != nil {
 				return nil, err
 			}
-			box.Color, box.LineStyle.Width = freezeShade, 0
+			box.Color, box.Width = freezeShade, 0
 			p.Add(box)
 		}
 	}
@@ -81,7 +81,7 @@
 	if err != nil {
 		return err
 	}
-	s.GlyphStyle.Color, s.GlyphStyle.Radius = c, vg.Points(2.5)
+	s.Color, s.Radius = c, vg.Points(2.5)
 	p.Add(s)
 	p.Legend.Add(name, s)
 	return nil
