--- a/lab/baseline.go
+++ b/lab/baseline.go
@@ -7,124 +7,156 @@
 	"lichenroad/relay"
 )
 
-// baseline is a module that does what a plain balancer does: it sends each query to one unit, again elsewhere where that
-// is harmless, and judges nothing. It keeps the rules, so that what it lacks shows as service.
+// baseline is a module that does what a plain load balancer does: it sends each request to one endpoint, again to another
+// where that is safe, and judges nothing. It keeps the rules, so that what it lacks shows as service.
 type baseline struct {
 	settings      relay.Settings
 	random        *rand.Rand
-	leastInFlight bool // the unit with the least in flight; else any
+	leastInFlight bool // it picks the endpoint with the fewest attempts in flight; else any
 	endpoints     []relay.Endpoint
 	inFlight      map[relay.EndpointID]int
 	requests      map[relay.RequestID]*baselineRequest
-	commands      []relay.Command
+	commands      []relay.Command // of the step in progress
 }
 
+// baselineRequest is a request that has not ended.
 type baselineRequest struct {
 	relay.Request
 	attempts int
-	mayRan   bool
+	mayRan   bool // an attempt may have run
 	tried    map[relay.EndpointID]bool
 }
 
 const (
-	maxBaselineAttempts = 3    // legs of a query at most
-	deadlineSlack       = 0.03 // s before patience ends that a leg is given up: it is answered in time then
+	maxBaselineAttempts = 3    // of a request
+	deadlineSlack       = 0.03 // s before the deadline, at which an attempt times out: the request is answered in time then
+)
+
+// The names of the modules.
+const (
+	policyModule        = "policy"
+	randomModule        = "random"
+	leastInFlightModule = "least-in-flight"
 )
 
 // Baselines lists the names that Baseline knows.
-func Baselines() []string { return []string{"policy", "random", "least-in-flight"} }
+func Baselines() []string { return []string{policyModule, randomModule, leastInFlightModule} }
 
-// Baseline gives a module by name; none for policy, which is the real one.
+// Baseline returns the constructor of a module by its name; nil for policy, which is the real one.
 func Baseline(name string) (func(relay.Settings, int64) module, error) {
-	if name == "policy" {
+	switch name {
+	case policyModule:
 		return nil, nil
+	case randomModule, leastInFlightModule:
+		return func(settings relay.Settings, seed int64) module {
+			return &baseline{
+				settings:      settings,
+				random:        rand.New(rand.NewSource(seed)),
+				leastInFlight: name == leastInFlightModule,
+				inFlight:      map[relay.EndpointID]int{},
+				requests:      map[relay.RequestID]*baselineRequest{},
+			}
+		}, nil
 	}
-	if name != "random" && name != "least-in-flight" {
-		return nil, fmt.Errorf("module %q is none of %v", name, Baselines())
-	}
-	return func(set relay.Settings, seed int64) module {
-		return &baseline{settings: set, random: rand.New(rand.NewSource(seed)), leastInFlight: name == "least-in-flight", inFlight: map[relay.EndpointID]int{},
-			requests: map[relay.RequestID]*baselineRequest{}}
-	}, nil
+	return nil, fmt.Errorf("module %q is none of %v", name, Baselines())
 }
 
-// Step takes what happened.
+// Step implements module.
 func (b *baseline) Step(now relay.Seconds, events []relay.Event) []relay.Command {
 	b.commands = b.commands[:0]
-	for _, e := range events {
-		switch e := e.(type) {
+	for _, event := range events {
+		switch event := event.(type) {
 		case relay.ListUpdate:
-			b.listUpdated(e)
+			b.listUpdated(event)
 		case relay.Request:
-			q := &baselineRequest{Request: e, tried: map[relay.EndpointID]bool{}}
-			b.requests[e.ID] = q
-			b.route(now, q)
+			request := &baselineRequest{Request: event, tried: map[relay.EndpointID]bool{}}
+			b.requests[event.ID] = request
+			b.route(now, request)
 		case relay.AttemptEnded:
-			b.inFlight[e.Endpoint]--
-			q := b.requests[e.Request]
-			switch {
-			case q == nil:
-			case e.RequestFinished || e.Outcome == relay.Succeeded:
-				delete(b.requests, e.Request)
-			default:
-				q.mayRan = q.mayRan || !e.Outcome.NeverRan()
-				b.route(now, q)
-			}
+			b.attemptEnded(now, event)
 		case relay.ClientDisconnected:
-			delete(b.requests, e.Request)
+			delete(b.requests, event.Request)
 		}
 	}
 	return b.commands
 }
 
-func (b *baseline) listUpdated(r relay.ListUpdate) {
-	if r.Kind == relay.ListFetchFailed {
+func (b *baseline) attemptEnded(now relay.Seconds, event relay.AttemptEnded) {
+	b.inFlight[event.Endpoint]--
+	request := b.requests[event.Request]
+	switch {
+	case request == nil:
+	case event.RequestFinished || event.Outcome == relay.Succeeded:
+		delete(b.requests, event.Request)
+	default:
+		request.mayRan = request.mayRan || !event.Outcome.NeverRan()
+		b.route(now, request)
+	}
+}
+
+func (b *baseline) listUpdated(update relay.ListUpdate) {
+	if update.Kind == relay.ListFetchFailed {
 		return
 	}
-	if r.Kind != relay.ListDelta {
+	if update.Kind != relay.ListDelta {
 		b.endpoints = b.endpoints[:0]
 	}
-next:
-	for _, e := range r.Endpoints {
-		for i := range b.endpoints {
-			if b.endpoints[i].ID == e.ID {
-				b.endpoints[i] = e
-				continue next
-			}
-		}
-		b.endpoints = append(b.endpoints, e)
+	for _, endpoint := range update.Endpoints {
+		b.setEndpoint(endpoint)
 	}
 }
 
-// send sends a query's next leg, or gives the query up.
-func (b *baseline) route(now relay.Seconds, q *baselineRequest) {
-	repeat := b.settings.Classes[q.Class].Idempotency
-	harmless := repeat == relay.Idempotent || !q.mayRan
-	wait := q.Deadline - now - deadlineSlack
-	var pick *relay.Endpoint
-	seen := 0
+// setEndpoint replaces an endpoint's entry, or adds it.
+func (b *baseline) setEndpoint(endpoint relay.Endpoint) {
 	for i := range b.endpoints {
-		u := &b.endpoints[i]
-		if u.State != relay.Ready || q.tried[u.ID] {
-			continue
-		}
-		seen++
-		switch {
-		case pick == nil, b.leastInFlight && b.inFlight[u.ID] < b.inFlight[pick.ID], !b.leastInFlight && b.random.Intn(seen) == 0:
-			pick = u
+		if b.endpoints[i].ID == endpoint.ID {
+			b.endpoints[i] = endpoint
+			return
 		}
 	}
-	if pick == nil || !harmless || q.attempts >= maxBaselineAttempts || wait <= 0 {
-		delete(b.requests, q.ID)
-		if harmless {
-			b.commands = append(b.commands, relay.Reject{Request: q.ID})
+	b.endpoints = append(b.endpoints, endpoint)
+}
+
+// route sends a request's next attempt, or ends the request.
+func (b *baseline) route(now relay.Seconds, request *baselineRequest) {
+	isSafe := !request.mayRan || b.settings.Classes[request.Class].Idempotency == relay.Idempotent
+	timeout := request.Deadline - now - deadlineSlack
+	picked := b.pick(request)
+	if picked == nil || !isSafe || request.attempts >= maxBaselineAttempts || timeout <= 0 {
+		delete(b.requests, request.ID)
+		if isSafe {
+			b.commands = append(b.commands, relay.Reject{Request: request.ID})
 		} else {
-			b.commands = append(b.commands, relay.Fail{Request: q.ID})
+			b.commands = append(b.commands, relay.Fail{Request: request.ID})
 		}
 		return
 	}
-	q.attempts++
-	q.tried[pick.ID] = true
-	b.inFlight[pick.ID]++
-	b.commands = append(b.commands, relay.SendAttempt{Request: q.ID, Endpoint: pick.ID, Timeout: wait})
+	request.attempts++
+	request.tried[picked.ID] = true
+	b.inFlight[picked.ID]++
+	b.commands = append(b.commands, relay.SendAttempt{Request: request.ID, Endpoint: picked.ID, Timeout: timeout})
+}
+
+// pick picks a ready endpoint that the request has not been sent to; nil if there is none.
+func (b *baseline) pick(request *baselineRequest) (picked *relay.Endpoint) {
+	candidates := 0
+	for i := range b.endpoints {
+		candidate := &b.endpoints[i]
+		if candidate.State != relay.Ready || request.tried[candidate.ID] {
+			continue
+		}
+		candidates++
+		if picked == nil || b.prefers(candidate, picked, candidates) {
+			picked = candidate
+		}
+	}
+	return picked
+}
+
+// prefers says whether the candidate replaces the endpoint picked so far; at random each candidate has an even chance.
+func (b *baseline) prefers(candidate, picked *relay.Endpoint, candidates int) bool {
+	if b.leastInFlight {
+		return b.inFlight[candidate.ID] < b.inFlight[picked.ID]
+	}
+	return b.random.Intn(candidates) == 0
 }
--- a/lab/compare.go
+++ b/lab/compare.go
@@ -8,17 +8,22 @@
 	"gonum.org/v1/plot/plotter"
 )
 
-// Bar is one value of what a sweep varied: a figure's mean over seeds and its interval.
+// Bar is one value of what a sweep varied: a metric's mean over seeds and its interval.
 type Bar struct {
 	Name            string
 	Mean, Low, High float64
 }
 
-// bars are points with their intervals.
+// barChart is points with their intervals. It implements plotter.XYer and plotter.YErrorer.
 type barChart []Bar
 
-func (b barChart) Len() int                       { return len(b) }
-func (b barChart) XY(i int) (x, y float64)        { return float64(i), b[i].Mean }
+// Len implements plotter.XYer.
+func (b barChart) Len() int { return len(b) }
+
+// XY implements plotter.XYer.
+func (b barChart) XY(i int) (x, y float64) { return float64(i), b[i].Mean }
+
+// YError implements plotter.YErrorer.
 func (b barChart) YError(i int) (low, up float64) { return b[i].Mean - b[i].Low, b[i].High - b[i].Mean }
 
 var sweepPage = template.Must(template.New("sweep").Parse(`<!DOCTYPE html>
@@ -28,36 +33,40 @@
 {{end}}</body></html>
 `))
 
-// SweepPage writes the page of a sweep into a directory, whole or not at all: a chart for each figure.
-func SweepPage(dir, title string, figures []string, of map[string][]Bar) (string, error) {
+// SweepPage writes the page of a sweep into a directory, in full or not at all, and returns its name. It has a chart for each
+// metric.
+func SweepPage(dir, title string, metrics []string, barsOf map[string][]Bar) (string, error) {
 	var charts []template.HTML
-	for _, name := range figures {
-		p := plot.New()
-		p.Title.Text = name
-		b := barChart(of[name])
-		var names []string
-		for _, x := range b {
-			names = append(names, x.Name)
-		}
-		points, err := plotter.NewScatter(b)
-		if err != nil {
-			return "", fmt.Errorf("chart of %s: %w", name, err)
-		}
-		points.Color = blue
-		lines, err := plotter.NewYErrorBars(b)
-		if err != nil {
-			return "", fmt.Errorf("chart of %s: %w", name, err)
-		}
-		p.Add(points, lines)
-		p.NominalX(names...)
-		h, err := SVG(p)
+	for _, metric := range metrics {
+		chart, err := sweepChart(metric, barsOf[metric])
 		if err != nil {
-			return "", err
+			return "", fmt.Errorf("chart of %s: %w", metric, err)
 		}
-		charts = append(charts, h)
+		charts = append(charts, chart)
 	}
 	return writePage(dir, "sweep.html", sweepPage, struct {
 		Title  string
 		Charts []template.HTML
 	}{title, charts})
 }
+
+func sweepChart(metric string, bars barChart) (template.HTML, error) {
+	chart := plot.New()
+	chart.Title.Text = metric
+	var names []string
+	for _, bar := range bars {
+		names = append(names, bar.Name)
+	}
+	points, err := plotter.NewScatter(bars)
+	if err != nil {
+		return "", err
+	}
+	points.Color = blue
+	intervals, err := plotter.NewYErrorBars(bars)
+	if err != nil {
+		return "", err
+	}
+	chart.Add(points, intervals)
+	chart.NominalX(names...)
+	return SVG(chart)
+}
--- a/lab/report.go
+++ b/lab/report.go
@@ -2,6 +2,7 @@
 
 import (
 	"bytes"
+	"errors"
 	"fmt"
 	"html/template"
 	"image/color"
@@ -33,110 +34,110 @@
 	orange      = color.RGBA{R: 220, G: 130, B: 0, A: 255}
 )
 
-// chart begins a chart over the run's time with its freezes shaded up to a height.
-func (r *Result) chart(title, y string, high float64) (*plot.Plot, error) {
-	p := plot.New()
-	p.Title.Text, p.X.Label.Text, p.Y.Label.Text = title, "hours since the start", y
-	p.Title.TextStyle.Font.Size, p.X.Label.TextStyle.Font.Size = font.Points(11), font.Points(9)
-	for _, spans := range r.FreezeTimes {
-		for i := 0; i+1 < len(spans); i += 2 {
-			from, to := max(spans[i]/hour, 0), min(spans[i+1]/hour, r.Days*24)
+// chart begins a chart over the run's time, with its freezes shaded up to a height.
+func (r *Result) chart(title, yLabel string, height float64) (*plot.Plot, error) {
+	chart := plot.New()
+	chart.Title.Text, chart.X.Label.Text, chart.Y.Label.Text = title, "hours since the start", yLabel
+	chart.Title.TextStyle.Font.Size, chart.X.Label.TextStyle.Font.Size = font.Points(11), font.Points(9)
+	for _, times := range r.FreezeTimes {
+		for i := 0; i+1 < len(times); i += 2 {
+			from, to := max(times[i]/hour, 0), min(times[i+1]/hour, r.Days*24)
 			if to <= from {
 				continue
 			}
-			box, err := plotter.NewPolygon(plotter.XYs{{X: from, Y: 0}, {X: to, Y: 0}, {X: to, Y: high}, {X: from, Y: high}})
+			box, err := plotter.NewPolygon(plotter.XYs{{X: from, Y: 0}, {X: to, Y: 0}, {X: to, Y: height}, {X: from, Y: height}})
 			if err != nil {
 				return nil, err
 			}
 			box.Color, box.Width = freezeShade, 0
-			p.Add(box)
+			chart.Add(box)
 		}
 	}
-	p.X.Min, p.X.Max, p.Y.Min, p.Y.Max = 0, r.Days*24, 0, high
-	return p, nil
+	chart.X.Min, chart.X.Max, chart.Y.Min, chart.Y.Max = 0, r.Days*24, 0, height
+	return chart, nil
 }
 
-// SVG draws a chart to stand in a page.
-func SVG(p *plot.Plot) (template.HTML, error) {
-	w, err := p.WriterTo(chartWidth, chartHeight, "svg")
+// SVG draws a chart that can stand in a page.
+func SVG(chart *plot.Plot) (template.HTML, error) {
+	writer, err := chart.WriterTo(chartWidth, chartHeight, "svg")
 	if err != nil {
 		return "", err
 	}
-	var b bytes.Buffer
-	if _, err := w.WriteTo(&b); err != nil {
+	var drawn bytes.Buffer
+	if _, err := writer.WriteTo(&drawn); err != nil {
 		return "", err
 	}
-	text := b.String()
+	text := drawn.String()
 	if i := strings.Index(text, "<svg"); i > 0 {
-		text = text[i:]
+		text = text[i:] // without the head of a file
 	}
 	return template.HTML(text), nil
 }
 
-func addMarks(p *plot.Plot, at plotter.XYs, c color.Color, name string) error {
-	if len(at) == 0 {
+// addMarks adds points to a chart, if there are any.
+func addMarks(chart *plot.Plot, points plotter.XYs, color color.Color, name string) error {
+	if len(points) == 0 {
 		return nil
 	}
-	s, err := plotter.NewScatter(at)
+	marks, err := plotter.NewScatter(points)
 	if err != nil {
 		return err
 	}
-	s.Color, s.Radius = c, vg.Points(2.5)
-	p.Add(s)
-	p.Legend.Add(name, s)
+	marks.Color, marks.Radius = color, vg.Points(2.5)
+	chart.Add(marks)
+	chart.Legend.Add(name, marks)
 	return nil
 }
 
-// timeline draws one service's week: the step that is open, releases, ways back.
-func (r *Result) timelineChart(p *plan.Plan, no int) (template.HTML, error) {
-	s := &p.Services[no]
-	high := float64(len(s.Steps)) + 1.5
-	c, err := r.chart(s.Name+": step on trial, releases and ways back; freezes are shaded", "step", high)
+// timelineChart draws one service's rollouts: the step that is open, releases and rollbacks.
+func (r *Result) timelineChart(service *plan.Service) (template.HTML, error) {
+	top := float64(len(service.Steps)) + 1
+	chart, err := r.chart(service.Name+": step on trial, releases and ways back; freezes are shaded", "step", top+0.5)
 	if err != nil {
 		return "", err
 	}
-	line := plotter.XYs{{X: 0, Y: 0}}
-	var released, back, offered plotter.XYs
-	for _, m := range r.Steps {
-		if m.Service != s.Name {
+	open := plotter.XYs{{X: 0, Y: 0}}
+	var offered, released, rolledBack plotter.XYs
+	for _, event := range r.Steps {
+		if event.Service != service.Name {
 			continue
 		}
-		x := m.Time / hour
-		switch m.Kind {
+		at, step := event.Time/hour, float64(event.Step)+1
+		switch event.Kind {
 		case rollout.EventOffered, rollout.EventSuperseded:
-			offered = append(offered, plotter.XY{X: x, Y: 0.2})
+			offered = append(offered, plotter.XY{X: at, Y: 0.2})
 		case rollout.EventBegan, rollout.EventPromoted:
-			line = append(line, plotter.XY{X: x, Y: float64(m.Step) + 1})
+			open = append(open, plotter.XY{X: at, Y: step})
 		case rollout.EventReleased:
-			line = append(line, plotter.XY{X: x, Y: 0})
-			released = append(released, plotter.XY{X: x, Y: float64(len(s.Steps)) + 1})
+			open = append(open, plotter.XY{X: at, Y: 0})
+			released = append(released, plotter.XY{X: at, Y: top})
 		case rollout.EventRollingBack:
-			line = append(line, plotter.XY{X: x, Y: 0})
-			back = append(back, plotter.XY{X: x, Y: float64(m.Step) + 1})
+			open = append(open, plotter.XY{X: at, Y: 0})
+			rolledBack = append(rolledBack, plotter.XY{X: at, Y: step})
 		}
 	}
-	l, err := plotter.NewLine(append(line, plotter.XY{X: r.Days * 24, Y: line[len(line)-1].Y}))
+	line, err := plotter.NewLine(append(open, plotter.XY{X: r.Days * 24, Y: open[len(open)-1].Y}))
 	if err != nil {
 		return "", err
 	}
-	l.StepStyle, l.Color = plotter.PostStep, blue
-	c.Add(l)
-	for _, x := range []struct {
-		at   plotter.XYs
-		c    color.Color
-		name string
-	}{{offered, orange, "offered"}, {released, green, "released"}, {back, red, "sent back"}} {
-		if err := addMarks(c, x.at, x.c, x.name); err != nil {
-			return "", err
-		}
+	line.StepStyle, line.Color = plotter.PostStep, blue
+	chart.Add(line)
+	err = errors.Join(
+		addMarks(chart, offered, orange, "offered"),
+		addMarks(chart, released, green, "released"),
+		addMarks(chart, rolledBack, red, "sent back"))
+	if err != nil {
+		return "", err
 	}
-	c.Legend.Top = true
-	return SVG(c)
+	chart.Legend.Top = true
+	return SVG(chart)
 }
 
-// exposure draws the highest part of any allowance that was used, by service and ten minutes.
-func (r *Result) exposureChart(p *plan.Plan) (template.HTML, error) {
-	c, err := r.chart("Exposure: the highest part of an allowance (cap times queries, and a leg) that a group of a relay used", "part", 1.2)
+// exposureChart draws the highest part of any allowance that was used, by service and ten minutes.
+func (r *Result) exposureChart(services []plan.Service) (template.HTML, error) {
+	const height = 1.2
+	title := "Exposure: the highest part of an allowance (cap times queries, and a leg) that a group of a relay used"
+	chart, err := r.chart(title, "part", height)
 	if err != nil {
 		return "", err
 	}
@@ -145,20 +146,21 @@
 		return "", err
 	}
 	limit.Color = red
-	c.Add(limit)
-	c.Legend.Add("the cap", limit)
-	for i, s := range p.Services {
-		var at plotter.XYs
-		for _, u := range r.AllowanceUse {
-			if u.Service == s.Name {
-				at = append(at, plotter.XY{X: u.Hour, Y: min(u.Max, 1.2)})
+	chart.Add(limit)
+	chart.Legend.Add("the cap", limit)
+	colors := []color.Color{blue, green, orange}
+	for i, service := range services {
+		var points plotter.XYs
+		for _, use := range r.AllowanceUse {
+			if use.Service == service.Name {
+				points = append(points, plotter.XY{X: use.Hour, Y: min(use.Max, height)})
 			}
 		}
-		if err := addMarks(c, at, []color.Color{blue, green, orange}[i%3], s.Name); err != nil {
+		if err := addMarks(chart, points, colors[i%len(colors)], service.Name); err != nil {
 			return "", err
 		}
 	}
-	return SVG(c)
+	return SVG(chart)
 }
 
 var page = template.Must(template.New("page").Funcs(template.FuncMap{
@@ -197,54 +199,55 @@
 </body></html>
 `))
 
+// blockedTime is for how many seconds a reason blocked releases.
 type blockedTime struct {
 	Code string
 	For  float64
 }
 
-// Report writes the page of a run into a directory; under another name first, so that none is ever half there.
-func (r *Result) Report(p *plan.Plan, dir string) (string, error) {
+// Report writes the page of a run into a directory, in full or not at all, and returns its name.
+func (r *Result) Report(planned *plan.Plan, dir string) (string, error) {
 	data := struct {
 		R      *Result
 		Charts []template.HTML
 		Held   []blockedTime
 	}{R: r}
-	for i := range p.Services {
-		c, err := r.timelineChart(p, i)
+	for i := range planned.Services {
+		chart, err := r.timelineChart(&planned.Services[i])
 		if err != nil {
 			return "", err
 		}
-		data.Charts = append(data.Charts, c)
+		data.Charts = append(data.Charts, chart)
 	}
-	c, err := r.exposureChart(p)
+	chart, err := r.exposureChart(planned.Services)
 	if err != nil {
 		return "", err
 	}
-	data.Charts = append(data.Charts, c)
-	for code, s := range r.BlockedFor {
-		data.Held = append(data.Held, blockedTime{code, s})
+	data.Charts = append(data.Charts, chart)
+	for code, seconds := range r.BlockedFor {
+		data.Held = append(data.Held, blockedTime{code, seconds})
 	}
 	sort.Slice(data.Held, func(i, j int) bool { return data.Held[i].For > data.Held[j].For })
 	return writePage(dir, "plan.html", page, data)
 }
 
-// WriteFile puts a file in place whole, or not at all.
-func WriteFile(name string, b []byte) error {
-	if err := os.WriteFile(name+".part", b, 0o644); err != nil {
+// WriteFile writes a file in full or not at all: under another name first.
+func WriteFile(name string, content []byte) error {
+	if err := os.WriteFile(name+".part", content, 0o644); err != nil {
 		return err
 	}
 	return os.Rename(name+".part", name)
 }
 
-// writePage writes a page into a directory, whole or not at all.
+// writePage writes a page into a directory, in full or not at all, and returns its name.
 func writePage(dir, name string, page *template.Template, data any) (string, error) {
-	var b bytes.Buffer
-	if err := page.Execute(&b, data); err != nil {
+	var content bytes.Buffer
+	if err := page.Execute(&content, data); err != nil {
 		return "", err
 	}
 	if err := os.MkdirAll(dir, 0o755); err != nil {
 		return "", fmt.Errorf("report: %w", err)
 	}
 	name = filepath.Join(dir, name)
-	return name, WriteFile(name, b.Bytes())
+	return name, WriteFile(name, content.Bytes())
 }
--- a/lab/series.go
+++ b/lab/series.go
@@ -13,24 +13,34 @@
 // maxPoints bounds a series: where a replay is longer, two neighbours become one and the width doubles.
 const maxPoints = 240
 
-// point is what happened to the queries that came within one width.
+// point is what happened to the requests that came within one width.
 type point struct {
-	arrived, inTime, late, rejected, failed int
-	busy                                    float64 // sum over arrivals of the part of the planners' cores that worked
-	latency                                 *hdrhistogram.Histogram
+	arrived  int
+	inTime   int
+	late     int
+	rejected int
+	failed   int
+	busy     float64 // sum over arrivals of the fraction of the endpoints' cores that worked
+	latency  *hdrhistogram.Histogram
 }
 
-func (p *point) add(o *point) {
-	p.arrived, p.inTime, p.late = p.arrived+o.arrived, p.inTime+o.inTime, p.late+o.late
-	p.rejected, p.failed, p.busy = p.rejected+o.rejected, p.failed+o.failed, p.busy+o.busy
-	if o.latency != nil {
-		p.histogram().Merge(o.latency)
+// add adds the counts of another point.
+func (p *point) add(other *point) {
+	p.arrived += other.arrived
+	p.inTime += other.inTime
+	p.late += other.late
+	p.rejected += other.rejected
+	p.failed += other.failed
+	p.busy += other.busy
+	if other.latency != nil {
+		p.histogram().Merge(other.latency)
 	}
 }
 
+// histogram returns the latencies, in microseconds.
 func (p *point) histogram() *hdrhistogram.Histogram {
 	if p.latency == nil {
-		p.latency = hdrhistogram.New(1, 60e6, 2)
+		p.latency = hdrhistogram.New(1, maxLatencyMicros, 2)
 	}
 	return p.latency
 }
@@ -41,89 +51,115 @@
 	points []point
 }
 
-// at gives the point of a time.
-func (s *series) pointAt(t float64) *point {
-	i := int(t / s.width)
-	for i >= maxPoints {
-		half := make([]point, 0, maxPoints)
-		for k := 0; k < len(s.points); k += 2 {
-			p := s.points[k]
-			if k+1 < len(s.points) {
-				p.add(&s.points[k+1])
-			}
-			half = append(half, p)
-		}
-		s.points, s.width = half, s.width*2
-		i = int(t / s.width)
+// pointAt returns the point of a time.
+func (s *series) pointAt(at float64) *point {
+	for int(at/s.width) >= maxPoints {
+		s.halve()
 	}
-	for len(s.points) <= i {
+	index := int(at / s.width)
+	for len(s.points) <= index {
 		s.points = append(s.points, point{})
 	}
-	return &s.points[i]
+	return &s.points[index]
+}
+
+// halve doubles the width: two neighbours become one point.
+func (s *series) halve() {
+	half := make([]point, 0, maxPoints)
+	for i := 0; i < len(s.points); i += 2 {
+		merged := s.points[i]
+		if i+1 < len(s.points) {
+			merged.add(&s.points[i+1])
+		}
+		half = append(half, merged)
+	}
+	s.points, s.width = half, 2*s.width
 }
 
 // curve is one line of a chart.
 type curve struct {
 	name  string
 	color color.Color
-	value func(*point) (float64, bool)
+	value func(*point) (value float64, ok bool) // not ok: the point has none
 }
 
-func (s *series) chart(title, y string, curves ...curve) (template.HTML, error) {
-	p := plot.New()
-	p.Title.Text, p.X.Label.Text, p.Y.Label.Text = title, "s", y
-	p.Y.Min = 0
-	p.Legend.Top = true
-	for _, c := range curves {
-		var at plotter.XYs
-		for i := range s.points {
-			if v, ok := c.value(&s.points[i]); ok {
-				at = append(at, plotter.XY{X: (float64(i) + 0.5) * s.width, Y: v})
-			}
-		}
-		if len(at) == 0 {
+func (s *series) chart(title, yLabel string, curves []curve) (template.HTML, error) {
+	chart := plot.New()
+	chart.Title.Text, chart.X.Label.Text, chart.Y.Label.Text = title, "s", yLabel
+	chart.Y.Min = 0
+	chart.Legend.Top = true
+	for _, curve := range curves {
+		values := s.values(curve)
+		if len(values) == 0 {
 			continue
 		}
-		l, err := plotter.NewLine(at)
+		line, err := plotter.NewLine(values)
 		if err != nil {
 			return "", err
 		}
-		l.Color = c.color
-		p.Add(l)
-		p.Legend.Add(c.name, l)
+		line.Color = curve.color
+		chart.Add(line)
+		chart.Legend.Add(curve.name, line)
 	}
-	return SVG(p)
+	return SVG(chart)
 }
 
-func (s *series) charts() (out []template.HTML, err error) {
-	rate := func(f func(*point) int) func(*point) (float64, bool) {
-		return func(p *point) (float64, bool) { return float64(f(p)) / s.width, true }
+// values are the points of a curve, each in the middle of its width.
+func (s *series) values(curve curve) (values plotter.XYs) {
+	for i := range s.points {
+		if value, ok := curve.value(&s.points[i]); ok {
+			values = append(values, plotter.XY{X: (float64(i) + 0.5) * s.width, Y: value})
+		}
 	}
-	quantile := func(q float64) func(*point) (float64, bool) {
-		return func(p *point) (float64, bool) {
-			if p.latency == nil || p.latency.TotalCount() == 0 {
-				return 0, false
-			}
-			return float64(p.latency.ValueAtQuantile(q)) / 1e6, true
+	return values
+}
+
+// perSecond is the rate of a count.
+func (s *series) perSecond(count func(*point) int) func(*point) (float64, bool) {
+	return func(p *point) (float64, bool) { return float64(count(p)) / s.width, true }
+}
+
+// latencyQuantile is a quantile of the latencies, in seconds.
+func latencyQuantile(quantile float64) func(*point) (float64, bool) {
+	return func(p *point) (float64, bool) {
+		if p.latency == nil || p.latency.TotalCount() == 0 {
+			return 0, false
 		}
+		return float64(p.latency.ValueAtQuantile(quantile)) / microsPerSecond, true
+	}
+}
+
+// busyCores is the mean fraction of the endpoints' cores that worked.
+func busyCores(p *point) (float64, bool) { return p.busy / float64(max(p.arrived, 1)), p.arrived > 0 }
+
+func (s *series) charts() (charts []template.HTML, err error) {
+	outcomes := []curve{
+		{"came", color.Gray{120}, s.perSecond(func(p *point) int { return p.arrived })},
+		{"honoured in due time", green, s.perSecond(func(p *point) int { return p.inTime })},
+		{"honoured late", orange, s.perSecond(func(p *point) int { return p.late })},
+		{"denied", blue, s.perSecond(func(p *point) int { return p.rejected })},
+		{"written off", red, s.perSecond(func(p *point) int { return p.failed })},
+	}
+	latencies := []curve{
+		{"half", green, latencyQuantile(50)},
+		{"nine in ten", orange, latencyQuantile(90)},
+		{"99 in 100", red, latencyQuantile(99)},
 	}
-	for _, c := range []struct {
-		title, y string
-		curves   []curve
+	for _, chart := range []struct {
+		title, yLabel string
+		curves        []curve
 	}{
-		{"What became of queries, by when they came", "a second", []curve{{"came", color.Gray{120}, rate(func(p *point) int { return p.arrived })},
-			{"honoured in due time", green, rate(func(p *point) int { return p.inTime })}, {"honoured late", orange, rate(func(p *point) int { return p.late })},
-			{"denied", blue, rate(func(p *point) int { return p.rejected })}, {"written off", red, rate(func(p *point) int { return p.failed })}}},
-		{"Latency of honoured queries, from the intended start", "s", []curve{{"half", green, quantile(50)}, {"nine in ten", orange, quantile(90)}, {"99 in 100", red, quantile(99)}}},
-		{"Planners' cores that worked", "part", []curve{{"busy", blue, func(p *point) (float64, bool) { return p.busy / float64(max(p.arrived, 1)), p.arrived > 0 }}}},
+		{"What became of queries, by when they came", "a second", outcomes},
+		{"Latency of honoured queries, from the intended start", "s", latencies},
+		{"Planners' cores that worked", "part", []curve{{"busy", blue, busyCores}}},
 	} {
-		h, err := s.chart(c.title, c.y, c.curves...)
+		drawn, err := s.chart(chart.title, chart.yLabel, chart.curves)
 		if err != nil {
 			return nil, err
 		}
-		out = append(out, h)
+		charts = append(charts, drawn)
 	}
-	return out, nil
+	return charts, nil
 }
 
 var replayPage = template.Must(template.New("replay").Parse(`<!DOCTYPE html>
@@ -139,7 +175,8 @@
 {{end}}<p>Timeline {{.R.TimelineHash}}</p></body></html>
 `))
 
-// Report writes the page of a replay into a directory, whole or not at all.
+// Report writes the page of a replay into a directory, in full or not at all, and returns its name. How the replay was made
+// is its first sentence.
 func (r *ReplayResult) Report(dir, how string) (string, error) {
 	charts, err := r.series.charts()
 	if err != nil {
--- a/lab/shapes.go
+++ b/lab/shapes.go
@@ -6,135 +6,224 @@
 	"io"
 	"math"
 	"math/rand"
+	"slices"
 	"sort"
+	"strconv"
+	"strings"
 )
 
-// Shape makes a trace of a kind of load, in a public layout, by rate and seed. None is taken from any recorded trace.
+// Shape writes a trace of one kind of load, in a public layout, by rate and seed. None is taken from any recorded trace.
 type Shape struct {
 	Name, Layout string
-	write        func(w io.Writer, span, rate float64, rng *rand.Rand)
+	generate     func(s *shapeWriter)
 }
 
-// Shapes are the kinds of load that can be made.
-var Shapes = []Shape{{"bursty", "azure-2021", writeBursty}, {"tails", "google-2011", writeTails}, {"failing", "google-2011", writeBulkFailures}}
+// Shapes are the kinds of load that can be written.
+var Shapes = []Shape{
+	{"bursty", "azure-2021", (*shapeWriter).writeBursty},
+	{"tails", "google-2011", (*shapeWriter).writeTails},
+	{"failing", "google-2011", (*shapeWriter).writeBulkFailures},
+}
 
-// WriteShape writes a trace: so many seconds at a mean rate.
+// WriteShape writes a trace of so many seconds at a mean rate.
 func WriteShape(w io.Writer, name string, span, rate float64, seed int64) error {
-	for _, s := range Shapes {
-		if s.Name == name {
-			b := bufio.NewWriter(w)
-			s.write(b, span, rate, rand.New(rand.NewSource(seed)))
-			return b.Flush()
+	var names []string
+	for _, shape := range Shapes {
+		names = append(names, shape.Name)
+		if shape.Name == name {
+			buffered := bufio.NewWriter(w)
+			shape.generate(&shapeWriter{buffered, span, rate, rand.New(rand.NewSource(seed))})
+			return buffered.Flush() // it reports any earlier error too
 		}
 	}
-	return fmt.Errorf("shape %q is none of bursty, tails, failing", name)
+	return fmt.Errorf("shape %q is none of %s", name, strings.Join(names, ", "))
+}
+
+// shapeWriter writes one trace.
+type shapeWriter struct {
+	out    *bufio.Writer
+	span   float64 // s
+	rate   float64 // mean arrivals a second
+	random *rand.Rand
 }
 
-// arrivals draws a Poisson stream whose rate is a function of time, at most so much.
-func poissonArrivals(span, most float64, rate func(t float64) float64, rng *rand.Rand, each func(t float64)) {
-	for t := rng.ExpFloat64() / most; t < span; t += rng.ExpFloat64() / most {
-		if rng.Float64()*most < rate(t) {
-			each(t)
+// poissonArrivals draws a Poisson stream of a rate over a span, and calls arrive for each time.
+func (s *shapeWriter) poissonArrivals(span, rate float64, arrive func(at float64)) {
+	for at := s.random.ExpFloat64() / rate; at < span; at += s.random.ExpFloat64() / rate {
+		// A draw for thinning, which lets all pass at a constant rate: traces of one seed stay as they are.
+		if s.random.Float64()*rate < rate {
+			arrive(at)
 		}
 	}
 }
 
-// bursty has three quarters of its arrivals in bursts of 1.5 s at ten times the rate, one in 20 s; each burst is one app's
-// calls, as when a schedule fires.
-func writeBursty(w io.Writer, span, rate float64, rng *rand.Rand) {
-	type call struct {
-		app            int
-		end, took, key float64
+// call is a call of an app's function.
+type call struct {
+	app           int
+	end, duration float64 // s
+	function      float64 // drawn, from 0 to 1
+}
+
+// Facts of bursty traces. Times are in seconds.
+const (
+	apps             = 40
+	functions        = 200
+	burstLength      = 1.5
+	burstRate        = 10.0 // times the mean rate
+	meanBurstGap     = 20.0
+	steadyPartOfRate = 4 // a quarter comes outside of bursts
+)
+
+// writeBursty has three quarters of its arrivals in bursts of 1.5 s at ten times the rate, one in 20 s; each burst is one
+// app's calls, as when a schedule fires.
+func (s *shapeWriter) writeBursty() {
+	var bursts []float64
+	for at := s.random.Float64() * meanBurstGap; at < s.span; at += meanBurstGap/2 + meanBurstGap*s.random.Float64() {
+		bursts = append(bursts, at)
 	}
 	var calls []call
-	starts := []float64{}
-	for t := rng.Float64() * 20; t < span; t += 10 + 20*rng.Float64() {
-		starts = append(starts, t)
+	add := func(app int, at float64) {
+		duration := 2 + 16*s.random.Float64()
+		calls = append(calls, call{app, at + duration, duration, s.random.Float64()})
 	}
-	add := func(app int) func(float64) {
-		return func(t float64) {
-			took := 2 + 16*rng.Float64()
-			calls = append(calls, call{app, t + took, took, rng.Float64()})
-		}
-	}
-	poissonArrivals(span, rate/4, func(float64) float64 { return rate / 4 }, rng, func(t float64) { add(rng.Intn(40))(t) })
-	for _, s := range starts {
-		app := rng.Intn(40)
-		poissonArrivals(1.5, 10*rate, func(float64) float64 { return 10 * rate }, rng, func(t float64) { add(app)(s + t) })
+	s.poissonArrivals(s.span, s.rate/steadyPartOfRate, func(at float64) { add(s.random.Intn(apps), at) })
+	for _, start := range bursts {
+		app := s.random.Intn(apps)
+		s.poissonArrivals(burstLength, burstRate*s.rate, func(at float64) { add(app, start+at) })
 	}
 	sort.Slice(calls, func(i, j int) bool { return calls[i].end < calls[j].end })
-	fmt.Fprintln(w, "app,func,end_timestamp,duration")
+	fmt.Fprintln(s.out, "app,func,end_timestamp,duration")
 	for _, c := range calls {
-		fmt.Fprintf(w, "a%02d,f%03d,%.6f,%.6f\n", c.app, int(c.key*200), c.end, c.took)
+		fmt.Fprintf(s.out, "a%02d,f%03d,%.6f,%.6f\n", c.app, int(c.function*functions), c.end, c.duration)
 	}
 }
 
-// row is one event of a task, in the layout of events.
+// The kinds of a task's events.
+const (
+	taskSubmitted = 0
+	taskScheduled = 1
+	taskFailed    = 3
+	taskFinished  = 4
+)
+
+// Facts of traces of tasks. Times are in seconds.
+const (
+	tasksPerJob   = 50
+	machines      = 200
+	users         = 60
+	priorities    = 12
+	scheduleDelay = 0.01  // from a task's submission until it is scheduled
+	traceOffset   = 600.0 // at which a trace begins
+)
+
+// taskEvent is one event of a task, in the layout of events.
 type taskEvent struct {
-	time                                     float64
-	job, task, machine, kind, user, priority int
+	time                               float64 // s
+	job, task, machine, user, priority int
+	kind                               int
 }
 
-func writeTaskEvents(w io.Writer, rows []taskEvent) {
-	sort.SliceStable(rows, func(i, j int) bool { return rows[i].time < rows[j].time })
-	for _, r := range rows {
+// newTask draws a task of a job of its own.
+func (s *shapeWriter) newTask(job int) taskEvent {
+	task := taskEvent{job: job}
+	task.task = s.random.Intn(tasksPerJob)
+	task.machine = s.random.Intn(machines)
+	task.user = s.random.Intn(users)
+	task.priority = s.random.Intn(priorities)
+	return task
+}
+
+// at returns an event of the task.
+func (e taskEvent) at(time float64, kind int) taskEvent {
+	e.time, e.kind = time, kind
+	return e
+}
+
+func (s *shapeWriter) writeTaskEvents(events []taskEvent) {
+	slices.SortStableFunc(events, func(a, b taskEvent) int {
+		switch {
+		case a.time < b.time:
+			return -1
+		case a.time > b.time:
+			return 1
+		}
+		return 0
+	})
+	for _, e := range events {
 		machine := ""
-		if r.kind != 0 {
-			machine = fmt.Sprint(r.machine)
+		if e.kind != taskSubmitted {
+			machine = strconv.Itoa(e.machine)
 		}
-		fmt.Fprintf(w, "%d,,%d,%d,%s,%d,u%02d,%d,%d,0.1,0.1,0.1,0\n", int64((r.time+600)*1e6), r.job, r.task, machine, r.kind, r.user, r.job%4, r.priority)
+		fmt.Fprintf(s.out, "%d,,%d,%d,%s,%d,u%02d,%d,%d,0.1,0.1,0.1,0\n", int64((e.time+traceOffset)*1e6), e.job, e.task, machine,
+			e.kind, e.user, e.job%4, e.priority)
 	}
 }
 
-// tails is steady, with durations whose tail is Pareto's of 1.3: most are short, and one in some hundred is a hundred times as long.
-func writeTails(w io.Writer, span, rate float64, rng *rand.Rand) {
-	var rows []taskEvent
-	n := 0
-	poissonArrivals(span, rate, func(float64) float64 { return rate }, rng, func(t float64) {
-		n++
-		took := math.Min(3*math.Pow(rng.Float64(), -1/1.3), 120)
-		r := taskEvent{t, n, rng.Intn(50), rng.Intn(200), 0, rng.Intn(60), rng.Intn(12)}
-		for _, e := range [...]struct {
-			kind int
-			at   float64
-		}{{0, t}, {1, t + 0.01}, {4, t + 0.01 + took}} {
-			r.kind, r.time = e.kind, e.at
-			rows = append(rows, r)
-		}
+// writeTails is steady, with durations whose tail is Pareto's of 1.3: most are short, and one in some hundred is a hundred
+// times as long.
+func (s *shapeWriter) writeTails() {
+	const (
+		minDuration = 3.0
+		maxDuration = 120.0
+		paretoIndex = 1.3
+	)
+	var events []taskEvent
+	jobs := 0
+	s.poissonArrivals(s.span, s.rate, func(at float64) {
+		jobs++
+		duration := math.Min(minDuration*math.Pow(s.random.Float64(), -1/paretoIndex), maxDuration)
+		task := s.newTask(jobs)
+		events = append(events, task.at(at, taskSubmitted), task.at(at+scheduleDelay, taskScheduled),
+			task.at(at+scheduleDelay+duration, taskFinished))
 	})
-	writeTaskEvents(w, rows)
+	s.writeTaskEvents(events)
+}
+
+// machineFailure is a time in which an eighth of the machines fails.
+type machineFailure struct {
+	from, to     float64 // s
+	firstMachine float64 // as a fraction of the machines
+}
+
+// failingFraction is the fraction of the machines that fail together.
+const failingFraction = 1.0 / 8
+
+func (f machineFailure) hits(task taskEvent, at float64) bool {
+	position := float64(task.machine) / machines
+	return at >= f.from && at < f.to && position >= f.firstMachine && position < f.firstMachine+failingFraction
 }
 
 // writeBulkFailures is steady; every 40 s or so all that runs on one machine in eight fails, for 8 s, comes again a second
 // later, and finishes elsewhere.
-func writeBulkFailures(w io.Writer, span, rate float64, rng *rand.Rand) {
-	type bad struct{ from, to, part float64 }
-	var spells []bad
-	for t := rng.Float64() * 40; t < span; t += 25 + 30*rng.Float64() {
-		spells = append(spells, bad{t, t + 8, rng.Float64() * 7 / 8})
+func (s *shapeWriter) writeBulkFailures() {
+	const (
+		meanGap        = 40.0
+		failureLength  = 8.0
+		failAfter      = 0.5
+		resubmitAfter  = 1.5
+		rescheduleTime = 1.6
+	)
+	var failures []machineFailure
+	for at := s.random.Float64() * meanGap; at < s.span; at += 25 + 30*s.random.Float64() {
+		failures = append(failures, machineFailure{at, at + failureLength, s.random.Float64() * 7 / 8})
 	}
-	var rows []taskEvent
-	n := 0
-	poissonArrivals(span, rate, func(float64) float64 { return rate }, rng, func(t float64) {
-		n++
-		r := taskEvent{t, n, rng.Intn(50), rng.Intn(200), 0, rng.Intn(60), rng.Intn(12)}
-		add := func(kind int, at float64) {
-			r.kind, r.time = kind, at
-			rows = append(rows, r)
-		}
-		took := 4 + 14*rng.Float64()
-		add(0, t)
-		add(1, t+0.01)
-		for _, s := range spells {
-			if p := float64(r.machine) / 200; t >= s.from && t < s.to && p >= s.part && p < s.part+1.0/8 {
-				add(3, t+0.5)
-				r.machine = (r.machine + 100) % 200
-				add(0, t+1.5)
-				add(1, t+1.6)
-				t += 1.6
+	var events []taskEvent
+	jobs := 0
+	s.poissonArrivals(s.span, s.rate, func(at float64) {
+		jobs++
+		task := s.newTask(jobs)
+		duration := 4 + 14*s.random.Float64()
+		events = append(events, task.at(at, taskSubmitted), task.at(at+scheduleDelay, taskScheduled))
+		for _, failure := range failures {
+			if !failure.hits(task, at) {
+				continue
 			}
+			events = append(events, task.at(at+failAfter, taskFailed))
+			task.machine = (task.machine + machines/2) % machines
+			events = append(events, task.at(at+resubmitAfter, taskSubmitted), task.at(at+rescheduleTime, taskScheduled))
+			at += rescheduleTime
 		}
-		add(4, t+took)
+		events = append(events, task.at(at+duration, taskFinished))
 	})
-	writeTaskEvents(w, rows)
+	s.writeTaskEvents(events)
 }
--- a/lab/tail.go
+++ b/lab/tail.go
@@ -1,60 +1,75 @@
 package lab
 
-// The tail, as the brief counts it: by category and 5 s, the value served counts in full while at most so many of the
-// queries that were not denied in time to go elsewhere miss their due time, and not at all at five times that.
+// The tail: by class and cell of time, the weight served counts in full while at most maxMissFraction of the requests that
+// were not rejected in time to go elsewhere miss their latency objective, and not at all at zeroMissMultiple times that.
 const (
-	tailCellWidth      = 5.0  // s
-	maxMissFraction    = 0.03 // part of the queries
-	zeroMissMultiple   = 5.0  // times that at which nothing counts
-	openTailCells      = 4    // widths that are open: an answer comes within patience, which is under 15 s
-	allWeight          = 0.3  // weights of the figure: the whole,
-	worstStretchWeight = 0.2  // the worst 10 s,
-	worstClassWeight   = 0.2  // the worst category,
-	worstTenantWeight  = 0.1  // the worst customer,
-	tailWeight         = 0.2  // and the tail
+	tailCellWidth    = 5.0 // s
+	maxMissFraction  = 0.03
+	zeroMissMultiple = 5.0
+	openTailCells    = 4 // cells that are open: a response comes within the deadline, which is under 15 s
 )
 
+// Weights of the parts of a replay's score.
+const (
+	allWeight          = 0.3 // all requests
+	worstStretchWeight = 0.2 // the worst stretch
+	worstClassWeight   = 0.2 // the worst class
+	worstTenantWeight  = 0.1 // the worst tenant
+	tailWeight         = 0.2 // the tail
+)
+
+// tailCell is the requests of a class that came within one cell of time.
 type tailCell struct {
-	index                            int64
-	offered, served                  float64
-	requests, rejectedInTime, inTime int
+	index          int64
+	offered        float64 // weight
+	served         float64 // weight, in time
+	requests       int
+	rejectedInTime int
+	inTime         int
+}
+
+// countedWeight is the part of the weight served that counts.
+func (c *tailCell) countedWeight() float64 {
+	expected := c.requests - c.rejectedInTime
+	if expected <= 0 {
+		return 0
+	}
+	miss := float64(expected-c.inTime) / float64(expected)
+	return c.served * min(max((zeroMissMultiple-miss/maxMissFraction)/(zeroMissMultiple-1), 0), 1)
 }
 
-// tail keeps the cells that are open, and what came of the others.
+// tail keeps the cells that are open, in a ring for each class, and the sums of the others.
 type tail struct {
-	cells            [][openTailCells]tailCell // by category
-	offered, counted float64
+	cells            [][openTailCells]tailCell // by class
+	offered, counted float64                   // weight
 }
 
-// at gives the cell of a query; one that is too old for the ring is over, and gets none.
-func (t *tail) cellOf(category int, at float64) *tailCell {
-	no := int64(at / tailCellWidth)
-	c := &t.cells[category][no%openTailCells]
-	if no > c.index {
-		t.closeCell(c)
-		c.index = no
+// cellOf returns the cell of a request; nil if it is too old for the ring.
+func (t *tail) cellOf(class int, at float64) *tailCell {
+	index := int64(at / tailCellWidth)
+	cell := &t.cells[class][index%openTailCells]
+	if index > cell.index {
+		t.closeCell(cell)
+		cell.index = index
 	}
-	if no < c.index {
+	if index < cell.index {
 		return nil
 	}
-	return c
+	return cell
 }
 
-// close counts a cell.
-func (t *tail) closeCell(c *tailCell) {
-	t.offered += c.offered
-	if base := c.requests - c.rejectedInTime; base > 0 {
-		miss := float64(base-c.inTime) / float64(base)
-		t.counted += c.served * min(max((zeroMissMultiple-miss/maxMissFraction)/(zeroMissMultiple-1), 0), 1)
-	}
-	*c = tailCell{index: c.index}
+// closeCell adds a cell to the sums and empties it.
+func (t *tail) closeCell(cell *tailCell) {
+	t.offered += cell.offered
+	t.counted += cell.countedWeight()
+	*cell = tailCell{index: cell.index}
 }
 
-// done gives the part of the value that counted.
+// fraction closes all cells and returns the part of the weight that counted.
 func (t *tail) fraction() float64 {
-	for i := range t.cells {
-		for k := range t.cells[i] {
-			t.closeCell(&t.cells[i][k])
+	for class := range t.cells {
+		for i := range t.cells[class] {
+			t.closeCell(&t.cells[class][i])
 		}
 	}
 	if t.offered == 0 {
@@ -63,16 +78,17 @@
 	return t.counted / t.offered
 }
 
-// figure is the brief's, before its deductions.
+// score is the replay's score, before any deductions.
 func (r *ReplayResult) score() float64 {
-	category, customer := 1.0, 1.0
-	for _, s := range r.Classes {
-		category = min(category, s.ServedFraction)
+	worstClass, worstTenant := 1.0, 1.0
+	for _, share := range r.Classes {
+		worstClass = min(worstClass, share.ServedFraction)
 	}
-	for _, s := range r.Tenants {
-		if s.Requests > 0 {
-			customer = min(customer, s.ServedFraction)
+	for _, share := range r.Tenants {
+		if share.Requests > 0 {
+			worstTenant = min(worstTenant, share.ServedFraction)
 		}
 	}
-	return allWeight*r.All.ServedFraction + worstStretchWeight*r.Worst10 + worstClassWeight*category + worstTenantWeight*customer + tailWeight*r.Tail
+	return allWeight*r.All.ServedFraction + worstStretchWeight*r.Worst10 + worstClassWeight*worstClass +
+		worstTenantWeight*worstTenant + tailWeight*r.Tail
 }
