--- a/lab/baseline.go
+++ b/lab/baseline.go
@@ -10,13 +10,13 @@
 // baseline is a module that does what a plain load balancer does: it sends each request to one endpoint, again to another
 // where that is safe, and judges nothing. It keeps the rules, so that what it lacks shows as service.
 type baseline struct {
-	settings      relay.Settings
-	random        *rand.Rand
-	leastInFlight bool // it picks the endpoint with the fewest attempts in flight; else any
-	endpoints     []relay.Endpoint
-	inFlight      map[relay.EndpointID]int
-	requests      map[relay.RequestID]*baselineRequest
-	commands      []relay.Command // of the step in progress
+	settings   relay.Settings
+	random     *rand.Rand
+	byInFlight bool // it picks the endpoint with the fewest attempts in flight; else any
+	endpoints  []relay.Endpoint
+	inFlight   map[relay.EndpointID]int
+	requests   map[relay.RequestID]*baselineRequest
+	commands   []relay.Command // of the step in progress
 }
 
 // baselineRequest is a request that has not ended.
@@ -34,27 +34,27 @@
 
 // The names of the modules.
 const (
-	policyModule        = "policy"
-	randomModule        = "random"
-	leastInFlightModule = "least-in-flight"
+	policyModule   = "policy"
+	randomModule   = "random"
+	inFlightModule = "least-in-flight"
 )
 
 // Baselines lists the names that Baseline knows.
-func Baselines() []string { return []string{policyModule, randomModule, leastInFlightModule} }
+func Baselines() []string { return []string{policyModule, randomModule, inFlightModule} }
 
 // Baseline returns the constructor of a module by its name; nil for policy, which is the real one.
 func Baseline(name string) (func(relay.Settings, int64) module, error) {
 	switch name {
 	case policyModule:
 		return nil, nil
-	case randomModule, leastInFlightModule:
+	case randomModule, inFlightModule:
 		return func(settings relay.Settings, seed int64) module {
 			return &baseline{
-				settings:      settings,
-				random:        rand.New(rand.NewSource(seed)),
-				leastInFlight: name == leastInFlightModule,
-				inFlight:      map[relay.EndpointID]int{},
-				requests:      map[relay.RequestID]*baselineRequest{},
+				settings:   settings,
+				random:     rand.New(rand.NewSource(seed)),
+				byInFlight: name == inFlightModule,
+				inFlight:   map[relay.EndpointID]int{},
+				requests:   map[relay.RequestID]*baselineRequest{},
 			}
 		}, nil
 	}
@@ -155,7 +155,7 @@
 
 // prefers says whether the candidate replaces the endpoint picked so far; at random each candidate has an even chance.
 func (b *baseline) prefers(candidate, picked *relay.Endpoint, candidates int) bool {
-	if b.leastInFlight {
+	if b.byInFlight {
 		return b.inFlight[candidate.ID] < b.inFlight[picked.ID]
 	}
 	return b.random.Intn(candidates) == 0
--- a/lab/checkattempt.go
+++ b/lab/checkattempt.go
@@ -38,7 +38,7 @@
 	return first.endpoint.site == second.endpoint.site && c.simulation.now-first.sentAt < dedupWindow
 }
 
-// checkDrain checks rule 3: nothing to an endpoint that was told to drain.
+// checkDrain checks rule 3: nothing to an endpoint whose drain the relay knows.
 func (c *checker) checkDrain(sent *attempt) {
 	sender, id := sent.request.relay, sent.endpoint.id
 	if since, leaving := sender.leavingSince[id]; leaving && c.simulation.now > since+drainGrace {
--- a/lab/checkexposure.go
+++ b/lab/checkexposure.go
@@ -7,13 +7,13 @@
 	"lichenroad/relay"
 )
 
-// relayRecord is what a relay was told, and did of late, by group of tenants.
+// relayRecord is what a relay was notified of, and did of late, by group of tenants.
 type relayRecord struct {
 	relay          *simulatedRelay
 	groups         []exposureRecord // the last one is of tenants without a group
 	total          exposureRecord
-	services       []servicePosition // as last told, by service
-	exposureLimit  float64           // of the platform, as last told
+	services       []servicePosition // as last notified, by service
+	exposureLimit  float64           // of the platform, as last notified
 	previousLimits []float64         // by group, before they were lowered: they bind until the grace is over
 	loweredAt      float64
 	freezeLimits   []float64 // by group, as the freeze that holds began; nil: none holds
@@ -69,7 +69,7 @@
 	}
 }
 
-// statusReceived notes what a relay is told. A lowered exposure limit binds after the grace.
+// statusReceived notes what a relay is notified of. A lowered exposure limit binds after the grace.
 func (c *checker) statusReceived(receiver *simulatedRelay, service plan.ServiceIndex, status relay.RolloutStatus) {
 	record := c.relays[receiver]
 	if record == nil || !status.Valid || isBackward(record.services[service], status) {
@@ -114,8 +114,8 @@
 	return limits
 }
 
-// exposureLimit is the limit that a group has at a relay by what the relay was told and by the plan: that of the platform's
-// step, or of the last one before it whose dependencies were told to be met; 0 for tenants without a group.
+// exposureLimit is the limit that a group has at a relay by what the relay was notified of and by the plan: that of the
+// platform's step, or of the last one before it whose dependencies were notified as met; 0 for tenants without a group.
 func (c *checker) exposureLimit(record *relayRecord, group int) float64 {
 	service := record.relay.fleet.service
 	own := record.services[service]
@@ -163,8 +163,8 @@
 	return limit
 }
 
-// freezeEdge notes the beginning and the end of freezes at each relay, by the true time. What was told shortly before a
-// freeze began counts as told before.
+// freezeEdge notes the beginning and the end of freezes at each relay, by the true time. What was notified shortly before
+// a freeze began counts as notified before.
 func (c *checker) freezeEdge() {
 	for _, simulated := range c.simulation.relays {
 		record := c.relays[simulated]
--- a/lab/controller.go
+++ b/lab/controller.go
@@ -16,16 +16,16 @@
 	voteReplyDelay       = 0.01 // of a vote that does not count
 )
 
-// controllerLink is the release controller: the real state machine, with a link to relays that lags, is silent and forgets.
+// controllerLink is the release controller: the real state machine, with a link to relays that lags and breaks, and a journal that forgets.
 type controllerLink struct {
-	simulation *simulation
-	core       *rollout.Core
-	journal    []rollout.Event
-	random     *rand.Rand
-	silent     bool
-	statusLag  float64               // s that statuses are later than usual
-	published  []relay.RolloutStatus // by service
-	advanceAt  float64               // when the next advance is due; in the past: none
+	simulation  *simulation
+	core        *rollout.Core
+	journal     []rollout.Event
+	random      *rand.Rand
+	partitioned bool
+	statusLag   float64               // s that statuses are later than usual
+	published   []relay.RolloutStatus // by service
+	advanceAt   float64               // when the next advance is due; in the past: none
 
 	blockedBy    []rollout.BlockCode // by service, now
 	blockedSince []plan.Unix         // by service
@@ -145,9 +145,9 @@
 	})
 }
 
-// publish sends a service's status to every relay that watches it, each a little later; nothing while silent.
+// publish sends a service's status to every relay that watches it, each a little later; nothing while partitioned.
 func (l *controllerLink) publish(service plan.ServiceIndex) {
-	if l.silent {
+	if l.partitioned {
 		return
 	}
 	status := l.core.RolloutStatus(service, l.simulation.unixNow())
@@ -175,7 +175,7 @@
 	}
 }
 
-// receiveVote takes a vote of a relay. One that comes while silent gets no reply, which the relay notices by its timeout.
+// receiveVote takes a vote of a relay. One that comes while partitioned gets no reply, which the relay notices by its timeout.
 // A vote that the decision module did not command gets none either.
 func (l *controllerLink) receiveVote(from *simulatedRelay, vote relay.Vote, commanded bool) {
 	var reply relay.RolloutStatus
@@ -193,7 +193,7 @@
 
 // countVote counts a vote, and returns the reply and when it comes.
 func (l *controllerLink) countVote(from *simulatedRelay, vote relay.Vote) (reply relay.RolloutStatus, delay float64) {
-	if l.silent {
+	if l.partitioned {
 		return relay.RolloutStatus{Reply: relay.ReplyMaybeCounted}, from.fleet.settings.Rollout.CallTimeout
 	}
 	if l.simulation.options.IgnoreVotes {
@@ -212,10 +212,10 @@
 // restart kills the controller's process and starts it again with its journal, of which the last events may be forgotten.
 func (l *controllerLink) restart(forgotten int) {
 	l.simulation.record("desk restarts, %d events forgotten", forgotten)
-	l.silent = true
+	l.partitioned = true
 	kept := l.journal[:max(len(l.journal)-forgotten, 0)]
 	l.simulation.runAfter(uniform(l.random, 1, 4), func() {
-		l.silent = false
+		l.partitioned = false
 		l.load(kept)
 		l.simulation.checker.restorePositions(kept)
 		clear(l.published)
--- a/lab/lab_test.go
+++ b/lab/lab_test.go
@@ -12,6 +12,7 @@
 )
 
 func examplePlan(t testing.TB) *plan.Plan {
+	t.Helper()
 	p, err := planxml.Load("../deploy/plan.xml")
 	if err != nil {
 		t.Fatal(err)
@@ -19,44 +20,46 @@
 	return p
 }
 
-// short is a run that CI has the time for: a day, a dozen relays.
+// shortRun is a run that CI has the time for: a day, a dozen relays.
 func shortRun(t testing.TB, seed int64, faults string) Options {
-	f, ok := FaultsByName(faults)
+	t.Helper()
+	chosen, ok := FaultsByName(faults)
 	if !ok {
 		t.Fatal(faults)
 	}
-	return Options{Plan: examplePlan(t), Seed: seed, Days: 1, Relays: 12, Endpoints: 18, Faults: f, BadBuildFraction: 0.4}
+	return Options{Plan: examplePlan(t), Seed: seed, Days: 1, Relays: 12, Endpoints: 18, Faults: chosen, BadBuildFraction: 0.4}
 }
 
-func mustRun(t testing.TB, o Options) Result {
-	r, err := Run(context.Background(), o)
+func mustRun(t testing.TB, options Options) Result {
+	t.Helper()
+	result, err := Run(context.Background(), options)
 	if err != nil {
 		t.Fatal(err)
 	}
-	return r
+	return result
 }
 
-// TestNoViolations plays a day of each kind of fault at its worst.
+// TestNoViolations simulates a day of each kind of fault at its worst.
 func TestNoViolations(t *testing.T) {
 	for i, kind := range FaultNames() {
 		t.Run(kind, func(t *testing.T) {
 			t.Parallel()
-			r := mustRun(t, shortRun(t, int64(i+1), kind))
-			for i, b := range r.Violations {
+			result := mustRun(t, shortRun(t, int64(i+1), kind))
+			for i, violation := range result.Violations {
 				if i < 5 {
-					t.Errorf("%.3f %s by %s: %s", b.Time, b.Rule, b.Relay, b.Text)
+					t.Errorf("%.3f %s by %s: %s", violation.Time, violation.Rule, violation.Relay, violation.Text)
 				}
 			}
-			if r.CanaryAttempts < 100 || r.MaxAllowanceUsed <= 0.3 || len(r.Releases) < 6 {
-				t.Errorf("hardly anything was tried: %d legs on trial, %.2f of an allowance, %d releases", r.CanaryAttempts, r.MaxAllowanceUsed, len(r.Releases))
+			if result.CanaryAttempts < 100 || result.MaxAllowanceUsed <= 0.3 || len(result.Releases) < 6 {
+				t.Errorf("hardly anything was tried: %d canary attempts, %.2f of an allowance, %d releases", result.CanaryAttempts, result.MaxAllowanceUsed, len(result.Releases))
 			}
 		})
 	}
 }
 
-// TestCheckerDetectsDisabledSafeguards takes out one defence after another: the checker finds what it is there for.
+// TestCheckerDetectsDisabledSafeguards disables one safeguard after another: the checker finds what it is there for.
 func TestCheckerDetectsDisabledSafeguards(t *testing.T) {
-	for _, c := range []struct {
+	for _, test := range []struct {
 		without string // names, set apart by spaces
 		faults  string
 		finds   string // part of the rule's name
@@ -71,60 +74,60 @@
 		{"desk-freezes guard-votes", "none", "moved in a freeze"},
 		{"desk-needs guard-votes", "none", "moved without its need"},
 	} {
-		t.Run(c.without, func(t *testing.T) {
+		t.Run(test.without, func(t *testing.T) {
 			t.Parallel()
 			for seed := int64(1); seed <= 4; seed++ { // a fault must meet it: not on every day
-				o := shortRun(t, seed, c.faults)
-				for _, name := range strings.Fields(c.without) {
-					if !o.DisableSafeguard(name) {
+				options := shortRun(t, seed, test.faults)
+				for _, name := range strings.Fields(test.without) {
+					if !options.DisableSafeguard(name) {
 						t.Fatal(name)
 					}
 				}
-				r := mustRun(t, o)
-				for rule := range r.ViolationsByRule {
-					if strings.Contains(rule, c.finds) {
+				result := mustRun(t, options)
+				for rule := range result.ViolationsByRule {
+					if strings.Contains(rule, test.finds) {
 						return
 					}
 				}
-				t.Logf("seed %d: %v", seed, r.ViolationsByRule)
+				t.Logf("seed %d: %v", seed, result.ViolationsByRule)
 			}
-			t.Errorf("without %s nothing was found", c.without)
+			t.Errorf("without %s nothing was found", test.without)
 		})
 	}
 }
 
 func TestSameSeedSameTimeline(t *testing.T) {
 	t.Parallel()
-	o := shortRun(t, 5, "ordinary")
-	o.Days = 0.4
-	a, b := mustRun(t, o), mustRun(t, o)
+	options := shortRun(t, 5, "ordinary")
+	options.Days = 0.4
+	a, b := mustRun(t, options), mustRun(t, options)
 	if a.TimelineHash != b.TimelineHash || a.Requests != b.Requests || a.ServedFraction != b.ServedFraction {
 		t.Errorf("%s %s", a.TimelineHash, b.TimelineHash)
 	}
-	o.Seed++
-	if mustRun(t, o).TimelineHash == a.TimelineHash {
+	options.Seed++
+	if mustRun(t, options).TimelineHash == a.TimelineHash {
 		t.Error("another seed gives the same timeline")
 	}
 }
 
 func TestClockBaselineReleasesBadBuilds(t *testing.T) {
 	t.Parallel()
-	o := shortRun(t, 3, "none")
-	o.BadBuildFraction = 1
-	voted := mustRun(t, o)
-	o.UseClockBaseline()
-	clock := mustRun(t, o)
+	options := shortRun(t, 3, "none")
+	options.BadBuildFraction = 1
+	voted := mustRun(t, options)
+	options.UseClockBaseline()
+	clock := mustRun(t, options)
 	if voted.BadReleased > 0.2 || clock.BadReleased < 0.5 || clock.WeightLostToBadBuilds < 2*voted.WeightLostToBadBuilds {
-		t.Errorf("bad builds out: %g by votes, %g by the clock; worth lost: %.1f, %.1f", voted.BadReleased, clock.BadReleased, voted.WeightLostToBadBuilds, clock.WeightLostToBadBuilds)
+		t.Errorf("bad builds released: %g by votes, %g by the clock; weight lost: %.1f, %.1f", voted.BadReleased, clock.BadReleased, voted.WeightLostToBadBuilds, clock.WeightLostToBadBuilds)
 	}
 }
 
 func TestReport(t *testing.T) {
 	t.Parallel()
-	o := shortRun(t, 2, "ordinary")
-	o.Days = 0.4
-	r := mustRun(t, o)
-	name, err := r.Report(o.Plan, filepath.Join(t.TempDir(), "out"))
+	options := shortRun(t, 2, "ordinary")
+	options.Days = 0.4
+	result := mustRun(t, options)
+	name, err := result.Report(options.Plan, filepath.Join(t.TempDir(), "out"))
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/lab/relay.go
+++ b/lab/relay.go
@@ -15,7 +15,7 @@
 	idleGuardInterval = 30.0 // s, at least, between evaluations of the guard without traffic
 )
 
-// simulatedRelay is one relay: the real decision module, and its guard. What it was told outlives no restart.
+// simulatedRelay is one relay: the real decision module, and its guard. What it was notified of outlives no restart.
 type simulatedRelay struct {
 	fleet       *fleet
 	id          relay.RelayID
@@ -35,7 +35,7 @@
 	guardEvents  []relay.Event  // space for them
 	requests     map[relay.RequestID]*simulatedRequest
 	lastID       relay.RequestID
-	leavingSince map[relay.EndpointID]float64 // when it was told that an endpoint leaves
+	leavingSince map[relay.EndpointID]float64 // when it was notified that an endpoint leaves
 }
 
 func relayName(index int) string { return fmt.Sprintf("n%d", index) }
@@ -56,7 +56,7 @@
 // time is the module's.
 func (r *simulatedRelay) time() relay.Seconds { return r.fleet.simulation.now - r.startedAt }
 
-// start begins the relay's process: a fresh module, told of the list as it is and of what its own controller says.
+// start begins the relay's process: a fresh module, notified of the list as it is and of what its own controller says.
 func (r *simulatedRelay) start() {
 	s := r.fleet.simulation
 	r.incarnation++
@@ -121,7 +121,7 @@
 			s.parkedRelays = append(s.parkedRelays, r)
 			return
 		}
-		if !s.controller.silent && r.guard != nil {
+		if !s.controller.partitioned && r.guard != nil {
 			for i, watched := range r.watches {
 				if watched {
 					r.guard.DependencyAlive(r.clock(), plan.ServiceIndex(i))
@@ -202,15 +202,15 @@
 func (r *simulatedRelay) listUpdated(update relay.ListUpdate) {
 	endpoints := append([]relay.Endpoint(nil), update.Endpoints...)
 	for i := range endpoints {
-		r.noteLeaving(endpoints[i])
+		r.markLeaving(endpoints[i])
 		endpoints[i].StartedAt -= r.startedAt // the module's time begins with the relay
 	}
 	update.Endpoints = endpoints
 	r.step(update)
 }
 
-// noteLeaving notes since when the relay knows that an endpoint leaves.
-func (r *simulatedRelay) noteLeaving(listed relay.Endpoint) {
+// markLeaving notes since when the relay knows that an endpoint leaves.
+func (r *simulatedRelay) markLeaving(listed relay.Endpoint) {
 	if listed.State == relay.Ready {
 		delete(r.leavingSince, listed.ID)
 		return
--- a/lab/replay_test.go
+++ b/lab/replay_test.go
@@ -5,7 +5,7 @@
 	"testing"
 )
 
-// TestSeriesIsBounded has a replay of a thousand hours: its points add up and stay few.
+// TestSeriesIsBounded keeps a replay of a thousand hours: its points add up and stay few.
 func TestSeriesIsBounded(t *testing.T) {
 	s := series{width: 1}
 	n := 0
@@ -27,16 +27,17 @@
 	}
 }
 
-// TestTraceFailuresAreFailedAttempts has queries whose first leg fails: what may run again does, what must not is written off.
+// TestTraceFailuresAreFailedAttempts has requests whose first attempt fails: those that are safe to repeat are retried, the
+// others fail.
 func TestTraceFailuresAreFailedAttempts(t *testing.T) {
-	r, err := NewReplay(ReplayOptions{Seed: 1, Relays: 2, Endpoints: 4, Classes: []string{"next-turn", "reassign"}, Tenants: []string{"a"}})
+	replay, err := NewReplay(ReplayOptions{Seed: 1, Relays: 2, Endpoints: 4, Classes: []string{"next-turn", "reassign"}, Tenants: []string{"a"}})
 	if err != nil {
 		t.Fatal(err)
 	}
 	for i := range 400 {
-		r.Arrive(Arrival{At: float64(i) * 0.05, Class: i % 2, Work: 0.05, Relay: uint64(i), FailedAttempts: 1 - i/2%2})
+		replay.Arrive(Arrival{At: float64(i) * 0.05, Class: i % 2, Work: 0.05, Relay: uint64(i), FailedAttempts: 1 - i/2%2})
 	}
-	got := r.Finish()
+	got := replay.Finish()
 	if got.All.Requests != 400 || got.Failed != 100 || got.Attempts < 480 || got.Attempts > 520 || len(got.Violations) > 0 {
 		t.Errorf("%+v", got)
 	}
@@ -51,13 +52,13 @@
 func BenchmarkReplay(b *testing.B) {
 	for _, relays := range []int{4, 40, 400} {
 		b.Run(fmt.Sprintf("relays=%d", relays), func(b *testing.B) {
-			r, err := NewReplay(ReplayOptions{Seed: 1, Relays: relays, Endpoints: min(4*relays, 1000), Classes: []string{"next-turn"}, Tenants: []string{"a"}})
+			replay, err := NewReplay(ReplayOptions{Seed: 1, Relays: relays, Endpoints: min(4*relays, 1000), Classes: []string{"next-turn"}, Tenants: []string{"a"}})
 			if err != nil {
 				b.Fatal(err)
 			}
 			b.ResetTimer()
 			for i := range b.N {
-				r.Arrive(Arrival{At: float64(i) / (30 * float64(relays)), Work: 0.1, Relay: uint64(i)})
+				replay.Arrive(Arrival{At: float64(i) / (30 * float64(relays)), Work: 0.1, Relay: uint64(i)})
 			}
 			b.StopTimer()
 			b.ReportMetric(float64(b.N)/b.Elapsed().Seconds(), "queries/s")
--- a/lab/scenario.go
+++ b/lab/scenario.go
@@ -26,7 +26,7 @@
 }
 
 // schedule draws a day after the other: a release of each service a day and a second where there is time, one that meets a
-// freeze's start, a controller that is silent across one, restarts, lag.
+// freeze's start, a controller that is partitioned across one, restarts, lag.
 func (s *scenario) schedule(days float64) {
 	for day := 0.0; day < days; day++ {
 		midnight := day * secondsPerDay
@@ -35,7 +35,7 @@
 		if int(day)%2 == 0 {
 			s.releaseIntoFreeze(midnight, int(day)%4 == 0)
 		}
-		s.silenceController(midnight, morning)
+		s.partitionController(midnight, morning)
 		s.restartController(day, morning)
 		s.delayStatuses(midnight, morning)
 		s.restartRelays(day, midnight, morning)
@@ -60,24 +60,24 @@
 }
 
 // releaseIntoFreeze offers a late build, which the first freeze after noon catches in the middle of a step.
-func (s *scenario) releaseIntoFreeze(midnight float64, alwaysSilent bool) {
+func (s *scenario) releaseIntoFreeze(midnight float64, alwaysPartitioned bool) {
 	start := s.simulation.firstFreeze(midnight + noon)
 	for service := range s.simulation.fleets {
 		s.simulation.offerBuild(service, start-uniform(s.random, 25, 75))
 	}
-	if alwaysSilent || s.happens(s.faults.ControllerSilence) {
-		s.simulation.silenceController(start-uniform(s.random, 1, 12), uniform(s.random, 15, 60))
+	if alwaysPartitioned || s.happens(s.faults.ControllerPartitions) {
+		s.simulation.partitionController(start-uniform(s.random, 1, 12), uniform(s.random, 15, 60))
 	}
 }
 
-// silenceController silences the controller in the middle of a release, and at its worst for a whole night: across a freeze
+// partitionController partitions the controller in the middle of a release, and at its worst for a whole night: across a freeze
 // that begins and ends within it.
-func (s *scenario) silenceController(midnight, morning float64) {
-	if s.happens(s.faults.ControllerSilence) {
-		s.simulation.silenceController(morning+uniform(s.random, 10, 120), uniform(s.random, 5, 30))
+func (s *scenario) partitionController(midnight, morning float64) {
+	if s.happens(s.faults.ControllerPartitions) {
+		s.simulation.partitionController(morning+uniform(s.random, 10, 120), uniform(s.random, 5, 30))
 	}
-	if s.faults.ControllerSilence >= 0.5 {
-		s.simulation.silenceController(s.simulation.firstFreeze(midnight+noon)-5, 9*hour)
+	if s.faults.ControllerPartitions >= 0.5 {
+		s.simulation.partitionController(s.simulation.firstFreeze(midnight+noon)-5, 9*hour)
 	}
 }
 
@@ -160,16 +160,16 @@
 	})
 }
 
-// silenceController has the controller say and receive nothing for a while.
-func (s *simulation) silenceController(at, duration float64) {
+// partitionController cuts the controller off from all relays for a while.
+func (s *simulation) partitionController(at, duration float64) {
 	s.traffic.wantedTimes = append(s.traffic.wantedTimes, at, at+duration)
 	s.runAt(at, func() {
 		s.record("desk silent")
-		s.controller.silent = true
+		s.controller.partitioned = true
 	})
 	s.runAt(at+duration, func() {
 		s.record("desk speaks")
-		s.controller.silent = false
+		s.controller.partitioned = false
 		s.controller.publishAll()
 	})
 }
