--- a/cmd/simhost/events.go
+++ b/cmd/simhost/events.go
@@ -43,7 +43,7 @@
 	case simwire.EventHealthCheckEnded:
 		return healthCheckEnded(e)
 	case simwire.EventMessage:
-		return relay.MessageReceived{From: relay.RelayID(e.From), Body: append([]byte(nil), e.Body...)}
+		return relay.MessageReceived{From: relay.ID(e.From), Body: append([]byte(nil), e.Body...)}
 	case simwire.EventRolloutStatus:
 		return rolloutStatus(e)
 	case simwire.EventReportedCounts:
--- a/internal/discovery/fleet_relay_test.go
+++ b/internal/discovery/fleet_relay_test.go
@@ -204,7 +204,7 @@
 func (r *fleetRelay) stepMembership(event membership.Event) {
 	now, output := r.fleet.now, r.node.Step(r.fleet.now, event)
 	for _, body := range output.Messages {
-		r.fleet.broadcast(relay.RelayID(r.id), body)
+		r.fleet.broadcast(relay.ID(r.id), body)
 	}
 	if len(output.Removed) > 0 {
 		update := relay.ListUpdate{Kind: relay.ListDelta, FromPeers: true}
--- a/internal/discovery/fleet_simulation_test.go
+++ b/internal/discovery/fleet_simulation_test.go
@@ -153,7 +153,7 @@
 func (f *fleet) startRelay(id int, generation int64, cachedList []relay.Endpoint) {
 	seed := f.Int63()
 	settings := relay.Settings{
-		Self:          relay.RelayID(id),
+		Self:          relay.ID(id),
 		Relays:        fleetRelays,
 		ListOnRequest: true,
 		Classes:       []relay.ClassSettings{{LatencyObjective: 0.4, Deadline: 2, PriorityWeight: 1}},
@@ -193,7 +193,7 @@
 }
 
 // broadcast carries a message to all other relays that live when it arrives.
-func (f *fleet) broadcast(from relay.RelayID, body []byte) {
+func (f *fleet) broadcast(from relay.ID, body []byte) {
 	for place, id := range f.shuffled {
 		isCutOff := f.now >= outageAt && place >= fleetRelays-cutOff
 		if id == int(from) || isCutOff || f.Float64() < messageLossRate {
--- a/internal/discovery/membership.go
+++ b/internal/discovery/membership.go
@@ -100,7 +100,7 @@
 }
 
 // MembershipMessage takes a datagram of another relay, on the loop.
-func (c *Client) MembershipMessage(from relay.RelayID, body []byte) {
+func (c *Client) MembershipMessage(from relay.ID, body []byte) {
 	node := c.membership.node
 	unreadable := node.Counters().Unreadable
 	c.membership.step(membership.MessageReceived{From: from, Body: body})
--- a/internal/peers/peers.go
+++ b/internal/peers/peers.go
@@ -26,7 +26,7 @@
 
 // Membership receives the messages of the membership protocol. It is called on the loop.
 type Membership interface {
-	MembershipMessage(from relay.RelayID, body []byte)
+	MembershipMessage(from relay.ID, body []byte)
 }
 
 // Transport sends and receives messages between the relays of a fleet. Its methods may be called on any goroutine.
@@ -38,7 +38,7 @@
 	loop             *pipeline.Loop
 	conn             *net.UDPConn
 	addresses        []netip.AddrPort // by relay number
-	numbers          map[netip.AddrPort]relay.RelayID
+	numbers          map[netip.AddrPort]relay.ID
 	broadcastAddress netip.AddrPort         // of all other relays; not valid: none
 	sendQueue        chan relay.SendMessage // bounded by limits.MaxQueuedPeerMessages
 }
@@ -48,7 +48,7 @@
 func Open(loop *pipeline.Loop, listen string, peers []string, broadcast string) (*Transport, error) {
 	t := &Transport{
 		loop:      loop,
-		numbers:   map[netip.AddrPort]relay.RelayID{},
+		numbers:   map[netip.AddrPort]relay.ID{},
 		sendQueue: make(chan relay.SendMessage, limits.MaxQueuedPeerMessages),
 	}
 	for i, peer := range peers {
@@ -57,7 +57,7 @@
 			return nil, err
 		}
 		t.addresses = append(t.addresses, address)
-		t.numbers[address] = relay.RelayID(i)
+		t.numbers[address] = relay.ID(i)
 	}
 	var err error
 	if broadcast != "" {
@@ -127,7 +127,7 @@
 }
 
 // addressOf returns the address of a relay or, for relay.Broadcast, of all; one that is not valid if there is none.
-func (t *Transport) addressOf(to relay.RelayID) netip.AddrPort {
+func (t *Transport) addressOf(to relay.ID) netip.AddrPort {
 	if to == relay.Broadcast {
 		return t.broadcastAddress
 	}
--- a/internal/peers/peers_test.go
+++ b/internal/peers/peers_test.go
@@ -124,7 +124,7 @@
 }
 
 // sendMessage has the transport send a message.
-func (f *fleet) sendMessage(to relay.RelayID, body string) {
+func (f *fleet) sendMessage(to relay.ID, body string) {
 	f.transport.SendMessage(relay.SendMessage{To: to, Body: []byte(body)})
 }
 
@@ -215,7 +215,7 @@
 		close(transport.sendQueue)
 	})
 	transport.Start()
-	f.sendMessage(relay.RelayID(len(peers)), "to a relay that is not listed")
+	f.sendMessage(relay.ID(len(peers)), "to a relay that is not listed")
 	f.sendMessage(2, "to another family of addresses")
 	f.sendMessage(relay.Broadcast, "to everyone")
 	f.sendMessage(1, "to one")
--- a/lab/fleet.go
+++ b/lab/fleet.go
@@ -415,7 +415,7 @@
 // node is one relay that runs: the real module, and its guard.
 type node struct {
 	f        *fleet
-	no       relay.RelayID
+	no       relay.ID
 	name     string
 	site     plan.SiteIndex
 	offset   float64 // of its clock
--- a/lab/scale/hollow.go
+++ b/lab/scale/hollow.go
@@ -76,7 +76,7 @@
 
 type tell struct {
 	class class
-	to    relay.RelayID
+	to    relay.ID
 	body  []byte
 }
 
@@ -252,7 +252,7 @@
 }
 
 // tell sends a datagram. One to all relays leaves as one: the address of all is the platform's.
-func (h *hollow) tell(c class, to relay.RelayID, body []byte) {
+func (h *hollow) tell(c class, to relay.ID, body []byte) {
 	h.meter.sent(c, len(body)+datagramOverhead)
 	if to == relay.Broadcast {
 		h.meter.classes[c].broadcasts++
--- a/lab/scale/release.go
+++ b/lab/scale/release.go
@@ -170,7 +170,7 @@
 }
 
 // vote takes a vote and says how it is answered.
-func (p *platform) vote(now float64, from relay.RelayID, weight float64, v relay.Vote) relay.VoteReply {
+func (p *platform) vote(now float64, from relay.ID, weight float64, v relay.Vote) relay.VoteReply {
 	if v.Build != p.news.Build || p.news.Phase == relay.PhaseRollingBack || p.news.Phase == relay.PhaseWithdrawn ||
 		p.news.Phase == relay.PhaseReleased && p.retireAt == never ||
 		v.Verdict != relay.VoteRollBack && (v.Stage != p.news.Stage || p.news.Phase == relay.PhaseReleased) {
--- a/lab/scale/topology.go
+++ b/lab/scale/topology.go
@@ -97,7 +97,7 @@
 type identity struct {
 	index   int // in the fleet
 	service *service
-	number  relay.RelayID // in its service
+	number  relay.ID // in its service
 	place
 	alive     bool
 	downSince float64
--- a/lab/scale/world.go
+++ b/lab/scale/world.go
@@ -74,7 +74,7 @@
 	first := min(hostedFirst, relays)
 	rest, sampled := relays-first, hosted-first
 	for no := range relays {
-		id := &identity{index: len(w.relays), service: s, number: relay.RelayID(no), place: p.place(), alive: true, weight: 1}
+		id := &identity{index: len(w.relays), service: s, number: relay.ID(no), place: p.place(), alive: true, weight: 1}
 		s.relays = append(s.relays, id)
 		w.relays = append(w.relays, id)
 		i := no - first
--- a/lab/week.go
+++ b/lab/week.go
@@ -399,7 +399,7 @@
 			hears[n] = true
 		}
 		for k, r := range s.Relays {
-			x := &node{f: f, no: relay.RelayID(k), name: r.Name, site: r.Site, hears: hears, rng: w.random("relay"+s.Name, k)}
+			x := &node{f: f, no: relay.ID(k), name: r.Name, site: r.Site, hears: hears, rng: w.random("relay"+s.Name, k)}
 			x.offset = between(x.rng, -1, 1) * o.Faults.Skew
 			x.weight = 1
 			if k%5 == 0 {
--- a/membership/bench_test.go
+++ b/membership/bench_test.go
@@ -63,7 +63,7 @@
 	f := &benchFleet{random: rand.New(rand.NewSource(1)), generation: 1, endpoints: endpoints, timerAt: make([]relay.Seconds, nodes)}
 	list := listOf(endpoints, f.generation)
 	for i := range nodes {
-		f.nodes = append(f.nodes, New(Settings{Self: relay.RelayID(i), Relays: nodes, PeerMessages: true, PollInterval: 10, Epoch: 1.7e9}, int64(i)))
+		f.nodes = append(f.nodes, New(Settings{Self: relay.ID(i), Relays: nodes, PeerMessages: true, PollInterval: 10, Epoch: 1.7e9}, int64(i)))
 		f.timerAt[i] = Never
 		f.at(watchWait*f.random.Float64(), i, PollAnswered{list})
 	}
@@ -110,7 +110,7 @@
 			f.bytes += float64(len(body) + datagramHeaders)
 			for i := range f.nodes {
 				if i != a.to {
-					f.at(a.at+minDelay+(maxDelay-minDelay)*f.random.Float64(), i, MessageReceived{relay.RelayID(a.to), body})
+					f.at(a.at+minDelay+(maxDelay-minDelay)*f.random.Float64(), i, MessageReceived{relay.ID(a.to), body})
 				}
 			}
 		}
--- a/membership/bus_test.go
+++ b/membership/bus_test.go
@@ -15,7 +15,7 @@
 
 // testSettings returns the settings of a node of a fleet that may send messages.
 func testSettings(self, relays int) Settings {
-	return Settings{Self: relay.RelayID(self), Relays: relays, PeerMessages: true, PollInterval: 60, Epoch: testEpoch}
+	return Settings{Self: relay.ID(self), Relays: relays, PeerMessages: true, PollInterval: 60, Epoch: testEpoch}
 }
 
 // fullList returns a full list of ready endpoints with the given ids.
@@ -184,7 +184,7 @@
 func (b *bus) deliver(event busEvent) {
 	for i := range b.relays {
 		if i != event.relay && (b.lost == nil || !b.lost(event.relay, i)) {
-			b.step(i, MessageReceived{From: relay.RelayID(event.relay), Body: event.body})
+			b.step(i, MessageReceived{From: relay.ID(event.relay), Body: event.body})
 		}
 	}
 }
--- a/membership/event.go
+++ b/membership/event.go
@@ -32,7 +32,7 @@
 
 // MessageReceived is a datagram of another relay for which IsMessage holds.
 type MessageReceived struct {
-	From relay.RelayID
+	From relay.ID
 	Body []byte // not retained
 }
 
--- a/membership/gossip_test.go
+++ b/membership/gossip_test.go
@@ -61,7 +61,7 @@
 	}
 	sent, datagrams := 0, 0
 	for ms := range seconds * 1000 {
-		received := MessageReceived{relay.RelayID(1 + random.Intn(299)), bodies[random.Intn(len(bodies))]}
+		received := MessageReceived{relay.ID(1 + random.Intn(299)), bodies[random.Intn(len(bodies))]}
 		for _, body := range n.Step(relay.Seconds(ms)/1000, received).Messages {
 			sent += len(body) + datagramHeaderBytes
 			datagrams++
--- a/membership/membership.go
+++ b/membership/membership.go
@@ -21,7 +21,7 @@
 
 // Settings configure a node. They do not change after New.
 type Settings struct {
-	Self         relay.RelayID // this relay
+	Self         relay.ID      // this relay
 	Relays       int           // in the fleet, this one included
 	PeerMessages bool          // relays may send one another datagrams
 	PollInterval relay.Seconds // for which a relay without a watch may act on its list; 0: unlimited
@@ -57,7 +57,7 @@
 
 	poll       pollState
 	gossip     gossip
-	assemblies map[relay.RelayID]*assembly
+	assemblies map[relay.ID]*assembly
 	counters   Counters
 }
 
@@ -86,7 +86,7 @@
 		confirmedAt:      Never,
 		newestGeneration: noGeneration,
 		gossip:           newGossip(),
-		assemblies:       map[relay.RelayID]*assembly{},
+		assemblies:       map[relay.ID]*assembly{},
 	}
 }
 
--- a/membership/receive.go
+++ b/membership/receive.go
@@ -80,7 +80,7 @@
 
 // receiveNewerVersion handles a message of a peer with a newer list. A delta from the list held here is applied; otherwise
 // a heartbeat with this node's version asks for one.
-func (n *Node) receiveNewerVersion(from relay.RelayID, m message, answeredAt relay.Seconds) {
+func (n *Node) receiveNewerVersion(from relay.ID, m message, answeredAt relay.Seconds) {
 	if m.delta == nil || m.delta.base != n.version {
 		n.gossip.scheduleHeartbeat(n, deltaBackoff)
 		return
@@ -102,7 +102,7 @@
 }
 
 // assemble records one datagram of a delta, and reports whether it was the last one missing.
-func (n *Node) assemble(from relay.RelayID, m message) (complete bool) {
+func (n *Node) assemble(from relay.ID, m message) (complete bool) {
 	a := n.assemblies[from]
 	sameDelta := a != nil && a.base == m.delta.base && a.target == m.version && a.parts == m.delta.parts
 	if !sameDelta {
--- a/membership/simulation_test.go
+++ b/membership/simulation_test.go
@@ -128,7 +128,7 @@
 			}
 			s.after(delay, func() {
 				if host := s.relays[to]; !host.stopped {
-					s.step(host, MessageReceived{relay.RelayID(from.number), body})
+					s.step(host, MessageReceived{relay.ID(from.number), body})
 				}
 			})
 		}
--- a/policy/aggregator.go
+++ b/policy/aggregator.go
@@ -68,9 +68,9 @@
 }
 
 // members returns the relays that aggregate: the lowest-numbered few that were heard of lately.
-func (a *aggregator) members() (members []relay.RelayID) {
+func (a *aggregator) members() (members []relay.ID) {
 	for i := 0; i < a.p.settings.Relays && len(members) < aggregatorCount; i++ {
-		peer, id := &a.peers[i], relay.RelayID(i)
+		peer, id := &a.peers[i], relay.ID(i)
 		if peer.expectedSince == 0 {
 			peer.expectedSince = a.p.now
 		}
@@ -83,7 +83,7 @@
 }
 
 // reportReceived keeps a relay's last report, and passes the ends of its attempts on to the endpoints.
-func (a *aggregator) reportReceived(from relay.RelayID, report peerwire.Report) {
+func (a *aggregator) reportReceived(from relay.ID, report peerwire.Report) {
 	if int(from) >= len(a.peers) {
 		return
 	}
@@ -101,7 +101,7 @@
 
 // decisionReceived keeps an aggregator's last decision, and its latency ratios where this relay learns none
 // of its own.
-func (a *aggregator) decisionReceived(from relay.RelayID, decision peerwire.Decision) {
+func (a *aggregator) decisionReceived(from relay.ID, decision peerwire.Decision) {
 	if int(from) >= len(a.peers) {
 		return
 	}
--- a/policy/bench_test.go
+++ b/policy/bench_test.go
@@ -14,15 +14,15 @@
 
 const (
 	roundSpan    = 0.01   // s from one Step to the next
-	attemptTime  = 0.15   // s that a attempt takes
-	warmUpTime   = 12.0   // s before the clock of a benchmark runs: the evidence window is full then
+	attemptTime  = 0.15   // s that an attempt takes
+	settleTime   = 12.0   // s before the clock of a benchmark runs: the evidence window is full then
 	maxReports   = 50_000 // reports made before the clock runs, at most
 	reportRounds = 10     // seconds after which a relay says the same again
 	ipAndUDP     = 20 + 8 // bytes of a datagram's headers
 	megabyte     = 1_000_000
 )
 
-// openAttempt is a attempt that will be succeeded.
+// openAttempt is an attempt that will be succeeded.
 type openAttempt struct {
 	request  relay.RequestID
 	endpoint relay.EndpointID
@@ -109,14 +109,14 @@
 			for i := d.round % rounds; i < d.set.Relays; i += rounds {
 				for k := 0; k < l.each && i != int(d.set.Self); k++ {
 					body := l.reports[((d.round/rounds)*d.set.Relays*l.each+i*l.each+k)%len(l.reports)]
-					d.events = append(d.events, relay.MessageReceived{From: relay.RelayID(i), Body: body})
+					d.events = append(d.events, relay.MessageReceived{From: relay.ID(i), Body: body})
 				}
 			}
 		}
 		if l.decisions != nil && d.round%rounds == 0 {
 			for i := range min(aggregatorCount, d.set.Relays) {
 				if i != int(d.set.Self) {
-					d.events = append(d.events, relay.MessageReceived{From: relay.RelayID(i), Body: l.decisions})
+					d.events = append(d.events, relay.MessageReceived{From: relay.ID(i), Body: l.decisions})
 				}
 			}
 		}
@@ -165,7 +165,7 @@
 // fleetOf are the settings of one of so many relays.
 func fleetOf(relays, self int) relay.Settings {
 	set := plainSettings()
-	set.Relays, set.Self = relays, relay.RelayID(self)
+	set.Relays, set.Self = relays, relay.ID(self)
 	return set
 }
 
@@ -228,7 +228,7 @@
 	}
 }
 
-// BenchmarkQuery is the choice of a endpoint for a request, and the end of its attempt.
+// BenchmarkQuery is the choice of an endpoint for a request, and the end of its attempt.
 func BenchmarkQuery(b *testing.B) {
 	for _, endpoints := range endpointCounts {
 		b.Run(fmt.Sprintf("units=%d", endpoints), func(b *testing.B) {
@@ -265,7 +265,7 @@
 				d.now += tickInterval
 				events := []relay.Event{relay.TimerFired{ID: 1}}
 				if no++; no%20 == 1 {
-					for i := range relay.RelayID(aggregatorCount) {
+					for i := range relay.ID(aggregatorCount) {
 						events = append(events, relay.MessageReceived{From: i, Body: decisions})
 					}
 				}
@@ -280,7 +280,7 @@
 
 // second times seconds of a relay's life under a load, after a warm-up, and tells its heap and what it sent.
 func runSeconds(b *testing.B, d *driver, l benchLoad, before float64, aggregates bool) {
-	d.run(warmUpTime, l)
+	d.run(settleTime, l)
 	d.messages, d.bytes, d.rejected = 0, 0, 0
 	seconds := 0.0
 	for b.Loop() {
@@ -421,7 +421,7 @@
 			no := 0
 			for b.Loop() {
 				d.now += 1.0 / 4300
-				d.step([]relay.Event{relay.MessageReceived{From: relay.RelayID(1 + no%4299), Body: bodies[no%len(bodies)]}})
+				d.step([]relay.Event{relay.MessageReceived{From: relay.ID(1 + no%4299), Body: bodies[no%len(bodies)]}})
 				no++
 			}
 		})
--- a/policy/exposure_test.go
+++ b/policy/exposure_test.go
@@ -53,7 +53,7 @@
 			asked[tenant]++
 			for _, s := range w.sent[before:] {
 				if s.Endpoint == 4 && scoped {
-					t.Fatal("a attempt at a build after the scope's")
+					t.Fatal("an attempt at a build after the scope's")
 				}
 				if s.Endpoint == 3 {
 					attempts[tenant]++
@@ -91,8 +91,8 @@
 // part of the load, while attempts are quick; where attempts take most of their due time, an even part stays.
 func TestBuildBesideTheEarlierOne(t *testing.T) {
 	for _, c := range []struct {
-		newer             int
-		took, least, most float64
+		newer                    int
+		took, minShare, maxShare float64
 	}{{6, 0.1, 0.44, 0.6}, {6, 0.6, 0.25, 0.47}, {12, 0.1, 0.74, 0.82}} {
 		set := plainSettings()
 		set.Rollout.PromoteQuorum, set.Rollout.RollBackQuorum = 9, 9
@@ -107,8 +107,8 @@
 		w.sent = nil
 		w.run(9, w.thin(12))
 		all := len(w.sent)
-		if share := float64(w.attemptsAt(6, w.sent)) / float64(all); share < c.least || share > c.most {
-			t.Errorf("attempts of %.1f s: %.2f of %d attempts at %d machines beside 12, wanted %.2f to %.2f", c.took, share, all, c.newer, c.least, c.most)
+		if share := float64(w.attemptsAt(6, w.sent)) / float64(all); share < c.minShare || share > c.maxShare {
+			t.Errorf("attempts of %.1f s: %.2f of %d attempts at %d machines beside 12, wanted %.2f to %.2f", c.took, share, all, c.newer, c.minShare, c.maxShare)
 		}
 	}
 }
--- a/policy/fleet_test.go
+++ b/policy/fleet_test.go
@@ -35,7 +35,7 @@
 						Newest: k%2 == 0, Ratio: 1})
 				}
 				if i != int(set.Self) {
-					out = append(out, relay.MessageReceived{From: relay.RelayID(i), Body: m.Encode()})
+					out = append(out, relay.MessageReceived{From: relay.ID(i), Body: m.Encode()})
 				}
 			}
 			no++
@@ -105,7 +105,7 @@
 	}
 }
 
-// TestPartialEntryKeepsWhatIsKnown drains a endpoint by an entry of which nothing but that could be read.
+// TestPartialEntryKeepsWhatIsKnown drains an endpoint by an entry of which nothing but that could be read.
 func TestPartialEntryKeepsWhatIsKnown(t *testing.T) {
 	p := New(plainSettings(), 1)
 	es := entries(2, 7, 1)
--- a/policy/fusion_test.go
+++ b/policy/fusion_test.go
@@ -33,7 +33,7 @@
 		relay.RolloutStatus{Valid: true, Build: 6, Stage: 1, ExposureLimit: 0.4}})
 	for i, v := range verdicts {
 		m := peerwire.Report{Build: 6, Stage: 1, Verdicts: []peerwire.ClassVerdict{v.ClassVerdict, {}, {}}, Observations: v.observations}
-		p.Step(1, []relay.Event{relay.MessageReceived{From: relay.RelayID(i), Body: m.Encode()}})
+		p.Step(1, []relay.Event{relay.MessageReceived{From: relay.ID(i), Body: m.Encode()}})
 	}
 	return p
 }
@@ -125,7 +125,7 @@
 	set, at := plainSettings(), make([]int, 10)
 	set.Relays = 60
 	for i := 0; i < set.Relays; i++ {
-		set.Self = relay.RelayID(i)
+		set.Self = relay.ID(i)
 		w := newWorld(t, set)
 		w.mod = New(set, int64(i))
 		w.step(relay.ListUpdate{Kind: relay.ListFull, Endpoints: entries(8, 5, 1)},
--- a/policy/mailbox.go
+++ b/policy/mailbox.go
@@ -39,7 +39,7 @@
 
 	// peerReport is the report of a relay, this one included.
 	peerReport struct {
-		from   relay.RelayID
+		from   relay.ID
 		report peerwire.Report
 	}
 )
--- a/policy/requests_test.go
+++ b/policy/requests_test.go
@@ -19,7 +19,7 @@
 }
 
 // TestEndOfTheLeaseRejectsAtOnce lets the lease on the list end: what comes then is rejected in the same step, with a time to
-// come back, and what waits without a attempt in the next one. No attempt waits for its connection beyond the lease. A new lease
+// come back, and what waits without an attempt in the next one. No attempt waits for its connection beyond the lease. A new lease
 // has requests served again.
 func TestEndOfTheLeaseRejectsAtOnce(t *testing.T) {
 	set := plainSettings()
--- a/policy/scenario_test.go
+++ b/policy/scenario_test.go
@@ -67,7 +67,7 @@
 	return false
 }
 
-// ending says how a attempt sent to a endpoint at some time ends, and after how long.
+// ending says how an attempt sent to an endpoint at some time ends, and after how long.
 type attemptEnding func(u relay.Endpoint, at relay.Seconds) (relay.Outcome, relay.Seconds)
 
 // fails lets every kth attempt that hits fail after took; all others are answered.
--- a/policy/slowstart_test.go
+++ b/policy/slowstart_test.go
@@ -24,7 +24,7 @@
 	var worlds []*world
 	es := entries(fleet, 5, 1)
 	for i := range rates {
-		set.Self = relay.RelayID(i)
+		set.Self = relay.ID(i)
 		w := newWorld(t, set)
 		w.outcomeOf = func(_ *worldRequest, attempt *worldAttempt) relay.Outcome { // the endpoint that will start anew is by far the quickest
 			if attempt.end = w.now + 0.5; attempt.endpoint.ID == 1 {
--- a/policy/votes_test.go
+++ b/policy/votes_test.go
@@ -58,8 +58,8 @@
 // Relays that held old status cast a vote on what was past twice a second, all of them, and filled the platform.
 func TestStaleVoteIsNotRepeated(t *testing.T) {
 	for _, c := range []struct {
-		reply       relay.VoteReply
-		least, most int
+		reply              relay.VoteReply
+		minVotes, maxVotes int
 	}{{relay.ReplyStale, 1, 2}, {relay.ReplyNotCounted, 4, 12}} {
 		w := newWorld(t, plainSettings())
 		w.step(relay.ListUpdate{Kind: relay.ListFull, Endpoints: append(entries(8, 5, 1), entries(8, 6, 20)...)},
@@ -72,8 +72,8 @@
 			}
 			return events
 		})
-		if n := len(w.votes); n < c.least || n > c.most {
-			t.Errorf("reply %d: %d votes in nine seconds, wanted %d to %d", c.reply, n, c.least, c.most)
+		if n := len(w.votes); n < c.minVotes || n > c.maxVotes {
+			t.Errorf("reply %d: %d votes in nine seconds, wanted %d to %d", c.reply, n, c.minVotes, c.maxVotes)
 		}
 	}
 }
--- a/policy/world_test.go
+++ b/policy/world_test.go
@@ -40,7 +40,7 @@
 	limitSince     relay.Seconds // when the present cap began to bind
 	previousLimit  float64       // the cap that it replaced
 	keys           map[relay.Key]relay.Build
-	outcomeOf      func(request *worldRequest, attempt *worldAttempt) relay.Outcome // how a attempt will end
+	outcomeOf      func(request *worldRequest, attempt *worldAttempt) relay.Outcome // how an attempt will end
 	sent           []relay.SendAttempt
 	votes          []relay.Vote
 	rejected       int
@@ -80,92 +80,89 @@
 	return w
 }
 
-// step delivers events at the present time and carries out the orders.
+// worldBatch is what a batch of events brings that binds from the next batch on.
+type worldBatch struct {
+	finished  []*worldRequest // reported to the module as finished
+	succeeded map[relay.Key]relay.Build
+}
+
+// step delivers events at the present time, carries out the commands and checks the rules.
 func (w *world) step(events ...relay.Event) {
-	honoured := map[relay.Key]relay.Build{}
-	var reported []*worldRequest // as over, in this batch: it binds from the next
-	for _, e := range events {
-		switch e := e.(type) {
-		case relay.Request:
-			w.requests[e.ID] = &worldRequest{Request: e}
-			w.accepted = append(w.accepted, worldMark{w.now, 0, e.Class})
-		case relay.AttemptEnded:
-			request := w.requests[e.Request]
-			if e.RequestFinished {
-				reported = append(reported, request)
-			}
-			if e.Outcome == relay.Succeeded && request.Key != 0 {
-				honoured[request.Key] = max(honoured[request.Key], request.attempts[e.Attempt].endpoint.Build)
-			}
-		case relay.ClientDisconnected:
-			if request := w.requests[e.Request]; request != nil {
-				reported = append(reported, request)
-			}
-		case relay.ListUpdate:
-			w.listUpdated(e)
-		case relay.RolloutStatus:
-			w.statusReceived(e)
-		}
+	batch := worldBatch{succeeded: map[relay.Key]relay.Build{}}
+	for _, event := range events {
+		w.happened(event, &batch)
 	}
-	for _, o := range w.mod.Step(w.now, events) {
-		switch o := o.(type) {
-		case relay.SendAttempt:
-			w.sendAttempt(o)
-		case relay.Reject:
-			request := w.final(o.Request)
-			w.rejected++
-			for _, attempt := range request.attempts {
-				c := w.set.Classes[request.Class]
-				if maybe := !attempt.done || !attempt.outcome.NeverRan(); maybe && (c.Idempotency == relay.AtMostOnce ||
-					c.Idempotency == relay.IdempotencyKeyed && c.DedupScope != relay.DedupAll) {
-					w.t.Fatalf("%v: rejected request %d, which may have run", w.now, request.ID)
-				}
-			}
-		case relay.Fail:
-			w.final(o.Request)
-		case relay.CancelUnsent:
-			w.requests[o.Request].attempts[o.Attempt].cancelledUnsent = true
-		case relay.SetTimer:
-			w.timers = append(w.timers, o)
-		case relay.CancelAttempt:
-			if !w.set.Limits.CancelAttempts || int(o.Attempt) >= len(w.requests[o.Request].attempts) {
-				w.t.Fatalf("%v: cancel not allowed", w.now)
-			}
-			w.requests[o.Request].attempts[o.Attempt].cancelled = true
-		case relay.HealthCheck:
-			if !w.set.Limits.HealthChecks {
-				w.t.Fatalf("probe not allowed")
-			}
-		case relay.SendMessage:
-			if !w.set.Limits.PeerMessages || len(o.Body) > 256 {
-				w.t.Fatalf("message not allowed, or of %d bytes", len(o.Body))
-			}
-			w.reportTimes = append(w.reportTimes, w.now)
-		case relay.Vote:
-			w.votes = append(w.votes, o)
-		}
+	for _, command := range w.mod.Step(w.now, events) {
+		w.carryOut(command)
 	}
-	for _, e := range events { // the newest build's cap fell: attempts that have not gone yet are under it too
-		n, ok := e.(relay.RolloutStatus)
-		for _, request := range w.requests {
-			for _, attempt := range request.attempts {
-				if ok && n.Valid && n.ExposureLimit == 0 && n.Build == w.status.Build && attempt.endpoint.Build == n.Build && attempt.at < w.now &&
-					w.limitSince == w.now && !attempt.done && !attempt.cancelledUnsent {
-					w.t.Fatalf("%v: a attempt to build %d may still go after its cap fell", w.now, n.Build)
-				}
-			}
-		}
+	for _, event := range events {
+		w.checkUnsentCancelled(event)
 	}
-	for _, request := range reported {
+	for _, request := range batch.finished {
 		request.finished = true
 	}
-	for k, b := range honoured {
-		w.keys[k] = max(w.keys[k], b)
+	for key, build := range batch.succeeded {
+		w.keys[key] = max(w.keys[key], build)
 	}
-	for id := relay.RequestID(0); id < w.next; id++ {
-		if request := w.requests[id]; request != nil && !request.finished && w.now > request.Deadline+w.set.Rules.AnswerSlack {
-			w.t.Fatalf("%v: request %d has no final answer, deadline ended at %v", w.now, id, request.Deadline)
+	w.checkAnswers()
+}
+
+// happened takes an event into the world's own state.
+func (w *world) happened(event relay.Event, batch *worldBatch) {
+	switch event := event.(type) {
+	case relay.Request:
+		w.requests[event.ID] = &worldRequest{Request: event}
+		w.accepted = append(w.accepted, worldMark{w.now, 0, event.Class})
+	case relay.AttemptEnded:
+		request := w.requests[event.Request]
+		if event.RequestFinished {
+			batch.finished = append(batch.finished, request)
 		}
+		if event.Outcome == relay.Succeeded && request.Key != 0 {
+			build := request.attempts[event.Attempt].endpoint.Build
+			batch.succeeded[request.Key] = max(batch.succeeded[request.Key], build)
+		}
+	case relay.ClientDisconnected:
+		if request := w.requests[event.Request]; request != nil {
+			batch.finished = append(batch.finished, request)
+		}
+	case relay.ListUpdate:
+		w.listUpdated(event)
+	case relay.RolloutStatus:
+		w.statusReceived(event)
+	}
+}
+
+// carryOut carries out a command, and checks that it is allowed.
+func (w *world) carryOut(command relay.Command) {
+	switch command := command.(type) {
+	case relay.SendAttempt:
+		w.sendAttempt(command)
+	case relay.Reject:
+		w.rejected++
+		w.checkRejection(w.final(command.Request))
+	case relay.Fail:
+		w.final(command.Request)
+	case relay.CancelUnsent:
+		w.requests[command.Request].attempts[command.Attempt].cancelledUnsent = true
+	case relay.SetTimer:
+		w.timers = append(w.timers, command)
+	case relay.CancelAttempt:
+		if !w.set.Limits.CancelAttempts || int(command.Attempt) >= len(w.requests[command.Request].attempts) {
+			w.t.Fatalf("%v: cancel not allowed", w.now)
+		}
+		w.requests[command.Request].attempts[command.Attempt].cancelled = true
+	case relay.HealthCheck:
+		if !w.set.Limits.HealthChecks {
+			w.t.Fatalf("health check not allowed")
+		}
+	case relay.SendMessage:
+		if !w.set.Limits.PeerMessages || len(command.Body) > 256 {
+			w.t.Fatalf("message not allowed, or of %d bytes", len(command.Body))
+		}
+		w.reportTimes = append(w.reportTimes, w.now)
+	case relay.Vote:
+		w.votes = append(w.votes, command)
 	}
 }
 
@@ -218,37 +215,23 @@
 	w.status = &n
 }
 
-// attempt checks rules 1, 2, 3 and 5 for one attempt, and draws how it ends.
-func (w *world) sendAttempt(o relay.SendAttempt) {
-	request, u := w.requests[o.Request], w.endpoints[o.Endpoint]
-	if request == nil || u == nil || request.finished {
-		w.t.Fatalf("%v: a attempt of request %d, unknown or over, or to an unknown endpoint", w.now, o.Request)
+// sendAttempt checks the rules for one attempt, and draws how it ends.
+func (w *world) sendAttempt(command relay.SendAttempt) {
+	request, endpoint := w.requests[command.Request], w.endpoints[command.Endpoint]
+	if request == nil || endpoint == nil || request.finished {
+		w.t.Fatalf("%v: an attempt of request %d, unknown or over, or to an unknown endpoint", w.now, command.Request)
 	}
-	if u.State != relay.Ready && w.now > u.notReadySince+w.set.Rules.DrainGrace {
-		w.t.Fatalf("%v: a attempt to a endpoint told as not ready at %v", w.now, u.notReadySince)
+	if endpoint.State != relay.Ready && w.now > endpoint.notReadySince+w.set.Rules.DrainGrace {
+		w.t.Fatalf("%v: an attempt to an endpoint reported as not ready at %v", w.now, endpoint.notReadySince)
 	}
-	c := w.set.Classes[request.Class]
-	for _, attempt := range request.attempts {
-		if !attempt.done && !w.set.Limits.HedgedRequests {
-			w.t.Fatalf("%v: two attempts of request %d at once", w.now, request.ID)
-		}
-		if attempt.done && attempt.outcome.NeverRan() || c.Idempotency == relay.Idempotent {
-			continue
-		}
-		same := c.DedupScope == relay.DedupAll || c.DedupScope == relay.DedupZone && attempt.endpoint.Zone == u.Zone ||
-			c.DedupScope == relay.DedupFailureDomain && attempt.endpoint.FailureDomain == u.FailureDomain
-		if c.Idempotency == relay.AtMostOnce || !same || w.now > attempt.at+c.DedupWindow {
-			w.t.Fatalf("%v: request %d may run twice", w.now, request.ID)
-		}
-		if o.SendBy <= 0 || o.SendBy > attempt.at+c.DedupWindow { // it may wait for a connection until then, and be written later
-			w.t.Fatalf("%v: request %d may be written until %v, its window ends at %v", w.now, request.ID, o.SendBy, attempt.at+c.DedupWindow)
-		}
+	for _, earlier := range request.attempts {
+		w.checkRetry(request, earlier, endpoint, command.SendBy)
 	}
 	if len(request.attempts) >= w.set.Limits.MaxAttempts {
 		w.t.Fatalf("%v: too many attempts", w.now)
 	}
-	w.exposure(request, u.Endpoint)
-	attempt := &worldAttempt{endpoint: u.Endpoint, at: w.now}
+	w.checkExposure(request, endpoint.Endpoint)
+	attempt := &worldAttempt{endpoint: endpoint.Endpoint, at: w.now}
 	attempt.outcome = w.outcomeOf(request, attempt)
 	request.attempts = append(request.attempts, attempt)
 	if attempt.end == 0 {
@@ -257,47 +240,7 @@
 	if attempt.end >= request.Deadline {
 		attempt.end, attempt.outcome = request.Deadline, relay.TimedOut
 	}
-	w.sent = append(w.sent, o)
-}
-
-func (w *world) exposure(request *worldRequest, u relay.Endpoint) {
-	ro := w.set.Rollout
-	if n := w.status; n != nil && ro.StickyKeys && request.Key != 0 && w.keys[request.Key] == n.Build && u.Build < n.Build &&
-		(n.Phase == relay.PhaseCanary || n.Phase == relay.PhaseReleased) {
-		w.t.Fatalf("%v: key %d was rolled back to build %d", w.now, request.Key, u.Build)
-	}
-	cap, stage, since := 0.0, relay.Stage(0), -1.0
-	switch {
-	case w.status == nil || u.Build < w.status.Build || u.Build == w.status.Build && w.status.Phase == relay.PhaseReleased:
-		return
-	case u.Build > w.status.Build:
-		cap = ro.ExposureLimits[0]
-	default:
-		cap, stage = w.status.ExposureLimit, w.status.Stage
-		if w.now <= w.limitSince+w.set.Rules.DrainGrace {
-			cap = w.previousLimit
-		} else if w.limitSince >= 0 {
-			since = w.limitSince + w.set.Rules.DrainGrace
-		}
-	}
-	if int(stage) < ro.IdempotentOnlyStages && w.set.Classes[request.Class].Idempotency != relay.Idempotent {
-		w.t.Fatalf("%v: an effect at a guarded stage", w.now)
-	}
-	w.canaryAttempts = append(w.canaryAttempts, worldMark{w.now, u.Build, request.Class})
-	attempts, taken := 0.0, 0.0
-	for _, m := range w.canaryAttempts {
-		if m.at > max(w.now-ro.ExposureWindow, since) && m.build == u.Build && (!ro.PerClass || m.class == request.Class) {
-			attempts++
-		}
-	}
-	for _, m := range w.accepted {
-		if m.at > w.now-ro.ExposureWindow && (!ro.PerClass || m.class == request.Class) {
-			taken++
-		}
-	}
-	if attempts > ro.ExposureAllowance+cap*taken+1e-6 || cap == 0 {
-		w.t.Fatalf("%v: %v attempts at build %d on trial, cap %v of %v", w.now, attempts, u.Build, cap, taken)
-	}
+	w.sent = append(w.sent, command)
 }
 
 // due collects what has come about by now: wake-ups and ends of attempts.
@@ -400,7 +343,7 @@
 	s := plainSettings()
 	pick := func(name string) bool { return rapid.Bool().Draw(t, name) }
 	s.Relays = rapid.IntRange(1, 6).Draw(t, "relays")
-	s.Self = relay.RelayID(rapid.IntRange(0, s.Relays-1).Draw(t, "self"))
+	s.Self = relay.ID(rapid.IntRange(0, s.Relays-1).Draw(t, "self"))
 	s.ListOnRequest = pick("ask")
 	for i := range s.Classes {
 		s.Classes[i].DedupScope = relay.DedupScope(rapid.IntRange(0, 2).Draw(t, fmt.Sprint("group", i)))
--- a/relay/commands.go
+++ b/relay/commands.go
@@ -49,7 +49,7 @@
 
 	// SendMessage sends a message to one relay, or to all others (Broadcast).
 	SendMessage struct {
-		To   RelayID
+		To   ID
 		Body []byte
 	}
 
--- a/relay/events.go
+++ b/relay/events.go
@@ -71,7 +71,7 @@
 
 	// MessageReceived is a message of another relay.
 	MessageReceived struct {
-		From RelayID
+		From ID
 		Body []byte
 	}
 
--- a/relay/ids.go
+++ b/relay/ids.go
@@ -6,8 +6,8 @@
 	RequestID uint32
 	// EndpointID names one server of the endpoint list. It survives a restart of the server's process.
 	EndpointID uint64
-	// RelayID numbers the relays of the fleet, from 0.
-	RelayID uint32
+	// ID numbers the relays of the fleet, from 0.
+	ID uint32
 	// RequestClass is the index of a request's class in Settings.Classes.
 	RequestClass int
 	// Tenant is the index of a request's tenant in Settings.Tenants.
@@ -33,4 +33,4 @@
 )
 
 // Broadcast addresses a SendMessage to all other relays.
-const Broadcast RelayID = 1<<32 - 1
+const Broadcast ID = 1<<32 - 1
--- a/relay/settings.go
+++ b/relay/settings.go
@@ -38,7 +38,7 @@
 
 // Settings are what an instance is given once, at its start. A zero value means that the deployment does not name it.
 type Settings struct {
-	Self                    RelayID
+	Self                    ID
 	Relays                  int // relays of the fleet
 	Zone                    Zone
 	Classes                 []ClassSettings
--- a/settings/settings.go
+++ b/settings/settings.go
@@ -59,7 +59,7 @@
 
 func (w *wireSettings) settings() relay.Settings {
 	s := relay.Settings{
-		Self:                    relay.RelayID(w.Self),
+		Self:                    relay.ID(w.Self),
 		Relays:                  w.Relays,
 		Zone:                    relay.Zone(w.Zone),
 		Classes:                 w.classes(),
