--- a/cmd/lichenroad/platform_test.go
+++ b/cmd/lichenroad/platform_test.go
@@ -1,6 +1,7 @@
 package main
 
 import (
+	"errors"
 	"fmt"
 	"io"
 	"strings"
@@ -107,7 +108,7 @@
 	old := <-d.conns
 	settled(t, p, metrics.RolloutStatuses, 2) // no keep-alive came
 	old.SetDeadline(time.Now().Add(testTimeout))
-	if _, err := old.Read(make([]byte, 1)); err != io.EOF {
+	if _, err := old.Read(make([]byte, 1)); !errors.Is(err, io.EOF) {
 		t.Error("the stalled connection is kept:", err)
 	}
 }
--- a/cmd/lichenroad/reload_test.go
+++ b/cmd/lichenroad/reload_test.go
@@ -2,6 +2,7 @@
 
 import (
 	"bufio"
+	"errors"
 	"fmt"
 	"io"
 	"net"
@@ -148,7 +149,7 @@
 	settled(t, p, metrics.VotesCounted, 1)
 	fmt.Fprint(watch, "*\r\n")
 	watch.SetDeadline(time.Now().Add(testTimeout))
-	if _, err := watch.Read(make([]byte, 1)); err != io.EOF {
+	if _, err := watch.Read(make([]byte, 1)); !errors.Is(err, io.EOF) {
 		t.Error("the watch at the old address is kept:", err)
 	}
 	if len(old.lines) != 0 || p.loop.Metrics.Get(metrics.VotesMaybeCounted) != 0 {
--- a/cmd/lichenroad/serve.go
+++ b/cmd/lichenroad/serve.go
@@ -77,7 +77,7 @@
 		}
 	}()
 	p.loop.Run(p.stop)
-	p.clients.Close()
+	_ = p.clients.Close() // a shutdown may have closed the listener before, and the process ends here
 	log.WithFields(counters.Fields()).Info("counters")
 	if err := p.listenErr.Load(); err != nil {
 		return *err
--- a/cmd/lichenroad/size_test.go
+++ b/cmd/lichenroad/size_test.go
@@ -61,7 +61,7 @@
 		for i := range count {
 			c.Peers = append(c.Peers, fmt.Sprintf("127.0.%d.%d:9", 1+i/256, i%256))
 		}
-		c.PeersAll, c.Site.Settings.Relays, c.Site.Settings.Limits.PeerMessages = "127.0.9.9:9", count, true
+		c.PeersAll, c.Site.Relays, c.Site.Limits.PeerMessages = "127.0.9.9:9", count, true
 	})
 	c := dialClient(t, p)
 	c.until('Z')
--- a/cmd/lichenroad/tools_test.go
+++ b/cmd/lichenroad/tools_test.go
@@ -8,6 +8,7 @@
 	"os"
 	"os/exec"
 	"path/filepath"
+	"slices"
 	"strings"
 	"testing"
 	"time"
@@ -296,56 +297,87 @@
 	}
 }
 
-func TestSweeps(t *testing.T) {
+const sampleTrace = "../../trace/testdata/alibaba-2018.csv"
+
+// sweeper calls lab sweep on the sample trace, and reads its result.
+type sweeper struct {
+	t    *testing.T
+	dir  string
+	file string
+	args []string
+}
+
+func newSweeper(t *testing.T) sweeper {
 	dir := t.TempDir()
-	sample, file := "../../trace/testdata/alibaba-2018.csv", filepath.Join(dir, "sweep.json")
-	words := []string{"lab", "sweep", sample, "--layout", "alibaba-2018", "--mapping", "../../deploy/mapping.xml", "--seeds", "3", "--json", file}
-	code, out, errs := call(append(words, "--vary", "planners=2,8")...)
-	if code != 0 || !strings.Contains(out, "planners=8 against planners=2") || !strings.Contains(out, "worst_10s") {
-		t.Errorf("%d %s %s", code, out, errs)
-	}
-	var got sweepResult
-	if raw, err := os.ReadFile(file); err != nil || json.Unmarshal(raw, &got) != nil || len(got.Runs) != 6 {
-		t.Errorf("%v %d runs", err, len(got.Runs))
+	file := filepath.Join(dir, "sweep.json")
+	args := []string{"lab", "sweep", sampleTrace, "--layout", "alibaba-2018", "--mapping", "../../deploy/mapping.xml",
+		"--seeds", "3", "--json", file}
+	return sweeper{t, dir, file, args}
+}
+
+// sweep varies one thing, and wants so many runs of which none breaks a rule.
+func (s sweeper) sweep(runs int, args ...string) (result sweepResult, out string) {
+	s.t.Helper()
+	code, out, errs := call(append(slices.Clone(s.args), args...)...)
+	raw, err := os.ReadFile(s.file)
+	if code != 0 || err != nil || json.Unmarshal(raw, &result) != nil || len(result.Runs) != runs {
+		s.t.Fatalf("%v: %d %v %d runs\n%s %s", args, code, err, len(result.Runs), out, errs)
 	}
-	for _, r := range got.Runs {
+	for _, r := range result.Runs {
 		if r.Metrics["broken"] != 0 {
-			t.Errorf("%+v", r)
+			s.t.Errorf("%v: %+v", args, r)
 		}
 	}
-	for _, m := range []string{"random", "least-in-flight"} { // the baselines keep the rules too
-		code, out, errs := call(append(words, "--vary", "module=policy,"+m)...)
-		raw, _ := os.ReadFile(file)
-		if got = (sweepResult{}); code != 0 || json.Unmarshal(raw, &got) != nil {
-			t.Errorf("%d %s %s", code, out, errs)
-		}
-		for _, r := range got.Runs {
-			if r.Metrics["broken"] != 0 || r.Metrics["service"] < 0.5 {
+	return result, out
+}
+
+func TestSweepOfPlanners(t *testing.T) {
+	_, out := newSweeper(t).sweep(6, "--vary", "planners=2,8")
+	if !strings.Contains(out, "planners=8 against planners=2") || !strings.Contains(out, "worst_10s") {
+		t.Error(out)
+	}
+}
+
+// TestSweepOfModules: the baselines keep the rules too.
+func TestSweepOfModules(t *testing.T) {
+	for _, m := range []string{"random", "least-in-flight"} {
+		result, _ := newSweeper(t).sweep(6, "--vary", "module=policy,"+m)
+		for _, r := range result.Runs {
+			if r.Metrics["service"] < 0.5 {
 				t.Errorf("%+v", r)
 			}
 		}
 	}
-	code, out, errs = call(append(words, "--vary", "fault="+strings.Join(lab.Troubles(), ","), "--report", dir)...)
-	raw, _ := os.ReadFile(file)
-	if got = (sweepResult{}); code != 0 || json.Unmarshal(raw, &got) != nil || len(got.Runs) != 3*len(lab.Troubles()) {
-		t.Errorf("%d %s %s", code, out, errs)
-	}
-	for _, r := range got.Runs { // no trouble brings the module to break a rule
-		if r.Metrics["broken"] != 0 {
-			t.Errorf("%+v", r)
-		}
-	}
-	if page, err := os.ReadFile(filepath.Join(dir, "sweep.html")); err != nil || strings.Count(string(page), "<svg") != 6 {
+}
+
+// TestSweepOfFaults: no fault brings the module to break a rule.
+func TestSweepOfFaults(t *testing.T) {
+	s := newSweeper(t)
+	s.sweep(3*len(lab.Troubles()), "--vary", "fault="+strings.Join(lab.Troubles(), ","), "--report", s.dir)
+	page, err := os.ReadFile(filepath.Join(s.dir, "sweep.html"))
+	if err != nil || strings.Count(string(page), "<svg") != 6 {
 		t.Error("no page with six charts: ", err)
 	}
-	if code, out, errs = call(append(words, "--vary", "legs=3,1", "--fault", "failing")...); code != 0 || !strings.Contains(out, "legs=1 against legs=3") {
+}
+
+func TestCompareOfOneSeedTellsNothing(t *testing.T) {
+	one := filepath.Join(t.TempDir(), "one.json")
+	call("trace", "replay", sampleTrace, "--layout", "alibaba-2018", "--mapping", "../../deploy/mapping.xml", "--seed", "2", "--json", one)
+	if code, out, errs := call("lab", "compare", one, one); code != 0 || !strings.Contains(out, "not told apart") {
 		t.Errorf("%d %s %s", code, out, errs)
 	}
-	one := filepath.Join(dir, "one.json")
-	call("trace", "replay", sample, "--layout", "alibaba-2018", "--mapping", "../../deploy/mapping.xml", "--seed", "2", "--json", one)
-	if code, out, errs := call("lab", "compare", one, one); code != 0 || !strings.Contains(out, "not told apart") {
-		t.Errorf("one seed tells nothing: %d %s %s", code, out, errs)
+}
+
+// TestSweepOfAttempts varies the bound on attempts; then come calls that are wrong, its result in the place of a replay's too.
+func TestSweepOfAttempts(t *testing.T) {
+	s := newSweeper(t)
+	words, file, sample := s.args, s.file, sampleTrace
+	code, out, errs := call(append(words, "--vary", "legs=3,1", "--fault", "failing")...)
+	if code != 0 || !strings.Contains(out, "legs=1 against legs=3") {
+		t.Errorf("%d %s %s", code, out, errs)
 	}
+	one := filepath.Join(t.TempDir(), "one.json")
+	call("trace", "replay", sampleTrace, "--layout", "alibaba-2018", "--mapping", "../../deploy/mapping.xml", "--seed", "2", "--json", one)
 	for _, c := range []struct {
 		args []string
 		code int
--- a/internal/buffer/buffer_test.go
+++ b/internal/buffer/buffer_test.go
@@ -57,7 +57,7 @@
 		}
 		return nil
 	})
-	if err != errStop || parts != 2 {
+	if !errors.Is(err, errStop) || parts != 2 {
 		t.Error(err, parts)
 	}
 }
--- a/internal/discovery/address_test.go
+++ b/internal/discovery/address_test.go
@@ -1,6 +1,7 @@
 package discovery
 
 import (
+	"errors"
 	"fmt"
 	"io"
 	"strings"
@@ -50,7 +51,7 @@
 			go host.loop.Run(stop)
 			watch = previous.nextPoll()
 			watch.SetReadDeadline(time.Now().Add(testTimeout))
-			if _, err := watch.Read(make([]byte, 1)); err != io.EOF {
+			if _, err := watch.Read(make([]byte, 1)); !errors.Is(err, io.EOF) {
 				t.Error("the previous watch is kept:", err)
 			}
 		})
--- a/internal/discovery/host_test.go
+++ b/internal/discovery/host_test.go
@@ -129,10 +129,10 @@
 func newTestHost(t *testing.T, address string, pushed bool) *testHost {
 	t.Helper()
 	site := settings.Site{}
-	site.Settings.ListOnRequest = !pushed
-	site.Settings.Relays = 1
-	site.Settings.Classes = make([]relay.ClassSettings, 1)
-	site.Settings.Rules.DrainGrace = 0.25
+	site.ListOnRequest = !pushed
+	site.Relays = 1
+	site.Classes = make([]relay.ClassSettings, 1)
+	site.Rules.DrainGrace = 0.25
 	log := logrus.New()
 	log.SetOutput(io.Discard)
 	loop := pipeline.NewLoop(site, 1, buffer.NewPool(1<<20), &metrics.Counters{}, log)
--- a/internal/discovery/list_test.go
+++ b/internal/discovery/list_test.go
@@ -45,11 +45,26 @@
 			t.Errorf("%+v", endpoint)
 		}
 	}
+}
+
+// TestParseKeepsNumbers reads a second list: a zone that was numbered keeps its number, and an endpoint its id.
+func TestParseKeepsNumbers(t *testing.T) {
+	reader := NewReader([]string{"a", "b"}, []string{"m1"}, func(s float64) relay.Seconds { return s - 100 })
+	first, err := reader.Parse([]byte(`{"generation":41,"instances":[
+		{"instanceId":"s-1","hostPort":"10.1.0.18:5433","zone":"b","lifecycle":"SERVING"},
+		{"instanceId":"s-4","hostPort":"10.1.0.21:5433","zone":"c","lifecycle":"DRAINING"}]}`))
+	if err != nil {
+		t.Fatal(err)
+	}
 	next, err := reader.Parse([]byte(`{"generation":42,"instances":[{"instanceId":"s-1","hostPort":"10.1.0.18:5433",
 		"zone":"c","lifecycle":"SERVING"}]}`))
-	if err != nil || next.Endpoints[0].Zone != 2 || next.Endpoints[0].ID != one.ID {
+	if err != nil || next.Endpoints[0].Zone != 2 || next.Endpoints[0].ID != first.Endpoints[0].ID {
 		t.Errorf("numbers should stay: %+v %v", next, err)
 	}
+}
+
+func TestParseRejectsMalformedLists(t *testing.T) {
+	reader := NewReader(nil, nil, func(s float64) relay.Seconds { return s })
 	for _, malformed := range []string{``, `{`, `[]`, `{"instances":[]}`, `{"generation":"x","instances":[]}`,
 		`{"generation":1,"instances":[` + strings.Repeat(`{},`, maxEndpoints) + `{}]}`} {
 		if _, err := reader.Parse([]byte(malformed)); err == nil {
--- a/internal/guard/guard.go
+++ b/internal/guard/guard.go
@@ -55,7 +55,7 @@
 
 // TenantNames returns the names of the settings' tenants by number.
 func TenantNames(site *settings.Site) []string {
-	names := make([]string, len(site.Settings.Tenants))
+	names := make([]string, len(site.Tenants))
 	for name, number := range site.TenantByName {
 		if int(number) < len(names) {
 			names[number] = name
--- a/internal/guard/guard_test.go
+++ b/internal/guard/guard_test.go
@@ -75,13 +75,14 @@
 	return statuses, scopes
 }
 
-func canaryStatus(build relay.Build, stage relay.Stage, limit float64) relay.RolloutStatus {
-	return relay.RolloutStatus{Valid: true, Build: build, Stage: stage, ExposureLimit: limit}
+// canaryStatus is a status of build 3 in its first stage.
+func canaryStatus(limit float64) relay.RolloutStatus {
+	return relay.RolloutStatus{Valid: true, Build: 3, ExposureLimit: limit}
 }
 
 func TestStatusIsNarrowed(t *testing.T) {
 	h := newHostHarness(t)
-	h.loop.RolloutStatusReceived(canaryStatus(3, 0, 0.9))
+	h.loop.RolloutStatusReceived(canaryStatus(0.9))
 	statuses, scopes := h.moduleEvents()
 	if len(statuses) != 1 || statuses[0].ExposureLimit != 0 || len(scopes) != 1 || scopes[0].GroupOpen[0] {
 		t.Fatalf("no status of a was received: %+v %+v", statuses, scopes)
@@ -94,7 +95,7 @@
 	if g := scopes[0].GroupOfTenant; len(g) != 3 || g[0] != 1 || g[1] != 0 || g[2] != -1 {
 		t.Errorf("groups by the settings' numbers: %v", g)
 	}
-	h.loop.RolloutStatusReceived(canaryStatus(3, 0, 0.9))
+	h.loop.RolloutStatusReceived(canaryStatus(0.9))
 	if statuses, _ := h.moduleEvents(); len(statuses) != 0 {
 		t.Errorf("the same status again: %+v", statuses)
 	}
@@ -107,7 +108,7 @@
 func TestRepliesGoToOriginOfVote(t *testing.T) {
 	h := newHostHarness(t)
 	h.dependencyStatusReceived("a", relay.RolloutStatus{Valid: true, Build: 1, Phase: relay.PhaseReleased, ExposureLimit: 1})
-	h.loop.RolloutStatusReceived(canaryStatus(3, 0, 0.2))
+	h.loop.RolloutStatusReceived(canaryStatus(0.2))
 	promote := relay.Vote{Build: 3, Stage: 0, Verdict: relay.VotePromote}
 	h.now = day + 3600 - 10
 	h.dependencyStatusReceived("a", relay.RolloutStatus{}) // a keep-alive
@@ -118,7 +119,7 @@
 		t.Fatalf("%+v", v)
 	}
 	h.moduleEvents()
-	toModule, toGuard := canaryStatus(3, 0, 0.2), canaryStatus(3, 0, 0.2)
+	toModule, toGuard := canaryStatus(0.2), canaryStatus(0.2)
 	toModule.Reply, toGuard.Reply = relay.ReplyCounted, relay.ReplyNotCounted
 	h.loop.RolloutStatusReceived(toModule)
 	h.loop.RolloutStatusReceived(toGuard)
@@ -137,7 +138,7 @@
 func TestFailedReplanKeepsOldPlan(t *testing.T) {
 	h := newHostHarness(t)
 	h.dependencyStatusReceived("a", relay.RolloutStatus{Valid: true, Build: 1, Phase: relay.PhaseReleased, ExposureLimit: 1})
-	h.loop.RolloutStatusReceived(canaryStatus(3, 0, 0.2))
+	h.loop.RolloutStatusReceived(canaryStatus(0.2))
 	h.moduleEvents()
 	bad, err := planxml.Parse("p", []byte(strings.NewReplacer(`name="b"`, `name="c"`).Replace(planText)))
 	if err != nil {
--- a/internal/peers/peers_test.go
+++ b/internal/peers/peers_test.go
@@ -70,7 +70,7 @@
 // newLoop returns a loop whose events the test takes, and what it logs.
 func newLoop() (*pipeline.Loop, *logtest.Hook) {
 	site := settings.Site{}
-	site.Settings.Self, site.Settings.Relays = self, peerCount+1
+	site.Self, site.Relays = self, peerCount+1
 	log := logrus.New()
 	log.SetOutput(io.Discard)
 	hook := logtest.NewLocal(log)
--- a/internal/platform/vote_test.go
+++ b/internal/platform/vote_test.go
@@ -69,7 +69,7 @@
 // newTestClient returns a client that has not been started, with a loop that nobody runs.
 func newTestClient(address string) *Client {
 	site := settings.Site{}
-	site.Settings.Relays = 1
+	site.Relays = 1
 	log := logrus.New()
 	log.SetOutput(io.Discard)
 	loop := pipeline.NewLoop(site, 1, buffer.NewPool(1<<20), &metrics.Counters{}, log)
--- a/internal/releasecontroller/controller_test.go
+++ b/internal/releasecontroller/controller_test.go
@@ -129,12 +129,9 @@
 }
 
 // until reads lines up to one with a prefix.
-func (c *caller) until(prefix string) string {
+func (c *caller) until(prefix string) {
 	c.t.Helper()
-	for {
-		if s := c.line(); strings.HasPrefix(s, prefix) {
-			return s
-		}
+	for !strings.HasPrefix(c.line(), prefix) {
 	}
 }
 
--- a/internal/releasecontroller/journal_test.go
+++ b/internal/releasecontroller/journal_test.go
@@ -58,29 +58,50 @@
 	return c.ServiceStatuses(5000)
 }
 
-// TestTornRecords cuts a journal at every byte: each start folds the whole records before the cut, and goes on.
-func TestTornRecords(t *testing.T) {
-	events := controllerEvents(t)
-	dir := t.TempDir()
+// writtenJournal is a journal as it stands on disk.
+type writtenJournal struct {
+	name string
+	raw  []byte
+	ends []int64 // of the header, and of each record
+}
+
+// writeJournal writes a journal of one record an event.
+func writeJournal(t *testing.T, dir string, events []rollout.Event) writtenJournal {
+	t.Helper()
 	j, err := Open(dir, func(rollout.Event) error { return nil })
 	if err != nil {
 		t.Fatal(err)
 	}
-	ends := []int64{j.size}
+	written := writtenJournal{name: filepath.Join(dir, journalName), ends: []int64{j.size}}
 	for _, e := range events {
 		if err := j.Append([]rollout.Event{e}); err != nil {
 			t.Fatal(err)
 		}
-		ends = append(ends, j.size)
+		written.ends = append(written.ends, j.size)
 	}
 	j.Close()
-	raw, err := os.ReadFile(filepath.Join(dir, journalName))
-	if err != nil {
+	if written.raw, err = os.ReadFile(written.name); err != nil {
 		t.Fatal(err)
 	}
-	name := filepath.Join(dir, journalName)
-	for cut := 0; cut <= len(raw); cut++ {
-		if err := os.WriteFile(name, raw[:cut], 0o600); err != nil {
+	return written
+}
+
+// wholeRecords is how many records end before a cut.
+func (w *writtenJournal) wholeRecords(cut int) int {
+	whole := 0
+	for whole+1 < len(w.ends) && w.ends[whole+1] <= int64(cut) {
+		whole++
+	}
+	return whole
+}
+
+// TestTornRecords cuts a journal at every byte: each start folds the whole records before the cut, and goes on.
+func TestTornRecords(t *testing.T) {
+	events := controllerEvents(t)
+	dir := t.TempDir()
+	written := writeJournal(t, dir, events)
+	for cut := 0; cut <= len(written.raw); cut++ {
+		if err := os.WriteFile(written.name, written.raw[:cut], 0o600); err != nil {
 			t.Fatal(err)
 		}
 		var got []rollout.Event
@@ -88,10 +109,7 @@
 		if err != nil {
 			t.Fatalf("cut at %d: %v", cut, err)
 		}
-		whole := 0
-		for whole < len(events) && ends[whole+1] <= int64(cut) {
-			whole++
-		}
+		whole := written.wholeRecords(cut)
 		if len(got) != whole || whole > 0 && !reflect.DeepEqual(got, events[:whole]) {
 			t.Fatalf("cut at %d: %d events, wanted %d", cut, len(got), whole)
 		}
@@ -106,17 +124,23 @@
 			t.Fatalf("cut at %d, then one more: %d events, %v", cut, len(again), err)
 		}
 	}
-	// A byte that is wrong in the middle is damage, not a torn end: nothing is thrown away.
-	for _, at := range []int64{ends[1] + 2, ends[1] + recordHeader + 3} {
-		bad := append([]byte(nil), raw...)
+}
+
+// TestDamagedRecord has a wrong byte in the middle: that is damage, not a torn end, and nothing is thrown away.
+func TestDamagedRecord(t *testing.T) {
+	dir := t.TempDir()
+	written := writeJournal(t, dir, controllerEvents(t))
+	for _, at := range []int64{written.ends[1] + 2, written.ends[1] + recordHeader + 3} {
+		bad := append([]byte(nil), written.raw...)
 		bad[at] ^= 0x55
-		if err := os.WriteFile(name, bad, 0o600); err != nil {
+		if err := os.WriteFile(written.name, bad, 0o600); err != nil {
 			t.Fatal(err)
 		}
-		if _, err := Open(dir, func(rollout.Event) error { return nil }); !errors.Is(err, ErrDamaged) || !strings.Contains(err.Error(), fmt.Sprint("byte ", ends[1])) {
+		_, err := Open(dir, func(rollout.Event) error { return nil })
+		if !errors.Is(err, ErrDamaged) || !strings.Contains(err.Error(), fmt.Sprint("byte ", written.ends[1])) {
 			t.Errorf("byte %d: %v", at, err)
 		}
-		if left, _ := os.ReadFile(name); len(left) != len(bad) {
+		if left, _ := os.ReadFile(written.name); len(left) != len(bad) {
 			t.Error("something was cut off")
 		}
 	}
--- a/membership/backoff_test.go
+++ b/membership/backoff_test.go
@@ -14,11 +14,13 @@
 	nextAt relay.Seconds
 }
 
+const testPollInterval = relay.Seconds(60)
+
 // newPollers returns a fleet of which all start at time zero.
-func newPollers(relays int, pollInterval relay.Seconds) []poller {
+func newPollers(relays int) []poller {
 	pollers := make([]poller, relays)
 	for i := range pollers {
-		pollers[i].Backoff = NewBackoff(relays, pollInterval, rand.New(rand.NewSource(int64(i))))
+		pollers[i].Backoff = NewBackoff(relays, testPollInterval, rand.New(rand.NewSource(int64(i))))
 		pollers[i].nextAt = pollers[i].First()
 	}
 	return pollers
@@ -44,7 +46,7 @@
 
 func TestFailingPollsOfAFleetAreSpread(t *testing.T) {
 	const relays = 300
-	polls := simulateFailures(newPollers(relays, 60), 2, 320)
+	polls := simulateFailures(newPollers(relays), 2, 320)
 	perSecond := float64(sum(polls[20:])) / 300
 	t.Logf("%.1f polls a second in the long run; the first seconds: %v", perSecond, polls[:16])
 	if perSecond >= relays/fleetPollSpread {
@@ -58,7 +60,7 @@
 func TestFirstPollsOfAFleetAreSpread(t *testing.T) {
 	const relays = 300
 	var first [int(fleetPollSpread) + 1]int
-	for _, c := range newPollers(relays, 60) {
+	for _, c := range newPollers(relays) {
 		first[int(c.nextAt)]++
 	}
 	for second, polls := range first {
@@ -73,12 +75,12 @@
 
 func TestSmallFleetPollsAboutEveryTwoSeconds(t *testing.T) {
 	for _, relays := range []int{1, 2, 3, 5} {
-		polls := simulateFailures(newPollers(relays, 60), 0.1, 400)
+		polls := simulateFailures(newPollers(relays), 0.1, 400)
 		if mean := 400 / float64(sum(polls)); mean > 2 {
 			t.Errorf("%d relays: a poll every %.2f s", relays, mean)
 		}
 	}
-	if first := newPollers(1, 60)[0].nextAt; first != 0 {
+	if first := newPollers(1)[0].nextAt; first != 0 {
 		t.Errorf("a relay alone first polls at %v", first)
 	}
 }
--- a/membership/gossip_test.go
+++ b/membership/gossip_test.go
@@ -11,7 +11,7 @@
 )
 
 func TestDroppedMessages(t *testing.T) {
-	good := heartbeat(restarted(10).version, 10, Never)
+	good := heartbeat(restarted().version, 10, Never)
 	for name, received := range map[string]MessageReceived{
 		"from itself":                   {0, good},
 		"empty":                         {1, nil},
@@ -22,7 +22,7 @@
 		"part of a delta without parts": {1, message{version: listVersion{6, 0}, delta: &delta{parts: 0}}.encode()},
 	} {
 		t.Run(name, func(t *testing.T) {
-			n := restarted(10)
+			n := restarted()
 			out := n.Step(10.5, received)
 			if c := n.Counters(); out.LeaseExpiresAt != 0 || c.Unreadable != 1 || c.Received != 0 {
 				t.Errorf("%+v, %+v", out, c)
--- a/membership/membership_test.go
+++ b/membership/membership_test.go
@@ -33,10 +33,12 @@
 	}
 }
 
-// restarted returns a node of a fleet of four that has the endpoints 1 to 100 of generation 5 cached.
-func restarted(now relay.Seconds) *Node {
+const restartedAt = relay.Seconds(10)
+
+// restarted returns a node of a fleet of four that, at restartedAt, has the endpoints 1 to 100 of generation 5 cached.
+func restarted() *Node {
 	n := New(testSettings(0, 4), 1)
-	n.Step(now, CachedList{fullList(5, endpointRange(1, 100)...)})
+	n.Step(restartedAt, CachedList{fullList(5, endpointRange(1, 100)...)})
 	return n
 }
 
@@ -69,7 +71,7 @@
 	}
 	for _, order := range [][]int{{0, 1, 2}, {0, 2, 1}, {1, 0, 2}, {1, 2, 0}, {2, 0, 1}, {2, 1, 0}, {0, 0, 2, 0, 2, 1}} {
 		t.Run(fmt.Sprintf("order %v", order), func(t *testing.T) {
-			n := restarted(10)
+			n := restarted()
 			var removed []relay.EndpointID
 			for i, part := range order {
 				out := n.Step(10.1+0.1*relay.Seconds(i), MessageReceived{From: 1, Body: bodies[part]})
@@ -92,7 +94,7 @@
 	base := versionOf(fullList(5, endpointRange(1, 100)...))
 	one := deltas(base, versionOf(fullList(6, endpointRange(41, 100)...)), 10, endpointRange(1, 40)...)
 	two := deltas(base, versionOf(fullList(7, endpointRange(46, 100)...)), 10, endpointRange(1, 45)...)
-	n := restarted(10)
+	n := restarted()
 	for _, received := range []MessageReceived{{1, one[0]}, {1, two[1]}, {2, one[1]}} {
 		if out := n.Step(10.1, received); out.LeaseExpiresAt != 0 {
 			t.Fatal("a lease by parts of different deltas or peers")
@@ -104,7 +106,7 @@
 }
 
 func TestDeltaFromAnotherBaseIsIgnored(t *testing.T) {
-	n := restarted(10)
+	n := restarted()
 	base := versionOf(fullList(5, endpointRange(1, 99)...))
 	out := n.Step(10.1, MessageReceived{1, deltas(base, versionOf(fullList(6, 100)), 10, endpointRange(1, 99)...)[0]})
 	if out.LeaseExpiresAt != 0 || len(out.Removed) != 0 {
@@ -113,7 +115,7 @@
 }
 
 func TestEqualCachedListIsConfirmedByOneHeartbeat(t *testing.T) {
-	n := restarted(10)
+	n := restarted()
 	out := n.Step(10.2, MessageReceived{1, heartbeat(n.version, 8.5, Never)})
 	wantLease(t, out.LeaseExpiresAt, 8.5+leaseTime)
 	if len(out.Removed) != 0 {
@@ -128,7 +130,7 @@
 }
 
 func TestFailedPollCountsOnlyInContact(t *testing.T) {
-	n := restarted(10)
+	n := restarted()
 	if out := failPoll(n, 10, 10.5, PollFailed{}); out.LeaseExpiresAt != 0 {
 		t.Fatalf("a lease until %v without a peer", out.LeaseExpiresAt)
 	}
@@ -146,7 +148,7 @@
 }
 
 func TestFailedPollCountsOnlyOnceContactIsBack(t *testing.T) {
-	n := restarted(10)
+	n := restarted()
 	n.Step(11, MessageReceived{1, heartbeat(n.version, 10.5, Never)})
 	n.Step(11+minContactTime, MessageReceived{1, heartbeat(n.version, 10.5, Never)})
 	failPoll(n, 29, 29.5, PollFailed{})
@@ -159,7 +161,7 @@
 // TestRelaysStartedTogetherDoNotConfirmTheirStaleList: another relay with the same old list does not show that the list
 // still holds.
 func TestRelaysStartedTogetherDoNotConfirmTheirStaleList(t *testing.T) {
-	n := restarted(10)
+	n := restarted()
 	failPoll(n, 10, 10.05, PollFailed{})
 	n.Step(10.1, MessageReceived{1, heartbeat(n.version, Never, 10)})
 	n.Step(10.2, MessageReceived{2, heartbeat(n.version, Never, 10)})
@@ -174,7 +176,7 @@
 // TestNodeSendsDeltasOnlyFromVersionsThatItHeldCompletely: a node that learned of generation 6 by a peer's delta doesn't know
 // endpoint 101, which joined in it, so it can't report the removal of 101 in generation 7.
 func TestNodeSendsDeltasOnlyFromVersionsThatItHeldCompletely(t *testing.T) {
-	n := restarted(10)
+	n := restarted()
 	generationSix := versionOf(fullList(6, endpointRange(2, 101)...))
 	n.Step(10.1, MessageReceived{1, deltas(n.version, generationSix, 10, 1)[0]})
 	draining := relay.Endpoint{ID: 101, State: relay.Draining}
@@ -192,7 +194,7 @@
 
 // TestAnswerCompletesAVersionLearnedFromAPeer: discovery confirms a peer's delta and adds the endpoints that joined.
 func TestAnswerCompletesAVersionLearnedFromAPeer(t *testing.T) {
-	n := restarted(10)
+	n := restarted()
 	generationSix := versionOf(fullList(6, endpointRange(2, 101)...))
 	n.Step(10.1, MessageReceived{1, deltas(n.version, generationSix, 10, 1)[0]})
 	n.Step(11, PollAnswered{List{Generation: 6, Endpoints: append(fullList(6, 101).Endpoints, relay.Endpoint{ID: 1})}})
@@ -202,14 +204,14 @@
 }
 
 func TestFailedPollOfAPeerCounts(t *testing.T) {
-	n := restarted(10)
+	n := restarted()
 	n.Step(11, MessageReceived{1, heartbeat(n.version, Never, 10.5)})
 	out := n.Step(11+minContactTime, MessageReceived{2, heartbeat(n.version, Never, Never)})
 	wantLease(t, out.LeaseExpiresAt, 10.5+leaseTime)
 }
 
 func TestFailedPollNoLongerCountsOnceAPeerHasANewerList(t *testing.T) {
-	n := restarted(10)
+	n := restarted()
 	n.Step(10, MessageReceived{1, heartbeat(n.version, Never, Never)})
 	n.Step(11, MessageReceived{1, heartbeat(n.version, 11, Never)})
 	newer := versionOf(fullList(6, endpointRange(2, 100)...))
@@ -222,7 +224,7 @@
 }
 
 func TestUnreadableAnswerIsNotTakenForAnOutageOfDiscovery(t *testing.T) {
-	n := restarted(10)
+	n := restarted()
 	n.Step(10.1, MessageReceived{1, heartbeat(n.version, Never, Never)})
 	n.Step(10.1+minContactTime, MessageReceived{1, heartbeat(n.version, Never, Never)})
 	if out := failPoll(n, 12, 12.5, PollFailed{Unreadable: true}); out.LeaseExpiresAt != 0 {
@@ -233,7 +235,7 @@
 }
 
 func TestFirstAnswerOfAPeerAfterFailuresIsReported(t *testing.T) {
-	n := restarted(10)
+	n := restarted()
 	failPoll(n, 10, 10.5, PollFailed{})
 	if n.Step(11, MessageReceived{1, heartbeat(n.version, 9, Never)}).DiscoveryRecovered {
 		t.Fatal("an answer of before the failed poll was reported")
@@ -296,7 +298,7 @@
 }
 
 func TestFirstPollGrantsNoLease(t *testing.T) {
-	n := restarted(10)
+	n := restarted()
 	if out := n.Step(10, PollStarted{Wait: 25}); out.LeaseExpiresAt != 0 {
 		t.Fatalf("a lease until %v", out.LeaseExpiresAt)
 	}
@@ -355,7 +357,7 @@
 }
 
 func TestConflictingDigestConfirmsNothing(t *testing.T) {
-	n := restarted(10)
+	n := restarted()
 	other := versionOf(fullList(5, 1, 2))
 	out := n.Step(10.5, MessageReceived{1, heartbeat(other, 10.5, 10.2)})
 	if out.LeaseExpiresAt != 0 || n.Counters().Conflicts != 1 || len(out.Removed) != 0 {
@@ -364,10 +366,10 @@
 }
 
 func TestTimesInTheFutureAreClampedToNow(t *testing.T) {
-	n := restarted(10)
+	n := restarted()
 	out := n.Step(10.5, MessageReceived{1, heartbeat(n.version, 1e9, 2e9)})
 	wantLease(t, out.LeaseExpiresAt, 10.5+leaseTime)
-	n = restarted(10)
+	n = restarted()
 	out = n.Step(10.5, MessageReceived{1, message{version: n.version, answeredAt: math.MaxInt64}.encode()})
 	wantLease(t, out.LeaseExpiresAt, 10.5+leaseTime)
 }
--- a/simwire/reader_test.go
+++ b/simwire/reader_test.go
@@ -36,7 +36,7 @@
 	if events[1].Timer != 0x4d || events[2].Request != 0x0e6f2b19 || events[2].Instance != 5 {
 		t.Errorf("others: %+v", events[1:])
 	}
-	if _, _, err := r.Read(); err != io.EOF {
+	if _, _, err := r.Read(); !errors.Is(err, io.EOF) {
 		t.Error("want a clean end, got", err)
 	}
 }
