--- a/cmd/lichenroad/scale.go
+++ b/cmd/lichenroad/scale.go
@@ -19,7 +19,7 @@
 	var o scale.Options
 	f := c.Flags()
 	f.IntVar(&o.Relays, "relays", 43, "relays of the fleet")
-	f.IntVar(&o.Units, "units", 420, "units of the fleet, those of a release included")
+	f.IntVar(&o.Endpoints, "units", 420, "units of the fleet, those of a release included")
 	f.IntVar(&o.Services, "services", 21, "services of a skewed fleet; a wide one has one")
 	f.IntVar(&o.Zones, "zones", 16, "zones")
 	f.IntVar(&o.Regions, "regions", 7, "regions, over which the zones are spread")
@@ -40,7 +40,7 @@
 			o.Faults = append(o.Faults, scale.Fault(name))
 		}
 		for _, name := range *without {
-			o.Without = append(o.Without, scale.Defence(name))
+			o.Without = append(o.Without, scale.Safeguard(name))
 		}
 		if err := o.Validate(); err != nil {
 			return err
@@ -60,8 +60,8 @@
 		if err := r.WriteTable(t.out); err != nil {
 			return failed(err)
 		}
-		if r.BrokenCount > 0 {
-			return fault{exitBroke, fmt.Errorf("%d times a rule was broken", r.BrokenCount)}
+		if r.ViolationCount > 0 {
+			return fault{exitBroke, fmt.Errorf("%d times a rule was broken", r.ViolationCount)}
 		}
 		return nil
 	}
--- a/cmd/lichenroad/scale_test.go
+++ b/cmd/lichenroad/scale_test.go
@@ -31,7 +31,7 @@
 	if err := json.Unmarshal(b, &r); err != nil {
 		t.Fatal(err)
 	}
-	if r.Relays != 6 || r.Hosted != 6 || len(r.Options.Faults) != 2 || r.Faults.Datagrams.Lost+r.Faults.Datagrams.Late == 0 {
+	if r.Relays != 6 || r.Hosted != 6 || len(r.Options.Faults) != 2 || r.Faults.Datagrams.Lost+r.Faults.Datagrams.Reordered == 0 {
 		t.Errorf("%+v", r)
 	}
 }
--- a/lab/scale/control.go
+++ b/lab/scale/control.go
@@ -10,80 +10,80 @@
 // What crosses between relays and the control plane: calls to discovery and votes, their answers, and news.
 
 // parcel is something for one relay that arrives at a time.
-type parcel struct {
-	at     float64
-	to     *hollow
-	answer *answerIn
-	news   *newsIn
+type controlMessage struct {
+	arrivesAt float64
+	to        *hollowRelay
+	answer    *pollAnswer
+	status    *statusLine
 }
 
-// reachesPlatform says whether a relay reaches discovery and the platform, which stand in the first region.
-func (w *world) reachesPlatform(r *identity) bool { return w.network.reaches(r.region, 0) }
+// reachesControlPlane says whether a relay reaches discovery and the platform, which stand in the first region.
+func (sim *simulation) reachesControlPlane(r *identity) bool { return sim.network.reaches(r.region, 0) }
 
 // unreachable is the time since another in which discovery could not be reached from a region.
-func (w *world) unreachable(region int, since, now float64) float64 {
-	if region != w.options.Regions-1 || region == 0 || math.IsInf(since, 1) || w.cutFrom > now {
+func (sim *simulation) unreachableTime(region int, since, now float64) float64 {
+	if region != sim.options.Regions-1 || region == 0 || math.IsInf(since, 1) || sim.partitionedFrom > now {
 		return 0
 	}
-	return math.Max(0, math.Min(now, w.cutTo)-math.Max(since, w.cutFrom))
+	return math.Max(0, math.Min(now, sim.partitionedUntil)-math.Max(since, sim.partitionedFrom))
 }
 
-// tellNews has the platform tell a service's relays how its newest build stands.
-func (w *world) tellNews(now float64, s *service) {
-	line := linewire.StatusNoticeLine(s.platform.state(now))
-	for _, h := range s.hollows {
-		if h.alive && w.reachesPlatform(h.identity) {
-			w.mail = append(w.mail, parcel{at: now + newsDelay, to: h, news: &newsIn{h.life, line}})
+// sendStatus has the platform tell a service's relays how its newest build stands.
+func (sim *simulation) sendStatus(now float64, s *service) {
+	line := linewire.StatusNoticeLine(s.platform.statusAt(now))
+	for _, h := range s.hollowRelays {
+		if h.alive && sim.reachesControlPlane(h.identity) {
+			sim.controlMessages = append(sim.controlMessages, controlMessage{arrivesAt: now + statusDelay, to: h, status: &statusLine{h.incarnation, line}})
 		}
 	}
 }
 
-// answerParked answers calls that wait for something new, all of them or those whose wait is over.
-func (w *world) answerParked(now float64, s *service, all bool) {
+// answerHeldPolls answers calls that wait for something new, all of them or those whose wait is over.
+func (sim *simulation) answerHeldPolls(now float64, s *service, all bool) {
 	r := s.registry
-	left := r.parked[:0]
-	for _, c := range r.parked {
+	left := r.heldPolls[:0]
+	for _, c := range r.heldPolls {
 		switch {
-		case !w.reachesPlatform(c.from.identity):
-			w.answer(now+unreachableFor, c, nil)
-		case all || now >= c.until:
-			w.answer(now+answerAfter, c, r.answer(c.after))
+		case !sim.reachesControlPlane(c.relay.identity):
+			sim.sendAnswer(now+unreachableTimeout, c, nil)
+		case all || now >= c.heldUntil:
+			sim.sendAnswer(now+answerDelay, c, r.answer(c.generation))
 		default:
 			left = append(left, c)
 		}
 	}
-	clear(r.parked[len(left):])
-	r.parked = left
+	clear(r.heldPolls[len(left):])
+	r.heldPolls = left
 }
 
-func (w *world) answer(at float64, c listCall, a *listAnswer) {
-	w.mail = append(w.mail, parcel{at: at, to: c.from, answer: &answerIn{c.number, a}})
+func (sim *simulation) sendAnswer(at float64, c poll, a *listAnswer) {
+	sim.controlMessages = append(sim.controlMessages, controlMessage{arrivesAt: at, to: c.relay, answer: &pollAnswer{c.number, a}})
 }
 
 // call takes a call to discovery.
-func (w *world) call(now float64, c listCall) {
-	r := c.from.service.registry
+func (sim *simulation) receivePoll(now float64, c poll) {
+	r := c.relay.service.registry
 	switch {
-	case !w.reachesPlatform(c.from.identity):
-		w.answer(now+unreachableFor, c, nil)
-	case !c.continues:
-		took, fails := r.queued(now)
+	case !sim.reachesControlPlane(c.relay.identity):
+		sim.sendAnswer(now+unreachableTimeout, c, nil)
+	case !c.continuesWatch:
+		took, fails := r.enqueue(now)
 		if fails {
-			w.answer(now+took, c, nil)
+			sim.sendAnswer(now+took, c, nil)
 			return
 		}
-		w.answer(now+took, c, r.answer(c.after))
-	case c.after < r.generation:
-		w.answer(now+answerAfter, c, r.answer(c.after))
+		sim.sendAnswer(now+took, c, r.answer(c.generation))
+	case c.generation < r.generation:
+		sim.sendAnswer(now+answerDelay, c, r.answer(c.generation))
 	default:
-		r.parked = append(r.parked, c)
+		r.heldPolls = append(r.heldPolls, c)
 	}
 }
 
 // vote takes a relay's vote and answers it.
-func (w *world) vote(now float64, h *hollow, line string) {
-	if !w.reachesPlatform(h.identity) {
-		w.mail = append(w.mail, parcel{at: now + h.service.settings.Rollout.CallTimeout, to: h, news: &newsIn{life: h.life}})
+func (sim *simulation) receiveVote(now float64, h *hollowRelay, line string) {
+	if !sim.reachesControlPlane(h.identity) {
+		sim.controlMessages = append(sim.controlMessages, controlMessage{arrivesAt: now + h.service.settings.Rollout.CallTimeout, to: h, status: &statusLine{incarnation: h.incarnation}})
 		return
 	}
 	call, err := linewire.ParseCall(line[:len(line)-len("\r\n")])
@@ -93,26 +93,26 @@
 	}
 	p := h.service.platform
 	answer := linewire.ErrorLine(linewire.CodeStale)
-	if p.vote(now, h.number, h.weight, call.Vote) == relay.ReplyCounted {
-		answer = linewire.StatusReplyLine(p.state(now))
+	if p.receiveVote(now, h.number, h.weight, call.Vote) == relay.ReplyCounted {
+		answer = linewire.StatusReplyLine(p.statusAt(now))
 	}
-	w.mail = append(w.mail, parcel{at: now + newsDelay, to: h, news: &newsIn{h.life, answer}})
+	sim.controlMessages = append(sim.controlMessages, controlMessage{arrivesAt: now + statusDelay, to: h, status: &statusLine{h.incarnation, answer}})
 }
 
 // hand gives relays what has arrived.
-func (w *world) hand(now float64) {
-	left := w.mail[:0]
-	for _, m := range w.mail {
+func (sim *simulation) deliverControlMessages(now float64) {
+	left := sim.controlMessages[:0]
+	for _, m := range sim.controlMessages {
 		switch {
-		case m.at > now:
+		case m.arrivesAt > now:
 			left = append(left, m)
 		case !m.to.alive:
 		case m.answer != nil:
-			m.to.answers = append(m.to.answers, *m.answer)
+			m.to.pollAnswers = append(m.to.pollAnswers, *m.answer)
 		default:
-			m.to.news = append(m.to.news, *m.news)
+			m.to.statusLines = append(m.to.statusLines, *m.status)
 		}
 	}
-	clear(w.mail[len(left):])
-	w.mail = left
+	clear(sim.controlMessages[len(left):])
+	sim.controlMessages = left
 }
--- a/lab/scale/meter.go
+++ b/lab/scale/meter.go
@@ -15,11 +15,11 @@
 type class int
 
 const (
-	verdictClass    class = iota // the decision code's datagrams between relays
+	policyClass     class = iota // the decision code's datagrams between relays
 	membershipClass              // the membership protocol's
-	listClass                    // calls to discovery and its answers, without TCP's overhead
-	newsClass                    // the platform's lines, votes among them, without TCP's overhead
-	classes
+	discoveryClass               // calls to discovery and its answers, without TCP's overhead
+	platformClass                // the platform's lines, votes among them, without TCP's overhead
+	classCount
 )
 
 // traffic counts messages and bytes.
@@ -31,34 +31,34 @@
 
 // meter is what one relay has used and done so far, over all of its lives.
 type meter struct {
-	processor      int64 // ns of the real code, without that of the first whole list of each life
-	startProcessor int64 // ns of that list
-	aliveSeconds   float64
-	classes        [classes]traffic
-	fused          bool // it has told the others what it finds
-	requests       requestCounts
-	listsRefused   int
-	toldByPeers    int // units that peers told of as having left
-	unreadable     int // messages, lists and lines that the real code refused
+	processorTime      int64 // ns of the real code, without that of the first whole list of each life
+	startProcessorTime int64 // ns of that list
+	aliveSeconds       float64
+	classes            [classCount]traffic
+	aggregated         bool // it has told the others what it finds
+	requests           requestCounts
+	listsRejected      int
+	removedByPeers     int // units that peers told of as having left
+	unreadable         int // messages, lists and lines that the real code refused
 }
 
 // requestCounts are requests by how they ended.
 type requestCounts struct {
-	Taken    int64 `json:"taken"`
-	Honoured int64 `json:"honoured"`
-	Denied   int64 `json:"denied"`
-	WroteOff int64 `json:"written_off"`
-	Left     int64 `json:"left_unanswered"`
-	Open     int64 `json:"open_at_the_end"`
-	Attempts int64 `json:"attempts"`
+	Received            int64 `json:"taken"`
+	Succeeded           int64 `json:"honoured"`
+	Rejected            int64 `json:"denied"`
+	Failed              int64 `json:"written_off"`
+	ClientsDisconnected int64 `json:"left_unanswered"`
+	Open                int64 `json:"open_at_the_end"`
+	Attempts            int64 `json:"attempts"`
 }
 
 func (c *requestCounts) add(o requestCounts) {
-	c.Taken += o.Taken
-	c.Honoured += o.Honoured
-	c.Denied += o.Denied
-	c.WroteOff += o.WroteOff
-	c.Left += o.Left
+	c.Received += o.Received
+	c.Succeeded += o.Succeeded
+	c.Rejected += o.Rejected
+	c.Failed += o.Failed
+	c.ClientsDisconnected += o.ClientsDisconnected
 	c.Open += o.Open
 	c.Attempts += o.Attempts
 }
@@ -94,11 +94,11 @@
 
 // peakMemoryMB is the most memory that the process ever held.
 func peakMemoryMB() float64 {
-	var u unix.Rusage
-	if unix.Getrusage(unix.RUSAGE_SELF, &u) != nil {
+	var e unix.Rusage
+	if unix.Getrusage(unix.RUSAGE_SELF, &e) != nil {
 		return 0
 	}
-	return float64(u.Maxrss) / 1024
+	return float64(e.Maxrss) / 1024
 }
 
 // observation is a figure of one instance, and how many it stands for.
@@ -108,7 +108,7 @@
 type Distribution struct {
 	Mean float64 `json:"mean"`
 	P99  float64 `json:"p99"`
-	Most float64 `json:"most"`
+	Max  float64 `json:"most"`
 }
 
 // distribute sums observations up. The 99th percentile is the least value that at least 99 in 100 do not exceed.
@@ -134,6 +134,6 @@
 			break
 		}
 	}
-	d.Most = sorted[len(sorted)-1].value
+	d.Max = sorted[len(sorted)-1].value
 	return d
 }
--- a/lab/scale/options.go
+++ b/lab/scale/options.go
@@ -24,69 +24,69 @@
 
 // The faults that a run can have.
 const (
-	RelayKills      Fault = "relay-kills"
-	RelayKillsX100  Fault = "relay-kills-x100"
-	Restarts        Fault = "restarts"
-	RestartsX100    Fault = "restarts-x100"
-	RackLoss        Fault = "rack"
-	ZoneLoss        Fault = "zone"
-	RegionSplit     Fault = "region-split"
-	OneWay          Fault = "one-way"
-	DatagramLoss    Fault = "loss"
-	Duplicates      Fault = "duplicates"
-	Reorder         Fault = "reorder"
-	AllFusersKilled Fault = "fusers"
+	RelayKills           Fault = "relay-kills"
+	RelayKillsX100       Fault = "relay-kills-x100"
+	Restarts             Fault = "restarts"
+	RestartsX100         Fault = "restarts-x100"
+	RackLoss             Fault = "rack"
+	ZoneLoss             Fault = "zone"
+	RegionSplit          Fault = "region-split"
+	OneWay               Fault = "one-way"
+	DatagramLoss         Fault = "loss"
+	Duplicates           Fault = "duplicates"
+	Reorder              Fault = "reorder"
+	AllAggregatorsKilled Fault = "fusers"
 )
 
 // AllFaults lists the faults in the order of the documentation.
 var AllFaults = []Fault{RelayKills, RelayKillsX100, Restarts, RestartsX100, RackLoss, ZoneLoss, RegionSplit, OneWay,
-	DatagramLoss, Duplicates, Reorder, AllFusersKilled}
+	DatagramLoss, Duplicates, Reorder, AllAggregatorsKilled}
 
 // Defence is the name of a defence that a run can switch off, so that the checker has something to find.
-type Defence string
+type Safeguard string
 
 // The defences that can be switched off.
 const (
 	// DrainNotices are the entries of the list that tell a relay of units that leave.
-	DrainNotices Defence = "drain-notices"
-	// ExposureCap is the platform's bound on requests to a build on trial.
-	ExposureCap Defence = "exposure-cap"
+	DrainNotices Safeguard = "drain-notices"
+	// ExposureLimit is the platform's bound on requests to a build on trial.
+	ExposureLimit Safeguard = "exposure-cap"
 	// Leases are the membership protocol: without it a relay acts on its list however old it is.
-	Leases Defence = "membership"
+	Leases Safeguard = "membership"
 )
 
-// AllDefences lists the defences in the order of the documentation.
-var AllDefences = []Defence{DrainNotices, ExposureCap, Leases}
+// AllSafeguards lists the defences in the order of the documentation.
+var AllSafeguards = []Safeguard{DrainNotices, ExposureLimit, Leases}
 
 // Bounds of the options.
 const (
-	maxRelays   = 20_000
-	maxUnits    = 200_000
-	maxServices = 20_000
-	maxZones    = 256
-	maxRegions  = 64
-	maxSeconds  = 3_600
-	maxTenants  = 1_000_000
-	maxRoutes   = 1_000_000
-	maxRate     = 1_000
-	maxJobs     = 256
+	maxRelays    = 20_000
+	maxEndpoints = 200_000
+	maxServices  = 20_000
+	maxZones     = 256
+	maxRegions   = 64
+	maxSeconds   = 3_600
+	maxTenants   = 1_000_000
+	maxRoutes    = 1_000_000
+	maxRate      = 1_000
+	maxJobs      = 256
 )
 
 // Options are the size and the terms of a run.
 type Options struct {
-	Relays   int       `json:"relays"`
-	Units    int       `json:"units"`
-	Services int       `json:"services"`
-	Zones    int       `json:"zones"`
-	Regions  int       `json:"regions"`
-	Shape    Shape     `json:"shape"`
-	Seconds  float64   `json:"seconds"`
-	Seed     int64     `json:"seed"`
-	Tenants  int       `json:"tenants"`
-	Routes   int       `json:"routes"`
-	Rate     float64   `json:"rate"` // requests a second at each relay, in the mean
-	Faults   []Fault   `json:"faults"`
-	Without  []Defence `json:"without"`
+	Relays    int         `json:"relays"`
+	Endpoints int         `json:"units"`
+	Services  int         `json:"services"`
+	Zones     int         `json:"zones"`
+	Regions   int         `json:"regions"`
+	Shape     Shape       `json:"shape"`
+	Seconds   float64     `json:"seconds"`
+	Seed      int64       `json:"seed"`
+	Tenants   int         `json:"tenants"`
+	Routes    int         `json:"routes"`
+	Rate      float64     `json:"rate"` // requests a second at each relay, in the mean
+	Faults    []Fault     `json:"faults"`
+	Without   []Safeguard `json:"without"`
 	// Measured bounds the relays of a service that are hosted whole, besides its fusers and their deputies; 0 leaves
 	// the choice to the budget.
 	Measured int `json:"measured"`
@@ -103,7 +103,7 @@
 		value, least, top float64
 	}{
 		{"relays", float64(o.Relays), 1, maxRelays},
-		{"units", float64(o.Units), 1, maxUnits},
+		{"units", float64(o.Endpoints), 1, maxEndpoints},
 		{"services", float64(o.Services), 1, maxServices},
 		{"zones", float64(o.Zones), 1, maxZones},
 		{"regions", float64(o.Regions), 1, maxRegions},
@@ -123,7 +123,7 @@
 		return fmt.Errorf("--shape: %q is neither wide nor skewed", o.Shape)
 	case o.Regions > o.Zones:
 		return fmt.Errorf("--regions: %d of them need as many zones, not %d", o.Regions, o.Zones)
-	case o.Shape == Skewed && o.Services > min(o.Relays, o.Units):
+	case o.Shape == Skewed && o.Services > min(o.Relays, o.Endpoints):
 		return fmt.Errorf("--services: %d of them need as many relays and units", o.Services)
 	}
 	for _, f := range o.Faults {
@@ -135,8 +135,8 @@
 		}
 	}
 	for _, d := range o.Without {
-		if !slices.Contains(AllDefences, d) {
-			return fmt.Errorf("--without: %q is none of %s", d, joined(AllDefences))
+		if !slices.Contains(AllSafeguards, d) {
+			return fmt.Errorf("--without: %q is none of %s", d, joined(AllSafeguards))
 		}
 	}
 	return nil
@@ -144,7 +144,7 @@
 
 func (o *Options) has(f Fault) bool { return slices.Contains(o.Faults, f) }
 
-func (o *Options) lacks(d Defence) bool { return slices.Contains(o.Without, d) }
+func (o *Options) lacks(d Safeguard) bool { return slices.Contains(o.Without, d) }
 
 func joined[Name ~string](names []Name) string {
 	words := make([]string, len(names))
--- a/lab/scale/load.go
+++ b/lab/scale/request_source.go
@@ -8,23 +8,23 @@
 
 // requestKind is what requests of a category are like.
 type requestKind struct {
-	share    float64
-	work     [2]float64 // s on a standard core
-	due      float64    // s
-	patience float64    // s
-	value    float64
-	repeat   relay.Idempotency
+	share            float64
+	work             [2]float64 // s on a standard core
+	latencyObjective float64    // s
+	deadline         float64    // s
+	priorityWeight   float64
+	idempotency      relay.Idempotency
 }
 
 var requestKinds = []requestKind{
-	{share: 0.7, work: [2]float64{0.02, 0.04}, due: 0.8, patience: 2.5, value: 1, repeat: relay.Idempotent},
-	{share: 0.3, work: [2]float64{0.02, 0.06}, due: 1, patience: 3, value: 3, repeat: relay.AtMostOnce},
+	{share: 0.7, work: [2]float64{0.02, 0.04}, latencyObjective: 0.8, deadline: 2.5, priorityWeight: 1, idempotency: relay.Idempotent},
+	{share: 0.3, work: [2]float64{0.02, 0.06}, latencyObjective: 1, deadline: 3, priorityWeight: 3, idempotency: relay.AtMostOnce},
 }
 
-const workHint = 0.25 // either way, that a client's hint of the work is off
+const workHintError = 0.25 // either way, that a client's hint of the work is off
 
 // load draws a relay's requests: a Poisson process, tenants and routes drawn evenly.
-type load struct {
+type requestSource struct {
 	random          *rand.Rand
 	rate            float64
 	tenants, routes int
@@ -32,16 +32,16 @@
 }
 
 // gap is the time to the next request.
-func (l *load) gap() float64 { return l.random.ExpFloat64() / l.rate }
+func (l *requestSource) drawGap() float64 { return l.random.ExpFloat64() / l.rate }
 
 // next draws a request. Its times are the module's.
-func (l *load) next(now float64) (q relay.Request, work float64) {
+func (l *requestSource) next(now float64) (q relay.Request, work float64) {
 	l.lastID++
-	category := drawCategory(l.random)
-	kind := &requestKinds[category]
+	class := drawClass(l.random)
+	kind := &requestKinds[class]
 	work = kind.work[0] + (kind.work[1]-kind.work[0])*l.random.Float64()
-	q = relay.Request{ID: l.lastID, Deadline: now + kind.patience, HasWork: true, Class: relay.RequestClass(category),
-		Work: work * (1 + workHint*(2*l.random.Float64()-1))}
+	q = relay.Request{ID: l.lastID, Deadline: now + kind.deadline, HasWork: true, Class: relay.RequestClass(class),
+		Work: work * (1 + workHintError*(2*l.random.Float64()-1))}
 	if l.tenants > 0 {
 		q.Tenant = relay.Tenant(l.random.Intn(l.tenants))
 	}
@@ -51,7 +51,7 @@
 	return q, work
 }
 
-func drawCategory(random *rand.Rand) int {
+func drawClass(random *rand.Rand) int {
 	at := random.Float64()
 	for i := range requestKinds {
 		if at -= requestKinds[i].share; at < 0 {
@@ -62,7 +62,7 @@
 }
 
 // seeded gives each part of the run a source of chance of its own, so that one that draws more changes no other.
-func seeded(seed int64, part string, index int) *rand.Rand {
+func newRandom(seed int64, part string, index int) *rand.Rand {
 	h := uint64(seed) * 0x9e3779b97f4a7c15
 	for _, c := range part {
 		h = (h ^ uint64(c)) * 0x100000001b3
--- a/lab/scale/scale_test.go
+++ b/lab/scale/scale_test.go
@@ -10,15 +10,15 @@
 )
 
 // small is a fleet that plays in a second.
-func small(shape Shape, change func(o *Options)) Options {
-	o := Options{Relays: 14, Units: 60, Services: 3, Zones: 6, Regions: 3, Shape: shape, Seconds: 14, Seed: 3, Rate: 30, Jobs: 2}
+func smallOptions(shape Shape, change func(o *Options)) Options {
+	o := Options{Relays: 14, Endpoints: 60, Services: 3, Zones: 6, Regions: 3, Shape: shape, Seconds: 14, Seed: 3, Rate: 30, Jobs: 2}
 	if change != nil {
 		change(&o)
 	}
 	return o
 }
 
-func play(t *testing.T, o Options) *Result {
+func simulate(t *testing.T, o Options) *Result {
 	t.Helper()
 	r, err := Run(context.Background(), o)
 	if err != nil {
@@ -28,13 +28,13 @@
 }
 
 // exact is a result without processor time and memory.
-func exact(t *testing.T, r *Result) string {
+func deterministicPart(t *testing.T, r *Result) string {
 	t.Helper()
 	c := *r
 	c.ProcessPeakMB, c.WallSeconds, c.GCSeconds = 0, 0, 0
 	c.Roles = append([]Role(nil), r.Roles...)
 	for i := range c.Roles {
-		c.Roles[i].CPUShare, c.Roles[i].StartSeconds, c.Roles[i].HeapMB = Distribution{}, Distribution{}, Distribution{}
+		c.Roles[i].CPUShare, c.Roles[i].StartCPUSeconds, c.Roles[i].HeapMB = Distribution{}, Distribution{}, Distribution{}
 	}
 	b, err := json.Marshal(&c)
 	if err != nil {
@@ -50,7 +50,7 @@
 	}{
 		{func(o *Options) {}, ""},
 		{func(o *Options) { o.Relays = 0 }, "--relays: 0 is not from 1 to 20000"},
-		{func(o *Options) { o.Units = 200_001 }, "--units: 200001 is not from 1 to 200000"},
+		{func(o *Options) { o.Endpoints = 200_001 }, "--units: 200001 is not from 1 to 200000"},
 		{func(o *Options) { o.Services = -1 }, "--services: -1 is not from 1 to 20000"},
 		{func(o *Options) { o.Zones = 0 }, "--zones: 0 is not from 1 to 256"},
 		{func(o *Options) { o.Regions = 65 }, "--regions: 65 is not from 1 to 64"},
@@ -65,9 +65,9 @@
 		{func(o *Options) { o.Services = 15 }, "--services: 15 of them need as many relays and units"},
 		{func(o *Options) { o.Faults = []Fault{"flood"} }, `--fault: "flood" is none of relay-kills, `},
 		{func(o *Options) { o.Regions, o.Faults = 1, []Fault{RegionSplit} }, "--fault: region-split needs two regions"},
-		{func(o *Options) { o.Without = []Defence{"moat"} }, `--without: "moat" is none of drain-notices, `},
+		{func(o *Options) { o.Without = []Safeguard{"moat"} }, `--without: "moat" is none of drain-notices, `},
 	} {
-		o := small(Skewed, c.change)
+		o := smallOptions(Skewed, c.change)
 		err := o.Validate()
 		switch {
 		case c.want == "" && err != nil:
@@ -81,22 +81,22 @@
 // TestSameSeedSameFigures plays with every fault at once, with one thread and with several.
 func TestSameSeedSameFigures(t *testing.T) {
 	for _, shape := range []Shape{Wide, Skewed} {
-		o := small(shape, func(o *Options) { o.Faults = AllFaults })
-		first := exact(t, play(t, o))
+		o := smallOptions(shape, func(o *Options) { o.Faults = AllFaults })
+		first := deterministicPart(t, simulate(t, o))
 		o.Jobs = 5
-		if again := exact(t, play(t, o)); again != first {
+		if again := deterministicPart(t, simulate(t, o)); again != first {
 			t.Errorf("%s: other figures with other threads:\n%s\n%s", shape, first, again)
 		}
 		o.Seed++
-		if other := exact(t, play(t, o)); other == first {
+		if other := deterministicPart(t, simulate(t, o)); other == first {
 			t.Errorf("%s: another seed gave the same figures", shape)
 		}
 	}
 }
 
-// TestRefusesWhatNeedsTooMuchMemory asks for more whole relays than fit.
-func TestRefusesWhatNeedsTooMuchMemory(t *testing.T) {
-	o := small(Wide, func(o *Options) { o.Relays, o.Units, o.Measured = 4300, 42000, 4300 })
+// TestRunRejectsSizesThatNeedTooMuchMemory asks for more whole relays than fit.
+func TestRunRejectsSizesThatNeedTooMuchMemory(t *testing.T) {
+	o := smallOptions(Wide, func(o *Options) { o.Relays, o.Endpoints, o.Measured = 4300, 42000, 4300 })
 	_, err := Run(context.Background(), o)
 	if err == nil || !strings.Contains(err.Error(), "MB for 4300 hosted relays, and a run may take 12288 MB") {
 		t.Errorf("%v", err)
@@ -107,12 +107,12 @@
 func TestFullSizeHasASample(t *testing.T) {
 	for _, shape := range []Shape{Wide, Skewed} {
 		for _, seconds := range []float64{20, 120} {
-			o := Options{Relays: 4300, Units: 42000, Services: 2100, Zones: 16, Regions: 7, Shape: shape, Seconds: seconds, Rate: 77, Jobs: 8}
+			o := Options{Relays: 4300, Endpoints: 42000, Services: 2100, Zones: 16, Regions: 7, Shape: shape, Seconds: seconds, Rate: 77, Jobs: 8}
 			s, err := o.chooseSample()
 			if err != nil {
 				t.Fatal(err)
 			}
-			if e := o.estimate(s); e.processorSeconds > budgetSeconds || e.memoryMB > mostMemoryMB || e.instances < fuserNumbers+16 {
+			if e := o.estimate(s); e.processorSeconds > budgetSeconds || e.memoryMB > maxMemoryMB || e.instances < aggregatorCount+16 {
 				t.Errorf("%s %g s: %+v %+v", shape, seconds, s, e)
 			}
 		}
@@ -121,33 +121,33 @@
 
 // TestSampleStandsForAll holds the weights of what is hosted to the size of the fleet.
 func TestSampleStandsForAll(t *testing.T) {
-	o := Options{Relays: 430, Units: 900, Services: 100, Zones: 16, Regions: 7, Shape: Skewed, Seconds: 1, Rate: 5, Jobs: 1, Measured: 3}
-	w, err := newWorld(o)
+	o := Options{Relays: 430, Endpoints: 900, Services: 100, Zones: 16, Regions: 7, Shape: Skewed, Seconds: 1, Rate: 5, Jobs: 1, Measured: 3}
+	sim, err := newSimulation(o)
 	if err != nil {
 		t.Fatal(err)
 	}
 	stands := 0.0
-	for _, h := range w.hollows {
+	for _, h := range sim.hollowRelays {
 		if h != nil {
-			stands += h.standsFor()
+			stands += h.represents()
 		}
 	}
 	if math.Abs(stands-430) > 1e-6 {
 		t.Errorf("hosted relays stand for %g of 430", stands)
 	}
-	if len(w.hollows) != 430 || len(w.standIns) == 0 {
-		t.Errorf("%d relays, %d stand-ins", len(w.hollows), len(w.standIns))
+	if len(sim.hollowRelays) != 430 || len(sim.syntheticRelays) == 0 {
+		t.Errorf("%d relays, %d stand-ins", len(sim.hollowRelays), len(sim.syntheticRelays))
 	}
 }
 
-// TestStandInsTellAsRelaysDo holds what relays hear from made-up relays to what they hear from whole ones.
-func TestStandInsTellAsRelaysDo(t *testing.T) {
-	all := play(t, small(Wide, func(o *Options) { o.Relays, o.Rate, o.Measured = 40, 60, 40 }))
-	part := play(t, small(Wide, func(o *Options) { o.Relays, o.Rate, o.Measured = 40, 60, 4 }))
+// TestSyntheticRelaysSendWhatHostedRelaysDo holds what relays hear from made-up relays to what they hear from whole ones.
+func TestSyntheticRelaysSendWhatHostedRelaysDo(t *testing.T) {
+	all := simulate(t, smallOptions(Wide, func(o *Options) { o.Relays, o.Rate, o.Measured = 40, 60, 40 }))
+	part := simulate(t, smallOptions(Wide, func(o *Options) { o.Relays, o.Rate, o.Measured = 40, 60, 4 }))
 	if all.Hosted != 40 || part.Hosted != 12 {
 		t.Fatalf("%d and %d hosted", all.Hosted, part.Hosted)
 	}
-	for i, name := range []string{relayRole, fuserRole} {
+	for i, name := range []string{relayRole, aggregatorRole} {
 		near := 0.05
 		if name == relayRole {
 			near = 0.1 // findings, four a second: one more at each change of mind
@@ -168,8 +168,8 @@
 			}
 		}
 	}
-	if all.Decisions.BadBack != 1 || part.Decisions.BadBack != 1 {
-		t.Errorf("the bad build went back %d and %d times", all.Decisions.BadBack, part.Decisions.BadBack)
+	if all.Decisions.BadRolledBack != 1 || part.Decisions.BadRolledBack != 1 {
+		t.Errorf("the bad build went back %d and %d times", all.Decisions.BadRolledBack, part.Decisions.BadRolledBack)
 	}
 }
 
@@ -190,7 +190,7 @@
 }
 
 func TestTableNamesEveryFigure(t *testing.T) {
-	r := play(t, small(Skewed, func(o *Options) { o.Seconds = 2 }))
+	r := simulate(t, smallOptions(Skewed, func(o *Options) { o.Seconds = 2 }))
 	var b bytes.Buffer
 	if err := r.WriteTable(&b); err != nil {
 		t.Fatal(err)
--- a/lab/scale/timers.go
+++ b/lab/scale/timers.go
@@ -6,21 +6,21 @@
 type timerKind uint8
 
 const (
-	arrivalTimer    timerKind = iota // the next request arrives
+	requestTimer    timerKind = iota // the next request arrives
 	attemptTimer                     // an attempt ends
-	patienceTimer                    // a client gives up
-	wakeTimer                        // the decision code asked for it
+	deadlineTimer                    // a client gives up
+	policyTimer                      // the decision code asked for it
 	membershipTimer                  // the membership protocol did
 )
 
 // timer is something that happens at one relay at a time.
 type timer struct {
-	at       float64
-	sequence int64
-	kind     timerKind
-	attempt  int32
-	request  *request
-	wake     relay.TimerID
+	at            float64
+	sequence      int64
+	kind          timerKind
+	attempt       int32
+	request       *request
+	policyTimerID relay.TimerID
 }
 
 func (t *timer) before(o *timer) bool {
@@ -57,16 +57,16 @@
 	t.heap[last] = timer{}
 	t.heap = t.heap[:last]
 	for i := 0; ; {
-		least := i
+		lowest := i
 		for child := 2*i + 1; child <= 2*i+2 && child < last; child++ {
-			if t.heap[child].before(&t.heap[least]) {
-				least = child
+			if t.heap[child].before(&t.heap[lowest]) {
+				lowest = child
 			}
 		}
-		if least == i {
+		if lowest == i {
 			return top, true
 		}
-		t.heap[i], t.heap[least] = t.heap[least], t.heap[i]
-		i = least
+		t.heap[i], t.heap[lowest] = t.heap[lowest], t.heap[i]
+		i = lowest
 	}
 }
--- a/lab/scale/topology.go
+++ b/lab/scale/topology.go
@@ -69,22 +69,22 @@
 
 // serviceSize is how much of the fleet one service has.
 type serviceSize struct {
-	relays, units, tenants, routes int
-	rate                           float64 // requests a second at each of its relays
+	relays, endpoints, tenants, routes int
+	rate                               float64 // requests a second at each of its relays
 }
 
 // sizes are those of all services, the largest first.
 func (o *Options) sizes() []serviceSize {
 	if o.Shape == Wide {
-		return []serviceSize{{o.Relays, o.Units, o.Tenants, o.Routes, o.Rate}}
+		return []serviceSize{{o.Relays, o.Endpoints, o.Tenants, o.Routes, o.Rate}}
 	}
-	relays, units := apportion(o.Relays, o.Services), apportion(o.Units, o.Services)
+	relays, endpoints := apportion(o.Relays, o.Services), apportion(o.Endpoints, o.Services)
 	out := make([]serviceSize, o.Services)
 	for i := range out {
-		out[i] = serviceSize{relays: relays[i], units: units[i],
-			tenants: proportion(o.Tenants, units[i], o.Units), routes: proportion(o.Routes, units[i], o.Units),
+		out[i] = serviceSize{relays: relays[i], endpoints: endpoints[i],
+			tenants: proportion(o.Tenants, endpoints[i], o.Endpoints), routes: proportion(o.Routes, endpoints[i], o.Endpoints),
 			// A service's load is as its units, so that these are equally busy everywhere.
-			rate: o.Rate * float64(o.Relays) / float64(relays[i]) * float64(units[i]) / float64(o.Units)}
+			rate: o.Rate * float64(o.Relays) / float64(relays[i]) * float64(endpoints[i]) / float64(o.Endpoints)}
 	}
 	return out
 }
--- a/lab/scale/topology_test.go
+++ b/lab/scale/topology_test.go
@@ -43,13 +43,13 @@
 	}
 }
 
-// TestLoadIsAsTheUnits adds the load of all relays up.
-func TestLoadIsAsTheUnits(t *testing.T) {
-	o := small(Skewed, func(o *Options) { o.Relays, o.Units, o.Services = 100, 700, 30 })
+// TestLoadIsProportionalToEndpoints adds the load of all relays up.
+func TestLoadIsProportionalToEndpoints(t *testing.T) {
+	o := smallOptions(Skewed, func(o *Options) { o.Relays, o.Endpoints, o.Services = 100, 700, 30 })
 	sum := 0.0
 	for _, s := range o.sizes() {
 		sum += s.rate * float64(s.relays)
-		if each := s.rate * float64(s.relays) / float64(s.units); math.Abs(each-30*100/700.0) > 1e-9 {
+		if each := s.rate * float64(s.relays) / float64(s.endpoints); math.Abs(each-30*100/700.0) > 1e-9 {
 			t.Errorf("%+v: %g requests a second at each unit", s, each)
 		}
 	}
@@ -59,7 +59,7 @@
 }
 
 func TestWideIsOneService(t *testing.T) {
-	o := small(Wide, func(o *Options) { o.Tenants, o.Routes = 5, 7 })
+	o := smallOptions(Wide, func(o *Options) { o.Tenants, o.Routes = 5, 7 })
 	if got := o.sizes(); len(got) != 1 || got[0] != (serviceSize{14, 60, 5, 7, 30}) {
 		t.Errorf("%+v", got)
 	}
