--- a/lab/scale/checker.go
+++ b/lab/scale/checker.go
@@ -7,15 +7,15 @@
 	"lichenroad/relay"
 )
 
-// Broken is one time that a rule was not kept.
+// Violation is one breach of a rule.
 type Violation struct {
-	Time     float64 `json:"time"`
+	Time     float64 `json:"time"` // virtual, in seconds
 	Instance string  `json:"instance"`
 	Rule     string  `json:"rule"`
 	Detail   string  `json:"detail"`
 }
 
-// The rules that the checker knows.
+// The rules that the checker knows, as results name them.
 const (
 	drainRule     = "drain"
 	exposureRule  = "exposure"
@@ -23,36 +23,43 @@
 	effectRule    = "effect-twice"
 )
 
-// Terms of the rules, as relays are told them.
+// Terms of the rules, which are also in the settings of relays. Durations are in seconds.
 const (
-	drainGrace            = 0.25 // s after a drain counts as told
-	changeBindsAfter      = 6.0  // s after which it counts as told to a relay that it did not reach, with discovery up
-	exposureWindow        = 2.0  // s
-	exposureAllowance     = 1.0  // attempts in it that are free
-	limitGrace            = 0.25 // s until a lower cap binds
-	maxViolationsPerRelay = 10   // broken rules that are kept in words; more are counted
+	drainGrace            = 0.25 // from the time as of which a relay knows of a drain until no attempt may be sent
+	changeBindsAfter      = 6.0  // from a change until a relay that it did not reach counts as knowing it, if discovery is up
+	exposureWindow        = 2.0
+	exposureAllowance     = 1.0  // attempts in the window beyond the limit
+	limitGrace            = 0.25 // from a lower exposure limit until it binds
+	maxViolationsPerRelay = 10   // that are kept in detail; further ones are only counted
 )
 
-// checker watches one relay from outside. It knows what was told to the relay and what the world is like, nothing of the
-// decision code.
+// exposureTolerance absorbs rounding in the sum of exposure limits.
+const exposureTolerance = 1e-6
+
+// checker observes one relay from outside. It knows what the relay received and the state of the simulation, but nothing of
+// the decision code.
 type checker struct {
 	instance           string
 	violations         []Violation
-	count              int
-	drainsReceived     map[relay.EndpointID]float64 // when the relay was told that a unit leaves
-	status             relay.RolloutStatus
-	previousLimit      float64 // the cap before the present one, which holds up to previousLimitUntil
+	count              int                          // of all violations
+	drainsReceived     map[relay.EndpointID]float64 // when the relay first received that an endpoint leaves
+	status             relay.RolloutStatus          // received last
+	previousLimit      float64                      // exposure limit before a decrease, which holds up to previousLimitUntil
 	previousLimitUntil float64
-	received           []requestLimit
-	exposedAttempts    []float64
+	requests           []limitedRequest // received within the exposure window
+	exposedAttempts    []float64        // when attempts at the canary were sent within the exposure window
 }
 
-type requestLimit struct{ receivedAt, limit float64 }
+// limitedRequest is a request with the exposure limit at its receipt.
+type limitedRequest struct{ receivedAt, limit float64 }
 
-// restarted begins with a process that was told nothing yet.
+// restart forgets what the relay received before its restart.
 func (c *checker) restart() {
-	c.drainsReceived, c.status = map[relay.EndpointID]float64{}, relay.RolloutStatus{}
-	c.previousLimit, c.previousLimitUntil, c.received, c.exposedAttempts = 0, 0, nil, nil
+	c.drainsReceived = map[relay.EndpointID]float64{}
+	c.status = relay.RolloutStatus{}
+	c.previousLimit, c.previousLimitUntil = 0, 0
+	c.requests = nil
+	c.exposedAttempts = nil
 }
 
 func (c *checker) addViolation(now float64, rule, format string, args ...any) {
@@ -62,69 +69,67 @@
 	}
 }
 
-// listed notes an entry that the relay was told.
+// receiveEntry records a list entry that the relay received.
 func (c *checker) receiveEntry(now float64, e *endpoint, state relay.EndpointState) {
-	if _, notifiedAt := c.drainsReceived[e.id]; state != relay.Ready && !notifiedAt {
+	_, known := c.drainsReceived[e.id]
+	if state != relay.Ready && !known {
 		c.drainsReceived[e.id] = now
 	}
 }
 
-// hears notes news. A lower cap binds after a while.
-func (c *checker) receiveStatus(now float64, n relay.RolloutStatus) {
-	before := c.status
-	c.status = n
-	if n.ExposureLimit < before.ExposureLimit && n.Build == before.Build {
-		c.previousLimit, c.previousLimitUntil = before.ExposureLimit, now+limitGrace
+// receiveStatus records a rollout status that the relay received.
+func (c *checker) receiveStatus(now float64, status relay.RolloutStatus) {
+	previous := c.status
+	c.status = status
+	lowered := status.Build == previous.Build && status.ExposureLimit < previous.ExposureLimit
+	if lowered {
+		c.previousLimit = previous.ExposureLimit
+		c.previousLimitUntil = now + limitGrace
 	}
 }
 
-// exposureLimit is the part of the requests that may go to the newest build, or to one that is not announced yet.
+// exposureLimit returns the fraction of the requests that may go to the newest build, or to one not announced yet.
 func (c *checker) exposureLimit(now float64) float64 {
 	switch {
 	case c.status.Phase == relay.PhaseReleased || c.status.Phase == relay.PhaseWithdrawn:
-		return stages[0].cap
+		return stages[0].exposureLimit
 	case now <= c.previousLimitUntil:
 		return math.Max(c.status.ExposureLimit, c.previousLimit)
 	}
 	return c.status.ExposureLimit
 }
 
+// receiveRequest records a request that the relay received.
 func (c *checker) receiveRequest(now float64) {
-	c.received = append(c.received, requestLimit{now, c.exposureLimit(now)})
-	for len(c.received) > 0 && c.received[0].receivedAt < now-exposureWindow {
-		c.received = c.received[1:]
+	c.requests = append(c.requests, limitedRequest{now, c.exposureLimit(now)})
+	for len(c.requests) > 0 && c.requests[0].receivedAt < now-exposureWindow {
+		c.requests = c.requests[1:]
 	}
 }
 
-// sends holds an attempt against the rules. Unreachable is the time since the unit's drain in which discovery could not
-// be reached from here.
+// checkAttempt checks an attempt that the relay sends. Unreachable is for how long since the endpoint's drain the relay
+// could not reach discovery.
 func (c *checker) checkAttempt(now float64, r *request, e *endpoint, unreachable float64) {
 	c.checkDrain(now, e, unreachable)
 	c.checkExposure(now, e)
-	if requestKinds[r.details.Class].idempotency != relay.AtMostOnce {
-		return
-	}
-	for i := range r.attempts {
-		if a := &r.attempts[i]; !a.ended || !a.outcome.NeverRan() {
-			c.addViolation(now, effectRule, "request %d was sent to %s after attempt %d", r.details.ID, e.name, i)
-			return
-		}
-	}
+	c.checkEffect(now, r, e)
 }
 
+// checkDrain checks that the endpoint was not draining for longer than the grace.
 func (c *checker) checkDrain(now float64, e *endpoint, unreachable float64) {
-	counts := e.drainListedAt + changeBindsAfter + unreachable
-	if notifiedAt, known := c.drainsReceived[e.id]; known {
-		counts = math.Min(counts, notifiedAt)
+	knownAt := e.drainListedAt + changeBindsAfter + unreachable
+	if receivedAt, received := c.drainsReceived[e.id]; received {
+		knownAt = math.Min(knownAt, receivedAt)
 	}
-	if now > counts+drainGrace {
-		c.addViolation(now, drainRule, "%s counts as told since %.3f s", e.name, counts)
+	if now > knownAt+drainGrace {
+		c.addViolation(now, drainRule, "%s counts as told since %.3f s", e.name, knownAt)
 	}
 }
 
+// checkExposure checks that attempts at the canary stay within the exposure limit.
 func (c *checker) checkExposure(now float64, e *endpoint) {
-	n := &c.status
-	if e.build < n.Build || e.build == n.Build && n.Phase == relay.PhaseReleased {
+	released := e.build == c.status.Build && c.status.Phase == relay.PhaseReleased
+	if e.build < c.status.Build || released {
 		return
 	}
 	for len(c.exposedAttempts) > 0 && c.exposedAttempts[0] < now-exposureWindow {
@@ -132,27 +137,26 @@
 	}
 	c.exposedAttempts = append(c.exposedAttempts, now)
 	allowed := exposureAllowance
-	for _, t := range c.received {
-		allowed += t.limit
+	for _, r := range c.requests {
+		allowed += r.limit
 	}
-	closed := e.build == n.Build && n.Phase != relay.PhaseCanary && now > c.previousLimitUntil
-	if used := float64(len(c.exposedAttempts)); used > allowed+1e-6 || closed {
+	closed := e.build == c.status.Build && c.status.Phase != relay.PhaseCanary && now > c.previousLimitUntil
+	used := float64(len(c.exposedAttempts))
+	if used > allowed+exposureTolerance || closed {
 		c.addViolation(now, exposureRule, "%.0f attempts at build %d in %g s, %.2f allowed", used, e.build, exposureWindow, allowed)
 	}
 }
 
-// addSlowStartWork adds work to a cold unit, by whichever relay, and says whether it was pushed over just now.
-func (e *endpoint) addSlowStartWork(now, work float64) bool {
-	kept, sum := e.slowStartWork[:0], work
-	for _, sim := range e.slowStartWork {
-		if sim.at > now-overloadWindow {
-			kept, sum = append(kept, sim), sum+sim.work
-		}
+// checkEffect checks that a request which may run at most once has no earlier attempt that may have run.
+func (c *checker) checkEffect(now float64, r *request, e *endpoint) {
+	if requestKinds[r.details.Class].idempotency != relay.AtMostOnce {
+		return
 	}
-	e.slowStartWork = append(kept, timedWork{now, work})
-	if over := sum > overloadMultiple*endpointCores*e.slowStartFraction(now)*overloadWindow; !over || e.overloaded {
-		return false
+	for i := range r.attempts {
+		earlier := &r.attempts[i]
+		if !earlier.ended || !earlier.outcome.NeverRan() {
+			c.addViolation(now, effectRule, "request %d was sent to %s after attempt %d", r.details.ID, e.name, i)
+			return
+		}
 	}
-	e.overloaded = true
-	return true
 }
--- a/lab/scale/checker_test.go
+++ b/lab/scale/checker_test.go
@@ -6,65 +6,75 @@
 	"lichenroad/relay"
 )
 
+// violationsByRule counts the violations in a result.
 func violationsByRule(r *Result) map[string]int {
-	out := map[string]int{}
+	counts := map[string]int{}
 	for _, b := range r.Violations {
-		out[b.Rule]++
+		counts[b.Rule]++
 	}
-	return out
+	return counts
 }
 
-// TestCheckerFindsViolationsWithoutASafeguard switches each defence off, and none.
+// TestCheckerFindsViolationsWithoutASafeguard runs with all safeguards, and without each of them.
 func TestCheckerFindsViolationsWithoutASafeguard(t *testing.T) {
-	o := smallOptions(Wide, func(o *Options) { o.Faults, o.Seconds = []Fault{ZoneLoss}, 22 }) // so that units leave
+	o := smallOptions(Wide, func(o *Options) { o.Faults, o.Seconds = []Fault{ZoneLoss}, 22 }) // so that endpoints leave
 	if r := simulate(t, o); r.ViolationCount != 0 || r.Decisions.BadRolledBack != 1 || !r.SlowStartChecked {
-		t.Errorf("with all defences: %+v, %+v", r.Violations, r.Decisions)
+		t.Errorf("with all safeguards: %+v, %+v", r.Violations, r.Decisions)
 	}
-	for defence, rule := range map[Safeguard]string{DrainNotices: drainRule, ExposureLimit: exposureRule, Leases: drainRule} {
-		o.Without = []Safeguard{defence}
-		r := simulate(t, o)
-		if got := violationsByRule(r); got[rule] == 0 || len(got) != 1 {
-			t.Errorf("without %s: %v", defence, got)
-		}
-		if b := r.Violations[0]; b.Time < 0.3*o.Seconds || b.Instance == "" || b.Detail == "" {
-			t.Errorf("%+v", b)
-		}
+	for safeguard, rule := range map[Safeguard]string{DrainNotices: drainRule, ExposureLimit: exposureRule, Leases: drainRule} {
+		t.Run("without "+string(safeguard), func(t *testing.T) {
+			o := o
+			o.Without = []Safeguard{safeguard}
+			r := simulate(t, o)
+			if got := violationsByRule(r); got[rule] == 0 || len(got) != 1 {
+				t.Fatalf("%v", got)
+			}
+			if v := r.Violations[0]; v.Time < 0.3*o.Seconds || v.Instance == "" || v.Detail == "" {
+				t.Errorf("%+v", v)
+			}
+		})
 	}
 }
 
+// newChecker returns the checker of a relay that has received nothing.
 func newChecker() *checker {
 	c := &checker{instance: "x"}
 	c.restart()
 	return c
 }
 
-// TestDrainRule plants attempts around the moment from which a drain holds.
+// TestDrainRule sends attempts just before and after a drain binds the relay.
 func TestDrainRule(t *testing.T) {
-	r := &request{}
-	for _, c := range []struct {
-		told, at, unreachable float64
-		broken                int
+	const drainListedAt = 10
+	for name, c := range map[string]struct {
+		receivedAt, sentAt, unreachable float64
+		violations                      int
 	}{
-		{told: 12, at: 12.2}, {told: 12, at: 12.3, broken: 1},
-		{told: never, at: 16.2}, {told: never, at: 16.3, broken: 1}, // 6 s after the list had it
-		{told: never, at: 16.3, unreachable: 1}, {told: never, at: 17.3, unreachable: 1, broken: 1},
-		{told: 20, at: 16.3, broken: 1},
+		"within the grace of a received drain":    {receivedAt: 12, sentAt: 12.2},
+		"after the grace of a received drain":     {receivedAt: 12, sentAt: 12.3, violations: 1},
+		"before an unreceived drain binds":        {receivedAt: never, sentAt: 16.2}, // 6 s after it was listed
+		"after an unreceived drain binds":         {receivedAt: never, sentAt: 16.3, violations: 1},
+		"unreachable, before the drain binds":     {receivedAt: never, sentAt: 16.3, unreachable: 1},
+		"unreachable, after the drain binds":      {receivedAt: never, sentAt: 17.3, unreachable: 1, violations: 1},
+		"drain received after it binds the relay": {receivedAt: 20, sentAt: 16.3, violations: 1},
 	} {
-		k := newChecker()
-		e := newEndpoint("u", place{}, 0, 0, 0)
-		e.drainListedAt = 10
-		if c.told != never {
-			k.receiveEntry(c.told, e, relay.Draining)
-			k.receiveEntry(c.told+1, e, relay.Removed) // the first word counts
-		}
-		k.checkAttempt(c.at, r, e, c.unreachable)
-		if k.count != c.broken {
-			t.Errorf("%+v: %+v", c, k.violations)
-		}
+		t.Run(name, func(t *testing.T) {
+			k := newChecker()
+			e := newEndpoint("u", place{}, 0, 0, 0)
+			e.drainListedAt = drainListedAt
+			if c.receivedAt != never {
+				k.receiveEntry(c.receivedAt, e, relay.Draining)
+				k.receiveEntry(c.receivedAt+1, e, relay.Removed) // the first entry counts
+			}
+			k.checkAttempt(c.sentAt, &request{}, e, c.unreachable)
+			if k.count != c.violations {
+				t.Errorf("%+v", k.violations)
+			}
+		})
 	}
 }
 
-// TestExposureRule plants attempts at a build on trial.
+// TestExposureRule sends attempts at a canary up to the limit and beyond.
 func TestExposureRule(t *testing.T) {
 	k := newChecker()
 	trial := newEndpoint("u", place{}, 0, 2, 0)
@@ -83,33 +93,38 @@
 		t.Errorf("within the grace: %+v", k.violations)
 	}
 	if k.checkAttempt(4.3, &request{}, trial, 0); k.count != 1 {
-		t.Error("a build that goes back was sent to")
+		t.Error("an attempt at a build that is rolled back was allowed")
 	}
 	if k.checkAttempt(4.3, &request{}, newEndpoint("old", place{}, 0, 1, 0), 0); k.count != 1 {
-		t.Error("the earlier build is free")
+		t.Error("an attempt at the earlier build was not allowed")
 	}
 }
 
-// TestEffectTwiceRule plants a second attempt of a request that may run once.
+// TestEffectTwiceRule sends a second attempt of requests, after several outcomes of the first.
 func TestEffectTwiceRule(t *testing.T) {
 	e := newEndpoint("u", place{}, 0, 0, 0)
 	once := relay.Request{Class: 1}
-	for _, c := range []struct {
-		query  relay.Request
-		before attempt
-		broken int
+	for name, c := range map[string]struct {
+		request    relay.Request
+		earlier    attempt
+		violations int
 	}{
-		{once, attempt{ended: true, outcome: relay.ConnectFailed}, 0}, {once, attempt{ended: true, outcome: relay.Errored}, 1},
-		{once, attempt{outcome: relay.ConnectFailed}, 1}, {relay.Request{}, attempt{ended: true, outcome: relay.Errored}, 0},
+		"at most once, never connected":   {once, attempt{ended: true, outcome: relay.ConnectFailed}, 0},
+		"at most once, may have run":      {once, attempt{ended: true, outcome: relay.Errored}, 1},
+		"at most once, has not ended yet": {once, attempt{outcome: relay.ConnectFailed}, 1},
+		"idempotent, may have run":        {relay.Request{}, attempt{ended: true, outcome: relay.Errored}, 0},
 	} {
-		k := newChecker()
-		if k.checkAttempt(1, &request{details: c.query, attempts: []attempt{c.before}}, e, 0); k.count != c.broken {
-			t.Errorf("%+v: %+v", c, k.violations)
-		}
+		t.Run(name, func(t *testing.T) {
+			k := newChecker()
+			k.checkAttempt(1, &request{details: c.request, attempts: []attempt{c.earlier}}, e, 0)
+			if k.count != c.violations {
+				t.Errorf("%+v", k.violations)
+			}
+		})
 	}
 }
 
-// TestSlowStartRule plants more work than a cold unit can do: three times four tenths of a second of it in a second.
+// TestSlowStartRule sends more work than an endpoint at its start can do in a second: three times 0.4 s.
 func TestSlowStartRule(t *testing.T) {
 	e := newEndpoint("u", place{}, 0, 0, 10)
 	for i := range 12 {
@@ -118,29 +133,30 @@
 		}
 	}
 	if !e.addSlowStartWork(10, 0.1) {
-		t.Error("it was pushed over")
+		t.Error("the overload was not reported")
 	}
 	if e.addSlowStartWork(10, 0.1) {
-		t.Error("told twice")
+		t.Error("the overload was reported twice")
 	}
 	e.overloaded = false
 	if e.addSlowStartWork(11.5, 0.1) {
-		t.Error("the work of a second ago counts no more")
+		t.Error("work of more than a second ago was counted")
 	}
 }
 
-// TestReleasesOfCohorts has every kind on trial at any time, and one service alone with the bad build of its cohort.
+// TestReleasesOfCohorts checks that every kind is a canary at any time, and that one service alone has the bad build of its
+// cohort.
 func TestReleasesOfCohorts(t *testing.T) {
 	for release := range 4 {
 		bad, kinds := 0, map[releaseKind]int{}
 		for service := range 20 {
-			kind, wrong := releaseFor(service, release)
+			kind, buildDefect := releaseFor(service, release)
 			kinds[kind]++
-			if kind == badForOneService && wrong != noDefect {
+			if kind == badForOneService && buildDefect != noDefect {
 				bad++
 			}
-			if (kind == failingRelease || kind == slowRelease) && wrong == noDefect || kind == goodRelease && wrong != noDefect {
-				t.Errorf("%v: %+v", kind, wrong)
+			if (kind == failingRelease || kind == slowRelease) && buildDefect == noDefect || kind == goodRelease && buildDefect != noDefect {
+				t.Errorf("%v: %+v", kind, buildDefect)
 			}
 		}
 		if bad != 1 || len(kinds) != int(releaseKindCount) || kinds[badForOneService] != 5 {
--- a/lab/scale/control.go
+++ b/lab/scale/control.go
@@ -7,9 +7,10 @@
 	"lichenroad/relay"
 )
 
-// What crosses between relays and the control plane: calls to discovery and votes, their answers, and news.
+// The simulated control plane between relays on one side, discovery and the platform on the other: polls and votes, their
+// answers, and rollout statuses.
 
-// parcel is something for one relay that arrives at a time.
+// controlMessage is what one relay receives from the control plane at a time: either an answer or a status line.
 type controlMessage struct {
 	arrivesAt float64
 	to        *hollowRelay
@@ -17,73 +18,82 @@
 	status    *statusLine
 }
 
-// reachesControlPlane says whether a relay reaches discovery and the platform, which stand in the first region.
+// reachesControlPlane reports whether a relay reaches discovery and the platform, which are in the first region.
 func (sim *simulation) reachesControlPlane(r *identity) bool { return sim.network.reaches(r.region, 0) }
 
-// unreachable is the time since another in which discovery could not be reached from a region.
+// unreachableTime returns for how long since a time discovery could not be reached from a region.
 func (sim *simulation) unreachableTime(region int, since, now float64) float64 {
-	if region != sim.options.Regions-1 || region == 0 || math.IsInf(since, 1) || sim.partitionedFrom > now {
+	neverPartitioned := region != sim.options.Regions-1 || region == 0
+	if neverPartitioned || math.IsInf(since, 1) || sim.partitionedFrom > now {
 		return 0
 	}
 	return math.Max(0, math.Min(now, sim.partitionedUntil)-math.Max(since, sim.partitionedFrom))
 }
 
-// sendStatus has the platform tell a service's relays how its newest build stands.
+// sendStatus sends the present rollout status to all relays of a service that the platform reaches.
 func (sim *simulation) sendStatus(now float64, s *service) {
 	line := linewire.StatusNoticeLine(s.platform.statusAt(now))
 	for _, h := range s.hollowRelays {
 		if h.alive && sim.reachesControlPlane(h.identity) {
-			sim.controlMessages = append(sim.controlMessages, controlMessage{arrivesAt: now + statusDelay, to: h, status: &statusLine{h.incarnation, line}})
+			sim.sendStatusLine(now+statusDelay, h, line)
 		}
 	}
 }
 
-// answerHeldPolls answers calls that wait for something new, all of them or those whose wait is over.
-func (sim *simulation) answerHeldPolls(now float64, s *service, all bool) {
+// sendStatusLine sends a line of the platform to a relay; an empty one stands for a vote that times out.
+func (sim *simulation) sendStatusLine(arrivesAt float64, to *hollowRelay, line string) {
+	status := &statusLine{incarnation: to.incarnation, line: line}
+	sim.controlMessages = append(sim.controlMessages, controlMessage{arrivesAt: arrivesAt, to: to, status: status})
+}
+
+// answerHeldPolls answers the polls that discovery holds: all of them after a change, otherwise those whose wait is over.
+func (sim *simulation) answerHeldPolls(now float64, s *service, changed bool) {
 	r := s.registry
-	left := r.heldPolls[:0]
-	for _, c := range r.heldPolls {
+	held := r.heldPolls[:0]
+	for _, p := range r.heldPolls {
 		switch {
-		case !sim.reachesControlPlane(c.relay.identity):
-			sim.sendAnswer(now+unreachableTimeout, c, nil)
-		case all || now >= c.heldUntil:
-			sim.sendAnswer(now+answerDelay, c, r.answer(c.generation))
+		case !sim.reachesControlPlane(p.relay.identity):
+			sim.sendAnswer(now+unreachableTimeout, p, nil)
+		case changed || now >= p.heldUntil:
+			sim.sendAnswer(now+answerDelay, p, r.answer(p.generation))
 		default:
-			left = append(left, c)
+			held = append(held, p)
 		}
 	}
-	clear(r.heldPolls[len(left):])
-	r.heldPolls = left
+	clear(r.heldPolls[len(held):])
+	r.heldPolls = held
 }
 
-func (sim *simulation) sendAnswer(at float64, c poll, a *listAnswer) {
-	sim.controlMessages = append(sim.controlMessages, controlMessage{arrivesAt: at, to: c.relay, answer: &pollAnswer{c.number, a}})
+// sendAnswer sends an answer to a poll, or fails it with none.
+func (sim *simulation) sendAnswer(arrivesAt float64, p poll, answer *listAnswer) {
+	message := controlMessage{arrivesAt: arrivesAt, to: p.relay, answer: &pollAnswer{p.number, answer}}
+	sim.controlMessages = append(sim.controlMessages, message)
 }
 
-// call takes a call to discovery.
-func (sim *simulation) receivePoll(now float64, c poll) {
-	r := c.relay.service.registry
+// receivePoll handles a poll of discovery.
+func (sim *simulation) receivePoll(now float64, p poll) {
+	r := p.relay.service.registry
 	switch {
-	case !sim.reachesControlPlane(c.relay.identity):
-		sim.sendAnswer(now+unreachableTimeout, c, nil)
-	case !c.continuesWatch:
-		took, fails := r.enqueue(now)
-		if fails {
-			sim.sendAnswer(now+took, c, nil)
-			return
+	case !sim.reachesControlPlane(p.relay.identity):
+		sim.sendAnswer(now+unreachableTimeout, p, nil)
+	case !p.continuesWatch:
+		delay, accepted := r.enqueue(now)
+		var answer *listAnswer
+		if accepted {
+			answer = r.answer(p.generation)
 		}
-		sim.sendAnswer(now+took, c, r.answer(c.generation))
-	case c.generation < r.generation:
-		sim.sendAnswer(now+answerDelay, c, r.answer(c.generation))
+		sim.sendAnswer(now+delay, p, answer)
+	case p.generation < r.generation:
+		sim.sendAnswer(now+answerDelay, p, r.answer(p.generation))
 	default:
-		r.heldPolls = append(r.heldPolls, c)
+		r.heldPolls = append(r.heldPolls, p)
 	}
 }
 
-// vote takes a relay's vote and answers it.
+// receiveVote handles a vote and sends its reply.
 func (sim *simulation) receiveVote(now float64, h *hollowRelay, line string) {
 	if !sim.reachesControlPlane(h.identity) {
-		sim.controlMessages = append(sim.controlMessages, controlMessage{arrivesAt: now + h.service.settings.Rollout.CallTimeout, to: h, status: &statusLine{incarnation: h.incarnation}})
+		sim.sendStatusLine(now+h.service.settings.Rollout.CallTimeout, h, "")
 		return
 	}
 	call, err := linewire.ParseCall(line[:len(line)-len("\r\n")])
@@ -92,20 +102,20 @@
 		return
 	}
 	p := h.service.platform
-	answer := linewire.ErrorLine(linewire.CodeStale)
+	reply := linewire.ErrorLine(linewire.CodeStale)
 	if p.receiveVote(now, h.number, h.weight, call.Vote) == relay.ReplyCounted {
-		answer = linewire.StatusReplyLine(p.statusAt(now))
+		reply = linewire.StatusReplyLine(p.statusAt(now))
 	}
-	sim.controlMessages = append(sim.controlMessages, controlMessage{arrivesAt: now + statusDelay, to: h, status: &statusLine{h.incarnation, answer}})
+	sim.sendStatusLine(now+statusDelay, h, reply)
 }
 
-// hand gives relays what has arrived.
+// deliverControlMessages passes the messages that have arrived to their relays. Those for a relay that is down are lost.
 func (sim *simulation) deliverControlMessages(now float64) {
-	left := sim.controlMessages[:0]
+	underWay := sim.controlMessages[:0]
 	for _, m := range sim.controlMessages {
 		switch {
 		case m.arrivesAt > now:
-			left = append(left, m)
+			underWay = append(underWay, m)
 		case !m.to.alive:
 		case m.answer != nil:
 			m.to.pollAnswers = append(m.to.pollAnswers, *m.answer)
@@ -113,6 +123,6 @@
 			m.to.statusLines = append(m.to.statusLines, *m.status)
 		}
 	}
-	clear(sim.controlMessages[len(left):])
-	sim.controlMessages = left
+	clear(sim.controlMessages[len(underWay):])
+	sim.controlMessages = underWay
 }
--- a/lab/scale/discovery.go
+++ b/lab/scale/discovery.go
@@ -7,98 +7,101 @@
 	"lichenroad/relay"
 )
 
-// Facts of the stand-in for discovery.
+// Properties of the simulated discovery. Durations are in seconds.
 const (
 	epoch              = 1_700_000_000 // Unix time at the start of a run
-	publishInterval    = 0.5           // s between two generations of a list
-	crashDetectionTime = 1.0           // s until discovery notices that a process is gone
-	minListRate        = 50.0          // whole lists a second that it can give
-	fullRoundTime      = 8.0           // it can give all relays a list once in so many seconds, if that is more
-	maxQueueTime       = 2.0           // s that a call for a whole list may wait before it fails
-	unqueuedTime       = 1.0           // s from the start in which a call does not queue: the fleet has long stood
-	answerDelay        = 0.02          // s that an answer takes
-	unreachableTimeout = 1.0           // s after which a call that can't reach it fails
-	entriesPerPart     = 8192          // entries of one part of a list that the real reader refuses in one piece
+	publishInterval    = 0.5           // between two generations of a list
+	crashDetectionTime = 1.0           // until discovery notices that a process has ended
+	minListRate        = 50.0          // full lists a second that it can send at least
+	fullRoundTime      = 8.0           // in which it can send a full list to every relay, if that needs a higher rate
+	maxQueueTime       = 2.0           // for which a poll for a full list may be queued before it fails
+	unqueuedTime       = 1.0           // from the start, for which polls are not queued: the fleet has run for long
+	answerDelay        = 0.02          // of an answer
+	unreachableTimeout = 1.0           // after which a poll fails that can't reach discovery
+	entriesPerPart     = 8192          // of a list that the real reader rejects as a whole
 	answerHeadBytes    = 160           // of an answer's HTTP head
 )
 
-// poll is a call of a relay to discovery.
+// poll is a relay's poll of discovery.
 type poll struct {
 	relay          *hollowRelay
-	number         int64
-	generation     int64   // generation that the relay has; -1: it wants the whole list
-	continuesWatch bool    // a watch that was answered before
-	heldUntil      float64 // when discovery answers though nothing is new
+	number         int64   // counted by the relay
+	generation     int64   // that the relay has; -1: it asks for the full list
+	continuesWatch bool    // the previous poll was answered
+	heldUntil      float64 // when discovery answers although nothing changed
 }
 
-// listAnswer is discovery's answer. Where the reader refuses the body, the parts say the same in smaller pieces.
+// listAnswer is discovery's answer to a poll.
 type listAnswer struct {
 	generation int64
 	body       []byte
-	parts      func() [][]byte
+	parts      func() [][]byte // the same in smaller bodies, for a reader that rejects the whole one
 }
 
-// change is one entry that differs from the generation before.
+// change is one endpoint that changed in a generation.
 type change struct {
 	generation int64
 	endpoint   *endpoint
 }
 
-// registry is discovery's list of one service's units.
+// pendingChange is one that is published from a time on.
+type pendingChange struct {
+	at       float64
+	endpoint *endpoint
+}
+
+// registry is discovery's list of one service's endpoints.
 type registry struct {
 	relays        int
 	endpoints     []*endpoint
 	generation    int64
 	nextPublishAt float64
 	pending       []pendingChange
-	changes       []change
-	answers       map[int64]*listAnswer // by the generation that a relay has, for the present one
+	changes       []change              // oldest first
+	answers       map[int64]*listAnswer // present ones, by the generation that a relay has
 	heldPolls     []poll
-	freeAt        float64 // when the queue of calls for whole lists is empty
-}
-
-type pendingChange struct {
-	at       float64
-	endpoint *endpoint
+	queueEmptyAt  float64 // when the queued polls for full lists are answered
 }
 
 func newRegistry(relays int, endpoints []*endpoint) *registry {
 	return &registry{relays: relays, endpoints: endpoints, generation: 1, answers: map[int64]*listAnswer{}}
 }
 
-// note has a change of a unit published, no sooner than at a time.
+// scheduleChange has a change of an endpoint published, not before a time.
 func (r *registry) scheduleChange(at float64, e *endpoint) {
 	r.pending = append(r.pending, pendingChange{at, e})
 }
 
-// add lists a unit from the next generation on.
+// add lists an endpoint from the next generation on.
 func (r *registry) add(at float64, e *endpoint) {
 	r.endpoints = append(r.endpoints, e)
 	r.scheduleChange(at, e)
 }
 
-// publish makes a generation of what has changed, and says whether there is one.
+// publish makes the pending changes a new generation, and reports whether there is one.
 func (r *registry) publish(now float64) bool {
 	if now < r.nextPublishAt {
 		return false
 	}
 	r.nextPublishAt = now + publishInterval
-	left, published := r.pending[:0], false
+	pending := r.pending[:0]
+	published := false
 	for _, p := range r.pending {
 		if p.at > now {
-			left = append(left, p)
+			pending = append(pending, p)
 			continue
 		}
 		if !published {
 			published = true
 			r.generation++
 		}
-		if p.endpoint.state != relay.Ready && p.endpoint.drainListedAt > now {
+		firstListedAsLeaving := p.endpoint.state != relay.Ready && p.endpoint.drainListedAt > now
+		if firstListedAsLeaving {
 			p.endpoint.drainListedAt = now
 		}
 		r.changes = append(r.changes, change{r.generation, p.endpoint})
 	}
-	r.pending = left
+	r.pending = pending
 	if published {
 		clear(r.answers)
 		r.dropRemoved()
@@ -106,7 +109,7 @@
 	return published
 }
 
-// dropRemoved takes units off the whole list that were told as gone.
+// dropRemoved takes endpoints off the full list whose removal is published.
 func (r *registry) dropRemoved() {
 	kept := r.endpoints[:0]
 	for _, e := range r.endpoints {
@@ -118,64 +121,70 @@
 	r.endpoints = kept
 }
 
-// answer is the present answer to a relay that has a generation.
-func (r *registry) answer(after int64) *listAnswer {
-	if a := r.answers[after]; a != nil {
-		return a
+// answer returns the present answer to a relay that has a generation.
+func (r *registry) answer(generation int64) *listAnswer {
+	if known := r.answers[generation]; known != nil {
+		return known
 	}
-	entries, whole := r.changedSince(after), after < 0
-	a := &listAnswer{generation: r.generation, body: encodeList(r.generation, whole, entries)}
-	a.parts = sync.OnceValue(func() (out [][]byte) {
-		for left := entries; len(out) == 0 || len(left) > 0; {
-			n := min(len(left), entriesPerPart)
-			out = append(out, encodeList(r.generation, whole && len(out) == 0, left[:n]))
-			left = left[n:]
-		}
-		return out
-	})
-	r.answers[after] = a
-	return a
+	entries := r.changedSince(generation)
+	full := generation < 0
+	answer := &listAnswer{generation: r.generation, body: encodeList(r.generation, full, entries)}
+	answer.parts = sync.OnceValue(func() [][]byte { return encodeParts(answer.generation, full, entries) })
+	r.answers[generation] = answer
+	return answer
 }
 
-// since are the units of the whole list, or those that changed after a generation, each once.
-func (r *registry) changedSince(after int64) []*endpoint {
-	if after < 0 {
+// changedSince returns the endpoints of the full list, or those that changed after a generation, each once.
+func (r *registry) changedSince(generation int64) []*endpoint {
+	if generation < 0 {
 		return append([]*endpoint(nil), r.endpoints...)
 	}
-	var out []*endpoint
+	var changed []*endpoint
 	seen := map[*endpoint]bool{}
-	for i := len(r.changes) - 1; i >= 0 && r.changes[i].generation > after; i-- {
+	for i := len(r.changes) - 1; i >= 0 && r.changes[i].generation > generation; i-- {
 		if e := r.changes[i].endpoint; !seen[e] {
 			seen[e] = true
-			out = append(out, e)
+			changed = append(changed, e)
 		}
 	}
-	return out
+	return changed
 }
 
-// queued is how long a call for a whole list takes, and whether it fails.
-func (r *registry) enqueue(now float64) (took float64, fails bool) {
+// enqueue queues a poll for a full list. It returns after how long the poll is answered or, if the queue is too long, fails.
+func (r *registry) enqueue(now float64) (delay float64, accepted bool) {
 	if now < unqueuedTime {
-		return answerDelay, false
+		return answerDelay, true
 	}
-	latencyRatio := max(minListRate, float64(r.relays)/fullRoundTime)
-	start := max(now, r.freeAt)
+	listsPerSecond := max(minListRate, float64(r.relays)/fullRoundTime)
+	start := max(now, r.queueEmptyAt)
 	if start-now > maxQueueTime {
-		return maxQueueTime, true
+		return maxQueueTime, false
 	}
-	r.freeAt = start + 1/latencyRatio
-	return start - now + answerDelay, false
+	r.queueEmptyAt = start + 1/listsPerSecond
+	return start - now + answerDelay, true
 }
 
+// lifecycles are the states of endpoints in discovery's JSON.
 var lifecycles = [...]string{relay.Ready: "SERVING", relay.Draining: "DRAINING", relay.Removed: "DELETED"}
 
-// encodeList writes a list in discovery's JSON form.
-func encodeList(generation int64, whole bool, endpoints []*endpoint) []byte {
+// encodeParts encodes a list in several bodies. The first alone replaces what the reader has, if the list is full.
+func encodeParts(generation int64, full bool, entries []*endpoint) [][]byte {
+	var parts [][]byte
+	for rest := entries; len(parts) == 0 || len(rest) > 0; {
+		size := min(len(rest), entriesPerPart)
+		parts = append(parts, encodeList(generation, full && len(parts) == 0, rest[:size]))
+		rest = rest[size:]
+	}
+	return parts
+}
+
+// encodeList encodes a list as discovery's JSON.
+func encodeList(generation int64, full bool, endpoints []*endpoint) []byte {
 	b := make([]byte, 0, 64+200*len(endpoints))
 	b = append(b, `{"generation":`...)
 	b = strconv.AppendInt(b, generation, 10)
 	b = append(b, `,"reset":`...)
-	b = strconv.AppendBool(b, whole)
+	b = strconv.AppendBool(b, full)
 	b = append(b, `,"instances":[`...)
 	for i, e := range endpoints {
 		if i > 0 {
@@ -186,6 +195,7 @@
 	return append(b, "]}"...)
 }
 
+// appendEntry appends the endpoint's entry of discovery's JSON.
 func (e *endpoint) appendEntry(b []byte) []byte {
 	b = append(b, `{"instanceId":"`...)
 	b = append(b, e.name...)
--- a/lab/scale/endpoint.go
+++ b/lab/scale/endpoint.go
@@ -8,87 +8,125 @@
 	"lichenroad/relay"
 )
 
-// Facts of the stand-in for units.
+// Properties of simulated endpoints. Durations are in seconds.
 const (
-	endpointCores    = 1.0   // cores of a unit
-	slowStartTime    = 4.0   // s until a started unit can do all of its work
-	slowStartFloor   = 0.4   // part of it that it can do at first
-	overloadMultiple = 3.0   // times what a cold unit can do at which it falls over
-	overloadWindow   = 1.0   // s of that
-	drainTime        = 2.0   // s from a unit's drain to the end of its process
-	refusalTime      = 0.001 // s until a connection to a process that is not there is refused
-	nearRoundTrip    = 0.001 // s to a unit of the same region and back
-	farRoundTrip     = 0.04  // s to another region and back
-	durationSpread   = 0.2   // of an attempt's time, either way
-	minFailureTime   = 0.2   // part of the time that an attempt which fails takes at least
+	endpointCores    = 1.0
+	slowStartTime    = 4.0   // from an endpoint's start until it has its full capacity
+	slowStartFloor   = 0.4   // fraction of its capacity at its start
+	overloadMultiple = 3.0   // of the capacity during slow start, beyond which an endpoint is overloaded
+	overloadWindow   = 1.0   // in which that work is summed
+	drainTime        = 2.0   // from an endpoint's drain to the end of its process
+	refusalTime      = 0.001 // until a connection to a process that does not run is refused
+	nearRoundTrip    = 0.001 // to an endpoint of the same region
+	farRoundTrip     = 0.04  // to another region
+	durationSpread   = 0.2   // of an attempt's duration, either way
+	minFailureTime   = 0.2   // fraction of its duration after which an attempt fails at the earliest
 )
 
-// machineKinds are the kinds of machine, with the time they take over a standard one's.
-var machineKinds = []struct {
-	name string
-	pace float64
-}{{"standard", 1}, {"small", 1.3}}
+// machineKind is a kind of machine, with the time that work takes on it relative to a standard one.
+type machineKind struct {
+	name     string
+	slowdown float64
+}
+
+var machineKinds = []machineKind{{"standard", 1}, {"small", 1.3}}
 
-// unit is one server of a service.
+// endpoint is one server of a service. Times are virtual.
 type endpoint struct {
 	place
 	name          string
 	id            relay.EndpointID
-	kind          int
+	kind          int // index of machineKinds
 	build         relay.Build
 	state         relay.EndpointState
-	startedAt     float64 // s; before the run for those that have run for long
-	drainListedAt float64 // when it was first to be listed as leaving; never: it stays
-	endedAt       float64 // when its process ended; never: it runs
-	slowStartWork []timedWork
-	overloaded    bool
+	startedAt     float64     // negative if it ran before the simulation
+	drainListedAt float64     // when it was first listed as leaving; never: it stays
+	endedAt       float64     // when its process ended; never: it runs
+	slowStartWork []timedWork // sent within the overload window
+	overloaded    bool        // it was sent too much work during slow start
 }
 
-// timedWork is work that a cold unit was sent.
+// timedWork is work that was sent at a time.
 type timedWork struct{ at, work float64 }
 
+// never is a time that does not come.
 var never = math.Inf(1)
 
-// endpointID numbers a unit by its name as the list reader does.
+// endpointID derives an endpoint's id from its name as the list reader does.
 func endpointID(name string) relay.EndpointID {
-	h := fnv.New64a()
-	h.Write([]byte(name))
-	return relay.EndpointID(h.Sum64())
+	hash := fnv.New64a()
+	_, _ = hash.Write([]byte(name)) // a hash's Write never fails
+	return relay.EndpointID(hash.Sum64())
 }
 
-func newEndpoint(name string, at place, kind int, build relay.Build, started float64) *endpoint {
-	return &endpoint{place: at, name: name, id: endpointID(name), kind: kind, build: build, state: relay.Ready, startedAt: started,
-		drainListedAt: never, endedAt: never}
+func newEndpoint(name string, at place, kind int, build relay.Build, startedAt float64) *endpoint {
+	return &endpoint{
+		place:         at,
+		name:          name,
+		id:            endpointID(name),
+		kind:          kind,
+		build:         build,
+		state:         relay.Ready,
+		startedAt:     startedAt,
+		drainListedAt: never,
+		endedAt:       never,
+	}
 }
 
 func (e *endpoint) isRunning(now float64) bool { return now < e.endedAt }
 
-// warmth is the part of its work that it can do.
+// slowStartFraction returns the fraction of its capacity that the endpoint has.
 func (e *endpoint) slowStartFraction(now float64) float64 {
 	return math.Min(1, slowStartFloor+(1-slowStartFloor)*math.Max(now-e.startedAt, 0)/slowStartTime)
 }
 
+// addSlowStartWork adds work sent during slow start, by any relay, and reports whether the endpoint is overloaded by it for
+// the first time.
+func (e *endpoint) addSlowStartWork(now, work float64) bool {
+	recent := e.slowStartWork[:0]
+	sum := work
+	for _, earlier := range e.slowStartWork {
+		if earlier.at > now-overloadWindow {
+			recent = append(recent, earlier)
+			sum += earlier.work
+		}
+	}
+	e.slowStartWork = append(recent, timedWork{now, work})
+	overloaded := sum > overloadMultiple*endpointCores*e.slowStartFraction(now)*overloadWindow
+	if !overloaded || e.overloaded {
+		return false
+	}
+	e.overloaded = true
+	return true
+}
+
 // defect is what is wrong with a build.
 type defect struct {
-	failureRate float64 // part of the attempts that fail
-	slowdown    float64 // times the work
+	failureRate float64 // fraction of the attempts that fail
+	slowdown    float64 // factor on the work
 }
 
 var noDefect = defect{slowdown: 1}
 
-// answer draws how an attempt from a region ends, and after how long, if nothing happens to the unit meanwhile.
-func (e *endpoint) drawOutcome(now float64, from place, work float64, d defect, random *rand.Rand) (relay.Outcome, float64) {
+// attemptResult is how and after how many seconds an attempt ends.
+type attemptResult struct {
+	outcome  relay.Outcome
+	duration float64
+}
+
+// drawResult draws the result of an attempt from a place, if nothing happens to the endpoint meanwhile.
+func (e *endpoint) drawResult(now float64, from place, work float64, d defect, random *rand.Rand) attemptResult {
 	if !e.isRunning(now) {
-		return relay.ConnectFailed, refusalTime
+		return attemptResult{relay.ConnectFailed, refusalTime}
 	}
-	way := nearRoundTrip
+	roundTrip := nearRoundTrip
 	if from.region != e.region {
-		way = farRoundTrip
+		roundTrip = farRoundTrip
 	}
 	spread := 1 + durationSpread*(2*random.Float64()-1)
-	took := way + work*machineKinds[e.kind].pace*d.slowdown*spread/e.slowStartFraction(now)
+	duration := roundTrip + work*machineKinds[e.kind].slowdown*d.slowdown*spread/e.slowStartFraction(now)
 	if random.Float64() < d.failureRate {
-		return relay.Errored, took * (minFailureTime + (1-minFailureTime)*random.Float64())
+		return attemptResult{relay.Errored, duration * (minFailureTime + (1-minFailureTime)*random.Float64())}
 	}
-	return relay.Succeeded, took
+	return attemptResult{relay.Succeeded, duration}
 }
--- a/lab/scale/faults.go
+++ b/lab/scale/faults.go
@@ -8,22 +8,22 @@
 	"slices"
 )
 
-// The target's failures, and how long they last.
+// The target's failures. Durations are in seconds, parts of a run as fractions.
 const (
 	targetRelays        = 4300.0
-	killsPerDay         = 59.0   // machines of the target that fail in a day
-	restartsPerDay      = 3500.0 // and that are restarted or replaced
+	killsPerDay         = 59.0   // machines of the target that fail
+	restartsPerDay      = 3500.0 // machines of the target that are restarted or replaced
 	secondsPerDay       = 86400.0
 	hundredfold         = 100.0
-	replacementTime     = 10.0 // s until a relay that failed is replaced
-	restartTime         = 1.0  // s of a restart
-	outageStart         = 0.3  // part of a run at which a rack, a zone, a region or the fusers are lost
-	outageEnd           = 0.7  // and at which they are back
+	replacementTime     = 10.0 // until a relay that failed is replaced
+	restartTime         = 1.0
+	outageStart         = 0.3 // part of a run at which a rack, a zone or a region is lost
+	outageEnd           = 0.7 // part of a run at which it is back
 	maxOutage           = 180.0
 	aggregatorsKilledAt = 0.4
 )
 
-// outage is the time in which something is lost.
+// outage returns the time in which something is lost.
 func (o *Options) outage() (from, to float64) {
 	from = outageStart * o.Seconds
 	return from, math.Min(outageEnd*o.Seconds, from+maxOutage)
@@ -36,67 +36,92 @@
 	EndpointsLost int `json:"units_lost"`
 }
 
-// faultEvent is something that goes wrong at a time, or is mended.
+// faultEvent is the start or end of a fault.
 type faultEvent struct {
 	at    float64
 	apply func(sim *simulation, now float64)
 }
 
-// schedule lists what goes wrong in a run, in order of time.
+// faultPlan collects the fault events of a run.
+type faultPlan struct {
+	options *Options
+	relays  int // of the simulated services
+	random  *rand.Rand
+	events  []faultEvent
+}
+
+// planFaults returns the events of all faults of the options, in order of time.
 func planFaults(o *Options, relays int) []faultEvent {
-	var out []faultEvent
-	random := newRandom(o.Seed, "faults", 0)
-	scale := float64(relays) / targetRelays / secondsPerDay
-	poisson := func(perDay float64, strike func(sim *simulation, now float64, random *rand.Rand)) {
-		for at := random.ExpFloat64() / (perDay * scale); at < o.Seconds; at += random.ExpFloat64() / (perDay * scale) {
-			out = append(out, faultEvent{at, func(sim *simulation, now float64) { strike(sim, now, random) }})
-		}
-	}
-	kill := func(sim *simulation, now float64, random *rand.Rand) {
-		sim.killRelay(now, sim.drawRelay(random), replacementTime)
-	}
-	restart := func(sim *simulation, now float64, random *rand.Rand) { sim.restartRelay(now, sim.drawRelay(random)) }
-	from, to := o.outage()
-	for _, f := range o.Faults {
-		switch f {
-		case RelayKills:
-			poisson(killsPerDay, kill)
-		case RelayKillsX100:
-			poisson(killsPerDay*hundredfold, kill)
-		case Restarts:
-			poisson(restartsPerDay, restart)
-		case RestartsX100:
-			poisson(restartsPerDay*hundredfold, restart)
-		case RackLoss:
-			out = append(out, faultEvent{from, func(sim *simulation, now float64) {
-				sim.loseMachines(now, to-from, func(p place) bool { return p.zone == 0 && p.rack == 0 })
-			}})
-		case ZoneLoss:
-			out = append(out, faultEvent{from, func(sim *simulation, now float64) {
-				sim.loseMachines(now, to-from, func(p place) bool { return p.zone == 0 })
-			}})
-		case RegionSplit:
-			out = append(out, faultEvent{from, func(sim *simulation, now float64) { sim.setPartition(now, true) }},
-				faultEvent{to, func(sim *simulation, now float64) { sim.setPartition(now, false) }})
-		case OneWay:
-			out = append(out, faultEvent{from, func(sim *simulation, _ float64) { sim.network.oneWay = true }},
-				faultEvent{to, func(sim *simulation, _ float64) { sim.network.oneWay = false }})
-		case AllAggregatorsKilled:
-			out = append(out, faultEvent{aggregatorsKilledAt * o.Seconds, func(sim *simulation, now float64) { sim.killAggregators(now) }})
-		}
+	plan := faultPlan{options: o, relays: relays, random: newRandom(o.Seed, "faults", 0)}
+	for _, fault := range o.Faults {
+		plan.add(fault)
 	}
-	slices.SortStableFunc(out, func(a, b faultEvent) int {
+	slices.SortStableFunc(plan.events, func(a, b faultEvent) int {
 		return cmp.Compare(a.at, b.at)
 	})
-	return out
+	return plan.events
+}
+
+// add plans one fault. Those of datagrams are the network's.
+func (p *faultPlan) add(fault Fault) {
+	from, to := p.options.outage()
+	switch fault {
+	case RelayKills:
+		p.addPoisson(killsPerDay, p.killAny)
+	case RelayKillsX100:
+		p.addPoisson(killsPerDay*hundredfold, p.killAny)
+	case Restarts:
+		p.addPoisson(restartsPerDay, p.restartAny)
+	case RestartsX100:
+		p.addPoisson(restartsPerDay*hundredfold, p.restartAny)
+	case RackLoss:
+		p.addLoss(func(at place) bool { return at.zone == 0 && at.rack == 0 })
+	case ZoneLoss:
+		p.addLoss(func(at place) bool { return at.zone == 0 })
+	case RegionSplit:
+		p.addAt(from, func(sim *simulation, now float64) { sim.setPartition(now, true) })
+		p.addAt(to, func(sim *simulation, now float64) { sim.setPartition(now, false) })
+	case OneWay:
+		p.addAt(from, func(sim *simulation, _ float64) { sim.network.oneWay = true })
+		p.addAt(to, func(sim *simulation, _ float64) { sim.network.oneWay = false })
+	case AllAggregatorsKilled:
+		at := aggregatorsKilledAt * p.options.Seconds
+		p.addAt(at, func(sim *simulation, now float64) { sim.killAggregators(now) })
+	}
+}
+
+func (p *faultPlan) addAt(at float64, apply func(sim *simulation, now float64)) {
+	p.events = append(p.events, faultEvent{at, apply})
 }
 
-// drawRelay draws one relay of the played services.
+// addPoisson plans events as a Poisson process with the target's rate, scaled to the number of relays.
+func (p *faultPlan) addPoisson(perDay float64, apply func(sim *simulation, now float64)) {
+	scale := float64(p.relays) / targetRelays / secondsPerDay
+	for at := p.random.ExpFloat64() / (perDay * scale); at < p.options.Seconds; at += p.random.ExpFloat64() / (perDay * scale) {
+		p.addAt(at, apply)
+	}
+}
+
+// addLoss plans the loss of all machines at some places for the time of the outage.
+func (p *faultPlan) addLoss(lost func(place) bool) {
+	from, to := p.options.outage()
+	p.addAt(from, func(sim *simulation, now float64) { sim.loseMachines(now, to-from, lost) })
+}
+
+func (p *faultPlan) killAny(sim *simulation, now float64) {
+	sim.killRelay(now, sim.drawRelay(p.random), replacementTime)
+}
+
+func (p *faultPlan) restartAny(sim *simulation, now float64) {
+	sim.restartRelay(now, sim.drawRelay(p.random))
+}
+
+// drawRelay draws one relay of the simulated services.
 func (sim *simulation) drawRelay(random *rand.Rand) *identity {
 	return sim.relays[random.Intn(len(sim.relays))]
 }
 
-// kill ends a relay without a word, and has another take its place after a time.
+// killRelay stops a relay and starts another in its place after a time.
 func (sim *simulation) killRelay(now float64, r *identity, downFor float64) {
 	if !r.alive {
 		return
@@ -105,7 +130,7 @@
 	sim.stopRelay(now, r, downFor)
 }
 
-// restart ends a relay in order, and starts it again.
+// restartRelay stops a relay and starts it again.
 func (sim *simulation) restartRelay(now float64, r *identity) {
 	if !r.alive {
 		return
@@ -114,8 +139,10 @@
 	sim.stopRelay(now, r, restartTime)
 }
 
+// stopRelay stops a relay for a time.
 func (sim *simulation) stopRelay(now float64, r *identity, downFor float64) {
-	r.alive, r.downSince = false, now
+	r.alive = false
+	r.downSince = now
 	if h := sim.hollowRelays[r.index]; h != nil {
 		h.stop()
 	}
@@ -127,45 +154,48 @@
 	})
 }
 
-// lose takes every machine of some places away for a time. Its units are replaced by others, not given back.
-func (sim *simulation) loseMachines(now, downFor float64, at func(place) bool) {
+// loseMachines takes every machine of some places away for a time. Relays come back, endpoints are replaced by new ones.
+func (sim *simulation) loseMachines(now, downFor float64, lost func(place) bool) {
 	for _, r := range sim.relays {
-		if at(r.place) {
+		if lost(r.place) {
 			sim.killRelay(now, r, downFor)
 		}
 	}
 	for _, s := range sim.services {
-		lost := 0
 		for _, e := range s.endpoints {
-			if at(e.place) && e.isRunning(now) {
+			if lost(e.place) && e.isRunning(now) {
 				s.crash(now, e)
-				lost++
 				sim.replaceEndpointLater(s, e, now+downFor)
+				sim.faultCounts.EndpointsLost++
 			}
 		}
-		sim.faultCounts.EndpointsLost += lost
 	}
 }
 
-func (sim *simulation) replaceEndpointLater(s *service, e *endpoint, at float64) {
+// replaceEndpointLater starts an endpoint of the same build in the place of one that was lost, if that build is still in use.
+func (sim *simulation) replaceEndpointLater(s *service, lost *endpoint, at float64) {
 	sim.runLater(at, func(now float64) {
-		if _, known := s.platform.defects[e.build]; known && e.build >= s.platform.status.Build-1 {
-			s.add(now, newEndpoint(fmt.Sprintf("%s-again-%.0f", e.name, now), e.place, e.kind, e.build, now))
+		_, known := s.platform.defects[lost.build]
+		if !known || lost.build < s.platform.status.Build-1 {
+			return
 		}
+		name := fmt.Sprintf("%s-again-%.0f", lost.name, now)
+		s.add(now, newEndpoint(name, lost.place, lost.kind, lost.build, now))
 	})
 }
 
-// cut parts the last region from the others, or heals the cut.
-func (sim *simulation) setPartition(now float64, cut bool) {
-	sim.network.partitioned = cut
-	if cut {
-		sim.partitionedFrom, sim.partitionedUntil = now, never
-	} else {
+// setPartition partitions the last region from the others, or ends that.
+func (sim *simulation) setPartition(now float64, partitioned bool) {
+	sim.network.partitioned = partitioned
+	if !partitioned {
 		sim.partitionedUntil = now
+		return
 	}
+	sim.partitionedFrom = now
+	sim.partitionedUntil = never
 }
 
-// killAggregators ends every relay that fuses, in all services at once.
+// killAggregators kills the aggregators of all services at once.
 func (sim *simulation) killAggregators(now float64) {
 	for _, s := range sim.services {
 		for _, r := range s.relays[:min(aggregatorCount, len(s.relays))] {
--- a/lab/scale/faults_test.go
+++ b/lab/scale/faults_test.go
@@ -5,7 +5,7 @@
 	"testing"
 )
 
-// simulateTicks goes on to a time, tick by tick, and lets a look at each.
+// simulateTicks simulates all ticks on this goroutine, and calls look at the start of each.
 func simulateTicks(t *testing.T, o Options, look func(sim *simulation, now float64)) *simulation {
 	t.Helper()
 	sim, err := newSimulation(o)
@@ -26,7 +26,7 @@
 	return sim
 }
 
-// TestKillsAndRestartsKeepTheirRates counts what is scheduled for the target in an hour.
+// TestKillsAndRestartsKeepTheirRates counts the events planned for the target in an hour.
 func TestKillsAndRestartsKeepTheirRates(t *testing.T) {
 	for _, c := range []struct {
 		fault Fault
@@ -38,7 +38,7 @@
 		}
 	}
 	n := 0
-	for seed := range int64(400) { // 2.5 in an hour are too few to count once
+	for seed := range int64(400) { // 2.5 in an hour are too few for one count
 		n += len(planFaults(&Options{Seconds: 3600, Seed: seed, Faults: []Fault{RelayKills}}, 4300))
 	}
 	if mean := 400 * 59 / 24.0; math.Abs(float64(n)-mean) > 4*math.Sqrt(mean) {
@@ -56,11 +56,11 @@
 			sim.runLater(2, func(now float64) { sim.killRelay(now, sim.relays[2], 3) })
 		case now > 2.1 && now < 4.9:
 			if h.alive || h.policy != nil || len(h.requests) > 0 {
-				t.Fatalf("at %g s it lives", now)
+				t.Fatalf("at %g s the relay runs", now)
 			}
 		case now > 5.1 && now < 5.2:
 			if !h.alive || h.incarnation != 2 || h.policy == nil {
-				t.Fatalf("at %g s it is not back", now)
+				t.Fatalf("at %g s the relay is not back", now)
 			}
 			before = len(h.timers.heap)
 		}
@@ -69,11 +69,11 @@
 		t.Errorf("%+v, %d timers", sim.faultCounts, before)
 	}
 	if h := sim.hollowRelays[2]; math.Abs(h.meter.aliveSeconds-(14-3)) > 2*tick || h.meter.requests.Received == 0 {
-		t.Errorf("it lived %g s", h.meter.aliveSeconds)
+		t.Errorf("the relay ran for %g s", h.meter.aliveSeconds)
 	}
 }
 
-// TestPlacesAreLostAndReturn loses a rack, and a zone.
+// TestPlacesAreLostAndReturn simulates the loss of a rack and of a zone.
 func TestPlacesAreLostAndReturn(t *testing.T) {
 	for _, fault := range []Fault{RackLoss, ZoneLoss} {
 		o := smallOptions(Wide, func(o *Options) { o.Zones, o.Regions, o.Endpoints, o.Faults = 2, 2, 300, []Fault{fault} })
@@ -85,7 +85,7 @@
 				lost, endpoints = 0, 0
 				for _, r := range sim.relays {
 					if r.alive == hit(r.place) {
-						t.Fatalf("%s: at %g s relay %+v lives: %v", fault, now, r.place, r.alive)
+						t.Fatalf("%s: at %g s relay %+v runs: %v", fault, now, r.place, r.alive)
 					}
 					if !r.alive {
 						lost++
@@ -103,17 +103,17 @@
 			t.Errorf("%s: %d relays, %+v", fault, lost, sim.faultCounts)
 		}
 		if fault == RackLoss && sim.faultCounts.EndpointsLost > machinesPerRack {
-			t.Errorf("a rack had %d units", sim.faultCounts.EndpointsLost)
+			t.Errorf("a rack had %d endpoints", sim.faultCounts.EndpointsLost)
 		}
 		for _, r := range sim.relays {
 			if !r.alive {
-				t.Errorf("%s: a relay stays lost", fault)
+				t.Errorf("%s: a relay is still down", fault)
 			}
 		}
 	}
 }
 
-// carried sends one datagram from a region to another and says whether it arrives.
+// sendAcross sends one datagram from a region to another, and returns how many arrive.
 func sendAcross(sim *simulation, from, to int) int {
 	before := sim.network.counts.Delivered
 	at := sim.network.now
@@ -137,7 +137,7 @@
 				n = 1
 			}
 			if got := sendAcross(sim, way[0], way[1]); got != n {
-				t.Errorf("%s: %v carried %d", when, way, got)
+				t.Errorf("%s: %v: %d arrived", when, way, got)
 			}
 		}
 	}
@@ -153,16 +153,16 @@
 	sim.setPartition(15, false)
 	expect("healed", nil)
 	if got := sim.unreachableTime(2, 12, 20); got != 3 {
-		t.Errorf("unreachable for %g s after the cut", got)
+		t.Errorf("unreachable for %g s after the partition", got)
 	}
 	sim.network.oneWay = true
 	expect("one way", map[[2]int]int{{2, 0}: 0})
 	if got := sim.network.counts.Partitioned; got != 3 {
-		t.Errorf("%d cut off", got)
+		t.Errorf("%d lost by the partition", got)
 	}
 }
 
-// TestDatagramFaults sends many from one relay to another.
+// TestDatagramFaults sends many datagrams from one relay to another.
 func TestDatagramFaults(t *testing.T) {
 	const sent = 20_000
 	count := func(fault Fault) (networkCounts, int) {
@@ -203,14 +203,14 @@
 	}
 }
 
-// TestAllAggregatorsAreKilledAtOnce sees the next relays take their part.
+// TestAllAggregatorsAreKilledAtOnce checks that the next relays take their place.
 func TestAllAggregatorsAreKilledAtOnce(t *testing.T) {
 	o := smallOptions(Wide, func(o *Options) { o.Faults = []Fault{AllAggregatorsKilled} })
 	at := aggregatorsKilledAt * o.Seconds
 	sim := simulateTicks(t, o, func(sim *simulation, now float64) {
 		for _, r := range sim.relays {
 			if dead := now > at-tick/2 && int(r.number) < aggregatorCount; r.alive == dead && now < at+replacementTime-tick {
-				t.Fatalf("at %g s relay %d lives: %v", now, r.number, r.alive)
+				t.Fatalf("at %g s relay %d runs: %v", now, r.number, r.alive)
 			}
 		}
 	})
@@ -219,7 +219,7 @@
 	}
 	for _, h := range sim.hollowRelays {
 		if want := h.number < 2*aggregatorCount; h.meter.aggregated != want {
-			t.Errorf("relay %d fused: %v", h.number, h.meter.aggregated)
+			t.Errorf("relay %d aggregated: %v", h.number, h.meter.aggregated)
 		}
 	}
 }
--- a/lab/scale/hollow_lists.go
+++ b/lab/scale/hollow_lists.go
@@ -17,82 +17,115 @@
 	discoveryHost = "10.0.0.1:8500"
 )
 
-// pollAnswer is an answer of discovery to a call, by its number; 0: the list as held before the start. Without an answer
-// the call failed.
+const (
+	noPoll       = 0  // number of no poll; the stored list counts as its answer
+	noGeneration = -1 // of a relay without a list, which asks for the full one
+)
+
+// discoveryClient is a relay's side of its polls.
+type discoveryClient struct {
+	storedList      *listAnswer // with which the next incarnation starts
+	generation      int64       // of the list
+	beforeFirstList bool        // the next list is the stored one
+	fetchRequested  bool        // the decision code requested the next list, and receives it even if nothing changed
+	watchContinues  bool        // the last poll was answered, and the next one continues the watch
+	pendingPoll     int64       // number of the poll without an answer, or noPoll
+	polls           int64       // started so far, over all incarnations
+}
+
+// pollAnswer is discovery's answer to the poll of a number.
 type pollAnswer struct {
 	poll   int64
-	answer *listAnswer
+	answer *listAnswer // nil: the poll failed
 }
 
-// statusLine is a line of the platform; empty: a vote was not answered.
+// statusLine is a line of the platform for one incarnation of a relay.
 type statusLine struct {
 	incarnation int
-	line        string
+	line        string // empty: a vote timed out
 }
 
-// watch makes the next call to discovery. The first of a watch does not wait: its answer confirms the list.
-func (h *hollowRelay) startPoll(now float64, after int64) {
+// startPoll starts the next poll of discovery. The first one of a watch does not wait, so that its answer confirms the list.
+func (h *hollowRelay) startPoll(now float64, generation int64) {
 	path, wait := listPath, 0.0
 	switch {
-	case after >= 0 && !h.watchContinues:
-		path = fmt.Sprintf("%s?after=%d&wait_ms=0", listPath, after)
-	case after >= 0:
-		part := limits.WatchPart + (1-limits.WatchPart)*h.random.Float64()
-		wait = part * limits.WatchFor.Seconds()
-		path = fmt.Sprintf("%s?after=%d&wait_ms=%.0f", listPath, after, 1000*wait)
+	case generation >= 0 && !h.watchContinues:
+		path = fmt.Sprintf("%s?after=%d&wait_ms=0", listPath, generation)
+	case generation >= 0:
+		fraction := limits.WatchPart + (1-limits.WatchPart)*h.random.Float64()
+		wait = fraction * limits.WatchFor.Seconds()
+		path = fmt.Sprintf("%s?after=%d&wait_ms=%.0f", listPath, generation, 1000*wait)
 	}
 	h.meter.sent(discoveryClass, len(httpwire.Get(discoveryHost, path)))
 	h.polls++
 	h.pendingPoll = h.polls
-	h.sendQueue.polls = append(h.sendQueue.polls, poll{relay: h, number: h.polls, generation: after, heldUntil: now + wait, continuesWatch: h.watchContinues})
+	h.sendQueue.polls = append(h.sendQueue.polls, poll{
+		relay:          h,
+		number:         h.polls,
+		generation:     generation,
+		heldUntil:      now + wait,
+		continuesWatch: h.watchContinues,
+	})
 	if h.membership != nil {
 		h.membership.step(now, membership.PollStarted{Wait: wait, ContinuesWatch: h.watchContinues})
 	}
 }
 
-// receiveAnswer reads an answer of discovery with the real reader, hands what is new to the decision code and calls again.
-func (h *hollowRelay) receiveAnswer(now float64, in pollAnswer) {
-	if in.poll != h.pendingPoll {
-		return // of a call that was given up, or of a life before
-	}
-	h.pendingPoll = 0
-	if in.answer == nil {
-		h.watchContinues = false
-		if h.membership != nil {
-			h.membership.step(now, membership.PollFailed{})
-		}
-		h.step(now, relay.ListUpdate{Kind: relay.ListFetchFailed})
+// receiveAnswer handles an answer of discovery and polls again.
+func (h *hollowRelay) receiveAnswer(now float64, received pollAnswer) {
+	if received.poll != h.pendingPoll {
+		return // of a poll that was replaced, or of an earlier incarnation
+	}
+	h.pendingPoll = noPoll
+	if received.answer == nil {
+		h.failPoll(now)
 		return
 	}
-	if !h.beforeFirstList { // the list as last held comes with the configuration
-		h.meter.received(discoveryClass, len(in.answer.body)+answerHeadBytes)
-	}
-	spent := h.meter.processorTime
-	h.generation = in.answer.generation
-	list, err := h.parseList(in.answer.body)
-	if err == nil {
-		h.applyList(now, list)
-	} else {
-		h.meter.listsRejected++
-		for _, part := range in.answer.parts() {
-			if list, err = h.parseList(part); err != nil {
-				h.meter.unreadable++
-				continue
-			}
-			h.applyList(now, list)
-		}
+	if !h.beforeFirstList { // the stored list comes with the configuration
+		h.meter.received(discoveryClass, len(received.answer.body)+answerHeadBytes)
 	}
+	processorTime := h.meter.processorTime
+	h.generation = received.answer.generation
+	h.readList(now, received.answer)
 	h.watchContinues = !h.beforeFirstList
-	if h.beforeFirstList { // the list as held before the start: the decision code orders the watch by itself
+	if h.beforeFirstList { // the decision code requests the first poll by itself
 		h.beforeFirstList = false
-		h.meter.startProcessorTime += h.meter.processorTime - spent
-		h.meter.processorTime = spent
+		h.meter.startProcessorTime += h.meter.processorTime - processorTime
+		h.meter.processorTime = processorTime
 		return
 	}
 	h.fetchRequested = false
 	h.startPoll(now, h.generation)
 }
 
+// failPoll reports a poll that failed. The decision code requests the next one.
+func (h *hollowRelay) failPoll(now float64) {
+	h.watchContinues = false
+	if h.membership != nil {
+		h.membership.step(now, membership.PollFailed{})
+	}
+	h.step(now, relay.ListUpdate{Kind: relay.ListFetchFailed})
+}
+
+// readList reads a list with the real reader, in parts if the reader rejects it as a whole.
+func (h *hollowRelay) readList(now float64, answer *listAnswer) {
+	list, err := h.parseList(answer.body)
+	if err == nil {
+		h.applyList(now, list)
+		return
+	}
+	h.meter.listsRejected++
+	for _, part := range answer.parts() {
+		list, err := h.parseList(part)
+		if err != nil {
+			h.meter.unreadable++
+			continue
+		}
+		h.applyList(now, list)
+	}
+}
+
+// parseList reads a body with the real reader, whose processor time it counts.
 func (h *hollowRelay) parseList(body []byte) (discovery.List, error) {
 	before := threadTime()
 	list, err := h.reader.Parse(body)
@@ -100,23 +133,28 @@
 	return list, err
 }
 
-// hand tells the decision code of a list, or of what changed in it.
+// applyList passes a list, or a change of it, to the decision code and then to the membership protocol.
 func (h *hollowRelay) applyList(now float64, list discovery.List) {
-	held := h.beforeFirstList
-	if h.membership != nil {
-		defer func() { h.membership.receiveList(now, list, held) }()
+	cached := h.beforeFirstList
+	changed := list.Full || len(list.Endpoints) > 0
+	if changed || h.fetchRequested {
+		h.step(now, h.listUpdate(now, list))
 	}
-	if !list.Full && len(list.Endpoints) == 0 && !h.fetchRequested {
-		return // nothing new
+	if h.membership != nil {
+		h.membership.receiveList(now, list, cached)
 	}
-	form := relay.ListDelta
+}
+
+// listUpdate returns the event of a list for the decision code.
+func (h *hollowRelay) listUpdate(now float64, list discovery.List) relay.ListUpdate {
+	kind := relay.ListDelta
 	switch {
 	case h.beforeFirstList && list.Full:
-		form = relay.ListCached
+		kind = relay.ListCached
 	case list.Full:
-		form = relay.ListFull
+		kind = relay.ListFull
 	}
-	event := relay.ListUpdate{Kind: form, Endpoints: make([]relay.Endpoint, 0, len(list.Endpoints))}
+	event := relay.ListUpdate{Kind: kind, Endpoints: make([]relay.Endpoint, 0, len(list.Endpoints))}
 	for _, line := range list.Endpoints {
 		e := h.service.byID[line.ID]
 		if e == nil {
@@ -129,45 +167,54 @@
 		}
 		event.Endpoints = append(event.Endpoints, line.Endpoint)
 	}
-	h.step(now, event)
+	return event
 }
 
-// receiveStatusLine reads a line of the platform with the real parser.
-func (h *hollowRelay) receiveStatusLine(now float64, in statusLine) {
-	if in.incarnation != h.incarnation {
+// receiveStatusLine handles a line of the platform.
+func (h *hollowRelay) receiveStatusLine(now float64, received statusLine) {
+	if received.incarnation != h.incarnation {
 		return
 	}
-	if in.line == "" {
+	if received.line == "" {
 		h.step(now, relay.RolloutStatus{Reply: relay.ReplyNotCounted})
 		return
 	}
-	h.meter.received(platformClass, len(in.line))
-	before := threadTime()
-	var reply linewire.Reply
-	err := h.lines.Feed([]byte(in.line), func(line string) {
-		var fault error
-		if reply, fault = linewire.ParseReply(line); fault != nil {
-			h.meter.unreadable++
-		}
-	})
-	h.meter.processorTime += threadTime() - before
+	h.meter.received(platformClass, len(received.line))
+	reply, err := h.parseReply(received.line)
 	if err != nil {
 		h.meter.unreadable++
 		return
 	}
-	n := reply.Status
+	status := reply.Status
 	if !reply.Unsolicited {
-		n.Reply = voteReply(reply)
+		status.Reply = voteReply(reply)
 	}
-	if n.Valid {
-		h.checker.receiveStatus(now, n)
-		if h.simulation.options.lacks(ExposureLimit) && n.Phase == relay.PhaseCanary {
-			n.ExposureLimit = 1
+	if status.Valid {
+		h.checker.receiveStatus(now, status)
+		if h.simulation.options.lacks(ExposureLimit) && status.Phase == relay.PhaseCanary {
+			status.ExposureLimit = 1
 		}
 	}
-	h.step(now, n)
+	h.step(now, status)
+}
+
+// parseReply reads a line with the real parser, whose processor time it counts. A line that can't be parsed is counted and
+// read as an empty reply; the error is one of the line's form.
+func (h *hollowRelay) parseReply(line string) (linewire.Reply, error) {
+	before := threadTime()
+	defer func() { h.meter.processorTime += threadTime() - before }()
+	var reply linewire.Reply
+	err := h.lines.Feed([]byte(line), func(line string) {
+		parsed, err := linewire.ParseReply(line)
+		if err != nil {
+			h.meter.unreadable++
+		}
+		reply = parsed
+	})
+	return reply, err
 }
 
+// voteReply returns how the platform replied to a vote.
 func voteReply(r linewire.Reply) relay.VoteReply {
 	switch {
 	case strings.HasPrefix(r.Error, linewire.CodeStale):
--- a/lab/scale/membership_host.go
+++ b/lab/scale/membership_host.go
@@ -6,41 +6,46 @@
 	"lichenroad/relay"
 )
 
-// clockResolution, in seconds, is more than what a time loses when it is counted from a relay's start: a wake-up that came a
-// rounding error early would be asked for again at the same moment, for ever.
+// clockResolution, in seconds, exceeds the rounding error of a time counted from a relay's start. Without it a timer that
+// fires that much too early would be set for the same moment again and again.
 const clockResolution = 1e-6
 
-// member hosts the membership protocol's state machine beside the decision code, as the relay does.
+// membershipHost hosts the membership protocol's state machine beside the decision code, as the relay does.
 type membershipHost struct {
 	relay          *hollowRelay
 	node           *membership.Node
-	timerAt        relay.Seconds // of the wake-up that is under way; membership.Never: none
-	leaseExpiresAt relay.Seconds // that the decision code was last told
+	timerAt        relay.Seconds // of the next timer; membership.Never: none
+	leaseExpiresAt relay.Seconds // as the decision code last received it
 }
 
-// newMembershipHost returns the node of a relay. Stand-ins send no heartbeats, so the protocol is told of the hosted relays alone:
-// they send as many as the whole service would.
+// newMembershipHost returns the host of a relay's node. Synthetic relays send no heartbeats, so the node's fleet is the hollow
+// relays alone, which send as many as the whole service would.
 func newMembershipHost(h *hollowRelay) *membershipHost {
-	set := &h.service.settings
-	node := membership.New(membership.Settings{Self: h.number, Relays: len(h.service.hollowRelays), PeerMessages: set.Limits.PeerMessages,
-		PollInterval: set.Rules.PollInterval, Epoch: epoch + h.startedAt}, h.random.Int63())
+	settings := &h.service.settings
+	node := membership.New(membership.Settings{
+		Self:         h.number,
+		Relays:       len(h.service.hollowRelays),
+		PeerMessages: settings.Limits.PeerMessages,
+		PollInterval: settings.Rules.PollInterval,
+		Epoch:        epoch + h.startedAt,
+	}, h.random.Int63())
 	return &membershipHost{relay: h, node: node, timerAt: membership.Never, leaseExpiresAt: -1}
 }
 
-// list tells the node of a list, of before the start or from discovery.
-func (m *membershipHost) receiveList(now float64, list discovery.List, held bool) {
-	given := membership.List{Generation: list.Generation, Full: list.Full}
+// receiveList passes a list to the node: the stored one, or an answer of discovery.
+func (m *membershipHost) receiveList(now float64, list discovery.List, cached bool) {
+	update := membership.List{Generation: list.Generation, Full: list.Full}
 	for _, line := range list.Endpoints {
-		given.Endpoints = append(given.Endpoints, line.Endpoint)
+		update.Endpoints = append(update.Endpoints, line.Endpoint)
 	}
-	if held {
-		m.step(now, membership.CachedList{List: given})
+	if cached {
+		m.step(now, membership.CachedList{List: update})
 		return
 	}
-	m.step(now, membership.PollAnswered{List: given})
+	m.step(now, membership.PollAnswered{List: update})
 }
 
-// step has the node see an event, and carries out what it returns.
+// step passes an event to the node and carries out its output.
 func (m *membershipHost) step(now float64, event membership.Event) {
 	h := m.relay
 	before := threadTime()
@@ -63,23 +68,24 @@
 	}
 }
 
-// leave tells the decision code of units that peers know to have left.
-func (m *membershipHost) removeEndpoints(now float64, left []relay.EndpointID) {
-	if len(left) == 0 || m.relay.simulation.options.lacks(DrainNotices) {
+// removeEndpoints passes endpoints that peers reported as removed to the decision code.
+func (m *membershipHost) removeEndpoints(now float64, removed []relay.EndpointID) {
+	if len(removed) == 0 || m.relay.simulation.options.lacks(DrainNotices) {
 		return
 	}
-	h, event := m.relay, relay.ListUpdate{Kind: relay.ListDelta}
-	for _, id := range left {
+	h := m.relay
+	event := relay.ListUpdate{Kind: relay.ListDelta}
+	for _, id := range removed {
 		if e := h.service.byID[id]; e != nil {
 			h.checker.receiveEntry(now, e, relay.Draining)
 		}
 		event.Endpoints = append(event.Endpoints, relay.Endpoint{ID: id, State: relay.Draining, Partial: true})
 	}
-	h.meter.removedByPeers += len(left)
+	h.meter.removedByPeers += len(removed)
 	h.step(now, event)
 }
 
-// woken hands over a wake-up. Earlier ones that were asked for meanwhile come by themselves.
+// fireTimer passes a timer to the node. Timers that were replaced by earlier ones fire as well.
 func (m *membershipHost) fireTimer(now float64) {
 	if now-m.relay.startedAt+clockResolution >= m.timerAt {
 		m.timerAt = membership.Never
--- a/lab/scale/meter.go
+++ b/lab/scale/meter.go
@@ -11,14 +11,14 @@
 // datagramOverhead is the bytes of UDP's and IP's headers.
 const datagramOverhead = 28
 
-// class is what a message is for.
+// class is the purpose of a message.
 type class int
 
 const (
-	policyClass     class = iota // the decision code's datagrams between relays
-	membershipClass              // the membership protocol's
-	discoveryClass               // calls to discovery and its answers, without TCP's overhead
-	platformClass                // the platform's lines, votes among them, without TCP's overhead
+	policyClass     class = iota // datagrams of the decision code
+	membershipClass              // datagrams of the membership protocol
+	discoveryClass               // polls and answers of discovery, without TCP's overhead
+	platformClass                // votes and lines of the platform, without TCP's overhead
 	classCount
 )
 
@@ -26,23 +26,23 @@
 type traffic struct {
 	messagesIn, messagesOut int64
 	bytesIn, bytesOut       int64
-	broadcasts              int64 // of the messages out, those that were addressed to all relays of the service
+	broadcasts              int64 // messages out to all relays of the service
 }
 
-// meter is what one relay has used and done so far, over all of its lives.
+// meter is what one relay has used and done so far, over all of its incarnations.
 type meter struct {
-	processorTime      int64 // ns of the real code, without that of the first whole list of each life
-	startProcessorTime int64 // ns of that list
+	processorTime      int64 // of the real code in ns, without that of the first list of each incarnation
+	startProcessorTime int64 // of these lists in ns
 	aliveSeconds       float64
 	classes            [classCount]traffic
-	aggregated         bool // it has told the others what it finds
+	aggregated         bool // it has sent decisions as an aggregator
 	requests           requestCounts
 	listsRejected      int
-	removedByPeers     int // units that peers told of as having left
-	unreadable         int // messages, lists and lines that the real code refused
+	removedByPeers     int // endpoints that peers reported as removed
+	unreadable         int // messages, lists and lines that the real code rejected
 }
 
-// requestCounts are requests by how they ended.
+// requestCounts count requests by how they ended.
 type requestCounts struct {
 	Received            int64 `json:"taken"`
 	Succeeded           int64 `json:"honoured"`
@@ -53,14 +53,14 @@
 	Attempts            int64 `json:"attempts"`
 }
 
-func (c *requestCounts) add(o requestCounts) {
-	c.Received += o.Received
-	c.Succeeded += o.Succeeded
-	c.Rejected += o.Rejected
-	c.Failed += o.Failed
-	c.ClientsDisconnected += o.ClientsDisconnected
-	c.Open += o.Open
-	c.Attempts += o.Attempts
+func (c *requestCounts) add(other requestCounts) {
+	c.Received += other.Received
+	c.Succeeded += other.Succeeded
+	c.Rejected += other.Rejected
+	c.Failed += other.Failed
+	c.ClientsDisconnected += other.ClientsDisconnected
+	c.Open += other.Open
+	c.Attempts += other.Attempts
 }
 
 func (m *meter) sent(c class, bytes int) {
@@ -73,7 +73,8 @@
 	m.classes[c].bytesIn += int64(bytes)
 }
 
-// threadTime is the processor time of this thread in nanoseconds. Callers lock their goroutine to it.
+// threadTime returns the processor time of this thread in nanoseconds; 0 if it is not known. Callers lock their goroutine to
+// the thread.
 func threadTime() int64 {
 	var t unix.Timespec
 	if unix.ClockGettime(unix.CLOCK_THREAD_CPUTIME_ID, &t) != nil {
@@ -82,8 +83,7 @@
 	return t.Nano()
 }
 
-// collectorSeconds is the processor time that the garbage collector's own threads have taken, which no instance's share
-// holds.
+// collectorSeconds returns the processor time of the garbage collector's own threads, which is in no instance's share.
 func collectorSeconds() float64 {
 	sample := []metrics.Sample{{Name: "/cpu/classes/gc/mark/dedicated:cpu-seconds"}}
 	if metrics.Read(sample); sample[0].Value.Kind() != metrics.KindFloat64 {
@@ -92,7 +92,7 @@
 	return sample[0].Value.Float64()
 }
 
-// peakMemoryMB is the most memory that the process ever held.
+// peakMemoryMB returns the most memory that the process ever held; 0 if it is not known.
 func peakMemoryMB() float64 {
 	var e unix.Rusage
 	if unix.Getrusage(unix.RUSAGE_SELF, &e) != nil {
@@ -101,39 +101,46 @@
 	return float64(e.Maxrss) / 1024
 }
 
-// observation is a figure of one instance, and how many it stands for.
+// observation is a figure of one instance, and how many instances it stands for.
 type observation struct{ value, weight float64 }
 
-// Distribution is a figure over instances.
+// Distribution is the distribution of a figure over instances.
 type Distribution struct {
 	Mean float64 `json:"mean"`
 	P99  float64 `json:"p99"`
 	Max  float64 `json:"most"`
 }
 
-// distribute sums observations up. The 99th percentile is the least value that at least 99 in 100 do not exceed.
-func distribute(list []observation) (d Distribution) {
-	total, sum := 0.0, 0.0
-	for _, o := range list {
-		total += o.weight
+// distribute sums up observations. The 99th percentile is the least value that at least 99 in 100 do not exceed.
+func distribute(observations []observation) Distribution {
+	totalWeight, sum := 0.0, 0.0
+	for _, o := range observations {
+		totalWeight += o.weight
 		sum += o.weight * o.value
 	}
-	if total == 0 {
-		return d
+	if totalWeight == 0 {
+		return Distribution{}
 	}
-	d.Mean = sum / total
-	sorted := slices.Clone(list)
+	sorted := slices.Clone(observations)
 	slices.SortFunc(sorted, func(a, b observation) int {
 		return cmp.Compare(a.value, b.value)
 	})
-	seen := 0.0
+	return Distribution{
+		Mean: sum / totalWeight,
+		P99:  weightedQuantile(sorted, 0.99*totalWeight),
+		Max:  sorted[len(sorted)-1].value,
+	}
+}
+
+// weightedQuantile returns the least value up to which the observations have a weight.
+func weightedQuantile(sorted []observation, weight float64) float64 {
+	const rounding = 1e-9 // of the sum of weights
+	weightSoFar := 0.0
 	for _, o := range sorted {
-		seen += o.weight
-		d.P99 = o.value
-		if seen >= 0.99*total-1e-9 {
-			break
+		weightSoFar += o.weight
+		if weightSoFar >= weight-rounding {
+			return o.value
 		}
 	}
-	d.Max = sorted[len(sorted)-1].value
-	return d
+	return sorted[len(sorted)-1].value
 }
--- a/lab/scale/meter_test.go
+++ b/lab/scale/meter_test.go
@@ -8,7 +8,7 @@
 	"lichenroad/relay"
 )
 
-// manualCount counts what a relay takes and gives, from outside and before the world sees it.
+// manualCount counts what a relay receives and sends, independently of its meter.
 type manualCount struct{ classes [classCount]traffic }
 
 func (c *manualCount) in(k class, bytes int) {
@@ -21,7 +21,7 @@
 	c.classes[k].bytesOut += int64(bytes)
 }
 
-// TestMetersAgainstAHandCount plays a tiny fleet tick by tick and counts everything that crosses beside the meters.
+// TestMetersAgainstAHandCount simulates a small fleet tick by tick and counts all messages independently of the meters.
 func TestMetersAgainstAHandCount(t *testing.T) {
 	const relays, rate, seconds = 6, 40.0, 24.0
 	runtime.LockOSThread() // processor time is counted by thread
@@ -68,15 +68,15 @@
 	delivered := int64(0)
 	for i, h := range sim.hollowRelays {
 		got := h.meter.classes
-		got[discoveryClass].bytesOut = 0 // the calls' text is made in the relay alone
+		got[discoveryClass].bytesOut = 0 // the text of polls is not in the send queue
 		if got != counts[i].classes {
 			t.Errorf("relay %d: meters %+v, by hand %+v", i, got, counts[i].classes)
 		}
 		if h.meter.classes[discoveryClass].bytesOut < 70*got[discoveryClass].messagesOut {
-			t.Errorf("relay %d: %d bytes in %d calls", i, h.meter.classes[discoveryClass].bytesOut, got[discoveryClass].messagesOut)
+			t.Errorf("relay %d: %d bytes in %d polls", i, h.meter.classes[discoveryClass].bytesOut, got[discoveryClass].messagesOut)
 		}
 		if math.Abs(h.meter.aliveSeconds-seconds) > 1e-6 {
-			t.Errorf("relay %d lived %g s", i, h.meter.aliveSeconds)
+			t.Errorf("relay %d ran for %g s", i, h.meter.aliveSeconds)
 		}
 		delivered += got[policyClass].messagesIn + got[membershipClass].messagesIn
 		taken += h.meter.requests.Received
@@ -107,12 +107,12 @@
 			sum += counts[i].classes[policyClass].bytesIn + counts[i].classes[membershipClass].bytesIn
 		}
 		if want := float64(sum) / 4 / seconds; math.Abs(role.BytesIn.Mean-want) > 1e-6*want {
-			t.Errorf("fusers take %g bytes a second, by hand %g", role.BytesIn.Mean, want)
+			t.Errorf("aggregators receive %g bytes a second, by hand %g", role.BytesIn.Mean, want)
 		}
 		if !(role.CPUShare.Mean > 0) || !(role.HeapMB.Mean > 0) || role.HeapsMeasured != 4 {
 			t.Errorf("%+v", role)
 		}
 		return
 	}
-	t.Errorf("no four fusers: %+v", r.Roles)
+	t.Errorf("no four aggregators: %+v", r.Roles)
 }
--- a/lab/scale/network.go
+++ b/lab/scale/network.go
@@ -1,20 +1,18 @@
 package scale
 
-import (
-	"math/rand"
-)
+import "math/rand"
 
-// Facts of the network between relays. Every delay is at least one tick, so that relays can be played beside each other
+// Properties of the network between relays. Every delay is at least one tick, so that relays can be advanced in parallel
 // within a tick.
 const (
-	tick              = 0.02 // s
-	maxNearDelay      = 2    // ticks between relays of one region, at most
-	maxFarDelay       = 5    // the same between regions, at most
-	lossFraction      = 0.1  // of the datagrams, for the fault of that name
-	duplicateFraction = 0.1
-	reorderFraction   = 0.2
-	maxReorderDelay   = 50 // ticks more that a datagram may be late then
-	slotCount         = 64 // more than any delay
+	tick              = 0.02 // seconds
+	maxNearDelay      = 2    // ticks, between relays of one region
+	maxFarDelay       = 5    // ticks, between regions
+	lossFraction      = 0.1  // of the datagrams, for the fault DatagramLoss
+	duplicateFraction = 0.1  // of the datagrams, for the fault Duplicates
+	reorderFraction   = 0.2  // of the datagrams, for the fault Reorder
+	maxReorderDelay   = 50   // ticks beyond the usual delay
+	slotCount         = 64   // more than the longest delay in ticks
 )
 
 // datagram is a message from one relay to others of its service.
@@ -24,13 +22,13 @@
 	body  []byte
 }
 
-// arrival is a datagram on its way to one relay.
+// arrival is a datagram under way to one relay.
 type arrival struct {
 	to *hollowRelay
 	datagram
 }
 
-// networkCounts are what the faults did to datagrams.
+// networkCounts are what happened to datagrams.
 type networkCounts struct {
 	Delivered   int64 `json:"delivered"`
 	Lost        int64 `json:"lost"`
@@ -40,15 +38,15 @@
 	ToStopped   int64 `json:"to_dead"`
 }
 
-// network carries datagrams between relays, and knows which regions reach which.
+// network delivers datagrams between relays by a timing wheel, and knows which regions reach which.
 type network struct {
 	random      *rand.Rand
 	options     *Options
 	regions     int
-	partitioned bool // the last region is cut off, both ways
-	oneWay      bool // datagrams out of the last region are lost
-	slots       [slotCount][]arrival
-	now         int64 // number of the present tick
+	partitioned bool                 // the last region reaches no other, nor is it reached
+	oneWay      bool                 // datagrams from the last region to others are lost
+	slots       [slotCount][]arrival // by tick of arrival, modulo their number
+	now         int64                // number of the present tick
 	counts      networkCounts
 }
 
@@ -56,19 +54,19 @@
 	return &network{random: newRandom(o.Seed, "network", 0), options: o, regions: o.Regions}
 }
 
-// reaches says whether anything of one region reaches another.
+// reaches reports whether connections from one region to another are possible.
 func (n *network) reaches(from, to int) bool {
 	last := n.regions - 1
 	return !n.partitioned || (from == last) == (to == last)
 }
 
-// carries says whether datagrams do.
+// carries reports whether datagrams from one region arrive at another.
 func (n *network) carries(from, to int) bool {
 	last := n.regions - 1
 	return n.reaches(from, to) && !(n.oneWay && from == last && to != last)
 }
 
-// send takes a datagram on its way.
+// send sends a datagram to a relay, subject to the faults.
 func (n *network) send(d datagram, to *hollowRelay) {
 	if !n.carries(d.from.region, to.region) {
 		n.counts.Partitioned++
@@ -85,6 +83,7 @@
 	}
 }
 
+// enqueue draws a datagram's delay and puts it into the slot of its arrival.
 func (n *network) enqueue(d datagram, to *hollowRelay) {
 	delay := 1 + n.random.Intn(maxNearDelay)
 	if d.from.region != to.region {
@@ -98,10 +97,10 @@
 	n.slots[slot] = append(n.slots[slot], arrival{to, d})
 }
 
-// deliver hands over what arrives at a tick.
-func (n *network) deliver(at int64) {
-	n.now = at
-	slot := at % slotCount
+// deliver passes the datagrams that arrive at a tick to their relays.
+func (n *network) deliver(tickNumber int64) {
+	n.now = tickNumber
+	slot := tickNumber % slotCount
 	for _, a := range n.slots[slot] {
 		if !a.to.alive {
 			n.counts.ToStopped++
--- a/lab/scale/options.go
+++ b/lab/scale/options.go
@@ -1,6 +1,9 @@
-// Package scale measures what relays cost in large fleets, in virtual time and in one process. It hosts hollow relays:
-// the real state machines of a relay, with its real messages, list reader and platform lines, but without sockets and
-// clients. Load, units, discovery, platform and network are stand-ins. docs/scale-lab.md is the design note.
+// Package scale measures what relays cost in large fleets, in virtual time and in one process.
+//
+// It hosts hollow relays: the real state machines of a relay (policy, membership) with its real messages, list reader and
+// platform lines, but without sockets and clients. Requests, endpoints, discovery, platform and network are simulated. A
+// simulation owns all state; a worker pool advances its relays in parallel within a tick, all else runs on the goroutine of
+// Run. docs/scale-lab.md is the design note.
 package scale
 
 import (
@@ -9,17 +12,17 @@
 	"strings"
 )
 
-// Shape is how relays and units are spread over services.
+// Shape is how relays and endpoints are distributed over services.
 type Shape string
 
 const (
-	// Wide is one service over all relays and units.
+	// Wide is one service with all relays and endpoints.
 	Wide Shape = "wide"
 	// Skewed is few large services and a long tail, by Zipf's law.
 	Skewed Shape = "skewed"
 )
 
-// Fault is the name of something that goes wrong during a run.
+// Fault is the name of a kind of fault.
 type Fault string
 
 // The faults that a run can have.
@@ -42,20 +45,20 @@
 var AllFaults = []Fault{RelayKills, RelayKillsX100, Restarts, RestartsX100, RackLoss, ZoneLoss, RegionSplit, OneWay,
 	DatagramLoss, Duplicates, Reorder, AllAggregatorsKilled}
 
-// Defence is the name of a defence that a run can switch off, so that the checker has something to find.
+// Safeguard is the name of a safeguard that a run can switch off, so that the checker has something to find.
 type Safeguard string
 
-// The defences that can be switched off.
+// The safeguards that can be switched off.
 const (
-	// DrainNotices are the entries of the list that tell a relay of units that leave.
+	// DrainNotices are the list entries of endpoints that leave.
 	DrainNotices Safeguard = "drain-notices"
-	// ExposureLimit is the platform's bound on requests to a build on trial.
+	// ExposureLimit is the platform's limit on requests to the canary.
 	ExposureLimit Safeguard = "exposure-cap"
 	// Leases are the membership protocol: without it a relay acts on its list however old it is.
 	Leases Safeguard = "membership"
 )
 
-// AllSafeguards lists the defences in the order of the documentation.
+// AllSafeguards lists the safeguards in the order of the documentation.
 var AllSafeguards = []Safeguard{DrainNotices, ExposureLimit, Leases}
 
 // Bounds of the options.
@@ -80,28 +83,40 @@
 	Zones     int         `json:"zones"`
 	Regions   int         `json:"regions"`
 	Shape     Shape       `json:"shape"`
-	Seconds   float64     `json:"seconds"`
+	Seconds   float64     `json:"seconds"` // of virtual time
 	Seed      int64       `json:"seed"`
 	Tenants   int         `json:"tenants"`
 	Routes    int         `json:"routes"`
 	Rate      float64     `json:"rate"` // requests a second at each relay, in the mean
 	Faults    []Fault     `json:"faults"`
 	Without   []Safeguard `json:"without"`
-	// Measured bounds the relays of a service that are hosted whole, besides its fusers and their deputies; 0 leaves
-	// the choice to the budget.
+	// Measured bounds the relays of a service that are hosted besides its first ones; 0: by the budget.
 	Measured int `json:"measured"`
-	// Jobs is how many threads play instances. It changes no figure but processor time and memory.
+	// Jobs is how many threads advance relays. It changes no figure but processor time and memory.
 	Jobs int `json:"-"`
-	// Progress is told of the virtual time, now and then; nil: nobody.
+	// Progress is called with the virtual time now and then; nil: never.
 	Progress func(second float64) `json:"-"`
 }
 
-// Validate returns the first fault of the options, in one line.
+// Validate returns an error that names the first flag whose value is not valid, in one line.
 func (o *Options) Validate() error {
-	for _, f := range []struct {
-		flag              string
-		value, least, top float64
-	}{
+	if err := o.validateRanges(); err != nil {
+		return err
+	}
+	if err := o.validateShape(); err != nil {
+		return err
+	}
+	return o.validateNames()
+}
+
+// optionRange is the values that a numeric flag may have.
+type optionRange struct {
+	flag            string
+	value, min, max float64
+}
+
+func (o *Options) validateRanges() error {
+	for _, r := range []optionRange{
 		{"relays", float64(o.Relays), 1, maxRelays},
 		{"units", float64(o.Endpoints), 1, maxEndpoints},
 		{"services", float64(o.Services), 1, maxServices},
@@ -114,10 +129,16 @@
 		{"measured", float64(o.Measured), 0, maxRelays},
 		{"jobs", float64(o.Jobs), 1, maxJobs},
 	} {
-		if !(f.value >= f.least && f.value <= f.top) {
-			return fmt.Errorf("--%s: %g is not from %g to %g", f.flag, f.value, f.least, f.top)
+		inRange := r.value >= r.min && r.value <= r.max // false for NaN
+		if !inRange {
+			return fmt.Errorf("--%s: %g is not from %g to %g", r.flag, r.value, r.min, r.max)
 		}
 	}
+	return nil
+}
+
+// validateShape checks the shape and the numbers that depend on one another.
+func (o *Options) validateShape() error {
 	switch {
 	case o.Shape != Wide && o.Shape != Skewed:
 		return fmt.Errorf("--shape: %q is neither wide nor skewed", o.Shape)
@@ -126,30 +147,38 @@
 	case o.Shape == Skewed && o.Services > min(o.Relays, o.Endpoints):
 		return fmt.Errorf("--services: %d of them need as many relays and units", o.Services)
 	}
-	for _, f := range o.Faults {
-		if o.Regions < 2 && (f == RegionSplit || f == OneWay) {
-			return fmt.Errorf("--fault: %s needs two regions", f)
+	return nil
+}
+
+// validateNames checks the faults and the safeguards.
+func (o *Options) validateNames() error {
+	for _, fault := range o.Faults {
+		needsRegions := fault == RegionSplit || fault == OneWay
+		if needsRegions && o.Regions < 2 {
+			return fmt.Errorf("--fault: %s needs two regions", fault)
 		}
-		if !slices.Contains(AllFaults, f) {
-			return fmt.Errorf("--fault: %q is none of %s", f, joined(AllFaults))
+		if !slices.Contains(AllFaults, fault) {
+			return fmt.Errorf("--fault: %q is none of %s", fault, joinNames(AllFaults))
 		}
 	}
-	for _, d := range o.Without {
-		if !slices.Contains(AllSafeguards, d) {
-			return fmt.Errorf("--without: %q is none of %s", d, joined(AllSafeguards))
+	for _, safeguard := range o.Without {
+		if !slices.Contains(AllSafeguards, safeguard) {
+			return fmt.Errorf("--without: %q is none of %s", safeguard, joinNames(AllSafeguards))
 		}
 	}
 	return nil
 }
 
-func (o *Options) has(f Fault) bool { return slices.Contains(o.Faults, f) }
+// has reports whether the run has a fault.
+func (o *Options) has(fault Fault) bool { return slices.Contains(o.Faults, fault) }
 
-func (o *Options) lacks(d Safeguard) bool { return slices.Contains(o.Without, d) }
+// lacks reports whether a safeguard is switched off.
+func (o *Options) lacks(safeguard Safeguard) bool { return slices.Contains(o.Without, safeguard) }
 
-func joined[Name ~string](names []Name) string {
+func joinNames[Name ~string](names []Name) string {
 	words := make([]string, len(names))
-	for i, n := range names {
-		words[i] = string(n)
+	for i, name := range names {
+		words[i] = string(name)
 	}
 	return strings.Join(words, ", ")
 }
--- a/lab/scale/request_source.go
+++ b/lab/scale/request_source.go
@@ -6,62 +6,81 @@
 	"lichenroad/relay"
 )
 
-// requestKind is what requests of a category are like.
+// requestKind is what the requests of a class are like. Durations are in seconds.
 type requestKind struct {
-	share            float64
-	work             [2]float64 // s on a standard core
-	latencyObjective float64    // s
-	deadline         float64    // s
+	share            float64 // of all requests
+	minWork          float64 // on a standard core
+	maxWork          float64
+	latencyObjective float64
+	deadline         float64
 	priorityWeight   float64
 	idempotency      relay.Idempotency
 }
 
+// requestKinds are those of the classes in the order of their numbers.
 var requestKinds = []requestKind{
-	{share: 0.7, work: [2]float64{0.02, 0.04}, latencyObjective: 0.8, deadline: 2.5, priorityWeight: 1, idempotency: relay.Idempotent},
-	{share: 0.3, work: [2]float64{0.02, 0.06}, latencyObjective: 1, deadline: 3, priorityWeight: 3, idempotency: relay.AtMostOnce},
+	{share: 0.7, minWork: 0.02, maxWork: 0.04, latencyObjective: 0.8, deadline: 2.5, priorityWeight: 1, idempotency: relay.Idempotent},
+	{share: 0.3, minWork: 0.02, maxWork: 0.06, latencyObjective: 1, deadline: 3, priorityWeight: 3, idempotency: relay.AtMostOnce},
 }
 
-const workHintError = 0.25 // either way, that a client's hint of the work is off
+// workHintError is how far off a client's hint of the work may be, either way.
+const workHintError = 0.25
 
-// load draws a relay's requests: a Poisson process, tenants and routes drawn evenly.
+// requestSource draws a relay's requests: a Poisson process, with tenants and routes drawn evenly.
 type requestSource struct {
 	random          *rand.Rand
-	rate            float64
+	rate            float64 // requests a second
 	tenants, routes int
 	lastID          relay.RequestID
 }
 
-// gap is the time to the next request.
-func (l *requestSource) drawGap() float64 { return l.random.ExpFloat64() / l.rate }
+// drawGap draws the time to the next request.
+func (s *requestSource) drawGap() float64 { return s.random.ExpFloat64() / s.rate }
 
-// next draws a request. Its times are the module's.
-func (l *requestSource) next(now float64) (q relay.Request, work float64) {
-	l.lastID++
-	class := drawClass(l.random)
+// next draws a request and its work. Its times are counted as those of the decision code.
+func (s *requestSource) next(now float64) (request relay.Request, work float64) {
+	s.lastID++
+	class := drawClass(s.random)
 	kind := &requestKinds[class]
-	work = kind.work[0] + (kind.work[1]-kind.work[0])*l.random.Float64()
-	q = relay.Request{ID: l.lastID, Deadline: now + kind.deadline, HasWork: true, Class: relay.RequestClass(class),
-		Work: work * (1 + workHintError*(2*l.random.Float64()-1))}
-	if l.tenants > 0 {
-		q.Tenant = relay.Tenant(l.random.Intn(l.tenants))
+	work = kind.drawWork(s.random)
+	request = relay.Request{
+		ID:       s.lastID,
+		Deadline: now + kind.deadline,
+		HasWork:  true,
+		Class:    relay.RequestClass(class),
+		Work:     drawWorkHint(s.random, work),
 	}
-	if l.routes > 0 {
-		q.Key = relay.Key(1 + l.random.Intn(l.routes))
+	if s.tenants > 0 {
+		request.Tenant = relay.Tenant(s.random.Intn(s.tenants))
 	}
-	return q, work
+	if s.routes > 0 {
+		request.Key = relay.Key(1 + s.random.Intn(s.routes))
+	}
+	return request, work
 }
 
+// drawClass draws a class by the kinds' shares.
 func drawClass(random *rand.Rand) int {
 	at := random.Float64()
-	for i := range requestKinds {
-		if at -= requestKinds[i].share; at < 0 {
-			return i
+	for class := range requestKinds {
+		if at -= requestKinds[class].share; at < 0 {
+			return class
 		}
 	}
 	return len(requestKinds) - 1
 }
 
-// seeded gives each part of the run a source of chance of its own, so that one that draws more changes no other.
+// drawWork draws the work of a request.
+func (k *requestKind) drawWork(random *rand.Rand) float64 {
+	return k.minWork + (k.maxWork-k.minWork)*random.Float64()
+}
+
+// drawWorkHint draws a client's hint of the work.
+func drawWorkHint(random *rand.Rand, work float64) float64 {
+	return work * (1 + workHintError*(2*random.Float64()-1))
+}
+
+// newRandom returns a random source for one part of the simulation, so that a part that draws more changes no other.
 func newRandom(seed int64, part string, index int) *rand.Rand {
 	h := uint64(seed) * 0x9e3779b97f4a7c15
 	for _, c := range part {
--- /dev/null
+++ b/lab/scale/role.go
@@ -0,0 +1,133 @@
+package scale
+
+import (
+	"math"
+	"runtime"
+)
+
+// maxHeapsPerRole is of how many instances of a role the heap is measured at most.
+const maxHeapsPerRole = 12
+
+// The roles, as results name them.
+const (
+	relayRole      = "relay"
+	aggregatorRole = "fuser" // it sent decisions to the others at any time of the run
+)
+
+// Role is what the relays of one role used. Rates are per second of an instance's life.
+type Role struct {
+	Name          string `json:"name"`
+	Instances     int    `json:"instances"`          // of the fleet
+	Measured      int    `json:"instances_measured"` // that were hosted
+	HeapsMeasured int    `json:"heaps_measured"`
+
+	CPUShare        Distribution `json:"cpu_share"`   // of one core, without the first list
+	StartCPUSeconds Distribution `json:"start_cpu_s"` // processor seconds of the first lists of all incarnations
+	HeapMB          Distribution `json:"heap_mb"`
+	Traffic                      // datagrams between relays, with UDP and IP headers
+	BroadcastsOut   Distribution `json:"broadcasts_out_per_s"` // datagrams to all relays at once
+	Membership      Traffic      `json:"membership"`           // datagrams of the membership protocol alone
+	Lists           Traffic      `json:"lists"`                // polls and answers of discovery, without TCP's overhead
+	Platform        Traffic      `json:"news"`                 // lines to and from the platform, without TCP's overhead
+}
+
+// Traffic is the messages that instances received and sent a second.
+type Traffic struct {
+	MessagesIn  Distribution `json:"messages_in_per_s"`
+	MessagesOut Distribution `json:"messages_out_per_s"`
+	BytesIn     Distribution `json:"bytes_in_per_s"`
+	BytesOut    Distribution `json:"bytes_out_per_s"`
+}
+
+// newRole sums up the instances of a role. It ends the state machines of some to measure their heap.
+func newRole(name string, instances []*hollowRelay) Role {
+	population := rolePopulation(instances)
+	role := Role{
+		Name:            name,
+		Instances:       int(math.Round(population.size())),
+		Measured:        len(instances),
+		CPUShare:        population.rate(func(m *meter) float64 { return float64(m.processorTime) / 1e9 }),
+		StartCPUSeconds: population.distribution(func(m *meter) float64 { return float64(m.startProcessorTime) / 1e9 }),
+		Traffic:         population.traffic(policyClass, membershipClass),
+		Membership:      population.traffic(membershipClass),
+		Lists:           population.traffic(discoveryClass),
+		Platform:        population.traffic(platformClass),
+		BroadcastsOut: population.rate(func(m *meter) float64 {
+			return float64(m.classes[policyClass].broadcasts + m.classes[membershipClass].broadcasts)
+		}),
+	}
+	heaps := measureHeaps(instances)
+	role.HeapsMeasured = len(heaps)
+	role.HeapMB = distribute(heaps)
+	return role
+}
+
+// rolePopulation is the instances of a role, each of which stands for some of the fleet.
+type rolePopulation []*hollowRelay
+
+// size returns how many instances of the fleet they stand for.
+func (p rolePopulation) size() float64 {
+	size := 0.0
+	for _, h := range p {
+		size += h.represents()
+	}
+	return size
+}
+
+// distribution returns the distribution of a figure over the instances.
+func (p rolePopulation) distribution(figure func(m *meter) float64) Distribution {
+	observations := make([]observation, len(p))
+	for i, h := range p {
+		observations[i] = observation{figure(&h.meter), h.represents()}
+	}
+	return distribute(observations)
+}
+
+// rate returns the distribution of a figure per second of an instance's life.
+func (p rolePopulation) rate(figure func(m *meter) float64) Distribution {
+	return p.distribution(func(m *meter) float64 { return figure(m) / math.Max(m.aliveSeconds, tick) })
+}
+
+// traffic returns the rates of the messages of some classes together.
+func (p rolePopulation) traffic(classes ...class) Traffic {
+	rate := func(count func(t *traffic) int64) Distribution {
+		return p.rate(func(m *meter) float64 {
+			sum := int64(0)
+			for _, c := range classes {
+				sum += count(&m.classes[c])
+			}
+			return float64(sum)
+		})
+	}
+	return Traffic{
+		MessagesIn:  rate(func(t *traffic) int64 { return t.messagesIn }),
+		MessagesOut: rate(func(t *traffic) int64 { return t.messagesOut }),
+		BytesIn:     rate(func(t *traffic) int64 { return t.bytesIn }),
+		BytesOut:    rate(func(t *traffic) int64 { return t.bytesOut }),
+	}
+}
+
+// represents returns how many relays of the fleet the instance stands for.
+func (h *hollowRelay) represents() float64 { return h.weight * h.service.weight }
+
+// measureHeaps returns the heap of some instances in MB: what a collection frees when their state machines are dropped one by
+// one. The instances are in the order of services, the largest first, so that the measured ones are spread over their sizes.
+func measureHeaps(instances []*hollowRelay) []observation {
+	var heaps []observation
+	var before, after runtime.MemStats
+	count := min(len(instances), maxHeapsPerRole)
+	runtime.GC()
+	for i := range count {
+		h := instances[i*len(instances)/count]
+		if h.policy == nil {
+			continue
+		}
+		runtime.ReadMemStats(&before)
+		h.policy, h.reader = nil, nil
+		runtime.GC()
+		runtime.ReadMemStats(&after)
+		freed := float64(before.HeapAlloc) - float64(after.HeapAlloc)
+		heaps = append(heaps, observation{math.Max(freed, 0) / (1 << 20), 1})
+	}
+	return heaps
+}
--- a/lab/scale/scale_test.go
+++ b/lab/scale/scale_test.go
@@ -9,7 +9,7 @@
 	"testing"
 )
 
-// small is a fleet that plays in a second.
+// smallOptions returns the options of a fleet that is simulated within a second.
 func smallOptions(shape Shape, change func(o *Options)) Options {
 	o := Options{Relays: 14, Endpoints: 60, Services: 3, Zones: 6, Regions: 3, Shape: shape, Seconds: 14, Seed: 3, Rate: 30, Jobs: 2}
 	if change != nil {
@@ -18,6 +18,7 @@
 	return o
 }
 
+// simulate runs a simulation.
 func simulate(t *testing.T, o Options) *Result {
 	t.Helper()
 	r, err := Run(context.Background(), o)
@@ -27,7 +28,7 @@
 	return r
 }
 
-// exact is a result without processor time and memory.
+// deterministicPart returns a result without processor time and memory, as text.
 func deterministicPart(t *testing.T, r *Result) string {
 	t.Helper()
 	c := *r
@@ -67,25 +68,27 @@
 		{func(o *Options) { o.Regions, o.Faults = 1, []Fault{RegionSplit} }, "--fault: region-split needs two regions"},
 		{func(o *Options) { o.Without = []Safeguard{"moat"} }, `--without: "moat" is none of drain-notices, `},
 	} {
-		o := smallOptions(Skewed, c.change)
-		err := o.Validate()
-		switch {
-		case c.want == "" && err != nil:
-			t.Errorf("%+v: %v", o, err)
-		case c.want != "" && (err == nil || !strings.HasPrefix(err.Error(), c.want) || strings.Contains(err.Error(), "\n")):
-			t.Errorf("want %q, got %v", c.want, err)
-		}
+		t.Run(c.want, func(t *testing.T) {
+			o := smallOptions(Skewed, c.change)
+			err := o.Validate()
+			switch {
+			case c.want == "" && err != nil:
+				t.Errorf("%+v: %v", o, err)
+			case c.want != "" && (err == nil || !strings.HasPrefix(err.Error(), c.want) || strings.Contains(err.Error(), "\n")):
+				t.Errorf("want %q, got %v", c.want, err)
+			}
+		})
 	}
 }
 
-// TestSameSeedSameFigures plays with every fault at once, with one thread and with several.
+// TestSameSeedSameFigures simulates all faults at once, with several numbers of threads.
 func TestSameSeedSameFigures(t *testing.T) {
 	for _, shape := range []Shape{Wide, Skewed} {
 		o := smallOptions(shape, func(o *Options) { o.Faults = AllFaults })
 		first := deterministicPart(t, simulate(t, o))
 		o.Jobs = 5
 		if again := deterministicPart(t, simulate(t, o)); again != first {
-			t.Errorf("%s: other figures with other threads:\n%s\n%s", shape, first, again)
+			t.Errorf("%s: other figures with other numbers of threads:\n%s\n%s", shape, first, again)
 		}
 		o.Seed++
 		if other := deterministicPart(t, simulate(t, o)); other == first {
@@ -94,7 +97,7 @@
 	}
 }
 
-// TestRunRejectsSizesThatNeedTooMuchMemory asks for more whole relays than fit.
+// TestRunRejectsSizesThatNeedTooMuchMemory asks for more hosted relays than fit.
 func TestRunRejectsSizesThatNeedTooMuchMemory(t *testing.T) {
 	o := smallOptions(Wide, func(o *Options) { o.Relays, o.Endpoints, o.Measured = 4300, 42000, 4300 })
 	_, err := Run(context.Background(), o)
@@ -103,7 +106,7 @@
 	}
 }
 
-// TestFullSizeHasASample holds the budget at the target on both shapes.
+// TestFullSizeHasASample checks the budget at the target's size in both shapes.
 func TestFullSizeHasASample(t *testing.T) {
 	for _, shape := range []Shape{Wide, Skewed} {
 		for _, seconds := range []float64{20, 120} {
@@ -119,7 +122,7 @@
 	}
 }
 
-// TestSampleStandsForAll holds the weights of what is hosted to the size of the fleet.
+// TestSampleStandsForAll checks that the weights of hosted relays add up to the size of the fleet.
 func TestSampleStandsForAll(t *testing.T) {
 	o := Options{Relays: 430, Endpoints: 900, Services: 100, Zones: 16, Regions: 7, Shape: Skewed, Seconds: 1, Rate: 5, Jobs: 1, Measured: 3}
 	sim, err := newSimulation(o)
@@ -136,11 +139,12 @@
 		t.Errorf("hosted relays stand for %g of 430", stands)
 	}
 	if len(sim.hollowRelays) != 430 || len(sim.syntheticRelays) == 0 {
-		t.Errorf("%d relays, %d stand-ins", len(sim.hollowRelays), len(sim.syntheticRelays))
+		t.Errorf("%d relays, %d synthetic", len(sim.hollowRelays), len(sim.syntheticRelays))
 	}
 }
 
-// TestSyntheticRelaysSendWhatHostedRelaysDo holds what relays hear from made-up relays to what they hear from whole ones.
+// TestSyntheticRelaysSendWhatHostedRelaysDo compares what relays receive from synthetic relays with what they
+// receive from hosted ones.
 func TestSyntheticRelaysSendWhatHostedRelaysDo(t *testing.T) {
 	all := simulate(t, smallOptions(Wide, func(o *Options) { o.Relays, o.Rate, o.Measured = 40, 60, 40 }))
 	part := simulate(t, smallOptions(Wide, func(o *Options) { o.Relays, o.Rate, o.Measured = 40, 60, 4 }))
@@ -150,26 +154,26 @@
 	for i, name := range []string{relayRole, aggregatorRole} {
 		near := 0.05
 		if name == relayRole {
-			near = 0.1 // findings, four a second: one more at each change of mind
+			near = 0.1 // decisions, four a second: one more at each change
 		}
 		a, b := &all.Roles[i], &part.Roles[i]
 		if a.Name != name || b.Name != name || a.Instances != b.Instances {
 			t.Fatalf("%+v %+v", a, b)
 		}
 		for _, c := range []struct {
-			figure string
-			a, b   float64
-			off    float64 // part that it may be off
+			figure    string
+			a, b      float64
+			tolerance float64 // relative
 		}{{"messages in", a.MessagesIn.Mean - a.Membership.MessagesIn.Mean, b.MessagesIn.Mean - b.Membership.MessagesIn.Mean, near},
 			{"bytes in", a.BytesIn.Mean - a.Membership.BytesIn.Mean, b.BytesIn.Mean - b.Membership.BytesIn.Mean, near},
 			{"membership in", a.Membership.BytesIn.Mean, b.Membership.BytesIn.Mean, 0.5}} { // a few a second, by chance
-			if !(math.Abs(c.a-c.b) <= c.off*c.a) || c.a == 0 {
-				t.Errorf("%s, %s: %g where all are hosted, %g with stand-ins", name, c.figure, c.a, c.b)
+			if !(math.Abs(c.a-c.b) <= c.tolerance*c.a) || c.a == 0 {
+				t.Errorf("%s, %s: %g where all are hosted, %g with synthetic relays", name, c.figure, c.a, c.b)
 			}
 		}
 	}
 	if all.Decisions.BadRolledBack != 1 || part.Decisions.BadRolledBack != 1 {
-		t.Errorf("the bad build went back %d and %d times", all.Decisions.BadRolledBack, part.Decisions.BadRolledBack)
+		t.Errorf("the bad build was rolled back %d and %d times", all.Decisions.BadRolledBack, part.Decisions.BadRolledBack)
 	}
 }
 
--- a/lab/scale/synthetic_relay.go
+++ b/lab/scale/synthetic_relay.go
@@ -7,50 +7,58 @@
 	"lichenroad/relay"
 )
 
-// syntheticRelay is a relay that is not hosted: it makes no decision and no attempt, but tells the fusers of made-up ones, as
-// many as a relay with its load would make, in the real wire form.
+// syntheticRelay is a relay that is not hosted. It decides nothing and sends no attempts, but reports attempts that it draws
+// to the aggregators, as many as a relay with its load would, in the real encoding.
 type syntheticRelay struct {
 	*identity
-	simulation   *simulation
+	simulation   *simulation // read only
 	random       *rand.Rand
 	nextReportAt float64
-	evidence     [][2]evidence // by category; of the newest build and of the others
+	evidence     []classEvidence // by request class
 	sendQueue    sendQueue
-	report       report
+	report       report // buffer
 }
 
-// evidence counts attempts, the older ones for less and less.
+// evidence counts attempts, earlier ones with exponentially decreasing weight.
 type evidence struct{ attempts, failed float64 }
 
+// classEvidence is the evidence on one request class.
+type classEvidence struct{ newest, earlier evidence } // of the newest build and of the others
+
 const (
-	reportInterval     = 1.0   // s between a relay's messages to the fusers
-	evidenceDecay      = 0.917 // of the counts a second later: a mean age of 12 s
-	minEvidence        = 20.0
-	flagDifference     = 0.05
-	flagStandardErrors = 3.0
-	canaryUtilization  = 0.8 // of the cap that is used
+	reportInterval     = 1.0   // seconds between a relay's reports
+	evidenceDecay      = 0.917 // of the counts after a second: a mean age of 12 s
+	minEvidence        = 20.0  // attempts of either build for a verdict
+	flagDifference     = 0.05  // of the failure rates
+	flagStandardErrors = 3.0   // of their difference
+	canaryUtilization  = 0.8   // fraction of the exposure limit that is used
 )
 
 func newSyntheticRelay(sim *simulation, id *identity) *syntheticRelay {
-	s := &syntheticRelay{identity: id, simulation: sim, random: newRandom(sim.options.Seed, "standin", id.index),
-		evidence: make([][2]evidence, len(requestKinds))}
+	s := &syntheticRelay{
+		identity:   id,
+		simulation: sim,
+		random:     newRandom(sim.options.Seed, "standin", id.index),
+		evidence:   make([]classEvidence, len(requestKinds)),
+	}
 	s.nextReportAt = reportInterval * s.random.Float64()
 	return s
 }
 
-// advance plays one tick.
+// advance simulates one tick.
 func (s *syntheticRelay) advance(from, to float64) {
 	if !s.alive || s.nextReportAt >= to {
 		return
 	}
 	s.nextReportAt += reportInterval
-	p := s.service.platform
-	s.report.build, s.report.stage = p.status.Build, p.status.Stage
+	status := &s.service.platform.status
+	s.report.build = status.Build
+	s.report.stage = status.Stage
 	s.report.attempts = s.report.attempts[:0]
 	s.decayEvidence()
-	newer, earlier := s.simulation.readyEndpoints[s.service.index].newer, s.simulation.readyEndpoints[s.service.index].earlier
+	ready := &s.simulation.readyEndpoints[s.service.index]
 	for range s.drawAttemptCount() {
-		pool, newest := s.drawPool(newer, earlier)
+		pool, newest := s.drawPool(ready)
 		if len(pool) > 0 {
 			s.addAttempt(from, pool[s.random.Intn(len(pool))], newest)
 		}
@@ -59,100 +67,120 @@
 	s.sendReport()
 }
 
-// attempts draws how many a relay makes in the time between two messages: a Poisson number, by its normal
-// approximation where it is large.
+// drawAttemptCount draws how many attempts a relay makes between two reports: a Poisson number, by its normal approximation
+// if the mean is large.
 func (s *syntheticRelay) drawAttemptCount() int {
+	const largeMean = 30
 	mean := s.service.size.rate * reportInterval
-	if mean > 30 {
+	if mean > largeMean {
 		return max(0, int(math.Round(mean+math.Sqrt(mean)*s.random.NormFloat64())))
 	}
-	n, left := 0, s.random.ExpFloat64()
-	for ; left < mean; left += s.random.ExpFloat64() {
-		n++
+	count := 0
+	for at := s.random.ExpFloat64(); at < mean; at += s.random.ExpFloat64() {
+		count++
 	}
-	return n
+	return count
 }
 
-// choose picks the units of the newest build or the others.
-func (s *syntheticRelay) drawPool(newer, earlier []*endpoint) (pool []*endpoint, newest bool) {
-	p := s.service.platform
-	if p.status.Phase != relay.PhaseCanary {
-		if len(newer) > 0 && p.status.Phase == relay.PhaseReleased {
-			return newer, true
+// drawPool draws whether an attempt goes to the newest build, and returns the endpoints to choose from.
+func (s *syntheticRelay) drawPool(ready *readyEndpoints) (pool []*endpoint, newest bool) {
+	status := &s.service.platform.status
+	if status.Phase != relay.PhaseCanary {
+		if len(ready.newest) > 0 && status.Phase == relay.PhaseReleased {
+			return ready.newest, true
 		}
-		return earlier, false
+		return ready.earlier, false
 	}
-	part := math.Min(canaryUtilization*p.status.ExposureLimit, float64(len(newer))/math.Max(float64(len(newer)+len(earlier)), 1))
-	if s.random.Float64() < part {
-		return newer, true
+	newestCount := float64(len(ready.newest))
+	count := float64(len(ready.newest) + len(ready.earlier))
+	fraction := math.Min(canaryUtilization*status.ExposureLimit, newestCount/math.Max(count, 1))
+	if s.random.Float64() < fraction {
+		return ready.newest, true
 	}
-	return earlier, false
+	return ready.earlier, false
 }
 
-// attempt makes one up.
+// addAttempt draws an attempt and adds it to the report and the evidence.
 func (s *syntheticRelay) addAttempt(now float64, e *endpoint, newest bool) {
 	class := drawClass(s.random)
 	kind := &requestKinds[class]
-	work := kind.work[0] + (kind.work[1]-kind.work[0])*s.random.Float64()
-	outcome, took := e.drawOutcome(now, s.place, work, s.service.platform.defect(e.build), s.random)
-	a := attemptReport{endpointMark: endpointMark(e.id), class: class, outcome: outcome, newestBuild: newest, slowStarting: now-e.startedAt < slowStartTime,
-		overObjective: took > kind.latencyObjective}
-	if outcome == relay.Succeeded {
-		a.latencyRatio = encodeLatencyRatio(took / (work * (1 + workHintError*(2*s.random.Float64()-1))))
+	work := kind.drawWork(s.random)
+	result := e.drawResult(now, s.place, work, s.service.platform.defect(e.build), s.random)
+	attempt := attemptReport{
+		endpointMark:  endpointMark(e.id),
+		class:         class,
+		outcome:       result.outcome,
+		newestBuild:   newest,
+		slowStarting:  now-e.startedAt < slowStartTime,
+		overObjective: result.duration > kind.latencyObjective,
+	}
+	succeeded := result.outcome == relay.Succeeded
+	if succeeded {
+		attempt.latencyRatio = encodeLatencyRatio(result.duration / drawWorkHint(s.random, work))
 	}
-	s.report.attempts = append(s.report.attempts, a)
-	counts := &s.evidence[class][0]
-	if !newest {
-		counts = &s.evidence[class][1]
+	s.report.attempts = append(s.report.attempts, attempt)
+	counts := &s.evidence[class].earlier
+	if newest {
+		counts = &s.evidence[class].newest
 	}
 	counts.attempts++
-	if outcome != relay.Succeeded {
+	if !succeeded {
 		counts.failed++
 	}
 }
 
+// decayEvidence ages the evidence by a report's interval.
 func (s *syntheticRelay) decayEvidence() {
 	for i := range s.evidence {
-		for k := range s.evidence[i] {
-			s.evidence[i][k].attempts *= evidenceDecay
-			s.evidence[i][k].failed *= evidenceDecay
-		}
+		s.evidence[i].newest.decay()
+		s.evidence[i].earlier.decay()
 	}
 }
 
-// verdicts are what a relay with this evidence would say.
+func (e *evidence) decay() {
+	e.attempts *= evidenceDecay
+	e.failed *= evidenceDecay
+}
+
+// fillVerdicts fills in the verdicts that a relay with this evidence would report.
 func (s *syntheticRelay) fillVerdicts() {
 	s.report.verdicts = s.report.verdicts[:0]
 	for _, e := range s.evidence {
-		v := verdictReport{}
-		if newer, earlier := e[0], e[1]; newer.attempts >= minEvidence && earlier.attempts >= minEvidence {
-			v = verdictReport{newer.isWorseThan(earlier), uint64(newer.attempts)}
+		verdict := verdictReport{}
+		if e.newest.attempts >= minEvidence && e.earlier.attempts >= minEvidence {
+			verdict = verdictReport{flagged: e.newest.isWorseThan(e.earlier), outcomes: uint64(e.newest.attempts)}
 		}
-		s.report.verdicts = append(s.report.verdicts, v)
+		s.report.verdicts = append(s.report.verdicts, verdict)
 	}
 }
 
-func (e evidence) isWorseThan(than evidence) bool {
-	mine, theirs := e.failed/e.attempts, than.failed/than.attempts
-	err := math.Sqrt(mine*(1-mine)/e.attempts + theirs*(1-theirs)/than.attempts)
-	return mine-theirs >= flagDifference && mine-theirs > flagStandardErrors*err
+// isWorseThan reports whether the failure rate is higher by a difference that matters and is significant.
+func (e evidence) isWorseThan(other evidence) bool {
+	rate, otherRate := e.failed/e.attempts, other.failed/other.attempts
+	standardError := math.Sqrt(rate*(1-rate)/e.attempts + otherRate*(1-otherRate)/other.attempts)
+	difference := rate - otherRate
+	return difference >= flagDifference && difference > flagStandardErrors*standardError
 }
 
-// tell sends the report to each fuser, in as many messages as the real code needs.
+// sendReport sends the report to each aggregator, in as many messages as the real code needs.
 func (s *syntheticRelay) sendReport() {
 	all := s.report.attempts
-	for left := all; ; {
-		n := min(len(left), maxAttemptsPerReport)
-		s.report.attempts = left[:n]
-		body := s.report.encode()
-		for _, aggregator := range s.simulation.aggregatorsOf(s.service, s.region) {
-			if aggregator != s.identity {
-				s.sendQueue.datagrams = append(s.sendQueue.datagrams, outgoingDatagram{policyClass, aggregator.number, body})
-			}
-		}
-		if left = left[n:]; len(left) == 0 {
+	for rest := all; ; {
+		size := min(len(rest), maxAttemptsPerReport)
+		s.report.attempts = rest[:size]
+		s.sendToAggregators(s.report.encode())
+		rest = rest[size:]
+		if len(rest) == 0 {
 			break
 		}
 	}
 	s.report.attempts = all
 }
+
+func (s *syntheticRelay) sendToAggregators(body []byte) {
+	for _, aggregator := range s.simulation.aggregatorsOf(s.service, s.region) {
+		if aggregator != s.identity {
+			s.sendQueue.datagrams = append(s.sendQueue.datagrams, outgoingDatagram{policyClass, aggregator.number, body})
+		}
+	}
+}
--- a/lab/scale/timers.go
+++ b/lab/scale/timers.go
@@ -8,65 +8,73 @@
 const (
 	requestTimer    timerKind = iota // the next request arrives
 	attemptTimer                     // an attempt ends
-	deadlineTimer                    // a client gives up
-	policyTimer                      // the decision code asked for it
-	membershipTimer                  // the membership protocol did
+	deadlineTimer                    // a request's client disconnects
+	policyTimer                      // the decision code set it
+	membershipTimer                  // the membership protocol set it
 )
 
-// timer is something that happens at one relay at a time.
+// timer is an event of one relay that is due at a time.
 type timer struct {
 	at            float64
-	sequence      int64
+	sequence      int64 // in the order of setting
 	kind          timerKind
-	attempt       int32
-	request       *request
-	policyTimerID relay.TimerID
+	attempt       int32         // of an attemptTimer
+	request       *request      // of an attemptTimer or deadlineTimer
+	policyTimerID relay.TimerID // of a policyTimer
 }
 
-func (t *timer) before(o *timer) bool {
-	return t.at < o.at || t.at == o.at && t.sequence < o.sequence
+func (t *timer) isBefore(other *timer) bool {
+	return t.at < other.at || (t.at == other.at && t.sequence < other.sequence)
 }
 
-// timers is a heap of timers, the earliest on top; of one time, the first set.
+// timers is a binary heap of timers, the earliest on top; of those due at one time, the one set first.
 type timers struct {
 	heap     []timer
 	sequence int64
 }
 
-func (t *timers) set(x timer) {
+// set adds a timer.
+func (t *timers) set(added timer) {
 	t.sequence++
-	x.sequence = t.sequence
-	t.heap = append(t.heap, x)
+	added.sequence = t.sequence
+	t.heap = append(t.heap, added)
 	for i := len(t.heap) - 1; i > 0; {
 		parent := (i - 1) / 2
-		if !t.heap[i].before(&t.heap[parent]) {
-			break
+		if !t.heap[i].isBefore(&t.heap[parent]) {
+			return
 		}
 		t.heap[i], t.heap[parent] = t.heap[parent], t.heap[i]
 		i = parent
 	}
 }
 
-// due takes the earliest timer off that is before a time.
-func (t *timers) due(until float64) (timer, bool) {
-	if len(t.heap) == 0 || t.heap[0].at >= until {
+// popBefore removes and returns the earliest timer if it is due before a time.
+func (t *timers) popBefore(end float64) (timer, bool) {
+	if len(t.heap) == 0 || t.heap[0].at >= end {
 		return timer{}, false
 	}
-	top, last := t.heap[0], len(t.heap)-1
+	earliest := t.heap[0]
+	last := len(t.heap) - 1
 	t.heap[0] = t.heap[last]
 	t.heap[last] = timer{}
 	t.heap = t.heap[:last]
+	t.siftDown()
+	return earliest, true
+}
+
+// siftDown restores the order of the heap after its top was replaced.
+func (t *timers) siftDown() {
 	for i := 0; ; {
-		lowest := i
-		for child := 2*i + 1; child <= 2*i+2 && child < last; child++ {
-			if t.heap[child].before(&t.heap[lowest]) {
-				lowest = child
+		earliest := i
+		for child := 2*i + 1; child <= 2*i+2 && child < len(t.heap); child++ {
+			if t.heap[child].isBefore(&t.heap[earliest]) {
+				earliest = child
 			}
 		}
-		if lowest == i {
-			return top, true
+		if earliest == i {
+			return
 		}
-		t.heap[i], t.heap[lowest] = t.heap[lowest], t.heap[i]
-		i = lowest
+		t.heap[i], t.heap[earliest] = t.heap[earliest], t.heap[i]
+		i = earliest
 	}
 }
--- a/lab/scale/topology_test.go
+++ b/lab/scale/topology_test.go
@@ -43,14 +43,14 @@
 	}
 }
 
-// TestLoadIsProportionalToEndpoints adds the load of all relays up.
+// TestLoadIsProportionalToEndpoints adds up the load of all relays.
 func TestLoadIsProportionalToEndpoints(t *testing.T) {
 	o := smallOptions(Skewed, func(o *Options) { o.Relays, o.Endpoints, o.Services = 100, 700, 30 })
 	sum := 0.0
 	for _, s := range o.sizes() {
 		sum += s.rate * float64(s.relays)
 		if each := s.rate * float64(s.relays) / float64(s.endpoints); math.Abs(each-30*100/700.0) > 1e-9 {
-			t.Errorf("%+v: %g requests a second at each unit", s, each)
+			t.Errorf("%+v: %g requests a second at each endpoint", s, each)
 		}
 	}
 	if math.Abs(sum-30*100) > 1e-6 {
--- a/lab/scale/worker_pool.go
+++ b/lab/scale/worker_pool.go
@@ -6,59 +6,67 @@
 	"sync/atomic"
 )
 
-// participant is played within a tick.
-type participant interface{ advance(from, to float64) }
+// participant is simulated within a tick. Several are advanced in parallel, so each changes nothing but itself.
+type participant interface {
+	advance(from, to float64)
+}
 
-// crew are the threads that play relays beside each other.
+// workerPool is a fixed number of threads that advance participants. It is used by one goroutine; close ends the workers.
 type workerPool struct {
 	workers int
 	batches chan *batch
 }
 
-// round is one tick's work.
+// batch is the work of one tick.
 type batch struct {
 	participants []participant
 	from, to     float64
-	next         atomic.Int64
+	next         atomic.Int64 // index of the first participant that no worker has taken
 	done         sync.WaitGroup
 }
 
-const batchChunk = 8 // relays that a thread takes at a time
+// batchChunk is how many participants a worker takes at a time.
+const batchChunk = 8
+
+func newWorkerPool(workers int) *workerPool {
+	p := &workerPool{workers: workers, batches: make(chan *batch)}
+	for range workers {
+		go p.work()
+	}
+	return p
+}
 
-func newWorkerPool(jobs int) *workerPool {
-	c := &workerPool{workers: jobs, batches: make(chan *batch)}
-	for range jobs {
-		go func() {
-			runtime.LockOSThread() // processor time is counted by thread
-			defer runtime.UnlockOSThread()
-			for r := range c.batches {
-				r.run()
-			}
-		}()
+// work runs batches until the pool is closed.
+func (p *workerPool) work() {
+	runtime.LockOSThread() // processor time is counted by thread
+	defer runtime.UnlockOSThread()
+	for b := range p.batches {
+		b.run()
 	}
-	return c
 }
 
-func (r *batch) run() {
-	defer r.done.Done()
+// run advances participants until none is left.
+func (b *batch) run() {
+	defer b.done.Done()
 	for {
-		to := int(r.next.Add(batchChunk))
-		for i := to - batchChunk; i < min(to, len(r.participants)); i++ {
-			r.participants[i].advance(r.from, r.to)
+		end := int(b.next.Add(batchChunk))
+		for i := end - batchChunk; i < min(end, len(b.participants)); i++ {
+			b.participants[i].advance(b.from, b.to)
 		}
-		if to >= len(r.participants) {
+		if end >= len(b.participants) {
 			return
 		}
 	}
 }
 
-func (c *workerPool) advance(live []participant, from, to float64) {
-	r := &batch{participants: live, from: from, to: to}
-	r.done.Add(c.workers)
-	for range c.workers {
-		c.batches <- r
+// advance advances all participants by a tick and returns when they are done.
+func (p *workerPool) advance(participants []participant, from, to float64) {
+	b := &batch{participants: participants, from: from, to: to}
+	b.done.Add(p.workers)
+	for range p.workers {
+		p.batches <- b
 	}
-	r.done.Wait()
+	b.done.Wait()
 }
 
-func (c *workerPool) close() { close(c.batches) }
+func (p *workerPool) close() { close(p.batches) }
