--- a/lab/scale/discovery.go
+++ b/lab/scale/discovery.go
@@ -7,204 +7,216 @@
 	"lichenroad/relay"
 )
 
-// Facts of the stand-in for discovery.
+// Properties of the simulated discovery. Durations are in seconds.
 const (
-	epoch          = 1_700_000_000 // Unix time at the start of a run
-	publishEvery   = 0.5           // s between two generations of a list
-	deathNoticed   = 1.0           // s until discovery notices that a process is gone
-	leastPace      = 50.0          // whole lists a second that it can give
-	relaysPerPace  = 8.0           // it can give all relays a list once in so many seconds, if that is more
-	mostQueued     = 2.0           // s that a call for a whole list may wait before it fails
-	longStanding   = 1.0           // s from the start in which a call does not queue: the fleet has long stood
-	answerAfter    = 0.02          // s that an answer takes
-	unreachableFor = 1.0           // s after which a call that can't reach it fails
-	entriesPerPart = 8192          // entries of one part of a list that the real reader refuses in one piece
-	bytesPerHead   = 160           // of an answer's HTTP head
+	epoch              = 1_700_000_000 // Unix time at the start of a run
+	publishInterval    = 0.5           // between two generations of a list
+	crashDetectionTime = 1.0           // until discovery notices that a process has ended
+	minListRate        = 50.0          // full lists a second that it can send at least
+	fullRoundTime      = 8.0           // in which it can send a full list to every relay, if that needs a higher rate
+	maxQueueTime       = 2.0           // for which a poll for a full list may be queued before it fails
+	unqueuedTime       = 1.0           // from the start, for which polls are not queued: the fleet has run for long
+	answerDelay        = 0.02          // of an answer
+	unreachableTimeout = 1.0           // after which a poll fails that can't reach discovery
+	entriesPerPart     = 8192          // of a list that the real reader rejects as a whole
+	answerHeadBytes    = 160           // of an answer's HTTP head
 )
 
-// listCall is a call of a relay to discovery.
-type listCall struct {
-	from      *hollow
-	number    int64
-	after     int64   // generation that the relay has; -1: it wants the whole list
-	continues bool    // a watch that was answered before
-	until     float64 // when discovery answers though nothing is new
+// poll is a relay's poll of discovery.
+type poll struct {
+	relay          *hollowRelay
+	number         int64   // counted by the relay
+	generation     int64   // that the relay has; -1: it asks for the full list
+	continuesWatch bool    // the previous poll was answered
+	heldUntil      float64 // when discovery answers although nothing changed
 }
 
-// listAnswer is discovery's answer. Where the reader refuses the body, the parts say the same in smaller pieces.
+// listAnswer is discovery's answer to a poll.
 type listAnswer struct {
 	generation int64
 	body       []byte
-	parts      func() [][]byte
+	parts      func() [][]byte // the same in smaller bodies, for a reader that rejects the whole one
 }
 
-// change is one entry that differs from the generation before.
+// change is one endpoint that changed in a generation.
 type change struct {
 	generation int64
-	unit       *unit
+	endpoint   *endpoint
 }
 
-// registry is discovery's list of one service's units.
-type registry struct {
-	relays     int
-	units      []*unit
-	generation int64
-	publishAt  float64
-	pending    []pendingChange
-	changes    []change
-	answers    map[int64]*listAnswer // by the generation that a relay has, for the present one
-	parked     []listCall
-	freeAt     float64 // when the queue of calls for whole lists is empty
+// pendingChange is one that is published from a time on.
+type pendingChange struct {
+	at       float64
+	endpoint *endpoint
 }
 
-type pendingChange struct {
-	at   float64
-	unit *unit
+// registry is discovery's list of one service's endpoints.
+type registry struct {
+	relays        int
+	endpoints     []*endpoint
+	generation    int64
+	nextPublishAt float64
+	pending       []pendingChange
+	changes       []change              // oldest first
+	answers       map[int64]*listAnswer // present ones, by the generation that a relay has
+	heldPolls     []poll
+	queueEmptyAt  float64 // when the queued polls for full lists are answered
 }
 
-func newRegistry(relays int, units []*unit) *registry {
-	return &registry{relays: relays, units: units, generation: 1, answers: map[int64]*listAnswer{}}
+func newRegistry(relays int, endpoints []*endpoint) *registry {
+	return &registry{relays: relays, endpoints: endpoints, generation: 1, answers: map[int64]*listAnswer{}}
 }
 
-// note has a change of a unit published, no sooner than at a time.
-func (r *registry) note(at float64, u *unit) { r.pending = append(r.pending, pendingChange{at, u}) }
+// scheduleChange has a change of an endpoint published, not before a time.
+func (r *registry) scheduleChange(at float64, e *endpoint) {
+	r.pending = append(r.pending, pendingChange{at, e})
+}
 
-// add lists a unit from the next generation on.
-func (r *registry) add(at float64, u *unit) {
-	r.units = append(r.units, u)
-	r.note(at, u)
+// add lists an endpoint from the next generation on.
+func (r *registry) add(at float64, e *endpoint) {
+	r.endpoints = append(r.endpoints, e)
+	r.scheduleChange(at, e)
 }
 
-// publish makes a generation of what has changed, and says whether there is one.
+// publish makes the pending changes a new generation, and reports whether there is one.
 func (r *registry) publish(now float64) bool {
-	if now < r.publishAt {
+	if now < r.nextPublishAt {
 		return false
 	}
-	r.publishAt = now + publishEvery
-	left, published := r.pending[:0], false
+	r.nextPublishAt = now + publishInterval
+	pending := r.pending[:0]
+	published := false
 	for _, p := range r.pending {
 		if p.at > now {
-			left = append(left, p)
+			pending = append(pending, p)
 			continue
 		}
 		if !published {
 			published = true
 			r.generation++
 		}
-		if p.unit.state != relay.Ready && p.unit.leaving > now {
-			p.unit.leaving = now
+		firstListedAsLeaving := p.endpoint.state != relay.Ready && p.endpoint.drainListedAt > now
+		if firstListedAsLeaving {
+			p.endpoint.drainListedAt = now
 		}
-		r.changes = append(r.changes, change{r.generation, p.unit})
+		r.changes = append(r.changes, change{r.generation, p.endpoint})
 	}
-	r.pending = left
+	r.pending = pending
 	if published {
 		clear(r.answers)
-		r.forgetGone()
+		r.dropRemoved()
 	}
 	return published
 }
 
-// forgetGone takes units off the whole list that were told as gone.
-func (r *registry) forgetGone() {
-	kept := r.units[:0]
-	for _, u := range r.units {
-		if u.state != relay.Removed {
-			kept = append(kept, u)
+// dropRemoved takes endpoints off the full list whose removal is published.
+func (r *registry) dropRemoved() {
+	kept := r.endpoints[:0]
+	for _, e := range r.endpoints {
+		if e.state != relay.Removed {
+			kept = append(kept, e)
 		}
 	}
-	clear(r.units[len(kept):])
-	r.units = kept
+	clear(r.endpoints[len(kept):])
+	r.endpoints = kept
 }
 
-// answer is the present answer to a relay that has a generation.
-func (r *registry) answer(after int64) *listAnswer {
-	if a := r.answers[after]; a != nil {
-		return a
+// answer returns the present answer to a relay that has a generation.
+func (r *registry) answer(generation int64) *listAnswer {
+	if known := r.answers[generation]; known != nil {
+		return known
 	}
-	entries, whole := r.since(after), after < 0
-	a := &listAnswer{generation: r.generation, body: encodeList(r.generation, whole, entries)}
-	a.parts = sync.OnceValue(func() (out [][]byte) {
-		for left := entries; len(out) == 0 || len(left) > 0; {
-			n := min(len(left), entriesPerPart)
-			out = append(out, encodeList(r.generation, whole && len(out) == 0, left[:n]))
-			left = left[n:]
-		}
-		return out
-	})
-	r.answers[after] = a
-	return a
+	entries := r.changedSince(generation)
+	full := generation < 0
+	answer := &listAnswer{generation: r.generation, body: encodeList(r.generation, full, entries)}
+	answer.parts = sync.OnceValue(func() [][]byte { return encodeParts(answer.generation, full, entries) })
+	r.answers[generation] = answer
+	return answer
 }
 
-// since are the units of the whole list, or those that changed after a generation, each once.
-func (r *registry) since(after int64) []*unit {
-	if after < 0 {
-		return append([]*unit(nil), r.units...)
+// changedSince returns the endpoints of the full list, or those that changed after a generation, each once.
+func (r *registry) changedSince(generation int64) []*endpoint {
+	if generation < 0 {
+		return append([]*endpoint(nil), r.endpoints...)
 	}
-	var out []*unit
-	seen := map[*unit]bool{}
-	for i := len(r.changes) - 1; i >= 0 && r.changes[i].generation > after; i-- {
-		if u := r.changes[i].unit; !seen[u] {
-			seen[u] = true
-			out = append(out, u)
+	var changed []*endpoint
+	seen := map[*endpoint]bool{}
+	for i := len(r.changes) - 1; i >= 0 && r.changes[i].generation > generation; i-- {
+		if e := r.changes[i].endpoint; !seen[e] {
+			seen[e] = true
+			changed = append(changed, e)
 		}
 	}
-	return out
+	return changed
 }
 
-// queued is how long a call for a whole list takes, and whether it fails.
-func (r *registry) queued(now float64) (took float64, fails bool) {
-	if now < longStanding {
-		return answerAfter, false
+// enqueue queues a poll for a full list. It returns after how long the poll is answered or, if the queue is too long, fails.
+func (r *registry) enqueue(now float64) (delay float64, accepted bool) {
+	if now < unqueuedTime {
+		return answerDelay, true
 	}
-	pace := max(leastPace, float64(r.relays)/relaysPerPace)
-	start := max(now, r.freeAt)
-	if start-now > mostQueued {
-		return mostQueued, true
+	listsPerSecond := max(minListRate, float64(r.relays)/fullRoundTime)
+	start := max(now, r.queueEmptyAt)
+	if start-now > maxQueueTime {
+		return maxQueueTime, false
 	}
-	r.freeAt = start + 1/pace
-	return start - now + answerAfter, false
+	r.queueEmptyAt = start + 1/listsPerSecond
+	return start - now + answerDelay, true
 }
 
+// lifecycles are the states of endpoints in discovery's JSON.
 var lifecycles = [...]string{relay.Ready: "SERVING", relay.Draining: "DRAINING", relay.Removed: "DELETED"}
 
-// encodeList writes a list in discovery's JSON form.
-func encodeList(generation int64, whole bool, units []*unit) []byte {
-	b := make([]byte, 0, 64+200*len(units))
+// encodeParts encodes a list in several bodies. The first alone replaces what the reader has, if the list is full.
+func encodeParts(generation int64, full bool, entries []*endpoint) [][]byte {
+	var parts [][]byte
+	for rest := entries; len(parts) == 0 || len(rest) > 0; {
+		size := min(len(rest), entriesPerPart)
+		parts = append(parts, encodeList(generation, full && len(parts) == 0, rest[:size]))
+		rest = rest[size:]
+	}
+	return parts
+}
+
+// encodeList encodes a list as discovery's JSON.
+func encodeList(generation int64, full bool, endpoints []*endpoint) []byte {
+	b := make([]byte, 0, 64+200*len(endpoints))
 	b = append(b, `{"generation":`...)
 	b = strconv.AppendInt(b, generation, 10)
 	b = append(b, `,"reset":`...)
-	b = strconv.AppendBool(b, whole)
+	b = strconv.AppendBool(b, full)
 	b = append(b, `,"instances":[`...)
-	for i, u := range units {
+	for i, e := range endpoints {
 		if i > 0 {
 			b = append(b, ',')
 		}
-		b = u.appendEntry(b)
+		b = e.appendEntry(b)
 	}
 	return append(b, "]}"...)
 }
 
-func (u *unit) appendEntry(b []byte) []byte {
+// appendEntry appends the endpoint's entry of discovery's JSON.
+func (e *endpoint) appendEntry(b []byte) []byte {
 	b = append(b, `{"instanceId":"`...)
-	b = append(b, u.name...)
+	b = append(b, e.name...)
 	b = append(b, `","hostPort":"10.`...)
-	b = strconv.AppendInt(b, int64(u.region), 10)
+	b = strconv.AppendInt(b, int64(e.region), 10)
 	b = append(b, '.')
-	b = strconv.AppendInt(b, int64(u.zone), 10)
+	b = strconv.AppendInt(b, int64(e.zone), 10)
 	b = append(b, '.')
-	b = strconv.AppendInt(b, int64(u.rack%250), 10)
+	b = strconv.AppendInt(b, int64(e.rack%250), 10)
 	b = append(b, `:5432","zone":"`...)
-	b = append(b, zoneName(u.zone)...)
+	b = append(b, zoneName(e.zone)...)
 	b = append(b, `","machineType":"`...)
-	b = append(b, machineKinds[u.kind].name...)
+	b = append(b, machineKinds[e.kind].name...)
 	b = append(b, `","cell":`...)
-	b = strconv.AppendInt(b, int64(u.rack), 10)
+	b = strconv.AppendInt(b, int64(e.rack), 10)
 	b = append(b, `,"lifecycle":"`...)
-	b = append(b, lifecycles[u.state]...)
+	b = append(b, lifecycles[e.state]...)
 	b = append(b, `","weight":1,"startedAtMs":`...)
-	b = strconv.AppendInt(b, int64((epoch+u.started)*1000), 10)
+	b = strconv.AppendInt(b, int64((epoch+e.startedAt)*1000), 10)
 	b = append(b, `,"build":`...)
-	b = strconv.AppendInt(b, int64(u.build), 10)
+	b = strconv.AppendInt(b, int64(e.build), 10)
 	return append(b, '}')
 }
 
--- a/lab/scale/faults.go
+++ b/lab/scale/faults.go
@@ -8,164 +8,198 @@
 	"slices"
 )
 
-// The target's failures, and how long they last.
+// The target's failures. Durations are in seconds, parts of a run as fractions.
 const (
-	targetRelays    = 4300.0
-	killsPerDay     = 59.0   // machines of the target that fail in a day
-	restartsPerDay  = 3500.0 // and that are restarted or replaced
-	secondsPerDay   = 86400.0
-	timesHundred    = 100.0
-	killedFor       = 10.0 // s until a relay that failed is replaced
-	restartedFor    = 1.0  // s of a restart
-	outageFrom      = 0.3  // part of a run at which a rack, a zone, a region or the fusers are lost
-	outageTo        = 0.7  // and at which they are back
-	longestOutage   = 180.0
-	fusersLostAfter = 0.4
+	targetRelays        = 4300.0
+	killsPerDay         = 59.0   // machines of the target that fail
+	restartsPerDay      = 3500.0 // machines of the target that are restarted or replaced
+	secondsPerDay       = 86400.0
+	hundredfold         = 100.0
+	replacementTime     = 10.0 // until a relay that failed is replaced
+	restartTime         = 1.0
+	outageStart         = 0.3 // part of a run at which a rack, a zone or a region is lost
+	outageEnd           = 0.7 // part of a run at which it is back
+	maxOutage           = 180.0
+	aggregatorsKilledAt = 0.4
 )
 
-// outage is the time in which something is lost.
+// outage returns the time in which something is lost.
 func (o *Options) outage() (from, to float64) {
-	from = outageFrom * o.Seconds
-	return from, math.Min(outageTo*o.Seconds, from+longestOutage)
+	from = outageStart * o.Seconds
+	return from, math.Min(outageEnd*o.Seconds, from+maxOutage)
 }
 
 // faultCounts are what the faults did to machines.
 type faultCounts struct {
-	Kills     int `json:"relays_killed"`
-	Restarts  int `json:"relays_restarted"`
-	UnitsLost int `json:"units_lost"`
+	Kills         int `json:"relays_killed"`
+	Restarts      int `json:"relays_restarted"`
+	EndpointsLost int `json:"units_lost"`
 }
 
-// faultEvent is something that goes wrong at a time, or is mended.
+// faultEvent is the start or end of a fault.
 type faultEvent struct {
-	at float64
-	do func(w *world, now float64)
-}
-
-// schedule lists what goes wrong in a run, in order of time.
-func schedule(o *Options, relays int) []faultEvent {
-	var out []faultEvent
-	random := seeded(o.Seed, "faults", 0)
-	scale := float64(relays) / targetRelays / secondsPerDay
-	poisson := func(perDay float64, strike func(w *world, now float64, random *rand.Rand)) {
-		for at := random.ExpFloat64() / (perDay * scale); at < o.Seconds; at += random.ExpFloat64() / (perDay * scale) {
-			out = append(out, faultEvent{at, func(w *world, now float64) { strike(w, now, random) }})
-		}
-	}
-	kill := func(w *world, now float64, random *rand.Rand) { w.kill(now, w.anyRelay(random), killedFor) }
-	restart := func(w *world, now float64, random *rand.Rand) { w.restart(now, w.anyRelay(random)) }
-	from, to := o.outage()
-	for _, f := range o.Faults {
-		switch f {
-		case RelayKills:
-			poisson(killsPerDay, kill)
-		case RelayKillsX100:
-			poisson(killsPerDay*timesHundred, kill)
-		case Restarts:
-			poisson(restartsPerDay, restart)
-		case RestartsX100:
-			poisson(restartsPerDay*timesHundred, restart)
-		case RackLoss:
-			out = append(out, faultEvent{from, func(w *world, now float64) {
-				w.lose(now, to-from, func(p place) bool { return p.zone == 0 && p.rack == 0 })
-			}})
-		case ZoneLoss:
-			out = append(out, faultEvent{from, func(w *world, now float64) {
-				w.lose(now, to-from, func(p place) bool { return p.zone == 0 })
-			}})
-		case RegionSplit:
-			out = append(out, faultEvent{from, func(w *world, now float64) { w.cut(now, true) }},
-				faultEvent{to, func(w *world, now float64) { w.cut(now, false) }})
-		case OneWay:
-			out = append(out, faultEvent{from, func(w *world, _ float64) { w.network.oneWay = true }},
-				faultEvent{to, func(w *world, _ float64) { w.network.oneWay = false }})
-		case AllFusersKilled:
-			out = append(out, faultEvent{fusersLostAfter * o.Seconds, func(w *world, now float64) { w.killFusers(now) }})
-		}
+	at    float64
+	apply func(sim *simulation, now float64)
+}
+
+// faultPlan collects the fault events of a run.
+type faultPlan struct {
+	options *Options
+	relays  int // of the simulated services
+	random  *rand.Rand
+	events  []faultEvent
+}
+
+// planFaults returns the events of all faults of the options, in order of time.
+func planFaults(o *Options, relays int) []faultEvent {
+	plan := faultPlan{options: o, relays: relays, random: newRandom(o.Seed, "faults", 0)}
+	for _, fault := range o.Faults {
+		plan.add(fault)
 	}
-	slices.SortStableFunc(out, func(a, b faultEvent) int {
+	slices.SortStableFunc(plan.events, func(a, b faultEvent) int {
 		return cmp.Compare(a.at, b.at)
 	})
-	return out
+	return plan.events
+}
+
+// add plans one fault. Those of datagrams are the network's.
+func (p *faultPlan) add(fault Fault) {
+	from, to := p.options.outage()
+	switch fault {
+	case RelayKills:
+		p.addPoisson(killsPerDay, p.killAny)
+	case RelayKillsX100:
+		p.addPoisson(killsPerDay*hundredfold, p.killAny)
+	case Restarts:
+		p.addPoisson(restartsPerDay, p.restartAny)
+	case RestartsX100:
+		p.addPoisson(restartsPerDay*hundredfold, p.restartAny)
+	case RackLoss:
+		p.addLoss(func(at place) bool { return at.zone == 0 && at.rack == 0 })
+	case ZoneLoss:
+		p.addLoss(func(at place) bool { return at.zone == 0 })
+	case RegionSplit:
+		p.addAt(from, func(sim *simulation, now float64) { sim.setPartition(now, true) })
+		p.addAt(to, func(sim *simulation, now float64) { sim.setPartition(now, false) })
+	case OneWay:
+		p.addAt(from, func(sim *simulation, _ float64) { sim.network.oneWay = true })
+		p.addAt(to, func(sim *simulation, _ float64) { sim.network.oneWay = false })
+	case AllAggregatorsKilled:
+		at := aggregatorsKilledAt * p.options.Seconds
+		p.addAt(at, func(sim *simulation, now float64) { sim.killAggregators(now) })
+	}
 }
 
-// anyRelay draws one relay of the played services.
-func (w *world) anyRelay(random *rand.Rand) *identity { return w.relays[random.Intn(len(w.relays))] }
+func (p *faultPlan) addAt(at float64, apply func(sim *simulation, now float64)) {
+	p.events = append(p.events, faultEvent{at, apply})
+}
 
-// kill ends a relay without a word, and has another take its place after a time.
-func (w *world) kill(now float64, r *identity, downFor float64) {
+// addPoisson plans events as a Poisson process with the target's rate, scaled to the number of relays.
+func (p *faultPlan) addPoisson(perDay float64, apply func(sim *simulation, now float64)) {
+	scale := float64(p.relays) / targetRelays / secondsPerDay
+	for at := p.random.ExpFloat64() / (perDay * scale); at < p.options.Seconds; at += p.random.ExpFloat64() / (perDay * scale) {
+		p.addAt(at, apply)
+	}
+}
+
+// addLoss plans the loss of all machines at some places for the time of the outage.
+func (p *faultPlan) addLoss(lost func(place) bool) {
+	from, to := p.options.outage()
+	p.addAt(from, func(sim *simulation, now float64) { sim.loseMachines(now, to-from, lost) })
+}
+
+func (p *faultPlan) killAny(sim *simulation, now float64) {
+	sim.killRelay(now, sim.drawRelay(p.random), replacementTime)
+}
+
+func (p *faultPlan) restartAny(sim *simulation, now float64) {
+	sim.restartRelay(now, sim.drawRelay(p.random))
+}
+
+// drawRelay draws one relay of the simulated services.
+func (sim *simulation) drawRelay(random *rand.Rand) *identity {
+	return sim.relays[random.Intn(len(sim.relays))]
+}
+
+// killRelay stops a relay and starts another in its place after a time.
+func (sim *simulation) killRelay(now float64, r *identity, downFor float64) {
 	if !r.alive {
 		return
 	}
-	w.faultCounts.Kills++
-	w.stop(now, r, downFor)
+	sim.faultCounts.Kills++
+	sim.stopRelay(now, r, downFor)
 }
 
-// restart ends a relay in order, and starts it again.
-func (w *world) restart(now float64, r *identity) {
+// restartRelay stops a relay and starts it again.
+func (sim *simulation) restartRelay(now float64, r *identity) {
 	if !r.alive {
 		return
 	}
-	w.faultCounts.Restarts++
-	w.stop(now, r, restartedFor)
+	sim.faultCounts.Restarts++
+	sim.stopRelay(now, r, restartTime)
 }
 
-func (w *world) stop(now float64, r *identity, downFor float64) {
-	r.alive, r.downSince = false, now
-	if h := w.hollows[r.index]; h != nil {
+// stopRelay stops a relay for a time.
+func (sim *simulation) stopRelay(now float64, r *identity, downFor float64) {
+	r.alive = false
+	r.downSince = now
+	if h := sim.hollowRelays[r.index]; h != nil {
 		h.stop()
 	}
-	w.later(now+downFor, func(now float64) {
+	sim.runLater(now+downFor, func(now float64) {
 		r.alive = true
-		if h := w.hollows[r.index]; h != nil {
+		if h := sim.hollowRelays[r.index]; h != nil {
 			h.start(now)
 		}
 	})
 }
 
-// lose takes every machine of some places away for a time. Its units are replaced by others, not given back.
-func (w *world) lose(now, downFor float64, at func(place) bool) {
-	for _, r := range w.relays {
-		if at(r.place) {
-			w.kill(now, r, downFor)
+// loseMachines takes every machine of some places away for a time. Relays come back, endpoints are replaced by new ones.
+func (sim *simulation) loseMachines(now, downFor float64, lost func(place) bool) {
+	for _, r := range sim.relays {
+		if lost(r.place) {
+			sim.killRelay(now, r, downFor)
 		}
 	}
-	for _, s := range w.services {
-		lost := 0
-		for _, u := range s.units {
-			if at(u.place) && u.runs(now) {
-				s.die(now, u)
-				lost++
-				w.replaceLater(s, u, now+downFor)
+	for _, s := range sim.services {
+		for _, e := range s.endpoints {
+			if lost(e.place) && e.isRunning(now) {
+				s.crash(now, e)
+				sim.replaceEndpointLater(s, e, now+downFor)
+				sim.faultCounts.EndpointsLost++
 			}
 		}
-		w.faultCounts.UnitsLost += lost
 	}
 }
 
-func (w *world) replaceLater(s *service, u *unit, at float64) {
-	w.later(at, func(now float64) {
-		if _, known := s.platform.defects[u.build]; known && u.build >= s.platform.news.Build-1 {
-			s.add(now, newUnit(fmt.Sprintf("%s-again-%.0f", u.name, now), u.place, u.kind, u.build, now))
+// replaceEndpointLater starts an endpoint of the same build in the place of one that was lost, if that build is still in use.
+func (sim *simulation) replaceEndpointLater(s *service, lost *endpoint, at float64) {
+	sim.runLater(at, func(now float64) {
+		_, known := s.platform.defects[lost.build]
+		if !known || lost.build < s.platform.status.Build-1 {
+			return
 		}
+		name := fmt.Sprintf("%s-again-%.0f", lost.name, now)
+		s.add(now, newEndpoint(name, lost.place, lost.kind, lost.build, now))
 	})
 }
 
-// cut parts the last region from the others, or heals the cut.
-func (w *world) cut(now float64, cut bool) {
-	w.network.split = cut
-	if cut {
-		w.cutFrom, w.cutTo = now, never
-	} else {
-		w.cutTo = now
+// setPartition partitions the last region from the others, or ends that.
+func (sim *simulation) setPartition(now float64, partitioned bool) {
+	sim.network.partitioned = partitioned
+	if !partitioned {
+		sim.partitionedUntil = now
+		return
 	}
+	sim.partitionedFrom = now
+	sim.partitionedUntil = never
 }
 
-// killFusers ends every relay that fuses, in all services at once.
-func (w *world) killFusers(now float64) {
-	for _, s := range w.services {
-		for _, r := range s.relays[:min(fuserNumbers, len(s.relays))] {
-			w.kill(now, r, killedFor)
+// killAggregators kills the aggregators of all services at once.
+func (sim *simulation) killAggregators(now float64) {
+	for _, s := range sim.services {
+		for _, r := range s.relays[:min(aggregatorCount, len(s.relays))] {
+			sim.killRelay(now, r, replacementTime)
 		}
 	}
 }
