--- /dev/null
+++ b/imports_test.go
@@ -0,0 +1,82 @@
+package lichenroad_test
+
+import (
+	"go/parser"
+	"go/token"
+	"io/fs"
+	"path"
+	"path/filepath"
+	"strconv"
+	"strings"
+	"testing"
+)
+
+const modulePath = "lichenroad/"
+
+// layers are the packages of the module, from the lowest layer up: a package imports those of lower layers alone
+// (docs/ARCHITECTURE.md). Test files may import more.
+var layers = [][]string{
+	{"relay", "plan", "simwire", "experiment", "policy/window", "internal/buffer", "internal/httpwire", "internal/limits",
+		"internal/metrics", "internal/sockets", "internal/xmlconfig", "lab/logsummary", "lab/slope", "compat"},
+	{"settings", "policy/peerwire", "membership", "rollout", "trace", "internal/linewire", "internal/pgwire",
+		"internal/planxml"},
+	{"policy", "internal/config", "lab/fakes"},
+	{"internal/pipeline", "internal/releasecontroller"},
+	{"internal/clients", "internal/discovery", "internal/peers", "internal/platform", "internal/upstream"},
+	{"internal/guard", "lab", "lab/scale"},
+	{"lab/demo", "lab/live"},
+	{"cmd/lichenroad", "cmd/simhost"},
+}
+
+func TestImportsGoDownwards(t *testing.T) {
+	layerOf := map[string]int{}
+	for layer, packages := range layers {
+		for _, name := range packages {
+			layerOf[name] = layer
+		}
+	}
+	err := filepath.WalkDir(".", func(file string, entry fs.DirEntry, err error) error {
+		if err != nil {
+			return err
+		}
+		if entry.IsDir() && (entry.Name() == ".git" || entry.Name() == "journal" || entry.Name() == "tools") {
+			return fs.SkipDir
+		}
+		if !strings.HasSuffix(file, ".go") || strings.HasSuffix(file, "_test.go") {
+			return nil
+		}
+		from := path.Dir(filepath.ToSlash(file))
+		layer, known := layerOf[from]
+		if !known {
+			t.Errorf("%s: package %s is in no layer", file, from)
+		}
+		for _, imported := range importsOf(t, file) {
+			if layerOf[imported] >= layer {
+				t.Errorf("%s: %s (layer %d) imports %s (layer %d)", file, from, layer, imported, layerOf[imported])
+			}
+		}
+		return nil
+	})
+	if err != nil {
+		t.Fatal(err)
+	}
+}
+
+// importsOf lists the module's packages that a file imports, by their folders.
+func importsOf(t *testing.T, file string) (packages []string) {
+	t.Helper()
+	parsed, err := parser.ParseFile(token.NewFileSet(), file, nil, parser.ImportsOnly)
+	if err != nil {
+		t.Fatal(err)
+	}
+	for _, spec := range parsed.Imports {
+		imported, err := strconv.Unquote(spec.Path.Value)
+		if err != nil {
+			t.Fatal(err)
+		}
+		if folder, ours := strings.CutPrefix(imported, modulePath); ours {
+			packages = append(packages, folder)
+		}
+	}
+	return packages
+}
