--- a/internal/discovery/fleet_relay_test.go
+++ b/internal/discovery/fleet_relay_test.go
@@ -9,43 +9,43 @@
 	"lichenroad/relay"
 )
 
-// fleetRelay is one process of a relay, wired as on sockets.
+// fleetRelay is one process of a relay, wired as Client and membershipHost wire it.
 type fleetRelay struct {
 	fleet     *fleet
-	no        int
+	id        int
 	dead      bool
 	startedAt relay.Seconds
 	module    *policy.Policy
-	keeper    *keeper
+	schedule  *pollSchedule
 	node      *membership.Node
-	events    []relay.Event // that the module has not seen yet
+	events    []relay.Event // that the decision module has not seen yet
 
-	call    *fleetCall // to discovery; nil: none
-	ordered bool       // the call was ordered by the module, and does not continue the watch
-	again   bool       // a watch was ordered meanwhile
+	poll         *fleetPoll // of the watch; nil: none
+	commanded    bool       // the poll answers a command, and does not continue the watch
+	watchPending bool       // a watch was commanded meanwhile
 
-	wakeAt   relay.Seconds // of the node; membership.Never: none
-	lease    relay.Seconds
-	leasedAt relay.Seconds // when the first lease came; 0: none yet
-	listed   bool          // discovery's own list came since the start
-	held     []relay.Endpoint
+	timerAt    relay.Seconds // of the membership node; membership.Never: none
+	lease      relay.Seconds
+	leasedAt   relay.Seconds // when the first lease came; 0: none yet
+	listed     bool          // the discovery service's own list came since the start
+	cachedList []relay.Endpoint
 
-	queries relay.RequestID
-	legsOf  map[relay.RequestID]relay.AttemptNumber
-	waiting []*fleetLeg
+	requests   relay.RequestID
+	attemptsOf map[relay.RequestID]relay.AttemptNumber
+	waiting    []*fleetAttempt
 }
 
-// fleetLeg is a leg that waits for its connection.
-type fleetLeg struct {
-	order relay.SendAttempt
-	no    relay.AttemptNumber
-	sent  bool
-	ended bool
+// fleetAttempt is an attempt, which may have to wait for its connection.
+type fleetAttempt struct {
+	command relay.SendAttempt
+	number  relay.AttemptNumber
+	sent    bool
+	ended   bool
 }
 
-// at runs something of this process, and lets the module see what came of it.
-func (r *fleetRelay) at(at relay.Seconds, run func()) {
-	r.fleet.at(at, func() {
+// runAt runs something of this process at a time, and lets the decision module see what came of it.
+func (r *fleetRelay) runAt(at relay.Seconds, run func()) {
+	r.fleet.runAt(at, func() {
 		if r.dead {
 			return
 		}
@@ -54,244 +54,273 @@
 	})
 }
 
-func (r *fleetRelay) learn(events ...relay.Event) { r.events = append(r.events, events...) }
+func (r *fleetRelay) addEvents(events ...relay.Event) { r.events = append(r.events, events...) }
 
-// flush lets the module see what happened, and carries out its orders.
+// flush lets the decision module see what happened, and carries out its commands.
 func (r *fleetRelay) flush() {
 	for len(r.events) > 0 {
 		events, leased := r.events, r.fleet.now < r.lease
 		r.events = nil
-		orders := r.module.Step(r.fleet.now, events)
+		commands := r.module.Step(r.fleet.now, events)
 		if !leased {
-			r.checkDenied(events, orders)
+			r.checkRejections(events, commands)
 		}
-		for _, order := range orders {
-			r.carryOut(order)
+		for _, command := range commands {
+			r.carryOut(command)
 		}
 	}
 }
 
-// checkDenied holds the module to denying at once what comes without a lease.
-func (r *fleetRelay) checkDenied(events []relay.Event, orders []relay.Command) {
-	denied := map[relay.RequestID]bool{}
-	for _, order := range orders {
-		if deny, is := order.(relay.Reject); is && deny.RetryAfter > 0 {
-			denied[deny.Request] = true
+// checkRejections counts the requests without a lease that are rejected at once, as all should be.
+func (r *fleetRelay) checkRejections(events []relay.Event, commands []relay.Command) {
+	rejected := map[relay.RequestID]bool{}
+	for _, command := range commands {
+		if reject, is := command.(relay.Reject); is && reject.RetryAfter > 0 {
+			rejected[reject.Request] = true
 		}
 	}
 	for _, event := range events {
-		if query, is := event.(relay.Request); is && denied[query.ID] {
-			r.fleet.found.denied++
-		} else if is {
-			r.fleet.found.undenied++
+		request, is := event.(relay.Request)
+		switch {
+		case !is:
+		case rejected[request.ID]:
+			r.fleet.findings.rejected++
+		default:
+			r.fleet.findings.unrejected++
 		}
 	}
 }
 
-func (r *fleetRelay) carryOut(order relay.Command) {
-	switch o := order.(type) {
+func (r *fleetRelay) carryOut(command relay.Command) {
+	switch command := command.(type) {
 	case relay.SetTimer:
-		r.at(o.At, func() { r.learn(relay.TimerFired{ID: o.ID}) })
+		r.runAt(command.At, func() { r.addEvents(relay.TimerFired{ID: command.ID}) })
 	case relay.Watch:
-		if r.fleet.faults.fixedRetry || !o.On {
-			return
-		}
-		if r.call != nil {
-			r.again = true
-			return
+		if command.On && !r.fleet.disabled.fixedRetry {
+			r.commandWatch()
 		}
-		r.ask()
 	case relay.SendAttempt:
-		r.leg(o)
+		r.startAttempt(command)
+	}
+}
+
+func (r *fleetRelay) commandWatch() {
+	if r.poll != nil {
+		r.watchPending = true
+		return
 	}
+	r.startWatch()
 }
 
-func (r *fleetRelay) query() {
-	r.queries++
-	r.fleet.found.queries++
-	r.learn(relay.Request{ID: r.queries, Deadline: r.fleet.now + 2})
-	r.at(r.fleet.now+queryEvery, r.query)
+func (r *fleetRelay) sendRequest() {
+	r.requests++
+	r.fleet.findings.requests++
+	r.addEvents(relay.Request{ID: r.requests, Deadline: r.fleet.now + 2})
+	r.runAt(r.fleet.now+requestInterval, r.sendRequest)
 }
 
-// ask makes the watch's next call, behind a failure or by order.
-func (r *fleetRelay) ask() {
-	r.ordered = true
-	r.makeCall()
+// startWatch starts a poll after a failure or by command.
+func (r *fleetRelay) startWatch() {
+	r.commanded = true
+	r.startPoll()
 }
 
-func (r *fleetRelay) makeCall() {
-	f, c := r.fleet, &fleetCall{request: r.keeper.next(), from: r, at: r.fleet.now, after: r.keeper.version}
-	r.call = c
-	r.member(membership.PollStarted{Wait: c.wait.Seconds(), ContinuesWatch: c.continues})
-	r.at(f.now+c.limit.Seconds(), func() { r.failed(c, true) })
-	f.discovery.take(c)
+func (r *fleetRelay) startPoll() {
+	next := r.schedule.nextPoll()
+	poll := &fleetPoll{poll: next, from: r, startedAt: r.fleet.now, afterGeneration: r.schedule.generation}
+	r.poll = poll
+	r.stepMembership(membership.PollStarted{Wait: poll.wait.Seconds(), ContinuesWatch: poll.continues})
+	r.runAt(r.fleet.now+poll.timeout.Seconds(), func() { r.pollFailed(poll, true) })
+	r.fleet.discovery.receive(poll)
 }
 
-// answered takes a list from discovery, and goes on with the watch.
-func (r *fleetRelay) answered(c *fleetCall, list List) {
-	if r.call != c {
+// pollAnswered takes a list from the discovery service, and goes on with the watch.
+func (r *fleetRelay) pollAnswered(poll *fleetPoll, list List) {
+	if r.poll != poll {
 		return
 	}
-	list, form, news := r.keeper.took(list, r.ordered, false)
-	given := membership.List{Generation: list.Generation, Full: form != relay.ListDelta}
-	for _, line := range list.Endpoints {
-		r.leaving(line.ID)
-		given.Endpoints = append(given.Endpoints, line.Endpoint)
+	origin := watchContinued
+	if r.commanded {
+		origin = watchCommanded
 	}
-	if news {
-		r.learn(relay.ListUpdate{Kind: form, Endpoints: given.Endpoints})
+	update := r.schedule.accept(list, origin)
+	list = update.list
+	given := membership.List{Generation: list.Generation, Full: update.kind != relay.ListDelta}
+	for _, endpoint := range list.Endpoints {
+		r.endpointLeaving(endpoint.ID)
+		given.Endpoints = append(given.Endpoints, endpoint.Endpoint)
 	}
-	r.hold(given.Endpoints)
-	r.member(membership.PollAnswered{List: given})
+	if update.notify {
+		r.addEvents(relay.ListUpdate{Kind: update.kind, Endpoints: given.Endpoints})
+	}
+	r.updateCachedList(given.Endpoints)
+	r.stepMembership(membership.PollAnswered{List: given})
 	if !r.listed && r.startedAt >= restartAt && list.Generation == int64(r.fleet.discovery.version) {
-		r.fleet.found.listLast = math.Max(r.fleet.found.listLast, r.fleet.now-r.startedAt)
+		r.fleet.findings.maxListDelaySeen = math.Max(r.fleet.findings.maxListDelaySeen, r.fleet.now-r.startedAt)
 	}
 	r.listed = r.listed || list.Generation == int64(r.fleet.discovery.version)
-	r.ordered, r.again = r.again, false
-	r.makeCall()
+	r.commanded, r.watchPending = r.watchPending, false
+	r.startPoll()
 }
 
-// hold notes the list as the relay would find it behind a restart.
-func (r *fleetRelay) hold(changed []relay.Endpoint) {
-	var held []relay.Endpoint
+// updateCachedList keeps the list that the relay would find after a restart: of what changes, all leaves.
+func (r *fleetRelay) updateCachedList(changed []relay.Endpoint) {
+	var remaining []relay.Endpoint
 	gone := map[relay.EndpointID]bool{}
-	for _, unit := range changed {
-		gone[unit.ID] = true
+	for _, endpoint := range changed {
+		gone[endpoint.ID] = true
 	}
-	for _, unit := range r.held {
-		if !gone[unit.ID] {
-			held = append(held, unit)
+	for _, endpoint := range r.cachedList {
+		if !gone[endpoint.ID] {
+			remaining = append(remaining, endpoint)
 		}
 	}
-	r.held = held
+	r.cachedList = remaining
 }
 
-func (r *fleetRelay) failed(c *fleetCall, silent bool) {
-	if r.call != c {
+func (r *fleetRelay) pollFailed(poll *fleetPoll, stalled bool) {
+	if r.poll != poll {
 		return
 	}
-	r.call, c.closed = nil, true
-	r.keeper.failed(silent)
-	r.member(membership.PollFailed{Stalled: silent})
-	form := relay.ListFetchFailed
-	if silent {
-		form = relay.ListWatchStalled
+	r.poll, poll.closed = nil, true
+	r.schedule.pollFailed(stalled)
+	r.stepMembership(membership.PollFailed{Stalled: stalled})
+	kind := relay.ListFetchFailed
+	if stalled {
+		kind = relay.ListWatchStalled
 	}
 	switch {
-	case r.fleet.faults.fixedRetry:
-		r.at(r.fleet.now+1+r.fleet.Float64(), r.ask)
+	case r.fleet.disabled.fixedRetry:
+		r.runAt(r.fleet.now+1+r.fleet.Float64(), r.startWatch)
 		return
-	case r.again:
-		r.again = false
-		r.ask()
+	case r.watchPending:
+		r.watchPending = false
+		r.startWatch()
 	}
-	r.learn(relay.ListUpdate{Kind: form})
+	r.addEvents(relay.ListUpdate{Kind: kind})
 }
 
-// member lets the node see an event, and carries out what it returns.
-func (r *fleetRelay) member(event membership.Event) {
-	now, out := r.fleet.now, r.node.Step(r.fleet.now, event)
-	for _, body := range out.Messages {
-		r.fleet.broadcast(relay.RelayID(r.no), body)
+// stepMembership hands an event to the membership node, and carries out what it returns.
+func (r *fleetRelay) stepMembership(event membership.Event) {
+	now, output := r.fleet.now, r.node.Step(r.fleet.now, event)
+	for _, body := range output.Messages {
+		r.fleet.broadcast(relay.ID(r.id), body)
 	}
-	if len(out.Removed) > 0 {
-		left := relay.ListUpdate{Kind: relay.ListDelta, FromPeers: true}
-		for _, unit := range out.Removed {
-			r.leaving(unit)
-			left.Endpoints = append(left.Endpoints, relay.Endpoint{ID: unit, State: relay.Draining, Partial: true})
+	if len(output.Removed) > 0 {
+		update := relay.ListUpdate{Kind: relay.ListDelta, FromPeers: true}
+		for _, id := range output.Removed {
+			r.endpointLeaving(id)
+			update.Endpoints = append(update.Endpoints, relay.Endpoint{ID: id, State: relay.Draining, Partial: true})
 		}
-		r.learn(left)
+		r.addEvents(update)
 	}
-	r.grant(out.LeaseExpiresAt)
-	if out.DiscoveryRecovered {
-		r.learn(relay.DiscoveryRecovered{})
+	r.setLease(output.LeaseExpiresAt)
+	if output.DiscoveryRecovered {
+		r.addEvents(relay.DiscoveryRecovered{})
 	}
-	if out.TimerAt < r.wakeAt {
-		at := out.TimerAt
-		r.wakeAt = at
-		r.at(at, func() {
-			if r.wakeAt == at {
-				r.wakeAt = membership.Never
+	if output.TimerAt < r.timerAt {
+		at := output.TimerAt
+		r.timerAt = at
+		r.runAt(at, func() {
+			if r.timerAt == at {
+				r.timerAt = membership.Never
 			}
-			r.member(membership.TimerFired{})
+			r.stepMembership(membership.TimerFired{})
 		})
 	}
 	if now < r.lease && r.leasedAt == 0 {
 		r.leasedAt = now
 		if r.startedAt >= restartAt {
-			r.fleet.found.leaseLast = math.Max(r.fleet.found.leaseLast, now-r.startedAt)
+			r.fleet.findings.maxLeaseDelaySeen = math.Max(r.fleet.findings.maxLeaseDelaySeen, now-r.startedAt)
 		}
 	}
 }
 
-func (r *fleetRelay) grant(lease relay.Seconds) {
+func (r *fleetRelay) setLease(lease relay.Seconds) {
 	if lease == r.lease {
 		return
 	}
 	r.lease = lease
-	if !r.fleet.faults.noLease {
-		r.learn(relay.ListLease{ExpiresAt: lease})
+	if !r.fleet.disabled.noLease {
+		r.addEvents(relay.ListLease{ExpiresAt: lease})
 	}
 }
 
-// leg sends a leg, on a connection that stands or on a new one, some of which don't come up in time.
-func (r *fleetRelay) leg(order relay.SendAttempt) {
-	f, l := r.fleet, &fleetLeg{order: order, no: r.legsOf[order.Request]}
-	r.legsOf[order.Request]++
-	if f.Intn(3) > 0 {
-		r.write(l)
+// startAttempt sends an attempt on an open connection, or on a new one, some of which don't come up in time.
+func (r *fleetRelay) startAttempt(command relay.SendAttempt) {
+	fleet := r.fleet
+	attempt := &fleetAttempt{command: command, number: r.attemptsOf[command.Request]}
+	r.attemptsOf[command.Request]++
+	if fleet.Intn(3) > 0 {
+		r.sendAttempt(attempt)
 		return
 	}
-	r.waiting = append(r.waiting, l)
-	up := f.now + 1.5*connectTimeout*f.Float64()
-	r.at(math.Min(up, f.now+connectTimeout), func() {
-		if up > f.now {
-			r.end(l, relay.ConnectFailed)
+	r.waiting = append(r.waiting, attempt)
+	connectedAt := fleet.now + 1.5*connectTimeout*fleet.Float64()
+	r.runAt(math.Min(connectedAt, fleet.now+connectTimeout), func() {
+		if connectedAt > fleet.now {
+			r.endAttempt(attempt, relay.ConnectFailed)
 			return
 		}
-		r.write(l)
+		r.sendAttempt(attempt)
 	})
 }
 
-func (r *fleetRelay) end(l *fleetLeg, how relay.Outcome) {
-	if l.ended {
+func (r *fleetRelay) endAttempt(attempt *fleetAttempt, outcome relay.Outcome) {
+	if attempt.ended {
 		return
 	}
-	l.ended = true
-	r.learn(relay.AttemptEnded{Request: l.order.Request, Attempt: l.no, Endpoint: l.order.Endpoint, Outcome: how, Duration: 0.1, RequestFinished: how == relay.Succeeded})
+	attempt.ended = true
+	r.addEvents(relay.AttemptEnded{
+		Request:         attempt.command.Request,
+		Attempt:         attempt.number,
+		Endpoint:        attempt.command.Endpoint,
+		Outcome:         outcome,
+		Duration:        0.1,
+		RequestFinished: outcome == relay.Succeeded,
+	})
 }
 
-// leaving ends the legs that wait for a connection to a unit, as the pool does at the news.
-func (r *fleetRelay) leaving(unit relay.EndpointID) {
-	var left []*fleetLeg
-	for _, l := range r.waiting {
-		if l.order.Endpoint == unit && !l.sent {
-			r.end(l, relay.NotSent)
+// endpointLeaving ends the attempts that wait for a connection to an endpoint, as the pool does when it leaves.
+func (r *fleetRelay) endpointLeaving(id relay.EndpointID) {
+	var waiting []*fleetAttempt
+	for _, attempt := range r.waiting {
+		if attempt.command.Endpoint == id && !attempt.sent {
+			r.endAttempt(attempt, relay.NotSent)
 		}
-		if !l.ended && !l.sent {
-			left = append(left, l)
+		if !attempt.ended && !attempt.sent {
+			waiting = append(waiting, attempt)
 		}
 	}
-	r.waiting = left
+	r.waiting = waiting
 }
 
-// write sends a leg to its unit, which the check sees.
-func (r *fleetRelay) write(l *fleetLeg) {
-	f, unit := r.fleet, int(l.order.Endpoint)-1
-	if l.ended {
+// sendAttempt sends an attempt to its endpoint, which is checked.
+func (r *fleetRelay) sendAttempt(attempt *fleetAttempt) {
+	fleet := r.fleet
+	if attempt.ended {
 		return
 	}
-	if l.order.SendBy > 0 && f.now > l.order.SendBy {
-		r.end(l, relay.NotSent)
+	if attempt.command.SendBy > 0 && fleet.now > attempt.command.SendBy {
+		r.endAttempt(attempt, relay.NotSent)
 		return
 	}
-	l.sent = true
-	f.found.sent++
-	if f.discovery.leftAt[unit] > 0 && f.now > f.discovery.toldBy(r.no, unit)+fleetGrace+graceSlack {
-		if f.found.breaks++; f.found.breaks == 1 {
-			f.found.broken = fmt.Sprintf("%.3f: relay %d, started at %.3f, sent a leg to unit %d, which counts as told as leaving at %.3f",
-				f.now, r.no, r.startedAt, unit+1, f.discovery.toldBy(r.no, unit))
-		}
+	attempt.sent = true
+	fleet.findings.attempts++
+	r.checkAttempt(attempt)
+	r.runAt(fleet.now+0.02+0.2*fleet.Float64(), func() { r.endAttempt(attempt, relay.Succeeded) })
+}
+
+// checkAttempt holds an attempt against the rule on draining endpoints.
+func (r *fleetRelay) checkAttempt(attempt *fleetAttempt) {
+	fleet, index := r.fleet, int(attempt.command.Endpoint)-1
+	notifiedBy := fleet.discovery.notifiedBy(r.id, index)
+	if fleet.discovery.leftAt[index] == 0 || fleet.now <= notifiedBy+fleetGrace+graceSlack {
+		return
+	}
+	if fleet.findings.violations++; fleet.findings.violations == 1 {
+		fleet.findings.firstViolation = fmt.Sprintf(
+			"%.3f: relay %d, started at %.3f, sent an attempt to endpoint %d, which counts as notified as leaving at %.3f",
+			fleet.now, r.id, r.startedAt, index+1, notifiedBy)
 	}
-	r.at(f.now+0.02+0.2*f.Float64(), func() { r.end(l, relay.Succeeded) })
 }
--- a/internal/peers/peers.go
+++ b/internal/peers/peers.go
@@ -26,7 +26,7 @@
 
 // Membership receives the messages of the membership protocol. It is called on the loop.
 type Membership interface {
-	MembershipMessage(from relay.RelayID, body []byte)
+	MembershipMessage(from relay.ID, body []byte)
 }
 
 // Transport sends and receives messages between the relays of a fleet. Its methods may be called on any goroutine.
@@ -38,9 +38,9 @@
 	loop             *pipeline.Loop
 	conn             *net.UDPConn
 	addresses        []netip.AddrPort // by relay number
-	numbers          map[netip.AddrPort]relay.RelayID
+	numbers          map[netip.AddrPort]relay.ID
 	broadcastAddress netip.AddrPort         // of all other relays; not valid: none
-	sendQueue        chan relay.SendMessage // bounded by limits.PeerMessagesAhead
+	sendQueue        chan relay.SendMessage // bounded by limits.MaxQueuedPeerMessages
 }
 
 // Open binds the address at which this relay receives messages. Peers are the addresses of all relays in the order of their
@@ -48,8 +48,8 @@
 func Open(loop *pipeline.Loop, listen string, peers []string, broadcast string) (*Transport, error) {
 	t := &Transport{
 		loop:      loop,
-		numbers:   map[netip.AddrPort]relay.RelayID{},
-		sendQueue: make(chan relay.SendMessage, limits.PeerMessagesAhead),
+		numbers:   map[netip.AddrPort]relay.ID{},
+		sendQueue: make(chan relay.SendMessage, limits.MaxQueuedPeerMessages),
 	}
 	for i, peer := range peers {
 		address, err := parseAddress("peers", peer)
@@ -57,7 +57,7 @@
 			return nil, err
 		}
 		t.addresses = append(t.addresses, address)
-		t.numbers[address] = relay.RelayID(i)
+		t.numbers[address] = relay.ID(i)
 	}
 	var err error
 	if broadcast != "" {
@@ -94,7 +94,7 @@
 func (t *Transport) SendMessage(m relay.SendMessage) {
 	if len(m.Body) > MaxBody {
 		t.countDropped()
-		t.loop.Log.WithFields(logrus.Fields{"peer": "relay", "bytes": len(m.Body)}).Error("message too long")
+		t.loop.Log.WithFields(logrus.Fields{"peer": "relay", "bytes": len(m.Body)}).Error("peer message too long")
 		return
 	}
 	select {
@@ -120,14 +120,14 @@
 	}
 	if _, err := t.conn.WriteToUDPAddrPort(m.Body, address); err != nil {
 		t.countDropped()
-		t.loop.Log.WithField("peer", "relay").WithError(err).Debug("message not sent")
+		t.loop.Log.WithField("peer", "relay").WithError(err).Debug("peer message not sent")
 		return
 	}
 	t.loop.Metrics.Add(metrics.PeerMessagesOut, 1)
 }
 
 // addressOf returns the address of a relay or, for relay.Broadcast, of all; one that is not valid if there is none.
-func (t *Transport) addressOf(to relay.RelayID) netip.AddrPort {
+func (t *Transport) addressOf(to relay.ID) netip.AddrPort {
 	if to == relay.Broadcast {
 		return t.broadcastAddress
 	}
@@ -146,8 +146,8 @@
 			return
 		}
 		if err != nil {
-			t.loop.Log.WithField("peer", "relay").WithError(err).Warn("reading messages")
-			time.Sleep(limits.PeerReadPause)
+			t.loop.Log.WithField("peer", "relay").WithError(err).Warn("peer message read failed")
+			time.Sleep(limits.PeerReadRetryDelay)
 			continue
 		}
 		t.receive(sender, buffer[:size])
--- a/internal/peers/peers_test.go
+++ b/internal/peers/peers_test.go
@@ -70,7 +70,8 @@
 // newLoop returns a loop whose events the test takes, and what it logs.
 func newLoop() (*pipeline.Loop, *logtest.Hook) {
 	site := settings.Site{}
-	site.Settings.Self, site.Settings.Relays = self, peerCount+1
+	site.Self = self
+	site.Relays = peerCount + 1
 	log := logrus.New()
 	log.SetOutput(io.Discard)
 	hook := logtest.NewLocal(log)
@@ -124,12 +125,12 @@
 }
 
 // sendMessage has the transport send a message.
-func (f *fleet) sendMessage(to relay.RelayID, body string) {
+func (f *fleet) sendMessage(to relay.ID, body string) {
 	f.transport.SendMessage(relay.SendMessage{To: to, Body: []byte(body)})
 }
 
 // waitForCounter waits until a counter has reached a value, which it must not exceed.
-func (f *fleet) waitForCounter(counter metrics.ID, want int64) {
+func (f *fleet) waitForCounter(counter metrics.Counter, want int64) {
 	f.t.Helper()
 	for end := time.Now().Add(testTimeout); f.loop.Metrics.Get(counter) < want; time.Sleep(time.Millisecond) {
 		if time.Now().After(end) {
@@ -140,7 +141,7 @@
 }
 
 // wantCounter fails the test if a counter has another value.
-func (f *fleet) wantCounter(counter metrics.ID, want int64) {
+func (f *fleet) wantCounter(counter metrics.Counter, want int64) {
 	f.t.Helper()
 	if got := f.loop.Metrics.Get(counter); got != want {
 		f.t.Errorf("counter %d at %d, not %d", counter, got, want)
@@ -215,7 +216,7 @@
 		close(transport.sendQueue)
 	})
 	transport.Start()
-	f.sendMessage(relay.RelayID(len(peers)), "to a relay that is not listed")
+	f.sendMessage(relay.ID(len(peers)), "to a relay that is not listed")
 	f.sendMessage(2, "to another family of addresses")
 	f.sendMessage(relay.Broadcast, "to everyone")
 	f.sendMessage(1, "to one")
@@ -249,17 +250,17 @@
 	const extra = 3
 	f := newFleet(t)
 	body := func(i int) string { return string([]byte{byte(i >> 8), byte(i)}) }
-	for i := range limits.PeerMessagesAhead + extra {
+	for i := range limits.MaxQueuedPeerMessages + extra {
 		f.sendMessage(0, body(i))
 	}
 	f.wantCounter(metrics.PeerMessagesDropped, extra)
 	f.transport.Start()
-	for i := range limits.PeerMessagesAhead {
+	for i := range limits.MaxQueuedPeerMessages {
 		if got := f.receive(f.peers[0]); got != body(i) {
 			t.Fatalf("%q instead of message %d", got, i)
 		}
 	}
-	f.waitForCounter(metrics.PeerMessagesOut, limits.PeerMessagesAhead)
+	f.waitForCounter(metrics.PeerMessagesOut, limits.MaxQueuedPeerMessages)
 	f.wantCounter(metrics.PeerMessagesDropped, extra)
 }
 
@@ -305,18 +306,18 @@
 // there is capacity again.
 func TestReceiveDropsMessagesAtAFullQueue(t *testing.T) {
 	f := newFleet(t)
-	for range limits.EventQueue {
+	for range limits.MaxQueuedEvents {
 		f.loop.Post(pipeline.Func(func(*pipeline.Loop) {}))
 	}
 	f.transport.Start()
 	f.sendDatagram(f.peers[0], "queue full")
-	f.waitForCounter(metrics.BoundQueue, 1)
+	f.waitForCounter(metrics.QueueLimitReached, 1)
 	f.wantCounter(metrics.PeerMessagesIn, 0)
 	f.wantReceived()
 	f.sendDatagram(f.peers[0], "capacity again")
 	f.waitForCounter(metrics.PeerMessagesIn, 1)
 	f.wantReceived(relay.MessageReceived{From: 0, Body: []byte("capacity again")})
-	f.wantCounter(metrics.BoundQueue, 1)
+	f.wantCounter(metrics.QueueLimitReached, 1)
 }
 
 // TestOpenRejectsBadAddresses opens addresses that can't be parsed or bound: the error names the setting and the fault in one line.
--- a/internal/platform/conn.go
+++ b/internal/platform/conn.go
@@ -33,7 +33,8 @@
 func (c *Client) dial(address string) (*lineConn, error) {
 	connection, err := netpoll.DialConnection("tcp", address, c.timeout)
 	if err != nil {
-		metrics.LogConnectionEnd(c.loop.Log, "platform", address, metrics.ClosedByConnectError, 0, 0, err)
+		end := metrics.ConnectionEnd{Peer: metrics.PeerPlatform, Name: address, Reason: metrics.ClosedByConnectError, Err: err}
+		end.Log(c.loop.Log)
 		return nil, err
 	}
 	_ = connection.SetWriteTimeout(c.timeout) // always nil
@@ -43,8 +44,14 @@
 // close closes the connection and logs why.
 func (c *lineConn) close(reason metrics.CloseReason) {
 	_ = c.net.Close() // nothing is left to send, and there is no use for an error
-	age := time.Since(c.openedAt).Seconds()
-	metrics.LogConnectionEnd(c.client.loop.Log, "platform", c.address, reason, age, c.callsSent, nil)
+	end := metrics.ConnectionEnd{
+		Peer:     metrics.PeerPlatform,
+		Name:     c.address,
+		Reason:   reason,
+		Age:      time.Since(c.openedAt).Seconds(),
+		Requests: c.callsSent,
+	}
+	end.Log(c.client.loop.Log)
 }
 
 // nextLine returns the next line without its end. After errLineTimeout it may be called again.
--- a/internal/platform/platform.go
+++ b/internal/platform/platform.go
@@ -34,8 +34,8 @@
 func New(loop *pipeline.Loop, address string) *Client {
 	c := &Client{
 		loop:        loop,
-		timeout:     limits.CallFor,
-		votes:       make(chan relay.Vote, limits.VotesAhead),
+		timeout:     limits.DefaultCallTimeout,
+		votes:       make(chan relay.Vote, limits.MaxQueuedVotes),
 		watchEvents: make(chan watchEvent),
 	}
 	c.address.Store(address)
@@ -78,7 +78,7 @@
 		case c.votes <- vote:
 			return
 		default:
-			c.loop.Metrics.Add(metrics.BoundQueue, 1)
+			c.loop.Metrics.Add(metrics.QueueLimitReached, 1)
 		}
 	}
 	c.report(relay.RolloutStatus{Reply: relay.ReplyNotCounted})
--- a/internal/platform/vote.go
+++ b/internal/platform/vote.go
@@ -74,7 +74,7 @@
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if len(c.pending) == 0 {
-		return limits.VoteIdle - time.Since(c.usedAt), true
+		return limits.VoteConnIdleTimeout - time.Since(c.usedAt), true
 	}
 	return c.client.timeout - time.Since(c.pending[0]), false
 }
--- a/internal/platform/vote_test.go
+++ b/internal/platform/vote_test.go
@@ -37,7 +37,7 @@
 		t.Fatal(err)
 	}
 	defer platform.Close()
-	conn := &voteConn{lineConn: opened, usedAt: time.Now().Add(-limits.VoteIdle)}
+	conn := &voteConn{lineConn: opened, usedAt: time.Now().Add(-limits.VoteConnIdleTimeout)}
 	if left, idle := conn.remaining(); left > 0 || !idle {
 		t.Fatal("not idle")
 	}
@@ -69,7 +69,7 @@
 // newTestClient returns a client that has not been started, with a loop that nobody runs.
 func newTestClient(address string) *Client {
 	site := settings.Site{}
-	site.Settings.Relays = 1
+	site.Relays = 1
 	log := logrus.New()
 	log.SetOutput(io.Discard)
 	loop := pipeline.NewLoop(site, 1, buffer.NewPool(1<<20), &metrics.Counters{}, log)
--- a/internal/platform/watch.go
+++ b/internal/platform/watch.go
@@ -45,7 +45,7 @@
 // watchLoop keeps a watch established. When it is silent for long, or the address changes, another one is opened beside it,
 // which replaces it once it is established.
 func (c *Client) watchLoop() {
-	watches := watchSet{client: c, backoff: limits.BackOff}
+	watches := watchSet{client: c, backoff: limits.MinBackoff}
 	watches.open(0)
 	for event := range c.watchEvents {
 		watches.handle(event)
@@ -82,7 +82,7 @@
 	if s.next != nil {
 		s.next.replaced.Store(true)
 	}
-	s.backoff = limits.BackOff
+	s.backoff = limits.MinBackoff
 	s.open(0)
 }
 
@@ -93,7 +93,7 @@
 	}
 	s.current = s.next
 	s.next = nil
-	s.backoff = limits.BackOff
+	s.backoff = limits.MinBackoff
 }
 
 // retryNext opens a watch again after backoff, if none is established at the present address.
@@ -103,7 +103,7 @@
 		return
 	}
 	s.open(s.backoff)
-	s.backoff = min(2*s.backoff, limits.MostOff)
+	s.backoff = min(2*s.backoff, limits.MaxBackoff)
 }
 
 // run establishes the watch and reports statuses until the connection ends.
@@ -141,7 +141,7 @@
 			return err
 		case !established && line == "OK":
 			established = true
-			timeout = limits.SignOfLife
+			timeout = limits.HeartbeatTimeout
 			w.client.watchEvents <- watchEvent{w, watchEstablished}
 		default:
 			if err := w.client.handleNotice(line); err != nil {
--- a/lab/scale/hollow_lists.go
+++ b/lab/scale/hollow_lists.go
@@ -52,8 +52,8 @@
 	case generation >= 0 && !h.watchContinues:
 		path = fmt.Sprintf("%s?after=%d&wait_ms=0", listPath, generation)
 	case generation >= 0:
-		fraction := limits.WatchPart + (1-limits.WatchPart)*h.random.Float64()
-		wait = fraction * limits.WatchFor.Seconds()
+		fraction := limits.MinWatchFraction + (1-limits.MinWatchFraction)*h.random.Float64()
+		wait = fraction * limits.MaxWatchTime.Seconds()
 		path = fmt.Sprintf("%s?after=%d&wait_ms=%.0f", listPath, generation, 1000*wait)
 	}
 	h.meter.sent(discoveryClass, len(httpwire.Get(discoveryHost, path)))
--- a/lab/scale/hollow_relay.go
+++ b/lab/scale/hollow_relay.go
@@ -54,7 +54,7 @@
 // outgoingDatagram is a datagram to one relay or, with relay.Broadcast, to all others of the service.
 type outgoingDatagram struct {
 	class class
-	to    relay.RelayID
+	to    relay.ID
 	body  []byte
 }
 
@@ -243,7 +243,7 @@
 }
 
 // sendDatagram sends a datagram. A broadcast counts as one, to the address of all relays.
-func (h *hollowRelay) sendDatagram(c class, to relay.RelayID, body []byte) {
+func (h *hollowRelay) sendDatagram(c class, to relay.ID, body []byte) {
 	h.meter.sent(c, len(body)+datagramOverhead)
 	if to == relay.Broadcast {
 		h.meter.classes[c].broadcasts++
--- a/lab/scale/platform.go
+++ b/lab/scale/platform.go
@@ -127,7 +127,7 @@
 }
 
 // receiveVote counts a vote, and returns the reply to it.
-func (p *platform) receiveVote(now float64, from relay.RelayID, weight float64, vote relay.Vote) relay.VoteReply {
+func (p *platform) receiveVote(now float64, from relay.ID, weight float64, vote relay.Vote) relay.VoteReply {
 	if p.isStale(vote) {
 		return relay.ReplyStale
 	}
--- a/lab/scale/simulation.go
+++ b/lab/scale/simulation.go
@@ -85,7 +85,7 @@
 	others := relays - first
 	sampled := sample.hostedOf(relays) - first
 	for number := range relays {
-		id := &identity{index: len(sim.relays), service: s, number: relay.RelayID(number), place: p.place(), alive: true, weight: 1}
+		id := &identity{index: len(sim.relays), service: s, number: relay.ID(number), place: p.place(), alive: true, weight: 1}
 		s.relays = append(s.relays, id)
 		sim.relays = append(sim.relays, id)
 		if i := number - first; i >= 0 {
