--- a/lab/scale/discovery_test.go
+++ b/lab/scale/discovery_test.go
@@ -12,19 +12,31 @@
 	return discovery.NewReader([]string{"zone-0", "zone-1"}, kindNames(), func(unix float64) relay.Seconds { return unix - epoch })
 }
 
-// TestRealReaderReadsTheLists encodes a list and a change of it.
-func TestRealReaderReadsTheLists(t *testing.T) {
-	old := newEndpoint("s0-u0", place{zone: 1, rack: 3}, 1, 1, -initialUptime)
-	young := newEndpoint("s0-b2-1", place{}, 0, 2, 4.25)
+// oldEndpoint returns an endpoint that ran before the simulation.
+func oldEndpoint() *endpoint {
+	return newEndpoint("s0-u0", place{zone: 1, rack: 3}, 1, 1, -initialUptime)
+}
+
+// TestRealReaderReadsAFullList encodes a full list.
+func TestRealReaderReadsAFullList(t *testing.T) {
+	old := oldEndpoint()
 	r := newRegistry(5, []*endpoint{old})
-	whole, err := newReader().Parse(r.answer(-1).body)
-	if err != nil || !whole.Full || whole.Generation != 1 || len(whole.Endpoints) != 1 || whole.Unreadable != 0 {
-		t.Fatalf("%+v %v", whole, err)
+	full, err := newReader().Parse(r.answer(noGeneration).body)
+	if err != nil || !full.Full || full.Generation != 1 || len(full.Endpoints) != 1 || full.Unreadable != 0 {
+		t.Fatalf("%+v %v", full, err)
 	}
-	if got, want := whole.Endpoints[0].Endpoint, (relay.Endpoint{ID: old.id, Zone: 1, MachineType: 1, FailureDomain: 3, Build: 1, Weight: 1,
-		State: relay.Ready, StartKnown: true, StartedAt: -initialUptime}); got != want {
+	want := relay.Endpoint{ID: old.id, Zone: 1, MachineType: 1, FailureDomain: 3, Build: 1, Weight: 1, State: relay.Ready,
+		StartKnown: true, StartedAt: -initialUptime}
+	if got := full.Endpoints[0].Endpoint; got != want {
 		t.Errorf("%+v, not %+v", got, want)
 	}
+}
+
+// TestRealReaderReadsADelta publishes an endpoint that joins and one that drains, and encodes the change.
+func TestRealReaderReadsADelta(t *testing.T) {
+	old := oldEndpoint()
+	young := newEndpoint("s0-b2-1", place{}, 0, 2, 4.25)
+	r := newRegistry(5, []*endpoint{old})
 	r.add(4, young)
 	old.state = relay.Draining
 	r.scheduleChange(4.9, old)
@@ -41,8 +53,11 @@
 	if err != nil || delta.Full || delta.Generation != 3 || len(delta.Endpoints) != 2 {
 		t.Fatalf("%+v %v", delta, err)
 	}
-	if a, b := delta.Endpoints[0], delta.Endpoints[1]; a.ID != old.id || a.State != relay.Draining || b.ID != young.id || b.StartedAt != 4.25 {
-		t.Errorf("%+v", delta.Endpoints)
+	if drained := delta.Endpoints[0]; drained.ID != old.id || drained.State != relay.Draining {
+		t.Errorf("%+v", drained)
+	}
+	if joined := delta.Endpoints[1]; joined.ID != young.id || joined.StartedAt != 4.25 {
+		t.Errorf("%+v", joined)
 	}
 	if got := r.changedSince(2); len(got) != 1 || got[0] != old {
 		t.Errorf("%v", got)
--- a/lab/scale/meter_test.go
+++ b/lab/scale/meter_test.go
@@ -9,7 +9,10 @@
 )
 
 // manualCount counts what a relay receives and sends, independently of its meter.
-type manualCount struct{ classes [classCount]traffic }
+type manualCount struct {
+	classes [classCount]traffic
+	votes   int
+}
 
 func (c *manualCount) in(k class, bytes int) {
 	c.classes[k].messagesIn++
@@ -21,6 +24,57 @@
 	c.classes[k].bytesOut += int64(bytes)
 }
 
+// countInputs counts what a relay receives in its next tick.
+func (c *manualCount) countInputs(h *hollowRelay) {
+	for _, d := range h.inbox {
+		c.in(d.class, len(d.body)+28)
+	}
+	for _, a := range h.pollAnswers {
+		if a.poll != noPoll {
+			c.in(discoveryClass, len(a.answer.body)+answerHeadBytes)
+		}
+	}
+	for _, s := range h.statusLines {
+		c.in(platformClass, len(s.line))
+	}
+}
+
+// countOutputs counts what a relay sent in its last tick. The text of polls is not in the send queue.
+func (c *manualCount) countOutputs(h *hollowRelay) {
+	for _, d := range h.sendQueue.datagrams {
+		c.out(d.class, len(d.body)+28)
+		if d.to == relay.Broadcast {
+			c.classes[d.class].broadcasts++
+		}
+	}
+	for _, line := range h.sendQueue.votes {
+		c.out(platformClass, len(line))
+		c.votes++
+	}
+	c.classes[discoveryClass].messagesOut += int64(len(h.sendQueue.polls))
+}
+
+// checkMeter compares the count with a relay's meter.
+func (c *manualCount) checkMeter(t *testing.T, index int, m *meter, seconds float64) {
+	t.Helper()
+	got := m.classes
+	got[discoveryClass].bytesOut = 0
+	if got != c.classes {
+		t.Errorf("relay %d: meters %+v, by hand %+v", index, got, c.classes)
+	}
+	if m.classes[discoveryClass].bytesOut < 70*got[discoveryClass].messagesOut {
+		t.Errorf("relay %d: %d bytes in %d polls", index, m.classes[discoveryClass].bytesOut, got[discoveryClass].messagesOut)
+	}
+	if math.Abs(m.aliveSeconds-seconds) > 1e-6 {
+		t.Errorf("relay %d ran for %g s", index, m.aliveSeconds)
+	}
+}
+
+// datagramBytesIn returns the bytes of all datagrams in.
+func (c *manualCount) datagramBytesIn() int64 {
+	return c.classes[policyClass].bytesIn + c.classes[membershipClass].bytesIn
+}
+
 // TestMetersAgainstAHandCount simulates a small fleet tick by tick and counts all messages independently of the meters.
 func TestMetersAgainstAHandCount(t *testing.T) {
 	const relays, rate, seconds = 6, 40.0, 24.0
@@ -31,55 +85,22 @@
 		t.Fatal(err)
 	}
 	counts := make([]manualCount, len(sim.hollowRelays))
-	votes, taken, attempts := 0, int64(0), int64(0)
 	for n := range int64(seconds / tick) {
 		from, to := float64(n)*tick, float64(n+1)*tick
 		sim.beginTick(n, from)
 		for i, h := range sim.hollowRelays {
-			c := &counts[i]
-			for _, d := range h.inbox {
-				c.in(d.class, len(d.body)+28)
-			}
-			for _, a := range h.pollAnswers {
-				if a.poll != 0 {
-					c.in(discoveryClass, len(a.answer.body)+answerHeadBytes)
-				}
-			}
-			for _, x := range h.statusLines {
-				c.in(platformClass, len(x.line))
-			}
+			counts[i].countInputs(h)
 			h.advance(from, to)
-			for _, x := range h.sendQueue.datagrams {
-				c.out(x.class, len(x.body)+28)
-				if x.to == relay.Broadcast {
-					c.classes[x.class].broadcasts++
-				}
-			}
-			for _, x := range h.sendQueue.votes {
-				c.out(platformClass, len(x))
-				votes++
-			}
-			for range h.sendQueue.polls {
-				c.classes[discoveryClass].messagesOut++
-			}
+			counts[i].countOutputs(h)
 		}
 		sim.collectOutput(to)
 	}
-	delivered := int64(0)
+	votes, delivered, received, attempts := 0, int64(0), int64(0), int64(0)
 	for i, h := range sim.hollowRelays {
-		got := h.meter.classes
-		got[discoveryClass].bytesOut = 0 // the text of polls is not in the send queue
-		if got != counts[i].classes {
-			t.Errorf("relay %d: meters %+v, by hand %+v", i, got, counts[i].classes)
-		}
-		if h.meter.classes[discoveryClass].bytesOut < 70*got[discoveryClass].messagesOut {
-			t.Errorf("relay %d: %d bytes in %d polls", i, h.meter.classes[discoveryClass].bytesOut, got[discoveryClass].messagesOut)
-		}
-		if math.Abs(h.meter.aliveSeconds-seconds) > 1e-6 {
-			t.Errorf("relay %d ran for %g s", i, h.meter.aliveSeconds)
-		}
-		delivered += got[policyClass].messagesIn + got[membershipClass].messagesIn
-		taken += h.meter.requests.Received
+		counts[i].checkMeter(t, i, &h.meter, seconds)
+		votes += counts[i].votes
+		delivered += h.meter.classes[policyClass].messagesIn + h.meter.classes[membershipClass].messagesIn
+		received += h.meter.requests.Received
 		attempts += h.meter.requests.Attempts
 	}
 	if delivered == 0 || delivered != sim.network.counts.Delivered {
@@ -88,23 +109,29 @@
 	if votes == 0 {
 		t.Error("nobody voted")
 	}
-	if mean := float64(taken) / relays / seconds; math.Abs(mean-rate) > 1.5 {
+	if mean := float64(received) / relays / seconds; math.Abs(mean-rate) > 1.5 {
 		t.Errorf("%g requests a second at each relay", mean)
 	}
 	r := sim.result()
-	if r.Requests.Received != taken || r.Requests.Attempts != attempts {
+	if r.Requests.Received != received || r.Requests.Attempts != attempts {
 		t.Errorf("%+v", r.Requests)
 	}
 	if q := r.Requests; q.Succeeded+q.Rejected+q.Failed+q.ClientsDisconnected+q.Open != q.Received {
 		t.Errorf("requests without an end: %+v", q)
 	}
+	checkAggregators(t, r, counts, seconds)
+}
+
+// checkAggregators compares the figures of the four aggregators, the first relays, with their counts.
+func checkAggregators(t *testing.T, r *Result, counts []manualCount, seconds float64) {
+	t.Helper()
 	for _, role := range r.Roles {
 		if role.Name != aggregatorRole || role.Measured != 4 {
 			continue
 		}
 		sum := int64(0)
 		for i := range 4 {
-			sum += counts[i].classes[policyClass].bytesIn + counts[i].classes[membershipClass].bytesIn
+			sum += counts[i].datagramBytesIn()
 		}
 		if want := float64(sum) / 4 / seconds; math.Abs(role.BytesIn.Mean-want) > 1e-6*want {
 			t.Errorf("aggregators receive %g bytes a second, by hand %g", role.BytesIn.Mean, want)
--- a/lab/scale/network.go
+++ b/lab/scale/network.go
@@ -63,7 +63,8 @@
 // carries reports whether datagrams from one region arrive at another.
 func (n *network) carries(from, to int) bool {
 	last := n.regions - 1
-	return n.reaches(from, to) && !(n.oneWay && from == last && to != last)
+	lostOneWay := n.oneWay && from == last && to != last
+	return n.reaches(from, to) && !lostOneWay
 }
 
 // send sends a datagram to a relay, subject to the faults.
