--- a/cmd/lichenroad/lab.go
+++ b/cmd/lichenroad/lab.go
@@ -46,10 +46,10 @@
 			return failed(err)
 		}
 		printf(t.out, "%d queries: %d honoured, %d denied, %d failed; %d legs at builds on trial, at most %.2f of any allowance\n",
-			r.Queries, r.Honoured, r.Denied, r.Failed, r.TrialLegs, r.MostOfCap)
+			r.Requests, r.Succeeded, r.Rejected, r.Failed, r.CanaryAttempts, r.MaxExposureUse)
 		printf(t.out, "report: %s\n", r.Report)
-		if len(r.Broken) > 0 {
-			return ruleBroken("%s", strings.Join(r.Broken, "; "))
+		if len(r.Violations) > 0 {
+			return ruleBroken("%s", strings.Join(r.Violations, "; "))
 		}
 		return nil
 	}
--- a/lab/demo/report.go
+++ b/lab/demo/report.go
@@ -13,63 +13,106 @@
 	"lichenroad/lab"
 )
 
-// report draws the queries and the legs on trial of each group, a second at a time, over what the desk said.
-func (s *show) report(r *Result) (string, error) {
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	end := int(s.now()) + 1
+const (
+	reportHead = "<!DOCTYPE html><html lang=\"en\"><head><meta charset=\"utf-8\"><title>lichenroad: a demonstration</title></head>" +
+		"<body style=\"font-family:sans-serif;max-width:60em;margin:2em auto\">\n<h1>Two builds through a plan</h1>\n"
+	reportEnd = "\n</body></html>\n"
+)
+
+var (
+	requestColor = color.Gray{130}
+	attemptColor = color.RGBA{R: 190, G: 30, B: 30, A: 255}
+)
+
+// writeReport writes an HTML page with the result, the statuses of the rollout and a chart for each tenant, and gives its path.
+func (d *demonstration) writeReport(result *Result) (path string, err error) {
+	d.mu.Lock()
+	defer d.mu.Unlock()
+	seconds := int(d.now()) + 1
 	var charts []string
-	for _, customer := range customers {
-		p := plot.New()
-		p.Title.Text, p.X.Label.Text, p.Y.Label.Text = "customer "+customer, "s since the start", "a second, all relays"
-		lines := []struct {
-			name string
-			c    color.Color
-			at   []float64
-		}{{"queries", color.Gray{130}, nil}, {"legs at builds on trial", color.RGBA{R: 190, G: 30, B: 30, A: 255}, nil}}
-		queries, legs := make([]float64, end), make([]float64, end)
-		for _, q := range s.asked {
-			if q.customer == customer && q.at >= 0 && int(q.at) < end {
-				queries[int(q.at)]++
-			}
-		}
-		for _, l := range s.legs {
-			if l.customer == customer && l.at >= 0 && int(l.at) < end && s.onTrial(l.build, l.at) {
-				legs[int(l.at)]++
-			}
-		}
-		lines[0].at, lines[1].at = queries, legs
-		for _, x := range lines {
-			at := make(plotter.XYs, len(x.at))
-			for i, y := range x.at {
-				at[i] = plotter.XY{X: float64(i), Y: y}
-			}
-			l, err := plotter.NewLine(at)
-			if err != nil {
-				return "", err
-			}
-			l.Color, l.StepStyle = x.c, plotter.PostStep
-			p.Add(l)
-			p.Legend.Add(x.name, l)
-		}
-		chart, err := lab.SVG(p)
+	for _, tenant := range tenants {
+		chart, err := d.tenantChart(tenant, seconds)
 		if err != nil {
 			return "", err
 		}
-		charts = append(charts, string(chart))
+		charts = append(charts, chart)
+	}
+	page := reportHead + d.summaryHTML(result) + strings.Join(charts, "\n") + reportEnd
+	path = filepath.Join(d.options.Dir, "demo.html")
+	return path, lab.WriteFile(path, []byte(page))
+}
+
+// summaryHTML is the page above the charts. The caller holds mu.
+func (d *demonstration) summaryHTML(result *Result) string {
+	var text strings.Builder
+	fmt.Fprintf(&text, "<p>Real processes on loopback against stand-ins: %d queries, %d honoured, %d denied, %d failed; %d legs at builds on trial, at most %.2f of any allowance.</p>\n<ul>",
+		result.Requests, result.Succeeded, result.Rejected, result.Failed, result.CanaryAttempts, result.MaxExposureUse)
+	for _, observed := range d.statuses {
+		status := observed.status
+		fmt.Fprintf(&text, "<li>%.1f s: build %d %s, step %d, cap %g</li>", observed.at, status.Build, phaseText(status.Phase), status.Stage, status.ExposureLimit)
+	}
+	text.WriteString("</ul>\n")
+	for _, violation := range result.Violations {
+		text.WriteString("<p style=\"color:#b00\">" + html.EscapeString(violation) + "</p>\n")
+	}
+	return text.String()
+}
+
+// tenantChart draws a tenant's requests and its attempts at unreleased builds in each second, as SVG. The caller holds mu.
+func (d *demonstration) tenantChart(tenant string, seconds int) (string, error) {
+	chart := plot.New()
+	chart.Title.Text = "customer " + tenant
+	chart.X.Label.Text = "s since the start"
+	chart.Y.Label.Text = "a second, all relays"
+	if err := addSteps(chart, "queries", requestColor, d.requestsBySecond(tenant, seconds)); err != nil {
+		return "", err
+	}
+	if err := addSteps(chart, "legs at builds on trial", attemptColor, d.canaryAttemptsBySecond(tenant, seconds)); err != nil {
+		return "", err
+	}
+	svg, err := lab.SVG(chart)
+	return string(svg), err
+}
+
+// addSteps draws a line that holds each second's value for that second.
+func addSteps(chart *plot.Plot, name string, lineColor color.Color, values []float64) error {
+	points := make(plotter.XYs, len(values))
+	for second, value := range values {
+		points[second] = plotter.XY{X: float64(second), Y: value}
+	}
+	line, err := plotter.NewLine(points)
+	if err != nil {
+		return err
+	}
+	line.Color, line.StepStyle = lineColor, plotter.PostStep
+	chart.Add(line)
+	chart.Legend.Add(name, line)
+	return nil
+}
+
+func (d *demonstration) requestsBySecond(tenant string, seconds int) []float64 {
+	counts := make([]float64, seconds)
+	for _, request := range d.requests {
+		if request.tenant == tenant {
+			countAt(counts, request.at)
+		}
 	}
-	var b strings.Builder
-	b.WriteString("<!DOCTYPE html><html lang=\"en\"><head><meta charset=\"utf-8\"><title>lichenroad: a demonstration</title></head><body style=\"font-family:sans-serif;max-width:60em;margin:2em auto\">\n<h1>Two builds through a plan</h1>\n")
-	fmt.Fprintf(&b, "<p>Real processes on loopback against stand-ins: %d queries, %d honoured, %d denied, %d failed; %d legs at builds on trial, at most %.2f of any allowance.</p>\n<ul>",
-		r.Queries, r.Honoured, r.Denied, r.Failed, r.TrialLegs, r.MostOfCap)
-	for _, t := range s.news {
-		fmt.Fprintf(&b, "<li>%.1f s: build %d %s, step %d, cap %g</li>", t.at, t.n.Build, [...]string{"on trial", "going back", "released", "withdrawn"}[t.n.Phase], t.n.Stage, t.n.ExposureLimit)
+	return counts
+}
+
+func (d *demonstration) canaryAttemptsBySecond(tenant string, seconds int) []float64 {
+	counts := make([]float64, seconds)
+	for _, a := range d.attempts {
+		if a.tenant == tenant && d.isCanary(a) {
+			countAt(counts, a.at)
+		}
 	}
-	b.WriteString("</ul>\n")
-	for _, x := range r.Broken {
-		b.WriteString("<p style=\"color:#b00\">" + html.EscapeString(x) + "</p>\n")
+	return counts
+}
+
+// countAt adds one to the count of a time's second, where the time is within the counts.
+func countAt(counts []float64, at float64) {
+	if at >= 0 && int(at) < len(counts) {
+		counts[int(at)]++
 	}
-	b.WriteString(strings.Join(charts, "\n") + "\n</body></html>\n")
-	name := filepath.Join(s.o.Dir, "demo.html")
-	return name, lab.WriteFile(name, []byte(b.String()))
 }
