--- a/lab/fakes/fakes_test.go
+++ b/lab/fakes/fakes_test.go
@@ -206,3 +206,34 @@
 		t.Error(err)
 	}
 }
+
+// TestFreePortsAreNotTakenByOthers: a process that was given a port binds it later, and meanwhile sockets come and go whose
+// ports the kernel chooses.
+func TestFreePortsAreNotTakenByOthers(t *testing.T) {
+	const calls, portsPerCall = 200, 10
+	given := map[string]bool{}
+	for range calls {
+		addresses, err := FreePorts(portsPerCall)
+		if err != nil || len(addresses) != portsPerCall {
+			t.Fatal(addresses, err)
+		}
+		for _, address := range addresses {
+			if given[address] {
+				t.Fatalf("%s is given twice", address)
+			}
+			given[address] = true
+		}
+	}
+	for range calls * portsPerCall {
+		listener, err := net.Listen("tcp", "127.0.0.1:0")
+		if err != nil {
+			t.Fatal(err)
+		}
+		if address := listener.Addr().String(); given[address] {
+			t.Errorf("the kernel chose %s, which was given to a process", address)
+		}
+		if err := listener.Close(); err != nil {
+			t.Fatal(err)
+		}
+	}
+}
--- a/lab/fakes/process.go
+++ b/lab/fakes/process.go
@@ -5,10 +5,13 @@
 	"errors"
 	"fmt"
 	"io"
+	"math/rand/v2"
 	"net"
 	"os"
 	"os/exec"
 	"path/filepath"
+	"strconv"
+	"sync/atomic"
 	"syscall"
 	"time"
 )
@@ -70,18 +73,41 @@
 	_ = p.command.Process.Signal(signal) // it fails where the process has ended, which Done says
 }
 
-// FreePorts gives n addresses on loopback whose ports were free a moment ago.
+// The ports that FreePorts gives: below those that the kernel chooses for sockets without a port of their own, so that none
+// of these takes one before the process it is meant for has bound it.
+const (
+	minFreePort = 20000
+	maxFreePort = 32000
+)
+
+// lastFreePort is the last port that was given by this process. It starts at random, as other processes choose ports too.
+var lastFreePort atomic.Int64
+
+func init() { lastFreePort.Store(int64(rand.IntN(maxFreePort - minFreePort))) }
+
+// errNoFreePort is the error where every port is in use.
+var errNoFreePort = errors.New("no free port on loopback")
+
+// FreePorts gives n addresses on loopback whose ports were free a moment ago. No port is given twice by one process until
+// all have been.
 func FreePorts(n int) ([]string, error) {
 	var addresses []string
-	for range n {
-		listener, err := net.Listen("tcp", "127.0.0.1:0")
+	for range maxFreePort - minFreePort {
+		if len(addresses) == n {
+			return addresses, nil
+		}
+		port := minFreePort + lastFreePort.Add(1)%(maxFreePort-minFreePort)
+		address := net.JoinHostPort("127.0.0.1", strconv.FormatInt(port, 10))
+		listener, err := net.Listen("tcp", address)
 		if err != nil {
+			continue // in use
+		}
+		if err := listener.Close(); err != nil {
 			return nil, err
 		}
-		defer func() { _ = listener.Close() }() // all are held until the last is found, so that none is found twice
-		addresses = append(addresses, listener.Addr().String())
+		addresses = append(addresses, address)
 	}
-	return addresses, nil
+	return nil, errNoFreePort
 }
 
 // WaitListening returns when a process accepts connections on an address. It fails with ErrProcessEnded, or after 5 s with
