--- a/cmd/lichenroad/tools_test.go
+++ b/cmd/lichenroad/tools_test.go
@@ -263,7 +263,7 @@
 	err := c.Wait()
 	var got live.Result
 	raw, _ := os.ReadFile(file)
-	if err == nil || c.ProcessState.ExitCode() != 1 || json.Unmarshal(raw, &got) != nil || !got.Ended || got.All.Queries >= 316 ||
+	if err == nil || c.ProcessState.ExitCode() != 1 || json.Unmarshal(raw, &got) != nil || !got.EndedEarly || got.All.Queries >= 316 ||
 		!strings.Contains(errs.String(), "ended by a signal after") || !strings.Contains(out.String(), "measured on loopback") {
 		t.Errorf("%v %s %s %+v", err, out.String(), errs.String(), got)
 	}
--- a/cmd/lichenroad/tracelive.go
+++ b/cmd/lichenroad/tracelive.go
@@ -44,11 +44,11 @@
 		return err
 	}
 	t.printSender(result.Sender)
-	if result.Overran > 0 {
-		printf(t.out, "%d answers came after their patience had ended\n", result.Overran)
+	if result.LateResponses > 0 {
+		printf(t.out, "%d answers came after their patience had ended\n", result.LateResponses)
 	}
 	switch {
-	case result.Ended:
+	case result.EndedEarly:
 		return failed(fmt.Errorf("ended by a signal after %d queries", result.All.Queries))
 	case result.Sender.Invalid != "":
 		return failed(fmt.Errorf("invalid: %s", result.Sender.Invalid))
@@ -71,8 +71,8 @@
 		return live.Options{}, err
 	}
 	in.mapping = mapping
-	return live.Options{Self: self, Dir: flags.liveDir, Relays: relays, Units: planners, Seed: flags.options.Seed,
-		Categories: mapping.Classes, Customers: mapping.Tenants, Bounds: flags.bounds}, nil
+	return live.Options{Self: self, Dir: flags.liveDir, Relays: relays, Planners: planners, Seed: flags.options.Seed,
+		RequestClasses: mapping.Classes, Tenants: mapping.Tenants, Bounds: flags.bounds}, nil
 }
 
 // prefetch reads the trace ahead of the sender on a goroutine, which ends at the trace's end or with the context; it closes arrivals then,
@@ -101,5 +101,5 @@
 
 func (t *tool) printSender(s live.Lateness) {
 	printf(t.out, "sender: %d sent, %d not; late p50 %.4f s, p99 %.4f s, most %.4f s; %.2f%% over %g s; at most %d connections to a relay, %d broke\n", s.Sent,
-		s.Unsent, s.Quantiles["p50"], s.Quantiles["p99"], s.Quantiles["max"], 100*s.Share, s.LateAfter, s.Lanes, s.Broken)
+		s.Unsent, s.Quantiles["p50"], s.Quantiles["p99"], s.Quantiles["max"], 100*s.LateShare, s.LateAfter, s.MaxConnections, s.BrokenConnections)
 }
--- a/cmd/lichenroad/tracereplay.go
+++ b/cmd/lichenroad/tracereplay.go
@@ -30,7 +30,7 @@
 	c := &cobra.Command{Use: "replay FILE...", Short: "Replay a trace against planners, with the real decision module", Args: cobra.MinimumNArgs(1),
 		Long: "Replay a trace in virtual time against emulated planners, with the real decision module. The same call gives the same\nresult. With --live it goes to relays as processes, over their wire protocol on loopback, at the recorded pace: a request\nthat goes out late is timed from when it should have gone out, and a run whose sender was late too often is called invalid."}
 	var in traceInput
-	flags := replayFlags{bounds: live.Usual}
+	flags := replayFlags{bounds: live.DefaultBounds}
 	in.addFlags(c)
 	flags.add(c)
 	c.Flags().Float64Var(&in.from, "from", 0, "s after the first arrival from which tasks are played")
@@ -61,7 +61,7 @@
 	f.BoolVar(&flags.live, "live", false, "over sockets on loopback, at the recorded pace")
 	f.StringVar(&flags.liveDir, "dir", "found/live", "for configurations and logs of --live")
 	f.DurationVar(&flags.lateAfter, "late", 10*time.Millisecond, "after which a request went out late, with --live")
-	f.Float64Var(&flags.bounds.LateShare, "late-share", flags.bounds.LateShare, "part of late requests above which a --live run is invalid, from 0 to 1")
+	f.Float64Var(&flags.bounds.MaxLateShare, "late-share", flags.bounds.MaxLateShare, "part of late requests above which a --live run is invalid, from 0 to 1")
 }
 
 // noFault is the value of --fault for a run without one.
@@ -70,7 +70,7 @@
 // checkBounds checks the flags of a live replay, also where they are not used.
 func (flags *replayFlags) checkBounds() error {
 	flags.bounds.LateAfter = flags.lateAfter.Seconds()
-	if flags.bounds.LateAfter < 0 || flags.bounds.LateShare < 0 || flags.bounds.LateShare > 1 {
+	if flags.bounds.LateAfter < 0 || flags.bounds.MaxLateShare < 0 || flags.bounds.MaxLateShare > 1 {
 		return fmt.Errorf("--late from 0 on, --late-share from 0 to 1")
 	}
 	if flags.live && flags.fault != noFault {
--- /dev/null
+++ b/lab/live/processes.go
@@ -0,0 +1,167 @@
+package live
+
+import (
+	"fmt"
+	"net"
+	"os"
+	"path/filepath"
+	"strconv"
+	"syscall"
+	"time"
+
+	"lichenroad/lab"
+	"lichenroad/lab/fakes"
+	"lichenroad/lab/relayconfig"
+	"lichenroad/relay"
+)
+
+const (
+	dirPermissions      = 0o755
+	machineType         = "m"
+	plannerAge          = time.Hour // as discovery lists it: no planner is warming up
+	seedsPerReplay      = 1000      // relays of replays with neighbouring seeds draw from seeds of their own
+	relayMemoryMB       = 192
+	relaySockets        = 1024
+	tenantQuotaPerSec   = 100000 // more than any replay asks for
+	relayProcessLogging = "warn"
+)
+
+// start starts the planners and discovery in this process, and the relays as processes of their own.
+func (s *session) start() error {
+	if err := os.MkdirAll(s.options.Dir, dirPermissions); err != nil {
+		return err
+	}
+	discovery, err := fakes.NewDiscovery()
+	if err != nil {
+		return err
+	}
+	s.cleanups = append(s.cleanups, discovery.Close)
+	var planners []fakes.Endpoint
+	for number := range s.options.Planners {
+		planner, err := s.startPlanner(number)
+		if err != nil {
+			return err
+		}
+		planners = append(planners, planner)
+	}
+	discovery.Set(planners)
+	if s.relays, err = fakes.FreePorts(s.options.Relays); err != nil {
+		return err
+	}
+	for number := range s.relays {
+		if err := s.startRelay(number, discovery); err != nil {
+			return err
+		}
+	}
+	return nil
+}
+
+// startPlanner starts an emulated planner, whose goroutine ends when its listener is closed.
+func (s *session) startPlanner(number int) (fakes.Endpoint, error) {
+	listener, err := net.Listen("tcp", "127.0.0.1:0")
+	if err != nil {
+		return fakes.Endpoint{}, err
+	}
+	s.cleanups = append(s.cleanups, func() { _ = listener.Close() }) // nobody uses it any more
+	name := fmt.Sprintf("p%d", number)
+	site := number % len(sites)
+	server := &fakes.Server{
+		Name:        name,
+		Workers:     lab.CoresEach,
+		MaxInFlight: lab.MostQueue,
+		Seed:        s.options.Seed + int64(number),
+		Handle: func(text string) (serviceTime time.Duration, fails bool) {
+			return s.requestLog.beginAttempt(text, site, time.Now())
+		},
+		InProgress: &s.inProgress,
+	}
+	go func() { _ = server.Serve(listener) }() // it fails when the listener is closed
+	return fakes.Endpoint{ID: name, HostPort: listener.Addr().String(), Zone: sites[site], MachineType: machineType, Lifecycle: "SERVING",
+		Weight: 1, StartedMs: time.Now().Add(-plannerAge).UnixMilli(), Build: 1}, nil
+}
+
+func (s *session) startRelay(number int, discovery *fakes.Discovery) error {
+	file := filepath.Join(s.options.Dir, fmt.Sprintf("n%d.json", number))
+	if err := s.relayConfiguration(number, discovery).Write(file); err != nil {
+		return err
+	}
+	process, err := fakes.StartProcess(s.options.Self, s.options.Dir, nil, "serve", "--config", file, "--log-level", relayProcessLogging)
+	if err != nil {
+		return err
+	}
+	s.cleanups = append(s.cleanups, func() {
+		process.Signal(syscall.SIGKILL)
+		<-process.Done
+	})
+	if err := fakes.WaitListening(s.relays[number], process); err != nil {
+		return fmt.Errorf("relay n%d: %w", number, err)
+	}
+	return nil
+}
+
+// relayConfiguration is the configuration of one relay, with the endpoints that discovery lists now.
+func (s *session) relayConfiguration(number int, discovery *fakes.Discovery) relayconfig.File {
+	return relayconfig.File{
+		Name:      fmt.Sprintf("n%d", number),
+		Listen:    s.relays[number],
+		Discovery: discovery.Addr(),
+		Seed:      strconv.FormatInt(s.options.Seed*seedsPerReplay+int64(number), 10),
+		Limits:    &relayconfig.Limits{Sockets: relaySockets, MemoryMB: relayMemoryMB},
+		Known:     discovery.List(),
+		Settings: relayconfig.Settings{
+			Zones:          sites,
+			MachineTypes:   []string{machineType},
+			Zone:           number % len(sites),
+			Number:         number,
+			Relays:         s.options.Relays,
+			Discovery:      "subscribe",
+			RequestClasses: requestClasses(s.terms),
+			Tenants:        equalTenants(s.options.Tenants),
+			Limits: relayconfig.PolicyLimits{Cancel: true, IdleTimeout: 30 * time.Second, DialTimeout: 500 * time.Millisecond, MaxAttempts: 3,
+				RetryAfterAllowed: true, MaxRetryAfter: time.Second},
+			LoadReport: relayconfig.LoadReport{Via: "off"},
+			Rules: relayconfig.Rules{DrainGrace: 250 * time.Millisecond, PollInterval: 30 * time.Second,
+				ResponseMargin: 10 * time.Millisecond},
+			Rollout: relayconfig.Rollout{CallTimeout: time.Second, ExposureLimits: []float64{1}, FleetShares: []float64{1}, UncountedAttempts: 1,
+				Window: 2 * time.Second, DecidedBy: "by_count", VotesToPromote: s.options.Relays, VotesToRollBack: s.options.Relays,
+				VoteLifetime: 10 * time.Second, VotesPerSecond: 100, MinStepDuration: 2 * time.Second},
+		},
+	}
+}
+
+// requestClasses gives the laboratory's terms in the configuration's form.
+func requestClasses(terms []lab.Term) []relayconfig.RequestClass {
+	var classes []relayconfig.RequestClass
+	for _, term := range terms {
+		class := relayconfig.RequestClass{Name: term.Name, Idempotency: idempotencyName(term.Repeat),
+			LatencyObjective: time.Duration(term.Due * 1e9), Deadline: time.Duration(term.Patience * 1e9), PriorityWeight: term.Value}
+		if term.Repeat == relay.IdempotencyKeyed {
+			class.DedupScope, class.DedupWindow = "zone", time.Duration(term.Window*1e9)
+		}
+		classes = append(classes, class)
+	}
+	return classes
+}
+
+// idempotencyName is the configuration's name of a request class's idempotency.
+func idempotencyName(idempotency relay.Idempotency) string {
+	switch idempotency {
+	case relay.Idempotent:
+		return "retryable"
+	case relay.IdempotencyKeyed:
+		return "dedup"
+	case relay.AtMostOnce:
+		return "fragile"
+	default:
+		return ""
+	}
+}
+
+// equalTenants gives each tenant the same share.
+func equalTenants(names []string) []relayconfig.Tenant {
+	var tenants []relayconfig.Tenant
+	for _, name := range names {
+		tenants = append(tenants, relayconfig.Tenant{Name: name, Share: 1 / float64(len(names)), QuotaPerSecond: tenantQuotaPerSec})
+	}
+	return tenants
+}
