--- a/compat/desk_session_test.go
+++ b/compat/controller_session_test.go
@@ -15,8 +15,8 @@
 	"time"
 )
 
-// deskPlan is a plan of three services: one that votes move, one that needs it, and one that the clock moves at once.
-func deskPlan(voteLife string, addresses map[string]string) string {
+// controllerPlan is a plan of three services: one that votes move, one that needs it, and one that the clock moves at once.
+func controllerPlan(voteLife string, addresses map[string]string) string {
 	return fmt.Sprintf(`<plan version="1"><site name="x"/><group name="g"/>
 <service name="a" watch=%q back-for="1s" settle="0s"><votes on="0.6" back="0.3" life=%q/>
 <step name="one" share="0.1" cap="0.1" least="0s"><open/></step><step name="two" share="1" cap="0.5" least="0s"/>
@@ -28,14 +28,14 @@
 }
 
 // desk is a release desk that runs, and the connections of a test to it.
-type desk struct {
+type controller struct {
 	t       *testing.T
 	process *process
 	state   string
 	plan    string
 	at      map[string]string // by relay, and by service for its watch
-	masked  span
-	watches map[string]*lineCaller
+	masked  timeSpan
+	watches map[string]*lineClient
 }
 
 // planFor writes the plan with addresses that are free.
@@ -46,27 +46,27 @@
 		at[name] = freeAddress(t)
 	}
 	path = filepath.Join(t.TempDir(), "plan.xml")
-	if err := os.WriteFile(path, []byte(deskPlan(voteLife, at)), 0o600); err != nil {
+	if err := os.WriteFile(path, []byte(controllerPlan(voteLife, at)), 0o600); err != nil {
 		t.Fatal(err)
 	}
 	return path, at
 }
 
-// openFreshDesk runs a desk on an empty directory. Votes last for longer than any test, and an operator's freeze is set for
+// startFreshController runs a desk on an empty directory. Votes last for longer than any test, and an operator's freeze is set for
 // some hours: times of the next day are the test's too.
-func openFreshDesk(t *testing.T) *desk {
+func startFreshController(t *testing.T) *controller {
 	t.Helper()
-	return openDesk(t, t.TempDir(), "1h", spanFrom(24*time.Hour))
+	return startController(t, t.TempDir(), "1h", spanFromNow(24*time.Hour))
 }
 
-// openDesk runs a desk on a state directory and waits until operators can reach it.
-func openDesk(t *testing.T, state, voteLife string, masked span) *desk {
+// startController runs a desk on a state directory and waits until operators can reach it.
+func startController(t *testing.T, state, voteLife string, masked timeSpan) *controller {
 	t.Helper()
-	d := &desk{t: t, state: state, masked: masked, watches: map[string]*lineCaller{}}
+	d := &controller{t: t, state: state, masked: masked, watches: map[string]*lineClient{}}
 	d.plan, d.at = planFor(t, voteLife)
 	d.process = run(t, "desk", "run", "--plan", d.plan, "--state", state)
 	eventually(t, "the control file is there", func() bool {
-		if d.process.over() {
+		if d.process.hasEnded() {
 			t.Fatalf("the desk ended:\n%s", d.process.logged)
 		}
 		_, err := os.Stat(filepath.Join(state, "control"))
@@ -76,7 +76,7 @@
 }
 
 // request sends one line to the control socket and gives the line that answers it. WORD stands for the secret.
-func (d *desk) request(text string) string {
+func (d *controller) request(text string) string {
 	d.t.Helper()
 	words := strings.Fields(string(readFile(d.t, filepath.Join(d.state, "control"))))
 	if len(words) != 2 {
@@ -87,7 +87,7 @@
 		d.t.Fatal(err)
 	}
 	defer n.Close()
-	n.SetDeadline(time.Now().Add(patience))
+	n.SetDeadline(time.Now().Add(testTimeout))
 	fmt.Fprintf(n, "%s\n", strings.ReplaceAll(text, "WORD", words[1]))
 	answer, err := io.ReadAll(n)
 	if err != nil {
@@ -96,15 +96,15 @@
 	return strings.TrimSuffix(maskTextTimes(maskTimes(string(answer), d.masked)), "\n")
 }
 
-// lineCaller is a connection that speaks the platform's lines.
-type lineCaller struct {
+// lineClient is a connection that speaks the platform's lines.
+type lineClient struct {
 	net.Conn
-	reader   *bufio.Reader
-	lastTold string
+	reader    *bufio.Reader
+	lastState string
 }
 
 // watch gives the connection to a service's watch, opened at the first use.
-func (d *desk) watch(service string) *lineCaller {
+func (d *controller) watch(service string) *lineClient {
 	d.t.Helper()
 	if d.watches[service] == nil {
 		d.watches[service] = d.dial(service)
@@ -113,7 +113,7 @@
 }
 
 // dial opens a connection to a relay's address or to a service's watch.
-func (d *desk) dial(name string) *lineCaller {
+func (d *controller) dial(name string) *lineClient {
 	d.t.Helper()
 	var n net.Conn
 	eventually(d.t, "the desk listens for "+name, func() (up bool) {
@@ -121,9 +121,9 @@
 		n, err = net.Dial("tcp", d.at[name])
 		return err == nil
 	})
-	n.SetDeadline(time.Now().Add(2 * patience))
+	n.SetDeadline(time.Now().Add(2 * testTimeout))
 	d.t.Cleanup(func() { n.Close() })
-	return &lineCaller{Conn: n, reader: bufio.NewReader(n)}
+	return &lineClient{Conn: n, reader: bufio.NewReader(n)}
 }
 
 var lastNumber = regexp.MustCompile(` [0-9]+\r\n$`)
@@ -132,7 +132,7 @@
 func maskAge(line string) string { return lastNumber.ReplaceAllString(line, " AGE\r\n") }
 
 // say sends a line and gives the answer to it, unasked lines left out.
-func (c *lineCaller) say(t *testing.T, line string) string {
+func (c *lineClient) request(t *testing.T, line string) string {
 	t.Helper()
 	fmt.Fprintf(c, "%s\r\n", line)
 	for {
@@ -142,7 +142,7 @@
 	}
 }
 
-func (c *lineCaller) read(t *testing.T) string {
+func (c *lineClient) read(t *testing.T) string {
 	t.Helper()
 	line, err := c.reader.ReadString('\n')
 	if err != nil {
@@ -153,12 +153,12 @@
 
 // told reads the unasked lines up to the one named. Signs of life are left out, and a state that is told again: how many of
 // these come depends on how long the test takes.
-func (c *lineCaller) told(t *testing.T, until string) (lines []string) {
+func (c *lineClient) readStates(t *testing.T, until string) (lines []string) {
 	t.Helper()
 	for {
 		line := c.read(t)
-		if line != "*\r\n" && line != c.lastTold {
-			lines, c.lastTold = append(lines, line), line
+		if line != "*\r\n" && line != c.lastState {
+			lines, c.lastState = append(lines, line), line
 		}
 		if line == until {
 			return lines
@@ -172,10 +172,10 @@
 	raw     string   // the same, as it stands
 	tool    []string // the tool's desk command, --state left out
 	line    [2]string
-	told    [2]string // the watch of a service tells lines up to this one
+	states  [2]string // the watch of a service tells lines up to this one
 }
 
-var deskSession = []step{
+var controllerSession = []step{
 	{raw: `no JSON`},
 	{raw: `{"word":"guessed","verb":"status"}`},
 	{raw: `{"verb":"status"}`},
@@ -188,7 +188,7 @@
 	{line: [2]string{"a", "WATCH"}},
 	{line: [2]string{"r0", "VOTE 7 0 approve"}},
 	{control: `"verb":"offer","service":"a","build":7,"who":"ops","why":"the first"`},
-	{told: [2]string{"a", "* news 7 0 canary 0.1 AGE\r\n"}},
+	{states: [2]string{"a", "* news 7 0 canary 0.1 AGE\r\n"}},
 	{control: `"verb":"offer","service":"a","build":7,"who":"ops","why":"again"`},
 	{control: `"verb":"offer","service":"a","build":9,"who":"ops","why":"the next"`},
 	{tool: []string{"offer", "a", "10", "--who", "ops", "--why", "it overtakes 9"}},
@@ -205,14 +205,14 @@
 	{line: [2]string{"r2", "VOTE 7 0 clear"}},
 	{line: [2]string{"r0", "VOTE 7 0 approve"}},
 	{line: [2]string{"r1", "VOTE 7 0 approve"}},
-	{told: [2]string{"a", "* news 7 1 canary 0.5 AGE\r\n"}},
+	{states: [2]string{"a", "* news 7 1 canary 0.5 AGE\r\n"}},
 	{control: `"verb":"halt","service":"a","who":"ops","why":"look first"`},
 	{control: `"verb":"halt","service":"a","who":"ops","why":"twice"`},
 	{line: [2]string{"r0", "VOTE 7 1 approve"}},
 	{line: [2]string{"r1", "VOTE 7 1 approve"}},
 	{tool: []string{"status"}},
 	{tool: []string{"resume", "a", "--who", "ops", "--why", "all is well"}},
-	{told: [2]string{"a", "* news 10 0 canary 0.1 AGE\r\n"}},
+	{states: [2]string{"a", "* news 10 0 canary 0.1 AGE\r\n"}},
 	{control: `"verb":"freeze","name":"audit","until":4102444800,"who":"ops","why":"an \"audit\" <of all>"`},
 	{control: `"verb":"freeze","name":"audit","who":"ops","why":"the name is taken"`},
 	{control: `"verb":"freeze","name":"late","until":1000,"who":"ops","why":"over already"`},
@@ -224,15 +224,15 @@
 	{line: [2]string{"r1", "VOTE 10 0 approve"}},
 	{control: `"verb":"status"`},
 	{line: [2]string{"r2", "VOTE 10 0 reject"}},
-	{told: [2]string{"a", "* news 10 0 reverted 0 AGE\r\n"}},
+	{states: [2]string{"a", "* news 10 0 reverted 0 AGE\r\n"}},
 	{line: [2]string{"r2", "VOTE 10 0 reject"}},
 	{control: `"verb":"offer","service":"b","build":3,"who":"ops","why":"needs a"`},
 	{control: `"verb":"thaw","name":"audit","who":"ops","why":"done"`},
 	{line: [2]string{"c", "WATCH"}},
 	{tool: []string{"offer", "c", "5", "--who", "ops", "--why", "by the clock"}},
-	{told: [2]string{"c", "* news 5 1 stable 1 AGE\r\n"}},
+	{states: [2]string{"c", "* news 5 1 stable 1 AGE\r\n"}},
 	{tool: []string{"back", "c", "--who", "ops", "--why", "a fault"}},
-	{told: [2]string{"c", "* news 5 1 reverted 0 AGE\r\n"}},
+	{states: [2]string{"c", "* news 5 1 reverted 0 AGE\r\n"}},
 	{tool: []string{"back", "c", "--who", "ops", "--why", "twice"}},
 	{control: `"verb":"freeze","name":"kept","service":"a","who":"ops","why":"it stays"`},
 	{control: `"verb":"halt","service":"b","who":"ops","why":"it stays too"`},
@@ -247,7 +247,7 @@
 }
 
 // do carries out a step and gives the lines of the golden file.
-func (d *desk) do(s step) (lines []string) {
+func (d *controller) do(s step) (lines []string) {
 	d.t.Helper()
 	switch {
 	case s.raw != "":
@@ -259,29 +259,29 @@
 		lines = append(lines, "$ desk "+strings.Join(s.tool, " "), fmt.Sprintf("exit %d, %d lines of fault", r.code, len(r.errorLines())))
 		return append(lines, strings.Split(maskTextTimes(maskTimes(r.out, d.masked)), "\n")...)
 	case s.line[0] != "":
-		c := (*lineCaller)(nil)
+		c := (*lineClient)(nil)
 		if s.line[1] == "WATCH" {
 			c = d.watch(s.line[0])
 		} else {
 			c = d.dial(s.line[0]) // a fresh one: the desk closes those that stand idle for some seconds
 			defer c.Close()
 		}
-		return []string{fmt.Sprintf("%s> %s", s.line[0], s.line[1]), fmt.Sprintf("%s< %q", s.line[0], c.say(d.t, s.line[1]))}
+		return []string{fmt.Sprintf("%s> %s", s.line[0], s.line[1]), fmt.Sprintf("%s< %q", s.line[0], c.request(d.t, s.line[1]))}
 	}
-	for _, line := range d.watch(s.told[0]).told(d.t, s.told[1]) {
-		lines = append(lines, fmt.Sprintf("%s< %q", s.told[0], line))
+	for _, line := range d.watch(s.states[0]).readStates(d.t, s.states[1]) {
+		lines = append(lines, fmt.Sprintf("%s< %q", s.states[0], line))
 	}
 	return lines
 }
 
-// TestDeskSession takes a desk through every word of operators and relays, and compares the answers and the journal.
-func TestDeskSession(t *testing.T) {
+// TestControllerSession takes a desk through every word of operators and relays, and compares the answers and the journal.
+func TestControllerSession(t *testing.T) {
 	if !*keep { // other tests read what is kept
 		t.Parallel()
 	}
-	d := openFreshDesk(t)
+	d := startFreshController(t)
 	var lines []string
-	for _, s := range deskSession {
+	for _, s := range controllerSession {
 		lines = append(lines, d.do(s)...)
 	}
 	second := call(t, "desk", "run", "--plan", d.plan, "--state", d.state)
@@ -294,13 +294,13 @@
 	keepJournals(t, d.state, "kept-session")
 }
 
-// TestDeskCompaction writes until the journal has been begun anew twice: archives, a snapshot and what follows it.
-func TestDeskCompaction(t *testing.T) {
+// TestControllerCompaction writes until the journal has been begun anew twice: archives, a snapshot and what follows it.
+func TestControllerCompaction(t *testing.T) {
 	if !*keep { // other tests read what is kept
 		t.Parallel()
 	}
-	d := openFreshDesk(t)
-	for _, s := range deskSession {
+	d := startFreshController(t)
+	for _, s := range controllerSession {
 		if s.tool == nil || !slices.Contains([]string{"status", "history"}, s.tool[0]) {
 			d.do(s)
 		}
--- a/compat/desk_start_test.go
+++ b/compat/controller_start_test.go
@@ -9,9 +9,9 @@
 	"testing"
 )
 
-// TestDeskReadsKeptJournals runs a desk on journals that were written when they were kept, and on what a crash or a fault
+// TestControllerReadsKeptJournals runs a desk on journals that were written when they were kept, and on what a crash or a fault
 // of the disk makes of them.
-func TestDeskReadsKeptJournals(t *testing.T) {
+func TestControllerReadsKeptJournals(t *testing.T) {
 	for _, c := range []struct {
 		name   string
 		kept   string
@@ -40,8 +40,8 @@
 			}
 			// Votes of the kept journals are long past, whenever this is run. The span is short: a kept journal names a time
 			// some hours behind its own.
-			masked := spanFrom(2 * patience)
-			d := openDesk(t, state, "1s", masked)
+			masked := spanFromNow(2 * testTimeout)
+			d := startController(t, state, "1s", masked)
 			var lines []string
 			for _, s := range []step{
 				{tool: []string{"status", "--json"}},
@@ -67,7 +67,7 @@
 }
 
 // checkGoesOn makes sure that a desk left a journal as it was and only wrote its own start behind it.
-func checkGoesOn(t *testing.T, path string, before []byte, masked span) {
+func checkGoesOn(t *testing.T, path string, before []byte, masked timeSpan) {
 	t.Helper()
 	after := readFile(t, path)
 	if !bytes.HasPrefix(after, before) {
@@ -82,8 +82,8 @@
 	}
 }
 
-// TestDeskRefusesJournals starts a desk on files that are no journal of its own: it ends with one line and changes nothing.
-func TestDeskRefusesJournals(t *testing.T) {
+// TestControllerRejectsJournals starts a desk on files that are no journal of its own: it ends with one line and changes nothing.
+func TestControllerRejectsJournals(t *testing.T) {
 	for _, c := range []struct {
 		name   string
 		change func(journal []byte) []byte
@@ -116,8 +116,8 @@
 	}
 }
 
-// TestDeskCalls calls the desk's commands wrongly.
-func TestDeskCalls(t *testing.T) {
+// TestControllerCalls calls the desk's commands wrongly.
+func TestControllerCalls(t *testing.T) {
 	state := t.TempDir()
 	for _, c := range []struct {
 		args string
--- a/compat/golden_test.go
+++ b/compat/golden_test.go
@@ -12,8 +12,8 @@
 	"testing"
 )
 
-// mostDifferences bounds the differing lines that a failed comparison prints: the first one is the cause as a rule.
-const mostDifferences = 5
+// maxDifferences bounds the differing lines that a failed comparison prints: the first one is the cause as a rule.
+const maxDifferences = 5
 
 // checkGolden compares lines with those kept under testdata/NAME.gz, of which testdata/NAME.sha256 holds the digest.
 func checkGolden(t *testing.T, name string, got []string) {
@@ -51,7 +51,7 @@
 		if before == now {
 			continue
 		}
-		if differing++; differing <= mostDifferences {
+		if differing++; differing <= maxDifferences {
 			if differing == 1 && i > 0 && i <= len(want) {
 				fmt.Fprintf(&b, "line %d (same): %s\n", i, excerpt(want[i-1], 0))
 			}
--- a/compat/journal_test.go
+++ b/compat/journal_test.go
@@ -17,7 +17,7 @@
 var castagnoli = crc32.MakeTable(crc32.Castagnoli)
 
 // journalLines reads a journal to its last byte and gives its payloads, with the times of a running test masked.
-func journalLines(t *testing.T, path string, masked span) (lines []string) {
+func journalLines(t *testing.T, path string, masked timeSpan) (lines []string) {
 	t.Helper()
 	raw := readFile(t, path)
 	rest, whole := bytes.CutPrefix(raw, []byte(journalHead))
--- a/compat/peer_datagrams_test.go
+++ b/compat/peer_datagrams_test.go
@@ -10,7 +10,7 @@
 	formHeartbeat = 5
 	formDelta     = 6
 
-	longestDatagram = 256
+	maxDatagramBytes = 256
 )
 
 // isForm says whether a datagram is of a form.
@@ -46,8 +46,8 @@
 	return append(b, vote, 2, 128, 132)
 }
 
-// roughDatagrams are ones that a relay of another version, or a broken one, may send: each is read or passed over.
-func roughDatagrams(build, stage uint64) [][]byte {
+// malformedDatagrams are ones that a relay of another version, or a broken one, may send: each is read or passed over.
+func malformedDatagrams(build, stage uint64) [][]byte {
 	report := reportDatagram(build, stage, false, 40, [][3]byte{{1, 2, 3}, {4, 5, 6}})
 	decision := decisionDatagram(build, stage, 1)
 	return [][]byte{
@@ -70,6 +70,6 @@
 		reportDatagram(build+7, stage, true, 900, nil),
 		decisionDatagram(build, stage, 200), // no such vote
 		reportDatagram(build, 200, true, 1, [][3]byte{{0xff, 0xff, 0xff}}),
-		make([]byte, longestDatagram),
+		make([]byte, maxDatagramBytes),
 	}
 }
--- a/compat/pipe_test.go
+++ b/compat/pipe_test.go
@@ -15,38 +15,38 @@
 
 // Codes of events.
 const (
-	eventDatagram  = 1
-	eventNews      = 2
-	eventDigest    = 3
-	eventBorn      = 4
-	eventShutdown  = 5
-	eventFinished  = 6
-	eventIngress   = 7
-	eventHealth    = 8
-	eventAnnounce  = 9
-	eventElapsed   = 10
-	eventReturned  = 11
-	eventDropped   = 12
-	eventInventory = 13
-	eventStreaming = 14
+	eventDatagram      = 1
+	eventRolloutStatus = 2
+	eventDigest        = 3
+	eventBorn          = 4
+	eventShutdown      = 5
+	eventFinished      = 6
+	eventIngress       = 7
+	eventHealth        = 8
+	eventAnnounce      = 9
+	eventElapsed       = 10
+	eventReturned      = 11
+	eventDropped       = 12
+	eventInventory     = 13
+	eventStreaming     = 14
 )
 
 // Codes of actions.
 const (
-	actionRemark   = 65
-	actionCrash    = 66
-	actionCancel   = 67
-	actionOpinion  = 68
-	actionRelay    = 70
-	actionSleep    = 73
-	actionMemo     = 74
-	actionInformed = 75
-	actionDecline  = 76
-	actionGiveUp   = 77
+	actionRemark       = 65
+	actionCrash        = 66
+	actionCancel       = 67
+	actionOpinion      = 68
+	actionRelay        = 70
+	actionSleep        = 73
+	actionSendDatagram = 74
+	actionInformed     = 75
+	actionDecline      = 76
+	actionGiveUp       = 77
 )
 
 var actionNames = map[byte]string{actionRemark: "REMARK", actionCrash: "CRASH", actionCancel: "CANCEL", actionOpinion: "OPINION",
-	69: "CHECK", actionRelay: "RELAY", 71: "CLOSE_IDLE", 72: "REFRESH", actionSleep: "SLEEP", actionMemo: "MEMO_TO",
+	69: "CHECK", actionRelay: "RELAY", 71: "CLOSE_IDLE", 72: "REFRESH", actionSleep: "SLEEP", actionSendDatagram: "MEMO_TO",
 	actionInformed: "KEEP_INFORMED", actionDecline: "DECLINE", actionGiveUp: "GIVE_UP"}
 
 // address is a unit's four bytes of address and its port, as they stand on the wire.
@@ -59,12 +59,12 @@
 
 func eventFor(code byte, instance uint16) record { return record{code}.u16(instance) }
 
-func (r record) u8(v byte) record      { return append(r, v) }
-func (r record) u16(v uint16) record   { return binary.LittleEndian.AppendUint16(r, v) }
-func (r record) u32(v uint32) record   { return binary.LittleEndian.AppendUint32(r, v) }
-func (r record) u64(v uint64) record   { return binary.LittleEndian.AppendUint64(r, v) }
-func (r record) f32(v float32) record  { return r.u32(math.Float32bits(v)) }
-func (r record) unit(a address) record { return append(r, a[:]...) }
+func (r record) u8(v byte) record         { return append(r, v) }
+func (r record) u16(v uint16) record      { return binary.LittleEndian.AppendUint16(r, v) }
+func (r record) u32(v uint32) record      { return binary.LittleEndian.AppendUint32(r, v) }
+func (r record) u64(v uint64) record      { return binary.LittleEndian.AppendUint64(r, v) }
+func (r record) f32(v float32) record     { return r.u32(math.Float32bits(v)) }
+func (r record) address(a address) record { return append(r, a[:]...) }
 func (r record) report(v []float32) record {
 	r = r.u8(byte(len(v)))
 	for _, x := range v {
@@ -113,7 +113,7 @@
 		a := action{code: body[at], instance: binary.LittleEndian.Uint16(body[at+1:])}
 		at += 3
 		size, fixed := fixedLengths[a.code]
-		textAt := map[byte]int{actionRemark: 0, actionCrash: 0, actionMemo: 4}
+		textAt := map[byte]int{actionRemark: 0, actionCrash: 0, actionSendDatagram: 4}
 		if from, hasText := textAt[a.code]; hasText && at+from+2 <= len(body) {
 			size, fixed = from+2+int(binary.LittleEndian.Uint16(body[at+from:])), true
 		}
--- a/compat/process_test.go
+++ b/compat/process_test.go
@@ -13,7 +13,7 @@
 )
 
 // patience is how long a test waits for what should come at once. It is no proof of anything: a test that needs it fails.
-const patience = 30 * time.Second
+const testTimeout = 30 * time.Second
 
 // result is what a finished command left behind.
 type result struct {
@@ -30,7 +30,7 @@
 // callIn is call in a directory.
 func callIn(t *testing.T, dir string, args ...string) result {
 	t.Helper()
-	ctx, cancel := context.WithTimeout(context.Background(), 2*patience)
+	ctx, cancel := context.WithTimeout(context.Background(), 2*testTimeout)
 	defer cancel()
 	command := exec.CommandContext(ctx, program("lichenroad"), args...)
 	command.Dir, command.Env = dir, []string{"TZ=UTC"}
@@ -106,7 +106,7 @@
 }
 
 // over says whether the process has ended.
-func (p *process) over() bool {
+func (p *process) hasEnded() bool {
 	select {
 	case <-p.ended:
 		return true
@@ -127,7 +127,7 @@
 	p.t.Helper()
 	select {
 	case <-p.ended:
-	case <-time.After(patience):
+	case <-time.After(testTimeout):
 		p.t.Fatal("the process does not end")
 	}
 	if p.code != code {
@@ -138,7 +138,7 @@
 // eventually waits until something holds, by asking again and again.
 func eventually(t *testing.T, what string, holds func() bool) {
 	t.Helper()
-	for until := time.Now().Add(patience); !holds(); time.Sleep(2 * time.Millisecond) {
+	for until := time.Now().Add(testTimeout); !holds(); time.Sleep(2 * time.Millisecond) {
 		if time.Now().After(until) {
 			t.Fatalf("never: %s", what)
 		}
--- a/compat/serve_test.go
+++ b/compat/serve_test.go
@@ -24,8 +24,8 @@
  "family_info":{"call_timeout":300000000,"exposure_caps":[1],"waves":[1],"uncounted":1,"span":2000000000,
   "decided_by":"first_voice","to_advance":1,"to_abort":1,"ballot_ttl":10000000000,"votes_per_s":100,"min_dwell":0}}`
 
-// listOf is discovery's answer with the units that serve, all at one address.
-func listOf(generation int, unit string, names ...string) string {
+// endpointList is discovery's answer with the units that serve, all at one address.
+func endpointList(generation int, unit string, names ...string) string {
 	var entries []string
 	for _, name := range names {
 		entries = append(entries, fmt.Sprintf(`{"instanceId":%q,"hostPort":%q,"zone":"a","machineType":"m1","cell":1,"lifecycle":"SERVING","weight":1,"startedAtMs":0,"build":1}`, name, unit))
@@ -36,7 +36,7 @@
 // peer is a stand-in for the other relay of the tier. Of each datagram it keeps the form, and what is not a time.
 type peer struct {
 	conn *net.UDPConn
-	seen seen
+	seen observations
 	mu   sync.Mutex
 	view []byte // generation and digest of the first heartbeat
 }
@@ -54,7 +54,7 @@
 			if err != nil {
 				return
 			}
-			p.took(b[:n])
+			p.record(b[:n])
 		}
 	}()
 	return p
@@ -62,7 +62,7 @@
 
 // took keeps a datagram of membership without its two times, uvarints of Unix milliseconds: they tell when discovery last
 // answered, and when a call last failed, and are 0 where it has not. A time must be one of the running test.
-func (p *peer) took(b []byte) {
+func (p *peer) record(b []byte) {
 	if !isForm(b, formHeartbeat) && !isForm(b, formDelta) {
 		return // reports and decisions: what they hold depends on how long answers took
 	}
@@ -75,7 +75,7 @@
 	line := fmt.Sprintf("form %d, view %x", b[1], view)
 	for range 2 {
 		at, n := binary.Uvarint(rest)
-		if age := time.Since(time.UnixMilli(int64(at))); n <= 0 || at != 0 && (age < -time.Second || age > 2*patience) {
+		if age := time.Since(time.UnixMilli(int64(at))); n <= 0 || at != 0 && (age < -time.Second || age > 2*testTimeout) {
 			line += fmt.Sprintf(", %d is no time of this test", at)
 		}
 		rest = rest[max(n, 0):]
@@ -103,7 +103,7 @@
 		c, err = net.Dial("tcp", address)
 		return err == nil
 	})
-	c.SetDeadline(time.Now().Add(patience))
+	c.SetDeadline(time.Now().Add(testTimeout))
 	t.Cleanup(func() { c.Close() })
 	fmt.Fprint(c, first)
 	return &client{t, c, bufio.NewReader(c)}
@@ -131,16 +131,16 @@
 // TestServe runs a relay among stand-ins, and compares what each of them sees of it.
 func TestServe(t *testing.T) {
 	t.Parallel()
-	unit, unitSeen := startUnit(t)
+	unit, endpointSeen := startEndpoint(t)
 	platform, platformSeen := startPlatform(t)
-	disc := startDiscovery(t, listOf(1, unit, "s-0", "s-1"))
+	disc := startDiscovery(t, endpointList(1, unit, "s-0", "s-1"))
 	other := startPeer(t)
 	listen, peerListen := freeAddress(t), freeAddress(t)
 	config := filepath.Join(t.TempDir(), "config.json")
 	text := fmt.Sprintf(`{"name":"n0","listen":%q,"discovery":%q,"seed":"8c1f30d27a5be964","peer_listen":%q,"peers":[%q,%q],"peers_all":%q,
 "platform":{"address":%q,"news":{"image":1,"ring":0,"progress":"stable","ceiling":1,"lag_ms":5000}},"known":%s,"settings":%s}`,
 		listen, disc.address, peerListen, peerListen, other.conn.LocalAddr(), other.conn.LocalAddr(), platform,
-		listOf(1, unit, "s-0", "s-1"), serveSettings)
+		endpointList(1, unit, "s-0", "s-1"), serveSettings)
 	if err := os.WriteFile(config, []byte(text), 0o600); err != nil {
 		t.Fatal(err)
 	}
@@ -148,7 +148,7 @@
 	lines := clientSession(t, listen)
 
 	eventually(t, "a heartbeat came", func() bool { return other.seen.has("form 5") })
-	disc.replace(2, listOf(2, unit, "s-0"))
+	disc.replace(2, endpointList(2, unit, "s-0"))
 	eventually(t, "a heartbeat of the next list came", func() bool { return other.seen.has("form 5, view 02") })
 	other.mu.Lock()
 	old := append([]byte{datagramMark, formHeartbeat}, other.view...)
@@ -166,7 +166,7 @@
 	relay.stop()
 
 	lines = append(lines, "units saw:")
-	lines = append(lines, unitSeen.all()...)
+	lines = append(lines, endpointSeen.all()...)
 	lines = append(lines, "discovery saw:")
 	lines = append(lines, disc.seen.all()...)
 	lines = append(lines, "the platform saw:", platformSeen.all()[0], "the peer saw:")
--- a/compat/simhost_test.go
+++ b/compat/simhost_test.go
@@ -30,9 +30,9 @@
 // checkEvents makes sure that a session brings every kind of event that its site allows.
 func checkEvents(t *testing.T, d *deployment) {
 	t.Helper()
-	want := []byte{eventNews, eventDigest, eventBorn, eventFinished, eventIngress, eventHealth, eventAnnounce, eventElapsed,
+	want := []byte{eventRolloutStatus, eventDigest, eventBorn, eventFinished, eventIngress, eventHealth, eventAnnounce, eventElapsed,
 		eventReturned, eventDropped, eventInventory, eventStreaming}
-	if d.site.tell {
+	if d.site.peerMessages {
 		want = append(want, eventDatagram)
 	}
 	if d.site.restarts {
@@ -48,7 +48,7 @@
 // checkDatagrams makes sure that reports and decisions are both sent and received, and that nothing else is sent.
 func checkDatagrams(t *testing.T, d *deployment) {
 	t.Helper()
-	if !d.site.tell {
+	if !d.site.peerMessages {
 		if len(d.sentForms) > 0 {
 			t.Errorf("datagrams of forms %v were sent where none may be", d.sentForms)
 		}
--- a/compat/site_test.go
+++ b/compat/site_test.go
@@ -12,35 +12,35 @@
 	replicas int      // instances of the tier; those that are not hosted are played by the session
 	hosted   []uint16 // their my_number; the number on the pipe is 3 higher, as the two are not the same thing
 
-	discovery   string // subscribe or automatic
-	reports     string // inline, on_probe or off
-	control     string // first_voice, by_count or automatic
-	countedBy   string // all or each_class
-	swap        string // parallel or replace
-	cancel      bool
-	tell        bool
-	copies      bool
-	retryAfter  bool
-	noReturn    bool
-	tenants     bool
-	stretch     float64
-	failures    float64 // share of attempts that fail, one way or another
-	badBuild    bool    // the new build fails half of its attempts
-	overload    bool    // units answer late and turn requests away
-	restarts    bool    // an instance is shut down and born anew
-	roughPeers  bool    // peers send datagrams of every form, well made and not
-	bareSetting bool    // settings that leave out all that may be left out
+	discovery          string // subscribe or automatic
+	reports            string // inline, on_probe or off
+	control            string // first_voice, by_count or automatic
+	countedBy          string // all or each_class
+	swap               string // parallel or replace
+	cancel             bool
+	peerMessages       bool
+	parallelAttempts   bool
+	retryAfter         bool
+	noReturn           bool
+	tenants            bool
+	objectiveStretch   float64
+	failures           float64 // share of attempts that fail, one way or another
+	badBuild           bool    // the new build fails half of its attempts
+	overload           bool    // units answer late and turn requests away
+	restarts           bool    // an instance is shut down and born anew
+	malformedDatagrams bool    // peers send datagrams of every form, well made and not
+	bareSetting        bool    // settings that leave out all that may be left out
 }
 
 var sites = []site{
 	{name: "good-build", seed: 1, replicas: 8, hosted: []uint16{0, 1, 5}, discovery: "subscribe", reports: "on_probe", control: "by_count",
-		countedBy: "all", swap: "parallel", cancel: true, tell: true, copies: true, retryAfter: true, tenants: true, failures: 0.04,
-		restarts: true, roughPeers: true},
+		countedBy: "all", swap: "parallel", cancel: true, peerMessages: true, parallelAttempts: true, retryAfter: true, tenants: true, failures: 0.04,
+		restarts: true, malformedDatagrams: true},
 	{name: "bad-build", seed: 2, replicas: 6, hosted: []uint16{0, 2, 4}, discovery: "automatic", reports: "inline", control: "first_voice",
-		countedBy: "each_class", swap: "replace", cancel: true, tell: true, retryAfter: true, noReturn: true, tenants: true, failures: 0.02,
+		countedBy: "each_class", swap: "replace", cancel: true, peerMessages: true, retryAfter: true, noReturn: true, tenants: true, failures: 0.02,
 		badBuild: true},
 	{name: "clock-and-overload", seed: 3, replicas: 4, hosted: []uint16{0, 3}, discovery: "subscribe", reports: "off", control: "automatic",
-		countedBy: "all", swap: "parallel", tell: true, copies: true, stretch: 1.5, failures: 0.1, overload: true, roughPeers: true},
+		countedBy: "all", swap: "parallel", peerMessages: true, parallelAttempts: true, objectiveStretch: 1.5, failures: 0.1, overload: true, malformedDatagrams: true},
 	{name: "alone-and-silent", seed: 4, replicas: 1, hosted: []uint16{0}, discovery: "automatic", reports: "inline", control: "first_voice",
 		countedBy: "all", swap: "parallel", failures: 0.05, bareSetting: true},
 }
@@ -80,7 +80,7 @@
 "replicas_of_me":%d,"report":{"fields":["recent_ms","outstanding"],"via":%q},
 "rules":{"answer_slack":20000000,"ask_every":10000000000,"cold_from":0.35,"drain_grace":250000000,"fall":3000000000,"fall_multiple":2.5,
 "warm_up":4600000000},"stage":0,"tenants":[%s],"tick":5000000,"weight_source":"nominal","worth_by":"work","a_key_not_known":[1]}`,
-		number%2, s.discovery, s.countedBy, s.control, s.noReturn, s.swap, s.grades(), number, s.cancel, s.tell, s.copies, s.retryAfter,
+		number%2, s.discovery, s.countedBy, s.control, s.noReturn, s.swap, s.grades(), number, s.cancel, s.peerMessages, s.parallelAttempts, s.retryAfter,
 		s.replicas, s.reports, tenants)
 }
 
@@ -96,7 +96,7 @@
 	var all []string
 	for class, form := range forms {
 		all = append(all, fmt.Sprintf(`{"name":"class-%d",%s,"deadline":%d,"repeat_window":1500000000,"late_worth":0.2,"aim_stretch":%g}`,
-			class, form, deadlines[class], s.stretch))
+			class, form, deadlines[class], s.objectiveStretch))
 	}
 	return strings.Join(all, ",")
 }
--- a/compat/standins_test.go
+++ b/compat/standins_test.go
@@ -14,12 +14,12 @@
 )
 
 // seen is what a stand-in has seen, each thing once.
-type seen struct {
+type observations struct {
 	mu    sync.Mutex
 	lines []string
 }
 
-func (s *seen) add(line string) {
+func (s *observations) add(line string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if !slices.Contains(s.lines, line) {
@@ -27,11 +27,11 @@
 	}
 }
 
-func (s *seen) has(part string) bool {
+func (s *observations) has(part string) bool {
 	return slices.ContainsFunc(s.all(), func(line string) bool { return strings.Contains(line, part) })
 }
 
-func (s *seen) all() []string {
+func (s *observations) all() []string {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return slices.Clone(s.lines)
@@ -87,17 +87,17 @@
 	return string(head) + string(body), err
 }
 
-const unitReady = "Z\x00\x00\x00\x05I"
+const endpointReady = "Z\x00\x00\x00\x05I"
 
-var unitRow = message('T', "\x00\x01body\x00\x00\x00\x00\x00\x00\x00\x00\x00\x00\x11\xff\xff\xff\xff\xff\xff\x00\x01") +
+var endpointRow = message('T', "\x00\x01body\x00\x00\x00\x00\x00\x00\x00\x00\x00\x00\x11\xff\xff\xff\xff\xff\xff\x00\x01") +
 	message('D', "\x00\x01\x00\x00\x00\x05value") + message('C', "SELECT 1\x00")
 
-var patienceOf = regexp.MustCompile(`,d=[0-9]+`)
+var deadlineField = regexp.MustCompile(`,d=[0-9]+`)
 
-// startUnit is a unit that answers by the object asked for. How long the relay will wait (d=) depends on the time that has
+// startEndpoint is a unit that answers by the object asked for. How long the relay will wait (d=) depends on the time that has
 // passed, so it is masked, with the length of the message that holds it.
-func startUnit(t *testing.T) (address string, s *seen) {
-	s = &seen{}
+func startEndpoint(t *testing.T) (address string, s *observations) {
+	s = &observations{}
 	return serveAt(t, func(c net.Conn) {
 		r := bufio.NewReader(c)
 		first, err := readMessage(r, true)
@@ -105,20 +105,20 @@
 			return
 		}
 		s.add(fmt.Sprintf("startup %q", first))
-		io.WriteString(c, message('R', "\x00\x00\x00\x00")+unitReady)
+		io.WriteString(c, message('R', "\x00\x00\x00\x00")+endpointReady)
 		for {
 			raw, err := readMessage(r, false)
 			if err != nil {
 				return
 			}
-			s.add(fmt.Sprintf("%q %q", raw[0], patienceOf.ReplaceAllString(raw[5:], ",d=MS")))
+			s.add(fmt.Sprintf("%q %q", raw[0], deadlineField.ReplaceAllString(raw[5:], ",d=MS")))
 			switch {
 			case strings.Contains(raw, "'fails'"):
-				io.WriteString(c, message('E', "SERROR\x00CXX000\x00Mbroken\x00\x00")+unitReady)
+				io.WriteString(c, message('E', "SERROR\x00CXX000\x00Mbroken\x00\x00")+endpointReady)
 			case strings.Contains(raw, "'full'"):
-				io.WriteString(c, message('E', "SERROR\x00C53300\x00Mfull\x00\x00")+unitReady)
+				io.WriteString(c, message('E', "SERROR\x00C53300\x00Mfull\x00\x00")+endpointReady)
 			default:
-				io.WriteString(c, unitRow+unitReady)
+				io.WriteString(c, endpointRow+endpointReady)
 			}
 		}
 	}), s
@@ -135,7 +135,7 @@
 	generation int
 	list       string
 	changed    chan struct{}
-	seen       seen
+	seen       observations
 	address    string
 }
 
@@ -181,8 +181,8 @@
 }
 
 // startPlatform is a platform that offers a build to whoever watches, and counts every vote.
-func startPlatform(t *testing.T) (address string, s *seen) {
-	s = &seen{}
+func startPlatform(t *testing.T) (address string, s *observations) {
+	s = &observations{}
 	return serveAt(t, func(c net.Conn) {
 		r := bufio.NewReader(c)
 		for {
--- a/compat/times_test.go
+++ b/compat/times_test.go
@@ -12,17 +12,17 @@
 )
 
 // span is the time of a running test, with what lies ahead of it.
-type span struct{ from, to float64 }
+type timeSpan struct{ from, to float64 }
 
-// spanFrom is a span that begins now.
-func spanFrom(ahead time.Duration) span {
+// spanFromNow is a span that begins now.
+func spanFromNow(length time.Duration) timeSpan {
 	now := float64(time.Now().UnixNano()) / 1e9
-	return span{now, now + ahead.Seconds()}
+	return timeSpan{now, now + length.Seconds()}
 }
 
 // maskTimes replaces the Unix times of a running test, which no two runs have in common. Times of a golden journal are
 // earlier, and those that a test names are later; both stand as they are.
-func maskTimes(text string, masked span) string {
+func maskTimes(text string, masked timeSpan) string {
 	return unixTimes.ReplaceAllStringFunc(text, func(number string) string {
 		at, err := strconv.ParseFloat(number, 64)
 		if err != nil || at < masked.from || at > masked.to {
