--- /dev/null
+++ b/compat/deployment_rollout_test.go
@@ -0,0 +1,159 @@
+package compat_test
+
+const (
+	lastStage  = 2
+	maxRetired = 5 // endpoints of the old build that are drained at its release
+)
+
+// Phases of a rollout, as on the wire.
+const (
+	phaseCanary = iota
+	phaseRollingBack
+	phaseReleased
+	phaseWithdrawn
+)
+
+// Votes on a rollout, as on the wire.
+const (
+	votePromote  = 1
+	voteRollBack = 3
+)
+
+// addRolloutStatus adds the status of the newest build for an instance.
+func (d *deployment) addRolloutStatus(instance *hostedInstance, code, verdict byte) {
+	limits := []float32{0.15, 0.5, 1}
+	limit := limits[min(int(d.stage), len(limits)-1)]
+	if d.isAborted() {
+		limit = 0
+	}
+	d.addEvent(eventFor(eventRolloutStatus, instance.onPipe()).f32(limit).u8(d.phase).u8(code).u16(d.build).u8(d.stage).u64(d.now - d.since).u8(verdict))
+}
+
+// addRolloutStatusToAll schedules a status for every instance.
+func (d *deployment) addRolloutStatusToAll() {
+	for i, instance := range d.instances {
+		d.after(20*millisecond+uint64(i)*17*millisecond, func() {
+			if instance.running {
+				d.addRolloutStatus(instance, 0, 0)
+			}
+		})
+	}
+}
+
+// setRollout puts the newest build at a stage and phase, and forgets the votes on it.
+func (d *deployment) setRollout(stage, phase byte) {
+	d.stage, d.phase, d.since = stage, phase, d.now
+	clear(d.rollbackVotes)
+	clear(d.promoteVotes)
+	d.addRolloutStatusToAll()
+	if phase == phaseCanary {
+		d.deployNewBuild()
+	}
+}
+
+// isAborted reports whether the newest build is on its way back or withdrawn.
+func (d *deployment) isAborted() bool {
+	return d.phase == phaseRollingBack || d.phase == phaseWithdrawn
+}
+
+// offer begins the canary of a new build.
+func (d *deployment) offer() {
+	d.build = newBuild
+	d.setRollout(0, phaseCanary)
+	if d.site.control == "automatic" {
+		d.after(4*second, func() { d.advance(0) })
+	}
+}
+
+// deployNewBuild deploys the new build to three endpoints: beside the old ones, or in their place at the same address.
+func (d *deployment) deployNewBuild() {
+	var changed []*listedEndpoint
+	for i := range 3 {
+		if d.site.swap == "replace" {
+			endpoint := d.endpoints[(3*int(d.stage)+i)%len(d.endpoints)]
+			endpoint.state = stateDraining
+			changed = append(changed, endpoint)
+			d.after(700*millisecond, func() {
+				endpoint.state, endpoint.build, endpoint.startedAt = stateReady, newBuild, d.now
+				d.addListToAll([]*listedEndpoint{endpoint})
+			})
+			continue
+		}
+		endpoint := d.newEndpoint(len(d.endpoints), newBuild)
+		endpoint.startedAt = d.now
+		d.endpoints = append(d.endpoints, endpoint)
+		changed = append(changed, endpoint)
+	}
+	d.addListToAll(changed)
+}
+
+// advance promotes the canary from a stage, unless it has left that stage.
+func (d *deployment) advance(from byte) {
+	if d.phase != phaseCanary || d.stage != from {
+		return
+	}
+	if from == lastStage {
+		d.setRollout(lastStage, phaseReleased)
+		d.after(500*millisecond, func() { d.retire(oldBuild) })
+		return
+	}
+	d.setRollout(from+1, phaseCanary)
+	if d.site.control == "automatic" {
+		d.after(4*second, func() { d.advance(from + 1) })
+	}
+}
+
+// retire drains some of a build's endpoints, and removes them a second later.
+func (d *deployment) retire(build uint16) {
+	var leaving []*listedEndpoint
+	for _, endpoint := range d.endpoints {
+		if endpoint.build == build && endpoint.state == stateReady && len(leaving) < maxRetired {
+			endpoint.state = stateDraining
+			leaving = append(leaving, endpoint)
+		}
+	}
+	d.addListToAll(leaving)
+	d.after(second, func() {
+		for _, endpoint := range leaving {
+			endpoint.state = stateGone
+		}
+		d.addListToAll(leaving)
+	})
+}
+
+// countVote counts a vote and answers it. Every fifth is not counted, for each of the reasons in turn.
+func (d *deployment) countVote(instance *hostedInstance, build uint16, stage, vote byte) {
+	d.votes++
+	verdict, incarnation := byte(outcomeOK), instance.incarnation
+	if d.votes%5 == 0 {
+		verdict = []byte{outcomeNotSent, outcomeFull, outcomeError, outcomeTimeout}[d.votes/5%4]
+	}
+	stale := stage != d.stage || d.phase != phaseCanary
+	if build != d.build || vote != voteRollBack && stale {
+		verdict = outcomeNotSent
+	}
+	if verdict == outcomeOK {
+		delete(d.promoteVotes, instance.number)
+		delete(d.rollbackVotes, instance.number)
+		switch vote {
+		case votePromote:
+			d.promoteVotes[instance.number] = true
+		case voteRollBack:
+			d.rollbackVotes[instance.number] = true
+		}
+	}
+	d.after(30*millisecond, func() {
+		if instance.isIn(incarnation) {
+			d.addRolloutStatus(instance, 1, verdict)
+		}
+	})
+	enough := min(2, len(d.instances))
+	switch {
+	case len(d.rollbackVotes) >= enough && !d.isAborted():
+		d.setRollout(d.stage, phaseRollingBack)
+		d.after(1500*millisecond, func() { d.setRollout(d.stage, phaseWithdrawn) })
+	case len(d.promoteVotes) >= enough && d.site.control != "automatic":
+		from := d.stage
+		d.after(300*millisecond, func() { d.advance(from) })
+	}
+}
--- a/compat/serve_test.go
+++ b/compat/serve_test.go
@@ -36,7 +36,7 @@
 // peer is a stand-in for the other relay of the tier. Of each datagram it keeps the form, and what is not a time.
 type peer struct {
 	conn *net.UDPConn
-	seen observations
+	seen observationLog
 	mu   sync.Mutex
 	view []byte // generation and digest of the first heartbeat
 }
--- a/compat/simhost_test.go
+++ b/compat/simhost_test.go
@@ -19,7 +19,7 @@
 			d := newDeployment(t, s)
 			lines := d.run(p)
 			p.end()
-			t.Logf("%d lines; events %v; datagrams sent %v, received %v", len(lines), d.counted, d.sentForms, d.receivedForms)
+			t.Logf("%d lines; events %v; datagrams sent %v, received %v", len(lines), d.events, d.sentForms, d.receivedForms)
 			checkEvents(t, d)
 			checkDatagrams(t, d)
 			checkGolden(t, "simhost/"+s.name, lines)
@@ -39,7 +39,7 @@
 		want = append(want, eventShutdown)
 	}
 	for _, code := range want {
-		if d.counted[code] == 0 {
+		if d.events[code] == 0 {
 			t.Errorf("no event of code %d was played", code)
 		}
 	}
--- a/compat/standins_test.go
+++ b/compat/standins_test.go
@@ -14,12 +14,12 @@
 )
 
 // seen is what a stand-in has seen, each thing once.
-type observations struct {
+type observationLog struct {
 	mu    sync.Mutex
 	lines []string
 }
 
-func (s *observations) add(line string) {
+func (s *observationLog) add(line string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if !slices.Contains(s.lines, line) {
@@ -27,11 +27,11 @@
 	}
 }
 
-func (s *observations) has(part string) bool {
+func (s *observationLog) has(part string) bool {
 	return slices.ContainsFunc(s.all(), func(line string) bool { return strings.Contains(line, part) })
 }
 
-func (s *observations) all() []string {
+func (s *observationLog) all() []string {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return slices.Clone(s.lines)
@@ -96,8 +96,8 @@
 
 // startEndpoint is a unit that answers by the object asked for. How long the relay will wait (d=) depends on the time that has
 // passed, so it is masked, with the length of the message that holds it.
-func startEndpoint(t *testing.T) (address string, s *observations) {
-	s = &observations{}
+func startEndpoint(t *testing.T) (address string, s *observationLog) {
+	s = &observationLog{}
 	return serveAt(t, func(c net.Conn) {
 		r := bufio.NewReader(c)
 		first, err := readMessage(r, true)
@@ -135,7 +135,7 @@
 	generation int
 	list       string
 	changed    chan struct{}
-	seen       observations
+	seen       observationLog
 	address    string
 }
 
@@ -181,8 +181,8 @@
 }
 
 // startPlatform is a platform that offers a build to whoever watches, and counts every vote.
-func startPlatform(t *testing.T) (address string, s *observations) {
-	s = &observations{}
+func startPlatform(t *testing.T) (address string, s *observationLog) {
+	s = &observationLog{}
 	return serveAt(t, func(c net.Conn) {
 		r := bufio.NewReader(c)
 		for {
