--- a/compat/simhost_test.go
+++ b/compat/simhost_test.go
@@ -19,7 +19,7 @@
 			d := newDeployment(t, s)
 			lines := d.run(p)
 			p.end()
-			t.Logf("%d lines; events %v; datagrams sent %v, received %v", len(lines), d.counted, d.sentForms, d.receivedForms)
+			t.Logf("%d lines; events %v; datagrams sent %v, received %v", len(lines), d.events, d.sentForms, d.receivedForms)
 			checkEvents(t, d)
 			checkDatagrams(t, d)
 			checkGolden(t, "simhost/"+s.name, lines)
@@ -30,16 +30,16 @@
 // checkEvents makes sure that a session brings every kind of event that its site allows.
 func checkEvents(t *testing.T, d *deployment) {
 	t.Helper()
-	want := []byte{eventNews, eventDigest, eventBorn, eventFinished, eventIngress, eventHealth, eventAnnounce, eventElapsed,
+	want := []byte{eventRolloutStatus, eventDigest, eventBorn, eventFinished, eventIngress, eventHealth, eventAnnounce, eventElapsed,
 		eventReturned, eventDropped, eventInventory, eventStreaming}
-	if d.site.tell {
+	if d.site.peerMessages {
 		want = append(want, eventDatagram)
 	}
 	if d.site.restarts {
 		want = append(want, eventShutdown)
 	}
 	for _, code := range want {
-		if d.counted[code] == 0 {
+		if d.events[code] == 0 {
 			t.Errorf("no event of code %d was played", code)
 		}
 	}
@@ -48,7 +48,7 @@
 // checkDatagrams makes sure that reports and decisions are both sent and received, and that nothing else is sent.
 func checkDatagrams(t *testing.T, d *deployment) {
 	t.Helper()
-	if !d.site.tell {
+	if !d.site.peerMessages {
 		if len(d.sentForms) > 0 {
 			t.Errorf("datagrams of forms %v were sent where none may be", d.sentForms)
 		}
