--- a/compat/address_test.go
+++ b/compat/address_test.go
@@ -10,8 +10,8 @@
 
 var addressesGiven atomic.Uint32
 
-// freeAddress gives an address on loopback that nothing listens at. No other test and no other process has its host, and its
-// port is none of those that the system gives away: it stays free until the program under test takes it.
+// freeAddress returns an address on loopback that nothing listens on. Its IP address is used by no other test or process, and
+// its port is outside the system's ephemeral range, so it stays free until the program under test listens on it.
 func freeAddress(t *testing.T) string {
 	t.Helper()
 	for range 100 {
--- a/compat/calls_test.go
+++ b/compat/calls_test.go
@@ -7,8 +7,8 @@
 	"testing"
 )
 
-// TestExitCodes calls the tool rightly and wrongly: each call ends with its code, a wrong one with one plain
-// line, or one for each fault of a plan.
+// TestExitCodes runs valid and invalid commands: each ends with its exit code, an invalid one with one line on standard
+// error, or with one for each fault of a plan.
 func TestExitCodes(t *testing.T) {
 	input, err := filepath.Abs(filepath.Join("testdata", "input"))
 	if err != nil {
@@ -93,7 +93,7 @@
 	}
 }
 
-// TestPlanFaults compares what a check says of plans with faults: that is its result.
+// TestPlanFaults compares what `plan check` prints for plans with faults, which is its result.
 func TestPlanFaults(t *testing.T) {
 	input, err := filepath.Abs(filepath.Join("testdata", "input"))
 	if err != nil {
--- a/compat/config_test.go
+++ b/compat/config_test.go
@@ -7,18 +7,18 @@
 	"testing"
 )
 
-const goodConfig = `{"name":"n3","listen":"127.0.0.1:5433","discovery":"127.0.0.1:8500","seed":"8c1f30d27a5be964",
+const validConfig = `{"name":"n3","listen":"127.0.0.1:5433","discovery":"127.0.0.1:8500","seed":"8c1f30d27a5be964",
  "limits":{"cores":1.0,"memory_mb":192,"sockets":1024},"peer_listen":"127.0.0.1:7946","peers":["127.0.0.1:7946"],"peers_all":"127.0.0.1:7947",
  "platform":{"address":"127.0.0.1:6400","news":{"image":42,"ring":"1","progress":"canary","ceiling":0.28,"lag_ms":310}},
  "known":{"generation":41,"reset":true,"instances":[]},"settings":{"grades":[{"name":"basket","repeat":"retryable"}]}}`
 
-// TestConfigurations reads configurations that are good, or have one fault each: check says ok, or check and serve end with 1
-// and one line that names the field.
+// TestConfigurations reads valid configurations, and some with one fault each: `check` prints ok, or `check` and `serve` exit
+// with 1 and one line that names the field.
 func TestConfigurations(t *testing.T) {
 	for _, c := range []struct {
 		name     string
 		old, new string
-		names    string // what the line must hold behind the file; empty: no fault
+		names    string // what the line must contain besides the file's path; empty: no fault
 	}{
 		{"as it stands", "", "", ""},
 		{"unknown keys", `{"name"`, `{"more":{"x":1},"name"`, ""},
@@ -46,16 +46,16 @@
 		{"settings of a wrong type", `"repeat":"retryable"`, `"repeat":7`, "settings"},
 		{"a field of a wrong type", `"name":"n3"`, `"name":3`, "name"},
 		{"no JSON", `"seed"`, `seed`, ":"},
-		{"an empty file", goodConfig, ``, ":"},
+		{"an empty file", validConfig, ``, ":"},
 		{"two faults", `"listen":"127.0.0.1:5433","discovery":"127.0.0.1:8500"`, `"listen":"x","discovery":"y"`, "listen"},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			t.Parallel()
 			path := filepath.Join(t.TempDir(), "config.json")
-			text := goodConfig
+			text := validConfig
 			if c.old != "" {
-				text = strings.Replace(goodConfig, c.old, c.new, 1)
-				if text == goodConfig {
+				text = strings.Replace(validConfig, c.old, c.new, 1)
+				if text == validConfig {
 					t.Fatal("the configuration was not changed")
 				}
 			}
@@ -70,7 +70,7 @@
 				return
 			}
 			for _, r := range []result{r, call(t, "serve", "--config", path)} {
-				file, fault, named := strings.Cut(r.errs, path) // the path holds the case's name
+				file, fault, named := strings.Cut(r.errs, path) // the path contains the case's name
 				if lines := r.errorLines(); r.code != 1 || len(lines) != 1 || !named || !strings.Contains(file+fault, c.names) || r.out != "" {
 					t.Errorf("exit %d, %q, %q; want one line that names %s", r.code, r.out, r.errs, c.names)
 				}
@@ -79,10 +79,10 @@
 	}
 }
 
-// TestConfigurationTooLarge reads a file over the bound, which is refused unread.
+// TestConfigurationTooLarge reads a file over the size limit, which is rejected unread.
 func TestConfigurationTooLarge(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "config.json")
-	if err := os.WriteFile(path, []byte(goodConfig+strings.Repeat(" ", 64<<20)), 0o600); err != nil {
+	if err := os.WriteFile(path, []byte(validConfig+strings.Repeat(" ", 64<<20)), 0o600); err != nil {
 		t.Fatal(err)
 	}
 	r := call(t, "check", "--config", path)
--- a/compat/controller_session_test.go
+++ b/compat/controller_session_test.go
@@ -15,7 +15,7 @@
 	"time"
 )
 
-// controllerPlan is a plan of three services: one that votes move, one that needs it, and one that the clock moves at once.
+// controllerPlan is a plan of three services: a is promoted by votes, b depends on a, and c is promoted by the clock at once.
 func controllerPlan(voteLife string, addresses map[string]string) string {
 	return fmt.Sprintf(`<plan version="1"><site name="x"/><group name="g"/>
 <service name="a" watch=%q back-for="1s" settle="0s"><votes on="0.6" back="0.3" life=%q/>
@@ -27,18 +27,18 @@
 		addresses["a"], voteLife, addresses["r0"], addresses["r1"], addresses["r2"], addresses["b"], addresses["c"])
 }
 
-// desk is a release desk that runs, and the connections of a test to it.
+// controller is a release controller that runs, with a test's connections to it.
 type controller struct {
-	t       *testing.T
-	process *process
-	state   string
-	plan    string
-	at      map[string]string // by relay, and by service for its watch
-	masked  timeSpan
-	watches map[string]*lineClient
+	t         *testing.T
+	process   *process
+	state     string
+	plan      string
+	addresses map[string]string // by relay for its votes, and by service for its watch
+	masked    timeSpan
+	watches   map[string]*lineClient
 }
 
-// planFor writes the plan with addresses that are free.
+// planFor writes the plan with free addresses, and returns these by name.
 func planFor(t *testing.T, voteLife string) (path string, at map[string]string) {
 	t.Helper()
 	at = map[string]string{}
@@ -52,86 +52,86 @@
 	return path, at
 }
 
-// startFreshController runs a desk on an empty directory. Votes last for longer than any test, and an operator's freeze is set for
-// some hours: times of the next day are the test's too.
+// startFreshController runs a release controller on an empty state directory. Votes live longer than any test. Times of the
+// next day are masked too, as an operator's freeze ends some hours later.
 func startFreshController(t *testing.T) *controller {
 	t.Helper()
 	return startController(t, t.TempDir(), "1h", spanFromNow(24*time.Hour))
 }
 
-// startController runs a desk on a state directory and waits until operators can reach it.
+// startController runs a release controller on a state directory and waits until operators can reach it.
 func startController(t *testing.T, state, voteLife string, masked timeSpan) *controller {
 	t.Helper()
-	d := &controller{t: t, state: state, masked: masked, watches: map[string]*lineClient{}}
-	d.plan, d.at = planFor(t, voteLife)
-	d.process = run(t, "desk", "run", "--plan", d.plan, "--state", state)
+	controller := &controller{t: t, state: state, masked: masked, watches: map[string]*lineClient{}}
+	controller.plan, controller.addresses = planFor(t, voteLife)
+	controller.process = run(t, "desk", "run", "--plan", controller.plan, "--state", state)
 	eventually(t, "the control file is there", func() bool {
-		if d.process.hasEnded() {
-			t.Fatalf("the desk ended:\n%s", d.process.logged)
+		if controller.process.hasEnded() {
+			t.Fatalf("the release controller ended:\n%s", controller.process.logged)
 		}
 		_, err := os.Stat(filepath.Join(state, "control"))
 		return err == nil
 	})
-	return d
+	return controller
 }
 
-// request sends one line to the control socket and gives the line that answers it. WORD stands for the secret.
-func (d *controller) request(text string) string {
-	d.t.Helper()
-	words := strings.Fields(string(readFile(d.t, filepath.Join(d.state, "control"))))
+// request sends one line to the control socket and returns the reply. WORD stands for the secret.
+func (c *controller) request(text string) string {
+	c.t.Helper()
+	words := strings.Fields(string(readFile(c.t, filepath.Join(c.state, "control"))))
 	if len(words) != 2 {
-		d.t.Fatalf("the control file holds %d words, want an address and a secret", len(words))
+		c.t.Fatalf("the control file holds %d words, want an address and a secret", len(words))
 	}
 	n, err := net.Dial("tcp", words[0])
 	if err != nil {
-		d.t.Fatal(err)
+		c.t.Fatal(err)
 	}
 	defer n.Close()
 	n.SetDeadline(time.Now().Add(testTimeout))
 	fmt.Fprintf(n, "%s\n", strings.ReplaceAll(text, "WORD", words[1]))
 	answer, err := io.ReadAll(n)
 	if err != nil {
-		d.t.Fatal(err)
+		c.t.Fatal(err)
 	}
-	return strings.TrimSuffix(maskTextTimes(maskTimes(string(answer), d.masked)), "\n")
+	return strings.TrimSuffix(maskTextTimes(maskTimes(string(answer), c.masked)), "\n")
 }
 
-// lineClient is a connection that speaks the platform's lines.
+// lineClient is a connection that speaks the rollout platform's line protocol.
 type lineClient struct {
 	net.Conn
 	reader    *bufio.Reader
 	lastState string
 }
 
-// watch gives the connection to a service's watch, opened at the first use.
-func (d *controller) watch(service string) *lineClient {
-	d.t.Helper()
-	if d.watches[service] == nil {
-		d.watches[service] = d.dial(service)
+// watch returns the connection to a service's watch, which the first call opens.
+func (c *controller) watch(service string) *lineClient {
+	c.t.Helper()
+	if c.watches[service] == nil {
+		c.watches[service] = c.dial(service)
 	}
-	return d.watches[service]
+	return c.watches[service]
 }
 
 // dial opens a connection to a relay's address or to a service's watch.
-func (d *controller) dial(name string) *lineClient {
-	d.t.Helper()
+func (c *controller) dial(name string) *lineClient {
+	c.t.Helper()
 	var n net.Conn
-	eventually(d.t, "the desk listens for "+name, func() (up bool) {
+	eventually(c.t, "the release controller listens for "+name, func() (up bool) {
 		var err error
-		n, err = net.Dial("tcp", d.at[name])
+		n, err = net.Dial("tcp", c.addresses[name])
 		return err == nil
 	})
 	n.SetDeadline(time.Now().Add(2 * testTimeout))
-	d.t.Cleanup(func() { n.Close() })
+	c.t.Cleanup(func() { n.Close() })
 	return &lineClient{Conn: n, reader: bufio.NewReader(n)}
 }
 
 var lastNumber = regexp.MustCompile(` [0-9]+\r\n$`)
 
-// maskAge replaces the last field of a state, which counts the milliseconds since a build came to stand so.
+// maskAge replaces the last field of a rollout state, its age in milliseconds.
 func maskAge(line string) string { return lastNumber.ReplaceAllString(line, " AGE\r\n") }
 
-// say sends a line and gives the answer to it, unasked lines left out.
+// request sends a line and returns the reply. Watch events that come before it are left out.
 func (c *lineClient) request(t *testing.T, line string) string {
 	t.Helper()
 	fmt.Fprintf(c, "%s\r\n", line)
@@ -151,8 +151,8 @@
 	return maskAge(line)
 }
 
-// told reads the unasked lines up to the one named. Signs of life are left out, and a state that is told again: how many of
-// these come depends on how long the test takes.
+// readStates reads watch events up to a given one. Heartbeats and repeated states are left out: how many of them come depends
+// on how long the test takes.
 func (c *lineClient) readStates(t *testing.T, until string) (lines []string) {
 	t.Helper()
 	for {
@@ -166,13 +166,13 @@
 	}
 }
 
-// step is one thing that a session does; exactly one field is set.
+// step is one step of a session; exactly one field is set.
 type step struct {
-	control string   // a request at the control socket, without the secret's field
-	raw     string   // the same, as it stands
-	tool    []string // the tool's desk command, --state left out
-	line    [2]string
-	states  [2]string // the watch of a service tells lines up to this one
+	control string    // a request to the control socket, without the secret's field
+	raw     string    // the same, sent as it is
+	tool    []string  // arguments of the tool's desk command, without --state
+	line    [2]string // a relay or service, and the line to send it
+	states  [2]string // a service, and the last of the watch events to read from it
 }
 
 var controllerSession = []step{
@@ -246,91 +246,92 @@
 	{control: `"verb":"history","votes":true,"last":10001`},
 }
 
-// do carries out a step and gives the lines of the golden file.
-func (d *controller) do(s step) (lines []string) {
-	d.t.Helper()
+// do carries out a step and returns its lines of the golden file.
+func (c *controller) do(s step) (lines []string) {
+	c.t.Helper()
 	switch {
 	case s.raw != "":
-		return []string{"> " + s.raw, "< " + d.request(s.raw)}
+		return []string{"> " + s.raw, "< " + c.request(s.raw)}
 	case s.control != "":
-		return []string{"> " + s.control, "< " + d.request(`{"word":"WORD",`+s.control+`}`)}
+		return []string{"> " + s.control, "< " + c.request(`{"word":"WORD",`+s.control+`}`)}
 	case s.tool != nil:
-		r := call(d.t, append(append([]string{"desk"}, s.tool...), "--state", d.state)...)
+		r := call(c.t, append(append([]string{"desk"}, s.tool...), "--state", c.state)...)
 		lines = append(lines, "$ desk "+strings.Join(s.tool, " "), fmt.Sprintf("exit %d, %d lines of fault", r.code, len(r.errorLines())))
-		return append(lines, strings.Split(maskTextTimes(maskTimes(r.out, d.masked)), "\n")...)
+		return append(lines, strings.Split(maskTextTimes(maskTimes(r.out, c.masked)), "\n")...)
 	case s.line[0] != "":
-		c := (*lineClient)(nil)
+		client := (*lineClient)(nil)
 		if s.line[1] == "WATCH" {
-			c = d.watch(s.line[0])
+			client = c.watch(s.line[0])
 		} else {
-			c = d.dial(s.line[0]) // a fresh one: the desk closes those that stand idle for some seconds
-			defer c.Close()
+			client = c.dial(s.line[0]) // a new one: the release controller closes connections that are idle for some seconds
+			defer client.Close()
 		}
-		return []string{fmt.Sprintf("%s> %s", s.line[0], s.line[1]), fmt.Sprintf("%s< %q", s.line[0], c.request(d.t, s.line[1]))}
+		return []string{fmt.Sprintf("%s> %s", s.line[0], s.line[1]), fmt.Sprintf("%s< %q", s.line[0], client.request(c.t, s.line[1]))}
 	}
-	for _, line := range d.watch(s.states[0]).readStates(d.t, s.states[1]) {
+	for _, line := range c.watch(s.states[0]).readStates(c.t, s.states[1]) {
 		lines = append(lines, fmt.Sprintf("%s< %q", s.states[0], line))
 	}
 	return lines
 }
 
-// TestControllerSession takes a desk through every word of operators and relays, and compares the answers and the journal.
+// TestControllerSession takes a release controller through every request of operators and relays, and compares the replies and
+// the journal.
 func TestControllerSession(t *testing.T) {
-	if !*keep { // other tests read what is kept
+	if !*keep { // other tests read the kept journals
 		t.Parallel()
 	}
-	d := startFreshController(t)
+	controller := startFreshController(t)
 	var lines []string
 	for _, s := range controllerSession {
-		lines = append(lines, d.do(s)...)
+		lines = append(lines, controller.do(s)...)
 	}
-	second := call(t, "desk", "run", "--plan", d.plan, "--state", d.state)
+	second := call(t, "desk", "run", "--plan", controller.plan, "--state", controller.state)
 	lines = append(lines, fmt.Sprintf("a second desk: exit %d, %d lines", second.code, len(second.errorLines())))
-	d.process.stop()
-	gone := call(t, "desk", "status", "--state", d.state)
+	controller.process.stop()
+	gone := call(t, "desk", "status", "--state", controller.state)
 	lines = append(lines, fmt.Sprintf("no desk: exit %d, %d lines", gone.code, len(gone.errorLines())))
 	checkGolden(t, "desk/session", lines)
-	checkGolden(t, "desk/session-journal", journalLines(t, filepath.Join(d.state, "journal"), d.masked))
-	keepJournals(t, d.state, "kept-session")
+	checkGolden(t, "desk/session-journal", journalLines(t, filepath.Join(controller.state, "journal"), controller.masked))
+	keepJournals(t, controller.state, "kept-session")
 }
 
-// TestControllerCompaction writes until the journal has been begun anew twice: archives, a snapshot and what follows it.
+// TestControllerCompaction writes until the journal was compacted twice, which leaves archives, and a snapshot with records after it.
 func TestControllerCompaction(t *testing.T) {
-	if !*keep { // other tests read what is kept
+	if !*keep { // other tests read the kept journals
 		t.Parallel()
 	}
-	d := startFreshController(t)
+	controller := startFreshController(t)
 	for _, s := range controllerSession {
 		if s.tool == nil || !slices.Contains([]string{"status", "history"}, s.tool[0]) {
-			d.do(s)
+			controller.do(s)
 		}
 	}
-	// A name of '<' takes six bytes a letter in JSON: the journal grows to its 4 MiB within few events.
+	// A '<' takes six bytes in JSON, so that the journal grows to its 4 MiB within few events.
 	long := strings.Repeat("<", 15000)
 	for archives := 1; archives <= 2; archives++ {
-		name := filepath.Join(d.state, fmt.Sprintf("journal.%08d", archives))
+		name := filepath.Join(controller.state, fmt.Sprintf("journal.%08d", archives))
 		eventually(t, name+" is there", func() bool {
 			for _, verb := range []string{"freeze", "thaw"} {
 				raw, _ := json.Marshal(map[string]string{"verb": verb, "name": "NAME", "who": "ops", "why": "to fill the journal"})
 				request := strings.Replace(string(raw), "NAME", long, 1)
-				d.request(`{"word":"WORD",` + request[1:])
+				controller.request(`{"word":"WORD",` + request[1:])
 			}
-			d.request(`{"word":"WORD","verb":"status"}`) // answered behind whatever the last word led to
+			controller.request(`{"word":"WORD","verb":"status"}`) // the reply comes after all that the last request led to
 			_, err := os.Stat(name)
 			return err == nil
 		})
 	}
-	d.do(step{control: `"verb":"resume","service":"b","who":"ops","why":"after the snapshot"`})
-	d.process.stop()
-	files, err := filepath.Glob(filepath.Join(d.state, "journal*"))
+	controller.do(step{control: `"verb":"resume","service":"b","who":"ops","why":"after the snapshot"`})
+	controller.process.stop()
+	files, err := filepath.Glob(filepath.Join(controller.state, "journal*"))
 	if err != nil {
 		t.Fatal(err)
 	}
 	var lines []string
 	for _, file := range files {
 		lines = append(lines, filepath.Base(file))
-		lines = append(lines, journalLines(t, file, d.masked)...)
+		lines = append(lines, journalLines(t, file, controller.masked)...)
 	}
 	checkGolden(t, "desk/compaction-journals", lines)
-	keepJournals(t, d.state, "kept-compaction")
+	keepJournals(t, controller.state, "kept-compaction")
 }
--- a/compat/controller_start_test.go
+++ b/compat/controller_start_test.go
@@ -9,14 +9,14 @@
 	"testing"
 )
 
-// TestControllerReadsKeptJournals runs a desk on journals that were written when they were kept, and on what a crash or a fault
-// of the disk makes of them.
+// TestControllerReadsKeptJournals runs a release controller on journals that an earlier one wrote, and on ones that a crash or
+// a disk error damaged.
 func TestControllerReadsKeptJournals(t *testing.T) {
 	for _, c := range []struct {
 		name   string
 		kept   string
 		change func(journal []byte) []byte
-		cut    int // bytes of a torn end that the desk cuts off
+		cut    int // bytes of a torn end that are truncated; -1: the last record is
 	}{
 		{"whole", "kept-session", nil, 0},
 		{"with a snapshot and archives", "kept-compaction", nil, 0},
@@ -38,10 +38,10 @@
 					t.Fatal(err)
 				}
 			}
-			// Votes of the kept journals are long past, whenever this is run. The span is short: a kept journal names a time
-			// some hours behind its own.
+			// Votes of the kept journals have expired, whenever this runs. The masked span is short, as a kept journal holds
+			// a time some hours after its own.
 			masked := spanFromNow(2 * testTimeout)
-			d := startController(t, state, "1s", masked)
+			controller := startController(t, state, "1s", masked)
 			var lines []string
 			for _, s := range []step{
 				{tool: []string{"status", "--json"}},
@@ -53,21 +53,21 @@
 				{control: `"verb":"status"`},
 				{control: `"verb":"offer","service":"a","build":9,"who":"ops","why":"not later"`},
 			} {
-				lines = append(lines, d.do(s)...)
+				lines = append(lines, controller.do(s)...)
 			}
-			d.process.stop()
+			controller.process.stop()
 			checkGolden(t, "desk/read-"+strings.ReplaceAll(c.name, " ", "-"), lines)
-			if whole := bytes.HasPrefix(journal, []byte(journalHead)); whole && c.cut >= 0 {
-				checkGoesOn(t, path, journal[:len(journal)-c.cut], masked)
+			if complete := bytes.HasPrefix(journal, []byte(journalHead)); complete && c.cut >= 0 {
+				checkContinued(t, path, journal[:len(journal)-c.cut], masked)
 			} else {
-				journalLines(t, path, masked) // whole to its last byte again
+				journalLines(t, path, masked) // every record is complete again
 			}
 		})
 	}
 }
 
-// checkGoesOn makes sure that a desk left a journal as it was and only wrote its own start behind it.
-func checkGoesOn(t *testing.T, path string, before []byte, masked timeSpan) {
+// checkContinued checks that a release controller kept a journal as it was and only appended its own start.
+func checkContinued(t *testing.T, path string, before []byte, masked timeSpan) {
 	t.Helper()
 	after := readFile(t, path)
 	if !bytes.HasPrefix(after, before) {
@@ -82,7 +82,8 @@
 	}
 }
 
-// TestControllerRejectsJournals starts a desk on files that are no journal of its own: it ends with one line and changes nothing.
+// TestControllerRejectsJournals starts a release controller on files that aren't a journal of it: it exits with one line and changes
+// nothing.
 func TestControllerRejectsJournals(t *testing.T) {
 	for _, c := range []struct {
 		name   string
@@ -116,7 +117,7 @@
 	}
 }
 
-// TestControllerCalls calls the desk's commands wrongly.
+// TestControllerCalls runs invalid desk commands.
 func TestControllerCalls(t *testing.T) {
 	state := t.TempDir()
 	for _, c := range []struct {
@@ -127,7 +128,7 @@
 		{"desk status", 2},
 		{"desk fly --state STATE", 2},
 		{"desk status --state STATE", 1},
-		{"desk history --state STATE", 1}, // as long as no desk has begun a journal
+		{"desk history --state STATE", 1}, // as there is no journal yet
 		{"desk offer a --state STATE --why w", 2},
 		{"desk offer a 1 --state STATE --why w", 1},
 		{"desk offer a 70000 --state STATE --why w", 2},
--- a/compat/deployment_peers_test.go
+++ b/compat/deployment_peers_test.go
@@ -6,12 +6,12 @@
 // sendAsPeer sends, from a relay that is not hosted, what such a relay sends.
 func (d *deployment) sendAsPeer(peer uint32, turn int) {
 	hash := [3]byte{byte(turn), byte(peer), 7}
-	flagged := d.site.badBuild && d.phase == phaseCanary && turn > 4
+	flagged := d.scenario.badBuild && d.phase == phaseCanary && turn > 4
 	datagrams := [][]byte{reportDatagram(uint64(d.build), uint64(d.stage), flagged, 30, [][3]byte{hash})}
 	if peer < 4 {
 		datagrams = append(datagrams, decisionDatagram(uint64(d.build), uint64(d.stage), byte(turn/5%4)))
 	}
-	if malformed := malformedDatagrams(uint64(d.build), uint64(d.stage)); d.site.malformedDatagrams {
+	if malformed := malformedDatagrams(uint64(d.build), uint64(d.stage)); d.scenario.malformedDatagrams {
 		datagrams = append(datagrams, malformed[turn%len(malformed)])
 	}
 	for _, instance := range d.instances {
@@ -19,7 +19,7 @@
 			d.addDatagram(instance, peer, body)
 		}
 	}
-	if d.site.malformedDatagrams && turn%9 == 0 { // a sender that does not exist
+	if d.scenario.malformedDatagrams && turn%9 == 0 { // a sender that does not exist
 		d.addDatagram(d.instances[0], 1000+peer, datagrams[0])
 	}
 	d.after(900*millisecond, func() { d.sendAsPeer(peer, turn+1) })
--- a/compat/deployment_requests_test.go
+++ b/compat/deployment_requests_test.go
@@ -57,7 +57,7 @@
 
 // isOverloaded reports whether clients send more now than the endpoints can take.
 func (d *deployment) isOverloaded() bool {
-	return d.site.overload && d.now > clockStart+8*second && d.now < clockStart+14*second
+	return d.scenario.overload && d.now > clockStart+8*second && d.now < clockStart+14*second
 }
 
 // addRequest adds a client's request for an instance, and schedules its deadline; some clients leave before that.
@@ -119,7 +119,7 @@
 		ended = 1
 	}
 	var report []float32
-	if d.site.reports == "inline" && outcome == outcomeOK {
+	if d.scenario.reports == "inline" && outcome == outcomeOK {
 		report = []float32{float32(d.random.IntN(90)), float32(d.random.IntN(9))}
 	}
 	d.addEvent(eventFor(eventFinished, instance.onPipe()).u32(request.id).u8(byte(n)).address(a.endpoint).u8(outcome).u64(d.now - a.at).u8(ended).report(report))
@@ -127,7 +127,7 @@
 
 // playAttempt sends a request to an endpoint and schedules what becomes of it.
 func (d *deployment) playAttempt(instance *hostedInstance, a action) {
-	request := d.requests[a.u32(0)]
+	request := d.requests[a.u32()]
 	if request == nil || request.instance != instance.onPipe() {
 		d.t.Fatalf("a send of a request that instance %d does not have:%s", a.instance, a.line())
 	}
@@ -159,15 +159,15 @@
 	if d.isOverloaded() {
 		duration += d.random.Uint64N(1500 * millisecond)
 	}
-	failureRate := d.site.failures
-	if d.site.badBuild && endpoint.build == newBuild {
+	failureRate := d.scenario.failures
+	if d.scenario.badBuild && endpoint.build == newBuild {
 		failureRate = 0.5
 	}
 	outcome = outcomeOK
 	if d.random.Float64() < failureRate || endpoint.state == stateGone {
 		outcome = failures[d.random.IntN(len(failures))]
 	}
-	if d.site.overload && d.random.IntN(30) == 0 {
+	if d.scenario.overload && d.random.IntN(30) == 0 {
 		outcome = outcomeFull
 	}
 	return duration, outcome
--- a/compat/deployment_rollout_test.go
+++ b/compat/deployment_rollout_test.go
@@ -60,7 +60,7 @@
 func (d *deployment) offer() {
 	d.build = newBuild
 	d.setRollout(0, phaseCanary)
-	if d.site.control == "automatic" {
+	if d.scenario.control == "automatic" {
 		d.after(4*second, func() { d.advance(0) })
 	}
 }
@@ -69,7 +69,7 @@
 func (d *deployment) deployNewBuild() {
 	var changed []*listedEndpoint
 	for i := range 3 {
-		if d.site.swap == "replace" {
+		if d.scenario.swap == "replace" {
 			endpoint := d.endpoints[(3*int(d.stage)+i)%len(d.endpoints)]
 			endpoint.state = stateDraining
 			changed = append(changed, endpoint)
@@ -98,7 +98,7 @@
 		return
 	}
 	d.setRollout(from+1, phaseCanary)
-	if d.site.control == "automatic" {
+	if d.scenario.control == "automatic" {
 		d.after(4*second, func() { d.advance(from + 1) })
 	}
 }
@@ -152,7 +152,7 @@
 	case len(d.rollbackVotes) >= enough && !d.isAborted():
 		d.setRollout(d.stage, phaseRollingBack)
 		d.after(1500*millisecond, func() { d.setRollout(d.stage, phaseWithdrawn) })
-	case len(d.promoteVotes) >= enough && d.site.control != "automatic":
+	case len(d.promoteVotes) >= enough && d.scenario.control != "automatic":
 		from := d.stage
 		d.after(300*millisecond, func() { d.advance(from) })
 	}
--- a/compat/deployment_test.go
+++ b/compat/deployment_test.go
@@ -83,7 +83,7 @@
 // the other relays. What it does depends on the seed and on the actions of the instances alone.
 type deployment struct {
 	t         *testing.T
-	site      site
+	scenario  scenario
 	random    *rand.Rand
 	now       uint64
 	scheduled int
@@ -110,8 +110,8 @@
 	receivedForms map[byte]int // and those that instances received
 }
 
-func newDeployment(t *testing.T, s site) *deployment {
-	d := &deployment{t: t, site: s, random: rand.New(rand.NewPCG(s.seed, 77)), now: clockStart, events: map[byte]int{},
+func newDeployment(t *testing.T, s scenario) *deployment {
+	d := &deployment{t: t, scenario: s, random: rand.New(rand.NewPCG(s.seed, 77)), now: clockStart, events: map[byte]int{},
 		requests: map[uint32]*clientRequest{}, nextID: 0x5d3a91c4, build: oldBuild, phase: phaseReleased, stage: lastStage, since: clockStart,
 		rollbackVotes: map[uint16]bool{}, promoteVotes: map[uint16]bool{}, sentForms: map[byte]int{}, receivedForms: map[byte]int{}}
 	for i := range firstEndpoints {
@@ -152,14 +152,14 @@
 	}
 	d.after(3*second, func() { d.offer() })
 	d.after(1*second, func() { d.addUnusualEvents() })
-	if d.site.restarts {
+	if d.scenario.restarts {
 		last := d.instances[len(d.instances)-1]
 		d.after(12*second, func() { d.stopInstance(last); d.addStrayEvent(last) })
 		d.after(13*second, func() { d.startInstance(last) })
 		d.after(15*second, func() { d.stopInstance(last); d.startInstance(last) }) // both in one batch
 	}
-	for peer := range d.site.replicas {
-		if !slices.Contains(d.site.hosted, uint16(peer)) && d.site.peerMessages {
+	for peer := range d.scenario.replicas {
+		if !slices.Contains(d.scenario.hosted, uint16(peer)) && d.scenario.peerMessages {
 			d.after(second+uint64(peer)*137*millisecond, func() { d.sendAsPeer(uint32(peer), 0) })
 		}
 	}
@@ -189,7 +189,7 @@
 func (d *deployment) startInstance(instance *hostedInstance) {
 	instance.running = true
 	instance.incarnation++
-	settings := d.site.settings(instance.number)
+	settings := d.scenario.settings(instance.number)
 	d.addEvent(append(eventFor(eventBorn, instance.onPipe()).u64(d.random.Uint64()).u32(uint32(len(settings))), settings...))
 	d.addList(instance, listCached, d.endpoints)
 	d.addRolloutStatus(instance, 0, 0)
@@ -223,10 +223,10 @@
 	case actionRelay:
 		d.playAttempt(instance, a)
 	case actionCancel:
-		request, incarnation := d.requests[a.u32(0)], instance.incarnation
+		request, incarnation := d.requests[a.u32()], instance.incarnation
 		d.after(batchEvery, func() { d.addFinished(instance, incarnation, request, int(a.rest[4]), outcomeCanceled) })
 	case actionDecline, actionGiveUp:
-		d.requests[a.u32(0)].ended = true
+		d.requests[a.u32()].ended = true
 	case actionSleep:
 		token, when, incarnation := a.u64(0), a.u64(8), instance.incarnation
 		d.after(when-min(when, d.now), func() {
@@ -235,7 +235,7 @@
 			}
 		})
 	case actionSendDatagram:
-		d.carryDatagram(instance, a.u32(0), append([]byte(nil), a.rest[6:]...))
+		d.carryDatagram(instance, a.u32(), append([]byte(nil), a.rest[6:]...))
 	case actionInformed:
 		d.answerSubscription(instance)
 	case actionOpinion:
--- a/compat/doc.go
+++ b/compat/doc.go
@@ -6,6 +6,6 @@
 // commands by the names under which they were first released.
 //
 // A golden file changes only by `go test ./compat -run NAME -update`. Such a change is a change of the wire or of a file
-// format, and belongs in the change log. The journals of the release desk under testdata/desk/kept-* are input: later
+// format, and belongs in the change log. The release controller's journals under testdata/desk/kept-* are input: later
 // binaries must read them, so -update leaves them as they are unless -keep-journals is given too.
 package compat
--- a/compat/standins_test.go
+++ b/compat/fakes_test.go
@@ -13,7 +13,7 @@
 	"testing"
 )
 
-// seen is what a stand-in has seen, each thing once.
+// observationLog is what an emulated server has seen, each observation once. mu guards lines.
 type observationLog struct {
 	mu    sync.Mutex
 	lines []string
@@ -37,7 +37,7 @@
 	return slices.Clone(s.lines)
 }
 
-// serveAt accepts connections at a free address and gives each to a goroutine of its own.
+// serveAt accepts connections on a free address until the test ends, and serves each on a goroutine of its own.
 func serveAt(t *testing.T, serve func(net.Conn)) (address string) {
 	t.Helper()
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
@@ -57,19 +57,20 @@
 	return ln.Addr().String()
 }
 
-// message is one of PostgreSQL's messages: a kind, a length that counts itself, a body.
+// message is a message of PostgreSQL's protocol: its kind, its length with the length field, its body.
 func message(kind byte, body string) string {
 	return string(binary.BigEndian.AppendUint32([]byte{kind}, uint32(len(body)+4))) + body
 }
 
-func startup(words string) string {
-	body := "\x00\x03\x00\x00" + words
+// startup is the startup packet of protocol version 3.
+func startup() string {
+	body := "\x00\x03\x00\x00" + startupParameters
 	return string(binary.BigEndian.AppendUint32(nil, uint32(len(body)+4))) + body
 }
 
 func query(text string) string { return message('Q', text+"\x00") }
 
-// readMessage reads one message whole; a startup packet has no kind.
+// readMessage reads one complete message; the first of a connection, a startup packet, has no kind.
 func readMessage(r *bufio.Reader, first bool) (raw string, err error) {
 	head := make([]byte, 5)
 	if first {
@@ -94,9 +95,10 @@
 
 var deadlineField = regexp.MustCompile(`,d=[0-9]+`)
 
-// startEndpoint is a unit that answers by the object asked for. How long the relay will wait (d=) depends on the time that has
-// passed, so it is masked, with the length of the message that holds it.
+// startEndpoint starts an endpoint whose response depends on the requested object. How long the relay waits (d=) depends on the
+// time that has passed, so it is masked, with the length of its message.
 func startEndpoint(t *testing.T) (address string, s *observationLog) {
+	t.Helper()
 	s = &observationLog{}
 	return serveAt(t, func(c net.Conn) {
 		r := bufio.NewReader(c)
@@ -129,7 +131,8 @@
 	watchWait  = regexp.MustCompile(`wait_ms=[1-9][0-9]*`)
 )
 
-// discovery is a stand-in that answers with one list, and a watch once that list has been replaced by another.
+// discovery emulates the discovery service. It returns one list, and answers a watch when that list is replaced. mu guards
+// generation, list and changed.
 type discovery struct {
 	mu         sync.Mutex
 	generation int
@@ -140,6 +143,7 @@
 }
 
 func startDiscovery(t *testing.T, list string) *discovery {
+	t.Helper()
 	d := &discovery{generation: 1, list: list, changed: make(chan struct{})}
 	d.address = serveAt(t, func(c net.Conn) {
 		r := bufio.NewReader(c)
@@ -152,7 +156,7 @@
 				}
 				head.WriteString(line)
 			}
-			// The port is another in each run, and a watch's longest wait is drawn.
+			// The port differs in each run, and a watch's longest wait is drawn at random.
 			masked := hostHeader.ReplaceAllString(watchWait.ReplaceAllString(head.String(), "wait_ms=DRAWN"), "Host: ADDRESS")
 			d.seen.add(fmt.Sprintf("%q", masked))
 			d.mu.Lock()
@@ -167,11 +171,11 @@
 			fmt.Fprintf(c, "HTTP/1.1 200 OK\r\nContent-Type: application/json\r\nContent-Length: %d\r\n\r\n%s", len(list), list)
 		}
 	})
-	t.Cleanup(func() { d.replace(0, "{}") }) // lets a watch that waits go on to its end
+	t.Cleanup(func() { d.replace(0, "{}") }) // ends a watch that waits
 	return d
 }
 
-// replace puts another list in place and ends the watches that wait for that.
+// replace replaces the list and answers the watches.
 func (d *discovery) replace(generation int, list string) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -180,8 +184,9 @@
 	d.changed = make(chan struct{})
 }
 
-// startPlatform is a platform that offers a build to whoever watches, and counts every vote.
+// startPlatform starts a rollout platform that sends each watcher one status, and accepts every vote.
 func startPlatform(t *testing.T) (address string, s *observationLog) {
+	t.Helper()
 	s = &observationLog{}
 	return serveAt(t, func(c net.Conn) {
 		r := bufio.NewReader(c)
--- a/compat/golden_test.go
+++ b/compat/golden_test.go
@@ -12,7 +12,7 @@
 	"testing"
 )
 
-// maxDifferences bounds the differing lines that a failed comparison prints: the first one is the cause as a rule.
+// maxDifferences is how many differing lines a failed comparison prints: the first one mostly shows the cause.
 const maxDifferences = 5
 
 // checkGolden compares lines with those kept under testdata/NAME.gz, of which testdata/NAME.sha256 holds the digest.
@@ -36,7 +36,7 @@
 	}
 }
 
-// compareLines names the first lines that differ; empty: none.
+// compareLines describes the first lines that differ; it returns an empty text if none do.
 func compareLines(want, got []string) string {
 	var b strings.Builder
 	differing := 0
@@ -65,7 +65,7 @@
 	return b.String()
 }
 
-// firstDifference is the place of the first byte that differs.
+// firstDifference is the index of the first byte that differs.
 func firstDifference(a, b string) int {
 	at := 0
 	for at < min(len(a), len(b)) && a[at] == b[at] {
@@ -74,7 +74,7 @@
 	return at
 }
 
-// excerpt is what stands round a place of a line.
+// excerpt is the part of a line around an index.
 func excerpt(line string, at int) string {
 	const before, after = 80, 160
 	from, to := max(0, at-before), min(len(line), at+after)
--- a/compat/journal_test.go
+++ b/compat/journal_test.go
@@ -10,18 +10,18 @@
 	"testing"
 )
 
-// The journal of a release desk: a first line, then records of a length, a CRC-32C, both of four bytes in little endian,
+// A release controller's journal is a first line, then records of a length and a CRC-32C, each four bytes in little endian,
 // and a payload in JSON.
 const journalHead = "lichenroad desk journal 1\n"
 
 var castagnoli = crc32.MakeTable(crc32.Castagnoli)
 
-// journalLines reads a journal to its last byte and gives its payloads, with the times of a running test masked.
+// journalLines reads a whole journal and returns its payloads, with the times of the running test masked.
 func journalLines(t *testing.T, path string, masked timeSpan) (lines []string) {
 	t.Helper()
 	raw := readFile(t, path)
-	rest, whole := bytes.CutPrefix(raw, []byte(journalHead))
-	if !whole {
+	rest, complete := bytes.CutPrefix(raw, []byte(journalHead))
+	if !complete {
 		t.Fatalf("%s begins with %.40q", path, raw)
 	}
 	for len(rest) > 0 {
@@ -47,7 +47,7 @@
 	return raw
 }
 
-// keepJournals puts the journals of a state directory under testdata, where both flags for that are given.
+// keepJournals copies the journals of a state directory to testdata, if both flags for that are given.
 func keepJournals(t *testing.T, state, name string) {
 	t.Helper()
 	if !*update || !*keep {
@@ -62,7 +62,7 @@
 	}
 }
 
-// restoreJournals puts the journals kept under a name into a fresh state directory.
+// restoreJournals copies kept journals to a new state directory.
 func restoreJournals(t *testing.T, name string) (state string) {
 	t.Helper()
 	state = t.TempDir()
--- a/compat/main_test.go
+++ b/compat/main_test.go
@@ -10,8 +10,8 @@
 )
 
 var (
-	update = flag.Bool("update", false, "write the golden files anew from what the binaries do now")
-	keep   = flag.Bool("keep-journals", false, "keep the journals that the desk writes now, for later binaries to read; needs -update")
+	update = flag.Bool("update", false, "rewrite the golden files from what the binaries do now")
+	keep   = flag.Bool("keep-journals", false, "keep the journals that the release controller writes now, for later binaries to read; needs -update")
 )
 
 // binaries is the folder that holds the binaries under test.
--- a/compat/pipe_test.go
+++ b/compat/pipe_test.go
@@ -11,9 +11,7 @@
 	"testing"
 )
 
-// The frames of the simulator's pipe, as its page describes them.
-
-// Codes of events.
+// Codes of events on the simulator's pipe, as its specification has them.
 const (
 	eventDatagram      = 1
 	eventRolloutStatus = 2
@@ -49,10 +47,10 @@
 	69: "CHECK", actionRelay: "RELAY", 71: "CLOSE_IDLE", 72: "REFRESH", actionSleep: "SLEEP", actionSendDatagram: "MEMO_TO",
 	actionInformed: "KEEP_INFORMED", actionDecline: "DECLINE", actionGiveUp: "GIVE_UP"}
 
-// address is a unit's four bytes of address and its port, as they stand on the wire.
+// address is an endpoint's IPv4 address and port, as on the wire.
 type address [6]byte
 
-// record builds one record of an event.
+// record is the bytes of one event, appended field by field.
 type record []byte
 
 func event(code byte) record { return record{code} }
@@ -73,13 +71,13 @@
 	return r
 }
 
-// frame puts a header before the records of a batch.
+// frame is a batch of records with its header.
 func frame(clock uint64, body []byte) []byte {
 	b := binary.LittleEndian.AppendUint32(nil, uint32(len(body)))
 	return append(binary.LittleEndian.AppendUint64(b, clock), body...)
 }
 
-// action is one record of a reply: the bytes behind its code and its instance.
+// action is one record of a reply; rest are the bytes after its code and instance.
 type action struct {
 	code     byte
 	instance uint16
@@ -87,11 +85,10 @@
 }
 
 func (a action) u16(at int) uint16 { return binary.LittleEndian.Uint16(a.rest[at:]) }
-func (a action) u32(at int) uint32 { return binary.LittleEndian.Uint32(a.rest[at:]) }
+func (a action) u32() uint32       { return binary.LittleEndian.Uint32(a.rest) } // the first field
 func (a action) u64(at int) uint64 { return binary.LittleEndian.Uint64(a.rest[at:]) }
 
-// line is how an action stands in a golden file. The text of a REMARK is left out, with its length: it is a line for
-// people, like those of a log.
+// line is an action's line of a golden file. The text of a REMARK is left out, with its length, as log lines are.
 func (a action) line() string {
 	rest := hex.EncodeToString(a.rest)
 	if a.code == actionRemark {
@@ -100,11 +97,11 @@
 	return fmt.Sprintf("  %s %d %s", actionNames[a.code], a.instance, rest)
 }
 
-// fixedLengths are the bytes behind code and instance, of the actions of one length.
+// fixedLengths are the numbers of bytes after code and instance, of the actions that have a fixed length.
 var fixedLengths = map[byte]int{actionCancel: 5, actionOpinion: 4, 69: 6, actionRelay: 18, 71: 6, 72: 0, actionSleep: 16,
 	actionInformed: 1, actionDecline: 12, actionGiveUp: 4}
 
-// splitReply cuts the body of a reply into its actions.
+// splitReply splits the body of a reply into its actions.
 func splitReply(body []byte) (actions []action, err error) {
 	for at := 0; at < len(body); {
 		if len(body)-at < 3 {
@@ -127,7 +124,7 @@
 	return actions, nil
 }
 
-// pipe is a decision process that runs.
+// pipe is a decision process that runs, with its standard input and output.
 type pipe struct {
 	t       *testing.T
 	command *exec.Cmd
@@ -153,7 +150,7 @@
 	return &pipe{t, command, in, bufio.NewReader(out)}
 }
 
-// exchange writes a batch and reads the reply to it.
+// exchange writes a batch and reads its reply.
 func (p *pipe) exchange(batch []byte) []action {
 	p.t.Helper()
 	if _, err := p.in.Write(batch); err != nil {
@@ -177,7 +174,7 @@
 	return actions
 }
 
-// end closes the input, behind which the process must end well and write nothing more.
+// end closes the input; the process must then exit with 0 and write nothing more.
 func (p *pipe) end() {
 	p.t.Helper()
 	p.in.Close()
--- a/compat/process_test.go
+++ b/compat/process_test.go
@@ -12,16 +12,16 @@
 	"time"
 )
 
-// patience is how long a test waits for what should come at once. It is no proof of anything: a test that needs it fails.
+// testTimeout is how long a test waits for what should come at once; a test that reaches it fails.
 const testTimeout = 30 * time.Second
 
-// result is what a finished command left behind.
+// result is the output and exit code of a command.
 type result struct {
 	out, errs string
 	code      int
 }
 
-// call runs the tool to its end, with an environment that configures nothing.
+// call runs the tool to its end, in an environment without its variables.
 func call(t *testing.T, args ...string) result {
 	t.Helper()
 	return callIn(t, "", args...)
@@ -55,7 +55,7 @@
 	return strings.Split(text, "\n")
 }
 
-// process is the tool while it runs in the foreground.
+// process is a run of the tool in the background. A goroutine of run waits for its end, sets code and closes ended.
 type process struct {
 	t       *testing.T
 	command *exec.Cmd
@@ -82,6 +82,7 @@
 	return b.text.String()
 }
 
+// run starts the tool. It is killed at the end of the test if it still runs.
 func run(t *testing.T, args ...string) *process {
 	t.Helper()
 	p := &process{t: t, command: exec.Command(program("lichenroad"), args...), logged: &lockedBuffer{}, ended: make(chan struct{})}
@@ -105,7 +106,7 @@
 	return p
 }
 
-// over says whether the process has ended.
+// hasEnded reports whether the process has ended.
 func (p *process) hasEnded() bool {
 	select {
 	case <-p.ended:
@@ -115,14 +116,14 @@
 	}
 }
 
-// stop asks the process to end, which it must with code 0.
+// stop sends SIGTERM; the process must exit with 0.
 func (p *process) stop() {
 	p.t.Helper()
 	p.command.Process.Signal(syscall.SIGTERM)
 	p.wait(0)
 }
 
-// wait waits for the end of the process, with a code.
+// wait waits for the end of the process and checks its exit code.
 func (p *process) wait(code int) {
 	p.t.Helper()
 	select {
@@ -135,7 +136,7 @@
 	}
 }
 
-// eventually waits until something holds, by asking again and again.
+// eventually polls a condition until it holds.
 func eventually(t *testing.T, what string, holds func() bool) {
 	t.Helper()
 	for until := time.Now().Add(testTimeout); !holds(); time.Sleep(2 * time.Millisecond) {
--- a/compat/results_test.go
+++ b/compat/results_test.go
@@ -9,13 +9,13 @@
 	"testing"
 )
 
-// resultCase is a call of the tool whose results are kept: its exit code, its standard output, and the file that it writes.
-// In its arguments FILE stands for that file, and DIR for a directory of the case. It runs in a copy of testdata/input.
+// resultCase is a command whose results are compared: its exit code, its standard output, and the file that it writes. In
+// its arguments FILE stands for that file, and DIR for a directory of the case. It runs in testdata/input.
 type resultCase struct {
 	name    string
 	args    string
-	before  []string // calls that make files for it
-	measure bool     // the results hold figures of time and memory, which are left out
+	before  []string // commands that make its input
+	measure bool     // the results contain measurements of time and memory, which are left out
 }
 
 const (
@@ -67,7 +67,7 @@
 	{name: "lab-scale-skewed", args: scale + " --relays 60 --units 300 --services 12 --shape skewed --seconds 8 --tenants 30 --routes 100 --fault relay-kills-x100 --fault loss --fault reorder --fault rack", measure: true},
 }
 
-// TestResults compares what the tool's commands print and write.
+// TestResults compares what commands print and write.
 func TestResults(t *testing.T) {
 	input, err := filepath.Abs(filepath.Join("testdata", "input"))
 	if err != nil {
@@ -111,8 +111,8 @@
 	spaces        = regexp.MustCompile(` +`)
 )
 
-// resultLines are the lines of an output, those with figures of time and memory left out. Such figures stand in columns, whose
-// width they may change, so runs of spaces count as one there.
+// resultLines are the lines of an output, without those that contain measurements of time and memory. As these can change
+// the width of columns, runs of spaces count as one.
 func resultLines(text string, measured bool) (lines []string) {
 	for _, line := range strings.Split(text, "\n") {
 		if measured && (measuredWords.MatchString(line) || strings.HasPrefix(line, "process:")) {
@@ -126,7 +126,7 @@
 	return lines
 }
 
-// withoutMeasured leaves out the keys of an indented JSON text that hold figures of time and memory.
+// withoutMeasured removes the keys of an indented JSON text that contain measurements of time and memory.
 func withoutMeasured(lines []string, measured bool) (kept []string) {
 	if !measured {
 		return lines
--- a/compat/site_test.go
+++ b/compat/scenarios_test.go
@@ -5,12 +5,12 @@
 	"strings"
 )
 
-// site is what differs between the recorded sessions: the settings, and how the deployment around the instances behaves.
-type site struct {
+// scenario is what differs between the recorded sessions: the settings, and how the emulated deployment behaves.
+type scenario struct {
 	name     string
 	seed     uint64
-	replicas int      // instances of the tier; those that are not hosted are played by the session
-	hosted   []uint16 // their my_number; the number on the pipe is 3 higher, as the two are not the same thing
+	replicas int      // instances of the fleet; those that are not hosted are emulated
+	hosted   []uint16 // their my_number; the number on the pipe differs, by 3
 
 	discovery          string // subscribe or automatic
 	reports            string // inline, on_probe or off
@@ -24,15 +24,15 @@
 	noReturn           bool
 	tenants            bool
 	objectiveStretch   float64
-	failures           float64 // share of attempts that fail, one way or another
+	failures           float64 // share of attempts that fail, in any way
 	badBuild           bool    // the new build fails half of its attempts
-	overload           bool    // units answer late and turn requests away
-	restarts           bool    // an instance is shut down and born anew
-	malformedDatagrams bool    // peers send datagrams of every form, well made and not
-	bareSetting        bool    // settings that leave out all that may be left out
+	overload           bool    // endpoints respond late and reject requests
+	restarts           bool    // an instance is stopped and started again
+	malformedDatagrams bool    // peers send malformed datagrams too
+	minimalSettings    bool    // settings without anything optional
 }
 
-var sites = []site{
+var scenarios = []scenario{
 	{name: "good-build", seed: 1, replicas: 8, hosted: []uint16{0, 1, 5}, discovery: "subscribe", reports: "on_probe", control: "by_count",
 		countedBy: "all", swap: "parallel", cancel: true, peerMessages: true, parallelAttempts: true, retryAfter: true, tenants: true, failures: 0.04,
 		restarts: true, malformedDatagrams: true},
@@ -42,10 +42,10 @@
 	{name: "clock-and-overload", seed: 3, replicas: 4, hosted: []uint16{0, 3}, discovery: "subscribe", reports: "off", control: "automatic",
 		countedBy: "all", swap: "parallel", peerMessages: true, parallelAttempts: true, objectiveStretch: 1.5, failures: 0.1, overload: true, malformedDatagrams: true},
 	{name: "alone-and-silent", seed: 4, replicas: 1, hosted: []uint16{0}, discovery: "automatic", reports: "inline", control: "first_voice",
-		countedBy: "all", swap: "parallel", failures: 0.05, bareSetting: true},
+		countedBy: "all", swap: "parallel", failures: 0.05, minimalSettings: true},
 }
 
-// classes of requests, in the order of the settings.
+// Request classes, in the order of the settings.
 const (
 	classRetryable = iota
 	classStreamed
@@ -59,9 +59,9 @@
 // deadlines by class, in nanoseconds.
 var deadlines = [classCount]uint64{2_500_000_000, 4_000_000_000, 3_000_000_000, 2_000_000_000, 2_500_000_000, 2_500_000_000}
 
-// settings gives the start-up object of one instance.
-func (s site) settings(number uint16) string {
-	if s.bareSetting {
+// settings is the settings object of one instance, in JSON.
+func (s scenario) settings(number uint16) string {
+	if s.minimalSettings {
 		return fmt.Sprintf(`{"my_number":%d,"replicas_of_me":%d,"grades":[%s]}`, number, s.replicas, s.grades())
 	}
 	tenants := ""
@@ -84,7 +84,7 @@
 		s.replicas, s.reports, tenants)
 }
 
-func (s site) grades() string {
+func (s scenario) grades() string {
 	forms := [classCount]string{
 		classRetryable: `"repeat":"retryable","group":"all","streamed":false,"target":800000000,"worth":2.0`,
 		classStreamed:  `"repeat":"retryable","group":"all","streamed":true,"target":1500000000,"worth":1.0`,
--- a/compat/serve_test.go
+++ b/compat/serve_test.go
@@ -24,24 +24,25 @@
  "family_info":{"call_timeout":300000000,"exposure_caps":[1],"waves":[1],"uncounted":1,"span":2000000000,
   "decided_by":"first_voice","to_advance":1,"to_abort":1,"ballot_ttl":10000000000,"votes_per_s":100,"min_dwell":0}}`
 
-// endpointList is discovery's answer with the units that serve, all at one address.
-func endpointList(generation int, unit string, names ...string) string {
+// listJSON is discovery's response: endpoints by name, all at one address.
+func listJSON(generation int, endpoint string, names ...string) string {
 	var entries []string
 	for _, name := range names {
-		entries = append(entries, fmt.Sprintf(`{"instanceId":%q,"hostPort":%q,"zone":"a","machineType":"m1","cell":1,"lifecycle":"SERVING","weight":1,"startedAtMs":0,"build":1}`, name, unit))
+		entries = append(entries, fmt.Sprintf(`{"instanceId":%q,"hostPort":%q,"zone":"a","machineType":"m1","cell":1,"lifecycle":"SERVING","weight":1,"startedAtMs":0,"build":1}`, name, endpoint))
 	}
 	return fmt.Sprintf(`{"generation":%d,"reset":true,"instances":[%s]}`, generation, strings.Join(entries, ","))
 }
 
-// peer is a stand-in for the other relay of the tier. Of each datagram it keeps the form, and what is not a time.
+// peer emulates the other relay of the fleet. It records each datagram's form and fields, without times.
 type peer struct {
 	conn *net.UDPConn
 	seen observationLog
 	mu   sync.Mutex
-	view []byte // generation and digest of the first heartbeat
+	view []byte // generation and digest of the endpoint list in the first heartbeat
 }
 
 func startPeer(t *testing.T) *peer {
+	t.Helper()
 	conn, err := net.ListenUDP("udp", &net.UDPAddr{IP: net.IPv4(127, 0, 0, 1)})
 	if err != nil {
 		t.Fatal(err)
@@ -60,11 +61,11 @@
 	return p
 }
 
-// took keeps a datagram of membership without its two times, uvarints of Unix milliseconds: they tell when discovery last
-// answered, and when a call last failed, and are 0 where it has not. A time must be one of the running test.
+// record records a membership datagram without its two times, which are uvarints of Unix milliseconds: when discovery last
+// responded, and when a call to it last failed; 0 means never. Any other time must be one of the running test.
 func (p *peer) record(b []byte) {
 	if !isForm(b, formHeartbeat) && !isForm(b, formDelta) {
-		return // reports and decisions: what they hold depends on how long answers took
+		return // reports and votes: their content depends on how long responses took
 	}
 	_, n := binary.Uvarint(b[2:])
 	if n <= 0 || len(b) < 2+n+8 {
@@ -88,7 +89,7 @@
 	}
 }
 
-// client is a stand-in for a client.
+// client is a client's connection to the relay.
 type client struct {
 	t *testing.T
 	net.Conn
@@ -109,8 +110,9 @@
 	return &client{t, c, bufio.NewReader(c)}
 }
 
-// answer reads up to and with ReadyForQuery, or to the connection's end. The key for cancelling is the session's own.
-func (c *client) answer() (lines []string) {
+// readResponse reads messages up to and including ReadyForQuery, or to the end of the connection. The cancellation key is
+// masked, as it differs in each session.
+func (c *client) readResponse() (lines []string) {
 	for {
 		raw, err := readMessage(c.reader, false)
 		if err != nil {
@@ -126,21 +128,21 @@
 	}
 }
 
-const hello = "user\x00worker\x00database\x00catalog\x00\x00"
+const startupParameters = "user\x00worker\x00database\x00catalog\x00\x00"
 
-// TestServe runs a relay among stand-ins, and compares what each of them sees of it.
+// TestServe runs a relay with emulated endpoints, discovery, platform, peer and clients, and compares what each sees of it.
 func TestServe(t *testing.T) {
 	t.Parallel()
-	unit, endpointSeen := startEndpoint(t)
+	endpoint, endpointSeen := startEndpoint(t)
 	platform, platformSeen := startPlatform(t)
-	disc := startDiscovery(t, endpointList(1, unit, "s-0", "s-1"))
+	disc := startDiscovery(t, listJSON(1, endpoint, "s-0", "s-1"))
 	other := startPeer(t)
 	listen, peerListen := freeAddress(t), freeAddress(t)
 	config := filepath.Join(t.TempDir(), "config.json")
 	text := fmt.Sprintf(`{"name":"n0","listen":%q,"discovery":%q,"seed":"8c1f30d27a5be964","peer_listen":%q,"peers":[%q,%q],"peers_all":%q,
 "platform":{"address":%q,"news":{"image":1,"ring":0,"progress":"stable","ceiling":1,"lag_ms":5000}},"known":%s,"settings":%s}`,
 		listen, disc.address, peerListen, peerListen, other.conn.LocalAddr(), other.conn.LocalAddr(), platform,
-		endpointList(1, unit, "s-0", "s-1"), serveSettings)
+		listJSON(1, endpoint, "s-0", "s-1"), serveSettings)
 	if err := os.WriteFile(config, []byte(text), 0o600); err != nil {
 		t.Fatal(err)
 	}
@@ -148,7 +150,7 @@
 	lines := clientSession(t, listen)
 
 	eventually(t, "a heartbeat came", func() bool { return other.seen.has("form 5") })
-	disc.replace(2, endpointList(2, unit, "s-0"))
+	disc.replace(2, listJSON(2, endpoint, "s-0"))
 	eventually(t, "a heartbeat of the next list came", func() bool { return other.seen.has("form 5, view 02") })
 	other.mu.Lock()
 	old := append([]byte{datagramMark, formHeartbeat}, other.view...)
@@ -174,12 +176,13 @@
 	checkGolden(t, "serve/session", lines)
 }
 
-// clientSession is what clients say to a relay, and what it answers.
+// clientSession plays what clients send to a relay, and returns it with the responses.
 func clientSession(t *testing.T, listen string) (lines []string) {
-	ready := dialRelay(t, listen, startup(hello)+query("")) // held until the relay is ready
+	t.Helper()
+	ready := dialRelay(t, listen, startup()+query("")) // held until the relay is ready
 	lines = append(lines, "startup with an empty query")
-	lines = append(lines, ready.answer()...)
-	lines = append(lines, ready.answer()...)
+	lines = append(lines, ready.readResponse()...)
+	lines = append(lines, ready.readResponse()...)
 	for _, text := range []string{
 		"SELECT body FROM objects WHERE oid = '7f3a' /* id=9b1f,c=look,t=acme,d=1900 */",
 		`INSERT INTO objects (oid, body) VALUES ('7f3a', '\x9f03') RETURNING body /* id=9b20,c=order,t=acme,d=1900,k=5c0f */`,
@@ -192,24 +195,24 @@
 		"SET x = 1",
 		"",
 	} {
-		client := dialRelay(t, listen, startup(hello)+query(text))
-		client.answer() // to the startup
+		client := dialRelay(t, listen, startup()+query(text))
+		client.readResponse() // to the startup
 		lines = append(lines, fmt.Sprintf("%q", text))
-		lines = append(lines, client.answer()...)
-		fmt.Fprint(client, query("")) // a connection that goes on answers this
-		lines = append(lines, client.answer()...)
+		lines = append(lines, client.readResponse()...)
+		fmt.Fprint(client, query("")) // answered if the connection is still usable
+		lines = append(lines, client.readResponse()...)
 	}
 	for _, c := range []struct{ name, bytes string }{
-		{"a message of the extended protocol", startup(hello) + message('P', "\x00SELECT 1\x00\x00\x00")},
+		{"a message of the extended protocol", startup() + message('P', "\x00SELECT 1\x00\x00\x00")},
 		{"another protocol", "GET / HTTP/1.1\r\nHost: x\r\n\r\n"},
 		{"version 2", "\x00\x00\x00\x08\x00\x02\x00\x00"},
 		{"a cancel request", "\x00\x00\x00\x10\x04\xd2\x16\x2e\x00\x00\x00\x01\x00\x00\x00\x00"},
-		{"an end at once", startup(hello) + message('X', "")},
+		{"an end at once", startup() + message('X', "")},
 	} {
 		lines = append(lines, c.name)
 		client := dialRelay(t, listen, c.bytes)
 		for last := ""; last != "  closed"; last = lines[len(lines)-1] {
-			lines = append(lines, client.answer()...)
+			lines = append(lines, client.readResponse()...)
 		}
 	}
 	encrypted := dialRelay(t, listen, "\x00\x00\x00\x08\x04\xd2\x16\x2f") // SSLRequest
--- a/compat/simhost_test.go
+++ b/compat/simhost_test.go
@@ -10,9 +10,9 @@
 	"testing"
 )
 
-// TestSimhostSessions plays a deployment of each kind round the instances, and compares every action byte for byte.
+// TestSimhostSessions plays each scenario, and compares every action of the instances byte for byte.
 func TestSimhostSessions(t *testing.T) {
-	for _, s := range sites {
+	for _, s := range scenarios {
 		t.Run(s.name, func(t *testing.T) {
 			t.Parallel()
 			p := openPipe(t)
@@ -27,15 +27,15 @@
 	}
 }
 
-// checkEvents makes sure that a session brings every kind of event that its site allows.
+// checkEvents checks that a session has every kind of event that its scenario allows.
 func checkEvents(t *testing.T, d *deployment) {
 	t.Helper()
 	want := []byte{eventRolloutStatus, eventDigest, eventBorn, eventFinished, eventIngress, eventHealth, eventAnnounce, eventElapsed,
 		eventReturned, eventDropped, eventInventory, eventStreaming}
-	if d.site.peerMessages {
+	if d.scenario.peerMessages {
 		want = append(want, eventDatagram)
 	}
-	if d.site.restarts {
+	if d.scenario.restarts {
 		want = append(want, eventShutdown)
 	}
 	for _, code := range want {
@@ -45,10 +45,10 @@
 	}
 }
 
-// checkDatagrams makes sure that reports and decisions are both sent and received, and that nothing else is sent.
+// checkDatagrams checks that reports and votes were both sent and received, and nothing else was sent.
 func checkDatagrams(t *testing.T, d *deployment) {
 	t.Helper()
-	if !d.site.peerMessages {
+	if !d.scenario.peerMessages {
 		if len(d.sentForms) > 0 {
 			t.Errorf("datagrams of forms %v were sent where none may be", d.sentForms)
 		}
@@ -64,30 +64,30 @@
 	}
 }
 
-// TestSimhostFaults hands over input that is not well formed: what was whole is answered, then the process ends with 1.
+// TestSimhostFaults writes malformed input: complete batches before it are answered, then the process exits with 1.
 func TestSimhostFaults(t *testing.T) {
 	const good = `{"replicas_of_me":1,"my_number":0}`
-	born := func(settings string) []byte {
+	start := func(settings string) []byte {
 		return append(eventFor(eventBorn, 3).u64(1).u32(uint32(len(settings))), settings...)
 	}
-	whole := frame(clockStart, append(born(good), eventFor(eventElapsed, 3).u64(1)...))
+	complete := frame(clockStart, append(start(good), eventFor(eventElapsed, 3).u64(1)...))
 	empty := frame(clockStart, nil)
 	for _, c := range []struct {
 		name    string
 		input   []byte
 		code    int
-		replies string // of what was whole, in hex
+		replies string // to the complete batches, in hex
 	}{
 		{"no input", nil, 0, ""},
 		{"an empty batch", empty, 0, "0000000000000000"},
 		{"half a header", append(slices.Clone(empty), 1, 0, 0), 1, "0000000000000000"},
-		{"half a body", whole[:len(whole)-1], 1, ""},
+		{"half a body", complete[:len(complete)-1], 1, ""},
 		{"an unknown code", frame(clockStart, []byte{99, 0, 0}), 1, ""},
 		{"a record past the end", frame(clockStart, eventFor(eventElapsed, 3).u32(1)), 1, ""},
 		{"a list past the end", frame(clockStart, event(eventInventory).u32(1).u32(2)), 1, ""},
 		{"a list of too high a number", frame(clockStart, event(eventInventory).u32(1<<20).u32(0)), 1, ""},
-		{"settings that are no object", frame(clockStart, born(`[`)), 1, ""},
-		{"settings of a wrong type", frame(clockStart, born(`{"my_number":"x"}`)), 1, ""},
+		{"settings that are no object", frame(clockStart, start(`[`)), 1, ""},
+		{"settings of a wrong type", frame(clockStart, start(`{"my_number":"x"}`)), 1, ""},
 		{"a body that is too long", []byte{0, 0, 0, 0x60, 0, 0, 0, 0, 0, 0, 0, 0}, 1, ""},
 		{"an event for nobody", frame(clockStart, eventFor(eventElapsed, 9).u64(1)), 0, "0000000000000000"},
 	} {
--- a/compat/times_test.go
+++ b/compat/times_test.go
@@ -11,17 +11,17 @@
 	textTimes = regexp.MustCompile(`\b([0-9]{4}-)?[0-9]{2}-[0-9]{2}[ T][0-9]{2}:[0-9]{2}:[0-9]{2}Z`)
 )
 
-// span is the time of a running test, with what lies ahead of it.
+// timeSpan is the time from the start of a test to some time after it, in Unix seconds.
 type timeSpan struct{ from, to float64 }
 
-// spanFromNow is a span that begins now.
+// spanFromNow is a span of some length that begins now.
 func spanFromNow(length time.Duration) timeSpan {
 	now := float64(time.Now().UnixNano()) / 1e9
 	return timeSpan{now, now + length.Seconds()}
 }
 
-// maskTimes replaces the Unix times of a running test, which no two runs have in common. Times of a golden journal are
-// earlier, and those that a test names are later; both stand as they are.
+// maskTimes replaces the Unix times within a span, which differ in each run. Times of a kept journal are earlier, and those
+// that a test sets are later; both are kept.
 func maskTimes(text string, masked timeSpan) string {
 	return unixTimes.ReplaceAllStringFunc(text, func(number string) string {
 		at, err := strconv.ParseFloat(number, 64)
@@ -32,5 +32,5 @@
 	})
 }
 
-// maskTextTimes replaces the times in a text for people, whatever they are: they are of one width, so columns keep theirs.
+// maskTextTimes replaces all dates with times in a printed text; as these have one width, columns stay aligned.
 func maskTextTimes(text string) string { return textTimes.ReplaceAllString(text, "TIME") }
