--- a/cmd/lichenroad/scale.go
+++ b/cmd/lichenroad/scale.go
@@ -27,7 +27,7 @@
 	var flags scaleFlags
 	f := c.Flags()
 	f.IntVar(&options.Relays, "relays", 43, "relays of the fleet")
-	f.IntVar(&options.Units, "units", 420, "endpoints of the fleet, those of a release included")
+	f.IntVar(&options.Endpoints, "units", 420, "endpoints of the fleet, those of a release included")
 	f.IntVar(&options.Services, "services", 21, "services of a skewed fleet; a wide one has one")
 	f.IntVar(&options.Zones, "zones", 16, "zones")
 	f.IntVar(&options.Regions, "regions", 7, "regions, over which the zones are spread")
@@ -52,7 +52,7 @@
 		options.Faults = append(options.Faults, scale.Fault(name))
 	}
 	for _, name := range flags.without {
-		options.Without = append(options.Without, scale.Defence(name))
+		options.Without = append(options.Without, scale.Safeguard(name))
 	}
 	if err := options.Validate(); err != nil {
 		return err
@@ -70,8 +70,8 @@
 	if err := result.WriteTable(t.out); err != nil {
 		return failed(err)
 	}
-	if result.BrokenCount > 0 {
-		return ruleBroken("%d times a rule was broken", result.BrokenCount)
+	if result.ViolationCount > 0 {
+		return ruleBroken("%d times a rule was broken", result.ViolationCount)
 	}
 	return nil
 }
--- a/lab/scale/checker_test.go
+++ b/lab/scale/checker_test.go
@@ -6,144 +6,160 @@
 	"lichenroad/relay"
 )
 
-func rules(r *Result) map[string]int {
-	out := map[string]int{}
-	for _, b := range r.Broken {
-		out[b.Rule]++
+// violationsByRule counts the violations in a result.
+func violationsByRule(r *Result) map[string]int {
+	counts := map[string]int{}
+	for _, b := range r.Violations {
+		counts[b.Rule]++
 	}
-	return out
+	return counts
 }
 
-// TestCheckerFindsWhatADefenceHeldOff switches each defence off, and none.
-func TestCheckerFindsWhatADefenceHeldOff(t *testing.T) {
-	o := small(Wide, func(o *Options) { o.Faults, o.Seconds = []Fault{ZoneLoss}, 22 }) // so that units leave
-	if r := play(t, o); r.BrokenCount != 0 || r.Decisions.BadBack != 1 || !r.ColdChecked {
-		t.Errorf("with all defences: %+v, %+v", r.Broken, r.Decisions)
+// TestCheckerFindsViolationsWithoutASafeguard runs with all safeguards, and without each of them.
+func TestCheckerFindsViolationsWithoutASafeguard(t *testing.T) {
+	o := smallOptions(Wide, func(o *Options) { o.Faults, o.Seconds = []Fault{ZoneLoss}, 22 }) // so that endpoints leave
+	if r := simulate(t, o); r.ViolationCount != 0 || r.Decisions.BadRolledBack != 1 || !r.SlowStartChecked {
+		t.Errorf("with all safeguards: %+v, %+v", r.Violations, r.Decisions)
 	}
-	for defence, rule := range map[Defence]string{DrainNotices: drainRule, ExposureCap: exposureRule, Leases: drainRule} {
-		o.Without = []Defence{defence}
-		r := play(t, o)
-		if got := rules(r); got[rule] == 0 || len(got) != 1 {
-			t.Errorf("without %s: %v", defence, got)
-		}
-		if b := r.Broken[0]; b.Time < 0.3*o.Seconds || b.Instance == "" || b.Detail == "" {
-			t.Errorf("%+v", b)
-		}
+	for safeguard, rule := range map[Safeguard]string{DrainNotices: drainRule, ExposureLimit: exposureRule, Leases: drainRule} {
+		t.Run("without "+string(safeguard), func(t *testing.T) {
+			o := o
+			o.Without = []Safeguard{safeguard}
+			r := simulate(t, o)
+			if got := violationsByRule(r); got[rule] == 0 || len(got) != 1 {
+				t.Fatalf("%v", got)
+			}
+			if v := r.Violations[0]; v.Time < 0.3*o.Seconds || v.Instance == "" || v.Detail == "" {
+				t.Errorf("%+v", v)
+			}
+		})
 	}
 }
 
+// newChecker returns the checker of a relay that has received nothing.
 func newChecker() *checker {
 	c := &checker{instance: "x"}
-	c.restarted()
+	c.restart()
 	return c
 }
 
-// TestDrainRule plants attempts around the moment from which a drain holds.
+// TestDrainRule sends attempts just before and after a drain binds the relay.
 func TestDrainRule(t *testing.T) {
-	r := &request{}
-	for _, c := range []struct {
-		told, at, unreachable float64
-		broken                int
+	const drainListedAt = 10
+	for name, c := range map[string]struct {
+		receivedAt, sentAt, unreachable float64
+		violations                      int
 	}{
-		{told: 12, at: 12.2}, {told: 12, at: 12.3, broken: 1},
-		{told: never, at: 16.2}, {told: never, at: 16.3, broken: 1}, // 6 s after the list had it
-		{told: never, at: 16.3, unreachable: 1}, {told: never, at: 17.3, unreachable: 1, broken: 1},
-		{told: 20, at: 16.3, broken: 1},
+		"within the grace of a received drain":    {receivedAt: 12, sentAt: 12.2},
+		"after the grace of a received drain":     {receivedAt: 12, sentAt: 12.3, violations: 1},
+		"before an unreceived drain binds":        {receivedAt: never, sentAt: 16.2}, // 6 s after it was listed
+		"after an unreceived drain binds":         {receivedAt: never, sentAt: 16.3, violations: 1},
+		"unreachable, before the drain binds":     {receivedAt: never, sentAt: 16.3, unreachable: 1},
+		"unreachable, after the drain binds":      {receivedAt: never, sentAt: 17.3, unreachable: 1, violations: 1},
+		"drain received after it binds the relay": {receivedAt: 20, sentAt: 16.3, violations: 1},
 	} {
-		k := newChecker()
-		u := newUnit("u", place{}, 0, 0, 0)
-		u.leaving = 10
-		if c.told != never {
-			k.listed(c.told, u, relay.Draining)
-			k.listed(c.told+1, u, relay.Removed) // the first word counts
-		}
-		k.sends(c.at, r, u, c.unreachable)
-		if k.count != c.broken {
-			t.Errorf("%+v: %+v", c, k.broken)
-		}
+		t.Run(name, func(t *testing.T) {
+			k := newChecker()
+			e := newEndpoint("u", place{}, 0, 0, 0)
+			e.drainListedAt = drainListedAt
+			if c.receivedAt != never {
+				k.receiveEntry(c.receivedAt, e, relay.Draining)
+				k.receiveEntry(c.receivedAt+1, e, relay.Removed) // the first entry counts
+			}
+			k.checkAttempt(c.sentAt, &request{}, e, c.unreachable)
+			if k.count != c.violations {
+				t.Errorf("%+v", k.violations)
+			}
+		})
 	}
 }
 
-// TestExposureRule plants attempts at a build on trial.
+// TestExposureRule sends attempts at a canary up to the limit and beyond.
 func TestExposureRule(t *testing.T) {
 	k := newChecker()
-	trial := newUnit("u", place{}, 0, 2, 0)
-	k.hears(0, relay.RolloutStatus{Valid: true, Build: 2, Phase: relay.PhaseCanary, ExposureLimit: 0.5})
+	trial := newEndpoint("u", place{}, 0, 2, 0)
+	k.receiveStatus(0, relay.RolloutStatus{Valid: true, Build: 2, Phase: relay.PhaseCanary, ExposureLimit: 0.5})
 	for range 4 {
-		k.takes(1)
+		k.receiveRequest(1)
 	}
 	for i := range 4 {
-		if k.sends(1, &request{}, trial, 0); k.count > 0 != (i == 3) { // 1 + 4 x 0.5 are allowed
-			t.Fatalf("attempt %d: %+v", i, k.broken)
+		if k.checkAttempt(1, &request{}, trial, 0); k.count > 0 != (i == 3) { // 1 + 4 x 0.5 are allowed
+			t.Fatalf("attempt %d: %+v", i, k.violations)
 		}
 	}
 	k.count = 0
-	k.hears(4, relay.RolloutStatus{Valid: true, Build: 2, Phase: relay.PhaseRollingBack})
-	if k.sends(4.2, &request{}, trial, 0); k.count != 0 {
-		t.Errorf("within the grace: %+v", k.broken)
+	k.receiveStatus(4, relay.RolloutStatus{Valid: true, Build: 2, Phase: relay.PhaseRollingBack})
+	if k.checkAttempt(4.2, &request{}, trial, 0); k.count != 0 {
+		t.Errorf("within the grace: %+v", k.violations)
 	}
-	if k.sends(4.3, &request{}, trial, 0); k.count != 1 {
-		t.Error("a build that goes back was sent to")
+	if k.checkAttempt(4.3, &request{}, trial, 0); k.count != 1 {
+		t.Error("an attempt at a build that is rolled back was allowed")
 	}
-	if k.sends(4.3, &request{}, newUnit("old", place{}, 0, 1, 0), 0); k.count != 1 {
-		t.Error("the earlier build is free")
+	if k.checkAttempt(4.3, &request{}, newEndpoint("old", place{}, 0, 1, 0), 0); k.count != 1 {
+		t.Error("an attempt at the earlier build was not allowed")
 	}
 }
 
-// TestEffectTwiceRule plants a second attempt of a request that may run once.
+// TestEffectTwiceRule sends a second attempt of requests, after several outcomes of the first.
 func TestEffectTwiceRule(t *testing.T) {
-	u := newUnit("u", place{}, 0, 0, 0)
+	e := newEndpoint("u", place{}, 0, 0, 0)
 	once := relay.Request{Class: 1}
-	for _, c := range []struct {
-		query  relay.Request
-		before attempt
-		broken int
+	for name, c := range map[string]struct {
+		request    relay.Request
+		earlier    attempt
+		violations int
 	}{
-		{once, attempt{over: true, how: relay.ConnectFailed}, 0}, {once, attempt{over: true, how: relay.Errored}, 1},
-		{once, attempt{how: relay.ConnectFailed}, 1}, {relay.Request{}, attempt{over: true, how: relay.Errored}, 0},
+		"at most once, never connected":   {once, attempt{ended: true, outcome: relay.ConnectFailed}, 0},
+		"at most once, may have run":      {once, attempt{ended: true, outcome: relay.Errored}, 1},
+		"at most once, has not ended yet": {once, attempt{outcome: relay.ConnectFailed}, 1},
+		"idempotent, may have run":        {relay.Request{}, attempt{ended: true, outcome: relay.Errored}, 0},
 	} {
-		k := newChecker()
-		if k.sends(1, &request{query: c.query, attempts: []attempt{c.before}}, u, 0); k.count != c.broken {
-			t.Errorf("%+v: %+v", c, k.broken)
-		}
+		t.Run(name, func(t *testing.T) {
+			k := newChecker()
+			k.checkAttempt(1, &request{details: c.request, attempts: []attempt{c.earlier}}, e, 0)
+			if k.count != c.violations {
+				t.Errorf("%+v", k.violations)
+			}
+		})
 	}
 }
 
-// TestColdRule plants more work than a cold unit can do: three times four tenths of a second of it in a second.
-func TestColdRule(t *testing.T) {
-	u := newUnit("u", place{}, 0, 0, 10)
+// TestSlowStartRule sends more work than an endpoint at its start can do in a second: three times 0.4 s.
+func TestSlowStartRule(t *testing.T) {
+	e := newEndpoint("u", place{}, 0, 0, 10)
 	for i := range 12 {
-		if u.sentCold(10, 0.1) {
+		if e.addSlowStartWork(10, 0.1) {
 			t.Fatalf("attempt %d", i)
 		}
 	}
-	if !u.sentCold(10, 0.1) {
-		t.Error("it was pushed over")
+	if !e.addSlowStartWork(10, 0.1) {
+		t.Error("the overload was not reported")
 	}
-	if u.sentCold(10, 0.1) {
-		t.Error("told twice")
+	if e.addSlowStartWork(10, 0.1) {
+		t.Error("the overload was reported twice")
 	}
-	u.fell = false
-	if u.sentCold(11.5, 0.1) {
-		t.Error("the work of a second ago counts no more")
+	e.overloaded = false
+	if e.addSlowStartWork(11.5, 0.1) {
+		t.Error("work of more than a second ago was counted")
 	}
 }
 
-// TestReleasesOfCohorts has every kind on trial at any time, and one service alone with the bad build of its cohort.
+// TestReleasesOfCohorts checks that every kind is a canary at any time, and that one service alone has the bad build of its
+// cohort.
 func TestReleasesOfCohorts(t *testing.T) {
 	for release := range 4 {
 		bad, kinds := 0, map[releaseKind]int{}
 		for service := range 20 {
-			kind, wrong := releaseOf(service, release)
+			kind, buildDefect := releaseFor(service, release)
 			kinds[kind]++
-			if kind == badForOne && wrong != sound {
+			if kind == badForOneService && buildDefect != noDefect {
 				bad++
 			}
-			if (kind == failing || kind == slow) && wrong == sound || kind == goodRelease && wrong != sound {
-				t.Errorf("%v: %+v", kind, wrong)
+			if (kind == failingRelease || kind == slowRelease) && buildDefect == noDefect || kind == goodRelease && buildDefect != noDefect {
+				t.Errorf("%v: %+v", kind, buildDefect)
 			}
 		}
-		if bad != 1 || len(kinds) != int(releaseKinds) || kinds[badForOne] != 5 {
+		if bad != 1 || len(kinds) != int(releaseKindCount) || kinds[badForOneService] != 5 {
 			t.Errorf("release %d: %v, %d bad alone", release, kinds, bad)
 		}
 	}
