--- a/cmd/lichenroad/fakes_test.go
+++ b/cmd/lichenroad/fakes_test.go
@@ -23,10 +23,10 @@
 	"lichenroad/lab/fakes"
 )
 
-// patience is how long a test waits for what should come at once.
+// testTimeout bounds the wait for what should come at once.
 const testTimeout = 10 * time.Second
 
-// deed is what a fake endpoint does with a request.
+// behaviour is what a fake endpoint does with a request.
 type behaviour int
 
 const (
@@ -34,26 +34,26 @@
 	failing              // XX000
 	rejectFull           // 53300
 	noAnswer
-	reset            // the connection breaks after the query has come
-	garbage          // no message of the protocol
-	twoRows          // an answer of the wrong form
-	succeedThenClose // honour, then close the connection
-	half             // an answer that stops in the middle
-	noise            // a message of no known type, whose body does not come
-	badTag           // an answer whose last message can't be read
-	badLoad          // honour, with a load report that can't be read
+	reset            // the connection breaks after the request was received
+	garbage          // not a message of the protocol
+	twoRows          // a response of the wrong form
+	succeedThenClose // succeed, then close the connection
+	half             // a response that stops in the middle
+	noise            // a message of no known type, whose body is missing
+	badTag           // a response whose last message can't be parsed
+	badLoad          // succeed, with a load report that can't be parsed
 )
 
-// unit is a small stand-in for a server.
+// fakeEndpoint is a small server that speaks the wire protocol.
 type fakeEndpoint struct {
-	t    *testing.T
-	ln   net.Listener
-	does func(statement string) behaviour
+	t           *testing.T
+	ln          net.Listener
+	behaviourOf func(statement string) behaviour
 
 	mu         sync.Mutex
 	statements []string
-	opened     int         // connections that carried a statement: one that was too slow to come up is none
-	seen       chan string // each statement as it comes
+	opened     int         // connections that carried a statement; one that was opened too late carries none
+	seen       chan string // each statement received
 	ended      chan struct{}
 }
 
@@ -69,7 +69,7 @@
 
 func newFakeEndpoint(t *testing.T, does func(string) behaviour) *fakeEndpoint {
 	ln := listening(t)
-	u := &fakeEndpoint{t: t, ln: ln, does: does, seen: make(chan string, 1000), ended: make(chan struct{}, 1000)}
+	u := &fakeEndpoint{t: t, ln: ln, behaviourOf: does, seen: make(chan string, 1000), ended: make(chan struct{}, 1000)}
 	go func() {
 		for {
 			c, err := ln.Accept()
@@ -104,7 +104,7 @@
 		}
 		u.mu.Unlock()
 		u.seen <- text
-		switch u.does(text) {
+		switch u.behaviourOf(text) {
 		case succeed:
 			c.Write(pgwire.Ready(fakes.Row("value of " + text[:6])))
 		case succeedThenClose:
@@ -141,7 +141,7 @@
 
 func (u *fakeEndpoint) address() string { return u.ln.Addr().String() }
 
-// fleet is a stand-in for discovery: it answers calls with the entries it holds.
+// fakeDiscovery answers discovery calls with the entries that it holds.
 type fakeDiscovery struct {
 	mu      sync.Mutex
 	version int
@@ -175,7 +175,7 @@
 	return string(raw)
 }
 
-// set changes an entry and ends the watches that wait for that.
+// set changes an entry and answers the watches that wait for a change.
 func (f *fakeDiscovery) set(i int, lifecycle string) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -215,7 +215,7 @@
  "family_info":{"call_timeout":300000000,"exposure_caps":[1],"waves":[1],"uncounted":1,"span":2000000000,
   "decided_by":"first_voice","to_advance":1,"to_abort":1,"ballot_ttl":10000000000,"votes_per_s":100}}`
 
-// running starts a whole relay on loopback.
+// running starts a complete relay on loopback.
 func running(t *testing.T, f *fakeDiscovery, change func(*config.Config)) *program {
 	t.Helper()
 	raw := fmt.Sprintf(`{"name":"n0","listen":"127.0.0.1:0","discovery":%q,"known":%s,"settings":%s}`,
@@ -242,7 +242,7 @@
 	return p
 }
 
-// ready waits until the relay lets clients in, as its list is confirmed: up to then it turns queries away.
+// ready waits until the relay admits requests, once its list is confirmed: until then it rejects them.
 func ready(t *testing.T, p *program) {
 	t.Helper()
 	listed := make(chan struct{})
@@ -254,7 +254,7 @@
 	}
 }
 
-// client is a stand-in for a client.
+// client is a connection of a client.
 type client struct {
 	t *testing.T
 	net.Conn
@@ -297,7 +297,7 @@
 
 func (c *client) send(text string) { c.Write(pgwire.QueryMessage(text)) }
 
-// answer reads the answer to a query: its value, or the code of an error and its detail.
+// answer reads the response to a request: its value, or the code of an error and its detail.
 func (c *client) answer() (value, code string) {
 	c.t.Helper()
 	for {
@@ -318,7 +318,7 @@
 	}
 }
 
-// closed says that the relay ends the connection.
+// closed reports whether the relay ends the connection.
 func (c *client) closed() bool {
 	_, err := io.Copy(io.Discard, c.r)
 	return err == nil
@@ -335,7 +335,7 @@
 	}
 }
 
-// sums checks the books: everything taken in has ended in one way, and no buffer is out.
+// sums checks the counters: every request accepted has ended in one way, and no buffer is in use.
 func sums(t *testing.T, p *program) {
 	t.Helper()
 	settled(t, p, metrics.Open, 0)
@@ -359,7 +359,7 @@
 	}
 }
 
-// counter is a stand-in for the platform: it answers each line by a function, and hands over its connections.
+// fakePlatform answers each line of the platform by a function, and hands its connections to the test.
 type fakePlatform struct {
 	ln    net.Listener
 	lines chan string
--- a/cmd/lichenroad/fit_test.go
+++ b/cmd/lichenroad/fit_test.go
@@ -3,6 +3,7 @@
 package main
 
 import (
+	"cmp"
 	"os"
 	"path/filepath"
 	"strings"
@@ -29,10 +30,12 @@
 		{"--size relays", 1, "no benchmark with a size relays="},
 		{"--unit B/op", 1, "no benchmark"},
 	} {
-		code, out, errs := call(append([]string{"lab", "fit", file}, strings.Fields(c.args)...)...)
-		if code != c.code || !strings.Contains(out+errs, c.want) || c.code != 0 && strings.Count(errs, "\n") != 1 {
-			t.Errorf("%s: %d %q %q", c.args, code, out, errs)
-		}
+		t.Run(cmp.Or(c.args, "all sizes"), func(t *testing.T) {
+			code, out, errs := call(append([]string{"lab", "fit", file}, strings.Fields(c.args)...)...)
+			if code != c.code || !strings.Contains(out+errs, c.want) || c.code != 0 && strings.Count(errs, "\n") != 1 {
+				t.Errorf("%d %q %q", code, out, errs)
+			}
+		})
 	}
 	if code, _, errs := call("lab", "fit", "/none"); code != 1 || strings.Count(errs, "\n") != 1 {
 		t.Errorf("%d %q", code, errs)
--- a/cmd/lichenroad/main_test.go
+++ b/cmd/lichenroad/main_test.go
@@ -33,18 +33,20 @@
 		{"check --config /none", 1, "", "none"}, {"check", 1, "", "BALANCER_CONFIG"}, {"check more", 2, "", "more"},
 		{"serve --log-level loud --config " + good, 2, "", "loud"}, {"check --flag", 2, "", "flag"},
 	} {
-		var out, errs bytes.Buffer
-		code := run(strings.Fields(c.args), func(string) string { return "" }, &out, &errs)
-		if code != c.code || !strings.Contains(out.String(), c.out) || !strings.Contains(errs.String(), c.errs) {
-			t.Errorf("%q: %d %q %q", c.args, code, out.String(), errs.String())
-		}
-		if code == 1 && strings.Count(errs.String(), "\n") != 1 {
-			t.Errorf("%q: not one line: %q", c.args, errs.String())
-		}
+		t.Run(c.args, func(t *testing.T) {
+			var out, errs bytes.Buffer
+			code := run(strings.Fields(c.args), func(string) string { return "" }, &out, &errs)
+			if code != c.code || !strings.Contains(out.String(), c.out) || !strings.Contains(errs.String(), c.errs) {
+				t.Errorf("%d %q %q", code, out.String(), errs.String())
+			}
+			if code == 1 && strings.Count(errs.String(), "\n") != 1 {
+				t.Errorf("not one line: %q", errs.String())
+			}
+		})
 	}
 }
 
-// stuck is a reader of the log that takes nothing until it is let go.
+// stuck is a writer that blocks until free is closed.
 type stuck struct {
 	bytes.Buffer
 	free chan struct{}
@@ -63,7 +65,7 @@
 		l.Write([]byte("line\n"))
 	}
 	dropped := int(counters.Get(metrics.LogDropped))
-	if dropped < 9 || dropped > 10 { // one may be in the writer's hands
+	if dropped < 9 || dropped > 10 { // one may be in the write that blocks
 		t.Errorf("%d dropped", dropped)
 	}
 	close(to.free)
--- a/cmd/lichenroad/platform_test.go
+++ b/cmd/lichenroad/platform_test.go
@@ -25,7 +25,7 @@
 		case 2:
 			return "ERR Throttling\r\n"
 		case 3:
-			return "" // no answer in time
+			return "" // no reply in time
 		case 4:
 			return "what?\r\n"
 		}
@@ -46,7 +46,7 @@
 		}
 	}
 	d.ln.Close()
-	vote() // the connection was given up with the last answer; no other comes up
+	vote() // the connection was closed after the last reply; no other can be opened
 	settled(t, p, metrics.VotesNotCounted, 2)
 }
 
--- a/cmd/lichenroad/ready_test.go
+++ b/cmd/lichenroad/ready_test.go
@@ -10,11 +10,11 @@
 	"lichenroad/internal/pgwire"
 )
 
-// TestReadyWhateverDiscoverySays starts with each kind of list as last held, at a discovery that refuses: ready in time,
-// serving what is known to be there, and denying where nothing is.
+// TestReadyWhateverDiscoverySays starts with each kind of cached list while discovery fails: the relay is ready in time,
+// serves from the endpoints that it knows, and rejects where it knows none.
 func TestReadyWhateverDiscoverySays(t *testing.T) {
 	for name, c := range map[string]struct {
-		known  string // empty: the list as it stands
+		known  string // empty: the present list
 		within time.Duration
 		code   string
 	}{
@@ -49,7 +49,7 @@
 	}
 }
 
-// TestSigtermBeforeReady ends a relay that has no list yet: whoever waits hears so, and the program ends.
+// TestSigtermBeforeReady ends a relay that has no list yet: requests that wait are rejected, and the program ends.
 func TestSigtermBeforeReady(t *testing.T) {
 	f := newFakeDiscovery(t)
 	f.down = true
--- a/cmd/lichenroad/reload_test.go
+++ b/cmd/lichenroad/reload_test.go
@@ -19,7 +19,7 @@
 	"lichenroad/relay"
 )
 
-// TestMain lets the test's own program stand in for lichenroad, for tests of signals and of whole processes.
+// TestMain lets the test's own program run as lichenroad, for tests of signals and of processes.
 func TestMain(m *testing.M) {
 	if os.Getenv("LICHENROAD_AS_PROGRAM") != "" {
 		main()
@@ -30,7 +30,7 @@
 	os.Exit(m.Run())
 }
 
-// TestReloadBySignal has a relay read its file again under a watch that waits: a good file, a half-written one.
+// TestReloadBySignal has a relay read its file again while a watch is open: a good file, and a half-written one.
 func TestReloadBySignal(t *testing.T) {
 	before, after := newFakeEndpoint(t, always(succeed)), newFakeEndpoint(t, always(succeed))
 	old, fresh := newFakeDiscovery(t, before), newFakeDiscovery(t, after)
@@ -82,7 +82,7 @@
 		c := &client{t, n, bufio.NewReader(n)}
 		n.Write(pgwire.Startup("worker", "catalog"))
 		c.until('Z')
-		c.send("") // answered when the relay is ready, as a front waits for
+		c.send("") // answered when the relay is ready, as a load balancer waits for
 		c.until('I')
 		c.until('Z')
 		c.send(read("look", 1500))
@@ -103,7 +103,7 @@
 	write(file(fresh))
 	cmd.Process.Signal(syscall.SIGHUP)
 	line("configuration reloaded")
-	for until := time.Now().Add(testTimeout); len(after.seen) == 0; { // the new list has another unit
+	for until := time.Now().Add(testTimeout); len(after.seen) == 0; { // the new list has another endpoint
 		if ask() == "" && time.Now().After(until) {
 			t.Fatal("the list of the new discovery does not serve")
 		}
@@ -117,8 +117,8 @@
 	}
 }
 
-// TestPlatformMoves reloads with a vote open at the old address: it is answered there, the next goes to the new
-// one, and so does the watch.
+// TestPlatformMoves reloads with a vote in flight at the old address: it is answered there; the next vote and the watch
+// go to the new one.
 func TestPlatformMoves(t *testing.T) {
 	answer := func(line string) string {
 		if line == "WATCH" {
--- a/cmd/lichenroad/scale.go
+++ b/cmd/lichenroad/scale.go
@@ -10,7 +10,7 @@
 	"lichenroad/lab/scale"
 )
 
-// scaleFlags are the flags of `lab scale` that are not fields of scale.Options as they stand.
+// scaleFlags are the flags of `lab scale` that are not fields of scale.Options unchanged.
 type scaleFlags struct {
 	shape   string
 	faults  []string
--- a/cmd/lichenroad/scale_test.go
+++ b/cmd/lichenroad/scale_test.go
@@ -49,9 +49,11 @@
 		{[]string{"--without", "moat"}, exitUsage, `--without: "moat" is none of `},
 		{[]string{"--shape", "wide", "--relays", "4300", "--units", "42000", "--measured", "4300"}, exitFailed, "this size needs about "},
 	} {
-		code, out, errs := call(append([]string{"lab", "scale"}, c.args...)...)
-		if code != int(c.code) || out != "" || !strings.HasPrefix(errs, "lichenroad: "+c.want) || strings.Count(errs, "\n") != 1 {
-			t.Errorf("%v: %d %q %q", c.args, code, out, errs)
-		}
+		t.Run(strings.Join(c.args, " "), func(t *testing.T) {
+			code, out, errs := call(append([]string{"lab", "scale"}, c.args...)...)
+			if code != int(c.code) || out != "" || !strings.HasPrefix(errs, "lichenroad: "+c.want) || strings.Count(errs, "\n") != 1 {
+				t.Errorf("%d %q %q", code, out, errs)
+			}
+		})
 	}
 }
--- a/cmd/lichenroad/serve.go
+++ b/cmd/lichenroad/serve.go
@@ -118,7 +118,7 @@
 		return nil, err
 	}
 
-	// The module's first step sees the list as last held, then where the newest build stands.
+	// The module's first step sees the cached list, then the status of the newest build.
 	if known, err := reader.Parse(c.KnownList); err == nil {
 		discoveryClient.UseKnownList(known)
 	} else {
@@ -171,7 +171,7 @@
 	return nil
 }
 
-// shutdownGracefully goes on for a little while, closes each connection between its requests, and ends when none is
+// shutdownGracefully keeps serving for a little while, closes each connection between its requests, and ends when none is
 // left, or when every request must have been answered.
 func (p *program) shutdownGracefully() {
 	maxWait := max(limits.PlatformMaxDeadline, p.loop.Site.MaxDeadline())
--- a/cmd/lichenroad/serve_test.go
+++ b/cmd/lichenroad/serve_test.go
@@ -102,8 +102,8 @@
 	sums(t, p)
 }
 
-// TestOutcomes gives each category to units that do one thing: what the client hears, and how often the
-// query may have run.
+// TestOutcomes sends a request of each class to endpoints with one behaviour: what the client receives, and how often
+// the request may have run.
 func TestOutcomes(t *testing.T) {
 	for _, c := range []struct {
 		name          string
@@ -112,7 +112,7 @@
 		code          string
 		minStatements int // at endpoints
 		maxStatements int
-		inTime        bool // answered before the patience ends
+		inTime        bool // answered before the deadline
 	}{
 		{"an error of a query that may run again", failing, "look", pgwire.CodeFull, 2, 3, true},
 		{"an error of one that may not", failing, "pay", pgwire.CodeFailed, 1, 1, true},
@@ -156,7 +156,7 @@
 	p := running(t, f, nil)
 	c := dialClient(t, p)
 	c.until('Z')
-	for range 20 { // one of them at least is sent to the unit that is not there first
+	for range 20 { // at least one of them is sent first to the endpoint that is not there
 		c.send(read("pay", 1500))
 		if v, code := c.answer(); v == "" {
 			t.Fatal(code)
@@ -193,7 +193,7 @@
 	<-u.seen
 	c.Close()
 	settled(t, p, metrics.ClientLeft, 1)
-	<-u.ended // the leg's connection is closed, not kept
+	<-u.ended // the attempt's connection is closed, not pooled
 	if p.loop.Metrics.Get(metrics.AttemptCancelled) != 1 {
 		t.Error(p.loop.Metrics.Fields())
 	}
@@ -322,8 +322,8 @@
 	}
 }
 
-// TestIdleClientsMakeRoom has as many clients as there is room for ask once and keep their connection for good:
-// one with an open query is kept, an idle one is closed in time for others to be served.
+// TestIdleClientsMakeRoom has as many clients as the limit allows send one request and keep their connections open: one
+// with a request in flight is kept, an idle one is closed in time for others to be served.
 func TestIdleClientsMakeRoom(t *testing.T) {
 	release := make(chan struct{})
 	p := running(t, newFakeDiscovery(t, newFakeEndpoint(t, func(s string) behaviour {
@@ -398,7 +398,7 @@
 	settled(t, p, metrics.DiscoveryCalls, 2) // the first call has confirmed the list, and the watch waits
 	f.set(0, "DRAINING")
 	settled(t, p, metrics.DiscoveryCalls, 3) // the answer has been read
-	c.send(read("look", 1500))               // and is taken in before this
+	c.send(read("look", 1500))               // and is applied before this
 	c.answer()
 	before, _ := a.count()
 	for range 20 {
@@ -426,7 +426,7 @@
 	f.mu.Lock()
 	f.down = false
 	f.mu.Unlock()
-	settled(t, p, metrics.DiscoveryCalls, 3) // asked again when the module ordered it: one call at once, then the watch
+	settled(t, p, metrics.DiscoveryCalls, 3) // polled again when the module commanded it: one call at once, then the watch
 }
 
 func TestGentleEnd(t *testing.T) {
--- a/cmd/lichenroad/simulate.go
+++ b/cmd/lichenroad/simulate.go
@@ -20,7 +20,7 @@
 	maxPrintedBroken   = 10
 )
 
-// simulateFlags are the flags of `plan simulate` that are not fields of lab.Options as they stand.
+// simulateFlags are the flags of `plan simulate` that are not fields of lab.Options unchanged.
 type simulateFlags struct {
 	guard   string
 	faults  string
--- a/cmd/lichenroad/size_test.go
+++ b/cmd/lichenroad/size_test.go
@@ -12,9 +12,9 @@
 	"lichenroad/internal/metrics"
 )
 
-// TestThousandRelaysAndUnits starts a relay with 1,024 peers and an indented list of 1,024 units with long names, of
-// over a megabyte, within the smallest limits, and has it serve. A delta that drains half of the units holds at once:
-// neither idle connections nor new ones carry another query there.
+// TestThousandRelaysAndUnits starts a relay with 1,024 peers and an indented list of 1,024 endpoints with long names, of
+// over a megabyte, within the smallest limits, and has it serve. A delta that drains half of the endpoints takes effect at
+// once: neither idle connections nor new ones carry another request there.
 func TestThousandRelaysAndUnits(t *testing.T) {
 	const count, servers = 1024, 8
 	var units []*fakeEndpoint
@@ -86,7 +86,7 @@
 	}
 	close(drain)
 	settled(t, p, metrics.DiscoveryCalls, 3) // the next call of the watch follows the delta
-	c.send(";")                              // and this answer follows what the loop had then
+	c.send(";")                              // and this response follows what the loop had then
 	for range 2 {
 		c.until('Z')
 		c.send(";")
@@ -100,7 +100,7 @@
 	sums(t, p)
 }
 
-// TestThousandPeersInTheFile reads a configuration with as many peers and known units as a large fleet has.
+// TestThousandPeersInTheFile reads a configuration with as many peers and known endpoints as a large fleet has.
 func TestThousandPeersInTheFile(t *testing.T) {
 	var peers []string
 	for i := range 1024 {
--- a/cmd/lichenroad/tools_test.go
+++ b/cmd/lichenroad/tools_test.go
@@ -16,7 +16,7 @@
 	"lichenroad/lab/live"
 )
 
-// call runs a command and gives its exit code and what it printed.
+// call runs a command and returns its exit code and what it printed.
 func call(args ...string) (code int, out, errs string) {
 	var o, e bytes.Buffer
 	code = run(args, func(string) string { return "" }, &o, &e)
@@ -79,13 +79,16 @@
 		{"completion bash", 0, "lichenroad", "", 0},
 		{"help desk", 0, "history", "", 0},
 	} {
-		code, out, errs := call(append(strings.Fields(c.args), "--log-level", "error")...)
-		if strings.HasPrefix(c.args, "completion") || strings.HasPrefix(c.args, "help") {
-			code, out, errs = call(strings.Fields(c.args)...)
-		}
-		if code != c.code || !strings.Contains(out, c.out) || !strings.Contains(errs, c.errs) || strings.Count(errs, "\n") != c.lines {
-			t.Errorf("%s: %d %.300q %q", c.args, code, out, errs)
-		}
+		t.Run(c.args, func(t *testing.T) {
+			args := strings.Fields(c.args)
+			if args[0] != "completion" && args[0] != "help" { // these two take no such flag
+				args = append(args, "--log-level", "error")
+			}
+			code, out, errs := call(args...)
+			if code != c.code || !strings.Contains(out, c.out) || !strings.Contains(errs, c.errs) || strings.Count(errs, "\n") != c.lines {
+				t.Errorf("%d %.300q %q", code, out, errs)
+			}
+		})
 	}
 }
 
@@ -118,8 +121,8 @@
 	}
 }
 
-// TestDemo takes two builds through a plan with real processes: planner stand-ins, relays with their guard, and a release controller
-// that is killed in the middle of a step. No leg may go over its cap, and no process may be left.
+// TestDemo takes two builds through a plan with real processes: emulated planners, relays with their guard, and a release
+// controller that is killed in the middle of a step. No attempt may go over its exposure limit, and no process may be left.
 func TestDemo(t *testing.T) {
 	if testing.Short() {
 		t.Skip("half a minute")
@@ -258,7 +261,7 @@
 			break
 		}
 	}
-	time.Sleep(time.Second) // some queries go out; what is shown holds for any number of them
+	time.Sleep(time.Second) // some requests are sent; what is checked holds for any number of them
 	c.Process.Signal(os.Interrupt)
 	err := c.Wait()
 	var got live.Result
@@ -330,7 +333,7 @@
 	if got = (sweepResult{}); code != 0 || json.Unmarshal(raw, &got) != nil || len(got.Runs) != 3*len(lab.Troubles()) {
 		t.Errorf("%d %s %s", code, out, errs)
 	}
-	for _, r := range got.Runs { // no trouble brings the module to break a rule
+	for _, r := range got.Runs { // no fault leads the module to break a rule
 		if r.Metrics["broken"] != 0 {
 			t.Errorf("%+v", r)
 		}
--- a/cmd/lichenroad/tracelive.go
+++ b/cmd/lichenroad/tracelive.go
@@ -75,8 +75,8 @@
 		Categories: mapping.Classes, Customers: mapping.Tenants, Bounds: flags.bounds}, nil
 }
 
-// prefetch reads the trace ahead of the sender on a goroutine, which ends at the trace's end or with the context; it closes arrivals then,
-// and sends its error.
+// prefetch reads the trace ahead of the sender, on a goroutine that ends at the trace's end or with the context; it then
+// closes arrivals and sends its error.
 func (t *tool) prefetch(ctx context.Context, in *traceInput, files []string, seed int64) (<-chan lab.Arrival, <-chan error) {
 	arrivals := make(chan lab.Arrival, maxQueuedArrivals)
 	ended := make(chan error, 1)
