--- a/internal/clients/shutdown.go
+++ b/internal/clients/shutdown.go
@@ -26,7 +26,7 @@
 // stopAccepting takes the listening socket out of service. What the kernel has accepted is taken out of its backlog
 // first, as it would be reset there, with a first request that may have come. On the loop.
 func (s *Server) stopAccepting() {
-	if sockets.Backlog(s.listener) && s.loop.Clock.Now() < s.respondBy {
+	if sockets.HasBacklog(s.listener) && s.loop.Clock.Now() < s.respondBy {
 		s.loop.RunAt(s.loop.Clock.Now()+limits.RecheckDelay.Seconds(), s.stopAccepting)
 		return
 	}
--- a/internal/upstream/idle.go
+++ b/internal/upstream/idle.go
@@ -35,7 +35,7 @@
 		return metrics.ClosedByBadInput
 	}
 	if n, ok := c.net.(netpoll.Conn); ok {
-		switch came, ended := sockets.Look(n.Fd()); {
+		switch came, ended := sockets.Poll(n.Fd()); {
 		case ended:
 			return metrics.ClosedByPeer
 		case came:
--- /dev/null
+++ b/lab/scale/membership_host.go
@@ -0,0 +1,94 @@
+package scale
+
+import (
+	"lichenroad/internal/discovery"
+	"lichenroad/membership"
+	"lichenroad/relay"
+)
+
+// clockResolution, in seconds, exceeds the rounding error of a time counted from a relay's start. Without it a timer that
+// fires that much too early would be set for the same moment again and again.
+const clockResolution = 1e-6
+
+// membershipHost hosts the membership protocol's state machine beside the decision code, as the relay does.
+type membershipHost struct {
+	relay          *hollowRelay
+	node           *membership.Node
+	timerAt        relay.Seconds // of the next timer; membership.Never: none
+	leaseExpiresAt relay.Seconds // as the decision code last received it
+}
+
+// newMembershipHost returns the host of a relay's node. Synthetic relays send no heartbeats, so the node's fleet is the hollow
+// relays alone, which send as many as the whole service would.
+func newMembershipHost(h *hollowRelay) *membershipHost {
+	settings := &h.service.settings
+	node := membership.New(membership.Settings{
+		Self:         h.number,
+		Relays:       len(h.service.hollowRelays),
+		PeerMessages: settings.Limits.PeerMessages,
+		PollInterval: settings.Rules.PollInterval,
+		Epoch:        epoch + h.startedAt,
+	}, h.random.Int63())
+	return &membershipHost{relay: h, node: node, timerAt: membership.Never, leaseExpiresAt: -1}
+}
+
+// receiveList passes a list to the node: the stored one, or an answer of discovery.
+func (m *membershipHost) receiveList(now float64, list discovery.List, cached bool) {
+	update := membership.List{Generation: list.Generation, Full: list.Full}
+	for _, line := range list.Endpoints {
+		update.Endpoints = append(update.Endpoints, line.Endpoint)
+	}
+	if cached {
+		m.step(now, membership.CachedList{List: update})
+		return
+	}
+	m.step(now, membership.PollAnswered{List: update})
+}
+
+// step passes an event to the node and carries out its output.
+func (m *membershipHost) step(now float64, event membership.Event) {
+	h := m.relay
+	before := threadTime()
+	out := m.node.Step(now-h.startedAt+clockResolution, event)
+	h.meter.processorTime += threadTime() - before
+	for _, body := range out.Messages {
+		h.sendDatagram(membershipClass, relay.Broadcast, body)
+	}
+	m.removeEndpoints(now, out.Removed)
+	if out.LeaseExpiresAt != m.leaseExpiresAt {
+		m.leaseExpiresAt = out.LeaseExpiresAt
+		h.step(now, relay.ListLease{ExpiresAt: out.LeaseExpiresAt})
+	}
+	if out.DiscoveryRecovered {
+		h.step(now, relay.DiscoveryRecovered{})
+	}
+	if out.TimerAt < m.timerAt {
+		m.timerAt = out.TimerAt
+		h.timers.set(timer{at: h.startedAt + out.TimerAt, kind: membershipTimer})
+	}
+}
+
+// removeEndpoints passes endpoints that peers reported as removed to the decision code.
+func (m *membershipHost) removeEndpoints(now float64, removed []relay.EndpointID) {
+	if len(removed) == 0 || m.relay.simulation.options.lacks(DrainNotices) {
+		return
+	}
+	h := m.relay
+	event := relay.ListUpdate{Kind: relay.ListDelta}
+	for _, id := range removed {
+		if e := h.service.byID[id]; e != nil {
+			h.checker.receiveEntry(now, e, relay.Draining)
+		}
+		event.Endpoints = append(event.Endpoints, relay.Endpoint{ID: id, State: relay.Draining, Partial: true})
+	}
+	h.meter.removedByPeers += len(removed)
+	h.step(now, event)
+}
+
+// fireTimer passes a timer to the node. Timers that were replaced by earlier ones fire as well.
+func (m *membershipHost) fireTimer(now float64) {
+	if now-m.relay.startedAt+clockResolution >= m.timerAt {
+		m.timerAt = membership.Never
+	}
+	m.step(now, membership.TimerFired{})
+}
--- a/lab/scale/network.go
+++ b/lab/scale/network.go
@@ -1,20 +1,18 @@
 package scale
 
-import (
-	"math/rand"
-)
+import "math/rand"
 
-// Facts of the network between relays. Every delay is at least one tick, so that relays can be played beside each other
+// Properties of the network between relays. Every delay is at least one tick, so that relays can be advanced in parallel
 // within a tick.
 const (
-	tick          = 0.02 // s
-	nearDelays    = 2    // ticks between relays of one region, at most
-	farDelays     = 5    // the same between regions, at most
-	lossPart      = 0.1  // of the datagrams, for the fault of that name
-	duplicatePart = 0.1
-	reorderPart   = 0.2
-	reorderDelays = 50 // ticks more that a datagram may be late then
-	wheelTicks    = 64 // more than any delay
+	tick              = 0.02 // seconds
+	maxNearDelay      = 2    // ticks, between relays of one region
+	maxFarDelay       = 5    // ticks, between regions
+	lossFraction      = 0.1  // of the datagrams, for the fault DatagramLoss
+	duplicateFraction = 0.1  // of the datagrams, for the fault Duplicates
+	reorderFraction   = 0.2  // of the datagrams, for the fault Reorder
+	maxReorderDelay   = 50   // ticks beyond the usual delay
+	slotCount         = 64   // more than the longest delay in ticks
 )
 
 // datagram is a message from one relay to others of its service.
@@ -24,92 +22,93 @@
 	body  []byte
 }
 
-// arrival is a datagram on its way to one relay.
+// arrival is a datagram under way to one relay.
 type arrival struct {
-	to *hollow
+	to *hollowRelay
 	datagram
 }
 
-// networkCounts are what the faults did to datagrams.
+// networkCounts are what happened to datagrams.
 type networkCounts struct {
-	Delivered  int64 `json:"delivered"`
-	Lost       int64 `json:"lost"`
-	Duplicated int64 `json:"duplicated"`
-	Late       int64 `json:"late"`
-	Cut        int64 `json:"cut"`
-	ToDead     int64 `json:"to_dead"`
+	Delivered   int64 `json:"delivered"`
+	Lost        int64 `json:"lost"`
+	Duplicated  int64 `json:"duplicated"`
+	Reordered   int64 `json:"late"`
+	Partitioned int64 `json:"cut"`
+	ToStopped   int64 `json:"to_dead"`
 }
 
-// network carries datagrams between relays, and knows which regions reach which.
+// network delivers datagrams between relays by a timing wheel, and knows which regions reach which.
 type network struct {
-	random  *rand.Rand
-	faults  *Options
-	regions int
-	split   bool // the last region is cut off, both ways
-	oneWay  bool // datagrams out of the last region are lost
-	wheel   [wheelTicks][]arrival
-	now     int64 // number of the present tick
-	counts  networkCounts
+	random      *rand.Rand
+	options     *Options
+	regions     int
+	partitioned bool                 // the last region reaches no other, nor is it reached
+	oneWay      bool                 // datagrams from the last region to others are lost
+	slots       [slotCount][]arrival // by tick of arrival, modulo their number
+	now         int64                // number of the present tick
+	counts      networkCounts
 }
 
 func newNetwork(o *Options) *network {
-	return &network{random: seeded(o.Seed, "network", 0), faults: o, regions: o.Regions}
+	return &network{random: newRandom(o.Seed, "network", 0), options: o, regions: o.Regions}
 }
 
-// reaches says whether anything of one region reaches another.
+// reaches reports whether connections from one region to another are possible.
 func (n *network) reaches(from, to int) bool {
 	last := n.regions - 1
-	return !n.split || (from == last) == (to == last)
+	return !n.partitioned || (from == last) == (to == last)
 }
 
-// carries says whether datagrams do.
+// carries reports whether datagrams from one region arrive at another.
 func (n *network) carries(from, to int) bool {
 	last := n.regions - 1
 	return n.reaches(from, to) && !(n.oneWay && from == last && to != last)
 }
 
-// send takes a datagram on its way.
-func (n *network) send(d datagram, to *hollow) {
+// send sends a datagram to a relay, subject to the faults.
+func (n *network) send(d datagram, to *hollowRelay) {
 	if !n.carries(d.from.region, to.region) {
-		n.counts.Cut++
+		n.counts.Partitioned++
 		return
 	}
-	if n.faults.has(DatagramLoss) && n.random.Float64() < lossPart {
+	if n.options.has(DatagramLoss) && n.random.Float64() < lossFraction {
 		n.counts.Lost++
 		return
 	}
-	n.put(d, to)
-	if n.faults.has(Duplicates) && n.random.Float64() < duplicatePart {
+	n.enqueue(d, to)
+	if n.options.has(Duplicates) && n.random.Float64() < duplicateFraction {
 		n.counts.Duplicated++
-		n.put(d, to)
+		n.enqueue(d, to)
 	}
 }
 
-func (n *network) put(d datagram, to *hollow) {
-	delay := 1 + n.random.Intn(nearDelays)
+// enqueue draws a datagram's delay and puts it into the slot of its arrival.
+func (n *network) enqueue(d datagram, to *hollowRelay) {
+	delay := 1 + n.random.Intn(maxNearDelay)
 	if d.from.region != to.region {
-		delay = 1 + n.random.Intn(farDelays)
+		delay = 1 + n.random.Intn(maxFarDelay)
 	}
-	if n.faults.has(Reorder) && n.random.Float64() < reorderPart {
-		n.counts.Late++
-		delay += n.random.Intn(reorderDelays)
+	if n.options.has(Reorder) && n.random.Float64() < reorderFraction {
+		n.counts.Reordered++
+		delay += n.random.Intn(maxReorderDelay)
 	}
-	slot := (n.now + int64(delay)) % wheelTicks
-	n.wheel[slot] = append(n.wheel[slot], arrival{to, d})
+	slot := (n.now + int64(delay)) % slotCount
+	n.slots[slot] = append(n.slots[slot], arrival{to, d})
 }
 
-// deliver hands over what arrives at a tick.
-func (n *network) deliver(at int64) {
-	n.now = at
-	slot := at % wheelTicks
-	for _, a := range n.wheel[slot] {
+// deliver passes the datagrams that arrive at a tick to their relays.
+func (n *network) deliver(tickNumber int64) {
+	n.now = tickNumber
+	slot := tickNumber % slotCount
+	for _, a := range n.slots[slot] {
 		if !a.to.alive {
-			n.counts.ToDead++
+			n.counts.ToStopped++
 			continue
 		}
 		n.counts.Delivered++
 		a.to.inbox = append(a.to.inbox, a.datagram)
 	}
-	clear(n.wheel[slot])
-	n.wheel[slot] = n.wheel[slot][:0]
+	clear(n.slots[slot])
+	n.slots[slot] = n.slots[slot][:0]
 }
--- a/settings/settings.go
+++ b/settings/settings.go
@@ -27,7 +27,7 @@
 // MaxDeadline is the longest deadline of any class.
 func (s Site) MaxDeadline() relay.Seconds {
 	var longest relay.Seconds
-	for _, class := range s.Settings.Classes {
+	for _, class := range s.Classes {
 		longest = max(longest, class.Deadline)
 	}
 	return longest
@@ -59,7 +59,7 @@
 
 func (w *wireSettings) settings() relay.Settings {
 	s := relay.Settings{
-		Self:                    relay.RelayID(w.Self),
+		Self:                    relay.ID(w.Self),
 		Relays:                  w.Relays,
 		Zone:                    relay.Zone(w.Zone),
 		Classes:                 w.classes(),
