--- a/cmd/lichenroad/interleaving_test.go
+++ b/cmd/lichenroad/interleaving_test.go
@@ -14,13 +14,13 @@
 	"lichenroad/lab/fakes"
 )
 
-// steppedEndpoint is an endpoint that takes each step only when the test opens its gate.
+// steppedEndpoint is an endpoint that takes each step only when the test closes the channel of that step.
 type steppedEndpoint struct {
-	ln             net.Listener
-	acceptGate     chan struct{} // closed: connections are accepted
-	firstHalfGate  chan struct{} // closed: the first half of a response is sent
-	secondHalfGate chan struct{} // closed: the second half is sent
-	rejections     *atomic.Int32 // statements that this endpoint, or the other one, still rejects
+	ln         net.Listener
+	mayAccept  chan struct{} // closed: connections are accepted
+	mayBegin   chan struct{} // closed: the first half of a response is sent
+	mayFinish  chan struct{} // closed: the second half is sent
+	rejections *atomic.Int32 // statements that this endpoint, or the other one, still rejects
 
 	mu    sync.Mutex
 	conns []net.Conn
@@ -28,7 +28,7 @@
 }
 
 func newSteppedEndpoint(t *testing.T, turns *atomic.Int32) *steppedEndpoint {
-	g := &steppedEndpoint{ln: listening(t), rejections: turns, acceptGate: make(chan struct{}), firstHalfGate: make(chan struct{}), secondHalfGate: make(chan struct{})}
+	g := &steppedEndpoint{ln: listening(t), rejections: turns, mayAccept: make(chan struct{}), mayBegin: make(chan struct{}), mayFinish: make(chan struct{})}
 	t.Cleanup(func() {
 		g.mu.Lock()
 		defer g.mu.Unlock()
@@ -56,7 +56,7 @@
 	if _, _, err := fakes.ReadMessage(r, true); err != nil {
 		return
 	}
-	<-g.acceptGate
+	<-g.mayAccept
 	c.Write(pgwire.StartupResponse(1))
 	for {
 		if kind, _, err := fakes.ReadMessage(r, false); err != nil || kind != 'Q' {
@@ -73,9 +73,9 @@
 			continue
 		}
 		row := pgwire.Ready(fakes.Row("value"))
-		<-g.firstHalfGate
+		<-g.mayBegin
 		c.Write(row[:len(row)/2])
-		<-g.secondHalfGate
+		<-g.mayFinish
 		c.Write(row[len(row)/2:])
 	}
 }
@@ -94,8 +94,8 @@
 	return len(g.conns)
 }
 
-func open(gates ...chan struct{}) {
-	for _, c := range gates {
+func open(steps ...chan struct{}) {
+	for _, c := range steps {
 		select {
 		case <-c:
 		default:
@@ -146,18 +146,18 @@
 		x.wait("a connection", func() bool { return x.a.connections()+x.b.connections() > 0 })
 	}},
 	{"out", func(x *interleaving) {
-		open(x.a.acceptGate, x.b.acceptGate)
+		open(x.a.mayAccept, x.b.mayAccept)
 		x.c.Write(x.request)
 		x.wait("the statement", func() bool { return x.ran() == 1 })
 	}},
 	{"half answered", func(x *interleaving) {
-		open(x.a.acceptGate, x.b.acceptGate, x.a.firstHalfGate, x.b.firstHalfGate)
+		open(x.a.mayAccept, x.b.mayAccept, x.a.mayBegin, x.b.mayBegin)
 		x.c.Write(x.request)
 		x.wait("the statement", func() bool { return x.ran() == 1 })
 	}},
 	{"placed again", func(x *interleaving) {
 		x.a.rejections.Store(1)
-		open(x.a.acceptGate, x.b.acceptGate)
+		open(x.a.mayAccept, x.b.mayAccept)
 		x.c.Write(x.request)
 		settled(x.T, x.p, metrics.AttemptRejected, 1)
 		x.wait("the statement", func() bool { return x.ran() == 1 })
@@ -198,7 +198,7 @@
 		}
 	}},
 	{"answer", func(x *interleaving) {
-		open(x.a.acceptGate, x.b.acceptGate, x.a.firstHalfGate, x.b.firstHalfGate, x.a.secondHalfGate, x.b.secondHalfGate)
+		open(x.a.mayAccept, x.b.mayAccept, x.a.mayBegin, x.b.mayBegin, x.a.mayFinish, x.b.mayFinish)
 	}},
 }
 
@@ -244,11 +244,11 @@
 		settled(t, x.p, metrics.Open, 0)
 		ranBefore = x.ran()
 	}
-	open(x.a.acceptGate, x.b.acceptGate)
+	open(x.a.mayAccept, x.b.mayAccept)
 	x.wait("a statement out, or an end", func() bool {
 		return x.ran() > 0 || x.p.loop.Metrics.Get(metrics.Open) == 0
 	})
-	open(x.a.firstHalfGate, x.b.firstHalfGate, x.a.secondHalfGate, x.b.secondHalfGate)
+	open(x.a.mayBegin, x.b.mayBegin, x.a.mayFinish, x.b.mayFinish)
 	if x.clientLeft {
 		settled(t, x.p, metrics.AttemptsOpen, 0)
 		if x.ran() != ranBefore {
--- a/cmd/lichenroad/tools_test.go
+++ b/cmd/lichenroad/tools_test.go
@@ -363,7 +363,7 @@
 	}
 }
 
-func TestCompareOfOneSeedTellsNothing(t *testing.T) {
+func TestCompareOfOneSeedIsInconclusive(t *testing.T) {
 	one := filepath.Join(t.TempDir(), "one.json")
 	call("trace", "replay", sampleTrace, "--layout", "alibaba-2018", "--mapping", "../../deploy/mapping.xml", "--seed", "2", "--json", one)
 	if code, out, errs := call("lab", "compare", one, one); code != 0 || !strings.Contains(out, "not told apart") {
