--- a/internal/peers/peers_test.go
+++ b/internal/peers/peers_test.go
@@ -70,7 +70,8 @@
 // newLoop returns a loop whose events the test takes, and what it logs.
 func newLoop() (*pipeline.Loop, *logtest.Hook) {
 	site := settings.Site{}
-	site.Self, site.Relays = self, peerCount+1
+	site.Self = self
+	site.Relays = peerCount + 1
 	log := logrus.New()
 	log.SetOutput(io.Discard)
 	hook := logtest.NewLocal(log)
--- a/membership/backoff_test.go
+++ b/membership/backoff_test.go
@@ -14,13 +14,12 @@
 	nextAt relay.Seconds
 }
 
-const testPollInterval = relay.Seconds(60)
-
-// newPollers returns a fleet of which all start at time zero.
+// newPollers returns a fleet of which all start at time zero, with a poll interval that bounds nothing.
 func newPollers(relays int) []poller {
+	const pollInterval = 60
 	pollers := make([]poller, relays)
 	for i := range pollers {
-		pollers[i].Backoff = NewBackoff(relays, testPollInterval, rand.New(rand.NewSource(int64(i))))
+		pollers[i].Backoff = NewBackoff(relays, pollInterval, rand.New(rand.NewSource(int64(i))))
 		pollers[i].nextAt = pollers[i].First()
 	}
 	return pollers
