--- a/lab/demo/processes.go
+++ b/lab/demo/processes.go
@@ -20,7 +20,7 @@
 	controllerPollInterval = 20 * time.Millisecond
 )
 
-var errControllerEnded = errors.New("the desk ended at once")
+var errControllerEnded = errors.New("the release controller ended at once")
 
 // startProcess runs the program with arguments; each line of its standard output is passed to onLine, where that is given.
 func (d *demonstration) startProcess(onLine func(string), arguments ...string) (*fakes.Process, error) {
@@ -66,7 +66,7 @@
 	if d.discovery, err = fakes.NewDiscovery(); err != nil {
 		return addresses{}, err
 	}
-	d.printProgress("starting %d planners of build %d, a desk and %d relays", len(sites)*plannersPerSite, firstBuild, relayCount)
+	d.printProgress("starting %d planners of build %d, a release controller and %d relays", len(sites)*plannersPerSite, firstBuild, relayCount)
 	if err := d.startFirstPlanners(); err != nil {
 		return addresses{}, err
 	}
@@ -118,13 +118,13 @@
 
 // startController starts the release controller on its state directory and returns when it takes requests.
 func (d *demonstration) startController() error {
-	process, err := d.startProcess(nil, "desk", "run", "--plan", d.planFile, "--state", d.stateDir)
+	process, err := d.startProcess(nil, "controller", "run", "--plan", d.planFile, "--state", d.stateDir)
 	if err != nil {
 		return err
 	}
 	d.controller = process
 	if err := fakes.WaitListening(d.watchAddress, process); err != nil {
-		return fmt.Errorf("the desk: %w", err)
+		return fmt.Errorf("the release controller: %w", err)
 	}
 	for { // it writes the file that Call reads after it has begun to listen
 		_, err := releasecontroller.Call(context.Background(), d.stateDir, releasecontroller.Request{Verb: releasecontroller.VerbStatus})
--- a/lab/demo/scenario.go
+++ b/lab/demo/scenario.go
@@ -71,7 +71,7 @@
 
 // restartController kills the release controller and starts it again some time later.
 func (d *demonstration) restartController(ctx context.Context) error {
-	d.printProgress("killing the desk in the middle of the step, and starting it again %.0f s later", controllerDowntime.Seconds())
+	d.printProgress("killing the release controller in the middle of the step, and starting it again %.0f s later", controllerDowntime.Seconds())
 	d.controller.Signal(syscall.SIGKILL)
 	<-d.controller.Done
 	select {
