--- a/cmd/lichenroad/platform_test.go
+++ b/cmd/lichenroad/platform_test.go
@@ -1,6 +1,7 @@
 package main
 
 import (
+	"errors"
 	"fmt"
 	"io"
 	"strings"
@@ -25,7 +26,7 @@
 		case 2:
 			return "ERR Throttling\r\n"
 		case 3:
-			return "" // no answer in time
+			return "" // no reply in time
 		case 4:
 			return "what?\r\n"
 		}
@@ -46,7 +47,7 @@
 		}
 	}
 	d.ln.Close()
-	vote() // the connection was given up with the last answer; no other comes up
+	vote() // the connection was closed after the last reply; no other can be opened
 	settled(t, p, metrics.VotesNotCounted, 2)
 }
 
@@ -107,7 +108,7 @@
 	old := <-d.conns
 	settled(t, p, metrics.RolloutStatuses, 2) // no keep-alive came
 	old.SetDeadline(time.Now().Add(testTimeout))
-	if _, err := old.Read(make([]byte, 1)); err != io.EOF {
+	if _, err := old.Read(make([]byte, 1)); !errors.Is(err, io.EOF) {
 		t.Error("the stalled connection is kept:", err)
 	}
 }
--- a/compat/site_test.go
+++ b/compat/scenarios_test.go
@@ -5,47 +5,47 @@
 	"strings"
 )
 
-// site is what differs between the recorded sessions: the settings, and how the deployment around the instances behaves.
-type site struct {
+// scenario is what differs between the recorded sessions: the settings, and how the emulated deployment behaves.
+type scenario struct {
 	name     string
 	seed     uint64
-	replicas int      // instances of the tier; those that are not hosted are played by the session
-	hosted   []uint16 // their my_number; the number on the pipe is 3 higher, as the two are not the same thing
+	replicas int      // instances of the fleet; those that are not hosted are emulated
+	hosted   []uint16 // their my_number; the number on the pipe differs, by 3
 
-	discovery   string // subscribe or automatic
-	reports     string // inline, on_probe or off
-	control     string // first_voice, by_count or automatic
-	countedBy   string // all or each_class
-	swap        string // parallel or replace
-	cancel      bool
-	tell        bool
-	copies      bool
-	retryAfter  bool
-	noReturn    bool
-	tenants     bool
-	stretch     float64
-	failures    float64 // share of attempts that fail, one way or another
-	badBuild    bool    // the new build fails half of its attempts
-	overload    bool    // units answer late and turn requests away
-	restarts    bool    // an instance is shut down and born anew
-	roughPeers  bool    // peers send datagrams of every form, well made and not
-	bareSetting bool    // settings that leave out all that may be left out
+	discovery          string // subscribe or automatic
+	reports            string // inline, on_probe or off
+	control            string // first_voice, by_count or automatic
+	countedBy          string // all or each_class
+	swap               string // parallel or replace
+	cancel             bool
+	peerMessages       bool
+	parallelAttempts   bool
+	retryAfter         bool
+	noReturn           bool
+	tenants            bool
+	objectiveStretch   float64
+	failures           float64 // share of attempts that fail, in any way
+	badBuild           bool    // the new build fails half of its attempts
+	overload           bool    // endpoints respond late and reject requests
+	restarts           bool    // an instance is stopped and started again
+	malformedDatagrams bool    // peers send malformed datagrams too
+	minimalSettings    bool    // settings without anything optional
 }
 
-var sites = []site{
+var scenarios = []scenario{
 	{name: "good-build", seed: 1, replicas: 8, hosted: []uint16{0, 1, 5}, discovery: "subscribe", reports: "on_probe", control: "by_count",
-		countedBy: "all", swap: "parallel", cancel: true, tell: true, copies: true, retryAfter: true, tenants: true, failures: 0.04,
-		restarts: true, roughPeers: true},
+		countedBy: "all", swap: "parallel", cancel: true, peerMessages: true, parallelAttempts: true, retryAfter: true, tenants: true, failures: 0.04,
+		restarts: true, malformedDatagrams: true},
 	{name: "bad-build", seed: 2, replicas: 6, hosted: []uint16{0, 2, 4}, discovery: "automatic", reports: "inline", control: "first_voice",
-		countedBy: "each_class", swap: "replace", cancel: true, tell: true, retryAfter: true, noReturn: true, tenants: true, failures: 0.02,
+		countedBy: "each_class", swap: "replace", cancel: true, peerMessages: true, retryAfter: true, noReturn: true, tenants: true, failures: 0.02,
 		badBuild: true},
 	{name: "clock-and-overload", seed: 3, replicas: 4, hosted: []uint16{0, 3}, discovery: "subscribe", reports: "off", control: "automatic",
-		countedBy: "all", swap: "parallel", tell: true, copies: true, stretch: 1.5, failures: 0.1, overload: true, roughPeers: true},
+		countedBy: "all", swap: "parallel", peerMessages: true, parallelAttempts: true, objectiveStretch: 1.5, failures: 0.1, overload: true, malformedDatagrams: true},
 	{name: "alone-and-silent", seed: 4, replicas: 1, hosted: []uint16{0}, discovery: "automatic", reports: "inline", control: "first_voice",
-		countedBy: "all", swap: "parallel", failures: 0.05, bareSetting: true},
+		countedBy: "all", swap: "parallel", failures: 0.05, minimalSettings: true},
 }
 
-// classes of requests, in the order of the settings.
+// Request classes, in the order of the settings.
 const (
 	classRetryable = iota
 	classStreamed
@@ -59,9 +59,9 @@
 // deadlines by class, in nanoseconds.
 var deadlines = [classCount]uint64{2_500_000_000, 4_000_000_000, 3_000_000_000, 2_000_000_000, 2_500_000_000, 2_500_000_000}
 
-// settings gives the start-up object of one instance.
-func (s site) settings(number uint16) string {
-	if s.bareSetting {
+// settings is the settings object of one instance, in JSON.
+func (s scenario) settings(number uint16) string {
+	if s.minimalSettings {
 		return fmt.Sprintf(`{"my_number":%d,"replicas_of_me":%d,"grades":[%s]}`, number, s.replicas, s.grades())
 	}
 	tenants := ""
@@ -80,11 +80,11 @@
 "replicas_of_me":%d,"report":{"fields":["recent_ms","outstanding"],"via":%q},
 "rules":{"answer_slack":20000000,"ask_every":10000000000,"cold_from":0.35,"drain_grace":250000000,"fall":3000000000,"fall_multiple":2.5,
 "warm_up":4600000000},"stage":0,"tenants":[%s],"tick":5000000,"weight_source":"nominal","worth_by":"work","a_key_not_known":[1]}`,
-		number%2, s.discovery, s.countedBy, s.control, s.noReturn, s.swap, s.grades(), number, s.cancel, s.tell, s.copies, s.retryAfter,
+		number%2, s.discovery, s.countedBy, s.control, s.noReturn, s.swap, s.grades(), number, s.cancel, s.peerMessages, s.parallelAttempts, s.retryAfter,
 		s.replicas, s.reports, tenants)
 }
 
-func (s site) grades() string {
+func (s scenario) grades() string {
 	forms := [classCount]string{
 		classRetryable: `"repeat":"retryable","group":"all","streamed":false,"target":800000000,"worth":2.0`,
 		classStreamed:  `"repeat":"retryable","group":"all","streamed":true,"target":1500000000,"worth":1.0`,
@@ -96,7 +96,7 @@
 	var all []string
 	for class, form := range forms {
 		all = append(all, fmt.Sprintf(`{"name":"class-%d",%s,"deadline":%d,"repeat_window":1500000000,"late_worth":0.2,"aim_stretch":%g}`,
-			class, form, deadlines[class], s.stretch))
+			class, form, deadlines[class], s.objectiveStretch))
 	}
 	return strings.Join(all, ",")
 }
--- a/lab/relay.go
+++ b/lab/relay.go
@@ -18,7 +18,7 @@
 // simulatedRelay is one relay: the real decision module, and its guard. What it was notified of outlives no restart.
 type simulatedRelay struct {
 	fleet       *fleet
-	id          relay.RelayID
+	id          relay.ID
 	name        string
 	site        plan.SiteIndex
 	clockOffset float64 // s
--- a/lab/run.go
+++ b/lab/run.go
@@ -109,7 +109,7 @@
 	for i, planned := range service.Relays {
 		added := &simulatedRelay{
 			fleet:   f,
-			id:      relay.RelayID(i),
+			id:      relay.ID(i),
 			name:    planned.Name,
 			site:    planned.Site,
 			watches: watches,
--- a/lab/scale/control.go
+++ b/lab/scale/control.go
@@ -7,83 +7,93 @@
 	"lichenroad/relay"
 )
 
-// What crosses between relays and the control plane: calls to discovery and votes, their answers, and news.
+// The simulated control plane between relays on one side, discovery and the platform on the other: polls and votes, their
+// answers, and rollout statuses.
 
-// parcel is something for one relay that arrives at a time.
-type parcel struct {
-	at     float64
-	to     *hollow
-	answer *answerIn
-	news   *newsIn
+// controlMessage is what one relay receives from the control plane at a time: either an answer or a status line.
+type controlMessage struct {
+	arrivesAt float64
+	to        *hollowRelay
+	answer    *pollAnswer
+	status    *statusLine
 }
 
-// reachesPlatform says whether a relay reaches discovery and the platform, which stand in the first region.
-func (w *world) reachesPlatform(r *identity) bool { return w.network.reaches(r.region, 0) }
+// reachesControlPlane reports whether a relay reaches discovery and the platform, which are in the first region.
+func (sim *simulation) reachesControlPlane(r *identity) bool { return sim.network.reaches(r.region, 0) }
 
-// unreachable is the time since another in which discovery could not be reached from a region.
-func (w *world) unreachable(region int, since, now float64) float64 {
-	if region != w.options.Regions-1 || region == 0 || math.IsInf(since, 1) || w.cutFrom > now {
+// unreachableTime returns for how long since a time discovery could not be reached from a region.
+func (sim *simulation) unreachableTime(region int, since, now float64) float64 {
+	neverPartitioned := region != sim.options.Regions-1 || region == 0
+	if neverPartitioned || math.IsInf(since, 1) || sim.partitionedFrom > now {
 		return 0
 	}
-	return math.Max(0, math.Min(now, w.cutTo)-math.Max(since, w.cutFrom))
+	return math.Max(0, math.Min(now, sim.partitionedUntil)-math.Max(since, sim.partitionedFrom))
 }
 
-// tellNews has the platform tell a service's relays how its newest build stands.
-func (w *world) tellNews(now float64, s *service) {
-	line := linewire.StatusNoticeLine(s.platform.state(now))
-	for _, h := range s.hollows {
-		if h.alive && w.reachesPlatform(h.identity) {
-			w.mail = append(w.mail, parcel{at: now + newsDelay, to: h, news: &newsIn{h.life, line}})
+// sendStatus sends the present rollout status to all relays of a service that the platform reaches.
+func (sim *simulation) sendStatus(now float64, s *service) {
+	line := linewire.StatusNoticeLine(s.platform.statusAt(now))
+	for _, h := range s.hollowRelays {
+		if h.alive && sim.reachesControlPlane(h.identity) {
+			sim.sendStatusLine(now+statusDelay, h, line)
 		}
 	}
 }
 
-// answerParked answers calls that wait for something new, all of them or those whose wait is over.
-func (w *world) answerParked(now float64, s *service, all bool) {
+// sendStatusLine sends a line of the platform to a relay; an empty one stands for a vote that times out.
+func (sim *simulation) sendStatusLine(arrivesAt float64, to *hollowRelay, line string) {
+	status := &statusLine{incarnation: to.incarnation, line: line}
+	sim.controlMessages = append(sim.controlMessages, controlMessage{arrivesAt: arrivesAt, to: to, status: status})
+}
+
+// answerHeldPolls answers the polls that discovery holds: all of them after a change, otherwise those whose wait is over.
+func (sim *simulation) answerHeldPolls(now float64, s *service, changed bool) {
 	r := s.registry
-	left := r.parked[:0]
-	for _, c := range r.parked {
+	held := r.heldPolls[:0]
+	for _, p := range r.heldPolls {
 		switch {
-		case !w.reachesPlatform(c.from.identity):
-			w.answer(now+unreachableFor, c, nil)
-		case all || now >= c.until:
-			w.answer(now+answerAfter, c, r.answer(c.after))
+		case !sim.reachesControlPlane(p.relay.identity):
+			sim.sendAnswer(now+unreachableTimeout, p, nil)
+		case changed || now >= p.heldUntil:
+			sim.sendAnswer(now+answerDelay, p, r.answer(p.generation))
 		default:
-			left = append(left, c)
+			held = append(held, p)
 		}
 	}
-	clear(r.parked[len(left):])
-	r.parked = left
+	clear(r.heldPolls[len(held):])
+	r.heldPolls = held
 }
 
-func (w *world) answer(at float64, c listCall, a *listAnswer) {
-	w.mail = append(w.mail, parcel{at: at, to: c.from, answer: &answerIn{c.number, a}})
+// sendAnswer sends an answer to a poll, or fails it with none.
+func (sim *simulation) sendAnswer(arrivesAt float64, p poll, answer *listAnswer) {
+	message := controlMessage{arrivesAt: arrivesAt, to: p.relay, answer: &pollAnswer{p.number, answer}}
+	sim.controlMessages = append(sim.controlMessages, message)
 }
 
-// call takes a call to discovery.
-func (w *world) call(now float64, c listCall) {
-	r := c.from.service.registry
+// receivePoll handles a poll of discovery.
+func (sim *simulation) receivePoll(now float64, p poll) {
+	r := p.relay.service.registry
 	switch {
-	case !w.reachesPlatform(c.from.identity):
-		w.answer(now+unreachableFor, c, nil)
-	case !c.continues:
-		took, fails := r.queued(now)
-		if fails {
-			w.answer(now+took, c, nil)
-			return
+	case !sim.reachesControlPlane(p.relay.identity):
+		sim.sendAnswer(now+unreachableTimeout, p, nil)
+	case !p.continuesWatch:
+		delay, accepted := r.enqueue(now)
+		var answer *listAnswer
+		if accepted {
+			answer = r.answer(p.generation)
 		}
-		w.answer(now+took, c, r.answer(c.after))
-	case c.after < r.generation:
-		w.answer(now+answerAfter, c, r.answer(c.after))
+		sim.sendAnswer(now+delay, p, answer)
+	case p.generation < r.generation:
+		sim.sendAnswer(now+answerDelay, p, r.answer(p.generation))
 	default:
-		r.parked = append(r.parked, c)
+		r.heldPolls = append(r.heldPolls, p)
 	}
 }
 
-// vote takes a relay's vote and answers it.
-func (w *world) vote(now float64, h *hollow, line string) {
-	if !w.reachesPlatform(h.identity) {
-		w.mail = append(w.mail, parcel{at: now + h.service.settings.Rollout.CallTimeout, to: h, news: &newsIn{life: h.life}})
+// receiveVote handles a vote and sends its reply.
+func (sim *simulation) receiveVote(now float64, h *hollowRelay, line string) {
+	if !sim.reachesControlPlane(h.identity) {
+		sim.sendStatusLine(now+h.service.settings.Rollout.CallTimeout, h, "")
 		return
 	}
 	call, err := linewire.ParseCall(line[:len(line)-len("\r\n")])
@@ -92,27 +102,27 @@
 		return
 	}
 	p := h.service.platform
-	answer := linewire.ErrorLine(linewire.CodeStale)
-	if p.vote(now, h.number, h.weight, call.Vote) == relay.ReplyCounted {
-		answer = linewire.StatusReplyLine(p.state(now))
+	reply := linewire.ErrorLine(linewire.CodeStale)
+	if p.receiveVote(now, h.number, h.weight, call.Vote) == relay.ReplyCounted {
+		reply = linewire.StatusReplyLine(p.statusAt(now))
 	}
-	w.mail = append(w.mail, parcel{at: now + newsDelay, to: h, news: &newsIn{h.life, answer}})
+	sim.sendStatusLine(now+statusDelay, h, reply)
 }
 
-// hand gives relays what has arrived.
-func (w *world) hand(now float64) {
-	left := w.mail[:0]
-	for _, m := range w.mail {
+// deliverControlMessages passes the messages that have arrived to their relays. Those for a relay that is down are lost.
+func (sim *simulation) deliverControlMessages(now float64) {
+	underWay := sim.controlMessages[:0]
+	for _, m := range sim.controlMessages {
 		switch {
-		case m.at > now:
-			left = append(left, m)
+		case m.arrivesAt > now:
+			underWay = append(underWay, m)
 		case !m.to.alive:
 		case m.answer != nil:
-			m.to.answers = append(m.to.answers, *m.answer)
+			m.to.pollAnswers = append(m.to.pollAnswers, *m.answer)
 		default:
-			m.to.news = append(m.to.news, *m.news)
+			m.to.statusLines = append(m.to.statusLines, *m.status)
 		}
 	}
-	clear(w.mail[len(left):])
-	w.mail = left
+	clear(sim.controlMessages[len(underWay):])
+	sim.controlMessages = underWay
 }
--- a/lab/scenario.go
+++ b/lab/scenario.go
@@ -112,7 +112,7 @@
 // restartRelays kills relays, some of which start again during a freeze; on the third day the second one of each service in
 // any case.
 func (s *scenario) restartRelays(day, midnight, morning float64) {
-	const secondRelay relay.RelayID = 1
+	const secondRelay relay.ID = 1
 	for _, killed := range s.simulation.relays {
 		if !s.happens(s.faults.RelayRestarts) && !(day == 2 && killed.id == secondRelay) {
 			continue
