--- a/lab/scale/hollow_relay.go
+++ b/lab/scale/hollow_relay.go
@@ -9,6 +9,7 @@
 	"lichenroad/internal/linewire"
 	"lichenroad/membership"
 	"lichenroad/policy"
+	"lichenroad/policy/peerwire"
 	"lichenroad/relay"
 )
 
@@ -248,6 +249,6 @@
 	if to == relay.Broadcast {
 		h.meter.classes[c].broadcasts++
 	}
-	h.meter.aggregated = h.meter.aggregated || isDecision(body)
+	h.meter.aggregated = h.meter.aggregated || peerwire.IsDecision(body)
 	h.sendQueue.datagrams = append(h.sendQueue.datagrams, outgoingDatagram{c, to, append([]byte(nil), body...)})
 }
--- a/lab/scale/synthetic_relay.go
+++ b/lab/scale/synthetic_relay.go
@@ -4,6 +4,7 @@
 	"math"
 	"math/rand"
 
+	"lichenroad/policy/peerwire"
 	"lichenroad/relay"
 )
 
@@ -16,7 +17,7 @@
 	nextReportAt float64
 	evidence     []classEvidence // by request class
 	sendQueue    sendQueue
-	report       report // buffer
+	report       peerwire.Report // buffer
 }
 
 // evidence counts attempts, earlier ones with exponentially decreasing weight.
@@ -52,9 +53,9 @@
 	}
 	s.nextReportAt += reportInterval
 	status := &s.service.platform.status
-	s.report.build = status.Build
-	s.report.stage = status.Stage
-	s.report.attempts = s.report.attempts[:0]
+	s.report.Build = status.Build
+	s.report.Stage = status.Stage
+	s.report.Observations = s.report.Observations[:0]
 	s.decayEvidence()
 	ready := &s.simulation.readyEndpoints[s.service.index]
 	for range s.drawAttemptCount() {
@@ -106,19 +107,19 @@
 	kind := &requestKinds[class]
 	work := kind.drawWork(s.random)
 	result := e.drawResult(now, s.place, work, s.service.platform.defect(e.build), s.random)
-	attempt := attemptReport{
-		endpointMark:  endpointMark(e.id),
-		class:         class,
-		outcome:       result.outcome,
-		newestBuild:   newest,
-		slowStarting:  now-e.startedAt < slowStartTime,
-		overObjective: result.duration > kind.latencyObjective,
+	observed := peerwire.Observation{
+		Endpoint: peerwire.HashOf(e.id),
+		Class:    relay.RequestClass(class),
+		Outcome:  result.outcome,
+		Newest:   newest,
+		Young:    now-e.startedAt < slowStartTime,
+		Late:     result.duration > kind.latencyObjective,
 	}
 	succeeded := result.outcome == relay.Succeeded
 	if succeeded {
-		attempt.latencyRatio = encodeLatencyRatio(result.duration / drawWorkHint(s.random, work))
+		observed.Ratio = result.duration / drawWorkHint(s.random, work)
 	}
-	s.report.attempts = append(s.report.attempts, attempt)
+	s.report.Observations = append(s.report.Observations, observed)
 	counts := &s.evidence[class].earlier
 	if newest {
 		counts = &s.evidence[class].newest
@@ -144,13 +145,13 @@
 
 // fillVerdicts fills in the verdicts that a relay with this evidence would report.
 func (s *syntheticRelay) fillVerdicts() {
-	s.report.verdicts = s.report.verdicts[:0]
+	s.report.Verdicts = s.report.Verdicts[:0]
 	for _, e := range s.evidence {
-		verdict := verdictReport{}
+		verdict := peerwire.ClassVerdict{}
 		if e.newest.attempts >= minEvidence && e.earlier.attempts >= minEvidence {
-			verdict = verdictReport{flagged: e.newest.isWorseThan(e.earlier), outcomes: uint64(e.newest.attempts)}
+			verdict = peerwire.ClassVerdict{Flagged: e.newest.isWorseThan(e.earlier), Outcomes: e.newest.attempts}
 		}
-		s.report.verdicts = append(s.report.verdicts, verdict)
+		s.report.Verdicts = append(s.report.Verdicts, verdict)
 	}
 }
 
@@ -164,17 +165,17 @@
 
 // sendReport sends the report to each aggregator, in as many messages as the real code needs.
 func (s *syntheticRelay) sendReport() {
-	all := s.report.attempts
+	all := s.report.Observations
 	for rest := all; ; {
-		size := min(len(rest), maxAttemptsPerReport)
-		s.report.attempts = rest[:size]
-		s.sendToAggregators(s.report.encode())
+		size := min(len(rest), peerwire.MaxObservations)
+		s.report.Observations = rest[:size]
+		s.sendToAggregators(s.report.Encode())
 		rest = rest[size:]
 		if len(rest) == 0 {
 			break
 		}
 	}
-	s.report.attempts = all
+	s.report.Observations = all
 }
 
 func (s *syntheticRelay) sendToAggregators(body []byte) {
--- a/policy/peerwire/decode.go
+++ b/policy/peerwire/decode.go
@@ -23,6 +23,11 @@
 	return nil, ErrMalformed
 }
 
+// IsDecision says whether a body begins as a decision does, without reading the rest.
+func IsDecision(body []byte) bool {
+	return len(body) >= 2 && body[0] == messageMagic && body[1] == decisionForm
+}
+
 // decoder reads a message; what it reads past the end is zero, and an error.
 type decoder struct {
 	rest []byte
