--- a/lab/demo/demo.go
+++ b/lab/demo/demo.go
@@ -94,7 +94,9 @@
 	counts        outcomeCounts
 	background    sync.WaitGroup // clients and the deployer, which end with the scenario's context
 
-	mu         sync.Mutex
+	outMu sync.Mutex // guards options.Out: the scenario and the deployer print
+
+	mu         sync.Mutex // guards what follows
 	planners   map[string]fakes.Endpoint // by name
 	processes  []*fakes.Process
 	attempts   []attempt
@@ -133,8 +135,10 @@
 // now is the time since the start in seconds.
 func (d *demonstration) now() float64 { return time.Since(d.started).Seconds() }
 
-// printProgress prints a line with the time.
+// printProgress prints a line with the time. Any goroutine may call it.
 func (d *demonstration) printProgress(format string, args ...any) {
+	d.outMu.Lock()
+	defer d.outMu.Unlock()
 	fmt.Fprintf(d.options.Out, "%5.1f s  %s\n", d.now(), fmt.Sprintf(format, args...))
 }
 
