--- a/policy/exposure.go
+++ b/policy/exposure.go
@@ -66,13 +66,15 @@
 
 // exposureOf returns a build's exposure. A build that is not announced yet is in the first stage.
 func (c *canary) exposureOf(build relay.Build) exposure {
-	released := build == c.status.Build && c.status.Phase == relay.PhaseReleased
-	switch {
-	case !c.hasStatus || build < c.status.Build || released:
+	if !c.hasStatus || build < c.status.Build {
 		return exposure{limit: 1}
-	case build > c.status.Build:
+	}
+	if build > c.status.Build {
 		return exposure{limit: c.budgetOf(build).limit, onTrial: true}
 	}
+	if c.status.Phase == relay.PhaseReleased {
+		return exposure{limit: 1}
+	}
 	return exposure{limit: c.status.ExposureLimit, stage: c.status.Stage, onTrial: true}
 }
 
--- a/policy/slowstart.go
+++ b/policy/slowstart.go
@@ -48,10 +48,13 @@
 // budget alone a small relay would not use it for the whole of its slow start; while there are others, most
 // relays may send one attempt at once.
 func (e *trackedEndpoint) withheld() bool {
+	if e.capacityFraction() >= 1 || e.slowStartLeft() >= 1 {
+		return false
+	}
 	rules := &e.p.settings.Rules
 	firstAttemptChance := e.p.router.usableFraction *
 		math.Min(1, rules.OverloadMultiple*rules.SlowStartFloor*slowStartPart)
-	return e.capacityFraction() < 1 && e.slowStartLeft() < 1 && e.firstAttemptDraw >= firstAttemptChance
+	return e.firstAttemptDraw >= firstAttemptChance
 }
 
 // chargeSlowStart takes one attempt off the budget.
