--- a/lab/demo/demo.go
+++ b/lab/demo/demo.go
@@ -96,7 +96,7 @@
 
 	outMu sync.Mutex // guards options.Out: the scenario and the deployer print
 
-	mu         sync.Mutex // guards what follows
+	mu         sync.Mutex                // guards what follows
 	planners   map[string]fakes.Endpoint // by name
 	processes  []*fakes.Process
 	attempts   []attempt
