--- a/rollout/guard_exposure.go
+++ b/rollout/guard_exposure.go
@@ -33,13 +33,14 @@
 	current := g.boundedExposure()
 	g.wasFrozen, g.lastExposure = frozen, current
 
-	status := g.narrowedStatus(current)
+	status := g.status
+	g.narrow(&status, current)
 	scope := scopeKey{build: status.Build, step: current.step}
 	if !g.evaluated || scope != g.sentScope {
 		g.sentScope = scope
 		out = append(out, g.canaryScope(scope))
 	}
-	if !g.evaluated || differs(g.sentStatus, status) {
+	if !g.evaluated || differs(&g.sentStatus, &status) {
 		g.sentStatus = status
 		out = append(out, status)
 	}
@@ -47,20 +48,19 @@
 	return out
 }
 
-// narrowedStatus returns the platform's status as it holds here.
-func (g *Guard) narrowedStatus(current exposure) relay.RolloutStatus {
-	status, steps := g.status, plan.StepIndex(len(g.spec().Steps))
+// narrow turns the platform's status into what holds here.
+func (g *Guard) narrow(status *relay.RolloutStatus, current exposure) {
+	steps := plan.StepIndex(len(g.spec().Steps))
 	status.Reply = relay.ReplyNone
 	status.ExposureLimit = current.limit
-	status.Age = math.Max(0, g.clock-g.since)
+	status.Age = max(0, g.clock-g.since)
 	if status.Phase == relay.PhaseReleased && current.step < steps { // not granted here: it stays a canary
 		status.Phase, status.Stage = relay.PhaseCanary, relay.Stage(steps-1)
 	}
-	return status
 }
 
 // differs reports whether two statuses differ in more than their age.
-func differs(a, b relay.RolloutStatus) bool {
+func differs(a, b *relay.RolloutStatus) bool {
 	return a.Build != b.Build || a.Stage != b.Stage || a.Phase != b.Phase || a.ExposureLimit != b.ExposureLimit
 }
 
