--- a/relay/commands.go
+++ b/relay/commands.go
@@ -1,7 +1,7 @@
 package relay
 
-// Command is what the module asks its host to do. The kinds are those of this package alone. Commands are carried out in
-// their order.
+// Command is an action that the decision module asks its host to execute. Hosts execute commands in the order in which the
+// module returns them. Only types of this package implement Command.
 type Command interface{ isCommand() }
 
 type (
@@ -9,55 +9,54 @@
 	SendAttempt struct {
 		Request  RequestID
 		Endpoint EndpointID
-		Timeout  Seconds // 0: until the client gives up
-		SendBy   Seconds // the time by which its last byte is written, or else it ends as NotSent; 0: no such time
+		Timeout  Seconds // 0: until the request's deadline
+		SendBy   Seconds // time by which the last byte must be written, or the attempt ends as NotSent; 0: no limit
 	}
 
-	// CancelUnsent takes back an attempt that was sent on what may no longer hold: it ends as NotSent if its last byte
-	// has not been written, and goes on otherwise.
+	// CancelUnsent cancels an attempt only if its last byte has not been written yet: the attempt then ends as NotSent.
+	// Otherwise it continues. It is used when the conditions under which the attempt was issued may no longer hold.
 	CancelUnsent struct {
 		Request RequestID
 		Attempt AttemptNumber
 	}
 
-	// CancelAttempt gives an attempt up.
+	// CancelAttempt cancels an attempt whether or not it has been written.
 	CancelAttempt struct {
 		Request RequestID
 		Attempt AttemptNumber
 	}
 
-	// Reject is a request's final answer: nothing was done, and the client may retry.
+	// Reject is the final answer to a request that the client may safely retry.
 	Reject struct {
 		Request    RequestID
-		RetryAfter Seconds // 0: none is named
+		RetryAfter Seconds // delay suggested to the client; 0: none
 	}
 
-	// Fail is a request's final answer: it may or may not have had an effect.
+	// Fail is the final answer to a request that may or may not have had an effect.
 	Fail struct{ Request RequestID }
 
-	// SetTimer asks for a TimerFired at or after a time.
+	// SetTimer requests a TimerFired event at or after the time At.
 	SetTimer struct {
 		ID TimerID
 		At Seconds
 	}
 
-	// HealthCheck checks an endpoint.
+	// HealthCheck sends a health check to an endpoint. HealthCheckEnded reports its result.
 	HealthCheck struct{ Endpoint EndpointID }
 
 	// CloseIdle closes the idle connections to an endpoint.
 	CloseIdle struct{ Endpoint EndpointID }
 
-	// SendMessage sends a message to one relay, or to all others (Broadcast).
+	// SendMessage sends a message to one relay, or to all others if To is Broadcast.
 	SendMessage struct {
 		To   ID
 		Body []byte
 	}
 
-	// Watch asks for the changes of the endpoint list, or for no more of them. With Restart a watch that stands is given
-	// up for a new one.
+	// Watch starts or stops watching the endpoint list for changes. Restart replaces a running watch with a new one.
 	Watch struct{ On, Restart bool }
 
-	// FetchList asks for the endpoint list once.
+	// FetchList requests the endpoint list once, without watching it.
 	FetchList struct{}
 
 	// Log writes a line to the host's log.
--- a/relay/doc.go
+++ b/relay/doc.go
@@ -1,7 +1,7 @@
-// Package relay is the interface between the decisions (package policy) and whatever hosts them: the sockets of
-// cmd/lichenroad, or the simulator's pipe behind cmd/simhost. A host reports what happened as Events and carries out
-// the Commands that come back.
+// Package relay defines the interface between the decision module (package policy) and its hosts: cmd/lichenroad, which
+// runs it on sockets, and cmd/simhost, which runs it behind the simulator's pipe. A host reports Events to the module and
+// executes the Commands that the module returns.
 //
-// The package holds types only: no state, no I/O, no goroutines, and it imports no other package of the module. All
-// times are seconds with fractions, counted from the start of the instance; durations are seconds too.
+// The package holds types only: it has no state, no I/O and no goroutines, and imports no other package of the Go module.
+// Times and durations are fractional seconds; times count from the start of the instance.
 package relay
--- a/relay/endpoints.go
+++ b/relay/endpoints.go
@@ -1,16 +1,16 @@
 package relay
 
-// EndpointState is what the endpoint list says of an endpoint.
+// EndpointState is the state of an endpoint according to the endpoint list.
 type EndpointState int
 
-// The states.
+// Endpoint states.
 const (
 	Removed EndpointState = iota
 	Draining
 	Ready
 )
 
-// Endpoint is one entry of the endpoint list.
+// Endpoint is an entry of the endpoint list.
 type Endpoint struct {
 	ID            EndpointID
 	Zone          Zone
@@ -19,38 +19,38 @@
 	Build         Build
 	Weight        float64
 	State         EndpointState
-	StartKnown    bool    // false for an endpoint that has run for long
-	StartedAt     Seconds // may be negative
-	Partial       bool    // the entry of an endpoint that leaves, of which no more than ID and State could be read
+	StartKnown    bool    // whether StartedAt is set; false for an endpoint that has been running for a long time
+	StartedAt     Seconds // negative for an endpoint that started before this instance
+	Partial       bool    // only ID and State are set: the endpoint is draining or removed and the rest is unknown
 }
 
-// ListUpdateKind says how to read a ListUpdate.
+// ListUpdateKind tells how to apply a ListUpdate.
 type ListUpdateKind int
 
-// The kinds of update.
+// Kinds of list updates.
 const (
-	// ListFetchFailed: a call to discovery failed; the old list stands.
+	// ListFetchFailed: a call to discovery failed. The previous list stays valid.
 	ListFetchFailed ListUpdateKind = iota
-	// ListCached: the full list as it was last saved, which may be old.
+	// ListCached: the full list from the local cache, which may be outdated.
 	ListCached
-	// ListDelta: the endpoints that have changed.
+	// ListDelta: only the endpoints that have changed.
 	ListDelta
-	// ListFull: the full list; an endpoint that it leaves out is removed.
+	// ListFull: the full list. An endpoint that is not in it has been removed.
 	ListFull
-	// ListWatchStalled: the watch has stalled and is broken. The old list stands; what the watch has missed counts as
-	// delivered soon.
+	// ListWatchStalled: the watch received nothing in time and was closed. The previous list stays valid, but changes that
+	// the watch missed bind the relay soon, as if they had been delivered.
 	ListWatchStalled
 )
 
-// ListUpdate is news of the endpoint list, or of a call for it that failed.
+// ListUpdate reports a change of the endpoint list, or a failed attempt to get it.
 type ListUpdate struct {
 	Kind      ListUpdateKind
 	Endpoints []Endpoint
-	FromPeers bool // other relays reported it: no call to discovery was answered
+	FromPeers bool // learned from other relays, not from an answer of discovery
 }
 
-// ListLease says until when the endpoint list may be acted on. Without any lease it may be at all times.
+// ListLease sets the time until which the endpoint list may be used. Until the first ListLease the list never expires.
 type ListLease struct{ ExpiresAt Seconds }
 
-// DiscoveryRecovered says that another relay got its list from discovery after a time in which calls failed.
+// DiscoveryRecovered reports that another relay got an answer from discovery after a period of failed calls.
 type DiscoveryRecovered struct{}
--- a/relay/events.go
+++ b/relay/events.go
@@ -1,12 +1,12 @@
 package relay
 
-// Event is what a host reports to the module. The kinds are those of this package alone.
+// Event is something that a host reports to the decision module. Only types of this package implement Event.
 type Event interface{ isEvent() }
 
-// Outcome is how an attempt or a health check ended.
+// Outcome is the result of an attempt or a health check.
 type Outcome int
 
-// The outcomes. All but those of NeverRan may have had an effect.
+// Outcomes. An attempt may have had an effect unless NeverRan returns true for its outcome.
 const (
 	Succeeded Outcome = iota
 	Errored
@@ -18,36 +18,37 @@
 	NotSent
 )
 
-// NeverRan says whether the outcome proves that the attempt had no effect.
+// NeverRan reports whether the outcome proves that the endpoint did not execute the attempt.
 func (o Outcome) NeverRan() bool {
 	return o == RejectedByEndpoint || o == ConnectFailed || o == NotSent
 }
 
 type (
-	// Request is a new request of a client.
+	// Request is a new request from a client.
 	Request struct {
 		ID       RequestID
-		Deadline Seconds // when the client gives up
-		Work     Seconds // expected, on a standard core
+		Deadline Seconds // time at which the client stops waiting
+		Work     Seconds // expected processing time on a standard core, if HasWork
 		HasWork  bool
-		Retried  bool // the client has marked it as a retry of its own
+		Retried  bool // the client marked the request as a retry
 		Key      Key
 		Tenant   Tenant
 		Class    RequestClass
 	}
 
-	// AttemptEnded is the end of an attempt. Each SendAttempt is answered by exactly one.
+	// AttemptEnded reports the end of an attempt. Each SendAttempt leads to exactly one AttemptEnded.
 	AttemptEnded struct {
 		Request         RequestID
 		Attempt         AttemptNumber
 		Endpoint        EndpointID
 		Outcome         Outcome
 		Duration        Seconds
-		RequestFinished bool // the request has its final answer, or needs none
+		RequestFinished bool // the request has its final answer or no longer needs one
 		LoadReport      []float32
 	}
 
-	// StreamStarted says that the client reads the answer of an attempt while it is produced.
+	// StreamStarted reports that the client has begun to receive the answer of an attempt while the endpoint still produces
+	// it.
 	StreamStarted struct {
 		Request  RequestID
 		Attempt  AttemptNumber
@@ -55,13 +56,13 @@
 		Duration Seconds
 	}
 
-	// ClientDisconnected says that a request's client has gone.
+	// ClientDisconnected reports that the client of a request has closed its connection.
 	ClientDisconnected struct{ Request RequestID }
 
-	// TimerFired answers a SetTimer.
+	// TimerFired reports that the time of a SetTimer has come.
 	TimerFired struct{ ID TimerID }
 
-	// HealthCheckEnded answers a HealthCheck.
+	// HealthCheckEnded reports the result of a HealthCheck.
 	HealthCheckEnded struct {
 		Endpoint   EndpointID
 		Duration   Seconds
@@ -69,27 +70,27 @@
 		LoadReport []float32
 	}
 
-	// MessageReceived is a message of another relay.
+	// MessageReceived is a message from another relay.
 	MessageReceived struct {
 		From ID
 		Body []byte
 	}
 
-	// ReportedCounts are outcomes of a build that the platform has counted.
+	// ReportedCounts holds the outcomes of attempts at a build, as counted by the platform.
 	ReportedCounts struct {
 		Build        Build
 		Class        RequestClass
 		Attempts     int
 		Failures     int
 		MeanDuration Seconds
-		Age          Seconds
+		Age          Seconds // time since the platform counted them
 	}
 
-	// MisreportedOutcome says that a client has judged an answer wrong which this relay passed on as succeeded.
+	// MisreportedOutcome reports that a client found an answer wrong that this relay had passed on as succeeded.
 	MisreportedOutcome struct {
 		Class    RequestClass
 		Endpoint EndpointID
-		Age      Seconds // since the attempt was sent
+		Age      Seconds // time since the attempt was sent
 	}
 )
 
--- a/relay/rollout.go
+++ b/relay/rollout.go
@@ -1,9 +1,9 @@
 package relay
 
-// Phase is where the newest build stands.
+// Phase is the rollout phase of the newest build.
 type Phase int
 
-// The phases.
+// Rollout phases.
 const (
 	PhaseCanary Phase = iota
 	PhaseRollingBack
@@ -11,45 +11,47 @@
 	PhaseWithdrawn
 )
 
-// VoteReply says what became of the vote that a RolloutStatus answers.
+// VoteReply is the result of a vote, reported with a RolloutStatus.
 type VoteReply int
 
-// The replies.
+// Vote results.
 const (
-	// ReplyNone: the status answers no vote.
+	// ReplyNone: the status does not answer a vote.
 	ReplyNone VoteReply = iota
 	ReplyCounted
-	// ReplyNotCounted: the vote has expired, was rejected or failed.
+	// ReplyNotCounted: the vote expired, was rejected or could not be sent.
 	ReplyNotCounted
+	// ReplyMaybeCounted: the vote was sent, but its result is unknown.
 	ReplyMaybeCounted
-	// ReplyStale: not counted, as its build or stage is past; casting it again is of no use.
+	// ReplyStale: the vote was not counted because its build or stage is no longer current. Casting it again has no effect.
 	ReplyStale
 )
 
-// RolloutStatus is the platform's word on the newest build, or its answer to a vote.
+// RolloutStatus is the platform's report on the newest build, the result of a vote, or both.
 type RolloutStatus struct {
-	Valid         bool // the fields below, Reply aside, hold
+	Valid         bool // whether the fields other than Reply are set
 	Build         Build
 	Stage         Stage
 	Phase         Phase
-	ExposureLimit float64
-	Age           Seconds
+	ExposureLimit float64 // part of the requests that may be sent to the build, from 0 to 1
+	Age           Seconds // time since the present state of the rollout began
 	Reply         VoteReply
 }
 
-// CanaryScope narrows the trial of a build: which tenants may meet it, and by what groups their requests are counted.
-// Builds after it are closed to all. Without any CanaryScope every tenant may meet a build on trial.
+// CanaryScope restricts the trial of a build to some tenants and sets the groups of tenants by which exposure is counted.
+// No tenant's requests may be sent to a build newer than Build. Without a CanaryScope, requests of every tenant may be sent
+// to a build on trial.
 type CanaryScope struct {
 	Build         Build
-	Stage         Stage  // that holds here, no later than the platform's
-	GroupOfTenant []int  // by tenant; -1, or past the end: of no group, which is closed
-	GroupOpen     []bool // by group
+	Stage         Stage  // stage that applies to this relay if the platform's stage is later
+	GroupOfTenant []int  // by tenant; -1 or past the end: no group, so the tenant is excluded from the trial
+	GroupOpen     []bool // by group: whether its tenants take part in the trial
 }
 
-// Verdict is what a vote says of a build at a stage.
+// Verdict is the decision that a vote asks for on a build at a stage.
 type Verdict int
 
-// The verdicts.
+// Verdicts.
 const (
 	NoVote Verdict = iota
 	VotePromote
@@ -57,7 +59,7 @@
 	VoteRollBack
 )
 
-// Vote is the command to cast a vote, or to withdraw the one that stands (NoVote).
+// Vote is the command to cast a vote. The verdict NoVote withdraws the vote cast before.
 type Vote struct {
 	Build   Build
 	Stage   Stage
--- a/relay/settings.go
+++ b/relay/settings.go
@@ -1,126 +1,136 @@
 package relay
 
-// Idempotency says whether a request of a class may run more than once.
+// Idempotency tells whether requests of a class may be executed more than once.
 type Idempotency int
 
-// The kinds of idempotency.
+// Kinds of idempotency.
 const (
-	// Idempotent requests may be sent again at any time.
+	// Idempotent requests may be retried at any time.
 	Idempotent Idempotency = iota
-	// IdempotencyKeyed requests carry a key by which the endpoints of a DedupScope drop a second execution.
+	// IdempotencyKeyed requests carry a key with which the endpoints of a DedupScope suppress a second execution.
 	IdempotencyKeyed
-	// AtMostOnce requests may be sent again only when every attempt provably never ran.
+	// AtMostOnce requests may be retried only when every earlier attempt provably never ran.
 	AtMostOnce
 )
 
-// DedupScope names the endpoints that share the record of idempotency keys.
+// DedupScope is the set of endpoints that share their records of idempotency keys.
 type DedupScope int
 
-// The scopes, from the widest to the narrowest.
+// Deduplication scopes, from the widest to the narrowest.
 const (
 	DedupAll DedupScope = iota
 	DedupZone
 	DedupFailureDomain
 )
 
-// RolloutControl says how the relays' votes move a rollout.
+// RolloutControl tells how the votes of the relays control a rollout.
 type RolloutControl int
 
-// The kinds of control.
+// Kinds of rollout control.
 const (
-	// ControlSingleVote: one vote promotes a stage or rolls the build back.
+	// ControlSingleVote: a single vote promotes a stage or rolls the build back.
 	ControlSingleVote RolloutControl = iota
-	// ControlQuorum: a counted number of relays does.
+	// ControlQuorum: the votes of a quorum of relays promote a stage or roll the build back.
 	ControlQuorum
-	// ControlTimed: a stage is promoted by time alone; votes hold it or roll the build back.
+	// ControlTimed: a stage is promoted when its time is over. Votes can only hold it or roll the build back.
 	ControlTimed
 )
 
-// Settings are what an instance is given once, at its start. A zero value means that the deployment does not name it.
+// Settings holds the settings that an instance gets at its start. A field that the deployment does not set is zero.
 type Settings struct {
 	Self                    ID
-	Relays                  int // relays of the fleet
+	Relays                  int // number of relays in the fleet
 	Zone                    Zone
 	Classes                 []ClassSettings
 	Tenants                 []TenantSettings
-	OverQuotaPriorityWeight float64
+	OverQuotaPriorityWeight float64 // priority weight of requests beyond their tenant's quota
 	Limits                  Limits
 	Rules                   Rules
 	Rollout                 Rollout
-	ListOnRequest           bool     // the endpoint list arrives only after a Watch or a FetchList
-	LoadReportFields        []string // names of the numbers in a load report
-	LoadReportInAttempts    bool     // load reports also arrive with the ends of attempts
+	ListOnRequest           bool     // the endpoint list is delivered only after a Watch or a FetchList
+	LoadReportFields        []string // names of the values in a load report
+	LoadReportInAttempts    bool     // AttemptEnded events carry load reports, too
 	Costs                   Costs
 }
 
-// ClassSettings are the terms of one class of requests.
+// ClassSettings holds the settings of a request class.
 type ClassSettings struct {
 	Idempotency        Idempotency
-	DedupScope         DedupScope // of an IdempotencyKeyed class
-	DedupWindow        Seconds    // after the first attempt, in which a second execution is dropped
-	LatencyObjective   Seconds    // an answer within it counts as in time
-	ObjectivePerWork   float64    // the objective grows by this multiple of the request's own work
-	Deadline           Seconds    // after which the client gives up
-	PriorityWeight     float64    // of an answer in time
-	LatePriorityWeight float64    // of a later one
-	Streamed           bool       // the client reads the answer while it is produced
+	DedupScope         DedupScope // for IdempotencyKeyed requests
+	DedupWindow        Seconds    // time after the first attempt during which a second execution is suppressed
+	LatencyObjective   Seconds    // an answer within this time counts as in time
+	ObjectivePerWork   float64    // added to the objective for each second of the request's expected work
+	Deadline           Seconds    // time after which the client stops waiting
+	PriorityWeight     float64    // weight of an answer within the objective
+	LatePriorityWeight float64    // weight of an answer after the objective
+	Streamed           bool       // the client receives the answer while it is produced
 }
 
-// TenantSettings are the terms of one tenant.
+// TenantSettings holds the settings of a tenant.
 type TenantSettings struct {
-	TrafficShare float64 // of all requests
+	TrafficShare float64 // part of all requests, from 0 to 1
 	QuotaPerSec  float64
 }
 
-// Limits are what the deployment permits.
+// Limits holds what the deployment permits a relay to do.
 type Limits struct {
-	MaxAttempts    int // for each request
-	CancelAttempts bool
-	HealthChecks   bool
-	PeerMessages   bool // relays may send each other messages
-	HedgedRequests bool // a request may have several attempts under way
-	RetryAfter     bool // a Reject may name a time to come back
+	MaxAttempts    int  // maximum number of attempts for a request
+	CancelAttempts bool // attempts may be cancelled
+	HealthChecks   bool // endpoints may be sent health checks
+	PeerMessages   bool // relays may send messages to each other
+	HedgedRequests bool // a request may have several attempts in flight
+	RetryAfter     bool // a Reject may set RetryAfter
 	MaxRetryAfter  Seconds
 	ConnectTimeout Seconds
 }
 
-// Rules are the numbers of the rules that every relay keeps.
+// Rules holds the parameters of the rules that every relay has to keep.
 type Rules struct {
-	AnswerSlack      Seconds
-	DrainGrace       Seconds // in which a draining endpoint may still get attempts
-	PollInterval     Seconds // to which a relay without a watch is held; infinite: no such time
-	SlowStartFloor   float64 // least part of its capacity that a fresh endpoint has
-	SlowStartTime    Seconds // after which it has all of it at the latest
-	OverloadMultiple float64 // times its present capacity above which a fresh endpoint collapses
-	OverloadWindow   Seconds // over which that is counted
+	AnswerSlack      Seconds // time after a request's deadline within which its final answer must be given
+	DrainGrace       Seconds // time during which a draining or removed endpoint may still be sent new attempts
+	PollInterval     Seconds // time for which a relay without a watch may use its endpoint list; infinite: unlimited
+	SlowStartFloor   float64 // least part of its full capacity that an endpoint has when it starts
+	SlowStartTime    Seconds // time after which an endpoint has its full capacity at the latest
+	OverloadMultiple float64 // a warming endpoint fails at more than this multiple of its present capacity
+	OverloadWindow   Seconds // time over which the load for OverloadMultiple is counted
 }
 
-// Rollout is how new builds are brought in.
+// Rollout holds the settings for the rollout of new builds. The service's score is reduced by DelayCost points times the part
+// of the priority weight served by builds older than the newest good one, and by HarmCost points times the part in wrong
+// answers and in attempts with an effect that a bad build fails.
 type Rollout struct {
 	Control              RolloutControl
-	InPlace              bool      // machines of the earlier build are drained as their successors start
-	ExposureLimits       []float64 // by stage: the part of requests that a build on trial may get
-	StageShares          []float64 // by stage: the part of the fleet that runs the build
-	ExposureAllowance    float64   // attempts that are not counted against the limit
-	ExposureWindow       Seconds   // over which exposure is counted
-	PerClass             bool      // exposure is counted for each class
-	IdempotentOnlyStages int       // number of first stages that only idempotent requests may meet
-	StickyKeys           bool      // a key that the newest build has answered does not return to an earlier one
-	KeyLocality          bool      // endpoints are faster for keys that they have seen lately
-	PromoteQuorum        int
-	RollBackQuorum       int
-	HoldQuorum           int
-	VoteTTL              Seconds
-	CallTimeout          Seconds // of a call to the platform
-	VotesPerSec          float64 // that the platform takes from all relays
-	MinStageTime         Seconds
-	MaxStageTime         Seconds // after which a timed stage is promoted
-	ReportedShare        float64 // of wrong answers, that clients report (MisreportedOutcome)
-	DelayCost            float64 // of answers by a build older than the newest good one
-	HarmCost             float64 // of wrong answers, and of attempts that a bad build fails
+	InPlace              bool      // machines of the earlier build are drained while their replacements start
+	ExposureLimits       []float64 // by stage: part of the requests that may be sent to a build on trial
+	StageShares          []float64 // by stage: part of the fleet that runs the build
+	ExposureAllowance    float64   // number of attempts that do not count against the exposure limit
+	ExposureWindow       Seconds   // time over which exposure is counted
+	PerClass             bool      // exposure is counted for each request class separately
+	IdempotentOnlyStages int       // number of first stages in which a build on trial may get only idempotent requests
+	StickyKeys           bool      // requests for a key that the newest build has answered are not sent to earlier builds
+	KeyLocality          bool      // endpoints are faster for keys that they have served recently
+	PromoteQuorum        int       // votes needed to promote a stage
+	RollBackQuorum       int       // votes needed to roll a build back
+	HoldQuorum           int       // votes needed to hold a stage
+	VoteTTL              Seconds   // time after which a vote expires; infinite: never
+	CallTimeout          Seconds   // timeout of a call to the platform
+	VotesPerSec          float64   // rate at which the platform accepts votes from all relays together
+	MinStageTime         Seconds   // minimum duration of a stage
+	MaxStageTime         Seconds   // time after which a timed stage is promoted
+	ReportedShare        float64   // part of the wrong answers that clients report (see MisreportedOutcome)
+	DelayCost            float64   // points of the score; see above
+	HarmCost             float64   // points of the score; see above
 }
 
-// Costs are what reduces the points of the service, in points each.
+// Costs holds the deductions from the service's score, in points:
+//
+//   - CrossZone for an attempt at an endpoint in another zone
+//   - Waste times the work of endpoints that produced no answer (health checks and handshakes included), as a fraction of the
+//     work offered
+//   - HealthCheck for a health check
+//   - Message for a message to another relay, for each receiver
+//   - LateFailure times the fraction of requests, weighted by priority, that end without a successful answer after their
+//     latency objective
 type Costs struct {
 	CrossZone, Waste, HealthCheck, Message, LateFailure float64
 }
