--- a/cmd/simhost/commands.go
+++ b/cmd/simhost/commands.go
@@ -6,12 +6,12 @@
 	"lichenroad/relay"
 )
 
-// nanoseconds turns a span of seconds into nanoseconds, none below zero.
+// nanoseconds converts seconds into nanoseconds. Negative values become 0.
 func nanoseconds(seconds float64) uint64 {
 	return uint64(math.Max(0, math.Round(seconds*nanosecondsPerSecond)))
 }
 
-// write adds an instance's command to the reply.
+// write encodes a command of an instance into the reply.
 func (h *host) write(in *instance, command relay.Command) {
 	switch c := command.(type) {
 	case relay.SendAttempt:
--- a/cmd/simhost/events.go
+++ b/cmd/simhost/events.go
@@ -5,7 +5,7 @@
 	"lichenroad/simwire"
 )
 
-// duration turns nanoseconds into seconds.
+// duration converts nanoseconds into seconds.
 func duration(ns uint64) float64 { return float64(ns) / nanosecondsPerSecond }
 
 var outcomes = map[simwire.Outcome]relay.Outcome{
@@ -25,7 +25,7 @@
 	return relay.Errored
 }
 
-// event translates an event for an instance.
+// event converts an event from the simulator into the event for the instance's decision module.
 func (h *host) event(in *instance, e *simwire.Event) relay.Event {
 	switch e.Code {
 	case simwire.EventListUpdate:
@@ -48,7 +48,7 @@
 		return rolloutStatus(e)
 	case simwire.EventReportedCounts:
 		return reportedCounts(e)
-	default: // simwire.EventMisreportedOutcome; the reader has rejected any other code
+	default: // simwire.EventMisreportedOutcome; the reader rejects all unknown codes
 		return misreportedOutcome(e)
 	}
 }
@@ -146,7 +146,8 @@
 	simwire.ListFull:   relay.ListFull,
 }
 
-// listUpdate translates a list update. One of no known kind, or of a list that was never sent, is a failed fetch.
+// listUpdate converts a list update. An update of an unknown kind, or of a list that was never sent, becomes a failed call
+// to discovery.
 func (h *host) listUpdate(in *instance, e *simwire.Event) relay.ListUpdate {
 	kind, known := listKinds[e.ListKind]
 	if !known || int(e.List) >= len(h.lists) {
@@ -160,7 +161,7 @@
 }
 
 func endpoint(in *instance, entry simwire.Entry) relay.Endpoint {
-	translated := relay.Endpoint{
+	converted := relay.Endpoint{
 		ID:            relay.EndpointID(entry.Endpoint),
 		Zone:          relay.Zone(entry.Zone),
 		MachineType:   relay.MachineType(entry.MachineType),
@@ -172,9 +173,9 @@
 	}
 	switch entry.State {
 	case simwire.EndpointDraining:
-		translated.State = relay.Draining
+		converted.State = relay.Draining
 	case simwire.EndpointReady:
-		translated.State = relay.Ready
+		converted.State = relay.Ready
 	}
-	return translated
+	return converted
 }
--- a/cmd/simhost/host.go
+++ b/cmd/simhost/host.go
@@ -11,43 +11,43 @@
 )
 
 const (
-	maxLists             = 1 << 16 // numbered lists that a run may use
+	maxLists             = 1 << 16 // bound on list numbers
 	nanosecondsPerSecond = 1e9
 )
 
-// instance is one relay: its module, and the clock at which it started.
+// instance is a relay in the simulation, with its decision module.
 type instance struct {
-	number    uint16
+	number    uint16 // number of the instance on the wire
 	module    *policy.Policy
 	startedAt uint64        // ns of the simulator's clock
-	events    []relay.Event // of this batch
-	queued    bool          // it has events of this batch, and was not stopped after them
-	failed    bool          // its module panicked: it is left alone
+	events    []relay.Event // events from the present batch
+	queued    bool          // has events from the present batch and was not stopped after them
+	failed    bool          // its module has panicked, so it is not stepped any more
 }
 
-// seconds is a time of the simulator's clock as the module counts it, from the instance's start.
+// seconds converts a time of the simulator's clock into the module's time, which counts from the start of the instance.
 func (in *instance) seconds(clock uint64) float64 {
 	return float64(int64(clock-in.startedAt)) / nanosecondsPerSecond
 }
 
-// clock turns a time of the module back; it rounds up, so that a timer never fires early.
+// clock converts a module time into a time of the simulator's clock. It rounds up so that a timer never fires too early.
 func (in *instance) clock(at float64) uint64 {
 	elapsed := math.Ceil(at * nanosecondsPerSecond)
-	if !(elapsed > 0) { // not a number counts as the start too
+	if !(elapsed > 0) { // NaN counts as the start, too
 		return in.startedAt
 	}
 	return in.startedAt + uint64(elapsed)
 }
 
-// host owns the instances.
+// host runs the instances.
 type host struct {
 	out       *simwire.Writer
 	instances map[uint16]*instance
-	queue     []*instance // instances with events, in the order of their first event of the batch
-	lists     [][]simwire.Entry
+	queue     []*instance       // instances with events, in the order of their first event in the batch
+	lists     [][]simwire.Entry // indexed by list number
 }
 
-// handleBatch collects the events of a batch by instance, then steps each instance once.
+// handleBatch groups the events of a batch by instance, then steps each of these instances once.
 func (h *host) handleBatch(clock uint64, events []simwire.Event) error {
 	for i := range events {
 		if err := h.handleEvent(clock, &events[i]); err != nil {
@@ -72,7 +72,7 @@
 	case simwire.EventStop:
 		h.stopInstance(e.Instance)
 	default:
-		if in := h.instances[e.Instance]; in != nil { // none: a stray event for an instance that has stopped
+		if in := h.instances[e.Instance]; in != nil { // events for a stopped instance are dropped
 			h.enqueue(in, e)
 		}
 	}
@@ -81,7 +81,7 @@
 
 func (h *host) storeList(e *simwire.Event) error {
 	if e.List >= maxLists {
-		return fmt.Errorf("%w: list number %d", simwire.ErrMalformed, e.List)
+		return fmt.Errorf("%w: list number %d, the maximum is %d", simwire.ErrMalformed, e.List, maxLists-1)
 	}
 	for len(h.lists) <= int(e.List) {
 		h.lists = append(h.lists, nil)
@@ -90,7 +90,7 @@
 	return nil
 }
 
-// startInstance starts an instance in place of the one that had its number, if any.
+// startInstance starts an instance. A running instance with the same number is stopped first.
 func (h *host) startInstance(clock uint64, e *simwire.Event) error {
 	h.stopInstance(e.Instance)
 	parsed, err := settings.Parse(e.Body)
@@ -105,7 +105,7 @@
 	return nil
 }
 
-// stopInstance forgets an instance, and with it whatever this batch held for it.
+// stopInstance removes an instance and drops its events from the present batch.
 func (h *host) stopInstance(number uint16) {
 	if in := h.instances[number]; in != nil {
 		in.queued = false
@@ -121,8 +121,8 @@
 	in.events = append(in.events, h.event(in, e))
 }
 
-// step steps an instance over the events collected for it. One that panics is reported to the simulator and left alone
-// from then on.
+// step steps an instance with the events collected for it. If its module panics, the failure is reported to the simulator and
+// the instance is not stepped any more.
 func (h *host) step(in *instance, clock uint64) {
 	if in.failed {
 		return
--- a/cmd/simhost/main.go
+++ b/cmd/simhost/main.go
@@ -1,6 +1,6 @@
-// Command simhost hosts instances of the decision module behind the simulator's pipe: batches of events on standard
-// input, one reply a batch on standard output. It decides nothing: host.go steps the instances, events.go and commands.go
-// translate between simwire's records and relay's types. All of it runs on one goroutine, which owns every instance.
+// Command simhost hosts instances of the decision module for the simulator. It reads batches of events from standard input
+// and writes a reply to each batch to standard output. It makes no decisions itself: host.go steps the instances, and
+// events.go and commands.go convert between the types of packages simwire and relay. Everything runs on one goroutine.
 package main
 
 import (
@@ -19,7 +19,7 @@
 	}
 }
 
-// serve replies to batches until the input ends.
+// serve reads batches and replies to them until the input ends.
 func serve(in io.Reader, out io.Writer) error {
 	reader := simwire.NewReader(in)
 	h := &host{out: simwire.NewWriter(out), instances: map[uint16]*instance{}}
--- a/settings/bench_test.go
+++ b/settings/bench_test.go
@@ -7,7 +7,8 @@
 	"testing"
 )
 
-// BenchmarkParse reads settings with so many tenants; heap-B is what they hold once they are read.
+// BenchmarkParse parses settings with up to 270000 tenants. heap-B is the heap that the parsed settings occupy, wire-B the
+// length of their JSON text.
 func BenchmarkParse(b *testing.B) {
 	for _, tenants := range []int{1000, 10_000, 50_000, 120_000, 270_000} {
 		b.Run(fmt.Sprintf("tenants=%d", tenants), func(b *testing.B) {
@@ -21,14 +22,14 @@
 			}
 			raw.WriteString(`],"grades":[{"name":"basket"}]}`)
 			var site Site
-			before := inUse()
+			before := heapInUse()
 			for b.Loop() {
 				var err error
 				if site, err = Parse(raw.Bytes()); err != nil || len(site.Tenants) != tenants {
 					b.Fatal(len(site.Tenants), err)
 				}
 			}
-			b.ReportMetric(inUse()-before, "heap-B")
+			b.ReportMetric(heapInUse()-before, "heap-B")
 			b.ReportMetric(float64(raw.Len()), "wire-B")
 			runtime.KeepAlive(site)
 			runtime.KeepAlive(&raw)
@@ -36,7 +37,7 @@
 	}
 }
 
-func inUse() float64 {
+func heapInUse() float64 {
 	var m runtime.MemStats
 	runtime.GC()
 	runtime.ReadMemStats(&m)
--- a/settings/settings.go
+++ b/settings/settings.go
@@ -1,7 +1,7 @@
-// Package settings reads the JSON object that describes a site to an instance: classes of requests, tenants, limits, rules
-// and costs. The simulator's first message and a relay's configuration hold the same object, and this is the parser of both.
+// Package settings parses the JSON object that describes a site to an instance: request classes, tenants, limits, rules and
+// costs. The simulator's start message and a relay's configuration contain the same object, and both are parsed here.
 //
-// It holds no state; Parse may be called from any goroutine. It imports package relay.
+// The package has no state; Parse may be called from any goroutine. It imports package relay.
 package settings
 
 import (
@@ -12,19 +12,19 @@
 	"lichenroad/relay"
 )
 
-// Site is a site's settings: those of the decisions, and what a host with sockets needs beside them. Nobody changes it once
-// it was read.
+// Site holds the settings of a site: those of the decision module, and those that only its host needs. A Site is not
+// modified after Parse has returned it.
 type Site struct {
 	relay.Settings
 	ClassByName         map[string]relay.RequestClass
 	TenantByName        map[string]relay.Tenant
-	Zones               []string      // names, by relay.Zone
-	MachineTypes        []string      // names, by relay.MachineType
-	EndpointIdleTimeout relay.Seconds // after which an idle connection to an endpoint is closed
-	MaxInFlight         int           // requests in flight at a time
+	Zones               []string      // names of the zones, indexed by relay.Zone
+	MachineTypes        []string      // names of the machine types, indexed by relay.MachineType
+	EndpointIdleTimeout relay.Seconds // time after which an idle connection to an endpoint is closed
+	MaxInFlight         int           // maximum number of requests in flight
 }
 
-// MaxDeadline is the longest deadline of any class.
+// MaxDeadline returns the longest deadline of all request classes.
 func (s Site) MaxDeadline() relay.Seconds {
 	var longest relay.Seconds
 	for _, class := range s.Classes {
@@ -33,7 +33,7 @@
 	return longest
 }
 
-// Parse reads the settings of one instance. Its error wraps that of package encoding/json.
+// Parse parses the settings of an instance. Its error wraps the one of package encoding/json.
 func Parse(raw []byte) (Site, error) {
 	var w wireSettings
 	if err := json.Unmarshal(raw, &w); err != nil {
@@ -100,7 +100,7 @@
 		Streamed:           wire.Streamed,
 	}
 	if class.LatencyObjective <= 0 {
-		class.LatencyObjective = class.Deadline // an objective of no time at all would reject everything
+		class.LatencyObjective = class.Deadline // with an objective of 0, every request would be rejected
 	}
 	switch wire.Idempotency {
 	case idempotent:
@@ -137,7 +137,7 @@
 		ConnectTimeout: seconds(w.Limits.ConnectTimeout),
 	}
 	if limits.MaxAttempts <= 0 {
-		limits.MaxAttempts = math.MaxInt32 // not limited; no attempt at all would reject everything
+		limits.MaxAttempts = math.MaxInt32 // no limit set; with a limit of 0, every request would be rejected
 	}
 	return limits
 }
@@ -200,7 +200,7 @@
 
 func seconds(nanoseconds float64) relay.Seconds { return nanoseconds / nanosecondsPerSecond }
 
-// secondsOrNever is a time that the settings may leave out, and that then never comes.
+// secondsOrNever converts a duration that is unlimited if the settings don't specify it.
 func secondsOrNever(nanoseconds float64) relay.Seconds {
 	if nanoseconds <= 0 {
 		return math.Inf(1)
--- a/settings/settings_test.go
+++ b/settings/settings_test.go
@@ -15,13 +15,14 @@
 		t.Errorf("%+v %v", s, err)
 	}
 	_, err = Parse([]byte(`{`))
-	var syntax *json.SyntaxError
-	if !errors.As(err, &syntax) {
-		t.Errorf("bad settings: %v", err)
+	var syntaxError *json.SyntaxError
+	if !errors.As(err, &syntaxError) {
+		t.Errorf("malformed settings: error %v, want a *json.SyntaxError", err)
 	}
 }
 
-// TestAbsentSettingsRejectNothing reads the settings of a site that leaves out what it does not limit.
+// TestAbsentSettingsRejectNothing parses settings without limits. A missing limit must mean that there is none; read as 0 it
+// would make the relay reject every request.
 func TestAbsentSettingsRejectNothing(t *testing.T) {
 	site, err := Parse([]byte(`{"grades":[{"name":"a","repeat":"retryable","deadline":2e9}]}`))
 	if err != nil {
@@ -32,25 +33,25 @@
 		t.Errorf("%+v", s)
 	}
 	if !math.IsInf(s.Rules.PollInterval, 1) || !math.IsInf(s.Rollout.VoteTTL, 1) {
-		t.Error("times that never come:", s.Rules.PollInterval, s.Rollout.VoteTTL)
+		t.Errorf("poll interval %v and vote TTL %v, want +Inf", s.Rules.PollInterval, s.Rollout.VoteTTL)
 	}
 }
 
-// TestWords holds the words of the wire to the settings that they stand for.
-func TestWords(t *testing.T) {
-	for _, c := range []struct {
+// TestOptionValues checks which setting each option value in the JSON object selects.
+func TestOptionValues(t *testing.T) {
+	for _, test := range []struct {
 		name string
 		raw  string
-		is   func(Site) bool
+		ok   func(Site) bool
 	}{
 		{"idempotent", `{"grades":[{"repeat":"retryable"}]}`, func(s Site) bool { return s.Classes[0].Idempotency == relay.Idempotent }},
-		{"keyed", `{"grades":[{"repeat":"dedup"}]}`, func(s Site) bool { return s.Classes[0].Idempotency == relay.IdempotencyKeyed }},
+		{"idempotency key", `{"grades":[{"repeat":"dedup"}]}`, func(s Site) bool { return s.Classes[0].Idempotency == relay.IdempotencyKeyed }},
 		{"at most once", `{"grades":[{"repeat":"fragile"}]}`, func(s Site) bool { return s.Classes[0].Idempotency == relay.AtMostOnce }},
-		{"dedup everywhere", `{"grades":[{"group":"all"}]}`, func(s Site) bool { return s.Classes[0].DedupScope == relay.DedupAll }},
+		{"dedup in all endpoints", `{"grades":[{"group":"all"}]}`, func(s Site) bool { return s.Classes[0].DedupScope == relay.DedupAll }},
 		{"dedup in a zone", `{"grades":[{"group":"zone"}]}`, func(s Site) bool { return s.Classes[0].DedupScope == relay.DedupZone }},
-		{"dedup in a cell", `{"grades":[{"group":"cell"}]}`, func(s Site) bool { return s.Classes[0].DedupScope == relay.DedupFailureDomain }},
+		{"dedup in a failure domain", `{"grades":[{"group":"cell"}]}`, func(s Site) bool { return s.Classes[0].DedupScope == relay.DedupFailureDomain }},
 		{"list on request", `{"discovery":"subscribe"}`, func(s Site) bool { return s.ListOnRequest }},
-		{"list by itself", `{"discovery":"automatic"}`, func(s Site) bool { return !s.ListOnRequest }},
+		{"list without request", `{"discovery":"automatic"}`, func(s Site) bool { return !s.ListOnRequest }},
 		{"load reports in attempts", `{"report":{"via":"inline","fields":["x"]}}`, func(s Site) bool { return s.LoadReportInAttempts && len(s.LoadReportFields) == 1 }},
 		{"no load reports", `{"report":{"via":"off","fields":["x"]}}`, func(s Site) bool { return !s.LoadReportInAttempts && s.LoadReportFields == nil }},
 		{"single vote", `{"family_info":{"decided_by":"first_voice"}}`, func(s Site) bool { return s.Rollout.Control == relay.ControlSingleVote }},
@@ -61,11 +62,11 @@
 		{"names", `{"grades":[{"name":"a"},{"name":"b"}],"tenants":[{"name":"t"},{"name":"u"}]}`, func(s Site) bool {
 			return s.ClassByName["b"] == 1 && s.TenantByName["u"] == 1
 		}},
-		{"the longest deadline", `{"grades":[{"deadline":3e9},{"deadline":2e9}]}`, func(s Site) bool { return s.MaxDeadline() == 3 }},
+		{"longest deadline", `{"grades":[{"deadline":3e9},{"deadline":2e9}]}`, func(s Site) bool { return s.MaxDeadline() == 3 }},
 	} {
-		t.Run(c.name, func(t *testing.T) {
-			site, err := Parse([]byte(c.raw))
-			if err != nil || !c.is(site) {
+		t.Run(test.name, func(t *testing.T) {
+			site, err := Parse([]byte(test.raw))
+			if err != nil || !test.ok(site) {
 				t.Errorf("%+v %v", site, err)
 			}
 		})
--- a/settings/wire.go
+++ b/settings/wire.go
@@ -1,7 +1,8 @@
 package settings
 
-// wireSettings is the part of the start-up object that this program uses; other keys are skipped. Times are nanoseconds.
-// Its structs have no names of their own, as the JSON package would put them into the texts of its errors.
+// wireSettings is the part of the JSON settings object that this program uses; other keys are ignored. Times are in
+// nanoseconds. The nested structs are anonymous because encoding/json includes the names of struct types in its error
+// messages.
 type wireSettings struct {
 	Zone                    int      `json:"az"`
 	Zones                   []string `json:"areas"`
@@ -84,17 +85,17 @@
 	} `json:"penalties"`
 }
 
-// Words of the wire that stand for one of several settings. A word that is not known leaves the setting at its zero value.
+// Values of settings that select one of several options. An unknown value selects the default.
 const (
-	listOnRequest      = "subscribe"  // of discovery
-	reportInAttempts   = "inline"     // of report.via
-	noLoadReport       = "off"        // of report.via
-	controlledByQuorum = "by_count"   // of family_info.decided_by
-	controlledByTime   = "automatic"  // of family_info.decided_by
-	replacedInPlace    = "replace"    // of family_info.swap
-	countedByClass     = "each_class" // of family_info.counted_by
-	idempotent         = "retryable"  // of grades.repeat
-	idempotencyKeyed   = "dedup"      // of grades.repeat
-	dedupAll           = "all"        // of grades.group
-	dedupZone          = "zone"       // of grades.group
+	listOnRequest      = "subscribe"  // value of discovery
+	reportInAttempts   = "inline"     // value of report.via
+	noLoadReport       = "off"        // value of report.via
+	controlledByQuorum = "by_count"   // value of family_info.decided_by
+	controlledByTime   = "automatic"  // value of family_info.decided_by
+	replacedInPlace    = "replace"    // value of family_info.swap
+	countedByClass     = "each_class" // value of family_info.counted_by
+	idempotent         = "retryable"  // value of grades.repeat
+	idempotencyKeyed   = "dedup"      // value of grades.repeat
+	dedupAll           = "all"        // value of grades.group
+	dedupZone          = "zone"       // value of grades.group
 )
--- a/simwire/cursor.go
+++ b/simwire/cursor.go
@@ -6,11 +6,12 @@
 )
 
 const (
-	endpointBytes = 6 // of an endpoint's id: an IPv4 address, big endian, and a port, little endian
-	addressShift  = 16
+	endpointBytes = 6  // size of an endpoint id: an IPv4 address in big-endian order and a port in little-endian order
+	addressShift  = 16 // bits of the port, which is the lower part of a decoded endpoint id
 )
 
-// cursor walks over a body. Once it has been asked for more than is left, overrun stays set and all values are zero.
+// cursor decodes the fields of a body one after the other. A read past the end of the body sets overrun; from then on all
+// reads return zero values.
 type cursor struct {
 	body    []byte
 	at      int
@@ -22,9 +23,9 @@
 		c.overrun = true
 		return nil
 	}
-	taken := c.body[c.at : c.at+n]
+	field := c.body[c.at : c.at+n]
 	c.at += n
-	return taken
+	return field
 }
 
 func (c *cursor) u8() uint8 {
--- a/simwire/event.go
+++ b/simwire/event.go
@@ -1,7 +1,7 @@
-// Package simwire decodes and encodes the frames of the simulator's pipe, on which one process hosts many instances of
-// the decision module. It decides nothing: what is received is handed over as it is, in nanoseconds of the simulator's
-// clock. A Reader owns the batch that it returned last, a Writer the reply that it collects; each is used by one
-// goroutine. The package imports nothing of the project.
+// Package simwire decodes and encodes the frames on the pipe between the simulator and a process that hosts many instances
+// of the decision module. It does not interpret what it decodes: times remain nanoseconds of the simulator's clock. Readers
+// and Writers reuse their buffers and are not safe for concurrent use. The package imports no other package of the Go
+// module.
 package simwire
 
 import "errors"
@@ -9,16 +9,16 @@
 // ErrMalformed is wrapped by every error about a frame's content.
 var ErrMalformed = errors.New("malformed frame")
 
-// Code says what an event is.
+// Code is the type of an event on the wire.
 type Code uint8
 
-// The codes of events, and the fields that each sets besides Code and Instance.
+// Event codes. The comments list the fields that are set in addition to Code and Instance.
 const (
-	EventMessage            Code = 1  // from another instance: From, Body
+	EventMessage            Code = 1  // message from another instance: From, Body
 	EventRolloutStatus      Code = 2  // ExposureLimit, Phase, VoteReply, Build, Stage, Age, Outcome
 	EventReportedCounts     Code = 3  // Build, Class, Attempts, Failures, Duration, Age
-	EventStart              Code = 4  // of an instance: Seed, Body
-	EventStop               Code = 5  // of an instance
+	EventStart              Code = 4  // start of an instance: Seed, Body
+	EventStop               Code = 5  // stop of an instance; no further fields
 	EventAttemptEnded       Code = 6  // Request, Attempt, Endpoint, Outcome, Duration, RequestFinished, LoadReport
 	EventRequest            Code = 7  // Request, Deadline, Work, Flags, Key, Tenant, Class
 	EventHealthCheckEnded   Code = 8  // Endpoint, Duration, Outcome, LoadReport
@@ -26,50 +26,50 @@
 	EventTimerFired         Code = 10 // Timer
 	EventMisreportedOutcome Code = 11 // Class, Endpoint, Age
 	EventClientDisconnected Code = 12 // Request
-	EventList               Code = 13 // a numbered list, for the list updates behind it; no Instance: List, Entries
+	EventList               Code = 13 // numbered list to which later list updates refer; without Instance: List, Entries
 	EventStreamStarted      Code = 14 // Request, Attempt, Endpoint, Duration
 )
 
-// Flags of a request.
+// Request flags.
 const (
-	FlagHasWork uint8 = 1 << iota // Work is set
-	FlagRetried                   // the client sends it again
+	FlagHasWork uint8 = 1 << iota // Work is known
+	FlagRetried                   // the client marked the request as a retry
 )
 
-// Outcome is how an attempt, a health check or a vote ended. The numbers are those of the system's errors.
+// Outcome is the result of an attempt, a health check or a vote. Its values are error numbers (errno) of Linux.
 type Outcome uint8
 
-// The outcomes; others are errors of no particular kind.
+// Outcomes. Any other value is an unspecified error.
 const (
 	OutcomeSucceeded        Outcome = 0
-	OutcomeRejected         Outcome = 11 // by the endpoint
+	OutcomeRejected         Outcome = 11 // rejected by the endpoint
 	OutcomeConnectionBroken Outcome = 104
 	OutcomeTimedOut         Outcome = 110
 	OutcomeConnectFailed    Outcome = 111
-	OutcomeNotSent          Outcome = 114 // of a vote: stale
+	OutcomeNotSent          Outcome = 114 // for a vote: its build or stage is no longer current
 	OutcomeCancelled        Outcome = 125
 )
 
 // ListKind is the kind of a list update.
 type ListKind uint8
 
-// The kinds of list updates; others are calls to discovery that failed.
+// Kinds of list updates. Any other value is a failed call to discovery.
 const (
 	ListCached ListKind = 2
 	ListDelta  ListKind = 3
 	ListFull   ListKind = 4
 )
 
-// EndpointState is the state of an endpoint in a list.
+// EndpointState is the state of an endpoint according to a list.
 type EndpointState uint8
 
-// The states of endpoints; others are endpoints that are gone.
+// Endpoint states. Any other value is a removed endpoint.
 const (
 	EndpointDraining EndpointState = 1
 	EndpointReady    EndpointState = 2
 )
 
-// Entry is one endpoint of a numbered list.
+// Entry is the entry of an endpoint in a numbered list.
 type Entry struct {
 	Zone          uint16
 	MachineType   uint16
@@ -77,18 +77,19 @@
 	Build         float32
 	Weight        float32
 	State         EndpointState
-	StartedAt     uint64 // ns; 0: not known
+	StartedAt     uint64 // ns; 0: unknown
 	Endpoint      uint64
 }
 
-// Event is one record of a batch. It has the fields of all codes, of which only its Code's are set: a batch is then one
-// slice that is used again, with no allocation for each event. Slices are valid until the next Read.
+// Event is a record of a batch. It has the fields of all codes, but only those of its Code are set. With a single type for
+// all codes, a batch is one reused slice, without an allocation for each event. The slices in an Event are valid until the
+// next Read.
 type Event struct {
 	Code            Code
 	Instance        uint16
 	Seed            uint64
-	Body            []byte // settings or message
-	List            uint32 // number of a list
+	Body            []byte // settings or message content
+	List            uint32 // number of the list
 	ListKind        ListKind
 	Entries         []Entry
 	Request         uint32
@@ -102,13 +103,13 @@
 	Endpoint        uint64
 	Outcome         Outcome
 	Duration        uint64 // ns
-	RequestFinished uint8  // 0: the request goes on
+	RequestFinished uint8  // 0: the request continues
 	LoadReport      []float32
 	Timer           uint64
-	From            uint32 // an instance
+	From            uint32 // number of the sending instance
 	ExposureLimit   float32
 	Phase           uint8
-	VoteReply       uint8 // 1: replies to a vote, whose result Outcome is
+	VoteReply       uint8 // 1: the event answers a vote, and Outcome is the result
 	Build           uint16
 	Stage           uint8
 	Age             uint64 // ns
--- a/simwire/reader.go
+++ b/simwire/reader.go
@@ -8,12 +8,12 @@
 )
 
 const (
-	bufferSize   = 1 << 16 // bytes, of the reader and of the writer
+	bufferSize   = 1 << 16 // bytes buffered by a reader and by a writer
 	maxBodyBytes = 1 << 30
-	headerBytes  = 12 // of a batch: the body's length, and the clock
+	headerBytes  = 12 // size of a batch's header: body length and clock
 )
 
-// Reader reads batches of events.
+// Reader reads batches of events from the simulator.
 type Reader struct {
 	source *bufio.Reader
 	body   []byte
@@ -23,54 +23,54 @@
 // NewReader returns a Reader that reads from r.
 func NewReader(r io.Reader) *Reader { return &Reader{source: bufio.NewReaderSize(r, bufferSize)} }
 
-// Read returns the next batch: its clock in nanoseconds, and its events, which are valid until the next call. At a clean
-// end of input the error is io.EOF; errors of the content wrap ErrMalformed.
+// Read returns the simulator's clock in nanoseconds and the events of the next batch. The events are valid until the next
+// call. Read returns io.EOF if the input ends between two batches; errors about the content wrap ErrMalformed.
 func (r *Reader) Read() (clock uint64, events []Event, err error) {
 	var header [headerBytes]byte
 	if _, err := io.ReadFull(r.source, header[:]); err != nil {
 		if err == io.EOF {
 			return 0, nil, io.EOF
 		}
-		return 0, nil, fmt.Errorf("%w: short header: %w", ErrMalformed, err)
+		return 0, nil, fmt.Errorf("%w: truncated batch header: %w", ErrMalformed, err)
 	}
 	length := binary.LittleEndian.Uint32(header[0:])
 	clock = binary.LittleEndian.Uint64(header[4:])
 	if length > maxBodyBytes {
-		return 0, nil, fmt.Errorf("%w: a body of %d bytes", ErrMalformed, length)
+		return 0, nil, fmt.Errorf("%w: batch body of %d bytes exceeds the maximum of %d bytes", ErrMalformed, length, maxBodyBytes)
 	}
 	if cap(r.body) < int(length) {
 		r.body = make([]byte, 0, length+length/2)
 	}
 	r.body = r.body[:length]
 	if _, err := io.ReadFull(r.source, r.body); err != nil {
-		return 0, nil, fmt.Errorf("%w: short body: %w", ErrMalformed, err)
+		return 0, nil, fmt.Errorf("%w: truncated batch body, expected %d bytes: %w", ErrMalformed, length, err)
 	}
 	r.events, err = decode(r.body, r.events[:0])
 	return clock, r.events, err
 }
 
-// decode appends the events of a body.
+// decode decodes the events in a batch body and appends them to events.
 func decode(body []byte, events []Event) ([]Event, error) {
 	c := &cursor{body: body}
 	for c.at < len(body) {
 		start := c.at
 		event := Event{Code: Code(c.u8())}
 		if int(event.Code) >= len(fieldDecoders) || fieldDecoders[event.Code] == nil {
-			return events, fmt.Errorf("%w: unknown code %d at byte %d", ErrMalformed, event.Code, start)
+			return events, fmt.Errorf("%w: unknown event code %d at byte %d", ErrMalformed, event.Code, start)
 		}
 		if event.Code != EventList {
 			event.Instance = c.u16()
 		}
 		fieldDecoders[event.Code](c, &event)
 		if c.overrun {
-			return events, fmt.Errorf("%w: record %d at byte %d runs past the end", ErrMalformed, event.Code, start)
+			return events, fmt.Errorf("%w: event with code %d at byte %d exceeds the batch body", ErrMalformed, event.Code, start)
 		}
 		events = append(events, event)
 	}
 	return events, nil
 }
 
-// fieldDecoders decode what follows an event's code and instance, by code.
+// fieldDecoders holds, for each event code, the function that decodes the fields after the code and the instance.
 var fieldDecoders = [...]func(c *cursor, e *Event){
 	EventMessage:            decodeMessage,
 	EventRolloutStatus:      decodeRolloutStatus,
@@ -145,7 +145,7 @@
 }
 
 func decodeListUpdate(c *cursor, e *Event) {
-	c.u32() // the version: updates come in sequence, with none left out
+	c.u32() // list version; not needed, because updates arrive in order and without gaps
 	e.List = c.u32()
 	e.ListKind = ListKind(c.u8())
 }
--- a/simwire/reader_test.go
+++ b/simwire/reader_test.go
@@ -10,34 +10,37 @@
 	"testing"
 )
 
-func frame(t *testing.T, s string) []byte {
+// frame decodes hexadecimal digits; spaces are ignored.
+func frame(t *testing.T, digits string) []byte {
 	t.Helper()
-	b, err := hex.DecodeString(strings.ReplaceAll(s, " ", ""))
+	raw, err := hex.DecodeString(strings.ReplaceAll(digits, " ", ""))
 	if err != nil {
 		t.Fatal(err)
 	}
-	return b
+	return raw
 }
 
+// batch is a frame with a request, a fired timer and a disconnected client.
 const batch = "38000000 90bf68f501000000" +
 	"07 0300 c4913a5d 90dbb60302000000 001bb70000000000 01 640ad2557c3bf091 00000000 0000" +
 	"0a 0300 4d00000000000000 0c 0500 192b6f0e"
 
-func TestReadsABatch(t *testing.T) {
+func TestReaderDecodesBatch(t *testing.T) {
 	r := NewReader(bytes.NewReader(frame(t, batch)))
 	clock, events, err := r.Read()
 	if err != nil || clock != 0x1f568bf90 || len(events) != 3 {
 		t.Fatal(clock, events, err)
 	}
-	q := events[0]
-	if q.Code != EventRequest || q.Instance != 3 || q.Request != 0x5d3a91c4 || q.Work != 12000000 || q.Flags != 1 {
-		t.Errorf("request: %+v", q)
+	request := events[0]
+	if request.Code != EventRequest || request.Instance != 3 || request.Request != 0x5d3a91c4 || request.Work != 12000000 ||
+		request.Flags != 1 {
+		t.Errorf("request: %+v", request)
 	}
 	if events[1].Timer != 0x4d || events[2].Request != 0x0e6f2b19 || events[2].Instance != 5 {
-		t.Errorf("others: %+v", events[1:])
+		t.Errorf("fired timer and disconnected client: %+v", events[1:])
 	}
 	if _, _, err := r.Read(); !errors.Is(err, io.EOF) {
-		t.Error("want a clean end, got", err)
+		t.Error("error at the end of the input:", err, "want io.EOF")
 	}
 }
 
@@ -45,24 +48,24 @@
 	whole := frame(t, batch)
 	for n := 1; n < len(whole); n++ {
 		if _, _, err := NewReader(bytes.NewReader(whole[:n])).Read(); !errors.Is(err, ErrMalformed) {
-			t.Fatalf("%d bytes: %v", n, err)
+			t.Fatalf("batch truncated to %d bytes: error %v, want ErrMalformed", n, err)
 		}
-		if n > 12 { // the same cut, with a length that hides it
-			cut := append([]byte{byte(n - 12), 0, 0, 0}, whole[4:n]...)
-			_, events, err := NewReader(bytes.NewReader(cut)).Read()
-			if whole := n == 12+38 || n == 12+38+11; (err == nil) != whole {
-				t.Fatalf("%d bytes with their length: %d events, %v", n, len(events), err)
+		if n > 12 { // the same truncation, with a matching length in the header
+			truncated := append([]byte{byte(n - 12), 0, 0, 0}, whole[4:n]...)
+			_, events, err := NewReader(bytes.NewReader(truncated)).Read()
+			if betweenEvents := n == 12+38 || n == 12+38+11; (err == nil) != betweenEvents {
+				t.Fatalf("batch truncated to %d bytes, with a matching length: %d events, error %v", n, len(events), err)
 			}
 		}
 	}
 	if _, _, err := NewReader(bytes.NewReader(frame(t, "01000000 0000000000000000 63"))).Read(); err == nil {
-		t.Error("an unknown code was read")
+		t.Error("an unknown event code was accepted")
 	}
 }
 
 func TestDecodesEachCode(t *testing.T) {
 	const endpoint, endpointID = "0a124a07 5b1b", 0x0a124a07<<16 | 0x1b5b
-	for _, c := range []struct {
+	for _, test := range []struct {
 		name string
 		body string
 		want Event
@@ -94,14 +97,14 @@
 		{"stream started", "0e 0300 04000000 01 " + endpoint + " 0500000000000000",
 			Event{Code: EventStreamStarted, Instance: 3, Request: 4, Attempt: 1, Endpoint: endpointID, Duration: 5}},
 	} {
-		t.Run(c.name, func(t *testing.T) {
-			body := frame(t, c.body)
+		t.Run(test.name, func(t *testing.T) {
+			body := frame(t, test.body)
 			got, err := decode(body, nil)
-			if err != nil || len(got) != 1 || !reflect.DeepEqual(got[0], c.want) {
-				t.Errorf("got  %+v, %v\nwant %+v", got, err, c.want)
+			if err != nil || len(got) != 1 || !reflect.DeepEqual(got[0], test.want) {
+				t.Errorf("got  %+v, %v\nwant %+v", got, err, test.want)
 			}
 			if _, err := decode(body[:len(body)-1], nil); !errors.Is(err, ErrMalformed) {
-				t.Errorf("one byte less: %v", err)
+				t.Errorf("without the last byte: error %v, want ErrMalformed", err)
 			}
 		})
 	}
--- a/simwire/writer.go
+++ b/simwire/writer.go
@@ -9,7 +9,7 @@
 	"math"
 )
 
-// command is the code of a record in a reply.
+// command is the code of a command in a reply.
 type command uint8
 
 const (
@@ -28,11 +28,11 @@
 	commandFail          command = 77
 )
 
-// Writer collects the commands of one reply and writes it at Flush.
+// Writer collects the commands of a reply, which Flush writes.
 type Writer struct {
 	destination *bufio.Writer
 	body        []byte
-	count       uint32 // of commands
+	count       uint32 // number of commands in body
 }
 
 // NewWriter returns a Writer that writes to w.
@@ -40,9 +40,9 @@
 	return &Writer{destination: bufio.NewWriterSize(w, bufferSize)}
 }
 
-// Flush sends the reply collected so far and starts the next.
+// Flush writes the reply collected so far and starts the next one.
 func (w *Writer) Flush() error {
-	const replyHeaderBytes = 8 // the number of commands, and the body's length
+	const replyHeaderBytes = 8 // number of commands and body length
 	var header [replyHeaderBytes]byte
 	binary.LittleEndian.PutUint32(header[0:], w.count)
 	binary.LittleEndian.PutUint32(header[4:], uint32(len(w.body)))
@@ -71,7 +71,7 @@
 	w.u16(uint16(id))
 }
 
-// bytes writes at most as many bytes as their length can tell.
+// bytes writes b with a length prefix of 16 bits. Bytes beyond the maximum length are dropped.
 func (w *Writer) bytes(b []byte) {
 	if len(b) > math.MaxUint16 {
 		b = b[:math.MaxUint16]
@@ -80,26 +80,26 @@
 	w.body = append(w.body, b...)
 }
 
-// Log writes a line for the simulator's report.
+// Log adds a line to the simulator's report.
 func (w *Writer) Log(instance uint16, line string) {
 	w.start(commandLog, instance)
 	w.bytes([]byte(line))
 }
 
-// Fault reports that the instance has failed.
+// Fault reports that the instance has failed; line is the reason.
 func (w *Writer) Fault(instance uint16, line string) {
 	w.start(commandFault, instance)
 	w.bytes([]byte(line))
 }
 
-// CancelAttempt cancels an attempt.
+// CancelAttempt cancels an attempt of a request.
 func (w *Writer) CancelAttempt(instance uint16, request uint32, attempt uint8) {
 	w.start(commandCancelAttempt, instance)
 	w.u32(request)
 	w.u8(attempt)
 }
 
-// Vote votes on a build.
+// Vote casts a vote on a build at a stage.
 func (w *Writer) Vote(instance, build uint16, stage, verdict uint8) {
 	w.start(commandVote, instance)
 	w.u16(build)
@@ -107,13 +107,13 @@
 	w.u8(verdict)
 }
 
-// HealthCheck checks an endpoint.
+// HealthCheck sends a health check to an endpoint.
 func (w *Writer) HealthCheck(instance uint16, endpoint uint64) {
 	w.start(commandHealthCheck, instance)
 	w.endpoint(endpoint)
 }
 
-// SendAttempt sends a request to an endpoint, which has timeout nanoseconds to respond.
+// SendAttempt sends a request to an endpoint with a timeout in nanoseconds.
 func (w *Writer) SendAttempt(instance uint16, request uint32, endpoint, timeout uint64) {
 	w.start(commandSendAttempt, instance)
 	w.u32(request)
@@ -121,16 +121,16 @@
 	w.u64(timeout)
 }
 
-// CloseIdle closes idle connections to an endpoint.
+// CloseIdle closes the idle connections to an endpoint.
 func (w *Writer) CloseIdle(instance uint16, endpoint uint64) {
 	w.start(commandCloseIdle, instance)
 	w.endpoint(endpoint)
 }
 
-// FetchList asks for the full list of endpoints.
+// FetchList requests the full endpoint list once.
 func (w *Writer) FetchList(instance uint16) { w.start(commandFetchList, instance) }
 
-// SetTimer asks for an EventTimerFired at a time in nanoseconds.
+// SetTimer requests an EventTimerFired at the given time of the simulator's clock, in nanoseconds.
 func (w *Writer) SetTimer(instance uint16, timer, at uint64) {
 	w.start(commandSetTimer, instance)
 	w.u64(timer)
@@ -144,7 +144,7 @@
 	w.bytes(body)
 }
 
-// Watch subscribes to changes of the endpoint list, or ends that.
+// Watch starts or stops watching the endpoint list for changes.
 func (w *Writer) Watch(instance uint16, on bool) {
 	w.start(commandWatch, instance)
 	var flag uint8
@@ -154,14 +154,14 @@
 	w.u8(flag)
 }
 
-// Reject rejects a request; the client may retry after so many nanoseconds.
+// Reject rejects a request. The client may retry it after retryAfter nanoseconds; 0: no delay is suggested.
 func (w *Writer) Reject(instance uint16, request uint32, retryAfter uint64) {
 	w.start(commandReject, instance)
 	w.u32(request)
 	w.u64(retryAfter)
 }
 
-// Fail fails a request, with no word on whether it has run.
+// Fail fails a request that may or may not have had an effect.
 func (w *Writer) Fail(instance uint16, request uint32) {
 	w.start(commandFail, instance)
 	w.u32(request)
--- a/simwire/writer_test.go
+++ b/simwire/writer_test.go
@@ -5,7 +5,7 @@
 	"testing"
 )
 
-func TestWritesAReply(t *testing.T) {
+func TestWriterEncodesReply(t *testing.T) {
 	var out bytes.Buffer
 	w := NewWriter(&out)
 	w.SendAttempt(3, 0x5d3a91c4, 0x0a124a07<<16|0x1b5b, 80000000)
