--- a/internal/guard/guard.go
+++ b/internal/guard/guard.go
@@ -117,15 +117,15 @@
 	for _, dependency := range rollout.DependenciesOf(h.plan, service) {
 		spec := &h.plan.Services[dependency]
 		if watch := h.watches[spec.Name]; watch != nil {
-			watch.SetAddress(spec.Watch)
+			watch.SetAddress(spec.WatchAddress)
 			continue
 		}
-		if spec.Watch == "" {
+		if spec.WatchAddress == "" {
 			h.loop.Log.WithFields(logrus.Fields{"service": h.serviceName, "dependency": spec.Name}).
 				Warn("plan names no watch address for a dependency: treated as not released")
 			continue
 		}
-		h.watches[spec.Name] = h.watch(spec.Name, spec.Watch)
+		h.watches[spec.Name] = h.watch(spec.Name, spec.WatchAddress)
 	}
 }
 
@@ -146,7 +146,7 @@
 	if status.Valid {
 		h.guard.DependencyStatusReceived(h.clock(), service, status)
 	} else {
-		h.guard.DependencyAlive(h.clock(), service)
+		h.guard.DependencyKeepAliveReceived(h.clock(), service)
 	}
 	h.evaluate()
 }
--- a/internal/planxml/service.go
+++ b/internal/planxml/service.go
@@ -10,8 +10,8 @@
 )
 
 // defaultVotes holds for a service without <votes>, and for each attribute that <votes> leaves out.
-var defaultVotes = plan.Votes{Control: plan.ControlQuorum, Promote: 0.5, RollBack: 0.15, Hold: 0.15, TTL: 10,
-	PerSecond: 100, StepTime: 60}
+var defaultVotes = plan.Votes{Control: plan.ControlQuorum, PromoteShare: 0.5, RollBackShare: 0.15,
+	HoldShare: 0.15, TTL: 10, PerSecond: 100, StepTime: 60}
 
 var controlWords = map[string]plan.Control{
 	"share": plan.ControlQuorum,
@@ -26,10 +26,10 @@
 
 // readService reads all of a service but its name.
 func (r *reader) readService(service *plan.Service, node *xmlconfig.Node) {
-	service.Watch = node.Attrs["watch"]
+	service.WatchAddress = node.Attrs["watch"]
 	service.RollbackTime = r.Seconds(node, "back-for", 10)
 	service.SettleTime = r.Seconds(node, "settle", 30)
-	if service.Watch != "" {
+	if service.WatchAddress != "" {
 		r.CheckAddress(node, "watch")
 	}
 	service.Votes = r.readVotes(node)
@@ -55,13 +55,13 @@
 			r.AddFault(node, "stands twice")
 		}
 		votes = plan.Votes{
-			Control:   xmlconfig.Enum(&r.Reader, node, "control", defaultVotes.Control, controlWords),
-			Promote:   r.Number(node, "on", defaultVotes.Promote, 0, 1),
-			RollBack:  r.Number(node, "back", defaultVotes.RollBack, 0, 1),
-			Hold:      r.Number(node, "hold", defaultVotes.Hold, 0, 1),
-			TTL:       r.Seconds(node, "life", defaultVotes.TTL),
-			PerSecond: r.Number(node, "per-second", defaultVotes.PerSecond, minVotesPerSecond, maxVotesPerSecond),
-			StepTime:  r.Seconds(node, "step-time", defaultVotes.StepTime),
+			Control:       xmlconfig.Enum(&r.Reader, node, "control", defaultVotes.Control, controlWords),
+			PromoteShare:  r.Number(node, "on", defaultVotes.PromoteShare, 0, 1),
+			RollBackShare: r.Number(node, "back", defaultVotes.RollBackShare, 0, 1),
+			HoldShare:     r.Number(node, "hold", defaultVotes.HoldShare, 0, 1),
+			TTL:           r.Seconds(node, "life", defaultVotes.TTL),
+			PerSecond:     r.Number(node, "per-second", defaultVotes.PerSecond, minVotesPerSecond, maxVotesPerSecond),
+			StepTime:      r.Seconds(node, "step-time", defaultVotes.StepTime),
 		}
 		if votes.TTL <= 0 {
 			r.AddFault(node, "life: no time at all")
@@ -185,12 +185,12 @@
 	var relays []plan.Relay
 	taken, takenAddresses := map[string]bool{}, map[string]bool{}
 	for _, node := range service.ChildrenNamed("relay") {
-		relay := plan.Relay{Name: r.UniqueName(node, taken), Site: plan.NoSite, Listen: node.Attrs["listen"]}
+		relay := plan.Relay{Name: r.UniqueName(node, taken), Site: plan.NoSite, ListenAddress: node.Attrs["listen"]}
 		if site, ok := node.Attrs["site"]; ok {
 			relay.Site = r.readSiteRef(node, site)
 		}
-		if relay.Listen != "" {
-			r.checkListen(node, relay.Listen, takenAddresses)
+		if relay.ListenAddress != "" {
+			r.checkListen(node, relay.ListenAddress, takenAddresses)
 		}
 		relays = append(relays, relay)
 	}
--- a/internal/releasecontroller/controller.go
+++ b/internal/releasecontroller/controller.go
@@ -135,19 +135,19 @@
 		service := &options.Plan.Services[i]
 		addresses.Relays[service.Name] = map[string]string{}
 		for _, r := range service.Relays {
-			if r.Listen == "" {
+			if r.ListenAddress == "" {
 				continue
 			}
-			address, err := d.listen(plan.ServiceIndex(i), r.Name, r.Listen)
+			address, err := d.listen(plan.ServiceIndex(i), r.Name, r.ListenAddress)
 			if err != nil {
 				return addresses, fmt.Errorf("service %s, relay %s: %w", service.Name, r.Name, err)
 			}
 			addresses.Relays[service.Name][r.Name] = address
 		}
-		if service.Watch == "" {
+		if service.WatchAddress == "" {
 			continue
 		}
-		address, err := d.listen(plan.ServiceIndex(i), "", service.Watch)
+		address, err := d.listen(plan.ServiceIndex(i), "", service.WatchAddress)
 		if err != nil {
 			return addresses, fmt.Errorf("service %s, watch: %w", service.Name, err)
 		}
--- a/lab/options.go
+++ b/lab/options.go
@@ -45,7 +45,7 @@
 		"guard-backward": &o.Guard.BackwardStatus,
 		"desk-freezes":   &o.Controller.Freezes,
 		"desk-needs":     &o.Controller.Dependencies,
-		"desk-least":     &o.Controller.MinStageTime,
+		"desk-least":     &o.Controller.MinStepTime,
 		"desk-narrow":    &o.Controller.LostDependencies,
 	}[name]
 	if ok {
--- a/lab/relay.go
+++ b/lab/relay.go
@@ -124,7 +124,7 @@
 		if !s.controller.partitioned && r.guard != nil {
 			for i, watched := range r.watches {
 				if watched {
-					r.guard.DependencyAlive(r.clock(), plan.ServiceIndex(i))
+					r.guard.DependencyKeepAliveReceived(r.clock(), plan.ServiceIndex(i))
 				}
 			}
 			r.evaluateGuard()
--- a/lab/replay.go
+++ b/lab/replay.go
@@ -85,7 +85,7 @@
 		Groups: []plan.Group{{Name: "all", Tenants: options.Tenants}},
 		Services: []plan.Service{{
 			Name:  "replay",
-			Votes: plan.Votes{Promote: 0.5, RollBack: 0.15, TTL: 10, PerSecond: 100},
+			Votes: plan.Votes{PromoteShare: 0.5, RollBackShare: 0.15, TTL: 10, PerSecond: 100},
 			Steps: []plan.Step{{Name: "all", Share: 1, ExposureLimit: 1, OpenGroups: everywhere}},
 		}},
 	}
--- a/plan/calendar.go
+++ b/plan/calendar.go
@@ -114,8 +114,8 @@
 	return active, found
 }
 
-// Next is when any freeze may begin or end, at the earliest.
-func (c *Calendar) Next(at Unix) Unix {
+// NextChange is when any freeze may begin or end, at the earliest.
+func (c *Calendar) NextChange(at Unix) Unix {
 	c.update(at)
 	return c.change
 }
--- a/plan/plan.go
+++ b/plan/plan.go
@@ -70,22 +70,22 @@
 	ControlTimed
 )
 
-// Votes are the rules by which the relays of a service vote on its steps. Promote, RollBack and Hold are the shares of its
+// Votes are the rules by which the relays of a service vote on its steps. PromoteShare, RollBackShare and HoldShare are the shares of its
 // relays, of one relay at least, that a vote needs to take effect.
 type Votes struct {
-	Control   Control
-	Promote   float64
-	RollBack  float64
-	Hold      float64
-	TTL       Seconds // for which a vote counts
-	PerSecond float64 // votes that are accepted from all relays together
-	StepTime  Seconds // after which ControlTimed promotes a step
+	Control       Control
+	PromoteShare  float64
+	RollBackShare float64
+	HoldShare     float64
+	TTL           Seconds // for which a vote counts
+	PerSecond     float64 // votes that are accepted from all relays together
+	StepTime      Seconds // after which ControlTimed promotes a step
 }
 
 // Service is one fleet of endpoints whose builds are released by steps.
 type Service struct {
 	Name         string
-	Watch        string  // address at which the controller serves the rollout's status to those who depend on it
+	WatchAddress string  // address at which the controller serves the rollout's status to those who depend on it
 	RollbackTime Seconds // that rolling back takes
 	SettleTime   Seconds // after a release before the next build starts
 	Votes        Votes
@@ -95,9 +95,9 @@
 
 // Relay is a voter. The controller knows it by the address that it listens on for this relay alone.
 type Relay struct {
-	Name   string
-	Site   SiteIndex
-	Listen string
+	Name          string
+	Site          SiteIndex
+	ListenAddress string
 }
 
 // Step is one stage of a release.
--- a/plan/plan_test.go
+++ b/plan/plan_test.go
@@ -78,7 +78,7 @@
 	if !frozen || active.Since != utc(t, "2026-12-04T19:00:00") || active.Until != utc(t, "2026-12-05T03:00:00") {
 		t.Errorf("%+v %v", active, frozen)
 	}
-	if next := exact.Next(utc(t, "2026-12-04T18:00:00")); next != utc(t, "2026-12-04T19:00:00") {
+	if next := exact.NextChange(utc(t, "2026-12-04T18:00:00")); next != utc(t, "2026-12-04T19:00:00") {
 		t.Error(next)
 	}
 }
--- a/rollout/advance.go
+++ b/rollout/advance.go
@@ -60,7 +60,7 @@
 			Reason: fmt.Sprintf("%d relays vote it back", votes)}, true
 	case state.inPhase(relay.PhaseRollingBack) && now >= newest.Since+spec.RollbackTime:
 		return Event{Kind: EventWithdrawn, Build: newest.Build, Step: newest.Step}, true
-	case !state.inProgress() && state.waiting != 0 && !c.CanPromote(service, 0, now).Blocked():
+	case !state.inProgress() && state.waiting != 0 && !c.StepBlocked(service, 0, now).Blocked():
 		return Event{Kind: EventBegan, Build: state.waiting}, true
 	case state.inPhase(relay.PhaseCanary) && !c.BlockReason(service, now).Blocked():
 		if next := newest.Step + 1; int(next) < len(spec.Steps) {
@@ -81,7 +81,7 @@
 // a rollback ends, or votes may have expired.
 func (c *Core) NextAdvance(at plan.Unix) plan.Unix {
 	now := c.advanceClock(at)
-	next := c.calendar.Next(now)
+	next := c.calendar.NextChange(now)
 	for i := range c.services {
 		if reason := c.BlockReason(plan.ServiceIndex(i), now); reason.Until > now {
 			next = math.Min(next, reason.Until)
--- a/rollout/core.go
+++ b/rollout/core.go
@@ -42,7 +42,7 @@
 type Safeguards struct {
 	Freezes          bool // freezes stop nothing
 	Dependencies     bool // steps don't wait for the services that they depend on
-	MinStageTime     bool // steps don't last their minimum time
+	MinStepTime      bool // steps don't last their minimum time
 	LostDependencies bool // a dependency that is lost doesn't lower the exposure limit
 	StaleVotes       bool // votes on another build or step are accepted
 }
--- a/rollout/guard.go
+++ b/rollout/guard.go
@@ -142,7 +142,7 @@
 func (g *Guard) NextEvaluation(now plan.Unix) plan.Unix {
 	const margin = 1e-3 // s; the status is too old only past its time
 	g.advanceClock(now)
-	next := g.calendar.Next(g.clock)
+	next := g.calendar.NextChange(g.clock)
 	for i := range g.dependencies {
 		dependency := &g.dependencies[i]
 		if dependency.status.Valid && g.clock-dependency.receivedAt <= g.plan.StatusTTL {
--- a/rollout/guard_status.go
+++ b/rollout/guard_status.go
@@ -56,8 +56,8 @@
 	g.dependencies[service] = dependencyStatus{status: status, receivedAt: g.clock}
 }
 
-// DependencyAlive says that the watch on another service is alive: the status that was last received still holds.
-func (g *Guard) DependencyAlive(now plan.Unix, service plan.ServiceIndex) {
+// DependencyKeepAliveReceived says that the watch on another service is alive: the status that was last received still holds.
+func (g *Guard) DependencyKeepAliveReceived(now plan.Unix, service plan.ServiceIndex) {
 	g.advanceClock(now)
 	if int(service) < len(g.dependencies) && g.dependencies[service].status.Valid {
 		g.dependencies[service].receivedAt = g.clock
--- a/rollout/guard_test.go
+++ b/rollout/guard_test.go
@@ -150,12 +150,12 @@
 	if reason := h.PromotionBlocked(freezeStart - 30); reason.Code != BlockedByStaleStatus {
 		t.Error("nothing received for 20 s: ", reason)
 	}
-	h.DependencyAlive(freezeStart-4, serviceA)
+	h.DependencyKeepAliveReceived(freezeStart-4, serviceA)
 	if got := h.FilterVote(freezeStart-4, promote); got != promote {
 		t.Error(got)
 	}
 	// A vote to promote becomes one to hold the skew before the freeze, and stands again the skew after it.
-	h.DependencyAlive(freezeStart-2, serviceA)
+	h.DependencyKeepAliveReceived(freezeStart-2, serviceA)
 	if got, ok := h.ReviseVote(freezeStart - 2); !ok || got != hold {
 		t.Error(got, ok)
 	}
@@ -163,7 +163,7 @@
 		t.Error("a vote to roll back was changed: ", got)
 	}
 	h.FilterVote(freezeEnd, promote)
-	h.DependencyAlive(freezeEnd+2, serviceA)
+	h.DependencyKeepAliveReceived(freezeEnd+2, serviceA)
 	if got, ok := h.ReviseVote(freezeEnd + 2); !ok || got != promote {
 		t.Error(got, ok)
 	}
@@ -257,7 +257,7 @@
 			case 0:
 				h.DependencyStatusReceived(at, serviceA, own)
 			case 1:
-				h.DependencyAlive(at, serviceA)
+				h.DependencyKeepAliveReceived(at, serviceA)
 			case 2:
 				h.StatusReceived(at, own)
 			}
@@ -339,7 +339,7 @@
 	if reason := h.PromotionBlocked(freezeEnd + 3); reason.Code != BlockedByStaleStatus {
 		t.Error("after it a status of the dependency must be received first: ", reason)
 	}
-	h.DependencyAlive(freezeEnd+4, serviceA)
+	h.DependencyKeepAliveReceived(freezeEnd+4, serviceA)
 	if v, ok := h.ReviseVote(freezeEnd + 4); !ok || v != promote {
 		t.Error(v, ok)
 	}
--- a/rollout/promotion.go
+++ b/rollout/promotion.go
@@ -21,7 +21,7 @@
 	case state.inProgress():
 		return c.canaryBlocked(service, now)
 	case state.waiting != 0:
-		return c.CanPromote(service, 0, now)
+		return c.StepBlocked(service, 0, now)
 	}
 	return BlockReason{Code: BlockedNoBuild, Text: "no build is on trial or waiting"}
 }
@@ -30,10 +30,10 @@
 func (c *Core) canaryBlocked(service plan.ServiceIndex, now plan.Unix) BlockReason {
 	state, spec := &c.services[service], &c.plan.Services[service]
 	step := state.newest.Step
-	if reason := c.CanPromote(service, step+1, now); reason.Blocked() {
+	if reason := c.StepBlocked(service, step+1, now); reason.Blocked() {
 		return reason
 	}
-	if end := state.newest.Since + spec.Steps[step].MinTime; now < end && !c.disabled.MinStageTime {
+	if end := state.newest.Since + spec.Steps[step].MinTime; now < end && !c.disabled.MinStepTime {
 		return BlockReason{
 			Code:  BlockedByMinTime,
 			Text:  fmt.Sprintf("step %s lasts until %s at least", spec.StepName(step), formatTime(end)),
@@ -67,9 +67,9 @@
 	return BlockReason{}
 }
 
-// CanPromote returns whether plan and operators let a service enter a step: 0 begins the waiting build, the number of
+// StepBlocked returns whether plan and operators let a service enter a step: 0 begins the waiting build, the number of
 // the service's steps releases the canary. Minimum time and votes are not looked at.
-func (c *Core) CanPromote(service plan.ServiceIndex, step plan.StepIndex, now plan.Unix) BlockReason {
+func (c *Core) StepBlocked(service plan.ServiceIndex, step plan.StepIndex, now plan.Unix) BlockReason {
 	state := &c.services[service]
 	if state.halted {
 		return BlockReason{
--- a/rollout/votes.go
+++ b/rollout/votes.go
@@ -110,11 +110,11 @@
 	share := 0.0
 	switch verdict {
 	case relay.VotePromote:
-		share = spec.Votes.Promote
+		share = spec.Votes.PromoteShare
 	case relay.VoteHold:
-		share = spec.Votes.Hold
+		share = spec.Votes.HoldShare
 	case relay.VoteRollBack:
-		share = spec.Votes.RollBack
+		share = spec.Votes.RollBackShare
 	}
 	return quorum(share, len(spec.Relays))
 }
