--- a/rollout/advance.go
+++ b/rollout/advance.go
@@ -8,8 +8,8 @@
 	"lichenroad/relay"
 )
 
-// Advance applies and returns the events that are due at a time, in the order in which they happen. Services come
-// after those that they depend on, so that what begins at the same moment sees it.
+// Advance applies the events that are due at a time and returns them in order. Each service comes after those that it
+// depends on, so that a step can begin at the same moment at which its dependency is fulfilled.
 func (c *Core) Advance(at plan.Unix) []Event {
 	now := c.advanceClock(at)
 	out := c.endFreezes(now)
@@ -22,7 +22,7 @@
 			}
 			e.At, e.Service = now, c.plan.Services[service].Name
 			if err := c.Apply(e); err != nil {
-				panic("rollout: " + err.Error()) // dueTransition only returns events that follow
+				panic("rollout: " + err.Error()) // dueTransition returns only events that Apply accepts
 			}
 			out = append(out, e)
 		}
@@ -32,7 +32,7 @@
 	}
 }
 
-// endFreezes ends the operators' freezes whose time is over.
+// endFreezes ends the operators' freezes that have expired and returns the events.
 func (c *Core) endFreezes(now plan.Unix) []Event {
 	var out []Event
 	for i := len(c.freezes) - 1; i >= 0; i-- {
@@ -42,19 +42,19 @@
 		}
 		e := Event{At: now, Kind: EventUnfrozen, Service: freeze.Service, FreezeName: freeze.FreezeName,
 			Actor: "desk", Reason: "its time is over"}
-		if c.Apply(e) == nil { // it only fails at an infinite time, which no journal may hold
+		if c.Apply(e) == nil { // it fails only at an infinite time, which a journal can't store
 			out = append(out, e)
 		}
 	}
 	return out
 }
 
-// dueTransition returns the next event of a service, if one is due, without its time and service.
+// dueTransition returns a service's next event, if one is due. The caller sets the event's time and service.
 func (c *Core) dueTransition(service plan.ServiceIndex, now plan.Unix) (Event, bool) {
 	state, spec := &c.services[service], &c.plan.Services[service]
 	newest := state.newest
 	switch {
-	case c.rollbackVoted(service, now): // no freeze, halt or dependency stops a rollback
+	case c.rollbackVoted(service, now): // first, as no freeze, halt or dependency blocks a rollback
 		votes := c.countVotes(service, relay.VoteRollBack, now)
 		return Event{Kind: EventRollingBack, Build: newest.Build, Step: newest.Step,
 			Reason: fmt.Sprintf("%d relays vote it back", votes)}, true
@@ -71,14 +71,14 @@
 	return Event{}, false
 }
 
-// rollbackVoted reports whether the newest build can be rolled back and enough relays vote for it.
+// rollbackVoted reports whether the newest build can be rolled back and enough relays vote for a rollback.
 func (c *Core) rollbackVoted(service plan.ServiceIndex, now plan.Unix) bool {
 	return c.services[service].canRollBack() &&
 		c.countVotes(service, relay.VoteRollBack, now) >= c.votesNeeded(service, relay.VoteRollBack)
 }
 
-// NextAdvance returns when Advance is to be called again if nothing happens before: when a freeze, a minimum time or
-// a rollback ends, or votes may have expired.
+// NextAdvance returns when Advance must be called again if no event is applied before: when a freeze begins or ends, a
+// minimum time or a rollback ends, or votes may have expired.
 func (c *Core) NextAdvance(at plan.Unix) plan.Unix {
 	now := c.advanceClock(at)
 	next := c.calendar.NextChange(now)
--- a/rollout/apply.go
+++ b/rollout/apply.go
@@ -8,11 +8,11 @@
 	"lichenroad/relay"
 )
 
-// Apply folds an event into the state. An event that can't follow from it changes nothing; the error is an
-// *EventError then.
+// Apply applies an event to the state. If the event can't follow the present state, Apply returns an *EventError and
+// changes nothing.
 func (c *Core) Apply(e Event) error {
-	if !(e.At >= 0) || math.IsInf(e.At, 0) { // the first condition also refuses NaN
-		return refuseEvent(e, "no time")
+	if !(e.At >= 0) || math.IsInf(e.At, 0) { // the negated comparison also rejects NaN
+		return rejectEvent(e, "time is negative or not finite")
 	}
 	if err := c.apply(e); err != nil {
 		return err
@@ -32,19 +32,19 @@
 	}
 	service, ok := c.plan.Service(e.Service)
 	if !ok {
-		return refuseEvent(e, "no such service")
+		return rejectEvent(e, "unknown service")
 	}
 	return c.services[service].apply(e, &c.plan.Services[service])
 }
 
-func refuseEvent(e Event, reason string) error { return &EventError{Event: e, Reason: reason} }
+func rejectEvent(e Event, reason string) error { return &EventError{Event: e, Reason: reason} }
 
 func (c *Core) applyFrozen(e Event) error {
 	if e.FreezeName == "" || c.findFreeze(e.FreezeName) >= 0 {
-		return refuseEvent(e, "the freeze has no name of its own")
+		return rejectEvent(e, "freeze name is empty or already in use")
 	}
 	if len(c.freezes) >= maxFreezes {
-		return refuseEvent(e, "too many freezes")
+		return rejectEvent(e, "too many freezes")
 	}
 	c.freezes = append(c.freezes, e)
 	return nil
@@ -53,18 +53,18 @@
 func (c *Core) applyUnfrozen(e Event) error {
 	at := c.findFreeze(e.FreezeName)
 	if at < 0 {
-		return refuseEvent(e, "there is no such freeze")
+		return rejectEvent(e, "unknown freeze")
 	}
 	c.freezes = slices.Delete(c.freezes, at, at+1)
 	return nil
 }
 
-// findFreeze returns the place of an operator's freeze in Core.freezes, or -1.
+// findFreeze returns the index of an operator's freeze in Core.freezes, or -1.
 func (c *Core) findFreeze(name string) int {
 	return slices.IndexFunc(c.freezes, func(freeze Event) bool { return freeze.FreezeName == name })
 }
 
-// apply folds an event of one service into its state. The plan's service says how many steps there are.
+// apply applies an event of one service to its state. The service's entry in the plan gives the number of steps.
 func (s *serviceState) apply(e Event, spec *plan.Service) error {
 	switch e.Kind {
 	case EventOffered:
@@ -90,18 +90,18 @@
 		s.halted = false
 		return nil
 	}
-	return refuseEvent(e, "of no known kind")
+	return rejectEvent(e, "unknown event kind")
 }
 
 func (s *serviceState) applyOffered(e Event) error {
 	if !s.isLaterBuild(e.Build) {
-		return refuseEvent(e, "no later build")
+		return rejectEvent(e, "build number is invalid, or not above those of the newest and the waiting build")
 	}
 	s.waiting, s.offeredAt = e.Build, e.At
 	return nil
 }
 
-// isLaterBuild reports whether a build is valid and later than the newest and the waiting one.
+// isLaterBuild reports whether a build number is valid and above those of the newest and the waiting build.
 func (s *serviceState) isLaterBuild(build relay.Build) bool {
 	valid := build > 0 && build < maxBuild
 	return valid && build > s.waiting && (!s.known || build > s.newest.Build)
@@ -109,7 +109,7 @@
 
 func (s *serviceState) applySuperseded(e Event) error {
 	if s.waiting == 0 || e.Build <= s.waiting {
-		return refuseEvent(e, "none was waiting")
+		return rejectEvent(e, "no earlier build is waiting")
 	}
 	s.waiting, s.offeredAt = e.Build, e.At
 	return nil
@@ -117,7 +117,7 @@
 
 func (s *serviceState) applyBegan(e Event) error {
 	if s.waiting != e.Build || e.Step != 0 || s.inProgress() {
-		return refuseEvent(e, "it can't begin")
+		return rejectEvent(e, "build is not waiting for its first step, or another is in progress")
 	}
 	s.newest = Release{Build: e.Build, Phase: relay.PhaseCanary, Since: e.At, StartedAt: e.At}
 	s.known, s.waiting = true, 0
@@ -128,7 +128,7 @@
 func (s *serviceState) applyPromoted(e Event, spec *plan.Service) error {
 	nextStep := e.Step == s.newest.Step+1 && int(e.Step) < len(spec.Steps)
 	if !s.isNewest(e.Build) || !s.inPhase(relay.PhaseCanary) || !nextStep {
-		return refuseEvent(e, "not the next step")
+		return rejectEvent(e, "not the next step of the canary")
 	}
 	s.enter(relay.PhaseCanary, e.Step, e.At)
 	return nil
@@ -137,7 +137,7 @@
 func (s *serviceState) applyReleased(e Event, spec *plan.Service) error {
 	lastStep := int(s.newest.Step) == len(spec.Steps)-1
 	if !s.isNewest(e.Build) || !s.inPhase(relay.PhaseCanary) || !lastStep {
-		return refuseEvent(e, "not at its last step")
+		return rejectEvent(e, "not a canary at its last step")
 	}
 	s.enter(relay.PhaseReleased, s.newest.Step, e.At)
 	return nil
@@ -145,7 +145,7 @@
 
 func (s *serviceState) applyRollingBack(e Event) error {
 	if !s.isNewest(e.Build) || !s.canRollBack() {
-		return refuseEvent(e, "it can't go back")
+		return rejectEvent(e, "not a canary or released build")
 	}
 	s.enter(relay.PhaseRollingBack, s.newest.Step, e.At)
 	return nil
@@ -153,7 +153,7 @@
 
 func (s *serviceState) applyWithdrawn(e Event) error {
 	if !s.isNewest(e.Build) || !s.inPhase(relay.PhaseRollingBack) {
-		return refuseEvent(e, "it was not going back")
+		return rejectEvent(e, "build is not rolling back")
 	}
 	s.enter(relay.PhaseWithdrawn, s.newest.Step, e.At)
 	return nil
@@ -162,16 +162,16 @@
 func (s *serviceState) applyVoted(e Event) error {
 	full := len(s.votes) >= maxVoters && s.votes[e.Relay] == (vote{})
 	if e.Relay == "" || full || !validVerdict(e.Verdict) {
-		return refuseEvent(e, "no vote")
+		return rejectEvent(e, "vote without a relay, with an unknown verdict, or from too many relays")
 	}
 	s.votes[e.Relay] = vote{build: e.Build, step: e.Step, verdict: e.Verdict, at: e.At}
 	return nil
 }
 
-// isNewest reports whether a build is the newest that has begun.
+// isNewest reports whether a build is the one that began last.
 func (s *serviceState) isNewest(build relay.Build) bool { return s.known && s.newest.Build == build }
 
-// enter moves the newest build to a step or phase.
+// enter moves the newest build to a step and phase.
 func (s *serviceState) enter(phase relay.Phase, step plan.StepIndex, at plan.Unix) {
 	s.newest.Phase, s.newest.Step, s.newest.Since = phase, step, at
 }
--- a/rollout/apply_test.go
+++ b/rollout/apply_test.go
@@ -16,45 +16,49 @@
 	for _, c := range []struct {
 		name  string
 		event Event
-		want  string // of the error, before "does not follow from what is known"
+		want  string // of the error, after "can't apply event "
 	}{
 		{"promotion that skips a step", Event{At: day, Kind: EventPromoted, Service: "a", Build: 7, Step: 2},
-			"moved of a build 7: not the next step"},
+			`"moved" of service "a", build 7: not the next step of the canary`},
 		{"promotion of another build", Event{At: day, Kind: EventPromoted, Service: "a", Build: 6, Step: 1},
-			"moved of a build 6: not the next step"},
+			`"moved" of service "a", build 6: not the next step of the canary`},
 		{"release before the last step", Event{At: day, Kind: EventReleased, Service: "a", Build: 7},
-			"released of a build 7: not at its last step"},
-		{"a build that has begun", Event{At: day, Kind: EventBegan, Service: "a", Build: 7}, "began of a build 7: it can't begin"},
+			`"released" of service "a", build 7: not a canary at its last step`},
+		{"a build that has begun", Event{At: day, Kind: EventBegan, Service: "a", Build: 7},
+			`"began" of service "a", build 7: build is not waiting for its first step, or another is in progress`},
 		{"rollback of another build", Event{At: day, Kind: EventRollingBack, Service: "a", Build: 6},
-			"sent_back of a build 6: it can't go back"},
-		{"end of a rollback that is none", Event{At: day, Kind: EventWithdrawn, Service: "a", Build: 7},
-			"taken_off of a build 7: it was not going back"},
-		{"an offer of the same build", Event{At: day, Kind: EventOffered, Service: "a", Build: 7}, "offered of a build 7: no later build"},
-		{"an offer in place of none", Event{At: day, Kind: EventSuperseded, Service: "a", Build: 8},
-			"overtook of a build 8: none was waiting"},
-		{"unknown kind", Event{At: day, Kind: "danced", Service: "a"}, "danced of a build 0: of no known kind"},
-		{"unknown service", Event{At: day, Kind: EventBegan, Service: "z"}, "began of z build 0: no such service"},
-		{"no number for a time", Event{At: math.NaN(), Kind: EventControllerStarted}, "started of  build 0: no time"},
-		{"infinite time", Event{At: math.Inf(1), Kind: EventControllerStarted}, "started of  build 0: no time"},
-		{"negative time", Event{At: -1, Kind: EventControllerStarted}, "started of  build 0: no time"},
-		{"vote of no relay", Event{At: day, Kind: EventVoted, Service: "a"}, "voted of a build 0: no vote"},
+			`"sent_back" of service "a", build 6: not a canary or released build`},
+		{"end of a rollback that has not begun", Event{At: day, Kind: EventWithdrawn, Service: "a", Build: 7},
+			`"taken_off" of service "a", build 7: build is not rolling back`},
+		{"an offer of the same build", Event{At: day, Kind: EventOffered, Service: "a", Build: 7},
+			`"offered" of service "a", build 7: build number is invalid, or not above those of the newest and the waiting build`},
+		{"an offer that supersedes no waiting build", Event{At: day, Kind: EventSuperseded, Service: "a", Build: 8},
+			`"overtook" of service "a", build 8: no earlier build is waiting`},
+		{"unknown kind", Event{At: day, Kind: "danced", Service: "a"}, `"danced" of service "a", build 0: unknown event kind`},
+		{"unknown service", Event{At: day, Kind: EventBegan, Service: "z"}, `"began" of service "z", build 0: unknown service`},
+		{"time that is not a number", Event{At: math.NaN(), Kind: EventControllerStarted}, `"started" of service "", build 0: time is negative or not finite`},
+		{"infinite time", Event{At: math.Inf(1), Kind: EventControllerStarted}, `"started" of service "", build 0: time is negative or not finite`},
+		{"negative time", Event{At: -1, Kind: EventControllerStarted}, `"started" of service "", build 0: time is negative or not finite`},
+		{"vote without a relay", Event{At: day, Kind: EventVoted, Service: "a"},
+			`"voted" of service "a", build 0: vote without a relay, with an unknown verdict, or from too many relays`},
 		{"end of an unknown freeze", Event{At: day, Kind: EventUnfrozen, FreezeName: "x"},
-			"thawed of  build 0: there is no such freeze"},
-		{"freeze without a name", Event{At: day, Kind: EventFrozen}, "froze of  build 0: the freeze has no name of its own"},
+			`"thawed" of service "", build 0: unknown freeze`},
+		{"freeze without a name", Event{At: day, Kind: EventFrozen},
+			`"froze" of service "", build 0: freeze name is empty or already in use`},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			h := newControllerHarness(t)
 			h.offer(serviceA, 7, day)
 			before, snapshot := h.core.ServiceStatuses(day), h.core.Snapshot()
 			err := h.core.Apply(c.event)
-			if refused := (*EventError)(nil); !errors.As(err, &refused) {
-				t.Fatalf("%+v, error %v", c.event, err)
+			if rejected := (*EventError)(nil); !errors.As(err, &rejected) {
+				t.Fatalf("event %+v: error %v, want an *EventError", c.event, err)
 			}
-			if want := c.want + ", does not follow from what is known"; err.Error() != want {
-				t.Errorf("%q, want %q", err, want)
+			if want := "can't apply event " + c.want; err.Error() != want {
+				t.Errorf("error %q, want %q", err, want)
 			}
 			if !reflect.DeepEqual(before, h.core.ServiceStatuses(day)) || !reflect.DeepEqual(snapshot, h.core.Snapshot()) {
-				t.Error("the state changed")
+				t.Error("the rejected event changed the state")
 			}
 		})
 	}
@@ -70,31 +74,31 @@
 		want   string
 	}{
 		{"without the present step", func(p *plan.Plan) { p.Services[serviceA].Steps = p.Services[serviceA].Steps[:1] },
-			"service a stands at step 1, which the new plan does not have"},
+			"service a is at step 1, which the new plan does not have"},
 		{"without the service", func(p *plan.Plan) { p.Services[serviceA].Name = "z" },
-			"service a has build 7 under way and is not in the new plan"},
+			"service a has build 7 waiting or in progress and is not in the new plan"},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			p := testPlan(t)
 			c.change(p)
 			err := h.core.Replan(p)
-			if refused := (*ReplanError)(nil); !errors.As(err, &refused) || err.Error() != c.want {
+			if rejected := (*ReplanError)(nil); !errors.As(err, &rejected) || err.Error() != c.want {
 				t.Errorf("error %v, want %q", err, c.want)
 			}
 			if h.core.RolloutStatus(serviceA, day+12).Stage != 1 {
-				t.Error("the state changed")
+				t.Error("the rejected plan changed the state")
 			}
 		})
 	}
 	t.Run("the same plan", func(t *testing.T) {
 		if err := h.core.Replan(testPlan(t)); err != nil || h.core.RolloutStatus(serviceA, day+12).Stage != 1 {
-			t.Error(err)
+			t.Errorf("error %v, status %+v", err, h.core.RolloutStatus(serviceA, day+12))
 		}
 	})
 }
 
-// TestJournalAndSnapshotRestoreState draws random events of a controller: its journal folds into the same state again,
-// and so does a snapshot, and no build begins, is promoted or is released in a freeze.
+// TestJournalAndSnapshotRestoreState applies random events: replaying the journal or a snapshot must give the same
+// state, and no build may begin, be promoted or be released in a freeze.
 func TestJournalAndSnapshotRestoreState(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		h := newControllerHarness(t)
@@ -120,7 +124,7 @@
 			for _, e := range h.journal[before:] {
 				promotes := e.Kind == EventBegan || e.Kind == EventPromoted || e.Kind == EventReleased
 				if promotes && e.At >= freezeStart && e.At < freezeEnd {
-					t.Fatal("promoted in the freeze: ", e)
+					t.Fatalf("advanced in the freeze: %+v", e)
 				}
 			}
 		}
@@ -131,7 +135,7 @@
 			}
 		}
 		if a, b := h.core.ServiceStatuses(at), replayed.ServiceStatuses(at); !reflect.DeepEqual(a, b) {
-			t.Fatalf("%+v\n%+v", a, b)
+			t.Fatalf("replaying the journal changed the statuses from\n%+v to\n%+v", a, b)
 		}
 		restored := New(h.core.plan)
 		for _, e := range h.core.Snapshot() {
@@ -140,10 +144,10 @@
 			}
 		}
 		if a, b := h.core.ServiceStatuses(at), restored.ServiceStatuses(at); !reflect.DeepEqual(a, b) {
-			t.Fatalf("snapshot: %+v\n%+v", a, b)
+			t.Fatalf("replaying the snapshot changed the statuses from\n%+v to\n%+v", a, b)
 		}
 		if a, b := h.core.Advance(at+30), replayed.Advance(at+30); !reflect.DeepEqual(a, b) {
-			t.Fatalf("%+v\n%+v", a, b)
+			t.Fatalf("after replaying the journal, the events due changed from\n%+v to\n%+v", a, b)
 		}
 	})
 }
--- a/rollout/dependency.go
+++ b/rollout/dependency.go
@@ -5,7 +5,7 @@
 	"lichenroad/relay"
 )
 
-// hasReached reports whether a service at a phase and step fulfils a dependency on it.
+// hasReached reports whether a service in a phase and at a step fulfils a dependency on it.
 func hasReached(dependency plan.Dependency, phase relay.Phase, step plan.StepIndex) bool {
 	switch phase {
 	case relay.PhaseReleased:
@@ -16,18 +16,18 @@
 	return false
 }
 
-// DependenciesOf returns the services that a service depends on, in the plan's order: those whose status its relays
-// have to watch.
+// DependenciesOf returns the services that a service depends on, in the plan's order. The service's relays have to
+// watch their status.
 func DependenciesOf(p *plan.Plan, service plan.ServiceIndex) []plan.ServiceIndex {
-	watched := make([]bool, len(p.Services))
+	isDependency := make([]bool, len(p.Services))
 	for _, step := range p.Services[service].Steps {
 		for _, dependency := range step.Dependencies {
-			watched[dependency.Service] = true
+			isDependency[dependency.Service] = true
 		}
 	}
 	var out []plan.ServiceIndex
-	for i, isWatched := range watched {
-		if isWatched {
+	for i, found := range isDependency {
+		if found {
 			out = append(out, plan.ServiceIndex(i))
 		}
 	}
--- a/rollout/event.go
+++ b/rollout/event.go
@@ -7,13 +7,13 @@
 	"lichenroad/relay"
 )
 
-// EventKind is what happened in an event.
+// EventKind is the kind of an event, as a journal stores it.
 type EventKind string
 
-// The kinds of event. Journals hold the values: none may change its meaning.
+// Journals store the values, so neither a value nor its meaning may change.
 const (
 	EventOffered           EventKind = "offered"   // a build waits for its first step
-	EventSuperseded        EventKind = "overtook"  // a later build replaced the one that waited
+	EventSuperseded        EventKind = "overtook"  // a later build replaced the waiting one
 	EventBegan             EventKind = "began"     // the waiting build entered its first step
 	EventPromoted          EventKind = "moved"     // the build entered Step
 	EventReleased          EventKind = "released"  // the build passed its last step
@@ -27,7 +27,7 @@
 	EventControllerStarted EventKind = "started"   // the controller's process started
 )
 
-// SnapshotReason is the Reason of the EventControllerStarted that ends a snapshot.
+// SnapshotReason is the reason in the EventControllerStarted that ends a snapshot.
 const SnapshotReason = "snapshot"
 
 // Event is one change of the state, as a journal stores it.
@@ -37,33 +37,32 @@
 	Service    string         `json:"service,omitempty"` // empty: all services
 	Build      relay.Build    `json:"build,omitempty"`
 	Step       plan.StepIndex `json:"step,omitempty"`
-	Relay      string         `json:"relay,omitempty"` // that voted
+	Relay      string         `json:"relay,omitempty"` // relay that cast the vote
 	Verdict    relay.Verdict  `json:"verdict,omitempty"`
 	FreezeName string         `json:"name,omitempty"`
-	Until      plan.Unix      `json:"until,omitempty"` // end of a freeze; 0: until it is ended by an operator
+	Until      plan.Unix      `json:"until,omitempty"` // end of a freeze; 0: until an operator ends it
 	Actor      string         `json:"who,omitempty"`
 	Reason     string         `json:"why,omitempty"`
 }
 
-// EventError reports an event that can't follow from the present state. A journal that holds one is damaged or of
-// another plan.
+// EventError reports an event that can't follow the present state. A journal that contains such an event is damaged or
+// belongs to another plan.
 type EventError struct {
 	Event  Event
 	Reason string
 }
 
-// Error returns what happened, to which build, and why it can't.
 func (e *EventError) Error() string {
-	return fmt.Sprintf("%s of %s build %d: %s, does not follow from what is known",
+	return fmt.Sprintf("can't apply event %q of service %q, build %d: %s",
 		e.Event.Kind, e.Event.Service, e.Event.Build, e.Reason)
 }
 
-// RequestError reports an offer or an operator's request that the present state does not allow.
+// RequestError reports an offer or an operator's request that the present state does not allow. Replies of the release
+// controller contain the reason, so its texts must not change.
 type RequestError struct {
 	Reason string
 }
 
-// Error returns the reason, for the operator.
 func (e *RequestError) Error() string { return e.Reason }
 
 // requestErrorf returns a *RequestError with a formatted reason.
--- a/rollout/guard.go
+++ b/rollout/guard.go
@@ -8,66 +8,66 @@
 	"lichenroad/relay"
 )
 
-// Guard narrows, by site, group of tenants and its own clock, what one relay's decision module is told of a build and
-// what its votes may do. It knows the plan, the status that the platform sends of its own service, and the status that
-// the release controllers of the services that this one depends on send on a watch. What it does not know counts as
-// closed.
+// Guard applies the plan in one relay. It restricts the rollout status that the relay's decision module receives, by
+// the relay's site, the groups of tenants and the relay's own clock, and it filters the module's votes. It knows the
+// plan, the platform's status of its own service, and the status of each service that its own depends on, which the
+// release controllers send on a watch. Where it lacks a status, the step stays closed.
 //
-// A step counts here only once it was granted: the platform stands at it, no freeze stops it at this site by this
-// relay's clock (with the plan's skew at both ends), and the status of each dependency was received lately. The
-// exposure limit is that of the deepest granted step whose dependencies are not known to be lost, never more than the
-// platform's, and within a freeze never more than before it.
+// A step takes effect in this relay only once the guard has granted it: the platform has reached it, no freeze blocks
+// it at this site by this relay's clock (freezes are extended by the plan's skew at both ends), and a recent status
+// shows that each dependency is fulfilled. The exposure limit is that of the last granted step whose dependencies are
+// not known to be lost. It is never above the platform's, and does not rise in a freeze.
 //
-// A Guard belongs to one goroutine, the relay's loop.
+// A Guard belongs to one goroutine, that of the relay's loop.
 type Guard struct {
 	plan          *plan.Plan
 	calendar      *plan.Calendar
 	service       plan.ServiceIndex
 	site          plan.SiteIndex
-	groupOfTenant []int // by the module's tenant numbers; -1: in no group
+	groupOfTenant []int // index in Plan.Groups, by the module's tenant number; -1: no group
 	disabled      GuardSafeguards
-	clock         plan.Unix // the latest time seen; it never goes back
+	clock         plan.Unix // latest time seen; it never goes back
 
 	known        bool
-	status       relay.RolloutStatus // the platform's latest that was accepted
-	since        plan.Unix           // when that status began, by its age
-	grantedStep  plan.StepIndex      // deepest step granted of its build; -1: none; the number of steps: its release
+	status       relay.RolloutStatus // latest from the platform that was accepted
+	since        plan.Unix           // when the step or phase of status began, computed from its age
+	grantedStep  plan.StepIndex      // last step granted to its build; -1: none; the number of steps: the release
 	dependencies []dependencyStatus  // by service
 
-	wasFrozen    bool     // a freeze stood at the last evaluation
-	lastExposure exposure // of the last evaluation
+	wasFrozen    bool     // a freeze was in force at the last evaluation
+	lastExposure exposure // at the last evaluation
 
-	evaluated  bool                // the module was told something under this plan
-	sentStatus relay.RolloutStatus // that the module received last
-	sentScope  scopeKey            // of the scope that the module received last
+	evaluated  bool                // the module has received events under this plan
+	sentStatus relay.RolloutStatus // sent to the module last
+	sentScope  scopeKey            // key of the canary scope sent to the module last
 
 	hasVote       bool
-	requestedVote relay.Vote // the module's latest
-	castVote      relay.Vote // that went to the platform for it
+	requestedVote relay.Vote // latest that the module requested
+	castVote      relay.Vote // cast in place of requestedVote
 }
 
-// dependencyStatus is what was last received of another service.
+// dependencyStatus is the latest status of another service.
 type dependencyStatus struct {
 	status     relay.RolloutStatus
-	receivedAt plan.Unix
+	receivedAt plan.Unix // time of the status or of the latest keep-alive after it
 }
 
-// GuardSafeguards names the safeguards of Guard that are switched off. Only tests and experiments that measure what a
-// safeguard is worth switch one off.
+// GuardSafeguards selects safeguards of Guard to switch off. Only tests and experiments that measure the effect of a
+// safeguard do so.
 type GuardSafeguards struct {
-	All                 bool // there is no guard; for its caller
-	Freezes             bool // freezes are not looked at
-	Dependencies        bool // dependencies are not looked at
-	UnknownDependencies bool // a dependency of which nothing was received counts as fulfilled
-	Groups              bool // every tenant counts as open
-	FreezeCeiling       bool // exposure limits may rise in a freeze
-	ClockSkew           bool // clocks are taken to agree
-	VoteFilter          bool // votes go out as the module requests them
-	StartInFreeze       bool // a relay that starts in a freeze accepts any status
+	All                 bool // votes are not filtered, and the caller runs no guard
+	Freezes             bool // freezes are ignored
+	Dependencies        bool // dependencies are ignored
+	UnknownDependencies bool // a dependency without a status counts as fulfilled, and a status never gets too old
+	Groups              bool // builds are open to every tenant
+	FreezeCeiling       bool // the exposure limit may rise in a freeze
+	ClockSkew           bool // freezes are not extended by the plan's skew
+	VoteFilter          bool // votes are cast as the module requests them
+	StartInFreeze       bool // a relay that starts in a freeze grants any step of the platform
 	BackwardStatus      bool // a status of an earlier build, or one that undoes a rollback, is accepted
 }
 
-// NewGuard returns the guard of a relay. Groups holds the group of each tenant, by the module's numbers.
+// NewGuard returns the guard of a relay. Groups are those of the tenants, by the module's tenant number.
 func NewGuard(p *plan.Plan, service plan.ServiceIndex, site plan.SiteIndex, groups []plan.GroupIndex) *Guard {
 	g := &Guard{
 		plan:         p,
@@ -84,7 +84,7 @@
 	return g
 }
 
-// DisableSafeguards switches safeguards off. Only for tests and experiments.
+// DisableSafeguards switches safeguards off, for tests and experiments only.
 func (g *Guard) DisableSafeguards(disabled GuardSafeguards) {
 	g.disabled = disabled
 	if disabled.ClockSkew {
@@ -92,9 +92,9 @@
 	}
 }
 
-// Replan replaces the plan; the service and the site must be in the new one. What was granted stays granted as far as
-// the new plan has the step, and nothing opens by the change alone while a freeze stands. Tenants holds their names, by
-// the module's numbers.
+// Replan replaces the plan; the service and the site must be in the new one. Granted steps that the new plan has stay
+// granted, and during a freeze the change of plan alone opens nothing. Tenants are the names of the tenants, by the
+// module's tenant number.
 func (g *Guard) Replan(p *plan.Plan, tenants []string) error {
 	serviceName, siteName := g.spec().Name, g.plan.Sites[g.site]
 	service, hasService := p.Service(serviceName)
@@ -123,13 +123,13 @@
 	return nil
 }
 
-// spec returns what the plan says of this relay's service.
+// spec returns the entry in the plan for this relay's service.
 func (g *Guard) spec() *plan.Service { return &g.plan.Services[g.service] }
 
-// advanceClock moves the guard's time forward; it never goes back.
+// advanceClock advances the guard's time, which never goes back.
 func (g *Guard) advanceClock(now plan.Unix) { g.clock = math.Max(g.clock, now) }
 
-// frozen returns the freeze that stands here now and has an effect, if there is one.
+// frozen returns the freeze that is in force at this site now with any of the given effects, if there is one.
 func (g *Guard) frozen(effect plan.FreezeEffect) (plan.ActiveFreeze, bool) {
 	if g.disabled.Freezes {
 		return plan.ActiveFreeze{}, false
@@ -137,10 +137,10 @@
 	return g.calendar.Frozen(g.clock, g.service, g.site, effect)
 }
 
-// NextEvaluation returns when Evaluate is to be called again if nothing was received before: when a freeze begins or
-// ends, or the status of a dependency becomes too old.
+// NextEvaluation returns when Evaluate must be called again if nothing is received before: when a freeze begins or
+// ends, or the status of a dependency gets too old.
 func (g *Guard) NextEvaluation(now plan.Unix) plan.Unix {
-	const margin = 1e-3 // s; the status is too old only past its time
+	const margin = 1e-3 // s; a status is too old only after its TTL, not at it
 	g.advanceClock(now)
 	next := g.calendar.NextChange(g.clock)
 	for i := range g.dependencies {
--- a/rollout/guard_exposure.go
+++ b/rollout/guard_exposure.go
@@ -7,21 +7,20 @@
 	"lichenroad/relay"
 )
 
-// exposure is the exposure limit that holds here, and the step that it is of: -1 for none, the number of steps for a
-// release.
+// exposure is the exposure limit that holds in this relay, and the step that it belongs to.
 type exposure struct {
-	limit float64 // part of an open group's requests, from 0 to 1
-	step  plan.StepIndex
+	limit float64        // share of an open group's requests, from 0 to 1
+	step  plan.StepIndex // -1: none; the number of steps: the release
 }
 
-// scopeKey is what a canary scope depends on, under one plan.
+// scopeKey determines a canary scope under one plan.
 type scopeKey struct {
 	build relay.Build
 	step  plan.StepIndex
 }
 
-// Evaluate appends what the module has to be told by now: nothing, or its scope, or the status as narrowed here, or
-// both. It is to be called whenever something was received, and at NextEvaluation.
+// Evaluate appends to out the events that the module has to receive now: the canary scope and the guarded status, each
+// only if it has changed. It must be called after each status or keep-alive received, and at NextEvaluation.
 func (g *Guard) Evaluate(now plan.Unix, out []relay.Event) []relay.Event {
 	g.advanceClock(now)
 	if !g.known {
@@ -34,7 +33,7 @@
 	g.wasFrozen, g.lastExposure = frozen, current
 
 	status := g.status
-	g.narrow(&status, current)
+	g.restrict(&status, current)
 	scope := scopeKey{build: status.Build, step: current.step}
 	if !g.evaluated || scope != g.sentScope {
 		g.sentScope = scope
@@ -48,26 +47,26 @@
 	return out
 }
 
-// narrow turns the platform's status into what holds here.
-func (g *Guard) narrow(status *relay.RolloutStatus, current exposure) {
+// restrict changes the platform's status to what holds in this relay.
+func (g *Guard) restrict(status *relay.RolloutStatus, current exposure) {
 	steps := plan.StepIndex(len(g.spec().Steps))
 	status.Reply = relay.ReplyNone
 	status.ExposureLimit = current.limit
 	status.Age = max(0, g.clock-g.since)
-	if status.Phase == relay.PhaseReleased && current.step < steps { // not granted here: it stays a canary
+	if status.Phase == relay.PhaseReleased && current.step < steps { // not granted yet: the build stays a canary
 		status.Phase, status.Stage = relay.PhaseCanary, relay.Stage(steps-1)
 	}
 }
 
-// differs reports whether two statuses differ in more than their age.
+// differs reports whether two statuses differ in build, stage, phase or exposure limit.
 func differs(a, b *relay.RolloutStatus) bool {
 	return a.Build != b.Build || a.Stage != b.Stage || a.Phase != b.Phase || a.ExposureLimit != b.ExposureLimit
 }
 
-// canaryScope returns the groups that are open to a build at a step.
+// canaryScope returns the scope with the groups of tenants to which a build is open at a step.
 func (g *Guard) canaryScope(key scopeKey) relay.CanaryScope {
 	scope := relay.CanaryScope{Build: key.build, Stage: relay.Stage(max(key.step, 0))}
-	if g.disabled.Groups { // every tenant is in one group, which is open
+	if g.disabled.Groups { // all tenants are in one group, to which the build is open
 		scope.GroupOfTenant, scope.GroupOpen = make([]int, len(g.groupOfTenant)), []bool{true}
 		return scope
 	}
@@ -78,7 +77,7 @@
 	return scope
 }
 
-// ExposureLimit returns the part of a group's requests at this relay that the newest build may get, from 0 to 1.
+// ExposureLimit returns the share of a group's requests at this relay that the newest build may get, from 0 to 1.
 func (g *Guard) ExposureLimit(group plan.GroupIndex) float64 {
 	current := g.boundedExposure()
 	if int(current.step) >= len(g.spec().Steps) {
@@ -90,9 +89,9 @@
 	return current.limit
 }
 
-// boundedExposure returns the exposure that holds now. In a freeze it keeps limit and step from rising above those of
-// the evaluation before, as a dependency that is fulfilled again would have them. Only a release that came before the
-// freeze is let through.
+// boundedExposure returns the exposure that holds now. In a freeze, neither limit nor step rises above the previous
+// evaluation's, not even if a lost dependency is fulfilled again. The only exception is a release from before the
+// freeze.
 func (g *Guard) boundedExposure() exposure {
 	current := g.grantedExposure()
 	released := int(current.step) >= len(g.spec().Steps)
@@ -105,14 +104,14 @@
 	}
 }
 
-// grantedExposure returns the exposure by the granted steps and the dependencies alone.
+// grantedExposure returns the exposure that granted steps and dependencies allow, without the bound of a freeze.
 func (g *Guard) grantedExposure() exposure {
 	steps, phase := g.spec().Steps, g.status.Phase
 	if phase == relay.PhaseReleased && int(g.grantedStep) >= len(steps) {
-		return exposure{limit: 1, step: plan.StepIndex(len(steps))} // whatever its dependencies do
+		return exposure{limit: 1, step: plan.StepIndex(len(steps))} // a lost dependency does not take a release back
 	}
 	step := g.supportedStep()
-	if step < 0 { // also for a build that is rolling back or withdrawn
+	if step < 0 { // also if the build is rolling back or withdrawn
 		return exposure{limit: 0, step: -1}
 	}
 	step = min(step, plan.StepIndex(len(steps)-1))
--- a/rollout/guard_status.go
+++ b/rollout/guard_status.go
@@ -7,7 +7,7 @@
 	"lichenroad/relay"
 )
 
-// StatusReceived takes the platform's status of this relay's own service. Evaluate has to follow.
+// StatusReceived records the platform's status of this relay's own service. The caller must call Evaluate next.
 func (g *Guard) StatusReceived(now plan.Unix, status relay.RolloutStatus) {
 	g.advanceClock(now)
 	if !status.Valid {
@@ -22,7 +22,7 @@
 	}
 	g.known, g.status, g.since = true, status, g.clock-status.Age
 	if step := plan.StepIndex(status.Stage); status.Phase == relay.PhaseCanary && g.grantedStep > step {
-		g.grantedStep = step // the platform is at an earlier step than it was: the lower limit holds
+		g.grantedStep = step // the platform has gone back to an earlier step: its lower limit holds
 	}
 	if first {
 		g.grantAtStart()
@@ -30,8 +30,8 @@
 	g.grantSteps()
 }
 
-// goesBackward reports whether a status comes late, or from a controller that lost its latest events: it is of an
-// earlier build, or undoes a rollback that was known here.
+// goesBackward reports whether a received status is older than the known one: it is about an earlier build, or undoes
+// a rollback. Such a status was delayed, or its controller has lost its latest events.
 func goesBackward(known, received relay.RolloutStatus) bool {
 	if received.Build < known.Build {
 		return true
@@ -44,7 +44,7 @@
 	return status.Phase == relay.PhaseRollingBack || status.Phase == relay.PhaseWithdrawn
 }
 
-// DependencyStatusReceived takes the status of another service. Evaluate has to follow.
+// DependencyStatusReceived records the status of another service. The caller must call Evaluate next.
 func (g *Guard) DependencyStatusReceived(now plan.Unix, service plan.ServiceIndex, status relay.RolloutStatus) {
 	g.advanceClock(now)
 	if !status.Valid || int(service) >= len(g.dependencies) {
@@ -56,7 +56,8 @@
 	g.dependencies[service] = dependencyStatus{status: status, receivedAt: g.clock}
 }
 
-// DependencyKeepAliveReceived says that the watch on another service is alive: the status that was last received still holds.
+// DependencyKeepAliveReceived records that the watch on another service is alive, so the status received last still
+// holds. The caller must call Evaluate next.
 func (g *Guard) DependencyKeepAliveReceived(now plan.Unix, service plan.ServiceIndex) {
 	g.advanceClock(now)
 	if int(service) < len(g.dependencies) && g.dependencies[service].status.Valid {
@@ -64,7 +65,8 @@
 	}
 }
 
-// platformStep returns the step that the platform stands at, a release counting as one more; -1 where there is none.
+// platformStep returns the step that the platform has reached: the number of steps for a release, -1 for a build that
+// is rolling back or withdrawn.
 func (g *Guard) platformStep() plan.StepIndex {
 	steps := plan.StepIndex(len(g.spec().Steps))
 	switch g.status.Phase {
@@ -76,9 +78,9 @@
 	return -1
 }
 
-// grantAtStart grants a relay that has just started in a freeze the platform's step, where the age of its status shows
-// that it stood before the freeze: every relay that ran then was at it. What began within the freeze, or too near to
-// its start for clocks to tell, is not granted. Dependencies are looked at all the same, by supportedStep.
+// grantAtStart grants the platform's step in a relay that has just started in a freeze, if the age of the status shows
+// that the step began before the freeze: the relays that were running then had reached it. A step that began in the
+// freeze, or so close to its start that clocks may disagree, is not granted. supportedStep still checks dependencies.
 func (g *Guard) grantAtStart() {
 	freeze, frozen := g.frozen(plan.FreezeAll)
 	if frozen && (g.disabled.StartInFreeze || g.since < freeze.Since) {
@@ -86,8 +88,9 @@
 	}
 }
 
-// grantSteps grants the steps up to the platform's, one after another, as far as no freeze or dependency stands in the
-// way. A release whose age shows that it came before the freeze is granted within it: no earlier endpoint is left then.
+// grantSteps grants the steps up to the platform's in order, until a freeze or a dependency blocks one. If the age of
+// the status shows that the build was released before the freeze, its steps are granted in the freeze as well: no
+// endpoint runs an earlier build then.
 func (g *Guard) grantSteps() {
 	for g.known && g.grantedStep < g.platformStep() {
 		next := g.grantedStep + 1
@@ -103,7 +106,7 @@
 	}
 }
 
-// dependencyBlocked looks for a dependency of a step that is not fulfilled, or of which nothing was received lately.
+// dependencyBlocked returns why a step has to wait for a dependency: not fulfilled, status unknown or too old.
 func (g *Guard) dependencyBlocked(step plan.StepIndex) BlockReason {
 	if g.disabled.Dependencies || int(step) >= len(g.spec().Steps) {
 		return BlockReason{}
@@ -123,10 +126,10 @@
 		if g.disabled.UnknownDependencies {
 			return BlockReason{}
 		}
-		return BlockReason{Code: BlockedByStaleStatus, Text: g.plan.DependencyText(dependency) + ": nothing was heard of it"}
+		return BlockReason{Code: BlockedByStaleStatus, Text: g.plan.DependencyText(dependency) + ": no status was received"}
 	}
 	if age > g.plan.StatusTTL && !g.disabled.UnknownDependencies {
-		text := fmt.Sprintf("%s: last heard of %.0f s ago", g.plan.DependencyText(dependency), age)
+		text := fmt.Sprintf("%s: no status for %.0f s", g.plan.DependencyText(dependency), age)
 		return BlockReason{Code: BlockedByStaleStatus, Text: text}
 	}
 	if !hasReached(dependency, last.status.Phase, plan.StepIndex(last.status.Stage)) {
@@ -135,10 +138,10 @@
 	return BlockReason{}
 }
 
-// supportedStep returns the deepest granted step whose dependencies, and those of the steps before it, are not known
-// to be lost. A watch that breaks takes nothing back: what was granted was true, and a canary that ended whenever a
-// controller falls silent would cost the capacity of its endpoints. A dependency of which nothing was ever received
-// counts as lost.
+// supportedStep returns the last granted step whose dependencies, and those of the steps before it, are not known to be
+// lost; -1 if there is none. A broken watch takes no step back: the dependency was fulfilled when the step was granted,
+// and ending the canary whenever a controller doesn't answer would cost the capacity of the canary's endpoints. A
+// dependency without any status counts as lost.
 func (g *Guard) supportedStep() plan.StepIndex {
 	top := min(g.grantedStep, g.platformStep())
 	if g.disabled.Dependencies {
--- a/rollout/guard_test.go
+++ b/rollout/guard_test.go
@@ -10,14 +10,15 @@
 	"lichenroad/relay"
 )
 
-// guardHarness is a relay's guard with what its module received last.
+// guardHarness is a relay's guard, with the status and the canary scope that the decision module received last.
 type guardHarness struct {
 	*Guard
 	status relay.RolloutStatus
 	scope  relay.CanaryScope
 }
 
-// newGuardHarness is at site x and serves b, which depends on a; its tenants are of groups p, q and none.
+// newGuardHarness returns the guard of a relay of service b, which depends on a, at site x. Its tenants are in group p,
+// in group q and in none.
 func newGuardHarness(t interface{ Fatal(...any) }, disabled GuardSafeguards) *guardHarness {
 	p := testPlan(t)
 	g := NewGuard(p, serviceB, siteX, []plan.GroupIndex{p.GroupOf("p1"), p.GroupOf("q1"), plan.NoGroup})
@@ -25,7 +26,7 @@
 	return &guardHarness{Guard: g}
 }
 
-// evaluate returns the exposure limit that the module received last.
+// evaluate passes the guard's events to the module, and returns the exposure limit that it received last.
 func (h *guardHarness) evaluate(at plan.Unix) float64 {
 	for _, e := range h.Evaluate(at, nil) {
 		switch e := e.(type) {
@@ -47,26 +48,26 @@
 	return status
 }
 
-// receive has the guard receive the status of its own service, and of a as far as that has to be.
+// receive passes the status of the guard's own service to it, with a status of a that fulfils the dependency.
 func (h *guardHarness) receive(at plan.Unix, own relay.RolloutStatus) float64 {
 	h.DependencyStatusReceived(at, serviceA, canaryStatus(1, own.Stage, 0.5, 0))
 	h.StatusReceived(at, own)
 	return h.evaluate(at)
 }
 
-// TestGuardSafeguards plays each case with every safeguard, and without the one that it is there for. The exposure limits
-// at the end must differ, or the case would show nothing.
+// TestGuardSafeguards runs each case with all safeguards, and again without the one that it is about. The final
+// exposure limits must differ; otherwise the case would not test the safeguard.
 func TestGuardSafeguards(t *testing.T) {
 	for _, c := range []struct {
 		name         string
 		disabled     GuardSafeguards
-		play         func(h *guardHarness) float64
+		run          func(h *guardHarness) float64
 		want         float64
 		wantDisabled float64 // without the safeguard
 	}{
 		{"a late status within a freeze", GuardSafeguards{Freezes: true}, func(h *guardHarness) float64 {
 			h.receive(freezeStart-60, canaryStatus(3, 0, 0.1, 0))
-			return h.receive(freezeStart+3, canaryStatus(3, 1, 0.3, 10)) // it began before the freeze, but was not received
+			return h.receive(freezeStart+3, canaryStatus(3, 1, 0.3, 10)) // began before the freeze, received in it
 		}, 0.1, 0.3},
 		{"a late status with a higher limit of the same step", GuardSafeguards{FreezeCeiling: true}, func(h *guardHarness) float64 {
 			h.receive(freezeStart-60, canaryStatus(3, 1, 0.2, 0))
@@ -80,18 +81,18 @@
 			h.DependencyStatusReceived(freezeStart+9, serviceA, canaryStatus(2, 2, 0.6, 0))
 			return h.evaluate(freezeStart + 9)
 		}, 0, 0.3},
-		{"its clock is behind by less than the skew", GuardSafeguards{ClockSkew: true}, func(h *guardHarness) float64 {
+		{"a clock that is behind by less than the skew", GuardSafeguards{ClockSkew: true}, func(h *guardHarness) float64 {
 			h.receive(freezeStart-60, canaryStatus(3, 0, 0.1, 0))
-			return h.receive(freezeStart-1.5, canaryStatus(3, 1, 0.3, 0)) // the freeze has begun by the controller's clock
+			return h.receive(freezeStart-1.5, canaryStatus(3, 1, 0.3, 0)) // by the controller's clock the freeze may have begun
 		}, 0.1, 0.3},
-		{"a start within a freeze, at a step that began within", GuardSafeguards{StartInFreeze: true}, func(h *guardHarness) float64 {
+		{"a start within a freeze, at a step that began within it", GuardSafeguards{StartInFreeze: true}, func(h *guardHarness) float64 {
 			return h.receive(freezeStart+60, canaryStatus(3, 1, 0.3, 59))
 		}, 0, 0.3},
-		{"a dependency of which nothing was received", GuardSafeguards{UnknownDependencies: true}, func(h *guardHarness) float64 {
+		{"a dependency without a status", GuardSafeguards{UnknownDependencies: true}, func(h *guardHarness) float64 {
 			h.StatusReceived(day, canaryStatus(3, 0, 0.1, 0))
 			return h.evaluate(day)
 		}, 0, 0.1},
-		{"a dependency that is not as far", GuardSafeguards{Dependencies: true}, func(h *guardHarness) float64 {
+		{"a dependency that has not reached the step", GuardSafeguards{Dependencies: true}, func(h *guardHarness) float64 {
 			h.DependencyStatusReceived(day, serviceA, canaryStatus(1, 0, 0.1, 0))
 			h.StatusReceived(day, canaryStatus(3, 1, 0.3, 0))
 			return h.evaluate(day)
@@ -109,7 +110,7 @@
 		{"a late status of a dependency that rolled back", GuardSafeguards{BackwardStatus: true}, func(h *guardHarness) float64 {
 			h.receive(day, canaryStatus(3, 1, 0.3, 0))
 			h.DependencyStatusReceived(day+1, serviceA, withPhase(canaryStatus(1, 1, 0, 0), relay.PhaseRollingBack))
-			h.DependencyStatusReceived(day+2, serviceA, canaryStatus(1, 1, 0.3, 0)) // sent before the other, and late (found by simulation, seed 14)
+			h.DependencyStatusReceived(day+2, serviceA, canaryStatus(1, 1, 0.3, 0)) // sent first, but delayed (found by simulation, seed 14)
 			return h.evaluate(day + 2)
 		}, 0, 0.3},
 		{"a tenant of a group that is not open", GuardSafeguards{Groups: true}, func(h *guardHarness) float64 {
@@ -121,11 +122,11 @@
 		}, 0, 0.1},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			if got := c.play(newGuardHarness(t, GuardSafeguards{})); got != c.want {
+			if got := c.run(newGuardHarness(t, GuardSafeguards{})); got != c.want {
 				t.Errorf("exposure limit %g, want %g", got, c.want)
 			}
-			if got := c.play(newGuardHarness(t, c.disabled)); got != c.wantDisabled {
-				t.Errorf("without the safeguard: exposure limit %g, want %g: the case shows nothing", got, c.wantDisabled)
+			if got := c.run(newGuardHarness(t, c.disabled)); got != c.wantDisabled {
+				t.Errorf("without the safeguard: exposure limit %g, want %g; the case does not test the safeguard", got, c.wantDisabled)
 			}
 		})
 	}
@@ -138,75 +139,76 @@
 	h := newGuardHarness(t, GuardSafeguards{})
 	h.receive(freezeStart-60, canaryStatus(3, 0, 0.1, 0))
 	if got := h.FilterVote(freezeStart-59, promote); got != hold || h.PromotionBlocked(freezeStart-59).Code != BlockedByDependency {
-		t.Error("the next step depends on a step of a that is ahead: ", got)
+		t.Errorf("the next step depends on a step that a has not reached: cast %+v, want %+v", got, hold)
 	}
 	h.DependencyStatusReceived(freezeStart-50, serviceA, canaryStatus(1, 1, 0.3, 0))
 	if got, ok := h.ReviseVote(freezeStart - 50); !ok || got != promote {
-		t.Error("a has reached it: ", got, ok)
+		t.Errorf("a has reached the step: revised %v, cast %+v, want %+v", ok, got, promote)
 	}
 	if _, ok := h.ReviseVote(freezeStart - 49); ok {
-		t.Error("revised twice")
+		t.Error("the vote was revised again without a change")
 	}
 	if reason := h.PromotionBlocked(freezeStart - 30); reason.Code != BlockedByStaleStatus {
-		t.Error("nothing received for 20 s: ", reason)
+		t.Errorf("no status of a for 20 s: blocked by %+v, want %s", reason, BlockedByStaleStatus)
 	}
 	h.DependencyKeepAliveReceived(freezeStart-4, serviceA)
 	if got := h.FilterVote(freezeStart-4, promote); got != promote {
-		t.Error(got)
+		t.Errorf("after a keep-alive: cast %+v, want %+v", got, promote)
 	}
-	// A vote to promote becomes one to hold the skew before the freeze, and stands again the skew after it.
+	// The clock skew extends the freeze at both ends: a vote to promote is cast as one to hold 2 s before it, and as it is
+	// again 2 s after it.
 	h.DependencyKeepAliveReceived(freezeStart-2, serviceA)
 	if got, ok := h.ReviseVote(freezeStart - 2); !ok || got != hold {
-		t.Error(got, ok)
+		t.Errorf("2 s before the freeze: revised %v, cast %+v, want %+v", ok, got, hold)
 	}
 	if got := h.FilterVote(freezeStart+100, rollBack); got != rollBack {
-		t.Error("a vote to roll back was changed: ", got)
+		t.Errorf("a vote to roll back was changed to %+v", got)
 	}
 	h.FilterVote(freezeEnd, promote)
 	h.DependencyKeepAliveReceived(freezeEnd+2, serviceA)
 	if got, ok := h.ReviseVote(freezeEnd + 2); !ok || got != promote {
-		t.Error(got, ok)
+		t.Errorf("2 s after the freeze: revised %v, cast %+v, want %+v", ok, got, promote)
 	}
 	unfiltered := newGuardHarness(t, GuardSafeguards{VoteFilter: true})
 	unfiltered.receive(freezeStart-60, canaryStatus(3, 0, 0.1, 0))
 	if got := unfiltered.FilterVote(freezeStart+1, promote); got != promote {
-		t.Error("without the safeguard: ", got)
+		t.Errorf("without the vote filter: cast %+v, want %+v", got, promote)
 	}
 }
 
 func TestGuardWithUnknownOrBackwardStatus(t *testing.T) {
 	h := newGuardHarness(t, GuardSafeguards{})
 	if h.evaluate(day); h.evaluated {
-		t.Error("the module was told something without a status")
+		t.Error("the module received events before the guard had a status")
 	}
 	h.receive(day, canaryStatus(3, 1, 0.3, 0))
 	scope := h.scope
 	if scope.Build != 3 || scope.Stage != 1 || fmt.Sprint(scope.GroupOfTenant, scope.GroupOpen) != "[0 1 -1] [true true]" {
-		t.Errorf("%+v", scope)
+		t.Errorf("canary scope %+v", scope)
 	}
-	// A site at which nothing is open yet.
+	// At site y, the plan opens no group before the last step.
 	p := testPlan(t)
 	atY := &guardHarness{Guard: NewGuard(p, serviceB, siteY, []plan.GroupIndex{0, 1})}
 	atY.receive(day, canaryStatus(3, 1, 0.3, 0))
 	if fmt.Sprint(atY.scope.GroupOpen) != "[false false]" || atY.ExposureLimit(0) != 0 {
-		t.Errorf("%+v", atY.scope)
+		t.Errorf("at site y: canary scope %+v, exposure limit %g", atY.scope, atY.ExposureLimit(0))
 	}
 	atY.receive(day+1, canaryStatus(3, 2, 0.9, 0))
 	if atY.ExposureLimit(0) != 0.6 || atY.ExposureLimit(plan.NoGroup) != 0 {
-		t.Error("the plan's limit is the lower: ", atY.ExposureLimit(0))
+		t.Errorf("exposure limit %g, want the lower one of the plan, 0.6", atY.ExposureLimit(0))
 	}
-	// A dependency of which nothing more is received takes nothing back, and opens nothing.
+	// When the dependency's status gets too old, no granted step is taken back and no further step is granted.
 	h.evaluate(day + 3600)
 	if h.ExposureLimit(0) != 0.3 {
-		t.Error("it was taken back")
+		t.Error("the old status of a dependency changed the exposure limit")
 	}
 	h.StatusReceived(day+3600, canaryStatus(3, 2, 0.6, 0))
 	if h.evaluate(day+3600) != 0.3 {
-		t.Error("it was opened")
+		t.Error("a step was granted despite the old status of a dependency")
 	}
-	// A controller that lost its latest events is at an earlier step, or at an earlier build.
+	// A controller that lost its latest events sends an earlier step or build.
 	if h.StatusReceived(day+3601, canaryStatus(3, 0, 0.1, 0)); h.evaluate(day+3601) != 0.1 {
-		t.Error("not the lower limit")
+		t.Error("a status of an earlier step did not lower the exposure limit")
 	}
 	if h.StatusReceived(day+3602, withPhase(canaryStatus(2, 2, 1, 0), relay.PhaseReleased)); h.evaluate(day+3602) != 0.1 || h.status.Build != 3 {
 		t.Error("a status of an earlier build was accepted")
@@ -216,21 +218,21 @@
 func TestGuardStartsInFreeze(t *testing.T) {
 	h := newGuardHarness(t, GuardSafeguards{})
 	if got := h.receive(freezeStart+60, canaryStatus(3, 1, 0.3, 120)); got != 0.3 {
-		t.Error("the step stood before the freeze: ", got)
+		t.Errorf("the step began before the freeze: exposure limit %g, want 0.3", got)
 	}
 	h = newGuardHarness(t, GuardSafeguards{})
 	if got := h.receive(freezeStart+60, canaryStatus(3, 1, 0.3, 61)); got != 0 {
-		t.Error("too near to the freeze for clocks to tell: ", got)
+		t.Errorf("the step began within the clock skew of the freeze: exposure limit %g, want 0", got)
 	}
 	if h.receive(freezeEnd+3, canaryStatus(3, 1, 0.3, 2000)); h.status.ExposureLimit != 0.3 {
-		t.Error("it stays closed after the freeze: ", h.status.ExposureLimit)
+		t.Errorf("after the freeze: exposure limit %g, want 0.3", h.status.ExposureLimit)
 	}
-	// A release that came before the freeze and is received within it: no earlier endpoints are left.
+	// A release from before the freeze whose status is received in the freeze: no endpoint runs an earlier build.
 	h = newGuardHarness(t, GuardSafeguards{})
 	h.receive(freezeStart-60, canaryStatus(3, 2, 0.6, 0))
 	h.receive(freezeStart+5, relay.RolloutStatus{Valid: true, Build: 3, Stage: 2, Phase: relay.PhaseReleased, ExposureLimit: 1, Age: 20})
 	if h.status.Phase != relay.PhaseReleased {
-		t.Errorf("%+v", h.status)
+		t.Errorf("a release from before the freeze: %+v", h.status)
 	}
 	h = newGuardHarness(t, GuardSafeguards{})
 	h.receive(freezeStart-60, canaryStatus(3, 2, 0.6, 0))
@@ -240,8 +242,8 @@
 	}
 }
 
-// TestGuardNeverWidens draws statuses, dependencies and times: whatever happens, the exposure limit is at most the
-// platform's and the plan's of the present step, never rises in a freeze, and a vote to roll back is cast.
+// TestGuardNeverWidens applies random statuses at random times: the exposure limit must stay within those of the
+// platform and of the plan's present step and must not rise in a freeze, and a vote to roll back must be cast.
 func TestGuardNeverWidens(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		h := newGuardHarness(t, GuardSafeguards{})
@@ -266,18 +268,18 @@
 				overPlatform := h.status.ExposureLimit > h.Guard.status.ExposureLimit+1e-12
 				overPlan := h.status.Phase == relay.PhaseCanary && h.status.ExposureLimit > limits[h.status.Stage]
 				if overPlatform || overPlan {
-					t.Fatalf("%+v of %+v", h.status, h.Guard.status)
+					t.Fatalf("the module received %+v, the platform sent %+v", h.status, h.Guard.status)
 				}
 				for i, open := range h.scope.GroupOpen {
 					step := plan.StepIndex(h.scope.Stage)
 					if open && !h.spec().IsOpen(step, siteX, plan.GroupIndex(i)) {
-						t.Fatalf("%+v", h.scope)
+						t.Fatalf("a group is open that the plan does not open: %+v", h.scope)
 					}
 				}
 			}
 			frozen := at >= freezeStart && at < freezeEnd
 			if frozen && wasFrozen && h.status.Build == lastBuild && h.status.ExposureLimit > lastLimit {
-				t.Fatalf("at %.0f s of the freeze the exposure limit rose from %g to %g", at-freezeStart, lastLimit, h.status.ExposureLimit)
+				t.Fatalf("%.0f s into the freeze the exposure limit rose from %g to %g", at-freezeStart, lastLimit, h.status.ExposureLimit)
 			}
 			lastLimit, lastBuild, wasFrozen = h.status.ExposureLimit, h.status.Build, frozen
 			rollBack := relay.Vote{Build: 1, Verdict: relay.VoteRollBack}
@@ -298,49 +300,50 @@
 	}
 }
 
-// TestRestoredDependencyOpensNoGroupInFreeze has a dependency lost before a freeze and restored within it: neither the
-// exposure limit nor the open groups may grow (found by simulation, seed 7: the limit was held, the groups were opened).
+// TestRestoredDependencyOpensNoGroupInFreeze guards against groups that are opened when a dependency, lost before a
+// freeze, is restored within it. Neither exposure limit nor open groups may grow then. Found by simulation, seed 7: the
+// limit did not rise, but the groups were opened.
 func TestRestoredDependencyOpensNoGroupInFreeze(t *testing.T) {
 	for _, disabled := range []bool{false, true} {
 		h := newGuardHarness(t, GuardSafeguards{FreezeCeiling: disabled})
 		h.receive(freezeStart-60, canaryStatus(3, 1, 0.3, 0))
-		h.DependencyStatusReceived(freezeStart-20, serviceA, canaryStatus(2, 0, 0.1, 0)) // its next build has only begun
+		h.DependencyStatusReceived(freezeStart-20, serviceA, canaryStatus(2, 0, 0.1, 0)) // a's next build has only begun
 		h.evaluate(freezeStart - 20)
 		h.evaluate(freezeStart - 1)
-		h.DependencyStatusReceived(freezeStart+30, serviceA, canaryStatus(2, 1, 0.3, 40)) // and was further before the freeze, but not received
+		h.DependencyStatusReceived(freezeStart+30, serviceA, canaryStatus(2, 1, 0.3, 40)) // reached before the freeze, received in it
 		limit := h.evaluate(freezeStart + 30)
 		open := h.scope.GroupOpen
 		if !open[0] || open[1] != disabled || (limit == 0.3) != disabled {
-			t.Errorf("safeguard disabled: %v: exposure limit %g, %+v", disabled, limit, h.scope)
+			t.Errorf("safeguard disabled %v: exposure limit %g, canary scope %+v", disabled, limit, h.scope)
 		}
 		h.DependencyStatusReceived(freezeEnd+3, serviceA, canaryStatus(2, 1, 0.3, 40))
 		if h.evaluate(freezeEnd+3) != 0.3 || !h.scope.GroupOpen[1] {
-			t.Errorf("after the freeze: %+v", h.scope)
+			t.Errorf("after the freeze: canary scope %+v", h.scope)
 		}
 	}
 }
 
-// TestFreezeWithoutStatus has a freeze begin and end while nothing is received: the relay keeps to it by its own clock.
+// TestFreezeWithoutStatus covers a freeze in which the relay receives nothing: it observes the freeze by its own clock.
 func TestFreezeWithoutStatus(t *testing.T) {
 	h := newGuardHarness(t, GuardSafeguards{})
 	h.receive(freezeStart-30, canaryStatus(3, 0, 0.1, 0))
 	h.DependencyStatusReceived(freezeStart-4, serviceA, canaryStatus(1, 1, 0.3, 0))
 	promote := relay.Vote{Build: 3, Verdict: relay.VotePromote}
 	if h.FilterVote(freezeStart-4, promote) != promote {
-		t.Fatal("nothing stands in the way yet")
+		t.Fatal("the vote to promote was changed before the freeze")
 	}
 	for at := freezeStart - 2; at < freezeEnd+2; at += 7 {
 		h.evaluate(at)
 		reason, cast := h.PromotionBlocked(at), h.FilterVote(at, promote)
 		if h.status.ExposureLimit != 0.1 || reason.Code != BlockedByPlanFreeze || cast.Verdict != relay.VoteHold {
-			t.Fatalf("%.0f s into it: %+v, %v", at-freezeStart, h.status, reason)
+			t.Fatalf("%.0f s into the freeze: status %+v, blocked by %v, cast %+v", at-freezeStart, h.status, reason, cast)
 		}
 	}
 	if reason := h.PromotionBlocked(freezeEnd + 3); reason.Code != BlockedByStaleStatus {
-		t.Error("after it a status of the dependency must be received first: ", reason)
+		t.Errorf("after the freeze, without a recent status of the dependency: blocked by %+v, want %s", reason, BlockedByStaleStatus)
 	}
 	h.DependencyKeepAliveReceived(freezeEnd+4, serviceA)
 	if v, ok := h.ReviseVote(freezeEnd + 4); !ok || v != promote {
-		t.Error(v, ok)
+		t.Errorf("after a keep-alive: revised %v, cast %+v, want %+v", ok, v, promote)
 	}
 }
--- a/rollout/guard_vote.go
+++ b/rollout/guard_vote.go
@@ -7,8 +7,8 @@
 	"lichenroad/relay"
 )
 
-// PromotionBlocked returns why a vote to promote past the platform's present step has to wait, as far as this relay
-// can tell.
+// PromotionBlocked returns the reason, as far as this relay knows one, why a vote to promote the canary past the
+// platform's present step has to wait.
 func (g *Guard) PromotionBlocked(now plan.Unix) BlockReason {
 	g.advanceClock(now)
 	if g.disabled.All || g.disabled.VoteFilter || !g.known || g.status.Phase != relay.PhaseCanary {
@@ -25,17 +25,17 @@
 	if g.grantedStep < present {
 		return BlockReason{
 			Code: BlockedByLocalStep,
-			Text: fmt.Sprintf("step %s is not open here yet", g.spec().StepName(present)),
+			Text: fmt.Sprintf("step %s is not granted in this relay yet", g.spec().StepName(present)),
 		}
 	}
 	if g.supportedStep() < present {
-		return BlockReason{Code: BlockedByDependency, Text: "a need of the present step was lost"}
+		return BlockReason{Code: BlockedByDependency, Text: "a dependency of the present step was lost"}
 	}
 	return g.dependencyBlocked(next)
 }
 
-// FilterVote returns the vote to cast for one that the module requests: a vote to promote becomes one to hold while
-// the plan has it wait. A vote to roll back is cast as it is, whatever the plan says.
+// FilterVote returns the vote to cast for the one that the module requests: a vote to promote becomes a vote to hold
+// while the plan blocks a promotion. A vote to roll back is never changed.
 func (g *Guard) FilterVote(now plan.Unix, requested relay.Vote) relay.Vote {
 	g.requestedVote, g.hasVote = requested, true
 	g.castVote = g.filter(now, requested)
@@ -46,18 +46,18 @@
 	if v.Verdict != relay.VotePromote || g.disabled.All || g.disabled.VoteFilter {
 		return v
 	}
-	// A module that is told less than the platform's status (a release that is not granted here yet) goes on voting
-	// for a step that is past.
-	past := g.known && (g.status.Phase != relay.PhaseCanary || v.Build != g.status.Build)
-	if past || g.PromotionBlocked(now).Blocked() {
+	// A module that has received a lower status than the platform's, as a release is not granted yet, goes on voting to
+	// promote a step that has ended.
+	stale := g.known && (g.status.Phase != relay.PhaseCanary || v.Build != g.status.Build)
+	if stale || g.PromotionBlocked(now).Blocked() {
 		v.Verdict = relay.VoteHold
 	}
 	return v
 }
 
-// ReviseVote returns the vote to cast, and true, where the plan's effect on the module's last vote has changed: a
-// vote to promote that may stand again, or one that must not stand any longer. A revised vote that is lost is made up
-// for when the module renews its own.
+// ReviseVote returns the vote to cast, and true, if the plan's effect on the module's last vote has changed: a vote to
+// promote that must become one to hold, or that may be cast again. If a revised vote is lost, the next renewal by the
+// module makes up for it.
 func (g *Guard) ReviseVote(now plan.Unix) (relay.Vote, bool) {
 	if !g.hasVote || !g.known || !g.promotesPresentStep(g.requestedVote) {
 		return relay.Vote{}, false
--- a/rollout/harness_test.go
+++ b/rollout/harness_test.go
@@ -22,7 +22,7 @@
 	os.Exit(m.Run())
 }
 
-// The services of testPlan, in its order.
+// The services of testPlan, in order.
 const (
 	serviceA plan.ServiceIndex = iota
 	serviceB
@@ -30,21 +30,21 @@
 	serviceD
 )
 
-// The sites of testPlan, in its order.
+// The sites of testPlan, in order.
 const (
 	siteX plan.SiteIndex = iota
 	siteY
 )
 
-// The day of the tests, and the freeze of testPlan on it.
+// The day on which the tests take place, and the freeze of testPlan on that day.
 const (
 	day         = 1796515200.0 // 2026-12-06 00:00 UTC
 	freezeStart = day + 16*60
 	freezeEnd   = day + 33*60
 )
 
-// testPlan has service a, b that depends on a, c that depends on b, and d that depends on b and c, as a diamond. Each
-// has three steps and four relays.
+// testPlan returns a plan with four services: b depends on a, c on b, and d on b and c. Each has three steps and four
+// relays.
 func testPlan(t interface{ Fatal(...any) }) *plan.Plan {
 	const (
 		header = `<plan version="1" clock-skew="2s"><site name="x"/><site name="y"/>` +
@@ -88,7 +88,7 @@
 	return p
 }
 
-// controllerHarness drives a Core as a release controller does, and keeps its journal.
+// controllerHarness drives a Core as a release controller does, and records the events in a journal.
 type controllerHarness struct {
 	t       interface{ Fatal(...any) }
 	core    *Core
@@ -99,7 +99,7 @@
 	return &controllerHarness{t: t, core: New(testPlan(t))}
 }
 
-// apply applies and keeps an event; its arguments are the results of Offer and Operate.
+// apply applies an event and adds it to the journal. Its arguments are the results of Offer or Operate.
 func (h *controllerHarness) apply(e Event, err error) {
 	if err != nil {
 		h.t.Fatal(err)
@@ -121,7 +121,7 @@
 	return out
 }
 
-// vote has a relay vote on the present build and step.
+// vote casts a relay's vote on the present build and step, and returns the events that it causes.
 func (h *controllerHarness) vote(service plan.ServiceIndex, voter int, verdict relay.Verdict, at plan.Unix) ([]Event, Rejection) {
 	status := h.core.RolloutStatus(service, at)
 	return h.voteAs(service, voter, relay.Vote{Build: status.Build, Stage: status.Stage, Verdict: verdict}, at)
@@ -136,14 +136,14 @@
 	return h.advance(at), VoteCounted
 }
 
-// promote has two of four relays vote for the next step, which is enough.
+// promote casts votes for the next step by two of the four relays, which is the quorum.
 func (h *controllerHarness) promote(service plan.ServiceIndex, at plan.Unix) []Event {
 	out, _ := h.vote(service, 0, relay.VotePromote, at)
 	more, _ := h.vote(service, 1, relay.VotePromote, at)
 	return append(out, more...)
 }
 
-// eventKinds writes events as "service:kind service:kind".
+// eventKinds formats events as "service:kind service:kind".
 func eventKinds(events []Event) string {
 	var out []string
 	for _, e := range events {
@@ -155,6 +155,6 @@
 func wantEvents(t *testing.T, got []Event, want string) {
 	t.Helper()
 	if eventKinds(got) != want {
-		t.Errorf("events %q, want %q", eventKinds(got), want)
+		t.Errorf("got events %q, want %q", eventKinds(got), want)
 	}
 }
--- a/rollout/operate.go
+++ b/rollout/operate.go
@@ -8,14 +8,15 @@
 // Operation is an operator's request.
 type Operation struct {
 	Kind       EventKind // EventFrozen, EventUnfrozen, EventHalted, EventResumed or EventRollingBack
-	Service    string    // empty: all, for a freeze and its end
-	FreezeName string    // for a freeze and its end
-	Until      plan.Unix // end of a freeze; 0: until an operator ends it
-	Actor      string    // who asks for it; stored with the event
-	Reason     string    // why; stored with the event
+	Service    string    // empty: all services; only for a freeze and its end
+	FreezeName string    // only for a freeze and its end
+	Until      plan.Unix // end of the freeze; 0: until an operator ends it
+	Actor      string    // the operator; stored with the event
+	Reason     string    // stored with the event
 }
 
-// Operate checks an operator's request and returns the event that carries it out. The error is a *RequestError.
+// Operate checks an operator's request and returns the event that carries it out; the caller has to apply it. The error
+// is a *RequestError.
 func (c *Core) Operate(op Operation, at plan.Unix) (Event, error) {
 	now := c.advanceClock(at)
 	if op.Actor == "" || op.Reason == "" {
@@ -41,7 +42,7 @@
 	return Event{}, requestErrorf("%s is no operator's word", op.Kind)
 }
 
-// truncateText cuts an operator's text to the bytes that are stored of it.
+// truncateText cuts an operator's text to the bytes that are stored.
 func truncateText(text string) string { return text[:min(len(text), maxTextBytes)] }
 
 func (c *Core) freeze(e Event) (Event, error) {
@@ -81,8 +82,8 @@
 	return e, nil
 }
 
-// Offer checks a new build and returns the event that has it wait for its first step, in place of one that waits
-// already. The error is a *RequestError.
+// Offer checks a new build and returns the event that makes it wait for its first step, in place of a build that is
+// already waiting; the caller has to apply the event. The error is a *RequestError.
 func (c *Core) Offer(service plan.ServiceIndex, build relay.Build, actor, reason string, at plan.Unix) (Event, error) {
 	now := c.advanceClock(at)
 	state, name := &c.services[service], c.plan.Services[service].Name
--- a/rollout/promotion.go
+++ b/rollout/promotion.go
@@ -7,7 +7,7 @@
 	"lichenroad/relay"
 )
 
-// BlockReason returns what a service waits for.
+// BlockReason returns why a service's rollout waits.
 func (c *Core) BlockReason(service plan.ServiceIndex, at plan.Unix) BlockReason {
 	now := c.advanceClock(at)
 	state, spec := &c.services[service], &c.plan.Services[service]
@@ -26,7 +26,7 @@
 	return BlockReason{Code: BlockedNoBuild, Text: "no build is on trial or waiting"}
 }
 
-// canaryBlocked returns why the canary stays at its step: the plan and operators, its minimum time, or the votes.
+// canaryBlocked returns why the canary stays at its step: the plan, an operator, the minimum time or the votes.
 func (c *Core) canaryBlocked(service plan.ServiceIndex, now plan.Unix) BlockReason {
 	state, spec := &c.services[service], &c.plan.Services[service]
 	step := state.newest.Step
@@ -46,7 +46,7 @@
 	return c.votedPromotionBlocked(service, now)
 }
 
-// timedPromotionBlocked is for services whose steps change by time unless relays vote to hold them.
+// timedPromotionBlocked returns why a step that is promoted by time waits: relays vote to hold it, or it is too early.
 func (c *Core) timedPromotionBlocked(service plan.ServiceIndex, now plan.Unix) BlockReason {
 	holding := c.countVotes(service, relay.VoteHold, now)
 	if holding >= c.votesNeeded(service, relay.VoteHold) {
@@ -67,8 +67,8 @@
 	return BlockReason{}
 }
 
-// StepBlocked returns whether plan and operators let a service enter a step: 0 begins the waiting build, the number of
-// the service's steps releases the canary. Minimum time and votes are not looked at.
+// StepBlocked returns why the plan or an operator keeps a service from entering a step. Step 0 begins the waiting
+// build; the number of steps stands for the release of the canary. Minimum time and votes are not considered.
 func (c *Core) StepBlocked(service plan.ServiceIndex, step plan.StepIndex, now plan.Unix) BlockReason {
 	state := &c.services[service]
 	if state.halted {
@@ -88,16 +88,16 @@
 	return c.dependencyBlocked(service, step)
 }
 
-// freezeBlocked looks for a freeze, of an operator or the plan, that stops a service from entering a step.
+// freezeBlocked returns the freeze, of an operator or the plan, that keeps a service from entering a step.
 func (c *Core) freezeBlocked(service plan.ServiceIndex, step plan.StepIndex, now plan.Unix) BlockReason {
 	if c.disabled.Freezes {
 		return BlockReason{}
 	}
 	name := c.plan.Services[service].Name
 	for _, freeze := range c.freezes {
-		concerned := freeze.Service == "" || freeze.Service == name
-		stands := freeze.Until == 0 || now < freeze.Until
-		if concerned && stands {
+		applies := freeze.Service == "" || freeze.Service == name
+		active := freeze.Until == 0 || now < freeze.Until
+		if applies && active {
 			return BlockReason{
 				Code:  BlockedByOperatorFreeze,
 				Text:  fmt.Sprintf("freeze %s by %s: %s", freeze.FreezeName, freeze.Actor, freeze.Reason),
@@ -108,8 +108,8 @@
 	return planFreezeBlocked(c.plan, c.calendar, service, step, freezeEffectOn(step), now)
 }
 
-// planFreezeBlocked looks for a freeze of the plan with an effect at any site that a step opens or raises; a release
-// concerns every site. Of several it returns the one that ends last.
+// planFreezeBlocked returns the freeze of the plan that has the effect at a site where the step is open; a release
+// affects every site. If there are several, it returns the one that ends last.
 func planFreezeBlocked(p *plan.Plan, calendar *plan.Calendar, service plan.ServiceIndex, step plan.StepIndex,
 	effect plan.FreezeEffect, now plan.Unix) BlockReason {
 	spec := &p.Services[service]
@@ -130,7 +130,7 @@
 	return latest
 }
 
-// freezeEffectOn returns the effect that a freeze must have to stop a step.
+// freezeEffectOn returns the effect of a freeze that blocks a step.
 func freezeEffectOn(step plan.StepIndex) plan.FreezeEffect {
 	if step == 0 {
 		return plan.FreezeStarts
@@ -138,8 +138,8 @@
 	return plan.FreezePromotions
 }
 
-// settleTimeBlocked has the next build wait after a release: relays and whoever runs the fleet must learn of the
-// release and switch to it first.
+// settleTimeBlocked makes the next build wait after a release, so that relays and whoever deploys the fleet can be
+// notified of the release and switch to it first.
 func (c *Core) settleTimeBlocked(service plan.ServiceIndex, now plan.Unix) BlockReason {
 	state := &c.services[service]
 	end := state.newest.Since + c.plan.Services[service].SettleTime
@@ -153,7 +153,7 @@
 	}
 }
 
-// dependencyBlocked looks for a dependency of a step, or of a step before it, that does not hold.
+// dependencyBlocked returns the first dependency of a step, or of a step before it, that is not fulfilled.
 func (c *Core) dependencyBlocked(service plan.ServiceIndex, step plan.StepIndex) BlockReason {
 	if c.disabled.Dependencies {
 		return BlockReason{}
@@ -161,7 +161,7 @@
 	steps := c.plan.Services[service].Steps
 	for k := plan.StepIndex(0); k <= step && int(k) < len(steps); k++ {
 		for _, dependency := range steps[k].Dependencies {
-			if !c.dependencyHolds(dependency) {
+			if !c.dependencyFulfilled(dependency) {
 				return BlockReason{Code: BlockedByDependency, Text: c.plan.DependencyText(dependency)}
 			}
 		}
@@ -169,9 +169,9 @@
 	return BlockReason{}
 }
 
-// dependencyHolds reports whether the other service's newest build is at the step, or past it. An earlier build that
-// stays released does not count: the one that waits may have been made for the newer.
-func (c *Core) dependencyHolds(dependency plan.Dependency) bool {
+// dependencyFulfilled reports whether the other service's newest build has reached the step of a dependency. An earlier
+// build that is still released does not count: the dependent build may have been made for the newest one.
+func (c *Core) dependencyFulfilled(dependency plan.Dependency) bool {
 	state := &c.services[dependency.Service]
 	return state.known && hasReached(dependency, state.newest.Phase, state.newest.Step)
 }
--- a/rollout/promotion_test.go
+++ b/rollout/promotion_test.go
@@ -11,31 +11,31 @@
 func TestPromotionTakesVotesAndMinTime(t *testing.T) {
 	h := newControllerHarness(t)
 	wantEvents(t, h.offer(serviceA, 7, day), "a:began")
-	wantEvents(t, h.promote(serviceA, day+9.9), "") // the votes are there, the time is not
+	wantEvents(t, h.promote(serviceA, day+9.9), "") // enough votes, but before the minimum time
 	wantEvents(t, h.advance(day+10), "a:moved")
 	reason := h.core.BlockReason(serviceA, day+21)
 	if reason.Code != BlockedByMissingVotes || reason.Text != "0 of 2 relays stand for it" {
-		t.Error(reason)
+		t.Errorf("a waits for %+v, want votes", reason)
 	}
-	past := relay.Vote{Build: 7, Stage: 0, Verdict: relay.VotePromote}
-	if _, rejection := h.voteAs(serviceA, 2, past, day+22); rejection != RejectedStale {
-		t.Errorf("a vote for a step that is past: rejection %q", rejection)
+	stale := relay.Vote{Build: 7, Stage: 0, Verdict: relay.VotePromote}
+	if _, rejection := h.voteAs(serviceA, 2, stale, day+22); rejection != RejectedStale {
+		t.Errorf("a vote on an earlier step: rejection %q, want %q", rejection, RejectedStale)
 	}
 	if out, _ := h.vote(serviceA, 0, relay.VotePromote, day+22); len(out) > 0 {
-		t.Error("one vote was enough")
+		t.Error("one vote promoted the build, want two")
 	}
 	wantEvents(t, h.advance(day+40), "")
-	h.vote(serviceA, 1, relay.VotePromote, day+40) // the first has expired by now
+	h.vote(serviceA, 1, relay.VotePromote, day+40) // the first vote has expired
 	wantEvents(t, h.advance(day+40), "")
 	wantEvents(t, h.promote(serviceA, day+41), "a:moved")
 	wantEvents(t, h.promote(serviceA, day+60), "a:released")
 	if h.core.ExposureLimit(serviceA, 1, 1, day+61) != 1 {
-		t.Error("a released build has an exposure limit")
+		t.Error("the exposure limit of a released build is not 1")
 	}
 	wantEvents(t, h.advance(day+61), "")
 }
 
-// TestFreezeMidStep has the vote that completes a step come just before, at and just after a freeze begins.
+// TestFreezeMidStep casts the vote that completes the quorum just before, at and just after the start of a freeze.
 func TestFreezeMidStep(t *testing.T) {
 	for _, c := range []struct {
 		name       string
@@ -54,13 +54,13 @@
 			out, rejection := h.vote(serviceA, 1, relay.VotePromote, c.at)
 			wantEvents(t, out, c.want)
 			if rejection != VoteCounted {
-				t.Errorf("the vote itself: rejection %q", rejection)
+				t.Errorf("the vote was not counted: rejection %q", rejection)
 			}
 			if !c.wantFrozen {
 				return
 			}
 			if reason := h.core.BlockReason(serviceA, c.at); reason.Code != BlockedByPlanFreeze || reason.Until != freezeEnd {
-				t.Errorf("%+v", reason)
+				t.Errorf("a waits for %+v, want the freeze until %.0f", reason, freezeEnd)
 			}
 			wantEvents(t, h.advance(freezeEnd-0.001), "")
 			wantEvents(t, h.advance(freezeEnd), "") // the votes have expired
@@ -84,8 +84,9 @@
 	wantEvents(t, h.advance(day+29), "a:released")
 }
 
-// TestSettleTimeAfterRelease has the next build wait when one is released: without the time between, relays and whoever
-// runs the fleet are never notified of the release (found by simulation: a build for which no relay ever voted).
+// TestSettleTimeAfterRelease guards against a build that begins as soon as the previous one is released: relays and
+// whoever deploys the fleet were then never notified of the release, and no relay ever voted for the next build (found
+// by simulation).
 func TestSettleTimeAfterRelease(t *testing.T) {
 	h := newControllerHarness(t)
 	h.offer(serviceA, 7, day)
@@ -94,7 +95,7 @@
 	h.offer(serviceA, 8, day+25)
 	wantEvents(t, h.promote(serviceA, day+33), "a:released")
 	if reason := h.core.BlockReason(serviceA, day+34); reason.Code != BlockedBySettleTime || reason.Until != day+63 {
-		t.Errorf("%+v", reason)
+		t.Errorf("a waits for %+v, want the settle time until %.0f", reason, day+63.0)
 	}
 	wantEvents(t, h.advance(day+63), "a:began")
 }
@@ -104,17 +105,17 @@
 	h.offer(serviceB, 3, day)
 	h.offer(serviceB, 4, day+1)
 	if _, err := h.core.Offer(serviceB, 4, "ops", "again", day+2); err == nil {
-		t.Error("an offer of the same build was accepted")
+		t.Error("a second offer of the same build was accepted")
 	}
 	out := h.offer(serviceA, 7, day+3)
 	wantEvents(t, out, "a:began b:began")
 	if out[1].Build != 4 || h.journal[1].Kind != EventSuperseded {
-		t.Errorf("%+v", h.journal)
+		t.Errorf("build 4 did not supersede build 3: %+v", h.journal)
 	}
-	// While one is a canary the next waits, and begins when the other is withdrawn.
+	// The next build waits while there is a canary, and begins when the canary is withdrawn.
 	h.offer(serviceB, 5, day+4)
 	if h.core.RolloutStatus(serviceB, day+4).Build != 4 {
-		t.Error("it replaced a canary")
+		t.Error("the next build replaced a canary")
 	}
 	h.vote(serviceB, 0, relay.VoteRollBack, day+5)
 	wantEvents(t, h.advance(day+10), "b:taken_off b:began")
--- a/rollout/snapshot.go
+++ b/rollout/snapshot.go
@@ -8,7 +8,7 @@
 	"lichenroad/relay"
 )
 
-// Snapshot returns the state as events that fold into it again: what a journal begins with after it was compacted.
+// Snapshot returns events that restore the state when they are applied in order. A compacted journal begins with them.
 func (c *Core) Snapshot() []Event {
 	var out []Event
 	for i := range c.services {
@@ -37,7 +37,7 @@
 	return out
 }
 
-// snapshot returns the events that lead a build of a service to its present step and phase.
+// snapshot returns the events that bring a build of a service to its present step and phase.
 func (r Release) snapshot(name string) []Event {
 	startedAt := r.StartedAt
 	if r.Step == 0 && r.Phase == relay.PhaseCanary {
--- a/rollout/status.go
+++ b/rollout/status.go
@@ -9,8 +9,8 @@
 	"lichenroad/relay"
 )
 
-// SupportedStep returns the deepest step, up to the present one, whose dependencies and those of the steps before it
-// hold; -1 where those of the first step don't. A dependency that is lost takes the build back to it at once.
+// SupportedStep returns the last step, up to the present one, whose dependencies and those of the steps before it are
+// fulfilled; -1 if those of the first step are not. A lost dependency lowers the exposure limit to that step's at once.
 func (c *Core) SupportedStep(service plan.ServiceIndex) plan.StepIndex {
 	present, steps := c.services[service].newest.Step, c.plan.Services[service].Steps
 	if c.disabled.LostDependencies {
@@ -18,7 +18,7 @@
 	}
 	for k := plan.StepIndex(0); k <= present && int(k) < len(steps); k++ {
 		for _, dependency := range steps[k].Dependencies {
-			if !c.dependencyHolds(dependency) {
+			if !c.dependencyFulfilled(dependency) {
 				return k - 1
 			}
 		}
@@ -26,7 +26,7 @@
 	return present
 }
 
-// ExposureLimit returns the part of a group's requests at a site that the newest build may get, from 0 to 1.
+// ExposureLimit returns the share of a group's requests at a site that the newest build may get, from 0 to 1.
 func (c *Core) ExposureLimit(service plan.ServiceIndex, site plan.SiteIndex, group plan.GroupIndex, at plan.Unix) float64 {
 	c.advanceClock(at)
 	state, spec := &c.services[service], &c.plan.Services[service]
@@ -43,8 +43,8 @@
 	return spec.Steps[step].ExposureLimit
 }
 
-// RolloutStatus returns what relays are notified of: the newest build that has begun, with the exposure limit of the
-// deepest step whose dependencies hold. It is not valid before a build has begun.
+// RolloutStatus returns the status that relays are notified of: that of the newest build that has begun, with the
+// exposure limit of SupportedStep. It is not valid before a build has begun.
 func (c *Core) RolloutStatus(service plan.ServiceIndex, at plan.Unix) relay.RolloutStatus {
 	now := c.advanceClock(at)
 	state, spec := &c.services[service], &c.plan.Services[service]
@@ -69,32 +69,32 @@
 	return status
 }
 
-// Status is what an operator sees of one service. The tags are part of the control protocol.
+// Status is the status of one service for operators. The JSON keys are part of the control protocol.
 type Status struct {
 	Service       string      `json:"service"`
 	Build         relay.Build `json:"build"`
 	Phase         string      `json:"phase"`
 	Step          string      `json:"step"`
-	Since         plan.Unix   `json:"since"` // when the present step or phase began
+	Since         plan.Unix   `json:"since"` // start of the present step or phase
 	ExposureLimit float64     `json:"cap"`
 	WaitingBuild  relay.Build `json:"waiting,omitempty"`
 
 	BlockCode    BlockCode `json:"code"`
 	BlockText    string    `json:"why"`
-	BlockedUntil plan.Unix `json:"until,omitempty"` // 0: time alone does not change it
+	BlockedUntil plan.Unix `json:"until,omitempty"` // 0: the block doesn't end by time
 
 	PromoteVotes        int  `json:"votes_on"`
 	PromoteVotesNeeded  int  `json:"votes_on_needed"`
 	RollBackVotes       int  `json:"votes_back"`
 	RollBackVotesNeeded int  `json:"votes_back_needed"`
 	Halted              bool `json:"halted"`
-	DependencyLost      bool `json:"needs_lost"` // it is released or a canary past what its dependencies still hold
+	DependencyLost      bool `json:"needs_lost"` // SupportedStep is below the present step
 }
 
-// noPhase is the Status.Phase of a service of which no build has begun.
+// noPhase is the Status.Phase of a service without a build that has begun.
 const noPhase = "none"
 
-// phaseNames are the values of Status.Phase.
+// phaseNames are the values of Status.Phase, which are part of the control protocol.
 var phaseNames = map[relay.Phase]string{
 	relay.PhaseCanary:      "on trial",
 	relay.PhaseRollingBack: "going back",
@@ -129,7 +129,7 @@
 		RollBackVotesNeeded: c.votesNeeded(service, relay.VoteRollBack),
 		Halted:              state.halted,
 	}
-	if math.IsInf(status.BlockedUntil, 0) { // JSON has no infinity
+	if math.IsInf(status.BlockedUntil, 0) { // JSON can't represent infinity
 		status.BlockedUntil = 0
 	}
 	if state.known {
@@ -141,7 +141,7 @@
 	return status
 }
 
-// OperatorFreezes returns the operators' freezes that stand, by name.
+// OperatorFreezes returns the operators' freezes in force, sorted by name.
 func (c *Core) OperatorFreezes() []Event {
 	out := append([]Event(nil), c.freezes...)
 	slices.SortFunc(out, func(a, b Event) int { return strings.Compare(a.FreezeName, b.FreezeName) })
--- a/rollout/votes.go
+++ b/rollout/votes.go
@@ -8,10 +8,11 @@
 	"lichenroad/relay"
 )
 
-// voteBurst is how many seconds' worth of votes may come at once: relays that were cut off come back together.
-const voteBurst = 0.25
+// voteBurstSeconds is the burst of votes that is accepted at once, as a time at the permitted rate: after a network
+// partition, many relays reconnect and vote together.
+const voteBurstSeconds = 0.25
 
-// vote is the latest vote of a relay. It expires after the plan's time.
+// vote is the latest vote of a relay. It expires after the TTL in the plan.
 type vote struct {
 	build   relay.Build
 	step    plan.StepIndex
@@ -19,10 +20,10 @@
 	at      plan.Unix
 }
 
-// Rejection is why a vote was not counted, as the platform's protocol names it.
+// Rejection is the reason why a vote was not counted, as an error code of the platform's protocol.
 type Rejection string
 
-// The protocol's errors.
+// The values are error codes of the platform's protocol.
 const (
 	VoteCounted       Rejection = ""
 	RejectedThrottled Rejection = "Throttling"
@@ -30,8 +31,8 @@
 	RejectedInvalid   Rejection = "ValidationError"
 )
 
-// Vote checks a relay's vote and returns the event that counts it. The caller stores the event before it applies it
-// or tells anybody of it.
+// Vote checks a relay's vote and returns the event that counts it. The caller has to store the event before it applies
+// it or replies to the relay.
 func (c *Core) Vote(service plan.ServiceIndex, voter string, v relay.Vote, at plan.Unix) (Event, Rejection) {
 	now := c.advanceClock(at)
 	state, spec := &c.services[service], &c.plan.Services[service]
@@ -53,8 +54,8 @@
 	return verdict >= relay.NoVote && verdict <= relay.VoteRollBack
 }
 
-// isStaleVote reports whether a vote is on a build that is not in progress or released, or on another step than the
-// present one. A vote to roll back, or none at all, is good for any step.
+// isStaleVote reports whether a vote is on a build other than the newest, on a withdrawn build, or on another step than
+// the present one. A vote to roll back, or the withdrawal of a vote, is valid for any step.
 func (s *serviceState) isStaleVote(v relay.Vote) bool {
 	if !s.known || v.Build != s.newest.Build || s.newest.Phase == relay.PhaseWithdrawn {
 		return true
@@ -63,15 +64,15 @@
 	return !anyStep && int(v.Stage) != int(s.newest.Step)
 }
 
-// tokenBucket limits the rate of votes of one service, over all its relays.
+// tokenBucket limits the rate of votes on one service, counted over all its relays.
 type tokenBucket struct {
 	tokens    float64
-	updatedAt plan.Unix // 0: never used, and full
+	updatedAt plan.Unix // 0: not used yet, so the bucket is full
 }
 
-// take spends one token where there is one. Tokens come back at a rate per second.
+// take refills the bucket at a rate per second and takes one token, if there is one.
 func (b *tokenBucket) take(now plan.Unix, perSecond float64) bool {
-	burst := math.Max(1, perSecond*voteBurst)
+	burst := math.Max(1, perSecond*voteBurstSeconds)
 	b.tokens = math.Min(burst, b.tokens+(now-b.updatedAt)*perSecond)
 	if b.updatedAt == 0 {
 		b.tokens = burst
@@ -84,8 +85,8 @@
 	return true
 }
 
-// countVotes returns how many relays hold a verdict on the newest build: on its present step, or on any step for a
-// rollback.
+// countVotes returns how many relays' latest votes have a verdict on the newest build and have not expired. Votes count
+// only if they were cast on and in the present step; votes to roll back count for any step.
 func (c *Core) countVotes(service plan.ServiceIndex, verdict relay.Verdict, now plan.Unix) int {
 	state, ttl := &c.services[service], c.plan.Services[service].Votes.TTL
 	count := 0
@@ -101,7 +102,7 @@
 	return count
 }
 
-// votesNeeded returns how many votes a verdict takes.
+// votesNeeded returns how many votes a verdict needs to take effect.
 func (c *Core) votesNeeded(service plan.ServiceIndex, verdict relay.Verdict) int {
 	spec := &c.plan.Services[service]
 	if spec.Votes.Control == plan.ControlSingleVote {
@@ -119,8 +120,8 @@
 	return quorum(share, len(spec.Relays))
 }
 
-// quorum returns how many relays a share of them is, one at least.
+// quorum returns the number of relays that make up a share of them, at least one.
 func quorum(share float64, relays int) int {
-	const rounding = 1e-9 // a share such as 0.1 of 10 relays must not need two
-	return max(1, int(math.Ceil(share*float64(relays)-rounding)))
+	const tolerance = 1e-9 // rounding errors must not raise 0.1 of 10 relays to two
+	return max(1, int(math.Ceil(share*float64(relays)-tolerance)))
 }
--- a/rollout/votes_test.go
+++ b/rollout/votes_test.go
@@ -17,7 +17,7 @@
 			want  Rejection
 		}{
 			{"a relay that is not in the plan", "r9", relay.Vote{Build: 7, Verdict: relay.VotePromote}, RejectedInvalid},
-			{"no such verdict", "r1", relay.Vote{Build: 7, Verdict: 9}, RejectedInvalid},
+			{"an unknown verdict", "r1", relay.Vote{Build: 7, Verdict: 9}, RejectedInvalid},
 			{"an earlier build", "r1", relay.Vote{Build: 6, Verdict: relay.VotePromote}, RejectedStale},
 			{"promotion from another step", "r1", relay.Vote{Build: 7, Stage: 1, Verdict: relay.VotePromote}, RejectedStale},
 			{"rollback from another step", "r1", relay.Vote{Build: 7, Stage: 1, Verdict: relay.VoteRollBack}, VoteCounted},
@@ -40,11 +40,11 @@
 				counted++
 			case RejectedThrottled:
 			default:
-				t.Fatal(rejection)
+				t.Fatalf("rejection %q", rejection)
 			}
 		}
 		if counted < 20 || counted > 30 {
-			t.Errorf("%d votes counted in an instant", counted)
+			t.Errorf("%d votes counted at one moment, want 20 to 30", counted)
 		}
 	})
 	t.Run("a relay has one vote", func(t *testing.T) {
@@ -53,7 +53,7 @@
 		h.vote(serviceA, 0, relay.VotePromote, day+11)
 		out, _ := h.vote(serviceA, 0, relay.VotePromote, day+11)
 		wantEvents(t, out, "")
-		h.vote(serviceA, 0, relay.VoteHold, day+11) // it replaces the vote to promote
+		h.vote(serviceA, 0, relay.VoteHold, day+11) // replaces the vote to promote
 		out, _ = h.vote(serviceA, 1, relay.VotePromote, day+11)
 		wantEvents(t, out, "")
 	})
@@ -67,7 +67,7 @@
 	out, _ := h.vote(serviceA, 3, relay.VoteRollBack, freezeStart+1)
 	wantEvents(t, out, "a:sent_back")
 	if status := h.core.RolloutStatus(serviceA, freezeStart+1); status.ExposureLimit != 0 || status.Phase != relay.PhaseRollingBack {
-		t.Errorf("%+v", status)
+		t.Errorf("after the vote to roll back: %+v", status)
 	}
 	wantEvents(t, h.advance(freezeStart+6), "a:taken_off")
 }
