--- a/plan/calendar.go
+++ b/plan/calendar.go
@@ -7,23 +7,23 @@
 	"time"
 )
 
-// FromTime turns a time of the standard library into Unix time.
+// FromTime converts a time.Time to Unix time.
 func FromTime(t time.Time) Unix { return float64(t.UnixNano()) / 1e9 }
 
-// Time turns a Unix time into one of the standard library's, in UTC.
+// Time converts a Unix time to a time.Time in UTC.
 func Time(at Unix) time.Time {
 	seconds, fraction := math.Modf(at)
 	return time.Unix(int64(seconds), int64(fraction*1e9)).UTC()
 }
 
-// freezeState is a freeze's state from one moment until its next change.
+// freezeState is the state of a freeze at a moment, which holds until nextChange.
 type freezeState struct {
-	frozen bool
-	window window // in which it is frozen
-	change Unix   // when frozen changes next, as far as was looked
+	frozen     bool
+	window     window // window in which the moment is; set only if frozen
+	nextChange Unix   // when frozen changes next; infinite if it does not within the expanded windows
 }
 
-// state gives the freeze's state at a moment. Its windows are longer by the skew at both ends.
+// state returns the freeze's state at a moment. The freeze's windows are extended by the skew at both ends.
 func (f *Freeze) state(at Unix, skew Seconds) freezeState {
 	var windows []window
 	for i := range f.Schedules {
@@ -33,16 +33,16 @@
 	}
 	for _, w := range merge(windows) {
 		if at < w.from {
-			return freezeState{change: w.from}
+			return freezeState{nextChange: w.from}
 		}
 		if at < w.to {
-			return freezeState{frozen: true, window: w, change: w.to}
+			return freezeState{frozen: true, window: w, nextChange: w.to}
 		}
 	}
-	return freezeState{change: math.Inf(1)}
+	return freezeState{nextChange: math.Inf(1)}
 }
 
-// merge joins the windows that overlap or touch, in place, and sorts them.
+// merge sorts windows and joins those that overlap or touch. It reuses the slice.
 func merge(windows []window) []window {
 	slices.SortFunc(windows, func(a, b window) int { return cmp.Compare(a.from, b.from) })
 	merged := windows[:0]
@@ -56,47 +56,47 @@
 	return merged
 }
 
-// Calendar answers which freezes hold. It keeps the last answer and works out the next only when something may have
-// changed, so it belongs to one goroutine.
+// Calendar tells which freezes of a plan are in force. It caches its answers until a freeze may begin or end, so it
+// belongs to one goroutine.
 type Calendar struct {
-	plan     *Plan
-	skew     Seconds
-	states   []freezeState // by FreezeIndex; they hold from computed until change
-	computed Unix
-	change   Unix
+	plan       *Plan
+	skew       Seconds
+	states     []freezeState // by FreezeIndex; valid from computedAt until nextChange
+	computedAt Unix
+	nextChange Unix
 }
 
-// NewCalendar returns the calendar of a plan. With withSkew, freezes hold longer by the plan's skew at both ends.
+// NewCalendar returns the calendar of a plan. With withSkew, freezes are extended by the plan's skew at both ends.
 func NewCalendar(p *Plan, withSkew bool) *Calendar {
-	c := &Calendar{plan: p, computed: math.Inf(1), states: make([]freezeState, len(p.Freezes))}
+	c := &Calendar{plan: p, computedAt: math.Inf(1), states: make([]freezeState, len(p.Freezes))}
 	if withSkew {
 		c.skew = p.Skew
 	}
 	return c
 }
 
-// update works the states out anew where they don't cover a moment.
+// update recomputes the states unless the cached ones are valid at a moment.
 func (c *Calendar) update(at Unix) {
-	if at >= c.computed && at < c.change {
+	if at >= c.computedAt && at < c.nextChange {
 		return
 	}
-	c.computed, c.change = at, math.Inf(1)
+	c.computedAt, c.nextChange = at, math.Inf(1)
 	for i := range c.plan.Freezes {
 		c.states[i] = c.plan.Freezes[i].state(at, c.skew)
-		c.change = math.Min(c.change, c.states[i].change)
+		c.nextChange = math.Min(c.nextChange, c.states[i].nextChange)
 	}
-	c.change = math.Min(c.change, at+maxStateAge)
+	c.nextChange = math.Min(c.nextChange, at+maxStateAge)
 }
 
-// ActiveFreeze is a freeze that holds, and from when to when.
+// ActiveFreeze describes the freezes in force at a moment by the one that ends last.
 type ActiveFreeze struct {
 	Freeze FreezeIndex
-	Since  Unix // the earliest start of all freezes that hold
-	Until  Unix
+	Since  Unix // earliest start of all freezes in force
+	Until  Unix // end of Freeze
 }
 
-// Frozen says whether any of the effects is in force for a service at a site (NoSite: at any site). Of the freezes that
-// hold it gives the one that ends last.
+// Frozen reports whether a freeze with any of the given effects is in force for a service at a site (NoSite: at any
+// site). If there are several, it returns the one that ends last.
 func (c *Calendar) Frozen(at Unix, service ServiceIndex, site SiteIndex, effect FreezeEffect) (ActiveFreeze, bool) {
 	c.update(at)
 	active, found := ActiveFreeze{Since: math.Inf(1)}, false
@@ -114,8 +114,8 @@
 	return active, found
 }
 
-// NextChange is when any freeze may begin or end, at the earliest.
+// NextChange returns the earliest time at which a freeze may begin or end.
 func (c *Calendar) NextChange(at Unix) Unix {
 	c.update(at)
-	return c.change
+	return c.nextChange
 }
--- a/plan/check.go
+++ b/plan/check.go
@@ -5,15 +5,16 @@
 	"time"
 )
 
-// Milestone is a point that a service's build reaches: a step, or its release, which stands one past the last step.
+// Milestone is a point in the rollout of a service's build: a step, or the release, which counts as one past the last
+// step.
 type Milestone struct {
 	Service ServiceIndex
 	Step    StepIndex
 }
 
-// FindCycle looks for milestones that wait for one another: a step waits for the step before it and for its
-// dependencies. It gives the first cycle that it finds, with its first milestone once more at the end; nil where there
-// is none. One cycle is enough to report, as others mostly share a part with it.
+// FindCycle looks for milestones that wait for one another; a step waits for the step before it and for its
+// dependencies. It returns the first cycle that it finds, with the first milestone repeated at the end, or nil if there
+// is none. One cycle is enough to report, as other cycles mostly overlap with it.
 func (p *Plan) FindCycle() []Milestone {
 	search := cycleSearch{plan: p, states: map[Milestone]visitState{}}
 	for i := range p.Services {
@@ -36,10 +37,10 @@
 type cycleSearch struct {
 	plan   *Plan
 	states map[Milestone]visitState // absent: not visited
-	path   []Milestone              // that lead to the one that is visited
+	path   []Milestone              // milestones being visited, each waiting for the next
 }
 
-// visit searches what a milestone waits for.
+// visit searches the milestones that a milestone waits for, and returns the first cycle found.
 func (c *cycleSearch) visit(at Milestone) []Milestone {
 	switch c.states[at] {
 	case visiting:
@@ -49,8 +50,8 @@
 	}
 	c.states[at] = visiting
 	c.path = append(c.path, at)
-	for _, awaited := range c.plan.awaitedBy(at) {
-		if cycle := c.visit(awaited); cycle != nil {
+	for _, prerequisite := range c.plan.prerequisites(at) {
+		if cycle := c.visit(prerequisite); cycle != nil {
 			return cycle
 		}
 	}
@@ -59,7 +60,7 @@
 	return nil
 }
 
-// cycleTo is the part of the path from a milestone on, and the milestone again.
+// cycleTo returns the part of the path that begins at a milestone, with that milestone repeated at the end.
 func (c *cycleSearch) cycleTo(at Milestone) []Milestone {
 	first := 0
 	for i := range c.path {
@@ -70,40 +71,41 @@
 	return append(c.path[first:], at)
 }
 
-// awaitedBy lists what a milestone waits for.
-func (p *Plan) awaitedBy(at Milestone) []Milestone {
-	var awaited []Milestone
+// prerequisites returns the milestones that a milestone waits for.
+func (p *Plan) prerequisites(at Milestone) []Milestone {
+	var milestones []Milestone
 	if at.Step > 0 {
-		awaited = append(awaited, Milestone{at.Service, at.Step - 1})
+		milestones = append(milestones, Milestone{at.Service, at.Step - 1})
 	}
 	steps := p.Services[at.Service].Steps
 	if int(at.Step) == len(steps) {
-		return awaited
+		return milestones
 	}
 	for _, dependency := range steps[at.Step].Dependencies {
 		step := dependency.Step
 		if dependency.Released {
 			step = StepIndex(len(p.Services[dependency.Service].Steps))
 		}
-		awaited = append(awaited, Milestone{dependency.Service, step})
+		milestones = append(milestones, Milestone{dependency.Service, step})
 	}
-	return awaited
+	return milestones
 }
 
-// EndlessFreeze names a freeze that, with others, leaves a service no time to start or to be promoted.
+// EndlessFreeze is a freeze that, together with others, leaves no time for a service's builds to start or to be
+// promoted.
 type EndlessFreeze struct {
 	Freeze  FreezeIndex
 	Service ServiceIndex
 }
 
-// FindEndlessFreeze looks for a service that weekly freezes, clock skew at both ends included, leave no time. Freezes that
-// hold once end by themselves and are not looked at.
+// FindEndlessFreeze looks for a service that is always in some weekly freeze, extended by the clock skew at both ends.
+// Freezes that hold only once are ignored, as they end.
 func (p *Plan) FindEndlessFreeze() (EndlessFreeze, bool) {
 	weekly, original := p.weeklyFreezes()
 	calendar := NewCalendar(weekly, true)
 	for i := range p.Services {
 		for _, effect := range []FreezeEffect{FreezeStarts, FreezePromotions} {
-			if last, endless := calendar.endless(ServiceIndex(i), effect); endless {
+			if last, endless := calendar.findEndless(ServiceIndex(i), effect); endless {
 				return EndlessFreeze{original[last], ServiceIndex(i)}, true
 			}
 		}
@@ -111,7 +113,7 @@
 	return EndlessFreeze{}, false
 }
 
-// weeklyFreezes is a plan of the weekly schedules alone, and each of its freezes' place in p.
+// weeklyFreezes returns a plan with only the weekly schedules of p, and the index in p of each of its freezes.
 func (p *Plan) weeklyFreezes() (*Plan, []FreezeIndex) {
 	weekly := &Plan{Skew: p.Skew}
 	var original []FreezeIndex
@@ -132,17 +134,17 @@
 	return weekly, original
 }
 
-// endlessStart is the Monday on which endless begins to look; weekly schedules make one week as good as another. After
-// endlessSearch, over a week, a freeze that still holds holds for ever.
-var endlessStart = FromTime(time.Date(2026, time.January, 5, 0, 0, 0, 0, time.UTC))
+// endlessSearchStart is the Monday at which findEndless starts. Any week will do, as weekly schedules repeat. If no
+// moment is free within endlessSearchSeconds, which is more than a week, none ever is.
+var endlessSearchStart = FromTime(time.Date(2026, time.January, 5, 0, 0, 0, 0, time.UTC))
 
-const endlessSearch = 10 * secondsPerDay
+const endlessSearchSeconds = 10 * secondsPerDay
 
-// endless goes from the end of a freeze to the end of the one that holds then, and so on. Where that finds no free moment
-// it gives the last of them.
-func (c *Calendar) endless(service ServiceIndex, effect FreezeEffect) (FreezeIndex, bool) {
+// findEndless looks for a moment without a freeze: from the end of each freeze it goes on to the end of the one that is
+// in force then. If it finds no such moment, it returns the last of these freezes.
+func (c *Calendar) findEndless(service ServiceIndex, effect FreezeEffect) (FreezeIndex, bool) {
 	var last FreezeIndex
-	for at := endlessStart; at < endlessStart+endlessSearch; {
+	for at := endlessSearchStart; at < endlessSearchStart+endlessSearchSeconds; {
 		active, frozen := c.Frozen(at, service, NoSite, effect)
 		if !frozen {
 			return 0, false
--- a/plan/freeze.go
+++ b/plan/freeze.go
@@ -3,10 +3,10 @@
 import (
 	"slices"
 	"time"
-	_ "time/tzdata" // time zones are the same on every machine
+	_ "time/tzdata" // time zones are known on every machine
 )
 
-// FreezeEffect is a set of bits for what a freeze forbids. Rolling back is never forbidden.
+// FreezeEffect is a bit set of what a freeze forbids. Rollbacks are never forbidden.
 type FreezeEffect int
 
 const (
@@ -22,12 +22,12 @@
 type Freeze struct {
 	Name      string
 	Effect    FreezeEffect
-	Services  []ServiceIndex // none: all
-	Sites     []SiteIndex    // none: all
+	Services  []ServiceIndex // empty: all
+	Sites     []SiteIndex    // empty: all
 	Schedules []Schedule
 }
 
-// AppliesTo says whether the freeze is about a service at a site; with NoSite, at any site.
+// AppliesTo reports whether the freeze covers a service at a site; with NoSite, at any site.
 func (f *Freeze) AppliesTo(service ServiceIndex, site SiteIndex) bool {
 	return emptyOrContains(f.Services, service) && (site == NoSite || emptyOrContains(f.Sites, site))
 }
@@ -36,33 +36,34 @@
 	return len(list) == 0 || slices.Contains(list, item)
 }
 
-// Schedule is when a freeze holds: once, from From to To, or weekly, on Days from Start to End.
+// Schedule is when a freeze holds: either once, from From to To, or weekly, on Days from Start to End.
 type Schedule struct {
 	Zone  *time.Location
 	From  time.Time     // once
 	To    time.Time     // once
-	Days  [7]bool       // weekly, by time.Weekday; none is set in a schedule that holds once
+	Days  [7]bool       // weekly, by time.Weekday; none if the schedule holds once
 	Start time.Duration // weekly, since midnight
-	End   time.Duration // weekly, since midnight of the same day, or of the next where it is not after Start
+	End   time.Duration // weekly, since midnight of the same day, or of the next day if not after Start
 }
 
-// Weekly says whether the schedule holds each week, not once.
+// Weekly reports whether the schedule holds every week instead of once.
 func (s *Schedule) Weekly() bool { return s.Days != [7]bool{} }
 
-// window is one interval in which a freeze holds, without its end.
+// window is a half-open interval in which a freeze holds: from is part of it, to is not.
 type window struct{ from, to Unix }
 
-// A weekly schedule is expanded into windows for these days round the moment that is asked about. One that began up to
-// two days earlier may still hold, as a window lasts for a day at most and skew is added to it; the end of the range
-// lies past maxStateAge, so that a cached answer never outlives what it was worked out from.
+// A weekly schedule is expanded into windows from firstWindowDay to lastWindowDay, in days relative to the moment
+// queried. A window that began up to two days earlier may still hold, as it lasts up to a day and is extended by the
+// skew. The last day is beyond maxStateAge, so that a cached state never outlives the windows that it was computed
+// from.
 const (
 	firstWindowDay = -2
 	lastWindowDay  = 9
-	maxStateAge    = 7 * secondsPerDay
+	maxStateAge    = 7 * secondsPerDay // seconds
 	secondsPerDay  = 86400
 )
 
-// windows lists the intervals round a moment in which the schedule holds.
+// windows returns the intervals around a moment in which the schedule holds.
 func (s *Schedule) windows(at Unix) []window {
 	if !s.Weekly() {
 		return []window{{FromTime(s.From), FromTime(s.To)}}
@@ -70,7 +71,7 @@
 	var windows []window
 	year, month, today := Time(at).In(s.Zone).Date()
 	for i := firstWindowDay; i <= lastWindowDay; i++ {
-		// Noon stands for the day, as zones change their offset at night.
+		// Noon identifies the day, as it is never skipped or repeated: zones change their offset at night.
 		day := time.Date(year, month, today+i, 12, 0, 0, 0, s.Zone)
 		if !s.Days[day.Weekday()] {
 			continue
--- a/plan/plan.go
+++ b/plan/plan.go
@@ -1,10 +1,10 @@
-// Package plan describes staged releases: services and the steps of their rollouts, sites, groups of tenants, which
-// step depends on which, and the freezes in which nothing may start or be promoted. It finds the faults that only show in
-// a whole plan (check.go) and works out when freezes hold (calendar.go).
+// Package plan describes staged rollouts: the services and the steps of their rollouts, sites, groups of tenants,
+// dependencies between steps, and freezes, in which builds may not start or be promoted. It detects faults that only
+// show in a plan as a whole (check.go) and computes when freezes hold (calendar.go).
 //
-// A Plan is data that nobody changes once it was read, so that goroutines may share it; a Calendar caches and belongs to
-// one goroutine. The package decides nothing about a release (package rollout does) and imports the standard library
-// alone; internal/planxml reads plans from XML.
+// A Plan is not changed once it is read, so goroutines may share it; a Calendar caches and belongs to one goroutine.
+// The package makes no decisions about rollouts (package rollout does) and imports only the standard library. Package
+// internal/planxml reads plans from XML.
 package plan
 
 import (
@@ -13,100 +13,101 @@
 )
 
 type (
-	// ServiceIndex is a service's place in Plan.Services.
+	// ServiceIndex is the index of a service in Plan.Services.
 	ServiceIndex int
-	// SiteIndex is a site's place in Plan.Sites.
+	// SiteIndex is the index of a site in Plan.Sites.
 	SiteIndex int
-	// GroupIndex is a group's place in Plan.Groups.
+	// GroupIndex is the index of a group in Plan.Groups.
 	GroupIndex int
-	// StepIndex is a step's place in Service.Steps; one past the last step stands for "released".
+	// StepIndex is the index of a step in Service.Steps; one past the last step stands for the release.
 	StepIndex int
-	// FreezeIndex is a freeze's place in Plan.Freezes.
+	// FreezeIndex is the index of a freeze in Plan.Freezes.
 	FreezeIndex int
-	// Seconds is a length of time.
+	// Seconds is a duration in seconds.
 	Seconds = float64
-	// Unix is a moment, in seconds since 1970 in UTC.
+	// Unix is a moment, in seconds since 1970-01-01 00:00 UTC.
 	Unix = float64
 )
 
 const (
-	// NoSite stands for no particular site: of a relay that has none, and in questions about any site.
+	// NoSite is the site of a relay that has none; in queries it stands for any site.
 	NoSite SiteIndex = -1
-	// NoGroup is the group of a tenant that no group names. It meets no canary.
+	// NoGroup is the group of a tenant that is in no group of the plan. Its requests never go to a canary.
 	NoGroup GroupIndex = -1
 )
 
-// ReleasedStep is the name of what follows the last step. No step may carry it.
+// ReleasedStep is the name of the release, which follows the last step. No step may have this name.
 const ReleasedStep = "released"
 
-// MaxSteps is the number of steps that a service may have.
+// MaxSteps is the largest number of steps of a service.
 const MaxSteps = 250
 
-// Plan is a whole plan.
+// Plan is a plan for the rollouts of all services.
 type Plan struct {
-	Skew      Seconds // by which the clocks of relays and controller may differ; freezes are longer by it at both ends
-	StatusTTL Seconds // after which the status of a dependency is too old to open anything
+	Skew      Seconds // largest difference between the clocks of relays and controller; extends freezes at both ends
+	StatusTTL Seconds // after which the status of a dependency is too old to grant a step
 	Sites     []string
 	Groups    []Group
 	Services  []Service
 	Freezes   []Freeze
 }
 
-// Group is a group of tenants that meet a canary together.
+// Group is a group of tenants to which a canary is opened together.
 type Group struct {
 	Name    string
 	Tenants []string
 }
 
-// Control says what promotes a service from step to step.
+// Control is what promotes a service's canary from step to step.
 type Control int
 
 const (
-	// ControlQuorum promotes when a share of the service's relays votes for it.
+	// ControlQuorum promotes when a given share of the service's relays votes for it.
 	ControlQuorum Control = iota
 	// ControlSingleVote promotes on the vote of any relay.
 	ControlSingleVote
-	// ControlTimed promotes by time; relays can hold a step or roll it back.
+	// ControlTimed promotes by time; relays can vote to hold a step or to roll the build back.
 	ControlTimed
 )
 
-// Votes are the rules by which the relays of a service vote on its steps. PromoteShare, RollBackShare and HoldShare are the shares of its
-// relays, of one relay at least, that a vote needs to take effect.
+// Votes are the rules by which the relays of a service vote on its steps. PromoteShare, RollBackShare and HoldShare are
+// the shares of the relays, at least one relay, whose votes it takes to promote, roll back or hold the canary.
 type Votes struct {
 	Control       Control
 	PromoteShare  float64
 	RollBackShare float64
 	HoldShare     float64
-	TTL           Seconds // for which a vote counts
-	PerSecond     float64 // votes that are accepted from all relays together
-	StepTime      Seconds // after which ControlTimed promotes a step
+	TTL           Seconds // after which a vote expires
+	PerSecond     float64 // votes accepted from all relays together
+	StepTime      Seconds // after which ControlTimed promotes
 }
 
-// Service is one fleet of endpoints whose builds are released by steps.
+// Service is a fleet of endpoints whose builds are released step by step.
 type Service struct {
 	Name         string
-	WatchAddress string  // address at which the controller serves the rollout's status to those who depend on it
-	RollbackTime Seconds // that rolling back takes
-	SettleTime   Seconds // after a release before the next build starts
+	WatchAddress string  // address at which the controller serves the rollout status to dependent services; optional
+	RollbackTime Seconds // duration of a rollback
+	SettleTime   Seconds // between a release and the start of the next build
 	Votes        Votes
 	Steps        []Step
 	Relays       []Relay
 }
 
-// Relay is a voter. The controller knows it by the address that it listens on for this relay alone.
+// Relay is a relay that votes. The controller listens for each relay on an address of its own and identifies it by
+// that.
 type Relay struct {
 	Name          string
 	Site          SiteIndex
 	ListenAddress string
 }
 
-// Step is one stage of a release.
+// Step is one step of a rollout.
 type Step struct {
 	Name          string
-	Share         float64 // of the fleet that runs the build
+	Share         float64 // share of the fleet that runs the build
 	ExposureLimit float64 // share of the requests of each open group that the build may get
-	MinTime       Seconds // before the step may be promoted
-	OpenGroups    []Scope // that this step opens beside those of the steps before it
+	MinTime       Seconds // minimum duration of the step
+	OpenGroups    []Scope // opened in this step, in addition to those of earlier steps
 	Dependencies  []Dependency
 }
 
@@ -116,14 +117,14 @@
 	Group GroupIndex
 }
 
-// Dependency is what a step waits for: that the newest build of another service is at a step, or released.
+// Dependency is a condition of a step: the newest build of another service has reached a step, or is released.
 type Dependency struct {
 	Service  ServiceIndex
-	Step     StepIndex // of Service; not used where Released is set
+	Step     StepIndex // step of Service; not used if Released is set
 	Released bool
 }
 
-// IsOpen says whether a group at a site may meet the build at a step.
+// IsOpen reports whether requests of a group at a site may go to the build at a step.
 func (s *Service) IsOpen(step StepIndex, site SiteIndex, group GroupIndex) bool {
 	for k := StepIndex(0); k <= step && int(k) < len(s.Steps); k++ {
 		for _, scope := range s.Steps[k].OpenGroups {
@@ -135,7 +136,7 @@
 	return false
 }
 
-// OpenAtSite says whether any group at a site may meet the build at a step.
+// OpenAtSite reports whether requests of any group at a site may go to the build at a step.
 func (s *Service) OpenAtSite(step StepIndex, site SiteIndex) bool {
 	for k := StepIndex(0); k <= step && int(k) < len(s.Steps); k++ {
 		for _, scope := range s.Steps[k].OpenGroups {
@@ -147,7 +148,7 @@
 	return false
 }
 
-// StepName gives the name of a step, or ReleasedStep for what follows the last one.
+// StepName returns the name of a step, or ReleasedStep for one past the last step.
 func (s *Service) StepName(step StepIndex) string {
 	switch {
 	case int(step) == len(s.Steps):
@@ -158,7 +159,7 @@
 	return s.Steps[step].Name
 }
 
-// Service finds a service by name.
+// Service returns the index of the service with a name, and whether there is one.
 func (p *Plan) Service(name string) (ServiceIndex, bool) {
 	for i := range p.Services {
 		if p.Services[i].Name == name {
@@ -168,7 +169,7 @@
 	return 0, false
 }
 
-// Site finds a site by name.
+// Site returns the index of the site with a name, and whether there is one.
 func (p *Plan) Site(name string) (SiteIndex, bool) {
 	for i, site := range p.Sites {
 		if site == name {
@@ -178,7 +179,7 @@
 	return NoSite, false
 }
 
-// GroupOf finds the group of a tenant; NoGroup where it is in none.
+// GroupOf returns the group of a tenant, or NoGroup if it is in none.
 func (p *Plan) GroupOf(tenant string) GroupIndex {
 	for i := range p.Groups {
 		for _, member := range p.Groups[i].Tenants {
@@ -190,8 +191,8 @@
 	return NoGroup
 }
 
-// Order lists the services so that each stands behind those that it depends on. Where two services have steps that wait
-// for each other's, the plan's own order holds.
+// Order returns the services so that each comes after those that it depends on. That is impossible for services whose
+// steps depend on each other's; their order then follows from the plan's.
 func (p *Plan) Order() []ServiceIndex {
 	var order []ServiceIndex
 	visited := make([]bool, len(p.Services))
@@ -214,7 +215,7 @@
 	return order
 }
 
-// DependencyText describes a dependency in words, such as "cart at step two".
+// DependencyText returns a dependency as text, such as "cart at step two".
 func (p *Plan) DependencyText(dependency Dependency) string {
 	service := &p.Services[dependency.Service]
 	if dependency.Released {
--- a/plan/plan_test.go
+++ b/plan/plan_test.go
@@ -9,7 +9,7 @@
 	"lichenroad/plan"
 )
 
-// utc reads a time in UTC.
+// utc parses a time in UTC.
 func utc(t *testing.T, text string) plan.Unix {
 	t.Helper()
 	at, err := time.Parse("2006-01-02T15:04:05", text)
@@ -19,7 +19,7 @@
 	return plan.FromTime(at)
 }
 
-// parse reads a plan of two sites, "bole" and "kality", with a freeze.
+// parse returns a plan with two sites, "bole" and "kality", and a freeze with the given content.
 func parse(t *testing.T, freeze string) *plan.Plan {
 	t.Helper()
 	p, err := planxml.Parse("p", []byte(`<plan version="1" clock-skew="2s"><site name="bole"/><site name="kality"/>
@@ -51,39 +51,40 @@
 		{"from the start", "2026-12-04T19:00:00", bole, true, true},
 		{"another site", "2026-12-04T19:00:00", kality, false, false},
 		{"to the end", "2026-12-05T02:59:59", bole, true, true},
-		{"in the skew behind", "2026-12-05T03:00:01", bole, false, true},
-		{"behind the skew", "2026-12-05T03:00:02", bole, false, false},
+		{"in the skew after", "2026-12-05T03:00:01", bole, false, true},
+		{"after the skew", "2026-12-05T03:00:02", bole, false, false},
 		// On 28 March 2027 Berlin has no 02:30: the freeze begins when the hour is skipped, at 01:00 UTC.
 		{"before a skipped hour", "2027-03-28T00:59:50", bole, false, false},
 		{"at a skipped hour", "2027-03-28T01:00:00", bole, true, true},
-		{"behind a skipped hour", "2027-03-28T01:29:59", bole, true, true},
-		{"to the end behind a skipped hour", "2027-03-28T01:30:05", bole, false, false},
-		// On 25 October 2026 it has 02:30 twice, at 00:30 and 01:30 UTC: the freeze takes in both.
+		{"after a skipped hour", "2027-03-28T01:29:59", bole, true, true},
+		{"at the end, after a skipped hour", "2027-03-28T01:30:05", bole, false, false},
+		// On 25 October 2026 it has 02:30 twice, at 00:30 and 01:30 UTC: the freeze covers both.
 		{"before a repeated hour", "2026-10-25T00:29:50", bole, false, false},
 		{"from the first of the two", "2026-10-25T00:30:00", bole, true, true},
 		{"between the two", "2026-10-25T01:29:00", bole, true, true},
-		{"behind the second of the two", "2026-10-25T02:29:59", bole, true, true},
-		{"to the end behind a repeated hour", "2026-10-25T02:30:05", bole, false, false},
+		{"after the second of the two", "2026-10-25T02:29:59", bole, true, true},
+		{"at the end, after a repeated hour", "2026-10-25T02:30:05", bole, false, false},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			if _, frozen := exact.Frozen(utc(t, c.at), 0, c.site, plan.FreezePromotions); frozen != c.frozen {
-				t.Errorf("%s at site %d: frozen %v", c.at, c.site, frozen)
+				t.Errorf("%s at site %d: frozen %v, want %v", c.at, c.site, frozen, c.frozen)
 			}
 			if _, frozen := withSkew.Frozen(utc(t, c.at), 0, c.site, plan.FreezePromotions); frozen != c.frozenWithSkew {
-				t.Errorf("%s at site %d with skew: frozen %v", c.at, c.site, frozen)
+				t.Errorf("%s at site %d, with skew: frozen %v, want %v", c.at, c.site, frozen, c.frozenWithSkew)
 			}
 		})
 	}
 	active, frozen := exact.Frozen(utc(t, "2026-12-04T20:00:00"), 0, plan.NoSite, plan.FreezeStarts)
 	if !frozen || active.Since != utc(t, "2026-12-04T19:00:00") || active.Until != utc(t, "2026-12-05T03:00:00") {
-		t.Errorf("%+v %v", active, frozen)
+		t.Errorf("active freeze %+v, frozen %v", active, frozen)
 	}
 	if next := exact.NextChange(utc(t, "2026-12-04T18:00:00")); next != utc(t, "2026-12-04T19:00:00") {
-		t.Error(next)
+		t.Errorf("next change at %s, want the start of the freeze", plan.Time(next))
 	}
 }
 
-// TestCalendarAgainstEachSecond walks a fortnight and holds the cached answers against fresh ones.
+// TestCalendarAgainstEachSecond compares the answers of a calendar that caches with those of fresh ones, over two
+// weeks.
 func TestCalendarAgainstEachSecond(t *testing.T) {
 	p, err := planxml.Load("../deploy/plan.xml")
 	if err != nil {
@@ -94,14 +95,14 @@
 	for at := start; at < start+14*86400; at += 97 {
 		_, frozen := cached.Frozen(at, 1, 0, plan.FreezePromotions)
 		if _, fresh := plan.NewCalendar(p, true).Frozen(at, 1, 0, plan.FreezePromotions); fresh != frozen {
-			t.Fatalf("%s: %v, fresh %v", plan.Time(at), frozen, fresh)
+			t.Fatalf("%s: frozen %v, by a fresh calendar %v", plan.Time(at), frozen, fresh)
 		}
 		if frozen != before {
 			changes, before = changes+1, frozen
 		}
 	}
 	if changes < 40 {
-		t.Errorf("%d changes in a fortnight of nights and mornings", changes)
+		t.Errorf("%d changes in two weeks, want at least 40", changes)
 	}
 }
 
@@ -111,17 +112,17 @@
 		t.Fatal(err)
 	}
 	if order := p.Order(); !slices.Equal(order, []plan.ServiceIndex{0, 1, 2}) {
-		t.Error(order)
+		t.Errorf("order %v", order)
 	}
 	if p.GroupOf("entoto-dairy") != 0 || p.GroupOf("nobody") != plan.NoGroup {
-		t.Error("groups")
+		t.Error("wrong group of a tenant")
 	}
 	s := &p.Services[0]
 	if !s.IsOpen(0, 0, 0) || s.IsOpen(0, 0, 1) || s.IsOpen(0, 1, 0) || !s.IsOpen(2, 1, 2) {
-		t.Error("which groups are open")
+		t.Error("IsOpen: wrong groups are open")
 	}
 	if s.OpenAtSite(1, 1) || !s.OpenAtSite(2, 1) {
-		t.Error("which sites are open")
+		t.Error("OpenAtSite: wrong sites are open")
 	}
 }
 
@@ -139,14 +140,14 @@
 		{"winter", "2026-12-24T18:00:00", plan.OccursOnce, "2026-12-24T17:00:00", "2026-12-24T17:00:00"},
 		{"before the skip", "2027-03-28T01:59:59", plan.OccursOnce, "2027-03-28T00:59:59", "2027-03-28T00:59:59"},
 		{"skipped", "2027-03-28T02:30:00", plan.OccursNever, "2027-03-28T01:00:00", "2027-03-28T01:00:00"},
-		{"behind the skip", "2027-03-28T03:00:00", plan.OccursOnce, "2027-03-28T01:00:00", "2027-03-28T01:00:00"},
-		{"twice", "2026-10-25T02:30:00", plan.OccursTwice, "2026-10-25T00:30:00", "2026-10-25T01:30:00"},
-		{"behind the repeated hour", "2026-10-25T03:00:00", plan.OccursOnce, "2026-10-25T02:00:00", "2026-10-25T02:00:00"},
+		{"after the skip", "2027-03-28T03:00:00", plan.OccursOnce, "2027-03-28T01:00:00", "2027-03-28T01:00:00"},
+		{"repeated", "2026-10-25T02:30:00", plan.OccursTwice, "2026-10-25T00:30:00", "2026-10-25T01:30:00"},
+		{"after the repeated hour", "2026-10-25T03:00:00", plan.OccursOnce, "2026-10-25T02:00:00", "2026-10-25T02:00:00"},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			r := plan.WallTimeOf(plan.Time(utc(t, c.wall))).Resolve(berlin)
 			if r.Occurrence != c.occurrence || plan.FromTime(r.First) != utc(t, c.first) || plan.FromTime(r.Last) != utc(t, c.last) {
-				t.Errorf("%d: %s to %s", r.Occurrence, r.First.UTC(), r.Last.UTC())
+				t.Errorf("occurrence %d, first %s, last %s", r.Occurrence, r.First.UTC(), r.Last.UTC())
 			}
 		})
 	}
@@ -162,8 +163,8 @@
 		want     []plan.Milestone
 	}{
 		{"none", []plan.Service{service(), service(plan.Dependency{Service: 0, Released: true})}, nil},
-		{"an earlier step of each other", []plan.Service{service(plan.Dependency{Service: 1}), service(plan.Dependency{Service: 0})}, nil},
-		{"the same step of each other",
+		{"two services whose steps depend on an earlier step of the other", []plan.Service{service(plan.Dependency{Service: 1}), service(plan.Dependency{Service: 0})}, nil},
+		{"two services whose steps depend on the same step of the other",
 			[]plan.Service{service(plan.Dependency{Service: 1, Step: 1}), service(plan.Dependency{Service: 0, Step: 1})},
 			[]plan.Milestone{{Service: 0, Step: 1}, {Service: 1, Step: 1}, {Service: 0, Step: 1}}},
 		{"a release and a step before it",
@@ -173,7 +174,7 @@
 		t.Run(c.name, func(t *testing.T) {
 			p := &plan.Plan{Services: c.services}
 			if cycle := p.FindCycle(); !slices.Equal(cycle, c.want) {
-				t.Errorf("got %v, wanted %v", cycle, c.want)
+				t.Errorf("got %v, want %v", cycle, c.want)
 			}
 		})
 	}
--- a/plan/walltime.go
+++ b/plan/walltime.go
@@ -2,8 +2,8 @@
 
 import "time"
 
-// WallTime is a date and a time of day as a clock on the wall shows them, without a zone. A zone that changes its offset
-// skips some wall times and shows others twice.
+// WallTime is a local date and time of day, without a zone. When a zone changes its offset, it skips some wall times or
+// repeats them.
 type WallTime struct {
 	Year   int
 	Month  time.Month
@@ -13,56 +13,57 @@
 	Second int
 }
 
-// WallTimeOf gives the wall time that t shows in its own location.
+// WallTimeOf returns the wall time of t in t's own location.
 func WallTimeOf(t time.Time) WallTime {
 	year, month, day := t.Date()
 	hour, minute, second := t.Clock()
 	return WallTime{year, month, day, hour, minute, second}
 }
 
-// wallTimeOn gives the wall time so long after midnight of a day.
+// wallTimeOn returns the wall time on the date of day at a time since midnight.
 func wallTimeOn(day time.Time, sinceMidnight time.Duration) WallTime {
 	year, month, dayOfMonth := day.Date()
 	return WallTime{year, month, dayOfMonth,
 		int(sinceMidnight.Hours()), int(sinceMidnight.Minutes()) % 60, int(sinceMidnight.Seconds()) % 60}
 }
 
-// In gives the moment that time.Date takes for the wall time in a zone. Where the zone skips it or shows it twice, that is
-// one of two moments; Resolve gives both.
+// In returns the moment that time.Date chooses for the wall time in a zone. If the zone skips or repeats the wall time,
+// that is one of two possible moments; Resolve handles both cases.
 func (w WallTime) In(zone *time.Location) time.Time {
 	return time.Date(w.Year, w.Month, w.Day, w.Hour, w.Minute, w.Second, 0, zone)
 }
 
-// Occurrence says how often a zone shows a wall time.
+// Occurrence is how often a wall time occurs in a zone.
 type Occurrence int
 
 const (
-	// OccursOnce is the usual case.
+	// OccursOnce means that the wall time is neither skipped nor repeated.
 	OccursOnce Occurrence = iota
-	// OccursNever is a wall time that the zone skips when its clocks are put forward.
+	// OccursNever means that the zone skips the wall time when its clocks are set forward.
 	OccursNever
-	// OccursTwice is a wall time that the zone shows again when its clocks are put back.
+	// OccursTwice means that the zone repeats the wall time when its clocks are set back.
 	OccursTwice
 )
 
-// Resolution is what a wall time means in a zone. First and Last are the moments at which the zone shows it; for one that
-// occurs once they are the same, and for one that never occurs both are the moment of the skip.
+// Resolution is what a wall time means in a zone. First and Last are the moments at which it occurs. They are equal if
+// it occurs once; if it never occurs, both are the moment at which the zone skips it.
 type Resolution struct {
 	Occurrence  Occurrence
 	First, Last time.Time
 }
 
-// maxSkipSearch is how far behind a change of offset time.Date lands at most where a wall time is skipped.
-const maxSkipSearch = 3 * time.Hour
+// maxTimeAfterSkip is the longest time after a change of offset at which time.Date places a wall time that the change
+// skips.
+const maxTimeAfterSkip = 3 * time.Hour
 
-// Resolve finds the moments at which a zone shows the wall time.
+// Resolve returns the moments at which the wall time occurs in a zone.
 func (w WallTime) Resolve(zone *time.Location) Resolution {
 	at := w.In(zone)
-	start, end := at.ZoneBounds() // of the offset that holds at that moment; zero where it has no bound
+	start, end := at.ZoneBounds() // of the period with the offset at that moment; zero where unbounded
 	if WallTimeOf(at) != w {
-		// time.Date lands on one side of the gap; the gap is at the nearer bound.
+		// time.Date has chosen a moment on one side of the gap, which is at the start or at the end of the period.
 		gap := end
-		if !start.IsZero() && at.Sub(start) < maxSkipSearch {
+		if !start.IsZero() && at.Sub(start) < maxTimeAfterSkip {
 			gap = start
 		}
 		return Resolution{OccursNever, gap, gap}
@@ -82,7 +83,7 @@
 	return Resolution{OccursOnce, at, at}
 }
 
-// offsetAt is how far the zone of a time is ahead of UTC at that time.
+// offsetAt returns how far the zone of t is ahead of UTC at t.
 func offsetAt(t time.Time) time.Duration {
 	_, seconds := t.Zone()
 	return time.Duration(seconds) * time.Second
