--- a/internal/guard/guard.go
+++ b/internal/guard/guard.go
@@ -1,7 +1,7 @@
-// Package guard runs a relay's rollout guard (rollout.Guard) between platform and decision module: rollout status and
-// votes pass through it, its timers run on the relay's loop, and it watches the release controllers of the services
-// that this one depends on. It decides nothing itself. All of its state belongs to the loop's goroutine. It imports
-// pipeline, platform, rollout and plan.
+// Package guard hosts a relay's rollout guard (rollout.Guard) between platform and decision module: it passes the
+// rollout status and the votes through the guard, runs the guard's timers on the relay's loop, and watches the release
+// controllers of the services that the relay's service depends on. All decisions are the guard's. The state of the
+// package belongs to the loop's goroutine. The package imports pipeline, platform, rollout and plan.
 package guard
 
 import (
@@ -21,22 +21,22 @@
 )
 
 const (
-	maxEvaluationInterval = 1.0   // s; the machine's clock may be set, and a freeze with it
+	maxEvaluationInterval = 1.0   // s; a freeze may begin or end early when the machine's clock is set
 	minEvaluationInterval = 0.001 // s
-	maxPendingVotes       = 64    // votes whose replies are awaited: the platform replies to each or is replaced
+	maxPendingVotes       = 64    // votes awaiting a reply; not reached while the platform's client reports a result of each vote
 )
 
 var errNoSite = errors.New("the settings don't name this relay's site")
 
-// voteOrigin is who asked for a vote that was cast.
+// voteOrigin is what caused a vote to be cast: the reply to it goes to the module only if the module did.
 type voteOrigin int
 
 const (
 	castForModule voteOrigin = iota
-	castByGuard              // the module knows nothing of it
+	castByGuard              // a revised vote, of which the module knows nothing
 )
 
-// Host runs the guard of one relay. Its methods are to be called on the loop, or before the loop runs.
+// Host runs the guard of one relay. Its methods must be called on the loop, or before the loop runs.
 type Host struct {
 	loop        *pipeline.Loop
 	platform    pipeline.Platform
@@ -44,16 +44,16 @@
 	guard       *rollout.Guard
 	plan        *plan.Plan
 	serviceName string
-	tenants     []string                    // names by the settings' numbers
-	watches     map[string]*platform.Client // by the name of the service that is depended on
+	tenants     []string                    // names, by the settings' tenant number
+	watches     map[string]*platform.Client // by the name of the service watched
 
-	pendingVotes []voteOrigin // of the votes that have no reply yet, in the order in which they were cast
+	pendingVotes []voteOrigin // origins of the votes without a reply yet, in the order in which they were cast
 	events       []relay.Event
-	evaluateAt   relay.Seconds // when the timer that counts fires, by the loop's clock; 0: none
+	evaluateAt   relay.Seconds // when the current timer fires, by the loop's clock; 0: no timer
 	lastReason   rollout.BlockReason
 }
 
-// TenantNames returns the names of the settings' tenants by number.
+// TenantNames returns the names of the settings' tenants, by tenant number.
 func TenantNames(site *settings.Site) []string {
 	names := make([]string, len(site.Tenants))
 	for name, number := range site.TenantByName {
@@ -64,8 +64,8 @@
 	return names
 }
 
-// New returns the host of a guard for a service of a plan. The clock gives the time of day; nil is the machine's. It
-// fails where the plan does not have the service, or the site that the settings name.
+// New returns the host of a guard for a service of a plan. The clock returns the Unix time; nil stands for the
+// machine's clock. New fails if the plan lacks the service, or the site that the settings name.
 func New(loop *pipeline.Loop, p *plan.Plan, serviceName string, next pipeline.Platform, clock func() plan.Unix) (*Host, error) {
 	service, ok := p.Service(serviceName)
 	if !ok {
@@ -95,7 +95,7 @@
 	}, nil
 }
 
-// siteOf finds the plan's site of a relay.
+// siteOf returns the plan's site of the relay with these settings.
 func siteOf(s *settings.Site, p *plan.Plan) (plan.SiteIndex, error) {
 	if s.Zone < 0 || int(s.Zone) >= len(s.Zones) {
 		return plan.NoSite, errNoSite
@@ -110,10 +110,10 @@
 
 func wallClock() plan.Unix { return float64(time.Now().UnixNano()) / 1e9 }
 
-// Start opens the watches on the services that this one depends on. After a change of the plan it opens those that are
-// new and moves the others to their present addresses.
+// Start opens a watch on each service that this one depends on. After a change of the plan, it opens watches on new
+// dependencies and changes the others to their present addresses.
 func (h *Host) Start() {
-	service, _ := h.plan.Service(h.serviceName) // New and Replan have checked that there is one
+	service, _ := h.plan.Service(h.serviceName) // New and Replan have checked that the service exists
 	for _, dependency := range rollout.DependenciesOf(h.plan, service) {
 		spec := &h.plan.Services[dependency]
 		if watch := h.watches[spec.Name]; watch != nil {
@@ -129,7 +129,7 @@
 	}
 }
 
-// watch opens a watch on a service. Its goroutine is the client's and lasts as long as the process.
+// watch opens a watch on a service. The client's goroutine runs until the process ends.
 func (h *Host) watch(serviceName, address string) *platform.Client {
 	watch := platform.New(h.loop, address)
 	watch.OnStatus = func(_ *pipeline.Loop, status relay.RolloutStatus) { h.dependencyStatusReceived(serviceName, status) }
@@ -137,11 +137,12 @@
 	return watch
 }
 
-// dependencyStatusReceived takes what a watch on another service sent: a status, or a keep-alive, which is not valid.
+// dependencyStatusReceived handles a message of a watch on another service: a status, or a keep-alive, which is an
+// invalid status.
 func (h *Host) dependencyStatusReceived(serviceName string, status relay.RolloutStatus) {
 	service, ok := h.plan.Service(serviceName)
 	if !ok {
-		return // the plan that has it was replaced
+		return // the present plan does not have the service any more
 	}
 	if status.Valid {
 		h.guard.DependencyStatusReceived(h.clock(), service, status)
@@ -151,7 +152,8 @@
 	h.evaluate()
 }
 
-// RolloutStatusReceived takes the platform's status of this relay's own service, which may be the reply to a vote.
+// RolloutStatusReceived handles the platform's status of this relay's own service, which may also be the reply to a
+// vote.
 func (h *Host) RolloutStatusReceived(status relay.RolloutStatus) {
 	reply := status.Reply
 	if reply != relay.ReplyNone && len(h.pendingVotes) > 0 {
@@ -167,7 +169,7 @@
 	}
 }
 
-// Vote casts the module's vote as far as the plan lets it.
+// Vote casts the vote that the module requests, filtered by the guard.
 func (h *Host) Vote(v relay.Vote) {
 	h.castVote(h.guard.FilterVote(h.clock(), v), castForModule)
 	h.evaluate()
@@ -181,8 +183,8 @@
 	h.platform.Vote(v)
 }
 
-// evaluate gives the module what it has to know by now, casts a vote that has to be revised, and sets the timer for
-// the next evaluation.
+// evaluate passes the guard's events to the module, casts a revised vote if there is one, and sets the timer for the
+// next evaluation.
 func (h *Host) evaluate() {
 	now := h.clock()
 	h.events = h.guard.Evaluate(now, h.events[:0])
@@ -204,7 +206,8 @@
 	h.evaluateWithin(math.Min(wait, maxEvaluationInterval))
 }
 
-// evaluateWithin sets the timer, unless one is set that fires earlier. A timer that was replaced does nothing.
+// evaluateWithin sets the timer for an evaluation, unless one is set that fires earlier. A replaced timer does nothing
+// when it fires.
 func (h *Host) evaluateWithin(wait relay.Seconds) {
 	now := h.loop.Clock.Now()
 	at := now + wait
@@ -220,7 +223,7 @@
 	})
 }
 
-// Replan puts another plan in force. Where that fails, the old one stays.
+// Replan replaces the plan. If it fails, the old plan stays in force.
 func (h *Host) Replan(p *plan.Plan) error {
 	if err := h.guard.Replan(p, h.tenants); err != nil {
 		return err
--- a/internal/guard/guard_test.go
+++ b/internal/guard/guard_test.go
@@ -24,12 +24,12 @@
 
 const day = 1796515200.0 // 2026-12-06 00:00 UTC
 
-// recordingPlatform keeps the votes that it is given.
+// recordingPlatform records the votes cast.
 type recordingPlatform struct{ votes []relay.Vote }
 
 func (p *recordingPlatform) Vote(v relay.Vote) { p.votes = append(p.votes, v) }
 
-// hostHarness is a host on a loop that a test drives by hand.
+// hostHarness is a host on a loop that does not run: the test calls the host and takes the module's events.
 type hostHarness struct {
 	*Host
 	loop     *pipeline.Loop
@@ -62,7 +62,7 @@
 	return h
 }
 
-// moduleEvents takes what the module has received since the last call.
+// moduleEvents returns what the module has received since the last call.
 func (h *hostHarness) moduleEvents() (statuses []relay.RolloutStatus, scopes []relay.CanaryScope) {
 	for _, e := range h.loop.TakeEvents() {
 		switch e := e.(type) {
@@ -75,7 +75,7 @@
 	return statuses, scopes
 }
 
-// canaryStatus is a status of build 3 in its first stage.
+// canaryStatus returns a status of build 3 in its first stage.
 func canaryStatus(limit float64) relay.RolloutStatus {
 	return relay.RolloutStatus{Valid: true, Build: 3, ExposureLimit: limit}
 }
@@ -85,23 +85,23 @@
 	h.loop.RolloutStatusReceived(canaryStatus(0.9))
 	statuses, scopes := h.moduleEvents()
 	if len(statuses) != 1 || statuses[0].ExposureLimit != 0 || len(scopes) != 1 || scopes[0].GroupOpen[0] {
-		t.Fatalf("no status of a was received: %+v %+v", statuses, scopes)
+		t.Fatalf("without a status of a: statuses %+v, scopes %+v", statuses, scopes)
 	}
 	h.dependencyStatusReceived("a", relay.RolloutStatus{Valid: true, Build: 1, Phase: relay.PhaseReleased, ExposureLimit: 1})
 	statuses, scopes = h.moduleEvents()
 	if len(statuses) != 1 || statuses[0].ExposureLimit != 0.2 || len(scopes) != 1 || !scopes[0].GroupOpen[0] || scopes[0].GroupOpen[1] {
-		t.Fatalf("%+v %+v", statuses, scopes)
+		t.Fatalf("with a released: statuses %+v, scopes %+v", statuses, scopes)
 	}
 	if g := scopes[0].GroupOfTenant; len(g) != 3 || g[0] != 1 || g[1] != 0 || g[2] != -1 {
-		t.Errorf("groups by the settings' numbers: %v", g)
+		t.Errorf("groups by the settings' tenant number: %v, want [1 0 -1]", g)
 	}
 	h.loop.RolloutStatusReceived(canaryStatus(0.9))
 	if statuses, _ := h.moduleEvents(); len(statuses) != 0 {
-		t.Errorf("the same status again: %+v", statuses)
+		t.Errorf("the module received an unchanged status: %+v", statuses)
 	}
 	h.dependencyStatusReceived("a", relay.RolloutStatus{Valid: true, Build: 2, Phase: relay.PhaseRollingBack})
 	if statuses, _ := h.moduleEvents(); len(statuses) != 1 || statuses[0].ExposureLimit != 0 {
-		t.Errorf("the dependency rolled back: %+v", statuses)
+		t.Errorf("after the rollback of the dependency: %+v", statuses)
 	}
 }
 
@@ -113,10 +113,10 @@
 	h.now = day + 3600 - 10
 	h.dependencyStatusReceived("a", relay.RolloutStatus{}) // a keep-alive
 	h.Vote(promote)
-	h.now = day + 3600 - 1.5 // the skew before the freeze: the guard revises the vote
+	h.now = day + 3600 - 1.5 // less than the clock skew before the freeze: the guard revises the vote
 	h.evaluate()
 	if v := h.platform.votes; len(v) != 2 || v[0] != promote || v[1].Verdict != relay.VoteHold {
-		t.Fatalf("%+v", v)
+		t.Fatalf("votes cast: %+v, want one to promote and one to hold", v)
 	}
 	h.moduleEvents()
 	toModule, toGuard := canaryStatus(0.2), canaryStatus(0.2)
@@ -125,7 +125,7 @@
 	h.loop.RolloutStatusReceived(toGuard)
 	statuses, _ := h.moduleEvents()
 	if len(statuses) != 1 || statuses[0].Reply != relay.ReplyCounted || statuses[0].Valid {
-		t.Errorf("the module must receive one reply: %+v", statuses)
+		t.Errorf("the module received %+v, want only the reply to its own vote", statuses)
 	}
 	rollBack := relay.Vote{Build: 3, Stage: 0, Verdict: relay.VoteRollBack}
 	h.now = day + 3700
@@ -155,7 +155,7 @@
 		t.Fatal(err)
 	}
 	if statuses, _ := h.moduleEvents(); len(statuses) != 1 || statuses[0].ExposureLimit != 0.1 {
-		t.Errorf("%+v", statuses)
+		t.Errorf("after the change of plan: %+v", statuses)
 	}
 }
 
