--- a/internal/planxml/freeze.go
+++ b/internal/planxml/freeze.go
@@ -12,8 +12,8 @@
 	timeOfDayLayout = "15:04"
 	momentLayout    = "2006-01-02T15:04"
 
-	// maxOnce bounds a freeze that holds once: a longer one is taken for a slip of the year.
-	maxOnce = 400 * 24 * time.Hour
+	// maxOneTimeFreeze is the longest freeze that holds once: in a longer one, the year is probably mistyped.
+	maxOneTimeFreeze = 400 * 24 * time.Hour
 )
 
 var effectWords = map[string]plan.FreezeEffect{
@@ -47,10 +47,10 @@
 	}
 }
 
-// readFreezeTarget reads a <for>, which narrows a freeze to a service or a site.
+// readFreezeTarget reads a <for>, which restricts a freeze to a service or a site.
 func (r *reader) readFreezeTarget(freeze *plan.Freeze, node *xmlconfig.Node) {
 	if len(node.Attrs) != 1 {
-		r.AddFault(node, "names a service or a site, one of the two")
+		r.AddFault(node, "must name either a service or a site")
 	}
 	if name, ok := node.Attrs["service"]; ok {
 		service, _ := r.readServiceRef(node, name)
@@ -93,8 +93,8 @@
 	if bothRead && !schedule.To.After(schedule.From) {
 		r.AddFault(node, "to: the freeze ends no later than it begins")
 	}
-	if schedule.To.Sub(schedule.From) > maxOnce {
-		r.AddFault(node, "to: the freeze lasts for over 400 days, as good as without end")
+	if schedule.To.Sub(schedule.From) > maxOneTimeFreeze {
+		r.AddFault(node, "to: the freeze lasts more than 400 days, so the year is probably wrong")
 	}
 	return schedule
 }
@@ -105,7 +105,7 @@
 		return time.UTC
 	}
 	zone, err := time.LoadLocation(name)
-	// The standard library also takes "" and "Local", which differ by machine.
+	// The standard library also accepts "" as UTC and "Local" as the zone of the machine.
 	if err != nil || name == "" || name == "Local" {
 		r.AddFault(node, "zone: %.40q is no time zone", name)
 		return time.UTC
@@ -128,23 +128,23 @@
 		}
 	}
 	if none := days == [7]bool{}; given && none {
-		r.AddFault(node, "days: none")
+		r.AddFault(node, "days: no valid day")
 	}
 	return days
 }
 
-// readTimeOfDay reads a time of day as the time since midnight.
+// readTimeOfDay reads a time of day and returns the time since midnight.
 func (r *reader) readTimeOfDay(node *xmlconfig.Node, name string) time.Duration {
 	text, ok := node.Attrs[name]
 	t, err := time.Parse(timeOfDayLayout, text)
-	// The standard library also takes hours of one digit.
+	// The standard library also accepts an hour of one digit.
 	if ok && (err != nil || len(text) != len(timeOfDayLayout)) {
 		r.AddFault(node, "%s: %.20q is no time of day such as 22:30", name, text)
 	}
 	return time.Duration(t.Hour())*time.Hour + time.Duration(t.Minute())*time.Minute
 }
 
-// readMoment reads a date and time in a zone. It must occur exactly once: nobody can tell which of two is meant.
+// readMoment reads a date and time in a zone. It must occur exactly once there, as it would be ambiguous otherwise.
 func (r *reader) readMoment(node *xmlconfig.Node, name string, zone *time.Location) time.Time {
 	text, ok := node.Attrs[name]
 	if !ok {
@@ -152,15 +152,15 @@
 	}
 	t, err := time.Parse(momentLayout, text)
 	if err != nil {
-		r.AddFault(node, "%s: %.20q is no time such as 2026-12-24T18:00", name, text)
+		r.AddFault(node, "%s: %.20q is no date and time such as 2026-12-24T18:00", name, text)
 		return time.Time{}
 	}
 	wall := plan.WallTimeOf(t)
 	switch wall.Resolve(zone).Occurrence {
 	case plan.OccursNever:
-		r.AddFault(node, "%s: %s is skipped in %s", name, text, zone)
+		r.AddFault(node, "%s: %s does not occur in %s, whose clocks skip it", name, text, zone)
 	case plan.OccursTwice:
-		r.AddFault(node, "%s: %s is there twice in %s", name, text, zone)
+		r.AddFault(node, "%s: %s occurs twice in %s", name, text, zone)
 	}
 	return wall.In(zone)
 }
--- a/internal/planxml/planxml.go
+++ b/internal/planxml/planxml.go
@@ -1,7 +1,8 @@
-// Package planxml reads plans of releases from XML files. It maps elements to package plan's types and names every fault
-// of a file, by line, in one *xmlconfig.Error. deploy/plan.xsd describes the same elements; a test holds the two together.
+// Package planxml reads rollout plans from XML files. It converts the elements to the types of package plan and reports
+// all faults of a file, with their lines, in one *xmlconfig.Error. deploy/plan.xsd describes the same elements; a test
+// keeps the two consistent.
 //
-// It holds no state: Load and Parse may be called from any goroutine. It imports plan and internal/xmlconfig.
+// The package has no state, so Load and Parse may be called from any goroutine. It imports plan and internal/xmlconfig.
 package planxml
 
 import (
@@ -11,7 +12,13 @@
 
 const formatVersion = "1"
 
-// schema says which attributes and children each element may have.
+// Defaults of the attributes of <plan>, in seconds.
+const (
+	defaultSkew      = 2
+	defaultStatusTTL = 10
+)
+
+// schema lists the attributes and children that each element may have.
 var schema = map[string]xmlconfig.ElementSchema{
 	"plan": {Required: []string{"version"}, Optional: []string{"clock-skew", "news-life"},
 		Children: []string{"site", "group", "service", "freeze"}},
@@ -31,7 +38,7 @@
 	"once":   {Required: []string{"from", "to", "zone"}},
 }
 
-// Load reads a plan from a file. Its error is an *xmlconfig.Error where the file could be read but is no plan.
+// Load reads a plan from a file. The error is an *xmlconfig.Error if the file could be read but is not a valid plan.
 func Load(path string) (*plan.Plan, error) {
 	raw, err := xmlconfig.ReadFile(path)
 	if err != nil {
@@ -40,7 +47,7 @@
 	return Parse(path, raw)
 }
 
-// Parse reads a plan. Its error is an *xmlconfig.Error with all faults, under the name of the file.
+// Parse reads a plan from the content of a file. The error is an *xmlconfig.Error with all faults and the file's name.
 func Parse(file string, raw []byte) (*plan.Plan, error) {
 	r := &reader{Reader: xmlconfig.Reader{Root: "plan", Schema: schema}, plan: &plan.Plan{}}
 	if root := r.Parse(raw); root != nil {
@@ -55,7 +62,7 @@
 	return r.plan, nil
 }
 
-// reader fills a plan and gathers the faults. A plan that has a fault is incomplete and is not handed out.
+// reader builds a plan and collects its faults. A plan with faults is incomplete and is not returned.
 type reader struct {
 	xmlconfig.Reader
 	plan     *plan.Plan
@@ -63,13 +70,13 @@
 	freezes  []*xmlconfig.Node // by plan.FreezeIndex
 }
 
-// readPlan reads the names that other elements refer to before what refers to them.
+// readPlan reads the whole plan. The names of sites, groups and services come first, as other elements refer to them.
 func (r *reader) readPlan(root *xmlconfig.Node) {
 	if version, ok := root.Attrs["version"]; ok && version != formatVersion {
 		r.AddFault(root, "version: %.20q is not known, 1 is", version)
 	}
-	r.plan.Skew = r.Seconds(root, "clock-skew", 2)
-	r.plan.StatusTTL = r.Seconds(root, "news-life", 10)
+	r.plan.Skew = r.Seconds(root, "clock-skew", defaultSkew)
+	r.plan.StatusTTL = r.Seconds(root, "news-life", defaultStatusTTL)
 	r.services, r.freezes = root.ChildrenNamed("service"), root.ChildrenNamed("freeze")
 	r.readSites(root)
 	r.readGroups(root)
@@ -114,7 +121,7 @@
 	}
 }
 
-// readServiceRef looks up the service that an attribute names.
+// readServiceRef returns the service that an attribute names, and whether it exists.
 func (r *reader) readServiceRef(node *xmlconfig.Node, name string) (plan.ServiceIndex, bool) {
 	service, known := r.plan.Service(name)
 	if !known {
@@ -123,7 +130,7 @@
 	return service, known
 }
 
-// readSiteRef looks up the site that an attribute names; plan.NoSite where there is none.
+// readSiteRef returns the site that an attribute names, or plan.NoSite if it does not exist.
 func (r *reader) readSiteRef(node *xmlconfig.Node, name string) plan.SiteIndex {
 	site, known := r.plan.Site(name)
 	if !known {
@@ -132,14 +139,14 @@
 	return site
 }
 
-// checkWhole looks for faults that only show once every element was read.
+// checkWhole reports the faults that only show in the plan as a whole.
 func (r *reader) checkWhole() {
 	if cycle := r.plan.FindCycle(); cycle != nil {
 		r.AddFault(r.services[cycle[0].Service], "a cycle: %s", r.cycleText(cycle))
 	}
 	if endless, found := r.plan.FindEndlessFreeze(); found {
 		r.AddFault(r.freezes[endless.Freeze],
-			"never ends: with the other freezes it leaves %s no time (clock-skew counts at both ends)",
+			"never ends: together with other freezes it leaves no time for %s (clock-skew extends freezes at both ends)",
 			r.plan.Services[endless.Service].Name)
 	}
 }
--- a/internal/planxml/service.go
+++ b/internal/planxml/service.go
@@ -9,7 +9,7 @@
 	"lichenroad/plan"
 )
 
-// defaultVotes holds for a service without <votes>, and for each attribute that <votes> leaves out.
+// defaultVotes applies to a service without <votes>, and to each attribute that is missing in <votes>.
 var defaultVotes = plan.Votes{Control: plan.ControlQuorum, PromoteShare: 0.5, RollBackShare: 0.15,
 	HoldShare: 0.15, TTL: 10, PerSecond: 100, StepTime: 60}
 
@@ -24,11 +24,17 @@
 	maxVotesPerSecond = 1e6
 )
 
-// readService reads all of a service but its name.
+// Defaults of the attributes of <service>, in seconds.
+const (
+	defaultRollbackTime = 10
+	defaultSettleTime   = 30
+)
+
+// readService reads all of a service except its name, which is already set.
 func (r *reader) readService(service *plan.Service, node *xmlconfig.Node) {
 	service.WatchAddress = node.Attrs["watch"]
-	service.RollbackTime = r.Seconds(node, "back-for", 10)
-	service.SettleTime = r.Seconds(node, "settle", 30)
+	service.RollbackTime = r.Seconds(node, "back-for", defaultRollbackTime)
+	service.SettleTime = r.Seconds(node, "settle", defaultSettleTime)
 	if service.WatchAddress != "" {
 		r.CheckAddress(node, "watch")
 	}
@@ -37,7 +43,7 @@
 	opened := map[plan.Scope]string{}
 	for i, step := range node.ChildrenNamed("step") {
 		if i > 0 {
-			r.checkRises(step, &service.Steps[i-1], &service.Steps[i])
+			r.checkNotBelow(step, &service.Steps[i-1], &service.Steps[i])
 		}
 		service.Steps[i].OpenGroups = r.readOpenGroups(step, opened)
 		if i == 0 && len(step.ChildrenNamed("open")) == 0 {
@@ -64,18 +70,18 @@
 			StepTime:      r.Seconds(node, "step-time", defaultVotes.StepTime),
 		}
 		if votes.TTL <= 0 {
-			r.AddFault(node, "life: no time at all")
+			r.AddFault(node, "life: must be longer than 0")
 		}
 	}
 	return votes
 }
 
-// readSteps reads the attributes of the steps.
+// readSteps reads the attributes of a service's steps, without their children.
 func (r *reader) readSteps(service *xmlconfig.Node) []plan.Step {
 	var steps []plan.Step
 	taken := map[string]bool{}
 	for _, node := range service.ChildrenNamed("step") {
-		// The schema requires share and cap; where one is missing, NaN passes the comparisons of checkRises.
+		// A missing share or cap is already a fault by the schema; NaN adds none in checkNotBelow.
 		steps = append(steps, plan.Step{
 			Name:          r.UniqueName(node, taken),
 			Share:         r.Number(node, "share", math.NaN(), 0, 1),
@@ -83,35 +89,36 @@
 			MinTime:       r.Seconds(node, "least", 0),
 		})
 		if node.Attrs["name"] == plan.ReleasedStep {
-			r.AddFault(node, "name: released is what comes after the last step")
+			r.AddFault(node, "name: released is reserved for the release, which follows the last step")
 		}
 	}
 	switch {
 	case len(steps) == 0:
 		r.AddFault(service, "no <step>")
 	case len(steps) > plan.MaxSteps:
-		r.AddFault(service, "over %d steps", plan.MaxSteps)
+		r.AddFault(service, "more than %d steps", plan.MaxSteps)
 	}
 	return steps
 }
 
-// checkRises checks that no step gives a build less than the step before it.
-func (r *reader) checkRises(node *xmlconfig.Node, before, step *plan.Step) {
-	if step.ExposureLimit < before.ExposureLimit {
-		r.AddFault(node, "cap: %g falls below the %g of the step before", step.ExposureLimit, before.ExposureLimit)
+// checkNotBelow checks that neither exposure limit nor share of a step is below that of the previous step.
+func (r *reader) checkNotBelow(node *xmlconfig.Node, previous, step *plan.Step) {
+	if step.ExposureLimit < previous.ExposureLimit {
+		r.AddFault(node, "cap: %g falls below the %g of the step before", step.ExposureLimit, previous.ExposureLimit)
 	}
-	if step.Share < before.Share {
-		r.AddFault(node, "share: %g falls below the %g of the step before", step.Share, before.Share)
+	if step.Share < previous.Share {
+		r.AddFault(node, "share: %g falls below the %g of the step before", step.Share, previous.Share)
 	}
 }
 
-// readOpenGroups reads what a step opens. opened holds the scopes that are open already, by the name of their step.
+// readOpenGroups returns the scopes that a step opens. The map opened has the names of the steps that opened a scope so
+// far, and gets those of this step added.
 func (r *reader) readOpenGroups(step *xmlconfig.Node, opened map[plan.Scope]string) []plan.Scope {
 	var scopes []plan.Scope
 	for _, node := range step.ChildrenNamed("open") {
 		for _, scope := range r.readScopes(node) {
 			if by, open := opened[scope]; open {
-				r.AddFault(node, "site %s, group %s is open since step %s",
+				r.AddFault(node, "site %s, group %s is already open since step %s",
 					r.plan.Sites[scope.Site], r.plan.Groups[scope.Group].Name, by)
 				continue
 			}
@@ -122,7 +129,7 @@
 	return scopes
 }
 
-// readScopes lists what an <open> opens: without a site every site, without a group every group.
+// readScopes returns the scopes that an <open> opens: at every site if it names none, and every group if it names none.
 func (r *reader) readScopes(node *xmlconfig.Node) []plan.Scope {
 	siteName, oneSite := node.Attrs["site"]
 	groupName, oneGroup := node.Attrs["group"]
@@ -153,11 +160,11 @@
 	return dependencies
 }
 
-// readDependency reads what a step of a service needs. It is not ok where that had a fault.
+// readDependency reads a <needs> in a step of a service. The result is not ok if it has a fault.
 func (r *reader) readDependency(node *xmlconfig.Node, serviceName string) (dependency plan.Dependency, ok bool) {
 	name, given := node.Attrs["service"]
 	if !given {
-		return plan.Dependency{}, false // the schema has found that
+		return plan.Dependency{}, false // already a fault by the schema
 	}
 	service, known := r.readServiceRef(node, name)
 	if !known {
@@ -171,7 +178,7 @@
 	if !given || stepName == plan.ReleasedStep {
 		return plan.Dependency{Service: service, Released: true}, true
 	}
-	// The other service's steps may not be read yet, so the name is looked up among the elements.
+	// The steps of the other service may not have been read yet, so its elements are searched for the name.
 	for i, step := range r.services[service].ChildrenNamed("step") {
 		if step.Attrs["name"] == stepName {
 			return plan.Dependency{Service: service, Step: plan.StepIndex(i)}, true
@@ -197,8 +204,8 @@
 	return relays
 }
 
-// checkListen checks the address that the controller keeps for a relay. Port 0 leaves the choice of a port to the system,
-// so such an address may stand more than once.
+// checkListen checks the address at which the controller listens for a relay, which no other relay of the service may
+// share. With port 0 the system chooses a port, so such an address may be used more than once.
 func (r *reader) checkListen(node *xmlconfig.Node, address string, taken map[string]bool) {
 	if !r.CheckAddress(node, "listen") || strings.HasSuffix(address, ":0") {
 		return
@@ -209,7 +216,7 @@
 	taken[address] = true
 }
 
-// cycleText describes a cycle, such as "a one needs b two needs a one".
+// cycleText returns a cycle as text, such as "a one needs b two needs a one".
 func (r *reader) cycleText(cycle []plan.Milestone) string {
 	var names []string
 	for _, milestone := range cycle {
