--- a/policy/admission.go
+++ b/policy/admission.go
@@ -8,37 +8,38 @@
 )
 
 const (
-	// of the mean latency objective that an attempt may take before the inflow is held
+	// fraction of its latency objective that a request may spend open on average
 	maxObjectiveUsage = 0.5
-	// the present one and one before, that show a burst's own rate
-	recentFlowBuckets = 2
-	// open requests beyond that, so that a small relay is not shut by one slow answer
+	// the current bucket and the one before, which show the rate of a burst
+	recentTrafficBuckets = 2
+	// open requests added to the limit, so that one slow answer does not make a relay with little traffic
+	// reject requests
 	spareRequests = 4.0
-	// part of the limit from which the class of least priority is rejected; the highest: 1
+	// fraction of the limit from which the class with the lowest priority is rejected; 1 for the highest
 	lowestPriorityFraction = 0.8
-	// times its class's part of the limit from which a tenant beyond its share is rejected
-	overQuotaFraction = 0.9
-	// times its share of traffic at which a tenant counts as beyond it
-	overQuotaFactor = 1.15
-	// part of the limit from which a request rejected by a full endpoint is not sent again
+	// factor on its class's fraction of the limit for a tenant above its traffic share
+	overShareFraction = 0.9
+	// multiple of its traffic share from which a tenant counts as above it
+	overShareFactor = 1.15
+	// fraction of the limit from which a request that a full endpoint rejected is not retried
 	fleetFullFraction       = 0.8
-	minTimeForAdmissionRate = flowBucketTime * flowBuckets
+	minTimeForAdmissionRate = trafficBucketTime * trafficBuckets
 )
 
-// admission rejects new requests while more are open than can be answered in time at the rate of late. It
-// guards against any lack of capacity, and needs no cause: too much traffic, lost or slow endpoints, costly
-// requests.
+// admission rejects new requests while more requests are open than the recent rate of answers can serve
+// in time. It covers every lack of capacity without looking for the cause: too much traffic, lost or slow
+// endpoints, or expensive requests.
 type admission struct {
 	p                *Policy
-	answered         window.Sliding // latency objectives of the requests answered
-	requestsByTenant window.Sliding // requests taken; the last column: of all
+	answered         window.Sliding // sums the latency objectives of answered requests
+	requestsByTenant window.Sliding // one column for each tenant, and the last for all requests
 }
 
 func newAdmission(p *Policy) admission {
 	return admission{
 		p:                p,
-		answered:         window.NewSliding(flowBucketTime, flowBuckets, 1),
-		requestsByTenant: window.NewSliding(flowBucketTime, flowBuckets, len(p.settings.Tenants)+1),
+		answered:         window.NewSliding(trafficBucketTime, trafficBuckets, 1),
+		requestsByTenant: window.NewSliding(trafficBucketTime, trafficBuckets, len(p.settings.Tenants)+1),
 	}
 }
 
@@ -48,26 +49,26 @@
 	}
 }
 
-// admissionFraction is the part of the limit from which requests of a class are rejected, by its priority.
+// admissionFraction is the fraction of the limit from which a class is rejected, by its priority weight.
 func admissionFraction(weight, maxWeight float64) float64 {
 	return lowestPriorityFraction + (1-lowestPriorityFraction)*weight/maxWeight
 }
 
-// limit is how many requests may be open: by Little's law, the rate of answers times the time they may
-// take.
+// limit is the number of requests that may be open. By Little's law that is the rate of answers times the
+// time that a request may spend open.
 func (a *admission) limit() float64 {
 	if a.p.now < minTimeForAdmissionRate {
-		return math.Inf(1) // no rate is known yet
+		return math.Inf(1) // there is no rate yet
 	}
-	rate := a.answered.Total(a.p.now, 0) / (flowBucketTime * flowBuckets)
-	// After a quiet time the mean tells what was asked for, not what can be answered: the last second's rate
-	// counts.
-	recentTime := flowBucketTime*(recentFlowBuckets-1) + math.Mod(a.p.now, flowBucketTime)
-	recentRate := a.answered.Sum(a.p.now, 0, 0, recentFlowBuckets) / recentTime
+	rate := a.answered.Total(a.p.now, 0) / (trafficBucketTime * trafficBuckets)
+	// After a quiet period the mean rate shows the demand, not the capacity; then the rate of the last
+	// second counts.
+	recentTime := trafficBucketTime*(recentTrafficBuckets-1) + math.Mod(a.p.now, trafficBucketTime)
+	recentRate := a.answered.Sum(a.p.now, 0, 0, recentTrafficBuckets) / recentTime
 	return spareRequests + maxObjectiveUsage*math.Max(rate, recentRate)
 }
 
-// rejects says whether a new request is rejected, and counts it.
+// rejects counts a new request and says whether to reject it.
 func (a *admission) rejects(request *trackedRequest) bool {
 	tenants := a.p.settings.Tenants
 	allColumn, tenant := len(tenants), int(request.Tenant)
@@ -75,10 +76,11 @@
 	fraction := request.class.admissionFraction
 	if tenant < len(tenants) {
 		a.requestsByTenant.Add(a.p.now, tenant, 1)
-		share := overQuotaFactor * tenants[tenant].TrafficShare
+		share := overShareFactor * tenants[tenant].TrafficShare
 		if a.requestsByTenant.Total(a.p.now, tenant) > share*a.requestsByTenant.Total(a.p.now, allColumn) {
-			fraction *= overQuotaFraction // priority ranks beyond a share too: a burst is mostly one tenant's
+			// multiplied, so that priority still counts above the share: a burst mostly comes from one tenant
+			fraction *= overShareFraction
 		}
 	}
-	return float64(a.p.router.openInTime) > fraction*a.limit()
+	return float64(a.p.router.openOnTime) > fraction*a.limit()
 }
--- a/policy/admission_test.go
+++ b/policy/admission_test.go
@@ -40,7 +40,7 @@
 	}
 	burst := p.admission.limit()
 	p.now = 13.75 // over, and nothing answered since: the mean of 2 s alone is left
-	after, mean := p.admission.limit(), spareRequests+maxObjectiveUsage*p.admission.answered.Total(p.now, 0)/(flowBucketTime*flowBuckets)
+	after, mean := p.admission.limit(), spareRequests+maxObjectiveUsage*p.admission.answered.Total(p.now, 0)/(trafficBucketTime*trafficBuckets)
 	if quiet > spareRequests+4 || burst < spareRequests+20 || after != mean {
 		t.Errorf("limit %.1f, in the burst %.1f, after it %.1f of %.1f", quiet, burst, after, mean)
 	}
@@ -59,7 +59,7 @@
 	p.admission.answered.Add(19.6, 0, 1000)
 	admits := func(tenant relay.Tenant, category int) (n int) {
 		for ; n < 10000; n++ {
-			p.router.openInTime = n
+			p.router.openOnTime = n
 			if p.admission.rejects(&trackedRequest{Request: relay.Request{Tenant: tenant, Class: relay.RequestClass(category)}, class: &p.classes[category]}) {
 				return n
 			}
--- a/policy/aggregator.go
+++ b/policy/aggregator.go
@@ -10,11 +10,12 @@
 )
 
 const (
-	aggregatorCount   = 4   // lowest-numbered relays that aggregate (DESIGN)
-	aggregatorTimeout = 3.0 // s without a decision after which an aggregator counts as lost: three decisions
+	aggregatorCount = 4 // number of relays that aggregate: those with the lowest numbers
+	// seconds without a decision after which an aggregator counts as lost: three decisions
+	aggregatorTimeout = 3.0
 )
 
-// peerState is the last report of one relay, and its last decision where it is an aggregator.
+// peerState is the last report of one relay and, if it is an aggregator, its last decision.
 type peerState struct {
 	report      peerwire.Report
 	reportedAt  relay.Seconds
@@ -22,31 +23,31 @@
 
 	decision      peerwire.Decision
 	decidedAt     relay.Seconds
-	expectedSince relay.Seconds // when it was first counted on as an aggregator; 0: never
+	expectedSince relay.Seconds // when it was first expected to aggregate; 0: never
 }
 
-// aggregator weighs all relays' verdicts, announces its decision, and votes. On a relay that is none of the
-// aggregators it follows their decisions.
+// aggregator combines the verdicts of all relays into a decision, broadcasts it and votes. On a relay
+// that does not aggregate, it follows the decisions of the aggregators.
 type aggregator struct {
-	p          *Policy
-	peers      []peerState // by relay
-	nextLookAt relay.Seconds
-	active     bool // this relay is an aggregator
-
-	wanted      relay.Vote    // what should stand, by own or others' decision
-	wantedSince relay.Seconds // since when
-	reason      string        // what speaks for a rollback
-	announced   relay.Vote    // own decision, last sent to all
-	announcedAt relay.Seconds
-
-	cast       relay.Vote // the vote that stands, or is under way
+	p                *Policy
+	peers            []peerState // by relay
+	nextEvaluationAt relay.Seconds
+	active           bool // this relay aggregates
+
+	desired       relay.Vote    // vote that should stand, by this relay's decision or the aggregators'
+	desiredSince  relay.Seconds // when desired last changed
+	reason        string        // reason for a rollback
+	broadcastVote relay.Vote    // last decision that this aggregator broadcast
+	broadcastAt   relay.Seconds
+
+	cast       relay.Vote // vote that was last cast; it stands or is pending
 	castAt     relay.Seconds
-	nextVoteAt relay.Seconds // not to vote before
-	pending    bool          // a vote is under way
-	confirmed  bool          // the platform has counted it
+	nextVoteAt relay.Seconds // earliest time of the next vote
+	pending    bool          // a vote has been sent and has no reply yet
+	confirmed  bool          // the platform has counted it, or replied that it is stale
 
-	cleanAt relay.Seconds // when the pooled counts were last not flagged
-	slowAt  relay.Seconds // when the fleet was last as fast as before the trial
+	lastUnflaggedAt relay.Seconds // when the pooled outcomes were last not flagged
+	lastNotSlowAt   relay.Seconds // when the fleet was last not slower than before the trial
 }
 
 func newAggregator(p *Policy) aggregator {
@@ -60,47 +61,48 @@
 }
 
 func (a *aggregator) tick() {
-	if a.p.now >= a.nextLookAt {
-		a.nextLookAt = a.p.now + judgeInterval
-		a.updateWanted()
+	if a.p.now >= a.nextEvaluationAt {
+		a.nextEvaluationAt = a.p.now + evaluationInterval
+		a.updateDesiredVote()
 	}
 	a.castVote()
 }
 
-// members returns the relays that aggregate: the lowest-numbered few that were heard of lately.
-func (a *aggregator) members() (members []relay.ID) {
-	for i := 0; i < a.p.settings.Relays && len(members) < aggregatorCount; i++ {
+// aggregatorIDs returns the relays that aggregate: those with the lowest numbers whose decisions arrive.
+func (a *aggregator) aggregatorIDs() (ids []relay.ID) {
+	for i := 0; i < a.p.settings.Relays && len(ids) < aggregatorCount; i++ {
 		peer, id := &a.peers[i], relay.ID(i)
 		if peer.expectedSince == 0 {
 			peer.expectedSince = a.p.now
 		}
 		lastSign := math.Max(peer.expectedSince, peer.decidedAt)
 		if id == a.p.settings.Self || a.p.now-lastSign < aggregatorTimeout {
-			members = append(members, id)
+			ids = append(ids, id)
 		}
 	}
-	return members
+	return ids
 }
 
-// reportReceived keeps a relay's last report, and passes the ends of its attempts on to the endpoints.
+// reportReceived stores a relay's last report, and adds the reported attempts to the evidence on their
+// endpoints.
 func (a *aggregator) reportReceived(from relay.ID, report peerwire.Report) {
 	if int(from) >= len(a.peers) {
 		return
 	}
 	for _, observed := range report.Observations {
 		if endpoint := a.p.endpoints.byHash[observed.Endpoint]; endpoint != nil {
-			endpoint.learn(observed, peerEvidence)
+			endpoint.recordObservation(observed, peerEvidence)
 		}
 	}
 	peer := &a.peers[from]
 	peer.report = report
-	peer.report.Observations = nil // passed on: only the verdicts count later
+	peer.report.Observations = nil // no longer needed: later only the verdicts are read
 	peer.reportedAt = a.p.now
 	peer.hasReported = true
 }
 
-// decisionReceived keeps an aggregator's last decision, and its latency ratios where this relay learns none
-// of its own.
+// decisionReceived stores an aggregator's last decision. A relay that does not aggregate also takes over
+// the latency ratios, since it gets no reports to compute them from.
 func (a *aggregator) decisionReceived(from relay.ID, decision peerwire.Decision) {
 	if int(from) >= len(a.peers) {
 		return
@@ -109,58 +111,58 @@
 	peer.decision = decision
 	peer.decidedAt = a.p.now
 	for i, ratio := range decision.Ratios {
-		known := a.p.latency.ofType(relay.MachineType(i))
+		known := a.p.latency.machineTypeMean(relay.MachineType(i))
 		if !a.active && ratio > 0 {
 			*known = window.Mean{Value: ratio, Samples: minRatioSamples}
 		}
 	}
 }
 
-// updateWanted renews what this relay wants to vote: by all reports as an aggregator, else by most
-// decisions.
-func (a *aggregator) updateWanted() {
+// updateDesiredVote recomputes the vote that should stand: from all reports on an aggregator, otherwise
+// from the majority of the aggregators' decisions.
+func (a *aggregator) updateDesiredVote() {
 	canary := &a.p.canary
-	a.active = slices.Contains(a.members(), a.p.settings.Self)
-	wanted := relay.Vote{Build: canary.status.Build, Stage: canary.status.Stage}
-	decisions := a.countDecisions(wanted)
+	a.active = slices.Contains(a.aggregatorIDs(), a.p.settings.Self)
+	desired := relay.Vote{Build: canary.status.Build, Stage: canary.status.Stage}
+	decisions := a.countDecisions(desired)
 	if a.active || decisions.aggregators == 0 {
-		wanted.Verdict = a.decide()
+		desired.Verdict = a.decide()
 	} else if canary.canRollBack() {
-		a.cleanAt, a.slowAt = a.p.now, a.p.now
-		wanted.Verdict = decisions.majority()
+		a.lastUnflaggedAt, a.lastNotSlowAt = a.p.now, a.p.now
+		desired.Verdict = decisions.majority()
 	}
-	if wanted != a.wanted {
-		a.wanted = wanted
-		a.wantedSince = a.p.now
+	if desired != a.desired {
+		a.desired = desired
+		a.desiredSince = a.p.now
 	}
-	if a.announcementDue(wanted) {
-		a.announced = wanted
-		a.announcedAt = a.p.now
-		a.announce(wanted)
+	if a.broadcastDue(desired) {
+		a.broadcastVote = desired
+		a.broadcastAt = a.p.now
+		a.broadcastDecision(desired)
 	}
 }
 
-func (a *aggregator) announcementDue(wanted relay.Vote) bool {
+func (a *aggregator) broadcastDue(desired relay.Vote) bool {
 	hasPeers := a.p.settings.Limits.PeerMessages && a.p.settings.Relays > 1
-	return a.active && hasPeers && (a.announced != wanted || a.p.now-a.announcedAt >= verdictInterval)
+	return a.active && hasPeers && (a.broadcastVote != desired || a.p.now-a.broadcastAt >= verdictInterval)
 }
 
-// announce sends this aggregator's decision to every relay.
-func (a *aggregator) announce(wanted relay.Vote) {
-	decision := peerwire.Decision{Build: wanted.Build, Stage: wanted.Stage, Verdict: wanted.Verdict}
+// broadcastDecision sends this aggregator's decision to every relay.
+func (a *aggregator) broadcastDecision(desired relay.Vote) {
+	decision := peerwire.Decision{Build: desired.Build, Stage: desired.Stage, Verdict: desired.Verdict}
 	for _, ratio := range a.p.latency.byType {
 		decision.Ratios = append(decision.Ratios, ratio.Value)
 	}
 	a.p.emit(relay.SendMessage{To: relay.Broadcast, Body: decision.Encode()})
 }
 
-// decisionCounts counts the decisions of the aggregators heard of late.
+// decisionCounts counts the recent decisions of the aggregators by verdict.
 type decisionCounts struct {
 	byVerdict   [relay.VoteRollBack + 1]int
 	aggregators int
 }
 
-// countDecisions counts the decisions for a build and stage. A rollback counts at any stage.
+// countDecisions counts the decisions on a build and stage. A decision to roll back counts at any stage.
 func (a *aggregator) countDecisions(at relay.Vote) (counts decisionCounts) {
 	for i := range a.peers {
 		peer := &a.peers[i]
@@ -177,7 +179,7 @@
 	return counts
 }
 
-// majority is the verdict of more than half of the aggregators, if there is one.
+// majority is the verdict of more than half of the aggregators; NoVote if there is none.
 func (c *decisionCounts) majority() relay.Verdict {
 	for verdict, n := range c.byVerdict {
 		if 2*n > c.aggregators {
--- a/policy/canary.go
+++ b/policy/canary.go
@@ -8,35 +8,36 @@
 	"lichenroad/relay"
 )
 
-const frozenAfterRelease = 12.0 // s after a release that the usual ratios stay frozen: a window of evidence
+// seconds after a release in which the baseline ratios stay frozen: one evidence window
+const baselineFreezeAfterRelease = 12.0
 
-// canary knows where the newest build stands, bounds exposure to it, and forms verdicts on it.
+// canary tracks the rollout of the newest build, limits its exposure and forms verdicts on it.
 type canary struct {
-	p          *Policy
-	hasStatus  bool
-	status     relay.RolloutStatus // the last one about the newest build
-	stageSince relay.Seconds       // when the present state began
+	p              *Policy
+	hasStatus      bool
+	status         relay.RolloutStatus // last status of the newest build
+	stageStartedAt relay.Seconds       // start of the present stage or phase, by the status's age
 
-	offeredAt       relay.Seconds // when the newest build was first heard of; 0: before this relay began
-	releaseInterval relay.Seconds // from the build before to that
-	listedAt        relay.Seconds // when the endpoints of the present stage were first listed; 0: not yet
-	watchRestarted  bool          // as they were not
+	buildAnnouncedAt relay.Seconds // first status of the newest build; 0: no status of another came before
+	releaseInterval  relay.Seconds // time between the first statuses of the previous build and the newest one
+	stageListedAt    relay.Seconds // when enough endpoints of the stage were first listed; 0: not yet
+	watchRestarted   bool          // in this stage, because its endpoints were not listed
 
 	hasScope   bool
 	scope      relay.CanaryScope
-	budgets    []*exposureBudget         // by build
-	stickyKeys map[relay.Key]relay.Build // answered by the newest build, or by one not announced yet
+	budgets    []*exposureBudget         // one for each build met so far
+	stickyKeys map[relay.Key]relay.Build // last answered by the newest build, or an unannounced one
 
 	verdicts []peerwire.ClassVerdict // by class
-	// what the earlier machines last showed, by class, and pooled
-	lastEarlier [evidenceSources][]outcomeCounts
-	baseline    outcomeCounts // of all endpoints when the build was first heard of
+	// last sufficient outcomes of the earlier build, by class, and at the end over all classes
+	lastEarlierCounts [evidenceSourceCount][]outcomeCounts
+	preTrialCounts    outcomeCounts // of all endpoints when the newest build was announced
 	// own attempts at the newest build that count as evidence, by class
-	newestAttempts window.Sliding
-	unreported     []peerwire.Observation // attempts that the aggregators have not been told of
-	capacityShare  float64                // part of the attempts that the build on trial may get
-	nextJudgeAt    relay.Seconds
-	reportedAt     relay.Seconds
+	newestAttempts   window.Sliding
+	unreported       []peerwire.Observation // not yet reported to the aggregators
+	capacityShare    float64                // fraction of the attempts that the endpoints on trial can take
+	nextEvaluationAt relay.Seconds
+	reportedAt       relay.Seconds
 }
 
 func newCanary(p *Policy) canary {
@@ -46,20 +47,20 @@
 		verdicts:       make([]peerwire.ClassVerdict, len(p.classes)),
 		newestAttempts: window.NewSliding(evidenceBucketTime, evidenceBuckets, len(p.classes)),
 	}
-	for source := range c.lastEarlier {
-		c.lastEarlier[source] = make([]outcomeCounts, len(p.classes)+1)
+	for source := range c.lastEarlierCounts {
+		c.lastEarlierCounts[source] = make([]outcomeCounts, len(p.classes)+1)
 	}
 	return c
 }
 
 func (c *canary) tick() {
-	if c.p.now >= c.nextJudgeAt && c.hasStatus {
-		c.nextJudgeAt = c.p.now + judgeInterval
-		c.judge()
+	if c.p.now >= c.nextEvaluationAt && c.hasStatus {
+		c.nextEvaluationAt = c.p.now + evaluationInterval
+		c.evaluate()
 	}
 }
 
-// statusReceived takes the platform's word on a build; one about an older build is ignored.
+// statusReceived applies a status from the platform; it ignores one about an older build.
 func (c *canary) statusReceived(status relay.RolloutStatus) {
 	if !status.Valid || c.hasStatus && status.Build < c.status.Build {
 		return
@@ -67,30 +68,31 @@
 	changed := !c.hasStatus || status.Build != c.status.Build || status.Stage != c.status.Stage ||
 		status.Phase != c.status.Phase
 	if changed {
-		c.listedAt = 0
+		c.stageListedAt = 0
 		c.watchRestarted = false
 		if c.p.settings.Self == 0 {
 			line := fmt.Sprintf("build %d stage %d phase %d", status.Build, status.Stage, status.Phase)
 			c.p.emit(relay.Log{Line: line})
 		}
 	}
-	c.forgetStickyKeys(status)
+	c.dropStickyKeys(status)
 	if c.hasStatus && status.Build != c.status.Build {
-		c.newBuildOffered()
+		c.newBuildAnnounced()
 	}
 	c.hasStatus = true
 	c.status = status
-	c.stageSince = c.p.now - status.Age
+	c.stageStartedAt = c.p.now - status.Age
 	budget := c.budgetOf(status.Build)
 	if status.ExposureLimit < budget.limit {
 		budget.exhaust()
-		c.p.router.cancelUnsent(status.Build) // a lower limit binds attempts that still wait for a connection, too
+		// a lower limit also applies to attempts that still wait for a connection
+		c.p.router.cancelUnsent(status.Build)
 	}
 	budget.limit = status.ExposureLimit
 }
 
-// forgetStickyKeys lets go of the keys of earlier builds, and of one that is rolled back.
-func (c *canary) forgetStickyKeys(status relay.RolloutStatus) {
+// dropStickyKeys removes the keys of earlier builds, and those of a build that is rolled back.
+func (c *canary) dropStickyKeys(status relay.RolloutStatus) {
 	rolledBack := status.Phase == relay.PhaseRollingBack || status.Phase == relay.PhaseWithdrawn
 	for key, build := range c.stickyKeys {
 		if build < status.Build || build == status.Build && rolledBack {
@@ -99,18 +101,18 @@
 	}
 }
 
-func (c *canary) newBuildOffered() {
-	if c.offeredAt > 0 {
-		c.releaseInterval = c.p.now - c.offeredAt
+func (c *canary) newBuildAnnounced() {
+	if c.buildAnnouncedAt > 0 {
+		c.releaseInterval = c.p.now - c.buildAnnouncedAt
 	}
-	c.offeredAt = c.p.now
-	c.baseline = c.fleetCounts()
-	for source := range c.lastEarlier {
-		clear(c.lastEarlier[source])
+	c.buildAnnouncedAt = c.p.now
+	c.preTrialCounts = c.fleetCounts()
+	for source := range c.lastEarlierCounts {
+		clear(c.lastEarlierCounts[source])
 	}
 }
 
-// setScope takes a scope. Budgets by group start empty where the number of groups is another than before.
+// setScope replaces the scope. Budgets by group start empty if the number of groups changes.
 func (c *canary) setScope(scope relay.CanaryScope) {
 	c.hasScope = true
 	c.scope = scope
@@ -121,10 +123,10 @@
 	}
 }
 
-// noGroup is the group of a tenant where no scope holds, or that the scope closes.
+// noGroup stands for no group: there is no scope, or the tenant belongs to none.
 const noGroup = -1
 
-// groupOf is the group that a tenant's requests count in, and whether it may meet builds on trial.
+// groupOf returns the group that a tenant's requests count in, and whether it may use builds on trial.
 func (c *canary) groupOf(tenant relay.Tenant) (group int, open bool) {
 	if !c.hasScope {
 		return noGroup, true
@@ -139,7 +141,7 @@
 	return group, c.scope.GroupOpen[group]
 }
 
-// requestAnswered makes a key stick to the newest build once it has been answered there.
+// requestAnswered binds a request's key to the newest build once that build has answered it.
 func (c *canary) requestAnswered(request *trackedRequest, build relay.Build) {
 	if !c.p.settings.Rollout.StickyKeys || request.Key == 0 || build <= c.stickyKeys[request.Key] {
 		return
@@ -155,18 +157,18 @@
 	return c.hasStatus && (c.status.Phase == relay.PhaseCanary || c.status.Phase == relay.PhaseReleased)
 }
 
-// ratiosFrozen says that the usual ratios are kept as they were before the trial, for comparison.
-func (c *canary) ratiosFrozen() bool {
-	justReleased := c.p.now-c.stageSince < frozenAfterRelease
-	if c.p.now <= frozenAfterRelease/2 || !c.canRollBack() {
+// baselineFrozen says whether the baseline ratios stay as they were before the trial, for comparison.
+func (c *canary) baselineFrozen() bool {
+	justReleased := c.p.now-c.stageStartedAt < baselineFreezeAfterRelease
+	if c.p.now <= baselineFreezeAfterRelease/2 || !c.canRollBack() {
 		return false
 	}
 	return c.status.Phase == relay.PhaseCanary || justReleased
 }
 
-// listingOverdue says that nobody has listed the present stage's endpoints for longer than that usually
-// takes, and that the watch has not been restarted for it.
+// listingOverdue says whether the endpoints of the present stage have not been listed within the usual
+// time, and the watch has not been restarted for this stage yet.
 func (c *canary) listingOverdue() bool {
-	return c.hasStatus && !c.watchRestarted && c.listedAt == 0 && c.status.Phase == relay.PhaseCanary &&
-		c.p.now-c.stageSince > listingDelay+restartSpread
+	return c.hasStatus && !c.watchRestarted && c.stageListedAt == 0 && c.status.Phase == relay.PhaseCanary &&
+		c.p.now-c.stageStartedAt > listingDelay+watchRestartDelay
 }
--- a/policy/comparison.go
+++ b/policy/comparison.go
@@ -9,44 +9,48 @@
 )
 
 const (
-	// buckets that are looked at alone too: a build that turns bad has done well for long
+	// buckets that are also tested alone: a build that turns bad late has many good outcomes in the whole
+	// window
 	recentEvidenceBuckets = 6
-	// buckets taken as recent where a build is compared with its own earlier share
+	// buckets that count as recent when a build is compared with its own earlier outcomes
 	earlierShareBuckets = 12
-	// outcomes a build for a flag, and pooled ones for a promotion (DESIGN)
+	// outcomes needed from each build for a flag, and pooled ones for a promotion
 	minOutcomes = 20.0
-	// standard errors that a share must be worse by (DESIGN)
+	// standard errors by which a share must be worse
 	flagStandardErrors = 3.0
-	// failures that a share must be worse by, and more (DESIGN)
+	// a share must be worse by more than this number of failures
 	flagMinFailures = 1.0
-	// difference of shares that a flag needs (DESIGN)
+	// difference of two shares that a flag needs
 	flagMinDifference = 0.05
-	// the same as flagMinFailures for pooled counts, which are looked at far more often
+	// flagMinFailures for pooled counts; larger, since they are tested far more often
 	pooledMinFailures = 4.0
-	// the same as flagMinDifference for pooled failures: many outcomes show a mild fault too
+	// flagMinDifference for pooled failures; smaller, since many outcomes show a mild fault too
 	pooledMinDifference = 0.02
-	// times the earlier machines' attempt time that a flag needs: as much differs by load
+	// multiple of the earlier machines' attempt duration that a flag needs: smaller differences come from
+	// load
 	slowFactor = 1.6
-	// attempts that slowness needs, earlier machines twice that: the last to drain are idle
+	// matched attempts needed to test for slowness, and twice as many at the earlier machines, of which the
+	// last ones to drain are nearly idle
 	minSlowSamples = 60.0
-	// of a build's endpoints that fail most attempts, above which that is the build's doing
+	// fraction of a build's endpoints that are faulty from which the build counts as the cause
 	maxFaultyFraction = 0.5
-	// times the earlier build's fraction that it must be too: twice is no chance of the draw
+	// the fraction must also exceed the earlier build's by this factor, which chance does not explain
 	faultyFactor = 2.0
-	// s between the starts of machines that count as the oldest: one stage's
+	// seconds between the start times of machines that count as the oldest: those of one stage
 	oldestSpread = 2.0
-	// one endpoint in so many is left out of slowness
-	slowestQuarter = 4
+	// divisor of the number of endpoints, of which the slowest are excluded from slowness
+	slowestDivisor = 4
 )
 
-// comparison holds the outcomes of the newest build against those of the earlier one.
+// comparison holds the outcomes of the newest build and those of the earlier one.
 type comparison struct {
 	newest  outcomeCounts
 	earlier outcomeCounts
 }
 
-// compareBuilds compares the builds in one class, or in all where class is their number. The newest build's
-// outcomes are of the last buckets; with a minimum age, of its oldest machines from that age on alone.
+// compareBuilds compares the builds in one class, or in all classes if class is their number. The newest
+// build's outcomes come from the newest buckets; with a minimum age, only from its oldest machines, and
+// only from the time since they reached that age.
 func (c *canary) compareBuilds(
 	source evidenceSource, class, buckets int, minAge relay.Seconds,
 ) (compared comparison) {
@@ -62,18 +66,19 @@
 		class:  class,
 		newest: true,
 		toAge:  buckets,
-		// A lost zone takes machines of both builds along: what many earlier ones show too is not the build's
-		// doing.
+		// A lost zone affects machines of both builds. Faults that many earlier machines show too are not
+		// caused by the newest build.
 		maxFaulty: math.Max(maxFaultyFraction, faultyFactor*earlier.faultyFraction),
 		minAge:    minAge,
 	}
 	compared = comparison{newest: c.gatherEvidence(newestQuery).counts, earlier: earlier.counts}
-	last := &c.lastEarlier[source][class]
+	last := &c.lastEarlierCounts[source][class]
 	if compared.earlier.attempts >= minOutcomes {
 		*last = compared.earlier
 		return compared
 	}
-	// Else what they last showed, or this release's own earlier share; lateness then tells of the load alone.
+	// Otherwise compare with the last sufficient outcomes of the earlier build or, without any, with this
+	// build's own earlier outcomes. Lateness would then only show changes of load, so it is left out.
 	compared.earlier = *last
 	if compared.earlier.attempts == 0 {
 		recent := newestQuery
@@ -88,46 +93,46 @@
 	return compared
 }
 
-// evidenceQuery says which evidence is gathered.
+// evidenceQuery selects evidence.
 type evidenceQuery struct {
-	pooled    bool // with what other relays reported
-	class     int  // the number of classes: of all
-	newest    bool // of the newest build, or of the earlier ones
-	fromAge   int  // buckets that are at least so many buckets old,
-	toAge     int  // and less than so many
-	maxFaulty float64
-	minAge    relay.Seconds // of the machines; 0: of any age
+	pooled    bool          // including what other relays reported
+	class     int           // the number of classes selects all of them
+	newest    bool          // endpoints of the newest build; otherwise those of earlier builds
+	fromAge   int           // age in buckets of the newest selected bucket
+	toAge     int           // age in buckets up to which buckets are selected, exclusive
+	maxFaulty float64       // fraction of faulty endpoints above which their evidence is included
+	minAge    relay.Seconds // minimum age of the machines; 0: any age
 }
 
-// buildEvidence is what the endpoints of a build showed.
+// buildEvidence is the evidence on one build.
 type buildEvidence struct {
 	counts         outcomeCounts
-	faultyFraction float64 // of its endpoints
+	faultyFraction float64 // faulty endpoints among those with evidence
 }
 
-// gatherEvidence sums the evidence of the newest build's endpoints, or of the earlier ones'. What only some
-// machines of a build do is not the build's: an endpoint that failed most attempts of late is left out,
-// unless more than maxFaulty of them did; the slowest quarter is left out of slowness; a single endpoint
-// shows no faults.
+// gatherEvidence sums the evidence of the endpoints of the newest build, or of the earlier ones. Faults
+// of only some machines are not attributed to the build: recently faulty endpoints are excluded unless
+// they are more than maxFaulty of all, the slowest quarter is excluded from slowness, and a single
+// endpoint of the newest build counts with its attempts only.
 func (c *canary) gatherEvidence(query evidenceQuery) (gathered buildEvidence) {
-	sound, faulty := c.endpointEvidence(query)
-	gathered.faultyFraction = float64(len(faulty)) / math.Max(float64(len(faulty)+len(sound)), 1)
+	healthy, faulty := c.endpointEvidence(query)
+	gathered.faultyFraction = float64(len(faulty)) / math.Max(float64(len(faulty)+len(healthy)), 1)
 	if gathered.faultyFraction > query.maxFaulty {
-		sound = append(sound, faulty...)
+		healthy = append(healthy, faulty...)
 	}
-	for i := range sound {
-		gathered.counts.add(&sound[i])
+	for i := range healthy {
+		gathered.counts.add(&healthy[i])
 	}
-	if len(sound) == 1 && query.newest {
+	if len(healthy) == 1 && query.newest {
 		gathered.counts = outcomeCounts{attempts: gathered.counts.attempts}
 		return gathered
 	}
-	gathered.counts.leaveOutSlowest(sound)
+	gathered.counts.excludeSlowest(healthy)
 	return gathered
 }
 
-// endpointEvidence is the evidence of each endpoint that has any, the faulty ones apart.
-func (c *canary) endpointEvidence(query evidenceQuery) (sound, faulty []outcomeCounts) {
+// endpointEvidence returns the evidence of each endpoint that has any, with faulty endpoints apart.
+func (c *canary) endpointEvidence(query evidenceQuery) (healthy, faulty []outcomeCounts) {
 	oldest := 0.0
 	if query.minAge > 0 {
 		oldest = c.oldestAge()
@@ -147,37 +152,37 @@
 		counts := endpoint.evidenceCounts(query.pooled, query.class, query.fromAge, toAge)
 		switch {
 		case counts.attempts == 0:
-		case endpoint.wasFaulty():
+		case endpoint.recentlyFaulty():
 			faulty = append(faulty, counts)
 		default:
-			sound = append(sound, counts)
+			healthy = append(healthy, counts)
 		}
 	}
-	return sound, faulty
+	return healthy, faulty
 }
 
-// wasFaulty says that the endpoint failed most attempts within the window of evidence.
-func (e *trackedEndpoint) wasFaulty() bool {
+// recentlyFaulty says whether the endpoint was marked faulty within the evidence window.
+func (e *trackedEndpoint) recentlyFaulty() bool {
 	return e.faultyAt > 0 && e.p.now-e.faultyAt < evidenceBucketTime*evidenceBuckets
 }
 
-// leaveOutSlowest takes the slowest quarter of the endpoints out of the sum of relative slowness. It
-// reorders the slice.
-func (c *outcomeCounts) leaveOutSlowest(endpoints []outcomeCounts) {
+// excludeSlowest takes the slowest quarter of the endpoints out of the sum of relative slowness, and
+// scales the rest to the full number of matched attempts. It reorders the slice.
+func (c *outcomeCounts) excludeSlowest(endpoints []outcomeCounts) {
 	matched := slices.DeleteFunc(endpoints, func(counts outcomeCounts) bool { return counts.matched == 0 })
 	sort.SliceStable(matched, func(i, j int) bool {
 		return matched[i].relative.sum*matched[j].matched > matched[j].relative.sum*matched[i].matched
 	})
 	rest := c.matched
-	for _, counts := range matched[:(len(matched)+slowestQuarter-1)/slowestQuarter] {
+	for _, counts := range matched[:(len(matched)+slowestDivisor-1)/slowestDivisor] {
 		c.relative.sum -= counts.relative.sum
 		rest -= counts.matched
 	}
 	c.relative.sum *= c.matched / math.Max(rest, 1)
 }
 
-// flagged is the design's test of the newest build's shares against the earlier one's, on one relay's
-// outcomes.
+// flagged tests one relay's outcomes: whether the newest build fails more, is late more often, or is
+// slower.
 func (c *comparison) flagged() bool {
 	failures := c.shares(failedShare)
 	lateness := c.shares(lateShare)
@@ -186,20 +191,21 @@
 		c.flaggedAsSlow()
 }
 
-// pooledFlagged is the test on all relays' outcomes. Pooled failures need fewer points but more outcomes,
-// and the standard error of equal shares: some against hardly any count. Pooled lateness is left to
-// slowness, held against the earlier machines at the same moments: a slow hour is no build's fault.
+// pooledFlagged tests the outcomes of all relays. Compared with flagged, failures need a smaller
+// difference but more outcomes, and the standard error is that of equal shares, so that some failures
+// against hardly any count. Lateness is not tested: slowness is compared with the earlier machines at the
+// same times, so that a period of high load is not attributed to the build.
 func (c *comparison) pooledFlagged() bool {
 	return c.failsMore() || c.flaggedAsSlow()
 }
 
-// failsMore says that the newest build fails more, by all relays' outcomes.
+// failsMore says whether the newest build fails more often, by the outcomes of all relays.
 func (c *comparison) failsMore() bool {
 	failures := c.shares(failedShare)
 	return failures.worse(pooledMinDifference, pooledMinFailures, failures.pooledStandardError())
 }
 
-// reversed compares the earlier build with the newest one.
+// reversed exchanges the two builds.
 func (c *comparison) reversed() comparison { return comparison{newest: c.earlier, earlier: c.newest} }
 
 func (c *comparison) flaggedAsSlow() bool {
@@ -207,7 +213,7 @@
 	return enough && c.newest.relativeSlowness().exceeds(slowFactor)
 }
 
-// share is how many of the outcomes were bad.
+// share is the number of bad outcomes among all attempts.
 type share struct {
 	bad      float64
 	attempts float64
@@ -218,7 +224,7 @@
 func failedShare(counts *outcomeCounts) share { return share{counts.failed, counts.attempts} }
 func lateShare(counts *outcomeCounts) share   { return share{counts.late, counts.attempts} }
 
-// sharePair is a share of the newest build against the earlier one's.
+// sharePair holds the same share of the newest build and of the earlier one.
 type sharePair struct {
 	newest  share
 	earlier share
@@ -228,8 +234,8 @@
 	return sharePair{newest: of(&c.newest), earlier: of(&c.earlier)}
 }
 
-// worse says that the newest build's share is worse by a difference, by a number of bad outcomes, and by
-// some standard errors.
+// worse says whether the newest build's share is worse by a minimum difference, by a minimum number of
+// bad outcomes, and by flagStandardErrors standard errors.
 func (s sharePair) worse(minDifference, minBad, standardError float64) bool {
 	if s.newest.attempts < minOutcomes || s.earlier.attempts < minOutcomes {
 		return false
@@ -240,13 +246,14 @@
 		s.newest.bad-earlier*s.newest.attempts > minBad
 }
 
-// standardError is that of the difference of two unlike shares.
+// standardError is the standard error of the difference of two shares that differ.
 func (s sharePair) standardError() float64 {
 	newest, earlier := s.newest.fraction(), s.earlier.fraction()
 	return math.Sqrt(newest*(1-newest)/s.newest.attempts + earlier*(1-earlier)/s.earlier.attempts)
 }
 
-// pooledStandardError is that of the difference if both shares were equal.
+// pooledStandardError is the standard error of the difference under the hypothesis that both shares are
+// equal.
 func (s sharePair) pooledStandardError() float64 {
 	fraction := (s.newest.bad + s.earlier.bad) / (s.newest.attempts + s.earlier.attempts)
 	return math.Sqrt(fraction * (1 - fraction) * (1/s.newest.attempts + 1/s.earlier.attempts))
--- a/policy/endpoint.go
+++ b/policy/endpoint.go
@@ -9,57 +9,60 @@
 )
 
 const (
-	// weight of one outcome in an endpoint's failure estimate: two failures make an outlier
-	failureStep = 0.25
-	// s in which that estimate halves: an outlier gets an attempt every few seconds to earn its way
+	// weight of one outcome in the failure estimate: two consecutive failures make an endpoint an outlier
+	failureSmoothing = 0.25
+	// seconds in which the failure estimate halves: an outlier is tried again every few seconds
 	failureHalfLife = 4.0
-	// failure estimate of an outlier
+	// failure estimate from which an endpoint is an outlier
 	outlierThreshold = 0.3
-	// part of its last attempts failed, at which the machine is at fault: 3 in a row
+	// failed fraction of the last attempts from which the machine counts as faulty: three consecutive
+	// failures
 	faultyThreshold = 0.5
-	// rise of the cost for each usual attempt time that an endpoint holds attempts unanswered
-	unansweredCost = 1.0
-	// times the cost in another zone, where crossing has a price
-	crossZoneCost = 1.6
-	// s; divisors are at least this long
+	// relative growth of the cost for each mean attempt duration in which open attempts stay unanswered
+	unansweredCostGrowth = 1.0
+	// factor on the cost of an endpoint in another zone, where crossing zones has a price
+	crossZoneCostFactor = 1.6
+	// seconds; lower bound of durations used as divisors
 	minDuration = 1e-3
 )
 
-// evidenceSource says who saw an outcome.
+// evidenceSource says which relays' attempts an outcome comes from.
 type evidenceSource int
 
 const (
 	ownEvidence evidenceSource = iota
 	peerEvidence
-	evidenceSources
+	evidenceSourceCount
 )
 
-// trackedEndpoint is one endpoint as this relay sees it.
+// trackedEndpoint is this relay's knowledge of one endpoint.
 type trackedEndpoint struct {
 	p  *Policy
 	id relay.EndpointID
 	relay.Endpoint
 	startTime    relay.Seconds
 	listed       bool
-	removedAt    relay.Seconds // when it was reported as removed
-	openAttempts int           // of this relay
+	removedAt    relay.Seconds // when it was first listed as removed
+	openAttempts int           // attempts of this relay that have not ended
 
-	lastAnswerAt relay.Seconds // or when the endpoint stopped being idle
-	connected    bool          // its last attempt had a connection
+	lastAnswerAt         relay.Seconds // last answer, or first attempt sent after an idle period
+	lastAttemptConnected bool          // the last attempt got a connection
 
-	failure        float64 // failure estimate, as of failureAt
-	failureAt      relay.Seconds
-	failedFraction float64       // of its last attempts, whatever the time between
-	faultyAt       relay.Seconds // when it last failed most of them
+	lastFailureEstimate float64 // value at failureEstimatedAt
+	failureEstimatedAt  relay.Seconds
+	failedFraction      float64       // of its last attempts, without decay over time; smoothed
+	faultyAt            relay.Seconds // when failedFraction last marked it faulty, or a connection broke
 
-	ratio   float64 // latency ratio, as of ratioAt; 0: not known
-	ratioAt relay.Seconds
+	lastLatencyRatio float64 // value at latencyRatioAt; 0: not known
+	latencyRatioAt   relay.Seconds
 
-	slowStartBudget   float64 // attempts that the slow start leaves, as of slowStartBudgetAt
+	slowStartBudget   float64 // attempts left in the slow start, as of slowStartBudgetAt
 	slowStartBudgetAt relay.Seconds
-	firstAttemptDraw  float64 // a random number, for the first attempt during the slow start; 1: spent
+	// random number that decides whether this relay may send a first attempt ahead of the slow-start budget;
+	// 1: used up
+	firstAttemptDraw float64
 
-	evidence [evidenceSources]window.Sliding // outcomes by class
+	evidence [evidenceSourceCount]window.Sliding // outcomes by request class
 }
 
 func (e *trackedEndpoint) receive(m message) {
@@ -72,20 +75,20 @@
 		}
 		e.openAttempts++
 	case objectiveMissed:
-		e.failure = e.failureEstimate() + failureStep*(1-e.failureEstimate())
-		e.failureAt = e.p.now
+		e.lastFailureEstimate = e.failureEstimate() + failureSmoothing*(1-e.failureEstimate())
+		e.failureEstimatedAt = e.p.now
 	case attemptOutcome:
 		e.openAttempts--
 		e.attemptEnded(m)
 	}
 }
 
-// update takes the endpoint's entry in the list. A fresh start, or another build under an old id, is a new
-// process: nothing known of the old one holds.
+// update applies the endpoint's entry in the list. A new start time, or another build under the same id,
+// means a new process, to which nothing learned about the old one applies.
 func (e *trackedEndpoint) update(entry relay.Endpoint) {
 	restarted := entry.StartKnown && entry.StartedAt != e.StartedAt
 	if !e.listed || entry.Build != e.Build || restarted {
-		e.resetProcess()
+		e.resetProcessState()
 	}
 	if entry.State == relay.Removed && e.State != relay.Removed {
 		e.removedAt = e.p.now
@@ -97,9 +100,9 @@
 	}
 }
 
-func (e *trackedEndpoint) resetProcess() {
+func (e *trackedEndpoint) resetProcessState() {
 	e.listed = true
-	e.failure, e.ratio, e.failedFraction, e.faultyAt = 0, 0, 0, 0
+	e.lastFailureEstimate, e.lastLatencyRatio, e.failedFraction, e.faultyAt = 0, 0, 0, 0
 	e.slowStartBudget = e.p.random.Float64()
 	e.slowStartBudgetAt = e.p.now
 	e.firstAttemptDraw = e.p.random.Float64()
@@ -108,47 +111,50 @@
 	}
 }
 
-// withState is what is known of the endpoint, in another state.
+// withState returns the endpoint's current entry with another state.
 func (e *trackedEndpoint) withState(state relay.EndpointState) relay.Endpoint {
 	entry := e.Endpoint
 	entry.State = state
 	return entry
 }
 
-// forgettable says that the endpoint was removed long ago and holds nothing.
-func (e *trackedEndpoint) forgettable() bool {
+// evictable says whether the endpoint was removed long ago and has no open attempts.
+func (e *trackedEndpoint) evictable() bool {
 	removed := e.listed && e.State == relay.Removed
-	return removed && e.openAttempts == 0 && e.p.now-e.removedAt > forgetRemovedAfter
+	return removed && e.openAttempts == 0 && e.p.now-e.removedAt > removedRetention
 }
 
 func (e *trackedEndpoint) onNewestBuild() bool { return e.Build >= e.p.canary.status.Build }
 
-// attemptEnded learns from the end of an attempt of this relay.
+// attemptEnded updates the endpoint's statistics with an ended attempt of this relay.
 func (e *trackedEndpoint) attemptEnded(ended attemptOutcome) {
 	if ended.outcome == relay.Cancelled || ended.outcome == relay.NotSent {
 		return
 	}
 	e.lastAnswerAt = e.p.now
-	e.connected = ended.outcome != relay.ConnectFailed
-	e.p.router.countConnect(e.connected)
+	e.lastAttemptConnected = ended.outcome != relay.ConnectFailed
+	e.p.router.countConnect(e.lastAttemptConnected)
 	if ended.outcome == relay.Succeeded {
 		ratio := ended.duration / math.Max(ended.work, minDuration)
-		e.ratio = e.latencyRatio() + ratioStep*(ratio-e.latencyRatio())
-		e.ratioAt = e.p.now
-	}
-	e.failure = e.failureEstimate() + failureStep*(failureWeight(ended.outcome)-e.failureEstimate())
-	e.failureAt = e.p.now
-	e.p.router.objectiveUsage.Add(ended.duration/math.Max(ended.objective, minDuration), objectiveUsageStep)
+		e.lastLatencyRatio = e.latencyRatio() + endpointRatioSmoothing*(ratio-e.latencyRatio())
+		e.latencyRatioAt = e.p.now
+	}
+	e.lastFailureEstimate = e.failureEstimate() +
+		failureSmoothing*(failureSample(ended.outcome)-e.failureEstimate())
+	e.failureEstimatedAt = e.p.now
+	e.p.router.objectiveUsage.Add(
+		ended.duration/math.Max(ended.objective, minDuration), objectiveUsageSmoothing,
+	)
 	if ended.attempt.build == e.Build {
-		observed := e.observe(ended)
-		e.learn(observed, ownEvidence)
+		observed := e.newObservation(ended)
+		e.recordObservation(observed, ownEvidence)
 		e.p.canary.unreported = append(e.p.canary.unreported, observed)
 	}
 }
 
-// failureWeight is what an outcome adds to a failure estimate. An endpoint that is full is no outlier for
-// that alone.
-func failureWeight(outcome relay.Outcome) float64 {
+// failureSample is the value of an outcome in a failure estimate. Rejections by a full endpoint alone
+// don't bring the estimate up to outlierThreshold.
+func failureSample(outcome relay.Outcome) float64 {
 	switch outcome {
 	case relay.Succeeded:
 		return 0
@@ -158,14 +164,14 @@
 	return 1
 }
 
-// failureEstimate is how likely an attempt at the endpoint fails, by its last outcomes; it decays with
-// time.
+// failureEstimate is the estimated probability that an attempt at the endpoint fails. It follows the last
+// outcomes and decays with time.
 func (e *trackedEndpoint) failureEstimate() float64 {
-	return e.failure * math.Exp2(-(e.p.now-e.failureAt)/failureHalfLife)
+	return e.lastFailureEstimate * math.Exp2(-(e.p.now-e.failureEstimatedAt)/failureHalfLife)
 }
 
-// observe is how an attempt ended, as the aggregators are told.
-func (e *trackedEndpoint) observe(ended attemptOutcome) peerwire.Observation {
+// newObservation returns the outcome of an attempt in the form that is reported to the aggregators.
+func (e *trackedEndpoint) newObservation(ended attemptOutcome) peerwire.Observation {
 	observed := peerwire.Observation{
 		Endpoint:   peerwire.HashOf(e.id),
 		Class:      ended.class,
@@ -182,58 +188,61 @@
 	return observed
 }
 
-// learn learns what an attempt shows of the endpoint and its build, whichever relay sent it.
-func (e *trackedEndpoint) learn(observed peerwire.Observation, source evidenceSource) {
-	if !observed.Outcome.NeverRan() { // what a full table or a failed connect shows is not the machine's doing
+// recordObservation adds an attempt of any relay to the evidence on the endpoint, its machine type and
+// its build.
+func (e *trackedEndpoint) recordObservation(observed peerwire.Observation, source evidenceSource) {
+	// A full table or a failed connect is not the machine's fault.
+	if !observed.Outcome.NeverRan() {
 		e.updateFailedFraction(observed.Outcome)
 	}
 	latency := &e.p.latency
-	usual := latency.usualRatio(e.MachineType, observed.QueueDepth)
+	baseline := latency.baselineRatio(e.MachineType, observed.QueueDepth)
 	if observed.Outcome == relay.Succeeded && observed.Ratio > 0 {
-		latency.ofType(e.MachineType).Add(observed.Ratio, machineTypeRatioStep)
-		latency.learn(e.MachineType, observed.QueueDepth, observed.Ratio)
+		latency.machineTypeMean(e.MachineType).Add(observed.Ratio, machineTypeRatioSmoothing)
+		latency.record(e.MachineType, observed.QueueDepth, observed.Ratio)
 	}
 	knownClass := observed.Class >= 0 && int(observed.Class) < len(e.p.classes)
 	if knownClass && !observed.Outcome.NeverRan() && observed.Newest == e.onNewestBuild() {
-		e.recordEvidence(observed, source, usual)
+		e.recordEvidence(observed, source, baseline)
 	}
 }
 
 func (e *trackedEndpoint) updateFailedFraction(outcome relay.Outcome) {
-	weight := failureWeight(outcome)
-	e.failedFraction += failureStep * (weight - e.failedFraction)
+	weight := failureSample(outcome)
+	e.failedFraction += failureSmoothing * (weight - e.failedFraction)
 	failedMost := weight == 1 && e.failedFraction >= faultyThreshold
 	if failedMost || outcome == relay.ConnectionBroken {
 		e.faultyAt = e.p.now
 	}
 }
 
-// cost is what one more attempt here is expected to cost, for comparison with other endpoints.
+// cost is the expected cost of one more attempt at the endpoint, for comparison with other endpoints.
 func (e *trackedEndpoint) cost() float64 {
 	if e.Zone != e.p.settings.Zone && e.p.settings.Costs.CrossZone > 0 {
-		return crossZoneCost * e.load()
+		return crossZoneCostFactor * e.load()
 	}
 	return e.load()
 }
 
-// load is what one more attempt costs the endpoint. One that holds attempts and answers nothing gets dearer
-// by the moment.
+// load is the cost of one more attempt, without the price of crossing zones. It grows while the endpoint
+// holds attempts without answering any.
 func (e *trackedEndpoint) load() float64 {
 	load := e.latencyRatio() * float64(e.openAttempts+1)
 	if e.openAttempts > 0 {
-		load *= 1 + unansweredCost*(e.p.now-e.lastAnswerAt)/math.Max(e.p.router.attemptDuration.Value, minDuration)
+		load *= 1 + unansweredCostGrowth*(e.p.now-e.lastAnswerAt)/
+			math.Max(e.p.router.attemptDuration.Value, minDuration)
 	}
 	return load
 }
 
-// weight is what the endpoint is able to do: its size, by how fast its type of machine is and how far it
-// has warmed up.
+// weight is the endpoint's capacity relative to others: its size, the speed of its machine type and its
+// progress in the slow start.
 func (e *trackedEndpoint) weight() float64 {
 	weight := e.capacityFraction()
 	if e.Weight > 0 {
 		weight *= e.Weight
 	}
-	if ratio := e.p.latency.ofType(e.MachineType); ratio.Samples >= minRatioSamples {
+	if ratio := e.p.latency.machineTypeMean(e.MachineType); ratio.Samples >= minRatioSamples {
 		weight /= ratio.Value
 	}
 	return weight
--- a/policy/endpoints.go
+++ b/policy/endpoints.go
@@ -11,23 +11,25 @@
 )
 
 const (
-	pollTimeout        = 4.0  // s without any answer after which a call to discovery is made again
-	restartSpread      = 2.0  // s past listingDelay before a watch is restarted, and on average until then
-	listingDelay       = 3.0  // s from a stage's start in which its endpoints are usually listed
-	forgetRemovedAfter = 60.0 // s after which a removed endpoint is forgotten: five windows of evidence
+	pollTimeout = 4.0 // seconds without an answer after which a call to discovery is repeated
+	// seconds after listingDelay before a stalled watch may be restarted, and the mean of the random delay
+	// from then on
+	watchRestartDelay = 2.0
+	listingDelay      = 3.0  // seconds from the start of a stage within which its endpoints are usually listed
+	removedRetention  = 60.0 // seconds after which a removed endpoint is dropped: five evidence windows
 )
 
-// endpointList keeps the list of endpoints, and decides when discovery is polled for it.
+// endpointList holds the endpoint list and decides when to poll discovery for it.
 type endpointList struct {
 	p      *Policy
 	byID   map[relay.EndpointID]*trackedEndpoint
 	byHash map[peerwire.EndpointHash]*trackedEndpoint
-	all    []*trackedEndpoint // by id; removed ones too, until they are forgotten
+	all    []*trackedEndpoint // sorted by id; includes removed endpoints until they are evicted
 
-	pollPending    bool               // no call was made since the start, or since one failed
-	pollAt         relay.Seconds      // when to poll again; never: an answer has come, so the watch stands
-	backoff        membership.Backoff // of calls to discovery
-	leaseExpiresAt relay.Seconds      // until when the list may be acted on; never: no lease was named
+	pollPending    bool               // no call has been made since the start or since the last failure
+	pollAt         relay.Seconds      // time of the next poll; never: a call was answered and its watch is open
+	backoff        membership.Backoff // delays between calls to discovery
+	leaseExpiresAt relay.Seconds      // the list must not be used from this time on; never: there is no lease
 }
 
 func newEndpointList(p *Policy) endpointList {
@@ -40,7 +42,8 @@
 	}
 }
 
-// start has the first call made: at once where no lease holds the relay back from a list that may be old.
+// start makes the first call to discovery: at once without a lease, otherwise after the first backoff
+// delay. A lease means that the list may be old, and holds the relay back from using it.
 func (l *endpointList) start(leased bool) {
 	if !leased {
 		l.poll()
@@ -56,33 +59,35 @@
 	l.p.emit(relay.Watch{On: true})
 }
 
-// leaseExpired says that nobody has confirmed the list for too long: it may not be acted on any more.
+// leaseExpired says whether the list has been unconfirmed for too long and must not be used any more.
 func (l *endpointList) leaseExpired() bool { return l.p.now >= l.leaseExpiresAt }
 
-// tick polls discovery when that is due. It restarts a watch that seems stalled: a stage whose endpoints
-// nobody lists shows it, and nothing else does until the watch's own wait is over.
+// tick polls discovery when a poll is due. It also restarts a watch that seems stalled, which shows first
+// in a stage whose endpoints are not listed; otherwise a stall goes unnoticed until the watch's own
+// timeout.
 func (l *endpointList) tick() {
 	if l.p.settings.ListOnRequest && l.p.now >= l.pollAt {
 		l.poll()
 		return
 	}
 	watching := l.pollAt == never
-	if watching && l.p.canary.listingOverdue() && l.p.random.Float64() < tickInterval/restartSpread {
+	if watching && l.p.canary.listingOverdue() && l.p.random.Float64() < tickInterval/watchRestartDelay {
 		l.p.canary.watchRestarted = true
 		l.p.emit(relay.Watch{On: true, Restart: true})
 	}
 }
 
-// listUpdated takes an update of the list, or the failure of a call for one.
+// listUpdated applies an update of the list, or schedules the next poll after a failed call.
 func (l *endpointList) listUpdated(update relay.ListUpdate) {
 	stalled := update.Kind == relay.ListWatchStalled
 	if stalled || update.Kind == relay.ListFetchFailed {
-		// Which call failed is not said. What a stalled watch missed counts as delivered soon: poll at once.
+		// The failed call is not identified. Changes that a stalled watch missed soon count as delivered, so
+		// poll early.
 		l.pollPending = true
 		l.pollAt = l.p.now + l.backoff.Failed(stalled)
 		return
 	}
-	// While a call is pending the list is of another one, or from before the first.
+	// While a call is pending, a list comes from an earlier call or from before the first one.
 	if update.Kind != relay.ListCached && !update.FromPeers && !l.pollPending {
 		l.pollAt = never
 		l.backoff.Answered()
@@ -90,14 +95,14 @@
 	l.apply(update)
 }
 
-// discoveryRecovered brings a pending call forward: discovery has answered another relay.
+// discoveryRecovered brings a pending call forward, since discovery has answered another relay.
 func (l *endpointList) discoveryRecovered() {
 	if l.pollPending {
 		l.pollAt = min(l.pollAt, l.p.now+l.backoff.PeerAnswered())
 	}
 }
 
-// apply sends each listed endpoint its entry, and endpoints that a full list leaves out their removal.
+// apply sends each listed endpoint its new entry, and marks endpoints that a full list omits as removed.
 func (l *endpointList) apply(update relay.ListUpdate) {
 	listed := map[relay.EndpointID]bool{}
 	for _, entry := range update.Endpoints {
@@ -116,7 +121,7 @@
 			l.p.send(endpoint, endpointListed{endpoint.withState(relay.Removed)})
 		}
 	}
-	l.forgetRemoved()
+	l.evictRemoved()
 }
 
 func (l *endpointList) add(id relay.EndpointID) *trackedEndpoint {
@@ -134,26 +139,26 @@
 	return endpoint
 }
 
-// forgetRemoved drops endpoints that were removed long ago and hold nothing: with releases every day,
-// machines come and go for as long as a relay lives.
-func (l *endpointList) forgetRemoved() {
+// evictRemoved drops endpoints that were removed long ago and have no open attempts. Machines change with
+// every release, so the list would otherwise grow for as long as the relay runs.
+func (l *endpointList) evictRemoved() {
 	kept := l.all[:0]
-	var vacant []peerwire.EndpointHash
+	var freedHashes []peerwire.EndpointHash
 	for _, endpoint := range l.all {
-		if !endpoint.forgettable() {
+		if !endpoint.evictable() {
 			kept = append(kept, endpoint)
 			continue
 		}
 		delete(l.byID, endpoint.id)
 		if hash := peerwire.HashOf(endpoint.id); l.byHash[hash] == endpoint {
 			delete(l.byHash, hash)
-			vacant = append(vacant, hash)
+			freedHashes = append(freedHashes, hash)
 		}
 	}
 	clear(l.all[len(kept):])
 	l.all = kept
-	for _, hash := range vacant {
-		// Another endpoint may have the same hash, and has been hidden by the removed one so far.
+	for _, hash := range freedHashes {
+		// The evicted endpoint may have hidden another one with the same hash.
 		sameHash := func(endpoint *trackedEndpoint) bool { return peerwire.HashOf(endpoint.id) == hash }
 		if i := slices.IndexFunc(kept, sameHash); i >= 0 {
 			l.byHash[hash] = kept[i]
@@ -161,10 +166,11 @@
 	}
 }
 
-// readyCounts are numbers of ready endpoints.
+// readyCounts counts ready endpoints.
 type readyCounts struct {
-	all    float64
-	usable float64 // past their slow start; of a build on trial, as far as the exposure limit lets them be used
+	all float64
+	// endpoints past their slow start; those of a build on trial count by their exposure limit
+	usable float64
 }
 
 func (l *endpointList) countReady() (ready readyCounts) {
--- a/policy/endpoints_test.go
+++ b/policy/endpoints_test.go
@@ -126,7 +126,7 @@
 		}
 		maxCount := 0
 		for second, n := range at {
-			if maxCount = max(maxCount, n); second < int(listingDelay+restartSpread) {
+			if maxCount = max(maxCount, n); second < int(listingDelay+watchRestartDelay) {
 				t.Error("doubted before its endpoints could be listed")
 			}
 		}
--- a/policy/evidence.go
+++ b/policy/evidence.go
@@ -10,42 +10,43 @@
 )
 
 const (
-	// s a bucket of outcomes
+	// seconds per bucket of outcomes
 	evidenceBucketTime = 0.5
-	// 12 s: two lives of a verdict, long enough for 20 outcomes of a rare class
+	// a window of 12 s: twice the time that a verdict counts, and long enough for 20 outcomes of a rare
+	// class
 	evidenceBuckets = 24
-	// 4 s of attempts that show slowness: load changes faster than builds do
+	// 4 s of attempts show slowness: load changes faster than builds do
 	slownessBuckets = 8
-	// s after the last attempt at earlier machines that these still show the present load
-	earlierRatioLife = 0.5
+	// seconds after the last attempt at a machine of the earlier build in which these show the present load
+	earlierRatioLifetime = 0.5
 )
 
-// outcomeCounts are outcomes of one build in one class. The sums of logarithms are over attempts of the
-// youngest few buckets alone.
+// outcomeCounts counts the outcomes of one build in one class. The sums of logarithms cover only the
+// newest slownessBuckets.
 type outcomeCounts struct {
 	attempts float64
 	failed   float64
 	late     float64
 
-	measured float64     // attempts whose usual latency ratio is known
-	overall  logRatioSum // of their ratio over the usual one
+	measured float64     // attempts with a known baseline ratio
+	overall  logRatioSum // of their ratio over the baseline
 
-	matched  float64     // measured ones of the newest build while earlier machines showed the present load
-	relative logRatioSum // of their ratio over what those showed at the moment
+	matched  float64     // of these, newest build only, while earlier machines showed the present load
+	relative logRatioSum // of their ratio over that of the earlier machines at the same time
 }
 
-// logRatioSum is a sum of logarithms of a ratio, and of their squares.
+// logRatioSum is a sum of logarithms of a latency ratio, and the sum of their squares.
 type logRatioSum struct {
 	sum     float64
 	squares float64
 }
 
-// The columns of an endpoint's evidence, for each class.
+// Columns of an endpoint's evidence, for each class.
 const (
 	columnAttempts = iota
 	columnFailed
 	columnLate
-	columnMeasured // the columns from here on count for slownessBuckets alone
+	columnMeasured // this column and the following ones count only within slownessBuckets
 	columnOverallSum
 	columnOverallSquares
 	columnMatched
@@ -69,7 +70,7 @@
 	s.squares += other.squares
 }
 
-// addColumns adds one class's columns of a bucket.
+// addColumns adds the columns of one class and one bucket.
 func (c *outcomeCounts) addColumns(columns []float32, withSlowness bool) {
 	c.attempts += float64(columns[columnAttempts])
 	c.failed += float64(columns[columnFailed])
@@ -85,13 +86,13 @@
 	c.relative.squares += float64(columns[columnRelativeSquares])
 }
 
-// String is how counts stand in the log.
+// String formats the counts for the log.
 func (c outcomeCounts) String() string {
 	return fmt.Sprintf("%.0f attempts (%.0f failed, %.0f late, %.0f measured, %.0f matched)",
 		c.attempts, c.failed, c.late, c.measured, c.matched)
 }
 
-// estimate is the mean of a logarithm of a latency ratio, with its standard error.
+// estimate is the mean logarithm of a latency ratio, with its standard error.
 type estimate struct {
 	mean     float64
 	stdError float64
@@ -103,21 +104,21 @@
 	return estimate{mean: mean, stdError: math.Sqrt(math.Max(of.squares/n-mean*mean, 0) / n)}
 }
 
-// overallSlowness is how slow the measured attempts were against the usual ratios.
+// overallSlowness compares the measured attempts with the baseline ratios.
 func (c *outcomeCounts) overallSlowness() estimate { return newEstimate(c.measured, c.overall) }
 
-// relativeSlowness is how slow the matched attempts were against the earlier machines at the same moments.
+// relativeSlowness compares the matched attempts with the earlier build's machines at the same times.
 func (c *outcomeCounts) relativeSlowness() estimate { return newEstimate(c.matched, c.relative) }
 
-// exceeds says whether attempts took some times longer, beyond what chance explains.
+// exceeds says whether attempts took more than times as long, beyond what chance explains.
 func (e estimate) exceeds(times float64) bool {
 	return e.mean > math.Log(times) && e.mean > flagStandardErrors*e.stdError
 }
 
-// recordEvidence adds an attempt to what the endpoint showed. Usual is the ratio that is usual there; 0:
-// not known.
+// recordEvidence adds an attempt to the endpoint's evidence. The baseline is the ratio for its machine
+// type and queue depth; 0: not known.
 func (e *trackedEndpoint) recordEvidence(
-	observed peerwire.Observation, source evidenceSource, usual float64,
+	observed peerwire.Observation, source evidenceSource, baseline float64,
 ) {
 	now := e.p.now
 	first := int(observed.Class) * evidenceColumns
@@ -131,24 +132,24 @@
 	} else if observed.Late && !observed.Young {
 		evidence.Add(now, first+columnLate, 1)
 	}
-	if observed.Young || usual <= 0 || observed.Ratio <= 0 {
+	if observed.Young || baseline <= 0 || observed.Ratio <= 0 {
 		return
 	}
-	e.recordSlowness(evidence, first, observed.Newest, math.Log(observed.Ratio/usual))
+	e.recordSlowness(evidence, first, observed.Newest, math.Log(observed.Ratio/baseline))
 }
 
-// recordSlowness adds the logarithm of an attempt's ratio over the usual one.
+// recordSlowness adds the logarithm of an attempt's ratio over the baseline.
 func (e *trackedEndpoint) recordSlowness(evidence *window.Sliding, first int, newest bool, logRatio float64) {
 	now, latency := e.p.now, &e.p.latency
 	evidence.Add(now, first+columnMeasured, 1)
 	evidence.Add(now, first+columnOverallSum, logRatio)
 	evidence.Add(now, first+columnOverallSquares, logRatio*logRatio)
 	if !newest {
-		latency.earlier.Add(logRatio, fleetRatioStep)
+		latency.earlier.Add(logRatio, fleetRatioSmoothing)
 		latency.earlierAt = now
 		return
 	}
-	if latency.earlier.Samples >= minRatioSamples && now-latency.earlierAt < earlierRatioLife {
+	if latency.earlier.Samples >= minRatioSamples && now-latency.earlierAt < earlierRatioLifetime {
 		relative := logRatio - latency.earlier.Value
 		evidence.Add(now, first+columnMatched, 1)
 		evidence.Add(now, first+columnRelativeSum, relative)
@@ -156,9 +157,9 @@
 	}
 }
 
-// evidenceCounts is what the endpoint showed in one class, or in all of them where class is their number,
-// in buckets that are at least from and less than to buckets old: to this relay alone, or pooled with what
-// others reported.
+// evidenceCounts sums the endpoint's evidence in one class, or in all classes if class is their number,
+// over the buckets that are at least from and less than to buckets old. It counts this relay's attempts,
+// and if pooled those that other relays reported.
 func (e *trackedEndpoint) evidenceCounts(pooled bool, class, from, to int) (counts outcomeCounts) {
 	for source := range e.evidence {
 		evidence := &e.evidence[source]
@@ -176,7 +177,8 @@
 			}
 			for ; len(columns) > 0; columns = columns[evidenceColumns:] {
 				if columns[columnAttempts] == 0 {
-					continue // most endpoints are met by hardly anybody in most buckets: no column stands without it
+					// most relays send most endpoints nothing within a bucket; without attempts all columns are 0
+					continue
 				}
 				counts.addColumns(columns, age < from+slownessBuckets)
 			}
@@ -185,7 +187,7 @@
 	return counts
 }
 
-// fleetCounts sums the slowness of all endpoints, whatever their build and whoever saw it.
+// fleetCounts sums the slowness of all endpoints, of any build and seen by any relay.
 func (c *canary) fleetCounts() (counts outcomeCounts) {
 	for _, endpoint := range c.p.endpoints.all {
 		for source := range endpoint.evidence {
@@ -204,7 +206,7 @@
 	return counts
 }
 
-// oldestAge is the age of the newest build's oldest machine.
+// oldestAge is the age of the oldest ready machine of the newest build.
 func (c *canary) oldestAge() (age relay.Seconds) {
 	for _, endpoint := range c.p.endpoints.all {
 		if endpoint.onNewestBuild() && endpoint.State == relay.Ready {
--- a/policy/exposure.go
+++ b/policy/exposure.go
@@ -7,32 +7,33 @@
 )
 
 const (
-	exposureTarget = 0.8      // of the limit that the build on trial may get (DESIGN)
-	oneAttempt     = 1 - 1e-9 // of a budget, less what rounding may have taken
+	exposureTargetFraction = 0.8      // fraction of the exposure limit that routing aims for
+	oneAttempt             = 1 - 1e-9 // budget for one attempt, less rounding errors
 )
 
-// exposureBudget is what a relay may still send to one build on trial, by class where the rule counts so.
+// exposureBudget counts the attempts that a relay may still send to one build on trial, by class if the
+// exposure limit applies to each class.
 type exposureBudget struct {
 	build          relay.Build
 	limit          float64
-	allowed        []float64 // attempts that the rule leaves
-	allowedByGroup []float64 // the same by group of tenants, where a scope holds
-	target         []float64 // attempts that the design's share of the limit leaves
+	allowed        []float64 // attempts that the exposure limit permits
+	allowedByGroup []float64 // the same by group of tenants, while a scope is set
+	target         []float64 // attempts that the routing target permits
 }
 
-// exhaust takes away all that is left.
+// exhaust sets everything that is left to zero.
 func (b *exposureBudget) exhaust() {
 	clear(b.allowed)
 	clear(b.allowedByGroup)
 	clear(b.target)
 }
 
-// index is the place of a class in the budget.
+// index is the position of a class in the budget.
 func (b *exposureBudget) index(class relay.RequestClass) int {
 	return min(int(class), len(b.allowed)-1)
 }
 
-// budgetOf returns the budget of a build, started when the build is first met.
+// budgetOf returns the budget of a build, which is created at the first call.
 func (c *canary) budgetOf(build relay.Build) *exposureBudget {
 	for _, budget := range c.budgets {
 		if budget.build == build {
@@ -57,14 +58,15 @@
 	return budget
 }
 
-// exposure is what holds for attempts at a build.
+// exposure is the limit on attempts at a build.
 type exposure struct {
-	limit   float64 // part of the requests
+	limit   float64 // fraction of the requests
 	stage   relay.Stage
 	onTrial bool
 }
 
-// exposureOf returns a build's exposure. A build that is not announced yet is in the first stage.
+// exposureOf returns the exposure of a build. A build that is not announced yet has the limit of the
+// first stage.
 func (c *canary) exposureOf(build relay.Build) exposure {
 	if !c.hasStatus || build < c.status.Build {
 		return exposure{limit: 1}
@@ -78,8 +80,8 @@
 	return exposure{limit: c.status.ExposureLimit, stage: c.status.Stage, onTrial: true}
 }
 
-// budgetsFor returns the budgets that a request counts in, none where a scope keeps it from builds on
-// trial, and its group.
+// budgetsFor returns the budgets that a request counts in, and its group. There are no budgets if the
+// scope keeps the tenant from builds on trial.
 func (c *canary) budgetsFor(request *trackedRequest) (budgets []*exposureBudget, group int) {
 	group, open := c.groupOf(request.Tenant)
 	if !open {
@@ -88,8 +90,8 @@
 	return c.budgets, group
 }
 
-// requestArrived adds a request's part to the rule's budgets, which hold no more than its allowance at any
-// time.
+// requestArrived raises the budgets by a request's share of the exposure limit. They never hold more than
+// the exposure allowance.
 func (c *canary) requestArrived(request *trackedRequest) {
 	allowance := c.p.settings.Rollout.ExposureAllowance
 	budgets, group := c.budgetsFor(request)
@@ -102,7 +104,7 @@
 	}
 }
 
-// permits is the guard's part on exposure (rule 5).
+// permits says whether the exposure limit, the scope and sticky keys permit an attempt at a build.
 func (c *canary) permits(request *trackedRequest, build relay.Build) bool {
 	rollout := &c.p.settings.Rollout
 	if rollout.StickyKeys && request.Key != 0 && build < c.stickyKeys[request.Key] {
@@ -132,25 +134,27 @@
 	return open && budget.build <= c.scope.Build && budget.allowedByGroup[group] >= oneAttempt
 }
 
-// withinTarget says whether the design's share of the limit leaves an attempt at a build, announced or not.
+// withinTarget says whether the routing target permits an attempt at a build, whether it is announced or
+// not.
 func (c *canary) withinTarget(request *trackedRequest, build relay.Build) bool {
 	budget := c.budgetOf(build)
 	return budget.target[budget.index(request.Class)] >= oneAttempt
 }
 
-// chargeAttempt takes an attempt off the budgets. The design's share is one of the attempts sent: a share
-// of all requests in an overload would push the build's few endpoints over.
+// chargeAttempt takes an attempt off the budgets. The target grows with the attempts sent and not with
+// the requests: in an overload, a fraction of all requests would overload the few endpoints of the build.
 func (c *canary) chargeAttempt(request *trackedRequest, build relay.Build) {
 	rollout := &c.p.settings.Rollout
 	budgets, group := c.budgetsFor(request)
 	for _, budget := range budgets {
 		i := budget.index(request.Class)
-		part := math.Min(exposureTarget*budget.limit, c.capacityShare)
+		gain := math.Min(exposureTargetFraction*budget.limit, c.capacityShare)
 		maxTarget := rollout.ExposureAllowance + 1
 		if !rollout.InPlace {
-			maxTarget += part // a bound that this attempt's part may pass: else two attempts in three were the most
+			// room for this attempt's own share: without it, at most two of three attempts could go to the build
+			maxTarget += gain
 		}
-		budget.target[i] = math.Min(budget.target[i]+part, maxTarget)
+		budget.target[i] = math.Min(budget.target[i]+gain, maxTarget)
 	}
 	if !c.exposureOf(build).onTrial {
 		return
--- a/policy/fleet_test.go
+++ b/policy/fleet_test.go
@@ -99,7 +99,7 @@
 		t.Fatalf("%+v", endpoint)
 	}
 	p.Step(1, []relay.Event{relay.ListUpdate{Kind: relay.ListFull, Endpoints: es[1:]}})
-	p.Step(2+forgetRemovedAfter, []relay.Event{relay.ListUpdate{Kind: relay.ListFull, Endpoints: es[1:]}})
+	p.Step(2+removedRetention, []relay.Event{relay.ListUpdate{Kind: relay.ListFull, Endpoints: es[1:]}})
 	if endpoint := p.endpoints.byHash[peerwire.HashOf(second)]; len(p.endpoints.all) != 1 || endpoint == nil || endpoint.id != second {
 		t.Errorf("%d endpoints, hash at %+v", len(p.endpoints.all), endpoint)
 	}
--- a/policy/fusion.go
+++ b/policy/fusion.go
@@ -8,30 +8,33 @@
 )
 
 const (
-	verdictTTL            = 6.0  // s that a verdict counts at an aggregator (DESIGN)
-	minFlaggers           = 2    // relays that must flag (DESIGN)
-	halfDetectionOutcomes = 20.0 // outcomes at which a bad build is flagged half the time (DESIGN)
-	falseAlarmProbability = 0.01 // of one relay over all its classes (DESIGN)
-	priorBad              = 0.35 // probability of a build being bad (DESIGN)
-	falseAlarmCost        = 1.0  // of rolling a good build back, over letting a bad one through (DESIGN: equal)
-	pooledFlagDuration    = 1.0  // s that a pooled flag must last: a verdict from every relay
-	fleetSlowFactor       = 1.4  // times the fleet's attempt time before the trial that stops a promotion
+	verdictTTL            = 6.0  // seconds for which a reported verdict counts
+	minFlaggingRelays     = 2    // relays that must flag the build
+	halfDetectionOutcomes = 20.0 // outcomes at which a bad build is flagged half the time
+	falseAlarmProbability = 0.01 // of one relay, over all classes
+	priorBad              = 0.35 // prior probability that a build is bad
+	// cost of rolling a good build back, relative to that of letting a bad one through: the same
+	falseAlarmCost     = 1.0
+	pooledFlagDuration = 1.0 // seconds that a pooled flag must last: a verdict from every relay
+	// multiple of the fleet's attempt duration before the trial from which no build is promoted
+	fleetSlowFactor = 1.4
 )
 
-// fusion is what all relays' verdicts and outcomes say of the newest build.
+// fusion is the combined result of all relays' verdicts and outcomes on the newest build.
 type fusion struct {
 	rollBack       bool
 	fleetSlow      bool    // the fleet is slower than before the trial
-	earlierFails   bool    // the earlier build fails more than the newest one
-	pooledOutcomes float64 // of the newest build, over all classes
+	earlierFails   bool    // the earlier build fails more often than the newest one
+	pooledOutcomes float64 // outcomes of the newest build over all classes
 }
 
-// flagThreshold is the log likelihood ratio from which a rollback costs less than letting the build
-// through.
+// flagThreshold is the log likelihood ratio from which the expected cost of a rollback is lower than that
+// of letting the build through.
 func flagThreshold() float64 { return math.Log(falseAlarmCost * (1 - priorBad) / priorBad) }
 
-// logRatio is the log likelihood ratio of one verdict that rests on so many outcomes.
-func logRatio(flagged bool, outcomes float64, classes int) float64 {
+// logLikelihoodRatio is the log likelihood ratio of a bad build over a good one for one verdict on that
+// many outcomes.
+func logLikelihoodRatio(flagged bool, outcomes float64, classes int) float64 {
 	detection := outcomes / (outcomes + halfDetectionOutcomes)
 	falseAlarm := falseAlarmProbability / float64(max(classes, 1))
 	if flagged {
@@ -40,53 +43,55 @@
 	return math.Log((1 - detection) / (1 - falseAlarm))
 }
 
-// fuse sums the log likelihood ratios of the present stage's verdicts. All relays' attempts, pooled by
-// endpoint, make verdicts of their own, for each class and for all: they need no second one.
+// fuse combines the verdicts of the present stage. The pooled outcomes of all relays are enough for a
+// rollback on their own; the verdicts of single relays must come from at least minFlaggingRelays.
 func (a *aggregator) fuse() fusion {
 	flaggedByRelays := a.flaggedByRelays()
 	fused := a.fusePooled()
 	if flaggedByRelays {
 		a.reason = "flags of several relays"
 	}
-	fused.rollBack = flaggedByRelays || a.p.now-a.cleanAt > pooledFlagDuration
+	fused.rollBack = flaggedByRelays || a.p.now-a.lastUnflaggedAt > pooledFlagDuration
 	fused.fleetSlow = a.fleetSlow()
 	return fused
 }
 
-// flaggedByRelays weighs the relays' own verdicts; one of too few outcomes says nothing.
+// flaggedByRelays sums the log likelihood ratios of the relays' own verdicts. Verdicts without outcomes
+// don't count.
 func (a *aggregator) flaggedByRelays() bool {
 	classes := len(a.p.classes)
-	sum, flaggers := 0.0, 0
+	sum, flaggingRelays := 0.0, 0
 	for i := range a.peers {
 		peer := &a.peers[i]
-		if !a.counts(peer) {
+		if !a.reportIsCurrent(peer) {
 			continue
 		}
-		flags := false
+		flagged := false
 		for _, verdict := range peer.report.Verdicts {
 			if verdict.Outcomes > 0 {
-				sum += logRatio(verdict.Flagged, verdict.Outcomes, classes)
-				flags = flags || verdict.Flagged
+				sum += logLikelihoodRatio(verdict.Flagged, verdict.Outcomes, classes)
+				flagged = flagged || verdict.Flagged
 			}
 		}
-		if flags {
-			flaggers++
+		if flagged {
+			flaggingRelays++
 		}
 	}
-	return sum >= flagThreshold() && flaggers >= minFlaggers
+	return sum >= flagThreshold() && flaggingRelays >= minFlaggingRelays
 }
 
-// counts says that a relay's report is recent and of the present stage.
-func (a *aggregator) counts(peer *peerState) bool {
+// reportIsCurrent says whether a relay's report is recent and about the present stage.
+func (a *aggregator) reportIsCurrent(peer *peerState) bool {
 	status, report := &a.p.canary.status, &peer.report
 	recent := peer.hasReported && a.p.now-peer.reportedAt <= verdictTTL
 	return recent && len(report.Verdicts) == len(a.p.classes) &&
 		report.Build == status.Build && report.Stage == status.Stage
 }
 
-// fusePooled tests the pooled outcomes: of the oldest machines alone, as a build that turns bad with age
-// would hide behind its fresh ones, of the last few seconds, and of the whole window. The last test's
-// outcomes are those of the result.
+// fusePooled tests the pooled outcomes three times: those of the last few seconds at the oldest machines,
+// since new machines would hide that a build turns bad with age, those of the last few seconds at all
+// machines, and those of the whole window. The pooledOutcomes and earlierFails of the result come from
+// the last test.
 func (a *aggregator) fusePooled() (fused fusion) {
 	classes := len(a.p.classes)
 	flagged := false
@@ -104,9 +109,10 @@
 			fused.earlierFails = reversed.failsMore()
 			fused.pooledOutcomes = compared.newest.attempts
 			if class < classes {
-				compared.newest.matched = 0 // slowness is judged over all classes: a full endpoint slows them unlike
+				// slowness is only tested over all classes: a full endpoint slows each class differently
+				compared.newest.matched = 0
 			}
-			weight := logRatio(true, compared.newest.attempts, classes)
+			weight := logLikelihoodRatio(true, compared.newest.attempts, classes)
 			if compared.pooledFlagged() && weight >= flagThreshold() {
 				flagged = true
 				a.reason = fmt.Sprintf("pooled outcomes of class %d: %v against %v",
@@ -114,20 +120,21 @@
 			}
 		}
 	}
-	// A burst of failures ends as soon as routing knows the machines at fault; a bad build's go on.
+	// A flag must last: a burst of failures ends once routing avoids the faulty machines, while those of a
+	// bad build continue.
 	if !flagged {
-		a.cleanAt = a.p.now
+		a.lastUnflaggedAt = a.p.now
 	}
 	return fused
 }
 
-// fleetSlow says that the whole fleet is slower than before the trial.
+// fleetSlow says whether the whole fleet is slower than before the trial.
 func (a *aggregator) fleetSlow() bool {
-	now, before := a.p.canary.fleetCounts(), a.p.canary.baseline
-	slowness, usual := now.overallSlowness(), before.overallSlowness()
+	now, before := a.p.canary.fleetCounts(), a.p.canary.preTrialCounts
+	slowness, preTrial := now.overallSlowness(), before.overallSlowness()
 	change := estimate{
-		mean:     slowness.mean - usual.mean,
-		stdError: math.Hypot(slowness.stdError, usual.stdError),
+		mean:     slowness.mean - preTrial.mean,
+		stdError: math.Hypot(slowness.stdError, preTrial.stdError),
 	}
 	return math.Min(now.measured, before.measured) >= minSlowSamples && change.exceeds(fleetSlowFactor)
 }
--- a/policy/fusion_test.go
+++ b/policy/fusion_test.go
@@ -10,10 +10,10 @@
 
 func TestLikelihoodRatio(t *testing.T) {
 	// 20 outcomes, 4 classes: Pd = 20/40, Pf = 0.01/4; flagged 0.5/0.0025 = 200, clean 0.5/0.9975.
-	if got := math.Exp(logRatio(true, 20, 4)); math.Abs(got-200) > 1e-9 {
+	if got := math.Exp(logLikelihoodRatio(true, 20, 4)); math.Abs(got-200) > 1e-9 {
 		t.Error("flagged:", got)
 	}
-	if got := math.Exp(logRatio(false, 20, 4)); math.Abs(got-0.5/0.9975) > 1e-12 {
+	if got := math.Exp(logLikelihoodRatio(false, 20, 4)); math.Abs(got-0.5/0.9975) > 1e-12 {
 		t.Error("clean:", got)
 	}
 }
@@ -61,7 +61,7 @@
 		"none has enough outcomes, together yes": {[]testReport{few, few, few}, true},
 	} {
 		p := aggregating(c.verdicts...)
-		p.aggregator.cleanAt = p.now - pooledFlagDuration - 1 // as if any pooled flag had lasted
+		p.aggregator.lastUnflaggedAt = p.now - pooledFlagDuration - 1 // as if any pooled flag had lasted
 		if back := p.aggregator.fuse().rollBack; back != c.back {
 			t.Errorf("%s: back %v", name, back)
 		}
--- a/policy/latency.go
+++ b/policy/latency.go
@@ -9,35 +9,37 @@
 )
 
 const (
-	// own attempts at an endpoint that usual ratios are told apart by: more are rare where it runs well
+	// queue depths (own open attempts at an endpoint) that have a baseline ratio each; an endpoint that runs
+	// well rarely has deeper queues
 	maxQueueDepth = peerwire.MaxQueueDepth
-	// attempts from which a usual ratio is known
+	// attempts from which a mean ratio counts as known
 	minRatioSamples = 10.0
 	// weight of one answer in an endpoint's ratio
-	ratioStep = 0.2
-	// the same in the fleet's
-	fleetRatioStep = 0.02
-	// the same in a machine type's over all relays: 500 attempts, as types change slowly
-	machineTypeRatioStep = 0.002
-	// s in which the ratio of an endpoint without answers goes half way back to the fleet's
+	endpointRatioSmoothing = 0.2
+	// weight of one answer in the fleet's mean ratio
+	fleetRatioSmoothing = 0.02
+	// weight of one answer in a machine type's mean ratio over all relays: about 500 attempts, as machine
+	// types change slowly
+	machineTypeRatioSmoothing = 0.002
+	// seconds in which the ratio of an endpoint without answers moves half way back to the fleet's mean
 	ratioHalfLife = 3.0
 )
 
-// latencyRatios are latency ratios, the time of an attempt over its request's expected work, of the fleet
-// and its parts.
+// latencyRatios holds mean latency ratios. A latency ratio is the duration of an attempt divided by the
+// expected work of its request.
 type latencyRatios struct {
-	p      *Policy
-	fleet  window.Mean
-	byType []window.Mean                // by type of machine, over all relays
-	usual  [][maxQueueDepth]window.Mean // by type of machine and queue depth; frozen during a trial
-	// logarithm of the ratio over the usual one, at machines of the earlier build just now
+	p        *Policy
+	fleet    window.Mean
+	byType   []window.Mean                // by machine type, over the attempts of all relays
+	baseline [][maxQueueDepth]window.Mean // by machine type and queue depth; frozen during a trial
+	// mean logarithm of the ratio over the baseline at machines of the earlier build: the present load
 	earlier window.Mean
 
-	earlierAt relay.Seconds // last attempt there
+	earlierAt relay.Seconds // time of the last attempt at a machine of the earlier build
 }
 
-// ofType is the mean ratio of one type of machine over all relays' attempts.
-func (r *latencyRatios) ofType(machineType relay.MachineType) *window.Mean {
+// machineTypeMean returns the mean ratio of one machine type over the attempts of all relays.
+func (r *latencyRatios) machineTypeMean(machineType relay.MachineType) *window.Mean {
 	i := min(max(int(machineType), 0), peerwire.MaxMachineTypes-1)
 	for i >= len(r.byType) {
 		r.byType = append(r.byType, window.Mean{})
@@ -45,35 +47,36 @@
 	return &r.byType[i]
 }
 
-// usualRatio is the ratio that is usual for a type of machine at a queue depth; 0: not known.
-func (r *latencyRatios) usualRatio(machineType relay.MachineType, queueDepth int) float64 {
-	if machineType < 0 || int(machineType) >= len(r.usual) || queueDepth >= maxQueueDepth {
+// baselineRatio returns the baseline ratio of a machine type at a queue depth; 0: not known.
+func (r *latencyRatios) baselineRatio(machineType relay.MachineType, queueDepth int) float64 {
+	if machineType < 0 || int(machineType) >= len(r.baseline) || queueDepth >= maxQueueDepth {
 		return 0
 	}
-	ratio := &r.usual[machineType][queueDepth]
+	ratio := &r.baseline[machineType][queueDepth]
 	if ratio.Samples < minRatioSamples {
 		return 0
 	}
 	return ratio.Value
 }
 
-// learn learns from an answer.
-func (r *latencyRatios) learn(machineType relay.MachineType, queueDepth int, ratio float64) {
-	r.fleet.Add(ratio, fleetRatioStep)
-	if r.p.canary.ratiosFrozen() || machineType < 0 || queueDepth >= maxQueueDepth {
+// record adds the ratio of a successful attempt to the fleet's mean and, unless they are frozen, to the
+// baseline ratios.
+func (r *latencyRatios) record(machineType relay.MachineType, queueDepth int, ratio float64) {
+	r.fleet.Add(ratio, fleetRatioSmoothing)
+	if r.p.canary.baselineFrozen() || machineType < 0 || queueDepth >= maxQueueDepth {
 		return
 	}
-	for int(machineType) >= len(r.usual) {
-		r.usual = append(r.usual, [maxQueueDepth]window.Mean{})
+	for int(machineType) >= len(r.baseline) {
+		r.baseline = append(r.baseline, [maxQueueDepth]window.Mean{})
 	}
-	r.usual[machineType][queueDepth].Add(ratio, fleetRatioStep)
+	r.baseline[machineType][queueDepth].Add(ratio, fleetRatioSmoothing)
 }
 
-// latencyRatio is the endpoint's ratio by now: without answers it goes back to the fleet's.
+// latencyRatio is the endpoint's ratio by now. Without new answers it moves back to the fleet's mean.
 func (e *trackedEndpoint) latencyRatio() float64 {
-	usual := math.Max(e.p.latency.fleet.Value, minDuration)
-	if e.ratio == 0 {
-		return usual
+	fleetMean := math.Max(e.p.latency.fleet.Value, minDuration)
+	if e.lastLatencyRatio == 0 {
+		return fleetMean
 	}
-	return usual + (e.ratio-usual)*math.Exp2(-(e.p.now-e.ratioAt)/ratioHalfLife)
+	return fleetMean + (e.lastLatencyRatio-fleetMean)*math.Exp2(-(e.p.now-e.latencyRatioAt)/ratioHalfLife)
 }
--- a/policy/peerwire/decode.go
+++ b/policy/peerwire/decode.go
@@ -6,29 +6,29 @@
 	"lichenroad/relay"
 )
 
-// Decode reads a report or a decision, to its last byte. Its error is ErrMalformed.
+// Decode decodes a report or a decision. It returns ErrMalformed for anything else, and for extra bytes at the end.
 func Decode(body []byte) (Message, error) {
 	if len(body) < 2 || body[0] != messageMagic {
 		return nil, ErrMalformed
 	}
 	d := &decoder{rest: body[2:]}
 	switch body[1] {
-	case reportForm:
+	case reportType:
 		report := d.report()
 		return report, d.end()
-	case decisionForm:
+	case decisionType:
 		decision := d.decision()
 		return decision, d.end()
 	}
 	return nil, ErrMalformed
 }
 
-// IsDecision says whether a body begins as a decision does, without reading the rest.
+// IsDecision says whether a body starts like a decision. It does not check the rest.
 func IsDecision(body []byte) bool {
-	return len(body) >= 2 && body[0] == messageMagic && body[1] == decisionForm
+	return len(body) >= 2 && body[0] == messageMagic && body[1] == decisionType
 }
 
-// decoder reads a message; what it reads past the end is zero, and an error.
+// decoder reads the fields of a message. Past the end it returns zeros and sets err.
 type decoder struct {
 	rest []byte
 	err  error
@@ -91,7 +91,7 @@
 	return EndpointHash(b[0]) | EndpointHash(b[1])<<8 | EndpointHash(b[2])<<16
 }
 
-// end is the error of the whole message, which must have been read to its last byte.
+// end returns the error of the whole message, and ErrMalformed if bytes are left.
 func (d *decoder) end() error {
 	if len(d.rest) > 0 {
 		return ErrMalformed
--- a/policy/peerwire/encode.go
+++ b/policy/peerwire/encode.go
@@ -7,9 +7,9 @@
 	"lichenroad/relay"
 )
 
-// Encode returns the datagram of a report, of which no more than MaxObservations may be set.
+// Encode returns the datagram of a report, which may hold up to MaxObservations observations.
 func (r Report) Encode() []byte {
-	b := appendHeader(reportForm, r.Build, r.Stage)
+	b := appendHeader(reportType, r.Build, r.Stage)
 	b = binary.AppendUvarint(b, uint64(len(r.Verdicts)))
 	for _, v := range r.Verdicts {
 		b = binary.AppendUvarint(b, uint64(v.Outcomes)<<1|uint64(bit(v.Flagged, 0)))
@@ -25,15 +25,15 @@
 
 // Encode returns the datagram of a decision.
 func (d Decision) Encode() []byte {
-	b := append(appendHeader(decisionForm, d.Build, d.Stage), byte(d.Verdict), byte(len(d.Ratios)))
+	b := append(appendHeader(decisionType, d.Build, d.Stage), byte(d.Verdict), byte(len(d.Ratios)))
 	for _, ratio := range d.Ratios {
 		b = append(b, packRatio(ratio))
 	}
 	return b
 }
 
-func appendHeader(form byte, build relay.Build, stage relay.Stage) []byte {
-	b := binary.AppendUvarint([]byte{messageMagic, form}, uint64(build))
+func appendHeader(messageType byte, build relay.Build, stage relay.Stage) []byte {
+	b := binary.AppendUvarint([]byte{messageMagic, messageType}, uint64(build))
 	return binary.AppendUvarint(b, uint64(stage))
 }
 
@@ -47,21 +47,21 @@
 }
 
 const (
-	ratioSteps = 8   // to a doubling
-	ratioOne   = 128 // the byte of the ratio 1
+	ratioStepsPerDoubling = 8
+	encodedRatioOne       = 128
 )
 
-// packRatio puts a latency ratio in one byte, to an eighth of a doubling; 0 stands as 0.
+// packRatio encodes a latency ratio in one byte, rounded to an eighth of a doubling; 0 stays 0.
 func packRatio(ratio float64) byte {
 	if !(ratio > 0) {
 		return 0
 	}
-	return byte(math.Min(math.Max(math.Round(ratioSteps*math.Log2(ratio))+ratioOne, 1), 255))
+	return byte(math.Min(math.Max(math.Round(ratioStepsPerDoubling*math.Log2(ratio))+encodedRatioOne, 1), 255))
 }
 
 func unpackRatio(b byte) float64 {
 	if b == 0 {
 		return 0
 	}
-	return math.Exp2((float64(b) - ratioOne) / ratioSteps)
+	return math.Exp2((float64(b) - encodedRatioOne) / ratioStepsPerDoubling)
 }
--- a/policy/peerwire/peerwire_test.go
+++ b/policy/peerwire/peerwire_test.go
@@ -10,8 +10,8 @@
 	"lichenroad/relay"
 )
 
-// TestMessageBytes pins the bytes of one message of each form: relays of different versions are up at the same time while
-// a fleet is updated, and must read one another.
+// TestMessageBytes pins the encoding of one message of each type. While a fleet is updated, relays of different
+// versions run at the same time and must understand each other's messages.
 func TestMessageBytes(t *testing.T) {
 	report := peerwire.Report{Build: 300, Stage: 2,
 		Verdicts: []peerwire.ClassVerdict{{Flagged: true, Outcomes: 25}, {Outcomes: 200}, {}},
@@ -32,21 +32,22 @@
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			if got := hex.EncodeToString(c.body); got != c.hex {
-				t.Errorf("%s, not %s", got, c.hex)
+				t.Errorf("encoded as %s, want %s", got, c.hex)
 			}
 			body, err := hex.DecodeString(c.hex)
 			if err != nil {
 				t.Fatal(err)
 			}
 			if got, err := peerwire.Decode(body); err != nil || !reflect.DeepEqual(got, c.want) {
-				t.Errorf("%+v, not %+v: %v", got, c.want, err)
+				t.Errorf("decoded as %+v, error %v, want %+v", got, err, c.want)
 			}
 		})
 	}
 }
 
-// TestDecodeReadsWhatEncodeWrites also cuts each message short at every byte, and adds one: none of these is a message.
-func TestDecodeReadsWhatEncodeWrites(t *testing.T) {
+// TestDecodeReversesEncode also truncates each message at every byte, and appends one byte: Decode must reject all of
+// these.
+func TestDecodeReversesEncode(t *testing.T) {
 	report := peerwire.Report{Build: 300, Stage: 2, Verdicts: []peerwire.ClassVerdict{{Flagged: true, Outcomes: 40}, {}},
 		Observations: []peerwire.Observation{
 			{Endpoint: peerwire.HashOf(7), Class: 40, Outcome: relay.TimedOut, Newest: true, Late: true, QueueDepth: 5, Ratio: 2},
@@ -63,25 +64,25 @@
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			if got, err := peerwire.Decode(c.body); err != nil || !reflect.DeepEqual(got, c.want) {
-				t.Fatal(got, err)
+				t.Fatalf("decoded as %+v, error %v, want %+v", got, err, c.want)
 			}
 			for n := range c.body {
 				if _, err := peerwire.Decode(c.body[:n]); !errors.Is(err, peerwire.ErrMalformed) {
-					t.Errorf("%d bytes were taken for a message: %v", n, err)
+					t.Errorf("truncated to %d bytes: error %v, want ErrMalformed", n, err)
 				}
 			}
 			if _, err := peerwire.Decode(append(c.body, 0)); !errors.Is(err, peerwire.ErrMalformed) {
-				t.Errorf("a byte too many: %v", err)
+				t.Errorf("with an extra byte: error %v, want ErrMalformed", err)
 			}
 		})
 	}
 }
 
-// TestFormsOfOtherPackages are no messages of this one.
-func TestFormsOfOtherPackages(t *testing.T) {
+// TestDecodeRejectsOtherTypes tries message types of package membership, another magic byte and truncated headers.
+func TestDecodeRejectsOtherTypes(t *testing.T) {
 	for _, body := range [][]byte{nil, {0x4c}, {0x4c, 5, 1, 1, 0, 0}, {0x4c, 6, 1, 1, 0, 0}, {1, 3, 1, 1, 0, 0}} {
 		if _, err := peerwire.Decode(body); !errors.Is(err, peerwire.ErrMalformed) {
-			t.Errorf("%x: %v", body, err)
+			t.Errorf("%x: error %v, want ErrMalformed", body, err)
 		}
 	}
 }
--- a/policy/policy.go
+++ b/policy/policy.go
@@ -10,12 +10,13 @@
 )
 
 const (
-	// s between two ticks, which look at open requests and votes: small beside any latency objective
+	// seconds between two ticks, in which open requests and votes are checked: short compared with any
+	// latency objective
 	tickInterval = 0.05
 	tickTimer    = relay.TimerID(1)
 )
 
-// never is a time that does not come.
+// never is a time later than any other.
 const never = relay.Seconds(math.MaxFloat64)
 
 // Policy is the decision module of one relay.
@@ -25,7 +26,7 @@
 	random   *rand.Rand
 	now      relay.Seconds
 	mailbox  []envelope
-	commands []relay.Command // of the present Step
+	commands []relay.Command // result of the current Step
 
 	started    bool
 	endpoints  endpointList
@@ -36,7 +37,7 @@
 	aggregator aggregator
 }
 
-// classState is what the module needs of a class's settings.
+// classState holds the settings of a request class that the module uses.
 type classState struct {
 	idempotency       relay.Idempotency
 	dedupScope        relay.DedupScope
@@ -44,10 +45,11 @@
 	objective         relay.Seconds
 	objectivePerWork  float64
 	deadline          relay.Seconds
-	admissionFraction float64 // part of the admission limit from which the class is rejected
+	admissionFraction float64 // fraction of the admission limit from which the class is rejected
 }
 
-// New returns the module of one relay, ready for its first Step. Chance follows from the seed.
+// New returns the module of one relay, ready for its first Step. Its random numbers depend only on the
+// seed.
 func New(settings relay.Settings, seed int64) *Policy {
 	p := &Policy{settings: settings, random: rand.New(rand.NewSource(seed))}
 	p.classes = newClasses(settings.Classes)
@@ -57,8 +59,9 @@
 	p.admission = newAdmission(p)
 	p.canary = newCanary(p)
 	p.aggregator = newAggregator(p)
-	// Relays that start together would all judge and report at the same moments, once a second.
-	p.canary.nextJudgeAt = judgeInterval * p.random.Float64()
+	// Random offsets, since relays that start together would otherwise evaluate and report at the same
+	// times.
+	p.canary.nextEvaluationAt = evaluationInterval * p.random.Float64()
 	p.canary.reportedAt = -verdictInterval * p.random.Float64()
 	return p
 }
@@ -82,8 +85,8 @@
 	return classes
 }
 
-// Step takes what has happened up to now, and returns what to do about it. The slice is good until the next
-// Step. A time before the last Step's counts as that one.
+// Step applies the events up to now and returns the commands to carry out. The slice is valid until the
+// next Step. A time before that of the last Step counts as that time.
 func (p *Policy) Step(now relay.Seconds, events []relay.Event) []relay.Command {
 	p.now = math.Max(now, p.now)
 	p.commands = p.commands[:0]
@@ -94,9 +97,10 @@
 			p.endpoints.start(slices.ContainsFunc(events, isLease))
 		}
 	}
-	// All of a batch has happened by now: what it says of endpoints and builds holds for its requests too.
+	// All events of a batch have happened, so changes of endpoints and builds apply before the batch's
+	// requests.
 	for _, event := range events {
-		p.stateChanged(event)
+		p.handleStateEvent(event)
 		p.deliver()
 	}
 	ticked := false
@@ -105,7 +109,7 @@
 			ticked = true
 			continue
 		}
-		p.trafficArrived(event)
+		p.handleTrafficEvent(event)
 		p.deliver()
 	}
 	if ticked {
@@ -116,8 +120,8 @@
 	return p.commands
 }
 
-// stateChanged takes an event about endpoints and builds; it ignores all others.
-func (p *Policy) stateChanged(event relay.Event) {
+// handleStateEvent handles an event about endpoints or builds; it ignores all others.
+func (p *Policy) handleStateEvent(event relay.Event) {
 	switch event := event.(type) {
 	case relay.ListUpdate:
 		p.endpoints.listUpdated(event)
@@ -133,8 +137,9 @@
 	}
 }
 
-// trafficArrived takes an event about requests, or a message of another relay; it ignores all others.
-func (p *Policy) trafficArrived(event relay.Event) {
+// handleTrafficEvent handles an event about requests or a message of another relay; it ignores all
+// others.
+func (p *Policy) handleTrafficEvent(event relay.Event) {
 	switch event := event.(type) {
 	case relay.MessageReceived:
 		p.messageReceived(event)
@@ -149,7 +154,7 @@
 	}
 }
 
-// messageReceived passes a relay's message on. A malformed one is dropped.
+// messageReceived handles a message of another relay. A malformed one is dropped.
 func (p *Policy) messageReceived(event relay.MessageReceived) {
 	decoded, err := peerwire.Decode(event.Body)
 	if err != nil {
@@ -163,7 +168,7 @@
 	}
 }
 
-// tick is what each part does at regular times. The messages that it leads to are delivered behind it.
+// tick runs the regular work of each component. Messages that it sends are delivered afterwards.
 func (p *Policy) tick() {
 	p.endpoints.tick()
 	p.canary.tick()
--- a/policy/requests.go
+++ b/policy/requests.go
@@ -9,19 +9,20 @@
 )
 
 const (
-	// s before its deadline that a request without an attempt is answered: just over a tick
+	// seconds before its deadline at which a request without an open attempt gets its final answer: just
+	// over one tick
 	deadlineMargin = 0.06
-	// s a bucket of attempts and requests
-	flowBucketTime = 0.5
-	// 2 s, long enough for small relays, short enough for a loss
-	flowBuckets = 4
+	// seconds per bucket of attempts and requests
+	trafficBucketTime = 0.5
+	// a window of 2 s: long enough for a relay with little traffic, short enough to show a loss of capacity
+	trafficBuckets = 4
 
-	// weight of one attempt in the mean of attempt time over objective: ten tell an overload
-	objectiveUsageStep = 0.1
+	// weight of one attempt in the mean of duration over objective: about ten attempts show an overload
+	objectiveUsageSmoothing = 0.1
 )
 
-// trackedAttempt is one attempt of a request. Zone, failure domain, build and age are the endpoint's when
-// it was sent.
+// trackedAttempt is one attempt of a request. Zone, failure domain, build and age are those of the
+// endpoint when the attempt was sent.
 type trackedAttempt struct {
 	endpoint      *trackedEndpoint
 	zone          relay.Zone
@@ -30,20 +31,20 @@
 	sentAt        relay.Seconds
 	endpointAge   relay.Seconds
 	open          bool
-	mayHaveRun    bool // it is open, or ended without proof that it never ran
-	queueDepth    int  // own attempts that the endpoint held when it was sent
+	mayHaveRun    bool // true while it is open, and afterwards unless its outcome proves that it never ran
+	queueDepth    int  // this relay's other open attempts at the endpoint when it was sent
 }
 
-// trackedRequest is one request that this relay has taken.
+// trackedRequest is a request that this relay has received.
 type trackedRequest struct {
 	relay.Request
 	class       *classState
 	arrivedAt   relay.Seconds
-	objectiveAt relay.Seconds // when its latency objective ends
+	objectiveAt relay.Seconds // end of its latency objective
 	attempts    []trackedAttempt
 	finished    bool // has its final answer, or needs none
-	late        bool // was open past objectiveAt
-	streaming   bool // the client reads an attempt's answer: nothing more to decide
+	late        bool // had no answer by objectiveAt
+	streaming   bool // the client is reading the answer of an attempt, so there is nothing left to decide
 }
 
 // openAttempts iterates over the attempts that have not ended.
@@ -82,8 +83,8 @@
 	return false
 }
 
-// expectedWork is the request's expected work; without a hint, its latency objective stands in as a common
-// yardstick.
+// expectedWork is the request's expected work. Requests without a hint use the latency objective of their
+// class.
 func (r *trackedRequest) expectedWork() relay.Seconds {
 	if r.HasWork && r.Work > 0 {
 		return r.Work
@@ -91,8 +92,8 @@
 	return math.Max(r.class.objective, minDuration)
 }
 
-// dedupDeadline is when a retry with an idempotency key must have been written to its last byte; 0: no such
-// time.
+// dedupDeadline is the time by which a retry with an idempotency key must be written to its last byte, so
+// that it arrives within the dedup window; 0: no such time.
 func (r *trackedRequest) dedupDeadline() relay.Seconds {
 	for i := range r.attempts {
 		if r.class.idempotency == relay.IdempotencyKeyed && r.attempts[i].mayHaveRun {
@@ -102,45 +103,46 @@
 	return 0
 }
 
-// retryIsHarmless says that the client may send the request again after a rejection.
-func (r *trackedRequest) retryIsHarmless() bool {
+// clientMayRetry says whether a retry by the client has no second effect, so that the request may be
+// rejected.
+func (r *trackedRequest) clientMayRetry() bool {
 	return r.class.idempotency == relay.Idempotent || !r.mayHaveRun() ||
 		r.class.idempotency == relay.IdempotencyKeyed && r.class.dedupScope == relay.DedupAll
 }
 
-// The columns of the router's window of connects.
+// Columns of the router's window of connection attempts.
 const (
 	connectsTried = iota
 	connectsFailed
 	connectColumns
 )
 
-// router takes requests, sends attempts and gives final answers.
+// router accepts requests, sends their attempts and gives final answers.
 type router struct {
 	p               *Policy
 	requests        map[relay.RequestID]*trackedRequest
-	openRequests    []*trackedRequest // those with an answer owed or attempts open, in order of arrival
-	openInTime      int               // of these, with an answer owed that may still be in time
+	openRequests    []*trackedRequest // unanswered or with open attempts, by time of arrival
+	openOnTime      int               // of these, unanswered and not past their latency objective
 	attemptDuration window.Mean
-	objectiveUsage  window.Mean    // attempt time over latency objective, of late
-	connects        window.Sliding // attempts ended, and those of them without a connection
+	objectiveUsage  window.Mean    // running mean of attempt duration over latency objective
+	connects        window.Sliding // ended attempts, and those that got no connection
 	successes       window.Sliding // attempts that succeeded
-	// 1: attempts take a small part of their objective; 0: a large one, or not known yet
-	headroom       float64
-	usableFraction float64 // part of the ready endpoints that are past their slow start and may be used
-	evenRate       float64 // successes a second for each ready endpoint, if all got the same
+	// 1: attempts take a small fraction of their objective; 0: a large fraction, or too few samples yet
+	headroom               float64
+	usableFraction         float64 // usable fraction of the ready endpoints (readyCounts), times headroom
+	successRatePerEndpoint float64 // successes per second, divided by the number of ready endpoints
 }
 
 func newRouter(p *Policy) router {
 	return router{
 		p:         p,
 		requests:  map[relay.RequestID]*trackedRequest{},
-		successes: window.NewSliding(flowBucketTime, flowBuckets, 1),
-		connects:  window.NewSliding(flowBucketTime, connectBuckets, connectColumns),
+		successes: window.NewSliding(trafficBucketTime, trafficBuckets, 1),
+		connects:  window.NewSliding(trafficBucketTime, connectBuckets, connectColumns),
 	}
 }
 
-// requestArrived takes a new request: it is routed, rejected, or failed where its class is unknown.
+// requestArrived routes a new request, rejects it in an overload, or fails it if its class is unknown.
 func (r *router) requestArrived(event relay.Request) {
 	if r.requests[event.ID] != nil {
 		return
@@ -160,16 +162,16 @@
 	}
 	r.requests[event.ID] = request
 	r.openRequests = append(r.openRequests, request)
-	r.openInTime++
+	r.openOnTime++
 	r.p.canary.requestArrived(request)
 	if r.p.admission.rejects(request) || r.p.endpoints.leaseExpired() {
-		r.giveUp(request)
+		r.rejectOrFail(request)
 		return
 	}
 	r.route(request)
 }
 
-// attemptEnded takes the end of an attempt, and sends the request again where it may be.
+// attemptEnded handles the end of an attempt, and retries the request where that is permitted.
 func (r *router) attemptEnded(event relay.AttemptEnded) {
 	request := r.requests[event.Request]
 	if request == nil || event.Attempt < 0 || int(event.Attempt) >= len(request.attempts) {
@@ -183,19 +185,20 @@
 	attempt.mayHaveRun = !event.Outcome.NeverRan()
 	r.publishOutcome(request, attempt, event)
 	fleetFull := event.Outcome == relay.RejectedByEndpoint &&
-		float64(r.openInTime) > fleetFullFraction*r.p.admission.limit()
+		float64(r.openOnTime) > fleetFullFraction*r.p.admission.limit()
 	switch {
 	case event.RequestFinished:
 		r.finish(request)
 	case request.finished || request.openCount() > 0:
 	case fleetFull:
-		r.giveUp(request) // more attempts would only feed the overload
+		// more attempts would only add to the overload
+		r.rejectOrFail(request)
 	default:
 		r.route(request)
 	}
 }
 
-// publishOutcome tells the other parts how an attempt ended.
+// publishOutcome tells the other components how an attempt ended.
 func (r *router) publishOutcome(request *trackedRequest, attempt *trackedAttempt, event relay.AttemptEnded) {
 	ended := attemptOutcome{
 		class:     request.Class,
@@ -208,7 +211,7 @@
 	r.p.send(attempt.endpoint, ended)
 	r.p.send(&r.p.admission, ended)
 	if event.Outcome == relay.Succeeded {
-		r.attemptDuration.Add(event.Duration, fleetRatioStep)
+		r.attemptDuration.Add(event.Duration, fleetRatioSmoothing)
 		r.successes.Add(r.p.now, 0, 1)
 		r.p.canary.requestAnswered(request, attempt.build)
 	}
@@ -227,10 +230,11 @@
 	}
 }
 
-// finish ends a request and its attempts.
+// finish marks a request as finished. It cancels the open attempts, unless the settings forbid that or the
+// client is reading the answer of one.
 func (r *router) finish(request *trackedRequest) {
 	if !request.finished && !request.late {
-		r.openInTime--
+		r.openOnTime--
 	}
 	request.finished = true
 	if !r.p.settings.Limits.CancelAttempts || request.streaming {
@@ -241,14 +245,15 @@
 	}
 }
 
-// giveUp gives all final answers but a successful attempt's: a rejection where a retry is harmless.
-func (r *router) giveUp(request *trackedRequest) {
+// rejectOrFail gives the final answer of a request that does not succeed: a rejection where a retry by
+// the client has no second effect, otherwise a failure.
+func (r *router) rejectOrFail(request *trackedRequest) {
 	if request.finished {
 		return
 	}
 	limits := &r.p.settings.Limits
 	switch {
-	case !request.retryIsHarmless():
+	case !request.clientMayRetry():
 		r.p.emit(relay.Fail{Request: request.ID})
 	case limits.RetryAfter:
 		r.p.emit(relay.Reject{Request: request.ID, RetryAfter: limits.MaxRetryAfter})
@@ -258,11 +263,11 @@
 	r.finish(request)
 }
 
-// tick looks at the open requests: those that are held, and those past their objective or near their
-// deadline.
+// tick retries requests that wait for an endpoint, ends those that are out of time and drops finished
+// ones.
 func (r *router) tick() {
-	r.updateLoad()
-	left := r.openRequests[:0]
+	r.updateTrafficStats()
+	remaining := r.openRequests[:0]
 	for _, request := range r.openRequests {
 		if !request.finished && !request.late && r.p.now > request.objectiveAt {
 			r.markLate(request)
@@ -274,29 +279,31 @@
 			delete(r.requests, request.ID)
 			continue
 		}
-		left = append(left, request)
+		remaining = append(remaining, request)
 	}
-	clear(r.openRequests[len(left):])
-	r.openRequests = left
+	clear(r.openRequests[len(remaining):])
+	r.openRequests = remaining
 }
 
-// updateLoad renews what the relay's recent traffic says of the fleet.
-func (r *router) updateLoad() {
+// updateTrafficStats recomputes headroom, usableFraction and successRatePerEndpoint from recent traffic.
+func (r *router) updateTrafficStats() {
 	ready := r.p.endpoints.countReady()
 	r.headroom = 0
 	if r.objectiveUsage.Samples >= minRatioSamples {
 		r.headroom = math.Min(math.Max(2-2*r.objectiveUsage.Value/maxObjectiveUsage, 0), 1)
 	}
-	// In an overload, or while nothing is known, only the budget of the slow start holds.
+	// Without headroom, as in an overload or before there are samples, no attempt goes ahead of the
+	// slow-start budget.
 	r.usableFraction = ready.usable / math.Max(ready.all, 1) * r.headroom
-	r.evenRate = r.successes.Total(r.p.now, 0) / (flowBucketTime * flowBuckets) / math.Max(ready.all, 1)
+	r.successRatePerEndpoint = r.successes.Total(r.p.now, 0) /
+		(trafficBucketTime * trafficBuckets) / math.Max(ready.all, 1)
 }
 
-// markLate takes a request that is too late to be worth a place in the admission limit: attempts that an
-// endpoint never answers must not use it up.
+// markLate takes a request that missed its latency objective out of the count that admission limits, so
+// that attempts which an endpoint never answers don't use the limit up.
 func (r *router) markLate(request *trackedRequest) {
 	request.late = true
-	r.openInTime--
+	r.openOnTime--
 	for _, attempt := range request.openAttempts() {
 		r.p.send(attempt.endpoint, objectiveMissed{})
 	}
--- a/policy/requests_test.go
+++ b/policy/requests_test.go
@@ -77,13 +77,13 @@
 		p.now = w.now
 		for i, endpoint := range p.endpoints.all {
 			if endpoint.openAttempts = c.open; i >= c.sound {
-				endpoint.openAttempts, endpoint.failure, endpoint.failureAt = 0, 1, p.now
+				endpoint.openAttempts, endpoint.lastFailureEstimate, endpoint.failureEstimatedAt = 0, 1, p.now
 			}
 			endpoint.lastAnswerAt = p.now
 		}
 		suspects := 0
 		for range 200 {
-			if endpoint := p.router.bestOf(&trackedRequest{class: &classState{idempotency: c.repeat}}, p.endpoints.all); endpoint.failure > 0 {
+			if endpoint := p.router.bestOf(&trackedRequest{class: &classState{idempotency: c.repeat}}, p.endpoints.all); endpoint.lastFailureEstimate > 0 {
 				suspects++
 			}
 		}
--- a/policy/routing.go
+++ b/policy/routing.go
@@ -3,24 +3,27 @@
 import "lichenroad/relay"
 
 const (
-	// failure estimate of an outlier where a request is not sent again after an error
+	// failure estimate from which an endpoint is an outlier for requests that are not retried after an error
 	strictOutlierThreshold = 0.1
-	// part of the endpoints below which the healthy ones can't carry the load alone
+	// fraction of healthy endpoints below which they can't carry the whole load
 	minHealthyFraction = 0.3
-	// times an outlier's cost up to which a healthy one is taken then: three attempts, one success
+	// below minHealthyFraction, an outlier is preferred if its cost times this factor is below that of a
+	// healthy endpoint: one success at an outlier takes about three attempts
 	outlierCostFactor = 3.0
-	// times the earlier endpoint's cost up to which the canary's is taken: its ratio is unknown
+	// factor on the load of the earlier build's endpoint up to which the canary's is chosen: the latency
+	// ratio of a new build is not known yet
 	canaryCostFactor = 1.5
-	// 6 s of attempts that tell how many connects fail: a few attempts of a small relay
+	// a window of 6 s for the failure rate of connects, in which even a relay with little traffic sends a few
+	// attempts
 	connectBuckets = 12
-	// of attempts without a connection from which endpoints with an open one come first
-	maxConnectFailures = 0.1
-	// s after its last answer that an endpoint's connection counts as open
-	connectionLife = 8.0
+	// fraction of failed connects above which endpoints with an open connection are preferred
+	maxConnectFailureFraction = 0.1
+	// seconds after the last answer in which an idle connection counts as open
+	idleConnectionLife = 8.0
 )
 
-// route sends a request that has no open attempt, holds it while it is in time and may be sent, or gives it
-// up at once.
+// route sends the next attempt of a request that has no open one. If no endpoint is eligible yet, the
+// request waits as long as it is in time and may be sent; otherwise it gets its final answer at once.
 func (r *router) route(request *trackedRequest) {
 	inTime := r.p.now < request.objectiveAt && r.p.now < request.Deadline-deadlineMargin
 	if endpoint := r.pickEndpoint(request); endpoint != nil && inTime {
@@ -28,11 +31,11 @@
 		return
 	}
 	if !inTime || r.p.endpoints.leaseExpired() || !r.mayRetry(request) {
-		r.giveUp(request)
+		r.rejectOrFail(request)
 	}
 }
 
-// mayRetry says that the request may have one more attempt at some endpoint.
+// mayRetry says whether the request may have another attempt, whatever the endpoint.
 func (r *router) mayRetry(request *trackedRequest) bool {
 	if len(request.attempts) >= r.p.settings.Limits.MaxAttempts {
 		return false
@@ -40,8 +43,8 @@
 	return request.class.idempotency != relay.AtMostOnce || !request.mayHaveRun()
 }
 
-// pickEndpoint chooses the endpoint of a request's next attempt, one of the build on trial only while its
-// share lasts; nil if none is eligible.
+// pickEndpoint chooses the endpoint of a request's next attempt; nil if none is eligible. Endpoints of a
+// build on trial are chosen only within its exposure target, unless no other endpoint is eligible.
 func (r *router) pickEndpoint(request *trackedRequest) *trackedEndpoint {
 	var earlier, canaries []*trackedEndpoint
 	for _, endpoint := range r.p.endpoints.all {
@@ -67,19 +70,19 @@
 	return bestEarlier
 }
 
-// endpointPools are endpoints that a request has not tried yet, by how healthy they look.
+// endpointPools groups endpoints that a request has not tried yet by how healthy they look.
 type endpointPools struct {
 	healthy     []*trackedEndpoint
-	unconnected []*trackedEndpoint // healthy ones without an open connection, while connects fail
+	unconnected []*trackedEndpoint // without an open connection while connects fail, otherwise healthy
 	outliers    []*trackedEndpoint
 }
 
-// bestOf is the cheaper of two random choices among the endpoints that look healthy; among all, where none
-// does. While connects fail, endpoints that hold a connection come first, whatever makes new ones dear or
-// rare.
+// bestOf returns the cheaper of two random choices from the healthiest pool that is not empty; if the
+// request has tried all endpoints, from all of them. While connects fail, endpoints with an open
+// connection come before others, whatever the cause of the failures.
 func (r *router) bestOf(request *trackedRequest, endpoints []*trackedEndpoint) *trackedEndpoint {
 	pools := r.poolsOf(request, endpoints)
-	if r.overflows(request, &pools) {
+	if r.mayUseOutliers(request, &pools) {
 		healthy := r.twoRandomChoices(pools.healthy)
 		outlier := r.weightedChoice(pools.outliers)
 		if outlier.cost()*outlierCostFactor < healthy.cost() {
@@ -100,13 +103,13 @@
 	if request.class.idempotency == relay.AtMostOnce {
 		threshold = strictOutlierThreshold
 	}
-	connectsFail := r.connectsFail()
+	connectsFailing := r.connectsFailing()
 	for _, endpoint := range endpoints {
 		switch {
 		case request.hasTried(endpoint):
 		case endpoint.failureEstimate() >= threshold:
 			pools.outliers = append(pools.outliers, endpoint)
-		case connectsFail && !endpoint.hasConnection():
+		case connectsFailing && !endpoint.hasConnection():
 			pools.unconnected = append(pools.unconnected, endpoint)
 		default:
 			pools.healthy = append(pools.healthy, endpoint)
@@ -115,27 +118,28 @@
 	return pools
 }
 
-// connectsFail says that more than a few attempts got no connection of late.
-func (r *router) connectsFail() bool {
+// connectsFailing says whether more than a small fraction of recent attempts got no connection.
+func (r *router) connectsFailing() bool {
 	failed := r.connects.Total(r.p.now, connectsFailed)
-	return failed > 1 && failed > maxConnectFailures*r.connects.Total(r.p.now, connectsTried)
+	return failed > 1 && failed > maxConnectFailureFraction*r.connects.Total(r.p.now, connectsTried)
 }
 
-// hasConnection says that the endpoint probably has an open connection.
+// hasConnection says whether a connection to the endpoint is probably open.
 func (e *trackedEndpoint) hasConnection() bool {
-	idleTooLong := e.openAttempts == 0 && e.p.now-e.lastAnswerAt > connectionLife
-	return e.connected && !idleTooLong
+	idleTooLong := e.openAttempts == 0 && e.p.now-e.lastAnswerAt > idleConnectionLife
+	return e.lastAttemptConnected && !idleTooLong
 }
 
-// overflows says that the few healthy endpoints can't carry everything, as most fail at once: outliers take
-// what would wait there for long, of requests that may be sent again.
-func (r *router) overflows(request *trackedRequest, pools *endpointPools) bool {
+// mayUseOutliers says whether most endpoints are outliers, so that the healthy ones can't carry the whole
+// load, and the request may be retried after an error. Outliers then take some of the load that would
+// queue at the healthy endpoints.
+func (r *router) mayUseOutliers(request *trackedRequest, pools *endpointPools) bool {
 	healthy, outliers := float64(len(pools.healthy)), float64(len(pools.outliers))
 	fewHealthy := healthy > 0 && healthy < minHealthyFraction*(healthy+outliers)
 	return fewHealthy && request.class.idempotency != relay.AtMostOnce
 }
 
-// twoRandomChoices is the cheaper of two random choices.
+// twoRandomChoices returns the cheaper of two weighted random choices.
 func (r *router) twoRandomChoices(pool []*trackedEndpoint) *trackedEndpoint {
 	first := r.weightedChoice(pool)
 	if second := r.weightedChoice(pool); second.cost() < first.cost() {
@@ -144,7 +148,7 @@
 	return first
 }
 
-// weightedChoice is a random choice in proportion to what each endpoint is able to do.
+// weightedChoice chooses an endpoint at random, in proportion to its weight.
 func (r *router) weightedChoice(pool []*trackedEndpoint) *trackedEndpoint {
 	rest := 0.0
 	for _, endpoint := range pool {
@@ -159,7 +163,9 @@
 	return pool[len(pool)-1]
 }
 
-// eligible is the guard that every attempt passes: rules 2 to 5.
+// eligible is the check that every attempt passes. It admits only ready endpoints, neither draining nor
+// removed, under a valid list; it prevents a second effect of the request, overload of a warming
+// endpoint, and more attempts at a build on trial than its exposure limit permits.
 func (r *router) eligible(request *trackedRequest, endpoint *trackedEndpoint) bool {
 	limits := &r.p.settings.Limits
 	if request.finished || endpoint.State != relay.Ready || len(request.attempts) >= limits.MaxAttempts ||
@@ -175,11 +181,11 @@
 			return false
 		}
 	}
-	return !endpoint.withheld() && r.p.canary.permits(request, endpoint.Build)
+	return !endpoint.slowStartExhausted() && r.p.canary.permits(request, endpoint.Build)
 }
 
-// retryIsSafe says that an attempt at the endpoint has no second effect, though an earlier attempt may have
-// run.
+// retryIsSafe says whether an attempt at the endpoint has no second effect even if an earlier attempt
+// ran.
 func (r *router) retryIsSafe(
 	request *trackedRequest, earlier *trackedAttempt, endpoint *trackedEndpoint,
 ) bool {
@@ -192,7 +198,8 @@
 	return true
 }
 
-// sharesDedup says that the endpoint knows the idempotency keys that an attempt has used.
+// sharesDedup says whether the endpoint shares the record of idempotency keys with that of an earlier
+// attempt.
 func (c *classState) sharesDedup(attempt *trackedAttempt, endpoint *trackedEndpoint) bool {
 	switch c.dedupScope {
 	case relay.DedupAll:
@@ -205,11 +212,11 @@
 	return false
 }
 
-// sendAttempt is where every attempt goes out.
+// sendAttempt sends an attempt to the endpoint. Every attempt is sent here.
 func (r *router) sendAttempt(request *trackedRequest, endpoint *trackedEndpoint) {
 	p := r.p
 	sendBy := request.dedupDeadline()
-	// It waits for a connection no longer than the lease on the list lasts.
+	// An attempt must not wait for a connection beyond the lease on the list.
 	if lease := p.endpoints.leaseExpiresAt; lease != never && (sendBy == 0 || lease < sendBy) {
 		sendBy = lease
 	}
@@ -230,7 +237,7 @@
 	p.emit(relay.SendAttempt{Request: request.ID, Endpoint: endpoint.id, SendBy: sendBy})
 }
 
-// cancelUnsent takes back the attempts at a build that have not been written yet.
+// cancelUnsent cancels open attempts at a build that have not been written yet.
 func (r *router) cancelUnsent(build relay.Build) {
 	for _, request := range r.openRequests {
 		for number, attempt := range request.openAttempts() {
--- a/policy/slowstart.go
+++ b/policy/slowstart.go
@@ -7,24 +7,26 @@
 )
 
 const (
-	// s; slowness of younger endpoints is no evidence (DESIGN: nothing of them is)
+	// seconds; slow answers of younger endpoints are not evidence against their build, but errors are
 	youngEndpointAge = 5.0
-	// of what rule 4 allows an endpoint in its slow start that all relays use: slow machines take so much less
-	slowStartPart = 0.8
-	// of the rule's window that a relay may send ahead of the rate
-	slowStartBurst = 0.2
+	// fraction that all relays together use of the load at which a warming endpoint collapses: slow machines
+	// can take that much less
+	slowStartFraction = 0.8
+	// largest burst of one relay, as a fraction of the attempts that its rate permits within the overload
+	// window
+	slowStartBurstFraction = 0.2
 )
 
-// maxYoungAge is the age up to which an endpoint may be slow for its slow start: what the deployment
-// states, at most the design's.
+// maxYoungAge is the age up to which slow answers may be due to the slow start: the configured slow start
+// time, at most youngEndpointAge.
 func (p *Policy) maxYoungAge() relay.Seconds {
-	if stated := p.settings.Rules.SlowStartTime; stated > 0 && stated < youngEndpointAge {
-		return stated
+	if configured := p.settings.Rules.SlowStartTime; configured > 0 && configured < youngEndpointAge {
+		return configured
 	}
 	return youngEndpointAge
 }
 
-// capacityFraction is the least part of its capacity that the endpoint can have by now.
+// capacityFraction is a lower bound of the fraction of its full capacity that the endpoint has by now.
 func (e *trackedEndpoint) capacityFraction() float64 {
 	rules := &e.p.settings.Rules
 	age := e.p.now - e.startTime
@@ -34,35 +36,36 @@
 	return rules.SlowStartFloor + (1-rules.SlowStartFloor)*math.Max(age, 0)/rules.SlowStartTime
 }
 
-// slowStartLeft is the budget of attempts by now for an endpoint in its slow start. Its even part of this
-// relay's successes stands for what it can do after it, so that all relays together keep rule 4. (Attempts
-// sent won't do: an endpoint that stands alone gets more.)
-func (e *trackedEndpoint) slowStartLeft() float64 {
+// slowStartBudgetLeft is the number of attempts that this relay may send to a warming endpoint by now.
+// The relay's mean success rate per ready endpoint stands for its share of the endpoint's full capacity,
+// so that all relays together do not overload a warming endpoint. The rate of attempts sent would not do:
+// a lone endpoint gets more attempts than it can answer.
+func (e *trackedEndpoint) slowStartBudgetLeft() float64 {
 	rules := &e.p.settings.Rules
-	rate := e.p.router.evenRate * e.capacityFraction() * rules.OverloadMultiple * slowStartPart
-	maxBudget := math.Max(1, rate*rules.OverloadWindow*slowStartBurst)
+	rate := e.p.router.successRatePerEndpoint * e.capacityFraction() * rules.OverloadMultiple * slowStartFraction
+	maxBudget := math.Max(1, rate*rules.OverloadWindow*slowStartBurstFraction)
 	return math.Min(maxBudget, e.slowStartBudget+rate*(e.p.now-e.slowStartBudgetAt))
 }
 
-// withheld says that the endpoint's slow start leaves nothing for one more attempt of this relay. By its
-// budget alone a small relay would not use it for the whole of its slow start; while there are others, most
-// relays may send one attempt at once.
-func (e *trackedEndpoint) withheld() bool {
-	if e.capacityFraction() >= 1 || e.slowStartLeft() >= 1 {
+// slowStartExhausted says whether the slow start permits no further attempt of this relay. With the
+// budget alone, a relay with little traffic would not use the endpoint during its whole slow start.
+// Therefore, while other endpoints are usable, most relays may send one attempt ahead of the budget.
+func (e *trackedEndpoint) slowStartExhausted() bool {
+	if e.capacityFraction() >= 1 || e.slowStartBudgetLeft() >= 1 {
 		return false
 	}
 	rules := &e.p.settings.Rules
 	firstAttemptChance := e.p.router.usableFraction *
-		math.Min(1, rules.OverloadMultiple*rules.SlowStartFloor*slowStartPart)
+		math.Min(1, rules.OverloadMultiple*rules.SlowStartFloor*slowStartFraction)
 	return e.firstAttemptDraw >= firstAttemptChance
 }
 
-// chargeSlowStart takes one attempt off the budget.
+// chargeSlowStart takes one attempt off the slow-start budget.
 func (e *trackedEndpoint) chargeSlowStart() {
 	if e.capacityFraction() >= 1 {
 		return
 	}
-	e.slowStartBudget = math.Max(0, e.slowStartLeft()-1)
+	e.slowStartBudget = math.Max(0, e.slowStartBudgetLeft()-1)
 	e.slowStartBudgetAt = e.p.now
 	e.firstAttemptDraw = 1
 }
--- a/policy/verdicts.go
+++ b/policy/verdicts.go
@@ -9,13 +9,16 @@
 )
 
 const (
-	judgeInterval   = 0.25 // s between two looks at the evidence: a few outcomes apart
-	verdictInterval = 1.0  // s between verdicts without a change (DESIGN)
-	listedFraction  = 0.5  // of a stage's endpoints that must be listed before its time counts: a status may lag
+	evaluationInterval = 0.25 // seconds between evaluations of the evidence: a few outcomes
+	verdictInterval    = 1.0  // seconds between reports while no verdict changes
+	// fraction of a stage's endpoints that must be listed before its time counts, as a status may lag behind
+	// the platform
+	listedFraction = 0.5
 )
 
-// judge forms this relay's verdicts and reports them to the aggregators, on change and every so often.
-func (c *canary) judge() {
+// evaluate forms this relay's verdicts. It reports them to the aggregators when a flag changes, and at
+// regular times while there are unreported attempts.
+func (c *canary) evaluate() {
 	c.updateListing()
 	changed := len(c.unreported) > 0 && c.p.now-c.reportedAt >= verdictInterval
 	for class := range c.p.classes {
@@ -32,7 +35,7 @@
 	c.reportToAggregators(report)
 }
 
-// verdictOn forms this relay's verdict on one class. With too few outcomes it says nothing.
+// verdictOn forms this relay's verdict on one class. With too few outcomes it is empty.
 func (c *canary) verdictOn(class int) peerwire.ClassVerdict {
 	if c.newestAttempts.Total(c.p.now, class) < minOutcomes {
 		return peerwire.ClassVerdict{}
@@ -44,12 +47,12 @@
 	return peerwire.ClassVerdict{Flagged: compared.flagged(), Outcomes: compared.newest.attempts}
 }
 
-// fleetCapacity is what the ready endpoints can do, in endpoints past their slow start.
+// fleetCapacity is the capacity of the ready endpoints; an endpoint past its slow start counts 1.
 type fleetCapacity struct {
-	ready   float64 // endpoints
-	newest  float64 // of these, on the newest build
+	ready   float64 // number of ready endpoints
+	newest  float64 // of these, endpoints on the newest build
 	all     float64 // capacity that this relay may use
-	onTrial float64 // of this, of builds on trial
+	onTrial float64 // of that, capacity of builds on trial
 }
 
 func (c *canary) measureCapacity() (capacity fleetCapacity) {
@@ -58,8 +61,9 @@
 			continue
 		}
 		usable := endpoint.capacityFraction()
-		if endpoint.withheld() {
-			usable = 0 // what this relay may not send there must not fall on the others of the build
+		if endpoint.slowStartExhausted() {
+			// the attempts that it can't take must not go to the build's other endpoints
+			usable = 0
 		}
 		capacity.all += usable
 		if c.exposureOf(endpoint.Build).onTrial {
@@ -73,35 +77,35 @@
 	return capacity
 }
 
-// updateListing notes when most endpoints of the present stage are listed, and what part of the attempts
-// they can take.
+// updateListing notes when enough endpoints of the present stage are listed, and updates capacityShare.
 func (c *canary) updateListing() {
 	capacity := c.measureCapacity()
 	rollout := &c.p.settings.Rollout
-	// An even part of the load would do, but machines that came beside the earlier ones can do what these did
-	// alone; all relays together would else leave half of the requests to the earlier build for a whole stage.
-	part := capacity.onTrial / math.Max(capacity.all, 1)
+	// The build gets at least its fraction of the capacity. Machines that were added beside the earlier ones
+	// can take as much as these carried alone. Without this, all relays together would leave half of the
+	// requests to the earlier build for a whole stage.
+	fraction := capacity.onTrial / math.Max(capacity.all, 1)
 	if !rollout.InPlace {
 		beside := math.Min(1, capacity.onTrial/math.Max(capacity.all-capacity.onTrial, 1))
-		part += c.p.router.headroom * math.Max(beside-part, 0)
+		fraction += c.p.router.headroom * math.Max(beside-fraction, 0)
 	}
-	// Where own attempts show how full an endpoint is, its cost bounds what it gets; a small relay sees
-	// nothing of it.
-	c.capacityShare = part * (1 + math.Min(1, float64(c.p.router.openInTime)/math.Max(capacity.ready, 1)))
-	fleet := capacity.ready // what the stage's share is counted of
+	// With many open attempts, a relay sees how full each endpoint is, and the cost limits what an endpoint
+	// gets, so the share may be larger. A relay with little traffic sees no queues.
+	c.capacityShare = fraction * (1 + math.Min(1, float64(c.p.router.openOnTime)/math.Max(capacity.ready, 1)))
+	fleet := capacity.ready // endpoints that the stage's share is a fraction of
 	if !rollout.InPlace {
 		fleet -= capacity.newest
 	}
 	shares := rollout.StageShares
-	if c.listedAt != 0 || capacity.newest == 0 || int(c.status.Stage) >= len(shares) {
+	if c.stageListedAt != 0 || capacity.newest == 0 || int(c.status.Stage) >= len(shares) {
 		return
 	}
 	if capacity.newest >= listedFraction*shares[c.status.Stage]*fleet {
-		c.listedAt = c.p.now
+		c.stageListedAt = c.p.now
 	}
 }
 
-// reportToAggregators sends a report with the attempts not reported yet to every aggregator, in as many
+// reportToAggregators sends a report to every aggregator, with the unreported attempts. It sends as many
 // messages as they need.
 func (c *canary) reportToAggregators(report peerwire.Report) {
 	settings := &c.p.settings
@@ -109,9 +113,9 @@
 		n := min(len(c.unreported), peerwire.MaxObservations)
 		report.Observations = c.unreported[:n]
 		body := report.Encode()
-		for _, member := range c.p.aggregator.members() {
-			if member != settings.Self {
-				c.p.emit(relay.SendMessage{To: member, Body: body})
+		for _, aggregatorID := range c.p.aggregator.aggregatorIDs() {
+			if aggregatorID != settings.Self {
+				c.p.emit(relay.SendMessage{To: aggregatorID, Body: body})
 			}
 		}
 		c.unreported = c.unreported[n:]
