--- a/policy/comparison.go
+++ b/policy/comparison.go
@@ -32,13 +32,13 @@
 	// matched attempts needed to test for slowness, and twice as many at the earlier machines, of which the
 	// last ones to drain are nearly idle
 	minSlowSamples = 60.0
-	// fraction of a build's endpoints that are faulty from which the build counts as the cause
+	// fraction of faulty endpoints of a build above which the build counts as the cause of the faults
 	maxFaultyFraction = 0.5
 	// the fraction must also exceed the earlier build's by this factor, which chance does not explain
 	faultyFactor = 2.0
 	// seconds between the start times of machines that count as the oldest: those of one stage
 	oldestSpread = 2.0
-	// divisor of the number of endpoints, of which the slowest are excluded from slowness
+	// one endpoint in so many, the slowest ones, is excluded from slowness
 	slowestDivisor = 4
 )
 
