--- a/cmd/lichenroad/serve.go
+++ b/cmd/lichenroad/serve.go
@@ -120,7 +120,7 @@
 
 	// The module's first step sees the cached list, then the status of the newest build.
 	if known, err := reader.Parse(c.KnownList); err == nil {
-		discoveryClient.UseKnownList(known)
+		discoveryClient.UseCachedList(known)
 	} else {
 		log.WithField("peer", "discovery").WithError(err).Warn("no endpoint list at start")
 	}
--- a/internal/discovery/client.go
+++ b/internal/discovery/client.go
@@ -15,8 +15,8 @@
 // EndpointListener learns of a list before the decision module does, on the loop: where each endpoint is, and which
 // endpoints get no new requests.
 type EndpointListener interface {
-	// EndpointsListed says that an endpoint is listed under a name and at an address.
-	EndpointsListed(e relay.Endpoint, name, address string)
+	// EndpointListed says that an endpoint is listed under a name and at an address.
+	EndpointListed(e relay.Endpoint, name, address string)
 	// EndpointLeaving says that an endpoint is draining or, if gone, removed.
 	EndpointLeaving(id relay.EndpointID, gone bool)
 	// FullListReceived says that a full list holds: endpoints that it does not list are gone.
@@ -57,8 +57,8 @@
 	return c
 }
 
-// UseKnownList hands over the list that the relay had cached before its start. It is called before Start.
-func (c *Client) UseKnownList(list List) {
+// UseCachedList hands over the list that the relay had cached before its start. It is called before Start.
+func (c *Client) UseCachedList(list List) {
 	c.current.schedule.generation = list.Generation
 	c.loop.Post(listEvent{c.current, listUpdate{list: list, kind: relay.ListCached, notify: true}})
 }
--- a/internal/discovery/events.go
+++ b/internal/discovery/events.go
@@ -110,7 +110,7 @@
 
 func (c *Client) notifyListener(endpoint ListedEndpoint) {
 	if endpoint.State != relay.Removed && endpoint.Address != "" {
-		c.listener.EndpointsListed(endpoint.Endpoint, endpoint.Name, endpoint.Address)
+		c.listener.EndpointListed(endpoint.Endpoint, endpoint.Name, endpoint.Address)
 	}
 	if endpoint.State != relay.Ready {
 		c.listener.EndpointLeaving(endpoint.ID, endpoint.State == relay.Removed)
--- a/internal/discovery/host_test.go
+++ b/internal/discovery/host_test.go
@@ -109,9 +109,9 @@
 	allUpdates   []relay.ListUpdate
 }
 
-func (h *testHost) EndpointsListed(relay.Endpoint, string, string) {}
-func (h *testHost) EndpointLeaving(relay.EndpointID, bool)         { h.leavingCalls++ }
-func (h *testHost) FullListReceived(func(relay.EndpointID) bool)   {}
+func (h *testHost) EndpointListed(relay.Endpoint, string, string) {}
+func (h *testHost) EndpointLeaving(relay.EndpointID, bool)        { h.leavingCalls++ }
+func (h *testHost) FullListReceived(func(relay.EndpointID) bool)  {}
 
 // noopHost carries out no command: a loop that runs for long enough gives some, and these tests give their own.
 type noopHost struct{}
@@ -164,7 +164,7 @@
 	if err != nil {
 		h.t.Fatal(err)
 	}
-	h.client.UseKnownList(known)
+	h.client.UseCachedList(known)
 	h.client.Start()
 	if !h.client.settings.pushed {
 		h.client.Watch(true, false)
--- a/internal/upstream/bench_test.go
+++ b/internal/upstream/bench_test.go
@@ -30,7 +30,7 @@
 			before := heapInUse()
 			for b.Loop() {
 				for i := range units {
-					p.EndpointsListed(relay.Endpoint{ID: relay.EndpointID(i), Build: 41}, names[i], addresses[i])
+					p.EndpointListed(relay.Endpoint{ID: relay.EndpointID(i), Build: 41}, names[i], addresses[i])
 				}
 			}
 			b.ReportMetric(heapInUse()-before, "heap-B")
--- a/internal/upstream/conn_test.go
+++ b/internal/upstream/conn_test.go
@@ -67,7 +67,7 @@
 	l := pipeline.NewLoop(site, 1, buffer.NewPool(1<<20), &metrics.Counters{}, log)
 	p := New(l, 4)
 	l.Upstream = p
-	p.EndpointsListed(relay.Endpoint{ID: 1}, "s-1", "127.0.0.1:1")
+	p.EndpointListed(relay.Endpoint{ID: 1}, "s-1", "127.0.0.1:1")
 	return harness{l, p, p.endpoints[1]}
 }
 
@@ -255,7 +255,7 @@
 	b.idleConn(third)
 	b.pool.CloseIdle(1)
 	b.idleConn(fourth)
-	b.pool.EndpointsListed(relay.Endpoint{ID: 1}, "s-1", "127.0.0.1:2")
+	b.pool.EndpointListed(relay.Endpoint{ID: 1}, "s-1", "127.0.0.1:2")
 	if third.closed == 0 || fourth.closed == 0 {
 		t.Error("a command to close it, or another address, and kept")
 	}
@@ -267,7 +267,7 @@
 	c := b.idleConn(n)
 	attempt := b.attempt()
 	b.pool.Send(attempt)
-	b.pool.EndpointsListed(relay.Endpoint{ID: 1}, "s-1", "127.0.0.1:2")
+	b.pool.EndpointListed(relay.Endpoint{ID: 1}, "s-1", "127.0.0.1:2")
 	responseReceived{conn: c, outcome: relay.Errored, errorCode: "XX000"}.Apply(b.Loop)
 	readyForQuery{c}.Apply(b.Loop)
 	if n.closed == 0 || len(b.endpoint.idle) != 0 {
@@ -280,7 +280,7 @@
 	b.pool.maxConns = 1
 	idle := &fakeConn{accepts: 1 << 20}
 	b.idleConn(idle)
-	b.pool.EndpointsListed(relay.Endpoint{ID: 2}, "s-2", "127.0.0.1:1")
+	b.pool.EndpointListed(relay.Endpoint{ID: 2}, "s-2", "127.0.0.1:1")
 	attempt := b.attempt()
 	attempt.Endpoint = 2
 	b.pool.Send(attempt)
@@ -315,7 +315,7 @@
 	address := ln.Addr().String()
 	ln.Close()
 	b := newHarness(t, nil)
-	b.pool.EndpointsListed(relay.Endpoint{ID: 1}, "s-1", address)
+	b.pool.EndpointListed(relay.Endpoint{ID: 1}, "s-1", address)
 	b.pool.Send(b.attempt())
 	for until := time.Now().Add(10 * time.Second); ; time.Sleep(time.Millisecond) {
 		if ended := b.drain(); len(ended) == 1 {
--- a/internal/upstream/endpoints.go
+++ b/internal/upstream/endpoints.go
@@ -27,11 +27,11 @@
 	startedAt relay.Seconds // 0 where it is not known
 }
 
-// EndpointsListed takes an endpoint as it is listed, before the module sees the list. One that has another address now,
+// EndpointListed takes an endpoint as it is listed, before the module sees the list. One that has another address now,
 // has restarted or runs another build is another incarnation: connections to the earlier one are of no use, and attempts
 // that wait for one were not meant for it. With another build such an attempt would count against an exposure limit under
 // which it was not commanded.
-func (p *Pool) EndpointsListed(e relay.Endpoint, name, address string) {
+func (p *Pool) EndpointListed(e relay.Endpoint, name, address string) {
 	endpoint := p.endpoints[e.ID]
 	if endpoint == nil {
 		endpoint = &endpointConns{id: e.ID, name: name, address: address, incarnation: incarnation{e.Build, e.StartedAt}}
--- a/internal/upstream/endpoints_test.go
+++ b/internal/upstream/endpoints_test.go
@@ -24,10 +24,10 @@
 		"drains":                func(p *Pool) { p.EndpointLeaving(1, false) },
 		"is gone":               func(p *Pool) { p.EndpointLeaving(1, true) },
 		"left out of the list":  func(p *Pool) { p.FullListReceived(func(id relay.EndpointID) bool { return id != 1 }) },
-		"is at another address": func(p *Pool) { p.EndpointsListed(relay.Endpoint{ID: 1}, "s-1", "127.0.0.1:2") },
+		"is at another address": func(p *Pool) { p.EndpointListed(relay.Endpoint{ID: 1}, "s-1", "127.0.0.1:2") },
 		"goes, and comes back elsewhere": func(p *Pool) {
 			p.EndpointLeaving(1, true)
-			p.EndpointsListed(relay.Endpoint{ID: 1}, "s-1", "127.0.0.1:2")
+			p.EndpointListed(relay.Endpoint{ID: 1}, "s-1", "127.0.0.1:2")
 		},
 	} {
 		t.Run(name, func(t *testing.T) {
@@ -78,7 +78,7 @@
 	if ended := b.drain(); len(ended) != 1 || ended[0].Outcome != relay.Errored || n.closed == 0 || len(n.written) != sent {
 		t.Errorf("%+v, closed %d times", ended, n.closed)
 	}
-	b.pool.EndpointsListed(relay.Endpoint{ID: 1}, "s-1", "127.0.0.1:1") // it stays after all
+	b.pool.EndpointListed(relay.Endpoint{ID: 1}, "s-1", "127.0.0.1:1") // it stays after all
 	again := &fakeConn{accepts: 1 << 20}
 	b.idleConn(again)
 	b.pool.Send(b.attempt())
@@ -91,7 +91,7 @@
 func TestRemovedEndpointsAreDropped(t *testing.T) {
 	b := newHarness(t, nil)
 	for id := relay.EndpointID(2); id < 1026; id++ {
-		b.pool.EndpointsListed(relay.Endpoint{ID: id}, "s", "127.0.0.1:1")
+		b.pool.EndpointListed(relay.Endpoint{ID: id}, "s", "127.0.0.1:1")
 	}
 	b.pool.endpoints[2].openConns++ // one that still holds a connection
 	b.pool.FullListReceived(func(id relay.EndpointID) bool { return id == 1 })
--- a/internal/upstream/send_test.go
+++ b/internal/upstream/send_test.go
@@ -76,11 +76,11 @@
 			n := &fakeConn{accepts: 1 << 20}
 			c := b.pendingConn(n)
 			b.pool.Send(b.attempt())
-			b.pool.EndpointsListed(relay.Endpoint{ID: 1}, "s-1", "127.0.0.1:1")
+			b.pool.EndpointListed(relay.Endpoint{ID: 1}, "s-1", "127.0.0.1:1")
 			if ended := b.drain(); len(ended) != 0 {
 				t.Errorf("the same listed again: %+v", ended)
 			}
-			b.pool.EndpointsListed(e, "s-1", "127.0.0.1:1")
+			b.pool.EndpointListed(e, "s-1", "127.0.0.1:1")
 			ended := b.drain()
 			readyForQuery{c}.Apply(b.Loop)
 			if len(ended) != 1 || ended[0].Outcome != relay.NotSent || len(n.written) != 0 {
