--- a/membership/backoff.go
+++ b/membership/backoff.go
@@ -9,39 +9,40 @@
 
 // Durations in seconds.
 const (
-	// fleetPollSpread is the time over which a whole fleet spreads its first polls. Discovery may take that long to answer
-	// one poll of each relay, whatever the size of the fleet (measured on full-size days).
+	// fleetPollSpread is the time over which a large fleet spreads its first polls. Discovery may take that long to answer
+	// one poll from each relay, whatever the size of the fleet.
 	fleetPollSpread = 8.0
-	// pollSpreadPerRelay is the spread for each relay of a small fleet.
+	// pollSpreadPerRelay times the number of relays is the spread of a small fleet.
 	pollSpreadPerRelay = 0.1
-	// initialBackoff bounds the delay after the first failure: the time for which discovery lets a poll queue. The bound
-	// doubles with each further failure up to maxBackoff, at which a fleet polls more slowly than the slowest discovery
-	// answers.
+	// initialBackoff is the maximum delay after the first failure. It equals the time that discovery lets a poll wait in
+	// its queue. The maximum doubles with each further failure up to maxBackoff, at which the fleet sends fewer polls than
+	// even a slow discovery service can answer.
 	initialBackoff = 2.0
 	maxBackoff     = 16.0
-	// maxBackoffPerRelay bounds the delay by the size of the fleet: a few relays overload nobody, and would learn of
-	// changes late if they waited longer.
+	// maxBackoffPerRelay times the number of relays limits the delay in a small fleet, which cannot overload discovery and
+	// would only learn of changes late.
 	maxBackoffPerRelay = 0.06
-	// pollIntervalFraction is the part of the allowed time without a poll after which the next one is started.
+	// pollIntervalFraction is the fraction of the permitted time between polls that a delay may take up.
 	pollIntervalFraction = 0.8
 )
 
-// Backoff spaces the polls of one relay by exponential backoff with full jitter. Discovery queues polls and fails those
-// that waited too long, but works on them all the same; relays that retried at a fixed interval would sustain the overload
-// that fails them. A Backoff is not safe for concurrent use.
+// Backoff delays the polls of one relay by exponential backoff with full jitter. An overloaded discovery service fails
+// polls that have waited too long in its queue, but still processes them, so retries at a fixed interval would keep it
+// overloaded. A Backoff is not safe for concurrent use.
 type Backoff struct {
 	relays       int
 	pollInterval relay.Seconds
 	random       *rand.Rand
-	failures     int // since the last answer
+	failures     int // since the last answer from discovery
 }
 
-// NewBackoff returns the backoff of one relay of a fleet. A poll interval of 0 or less sets no bound.
+// NewBackoff returns the backoff of one relay in a fleet of the given size. The poll interval limits every delay; zero or
+// less means no limit.
 func NewBackoff(relays int, pollInterval relay.Seconds, random *rand.Rand) Backoff {
 	return Backoff{relays: max(relays, 1), pollInterval: orNever(pollInterval), random: random}
 }
 
-// First draws the delay before the first poll: the whole fleet may have started at one moment.
+// First returns a random delay before the first poll. It spreads the polls of a fleet whose relays all started at once.
 func (b *Backoff) First() relay.Seconds {
 	if b.relays == 1 {
 		return 0
@@ -50,8 +51,8 @@
 	return math.Min(spread, pollIntervalFraction*b.pollInterval) * b.random.Float64()
 }
 
-// Failed draws the delay before a failed poll is retried. After a stalled one the first retry is immediate: a change that
-// it missed is about to bind the relay.
+// Failed records a failed poll and returns a random delay before the retry. If the first failure is a stall, the retry is
+// immediate, because the relay will soon count as notified of any change that the stalled poll missed.
 func (b *Backoff) Failed(stalled bool) relay.Seconds {
 	b.failures++
 	if stalled && b.failures == 1 {
@@ -62,11 +63,12 @@
 	return math.Min(bound, pollIntervalFraction*failedPollFactor*b.pollInterval) * b.random.Float64()
 }
 
-// Answered records that discovery answered this relay.
+// Answered records an answer from discovery to this relay, which resets the backoff.
 func (b *Backoff) Answered() { b.failures = 0 }
 
-// PeerAnswered draws the delay before the next poll once discovery answers peers again: all relays whose polls failed want
-// to poll now.
+// PeerAnswered returns a random delay before the next poll after discovery has answered a peer again. The delay is spread
+// like that of a first poll, because all relays whose polls failed want to poll now. It also limits the failure count, so that
+// the next failure is followed by a short backoff.
 func (b *Backoff) PeerAnswered() relay.Seconds {
 	b.failures = min(b.failures, 1)
 	return b.First()
--- a/membership/bench_test.go
+++ b/membership/bench_test.go
@@ -10,22 +10,22 @@
 	"lichenroad/relay"
 )
 
-// Benchmarks at several sizes, for docs/CAPACITY.md: lichenroad lab fit puts a curve through what they measure.
+// Benchmarks at several sizes, for docs/CAPACITY.md. The command "lichenroad lab fit" fits a curve to their results.
 
 const (
-	datagramHeaders = 20 + 8 // bytes of IP and UDP
-	minDelay        = 0.02   // of a datagram, in seconds
-	maxDelay        = 0.04
-	watchWait       = 15.0 // for which discovery holds a watch, in seconds
-	changesPerDay   = 6300 // of the list, at the target
+	datagramHeaders = 20 + 8 // IP and UDP, in bytes
+	minDelay        = 0.02   // shortest delay of a datagram, in seconds
+	maxDelay        = 0.04   // longest delay of a datagram, in seconds
+	watchWait       = 15.0   // how long discovery holds a watch, in seconds
+	changesPerDay   = 6300   // changes of the list at the capacity target
 	secondsPerDay   = 86400.0
-	settleTime      = 30.0 // simulated before the measurement, in seconds
+	settleTime      = 30.0 // simulated time before the measurement, in seconds
 )
 
-// arrival is an event due at a node.
+// arrival is an event that is due at a node.
 type arrival struct {
 	at    relay.Seconds
-	order int // of arrivals at one time
+	order int // orders arrivals that are due at the same time
 	to    int
 	event Event
 }
@@ -44,18 +44,18 @@
 	return last
 }
 
-// benchFleet is a fleet of nodes in virtual time, with a discovery that answers all watches at once on a change.
+// benchFleet simulates a fleet of nodes in virtual time. Discovery answers all watches when the list changes.
 type benchFleet struct {
 	random     *rand.Rand
 	nodes      []*Node
 	timerAt    []relay.Seconds
 	queue      arrivals
-	sent       int
+	scheduled  int
 	generation int64
 	endpoints  int
 
 	steps    int
-	messages float64 // sent by all
+	messages float64 // sent by all nodes
 	bytes    float64
 }
 
@@ -79,11 +79,11 @@
 }
 
 func (f *benchFleet) at(t relay.Seconds, to int, event Event) {
-	f.sent++
-	heap.Push(&f.queue, arrival{t, f.sent, to, event})
+	f.scheduled++
+	heap.Push(&f.queue, arrival{t, f.scheduled, to, event})
 }
 
-// change removes an endpoint, which every watch learns within 0.2 s.
+// change removes an endpoint. Every watch is answered within 0.2 s.
 func (f *benchFleet) change(now relay.Seconds) {
 	f.generation++
 	endpoint := relay.EndpointID(uint64(f.random.Intn(f.endpoints)+1) * 0x9e3779b97f4a7c15)
@@ -93,12 +93,12 @@
 	}
 }
 
-// run applies the events before a time.
+// run applies the events that are due before a time.
 func (f *benchFleet) run(until relay.Seconds) {
 	for len(f.queue) > 0 && f.queue[0].at < until {
 		a := heap.Pop(&f.queue).(arrival)
-		if _, woken := a.event.(TimerFired); woken && a.at < f.timerAt[a.to] {
-			continue // postponed
+		if _, isTimer := a.event.(TimerFired); isTimer && a.at < f.timerAt[a.to] {
+			continue // the timer has been postponed
 		}
 		out := f.nodes[a.to].Step(a.at, a.event)
 		f.steps++
@@ -121,8 +121,8 @@
 	}
 }
 
-// BenchmarkFleetSecond simulates a second of a fleet at the target's rate of changes. Each relay receives what all others
-// send.
+// BenchmarkFleetSecond simulates one second of a fleet in which the list changes at the rate of the capacity target. Each
+// relay receives the messages of all others.
 func BenchmarkFleetSecond(b *testing.B) {
 	for _, size := range []struct{ relays, units int }{{4, 150}, {43, 150}, {300, 150}, {1290, 150}, {4300, 150}, {300, 42_000}} {
 		relays, endpoints := size.relays, size.units
@@ -130,12 +130,12 @@
 			f := newBenchFleet(relays, endpoints)
 			f.run(settleTime)
 			f.messages, f.bytes, f.steps = 0, 0, 0
-			now, owed := settleTime, 0.0
+			now, pendingChanges := settleTime, 0.0
 			for b.Loop() {
-				for owed += changesPerDay / secondsPerDay; owed >= 1; owed-- {
+				for pendingChanges += changesPerDay / secondsPerDay; pendingChanges >= 1; pendingChanges-- {
 					f.change(now)
 				}
-				for i := range f.nodes { // each watch is answered once in its wait
+				for i := range f.nodes { // each watch is answered once per watchWait
 					if i%int(watchWait) == int(now)%int(watchWait) {
 						f.at(now+f.random.Float64(), i, PollAnswered{List{Generation: f.generation}})
 					}
@@ -152,18 +152,18 @@
 	}
 }
 
-// BenchmarkHold measures a node's first full list, and the memory that it takes.
+// BenchmarkHold measures how a new node applies its first full list, and the memory that the node then uses.
 func BenchmarkHold(b *testing.B) {
 	for _, endpoints := range []int{150, 1000, 4096, 12_000, 42_000} {
 		b.Run(fmt.Sprintf("units=%d", endpoints), func(b *testing.B) {
 			list := listOf(endpoints, 1)
 			var n *Node
-			before := inUse()
+			before := heapInUse()
 			for b.Loop() {
 				n = New(Settings{Relays: 4300, PeerMessages: true, PollInterval: 10}, 1)
 				n.Step(1, PollAnswered{list})
 			}
-			b.ReportMetric(inUse()-before, "heap-B")
+			b.ReportMetric(heapInUse()-before, "heap-B")
 			runtime.KeepAlive(n)
 			runtime.KeepAlive(list)
 		})
@@ -177,20 +177,20 @@
 			n := New(Settings{Relays: 4300, PeerMessages: true, PollInterval: 10}, 1)
 			list := listOf(endpoints, 1)
 			n.Step(1, PollAnswered{list})
-			number := 0
+			step := 0
 			for b.Loop() {
-				e := list.Endpoints[number%endpoints]
-				if number/endpoints%2 == 0 {
+				e := list.Endpoints[step%endpoints]
+				if step/endpoints%2 == 0 {
 					e.State = relay.Draining
 				}
-				number++
-				n.Step(1+float64(number), PollAnswered{List{Generation: int64(1 + number), Endpoints: []relay.Endpoint{e}}})
+				step++
+				n.Step(1+float64(step), PollAnswered{List{Generation: int64(1 + step), Endpoints: []relay.Endpoint{e}}})
 			}
 		})
 	}
 }
 
-// BenchmarkHeartbeat measures the receipt of a heartbeat of a peer with the same list.
+// BenchmarkHeartbeat measures the receipt of a heartbeat from a peer with the same list.
 func BenchmarkHeartbeat(b *testing.B) {
 	n := New(Settings{Relays: 4300, PeerMessages: true, PollInterval: 10, Epoch: 1.7e9}, 1)
 	n.Step(1, PollAnswered{listOf(150, 1)})
@@ -201,7 +201,7 @@
 	b.ReportMetric(float64(len(body)+datagramHeaders), "wire-B")
 }
 
-func inUse() float64 {
+func heapInUse() float64 {
 	var m runtime.MemStats
 	runtime.GC()
 	runtime.ReadMemStats(&m)
--- a/membership/bus_test.go
+++ b/membership/bus_test.go
@@ -13,7 +13,7 @@
 	busDelay  = relay.Seconds(0.005)
 )
 
-// testSettings returns the settings of a node of a fleet that may send messages.
+// testSettings returns the settings of one node of a fleet whose relays may send messages.
 func testSettings(self, relays int) Settings {
 	return Settings{Self: relay.ID(self), Relays: relays, PeerMessages: true, PollInterval: 60, Epoch: testEpoch}
 }
@@ -42,7 +42,7 @@
 	return listVersion{update.Generation, l.digest}
 }
 
-// wireTime returns a time as messages carry it.
+// wireTime converts a time to its form in messages, independently of Node.wireTime.
 func wireTime(t relay.Seconds) uint64 {
 	if t == Never {
 		return 0
@@ -51,36 +51,36 @@
 }
 
 // heartbeat returns the datagram of a peer's heartbeat.
-func heartbeat(v listVersion, answered, attempted relay.Seconds) []byte {
-	return message{version: v, answeredAt: wireTime(answered), failedPollAt: wireTime(attempted)}.encode()
+func heartbeat(v listVersion, answeredAt, failedPollAt relay.Seconds) []byte {
+	return message{version: v, answeredAt: wireTime(answeredAt), failedPollAt: wireTime(failedPollAt)}.encode()
 }
 
 // deltas returns the datagrams of a peer's delta between two versions.
-func deltas(base, target listVersion, answered relay.Seconds, endpoints ...relay.EndpointID) (bodies [][]byte) {
+func deltas(base, target listVersion, answeredAt relay.Seconds, endpoints ...relay.EndpointID) (bodies [][]byte) {
 	for _, d := range splitDelta(base, endpoints) {
-		bodies = append(bodies, message{version: target, answeredAt: wireTime(answered), delta: &d}.encode())
+		bodies = append(bodies, message{version: target, answeredAt: wireTime(answeredAt), delta: &d}.encode())
 	}
 	return bodies
 }
 
-// bus carries the messages of a fleet in virtual time. All other relays receive each a fixed delay after it was sent.
+// bus simulates the messages of a fleet in virtual time. All other relays receive a message busDelay after it was sent.
 type bus struct {
 	t      testing.TB
 	now    relay.Seconds
 	relays []*busRelay
 	events busEvents
-	lost   func(from, to int) bool // whether a message is lost on its way; nil: none
+	lost   func(from, to int) bool // reports whether a message is lost; nil: no message is lost
 	sent   []busMessage
 	order  int
 }
 
-// busRelay is one relay of the fleet and what the steps of its node returned.
+// busRelay is one relay of the fleet, with the accumulated output of its node.
 type busRelay struct {
 	*Node
 	timerAt        relay.Seconds
 	leaseExpiresAt relay.Seconds
 	removed        map[relay.EndpointID]bool
-	bytes          int // sent, with headers
+	bytes          int // sent, including headers
 }
 
 type busMessage struct {
@@ -89,11 +89,11 @@
 	body   []byte
 }
 
-// busEvent is an action of the test, the arrival of a message, or else the timer of a relay.
+// busEvent is an action of the test, if action is set; the arrival of a message, if body is set; or else a relay's timer.
 type busEvent struct {
 	at     relay.Seconds
-	order  int // of events at one time
-	relay  int
+	order  int // orders events that are due at the same time
+	relay  int // sender of the message, or owner of the timer
 	body   []byte
 	action func()
 }
@@ -121,7 +121,7 @@
 	return b
 }
 
-// restart replaces a relay's node by one without any state.
+// restart replaces a relay's node by a new one without state.
 func (b *bus) restart(i int) {
 	seed := rand.New(rand.NewSource(int64(b.order)<<16 + int64(i))).Int63()
 	b.relays[i] = &busRelay{Node: New(testSettings(i, len(b.relays)), seed), timerAt: Never, removed: map[relay.EndpointID]bool{},
@@ -134,7 +134,7 @@
 	heap.Push(&b.events, event)
 }
 
-// at schedules an action.
+// at schedules an action of the test.
 func (b *bus) at(t relay.Seconds, action func()) { b.push(busEvent{at: t, action: action}) }
 
 // step applies an event to a node and carries out its output.
@@ -147,7 +147,7 @@
 	}
 	for _, body := range out.Messages {
 		if len(body) > maxDatagramBytes {
-			b.t.Fatalf("a datagram of %d bytes", len(body))
+			b.t.Fatalf("a datagram has %d bytes, more than the maximum of %d", len(body), maxDatagramBytes)
 		}
 		node.bytes += len(body) + datagramHeaderBytes
 		b.sent = append(b.sent, busMessage{b.now, i, body})
@@ -155,7 +155,7 @@
 	}
 	if out.TimerAt != node.timerAt {
 		if out.TimerAt <= b.now {
-			b.t.Fatalf("a timer for %v was set at %v", out.TimerAt, b.now)
+			b.t.Fatalf("at %v a timer was set for %v, which is not in the future", b.now, out.TimerAt)
 		}
 		if node.timerAt = out.TimerAt; out.TimerAt != Never {
 			b.push(busEvent{at: out.TimerAt, relay: i})
@@ -189,7 +189,7 @@
 	}
 }
 
-// count returns the number of messages sent from a time on, by kind.
+// count returns the number of messages of each kind that were sent at or after a time.
 func (b *bus) count(from relay.Seconds) (heartbeats, deltas int) {
 	for _, m := range b.sent {
 		switch {
--- a/membership/clock.go
+++ b/membership/clock.go
@@ -6,10 +6,10 @@
 	"lichenroad/relay"
 )
 
-// Never is a time that does not come, or has not been.
+// Never stands for a time that will not come or an event that has not occurred.
 const Never = relay.Seconds(math.MaxFloat64)
 
-// orNever returns a duration of the settings, where zero or less stands for one without an end.
+// orNever returns a duration from the settings, or Never if it is zero or less, which means unlimited.
 func orNever(duration relay.Seconds) relay.Seconds {
 	if duration <= 0 {
 		return Never
@@ -17,7 +17,7 @@
 	return duration
 }
 
-// later returns the later of two times, of which Never counts as the earliest.
+// later returns the later of two times. Never counts as earlier than any other time.
 func later(a, b relay.Seconds) relay.Seconds {
 	switch {
 	case a == Never:
@@ -28,7 +28,7 @@
 	return math.Max(a, b)
 }
 
-// wireTime returns a time as messages carry it: Unix milliseconds, 0 for Never.
+// wireTime converts a time to its form in messages: Unix milliseconds, or 0 for Never.
 func (n *Node) wireTime(t relay.Seconds) uint64 {
 	if t == Never || t+n.settings.Epoch <= 0 {
 		return 0
@@ -36,7 +36,7 @@
 	return uint64((t + n.settings.Epoch) * 1000)
 }
 
-// timeFromWire reverses wireTime. A time in the future counts as now, in case a peer's clock is ahead.
+// timeFromWire is the inverse of wireTime. It limits times to the present, in case a peer's clock is ahead.
 func (n *Node) timeFromWire(milliseconds uint64) relay.Seconds {
 	if milliseconds == 0 {
 		return Never
--- a/membership/decode.go
+++ b/membership/decode.go
@@ -7,23 +7,23 @@
 	"lichenroad/relay"
 )
 
-// malformedError is why a datagram is not a message.
+// malformedError is the reason why a datagram is not a valid message.
 type malformedError string
 
-// Error returns the reason with the name of the package.
+// Error returns the reason, prefixed with the package name.
 func (e malformedError) Error() string { return "membership: malformed message: " + string(e) }
 
 const (
-	errUnknownKind    malformedError = "unknown mark or kind"
-	errTooLong        malformedError = "longer than a datagram may be"
-	errTruncated      malformedError = "ends too early"
-	errTrailingBytes  malformedError = "bytes after its end"
-	errBadNumber      malformedError = "number too large or not in the fewest bytes"
-	errBadPart        malformedError = "part or count of a delta out of range"
-	errBaseAfterDelta malformedError = "base of a delta newer than its list"
+	errUnknownKind    malformedError = "unknown magic byte or kind"
+	errTooLong        malformedError = "longer than the maximum datagram size"
+	errTruncated      malformedError = "truncated"
+	errTrailingBytes  malformedError = "trailing bytes"
+	errBadNumber      malformedError = "number out of range or not in its shortest encoding"
+	errBadPart        malformedError = "part number, number of parts or number of endpoints of a delta out of range"
+	errBaseAfterDelta malformedError = "base version of a delta newer than its target version"
 )
 
-// decode reads a datagram, which must be exactly one message. Its errors are malformedErrors.
+// decode parses a datagram, which must contain exactly one message. Its errors are of type malformedError.
 func decode(body []byte) (message, error) {
 	if !IsMessage(body) {
 		return message{}, errUnknownKind
@@ -45,7 +45,7 @@
 	return m, r.err
 }
 
-// reader reads the fields of a message in order. After an error, the first of which it keeps, fields are zero.
+// reader reads the fields of a message in order. It keeps the first error; all fields read after an error are zero.
 type reader struct {
 	rest []byte
 	err  error // nil or a malformedError
@@ -58,7 +58,7 @@
 	}
 }
 
-// uvarint reads a number up to the largest int64, in the fewest bytes that hold it.
+// uvarint reads a varint of at most math.MaxInt64 in its shortest encoding, and fails on any other.
 func (r *reader) uvarint() uint64 {
 	value, size := binary.Uvarint(r.rest)
 	if size == 0 {
@@ -74,7 +74,7 @@
 	return value
 }
 
-// next takes a number of bytes.
+// next consumes the given number of bytes and returns them, or zeros if the message is shorter.
 func (r *reader) next(size int) []byte {
 	if len(r.rest) < size {
 		r.fail(errTruncated)
--- a/membership/event.go
+++ b/membership/event.go
@@ -6,40 +6,40 @@
 	"lichenroad/relay"
 )
 
-// Event is what a node can be told by its host. The set is closed: an event has to implement its own effect on a node, so
-// one that nobody handles does not compile.
+// Event is an input to a node from its host. Only this package can define events: each implements its own effect on a node,
+// so an event that is not handled does not compile.
 type Event interface {
 	applyTo(n *Node)
 }
 
-// CachedList is the list that the relay stored before its start. Its age is not known.
+// CachedList is the list that the relay stored during an earlier run. Its age is unknown.
 type CachedList struct{ List List }
 
-// PollStarted is the start of a poll of discovery.
+// PollStarted reports the start of a poll of discovery.
 type PollStarted struct {
-	Wait           relay.Seconds // for which discovery may hold the poll until the list changes
-	ContinuesWatch bool          // it follows an answer without a gap, so that no change is missed in between
+	Wait           relay.Seconds // the longest time that discovery may hold the poll until the list changes
+	ContinuesWatch bool          // the poll follows an answer without a gap, so that no change in between is missed
 }
 
-// PollAnswered is discovery's answer to the poll.
+// PollAnswered reports discovery's answer to the poll.
 type PollAnswered struct{ List List }
 
-// PollFailed is the end of the poll without an answer.
+// PollFailed reports that the poll ended without a valid answer.
 type PollFailed struct {
-	Stalled    bool // nothing came at all, not even the end of the connection
-	Unreadable bool // something came that was no list
+	Stalled    bool // nothing was received in time, not even the end of the connection
+	Unreadable bool // an answer was received, but could not be parsed as a list
 }
 
-// MessageReceived is a datagram of another relay for which IsMessage holds.
+// MessageReceived is a datagram from another relay for which IsMessage returned true.
 type MessageReceived struct {
 	From relay.ID
-	Body []byte // not retained
+	Body []byte // not retained after the step
 }
 
-// TimerFired is due at Output.TimerAt.
+// TimerFired reports that the time Output.TimerAt has been reached.
 type TimerFired struct{}
 
-// pollState is the poll of discovery in progress.
+// pollState describes the latest poll of discovery. The other fields are valid while it is pending.
 type pollState struct {
 	pending        bool
 	startedAt      relay.Seconds
@@ -47,7 +47,7 @@
 	continuesWatch bool
 }
 
-// applyTo takes over a list that nobody has confirmed.
+// applyTo adopts the stored list without confirming it.
 func (e CachedList) applyTo(n *Node) {
 	n.list.apply(e.List)
 	n.adoptVersion(listVersion{e.List.Generation, n.list.digest})
@@ -58,12 +58,12 @@
 	n.poll = pollState{pending: true, startedAt: n.now, wait: e.Wait, continuesWatch: e.ContinuesWatch}
 }
 
-// applyTo takes over a list or a change from discovery itself. It confirms the version that results, unless a peer's delta
-// has already brought a later one.
+// applyTo applies a full list or a set of changes from discovery. The answer confirms the resulting version, unless a
+// peer's delta has already brought a newer one.
 func (e PollAnswered) applyTo(n *Node) {
 	n.poll.pending = false
 	discoveryRestarted := e.List.Full && e.List.Generation < n.version.generation
-	if discoveryRestarted { // it counts its generations from the start again
+	if discoveryRestarted { // discovery now counts generations from the start again
 		n.list.forgetGenerations()
 		n.version = listVersion{generation: noGeneration}
 		n.newestGeneration = noGeneration
@@ -71,7 +71,7 @@
 	outdated := n.list.apply(e.List)
 	n.output.Removed = append(n.output.Removed, outdated...)
 	if e.List.Generation < n.version.generation {
-		return // written before the changes that a peer's delta brought
+		return // the answer is older than the changes in a peer's delta
 	}
 	latest := listVersion{e.List.Generation, n.list.digest}
 	changed := latest != n.version
@@ -84,8 +84,8 @@
 	}
 }
 
-// applyTo records a poll that failed. The end of a watch that discovery closed confirms the list instead: a change before
-// it would have been sent.
+// applyTo records a failed poll. If discovery closed a watch that it had been holding, this confirms the list instead:
+// discovery would have sent any earlier change on that watch.
 func (e PollFailed) applyTo(n *Node) {
 	if !n.poll.pending {
 		return
@@ -96,22 +96,22 @@
 		n.answeredAt = n.now
 		return
 	}
-	if !e.Unreadable { // discovery that answers is not down, whatever it sends
+	if !e.Unreadable { // any answer, even an unreadable one, shows that discovery is not down
 		n.failedPollAt = later(n.failedPollAt, n.poll.startedAt)
 	}
 }
 
 func (e MessageReceived) applyTo(n *Node) { n.receive(e) }
 
-// applyTo changes nothing: every step sends what is due.
+// applyTo does nothing: each step sends the messages that are due.
 func (TimerFired) applyTo(*Node) {}
 
-// adoptVersion makes a version that was received completely the present one.
+// adoptVersion makes a version that was received completely the current one.
 func (n *Node) adoptVersion(version listVersion) {
 	n.version = version
 	n.newestGeneration = max(n.newestGeneration, version.generation)
 	n.list.rememberVersion(version)
 }
 
-// isBehind reports whether a peer holds a newer list whose changes are not known here.
+// isBehind reports whether a peer holds a newer list whose changes this node has not received.
 func (n *Node) isBehind() bool { return n.newestGeneration > n.version.generation }
--- a/membership/gossip.go
+++ b/membership/gossip.go
@@ -7,60 +7,62 @@
 	"lichenroad/relay"
 )
 
-// Durations in seconds, unless the name says bytes.
+// Durations in seconds, sizes in bytes.
 const (
-	// heartbeatInterval and heartbeatBackoff space the fleet's heartbeats: one relay sends, and the others, which receive
-	// it, start their delay anew. One to three are sent in each such time, whatever the size of the fleet.
+	// heartbeatInterval plus a random part of heartbeatBackoff is a relay's delay before its next heartbeat. When one relay
+	// sends, the others restart their delays, so that one to three relays send in each such period, whatever the size of
+	// the fleet.
 	heartbeatInterval = 0.5
 	heartbeatBackoff  = 1.0
-	// changeBackoff spreads the heartbeats of relays that learn of a change at one moment. It is several times the delay of
-	// a message, so that most of them receive the first one and send none.
+	// changeBackoff spreads the heartbeats of relays that learn of a change at the same time. It is several times the delay
+	// of a message, so that most relays receive the first heartbeat before they would send their own, and then send none.
 	changeBackoff = 0.2
-	// deltaBackoff does the same for relays that could send a delta to one with an older list.
+	// deltaBackoff has the same purpose for relays that could all send a delta to a relay with an older list.
 	deltaBackoff = 0.3
-	// staleAfter is how much older than the time known here a peer's confirmation may be before a heartbeat updates it.
+	// staleAfter is how far a peer's confirmation time may lag behind this node's before a heartbeat updates the peer.
 	staleAfter = 2.0
-	// maxDoublings bounds how often the time between heartbeats doubles while no peer is heard: up to 12 s.
+	// maxDoublings limits how often the delay between heartbeats doubles while no peer is heard. The longest delay is 12 s.
 	maxDoublings = 3
-	// maxDeltaBases bounds the older lists for which deltas are pending at one time.
+	// maxDeltaBases limits the number of older lists for which deltas can be pending at the same time.
 	maxDeltaBases = 4
-	// bytesPerSecond and burstBytes bound what a node sends, with headers: half of a relay's 4 KB a second.
+	// bytesPerSecond and burstBytes limit what a node sends, headers included: half of the 4 KB/s that a relay may send in
+	// datagrams.
 	bytesPerSecond      = 2048
 	burstBytes          = 8192
-	datagramHeaderBytes = 28 // of UDP and IP
+	datagramHeaderBytes = 28 // UDP and IP
 )
 
-// gossip is when a node sends next, and what.
+// gossip holds the messages that a node has to send and when they are due.
 type gossip struct {
-	heartbeatAt         relay.Seconds
-	deltaAt             relay.Seconds
-	deltaBases          []listVersion // older lists that peers hold, for which deltas are pending
-	advertisedAt        relay.Seconds // when the present version was last sent or received
-	discoveryAnsweredAt relay.Seconds // the latest answer of discovery to any relay; Never: none
-	sendBudget          float64       // bytes that may be sent, as of sendBudgetAt
-	sendBudgetAt        relay.Seconds
-	heartbeatsUnheard   int // heartbeats sent since a peer was last heard
+	heartbeatAt            relay.Seconds
+	deltaAt                relay.Seconds
+	deltaBases             []listVersion // older versions held by peers, for which deltas are pending
+	advertisedAt           relay.Seconds // when the current version was last sent or received
+	discoveryAnsweredAt    relay.Seconds // latest known answer of discovery to any relay; Never: none
+	sendBudget             float64       // bytes that may be sent, as of sendBudgetAt
+	sendBudgetAt           relay.Seconds
+	heartbeatsSinceContact int // heartbeats sent since the last message from a peer
 }
 
 func newGossip() gossip {
 	return gossip{heartbeatAt: Never, deltaAt: Never, advertisedAt: -Never, discoveryAnsweredAt: Never, sendBudget: burstBytes}
 }
 
-// nextTimer returns when something is due; Never: nothing is.
+// nextTimer returns when the next message is due, or Never.
 func (g *gossip) nextTimer() relay.Seconds { return math.Min(g.heartbeatAt, g.deltaAt) }
 
-// scheduleHeartbeat has a heartbeat sent within a time, unless a peer's makes it superfluous before.
+// scheduleHeartbeat schedules a heartbeat within the given time. A peer's heartbeat can make it superfluous before that.
 func (g *gossip) scheduleHeartbeat(n *Node, within relay.Seconds) {
 	g.heartbeatAt = math.Min(g.heartbeatAt, n.now+n.drawSuppressionDelay(within))
 }
 
-// suppressHeartbeat postpones the next heartbeat, as this node or a peer has just sent the same.
+// suppressHeartbeat postpones the next heartbeat, because this node or a peer has just sent an equivalent one.
 func (g *gossip) suppressHeartbeat(n *Node) {
 	delay := heartbeatInterval + n.drawSuppressionDelay(heartbeatBackoff)
-	g.heartbeatAt = n.now + delay*math.Exp2(float64(min(g.heartbeatsUnheard, maxDoublings)))
+	g.heartbeatAt = n.now + delay*math.Exp2(float64(min(g.heartbeatsSinceContact, maxDoublings)))
 }
 
-// scheduleDelta has a delta sent from an older list, if it is known here.
+// scheduleDelta schedules a delta from an older list, if this node has held that list itself.
 func (g *gossip) scheduleDelta(n *Node, base listVersion) {
 	known := slices.Contains(n.list.versions, base)
 	pending := slices.Contains(g.deltaBases, base)
@@ -71,7 +73,7 @@
 	g.deltaAt = math.Min(g.deltaAt, n.now+n.drawSuppressionDelay(deltaBackoff))
 }
 
-// cancelDelta drops the delta from an older list, as a peer has just sent it.
+// cancelDelta cancels the delta from an older list, because a peer has just sent it.
 func (g *gossip) cancelDelta(base listVersion) {
 	g.deltaBases = slices.DeleteFunc(g.deltaBases, func(pending listVersion) bool { return pending == base })
 	if len(g.deltaBases) == 0 {
@@ -79,7 +81,7 @@
 	}
 }
 
-// spend takes bytes from the send budget, and reports whether it sufficed.
+// spend deducts bytes from the send budget and reports whether the budget was sufficient.
 func (g *gossip) spend(now relay.Seconds, bytes int) bool {
 	g.sendBudget = math.Min(burstBytes, g.sendBudget+bytesPerSecond*(now-g.sendBudgetAt))
 	g.sendBudgetAt = now
@@ -91,14 +93,14 @@
 	return true
 }
 
-// drawSuppressionDelay draws a delay such that only a few relays of a whole fleet draw a short one: the truncated
-// exponential distribution of RFC 5401, 5.1 (feedback suppression of NORM).
+// drawSuppressionDelay returns a random delay of at most longest. It is distributed so that only a few relays of a fleet
+// draw a short delay: the truncated exponential distribution of RFC 5401, section 5.1 (feedback suppression in NORM).
 func (n *Node) drawSuppressionDelay(longest relay.Seconds) relay.Seconds {
 	lambda := math.Log(float64(max(n.settings.Relays, 1))) + 1
 	return longest / lambda * math.Log(1+n.random.Float64()*(math.Exp(lambda)-1))
 }
 
-// sendDue sends the deltas and the heartbeat whose time has come.
+// sendDue sends the deltas and the heartbeat that are due.
 func (n *Node) sendDue() {
 	hasList := n.version.generation != noGeneration
 	if !n.settings.PeerMessages || n.isAlone() || !hasList {
@@ -118,11 +120,11 @@
 	n.broadcast(n.newMessage(nil))
 	n.counters.Heartbeats++
 	n.gossip.advertisedAt = n.now
-	n.gossip.heartbeatsUnheard++
+	n.gossip.heartbeatsSinceContact++
 	n.gossip.suppressHeartbeat(n)
 }
 
-// sendDeltas sends the removals since each older list that peers hold.
+// sendDeltas sends the pending deltas: the removals since each older list that peers hold.
 func (n *Node) sendDeltas() {
 	for _, base := range n.gossip.deltaBases {
 		endpoints, known := n.list.removedSince(base)
@@ -138,7 +140,7 @@
 	n.gossip.deltaAt = Never
 }
 
-// newMessage returns a message of the present state; without a delta it is a heartbeat.
+// newMessage returns a message with the current state. It is a heartbeat if d is nil.
 func (n *Node) newMessage(d *delta) message {
 	return message{
 		version:      n.version,
@@ -148,8 +150,8 @@
 	}
 }
 
-// broadcast sends a message to all other relays, or drops it when the send budget is used up: any message may be lost, and
-// is repeated.
+// broadcast sends a message to all other relays, or drops it if the send budget is used up. The protocol tolerates the loss
+// of any message, because messages are repeated.
 func (n *Node) broadcast(m message) {
 	body := m.encode()
 	if n.gossip.spend(n.now, len(body)+datagramHeaderBytes) {
--- a/membership/gossip_test.go
+++ b/membership/gossip_test.go
@@ -13,19 +13,19 @@
 func TestDroppedMessages(t *testing.T) {
 	good := heartbeat(newRestartedNode().version, 10, Never)
 	for name, received := range map[string]MessageReceived{
-		"from itself":                   {0, good},
-		"empty":                         {1, nil},
-		"of an unknown kind":            {1, []byte{messageMagic, 7}},
-		"truncated":                     {1, good[:len(good)-1]},
-		"with trailing bytes":           {1, append(slices.Clone(good), 0)},
-		"too long":                      {1, append(slices.Clone(good), make([]byte, maxDatagramBytes)...)},
-		"part of a delta without parts": {1, message{version: listVersion{6, 0}, delta: &delta{parts: 0}}.encode()},
+		"from itself":           {0, good},
+		"empty":                 {1, nil},
+		"unknown kind":          {1, []byte{messageMagic, 7}},
+		"truncated":             {1, good[:len(good)-1]},
+		"trailing bytes":        {1, append(slices.Clone(good), 0)},
+		"too long":              {1, append(slices.Clone(good), make([]byte, maxDatagramBytes)...)},
+		"delta with zero parts": {1, message{version: listVersion{6, 0}, delta: &delta{parts: 0}}.encode()},
 	} {
 		t.Run(name, func(t *testing.T) {
 			n := newRestartedNode()
 			out := n.Step(10.5, received)
 			if c := n.Counters(); out.LeaseExpiresAt != 0 || c.Unreadable != 1 || c.Received != 0 {
-				t.Errorf("%+v, %+v", out, c)
+				t.Errorf("the message was not dropped: output %+v, counters %+v", out, c)
 			}
 		})
 	}
@@ -40,7 +40,7 @@
 	for i := range 100 {
 		out := n.Step(2+relay.Seconds(i), MessageReceived{1, heartbeat(versionOf(fullList(5, 1, 2)), Never, Never)})
 		if len(out.Messages) != 0 || out.TimerAt != Never {
-			t.Fatalf("%+v", out)
+			t.Fatalf("messages or a timer although messages are disabled: %+v", out)
 		}
 	}
 }
@@ -68,11 +68,12 @@
 		}
 	}
 	if upperBound := burstBytes + bytesPerSecond*seconds; sent > upperBound || datagrams < 100 {
-		t.Fatalf("%d bytes in %d datagrams, at most %d may be sent", sent, datagrams, upperBound)
+		t.Fatalf("sent %d bytes in %d datagrams, want at most %d bytes in at least 100 datagrams", sent, datagrams, upperBound)
 	}
 }
 
-// answerEvery schedules an answer of discovery to each relay in every ten seconds, spread evenly over them.
+// answerEvery schedules an answer from discovery to each relay every ten seconds, with the relays spread evenly over that
+// time.
 func answerEvery(b *bus, list List, seconds int) {
 	for i := range b.relays {
 		for round := range seconds / 10 {
@@ -93,9 +94,9 @@
 			answerEvery(b, fullList(5, endpointRange(1, 20)...), 30)
 			b.run(30)
 			heartbeats, deltas := b.count(10)
-			t.Logf("%.2f heartbeats a second", float64(heartbeats)/20)
+			t.Logf("%.2f heartbeats per second", float64(heartbeats)/20)
 			if heartbeats < 20 || heartbeats > 200 || deltas > 0 {
-				t.Errorf("%d heartbeats and %d deltas in 20 s", heartbeats, deltas)
+				t.Errorf("%d heartbeats and %d deltas in 20 s, want 20 to 200 heartbeats and no delta", heartbeats, deltas)
 			}
 		})
 	}
@@ -119,14 +120,14 @@
 	b.run(17)
 	for i, n := range b.relays[:210] {
 		if n.version != versionOf(newer) || len(n.removed) != 33 || n.leaseExpiresAt < 17 {
-			t.Fatalf("relay %d: version %v, %d removed, lease until %v", i, n.version, len(n.removed), n.leaseExpiresAt)
+			t.Fatalf("relay %d: version %v, %d endpoints removed, lease until %v", i, n.version, len(n.removed), n.leaseExpiresAt)
 		}
 	}
 	b.run(25)
 	heartbeats, deltas := b.count(15)
-	t.Logf("%d heartbeats and %d datagrams of deltas in 10 s", heartbeats, deltas)
+	t.Logf("%d heartbeats and %d delta datagrams in 10 s", heartbeats, deltas)
 	if deltas > 40 || heartbeats > 100 {
-		t.Errorf("%d heartbeats and %d datagrams of deltas in 10 s", heartbeats, deltas)
+		t.Errorf("%d heartbeats and %d delta datagrams in 10 s, want at most 100 and 40", heartbeats, deltas)
 	}
 }
 
@@ -142,6 +143,6 @@
 		return a.sentAt == b.sentAt && a.from == b.from && bytes.Equal(a.body, b.body)
 	}
 	if len(sent[0]) == 0 || !slices.EqualFunc(sent[0], sent[1], same) {
-		t.Fatalf("%d and %d messages", len(sent[0]), len(sent[1]))
+		t.Fatalf("two runs with the same seed sent different messages, or none: %d and %d messages", len(sent[0]), len(sent[1]))
 	}
 }
--- a/membership/history_test.go
+++ b/membership/history_test.go
@@ -8,11 +8,12 @@
 
 const (
 	historySeconds        = 40
-	stalledFraction       = 0.05 // of discovery's answers, which are lost
-	maxLossWhileRejecting = 0.1  // of messages, while discovery rejects polls
+	stalledFraction       = 0.05 // fraction of discovery's answers that are lost, so that the poll stalls
+	maxLossWhileRejecting = 0.1  // maximum fraction of messages lost in a history where discovery rejects polls
 )
 
-// history is a drawn course of the main events, with the seed of the small ones: delays and losses.
+// history is a random sequence of the main events of a simulation. The seed determines the rest: delays, losses and the
+// like.
 type history struct {
 	nodes          int
 	discoveryFault discoveryFault
@@ -21,7 +22,7 @@
 	actions        []simulationAction
 }
 
-// simulationAction is one event of a history. Each kind uses the fields that it needs.
+// simulationAction is one event of a history. Not every kind uses the fields node and amount.
 type simulationAction struct {
 	at     relay.Seconds
 	kind   actionKind
@@ -41,25 +42,25 @@
 	nodeRestarts
 	nodePartitioned
 	nodeHealed
-	actionKinds // their number
+	actionKinds // number of kinds
 )
 
-// discoveryFault is what discovery does wrong in a history, apart from outages. A lease by failed polls assumes that polls
-// fail at all relays, or that a relay hears in time of an answer to another one; histories keep to that assumption, so not
-// all faults occur together.
+// discoveryFault is the kind of fault that discovery has in a history, apart from outages. A lease that is renewed because
+// of failed polls relies on an assumption: either the polls of all relays fail, or a relay learns in time of an answer to
+// another relay. Histories satisfy this assumption, so not all faults are combined.
 type discoveryFault int
 
 const (
 	noDiscoveryFault discoveryFault = iota
-	// rejectsPolls: polls of some relays are rejected, never those of all. The others are answered, no relay is partitioned,
-	// and at most maxLossWhileRejecting of the messages is lost.
+	// rejectsPolls: discovery rejects the polls of some relays, but never of all, and answers the others. No relay is
+	// partitioned, and at most the fraction maxLossWhileRejecting of the messages is lost.
 	rejectsPolls
-	// renumbersGenerations: discovery restarts its generations from 1. No poll stalls: a relay with the list of before can't
-	// tell from its peers' generations that theirs is the later one.
+	// renumbersGenerations: discovery restarts its generations from 1. No poll stalls, because a relay that still has a
+	// list from before the restart cannot tell by the generations of its peers that their lists are newer.
 	renumbersGenerations
 )
 
-// histories returns a generator of histories.
+// histories returns a generator of random histories.
 func histories() *rapid.Generator[history] {
 	return rapid.Custom(func(t *rapid.T) history {
 		h := history{
--- a/membership/lease.go
+++ b/membership/lease.go
@@ -6,41 +6,43 @@
 	"lichenroad/relay"
 )
 
-// Durations in seconds. Those of the protocol page are marked.
+// Durations in seconds. Those marked "protocol" are part of discovery's protocol.
 const (
-	// changeBindsAfter is the time from when discovery has a change until it binds a relay that it did not reach (protocol).
-	changeBindsAfter = 6.0
-	// changeBindsAfterWait is the time from the end of a stalled watch's wait until a change binds the relay, if that is
-	// later (protocol).
-	changeBindsAfterWait = 2.0
-	// failedPollFactor times Settings.PollInterval is how long the list holds after a failed poll (protocol).
+	// maxNotifyDelay is the time from a change at discovery until every relay counts as notified of it, whether or not the
+	// relay has received it (protocol).
+	maxNotifyDelay = 6.0
+	// maxNotifyDelayAfterWait is the time from the end of a watch's wait until the relay counts as notified of a change
+	// that the watch missed because it stalled, if that is later (protocol).
+	maxNotifyDelayAfterWait = 2.0
+	// failedPollFactor times Settings.PollInterval is how long the list may be used after a failed poll (protocol).
 	failedPollFactor = 4.0
-	// leaseMargin is how long before a change may bind the lease ends: messages and steps take some milliseconds.
+	// leaseMargin is how long the lease ends before the relay could count as notified of a change. It allows for the
+	// milliseconds that messages and steps take.
 	leaseMargin = 0.25
-	// contactTimeout is how long a message of a peer counts as contact with the fleet: about three heartbeats.
+	// contactTimeout is how long a message from a peer counts as contact with the fleet: about three heartbeats.
 	contactTimeout = 3.0
-	// minContactTime is how long peers must have been heard, from the start or from the end of a silence, before a failed
-	// poll counts: relays that started together hold the same old list, and a peer with a newer one says so within a
-	// heartbeat and its delta.
+	// minContactTime is how long this node must have been in contact with peers, after its start or after a silence, before
+	// a failed poll counts as an outage of discovery. Relays that started together may all hold the same old list; a peer
+	// with a newer one is heard within the time of a heartbeat and a delta.
 	minContactTime = heartbeatInterval + heartbeatBackoff + deltaBackoff
 )
 
-// leaseExpiry returns the time until which the list may be acted on; 0 if nothing has confirmed it yet.
+// leaseExpiry returns the time until which the list may be used, or 0 if nothing has confirmed it yet.
 func (n *Node) leaseExpiry() relay.Seconds {
 	n.confirmedAt = later(n.confirmedAt, n.verifiedAt())
 	expiry := 0.0
 	if n.confirmedAt != Never {
-		expiry = n.confirmedAt + math.Min(changeBindsAfter, failedPollFactor*n.settings.PollInterval) - leaseMargin
+		expiry = n.confirmedAt + math.Min(maxNotifyDelay, failedPollFactor*n.settings.PollInterval) - leaseMargin
 	}
 	if watchHeld := n.poll.pending && n.poll.continuesWatch; watchHeld {
-		watchExpiry := n.poll.startedAt + math.Max(changeBindsAfter, n.poll.wait+changeBindsAfterWait) - leaseMargin
+		watchExpiry := n.poll.startedAt + math.Max(maxNotifyDelay, n.poll.wait+maxNotifyDelayAfterWait) - leaseMargin
 		expiry = math.Max(expiry, watchExpiry)
 	}
 	return math.Max(expiry, 0)
 }
 
-// verifiedAt returns the latest time at which the list is known, by the present state alone, to have been discovery's, or
-// discovery to have been down.
+// verifiedAt returns the latest time at which, by the current state alone, discovery is known either to have had this list
+// or to have been down.
 func (n *Node) verifiedAt() relay.Seconds {
 	outageCounts := n.failedPollAt != Never && !n.isBehind() && n.inContact()
 	if !outageCounts {
@@ -49,8 +51,8 @@
 	return later(n.answeredAt, math.Min(n.failedPollAt, n.lastContact()))
 }
 
-// lastContact returns the time up to which peers would have told of an answer. A relay partitioned from them since then
-// can't tell its own failed polls from those of all.
+// lastContact returns the time up to which peers would have reported an answer from discovery. If the relay has been
+// partitioned from its peers since then, it cannot know whether their polls fail as well.
 func (n *Node) lastContact() relay.Seconds {
 	if n.isAlone() {
 		return n.now
@@ -58,16 +60,17 @@
 	return n.agreedAt
 }
 
-// inContact reports whether a failed poll stands for the whole fleet, since an answer to any other relay would have been
-// heard of. If discovery answers nobody it is down, and changes that it does not know bind nobody; if it answers others it
-// is overloaded, and changes do bind. A relay alone in its fleet competes with nobody for answers.
+// inContact reports whether a failed poll counts as an outage for the whole fleet, because this node would have heard of an
+// answer to any other relay. If discovery answers no relay, it is down, and no relay counts as notified of changes that
+// have not reached it. If it answers other relays, it is overloaded, and all relays count as notified in time. A relay
+// without peers competes with no other for answers.
 func (n *Node) inContact() bool {
 	if n.isAlone() {
 		return true
 	}
-	agreedLately := n.agreedAt != Never && n.now-n.agreedAt < contactTimeout
-	return agreedLately && n.now-n.messagesSince >= minContactTime
+	agreedRecently := n.agreedAt != Never && n.now-n.agreedAt < contactTimeout
+	return agreedRecently && n.now-n.contactSince >= minContactTime
 }
 
-// isAlone reports whether there are no peers.
+// isAlone reports whether the relay has no peers.
 func (n *Node) isAlone() bool { return n.settings.Relays <= 1 }
--- a/membership/lease_invariant_test.go
+++ b/membership/lease_invariant_test.go
@@ -10,18 +10,18 @@
 	"lichenroad/relay"
 )
 
-// bindsAfter is the rule that the checker holds the nodes to, in seconds: no relay with a valid lease may list a process
-// that left discovery's list longer ago than this, counted in discovery's up-time.
-const bindsAfter = 6.0
+// maxStaleness is the invariant that the checker verifies, in seconds: no relay with a valid lease may list a process that
+// left discovery's list longer ago than this. Only time during which discovery was up counts.
+const maxStaleness = 6.0
 
-// mutant changes what a node receives or returns as if one of its safeguards were missing. Nil fields change nothing.
+// mutant modifies the input or output of a node as if one of its safeguards were missing. Nil fields modify nothing.
 type mutant struct {
-	rewriteEvent func(n *Node, event Event) Event // returns the event that the node receives instead
+	rewriteEvent func(n *Node, event Event) Event // returns the event that the node receives instead; may modify the node
 	rewriteLease func(lease relay.Seconds) relay.Seconds
-	firstSeed    int // of the histories searched, not far before the first that shows a violation
+	firstSeed    int // where the search of histories starts, shortly before the first one with a violation
 }
 
-// check compares the lists that the relays act on with the true course of the list.
+// check verifies the invariant: it compares the lists that relays may use with the true history of discovery's list.
 func (s *simulation) check() {
 	for _, host := range s.relays {
 		if host.stopped || host.leaseExpiresAt <= s.now {
@@ -30,8 +30,8 @@
 		s.leasesHeld++
 		for endpoint, number := range host.listed {
 			leftAt, left := s.leftAt[endpointProcess{endpoint, number}]
-			if left && s.upTime()-leftAt > bindsAfter {
-				s.violation = fmt.Errorf("%.2f s: relay %d has a lease until %.2f and lists a process that left %.2f s of up-time ago",
+			if left && s.upTime()-leftAt > maxStaleness {
+				s.violation = fmt.Errorf("at %.2f s relay %d has a lease until %.2f s and lists a process that left %.2f s of up-time ago",
 					s.now, host.number, host.leaseExpiresAt, s.upTime()-leftAt)
 				return
 			}
@@ -51,14 +51,14 @@
 	})
 	t.Logf("leases held in %d of %d checks", leases, checks)
 	if leases < checks/2 {
-		t.Errorf("leases held in %d of %d checks: a node without leases is useless", leases, checks)
+		t.Errorf("leases held in %d of %d checks, want at least half: a node without leases is useless", leases, checks)
 	}
 }
 
-// rewriteMessage changes a message before the node receives it.
+// rewriteMessage applies a change to the message in an event, if it contains one.
 func rewriteMessage(event Event, change func(*message)) Event {
-	received, is := event.(MessageReceived)
-	if !is {
+	received, ok := event.(MessageReceived)
+	if !ok {
 		return event
 	}
 	m, err := decode(received.Body)
@@ -69,7 +69,7 @@
 	return MessageReceived{received.From, m.encode()}
 }
 
-// mutants are nodes that lack one safeguard each.
+// mutants are nodes that each lack one safeguard.
 var mutants = map[string]mutant{
 	"a lease never ends": {rewriteLease: func(lease relay.Seconds) relay.Seconds {
 		if lease > 0 {
@@ -78,7 +78,7 @@
 		return 0
 	}},
 	"failed polls count without contact": {rewriteEvent: func(n *Node, event Event) Event {
-		n.agreedAt, n.messagesSince = n.now, -Never
+		n.agreedAt, n.contactSince = n.now, -Never
 		return event
 	}},
 	"failed polls count though a peer has a newer list": {firstSeed: 50, rewriteEvent: func(n *Node, event Event) Event {
@@ -97,13 +97,13 @@
 		})
 	}},
 	"a cached list counts as confirmed": {rewriteEvent: func(n *Node, event Event) Event {
-		if held, is := event.(CachedList); is {
-			return PollAnswered(held)
+		if cached, ok := event.(CachedList); ok {
+			return PollAnswered(cached)
 		}
 		return event
 	}},
 	"a stalled poll counts as a watch that was held": {rewriteEvent: func(n *Node, event Event) Event {
-		if failed, is := event.(PollFailed); is && failed.Stalled {
+		if failed, ok := event.(PollFailed); ok && failed.Stalled {
 			return PollFailed{}
 		}
 		return event
@@ -117,7 +117,7 @@
 }
 
 func TestCheckerFindsEachMissingSafeguard(t *testing.T) {
-	const searched = 100 // histories
+	const searched = 100 // histories per mutant
 	for name, m := range mutants {
 		t.Run(name, func(t *testing.T) {
 			for seed := m.firstSeed; seed < m.firstSeed+searched; seed++ {
--- a/membership/list.go
+++ b/membership/list.go
@@ -13,41 +13,41 @@
 const (
 	noGeneration = int64(-1)
 
-	// maxVersions bounds the versions that a delta may start from: half an hour of a list that changes every 14 s.
+	// maxVersions limits the versions that a delta can start from: half an hour of a list that changes every 14 s.
 	maxVersions = 128
-	// maxRemovals bounds the removals that are kept for deltas. A relay that missed more polls discovery.
+	// maxRemovals limits the removals that are kept for deltas. A relay that missed more of them has to poll discovery.
 	maxRemovals = 4096
 )
 
-// List is discovery's endpoint list, or a change of it.
+// List is discovery's endpoint list, or a set of changes to it.
 type List struct {
-	Generation int64 // discovery's count of changes
-	Full       bool  // endpoints that are not in it are gone
+	Generation int64 // number of changes so far, as counted by discovery
+	Full       bool  // the list is complete: endpoints that it omits have been removed
 	Endpoints  []relay.Endpoint
 }
 
-// listVersion identifies a list: two relays with equal versions hold the same ready endpoints.
+// listVersion identifies the contents of a list: relays with equal versions hold the same ready endpoints.
 type listVersion struct {
 	generation int64
 	digest     uint64
 }
 
-// removal is an endpoint whose entry in older lists no longer holds: it left, or another process took its id.
+// removal is an endpoint whose entry in older lists is no longer valid: it left, or another process has taken its id.
 type removal struct {
 	generation int64
 	endpoint   relay.EndpointID
 }
 
-// endpointList is what a relay knows of the ready endpoints, from discovery and from peers.
+// endpointList holds the ready endpoints that a relay knows from discovery and from peers.
 type endpointList struct {
-	epoch          relay.Seconds               // Unix time of time zero
+	epoch          relay.Seconds               // Unix time of the node's time zero
 	processes      map[relay.EndpointID]uint64 // hash of each ready endpoint's process
-	digest         uint64                      // exclusive or of the hashes, so that their order does not matter
-	generation     int64                       // of discovery's last answer
-	removedByPeers map[relay.EndpointID]int64  // endpoints that peers reported as removed, with the generation that did so
-	versions       []listVersion               // that this relay held completely, oldest first
+	digest         uint64                      // exclusive or of the hashes, which does not depend on their order
+	generation     int64                       // of the last answer from discovery
+	removedByPeers map[relay.EndpointID]int64  // endpoints that peers reported as removed, with the generation of the report
+	versions       []listVersion               // versions that this relay has held completely, oldest first
 	removals       []removal                   // oldest first
-	removalsSince  int64                       // removals are complete for versions from this generation on
+	removalsSince  int64                       // oldest generation since which removals is complete
 }
 
 func newEndpointList(epoch relay.Seconds) endpointList {
@@ -59,7 +59,7 @@
 	}
 }
 
-// processHash identifies one process of an endpoint by id, build and start.
+// processHash identifies one process of an endpoint by its id, build and start time.
 func (l *endpointList) processHash(entry relay.Endpoint) uint64 {
 	startedAt := int64(0) // Unix milliseconds
 	if entry.StartKnown {
@@ -72,8 +72,8 @@
 	return xxhash.Sum64(fields[:])
 }
 
-// apply takes over a list from discovery. It returns the endpoints that the list has as ready although a peer reported
-// their removal in a later generation; they stay removed.
+// apply applies a list from discovery. It returns the outdated entries: endpoints that are ready in the list, but that a
+// peer has reported as removed in a later generation. These stay removed.
 func (l *endpointList) apply(update List) (outdated []relay.EndpointID) {
 	l.generation = update.Generation
 	listed := map[relay.EndpointID]bool{}
@@ -91,8 +91,8 @@
 	return outdated
 }
 
-// setEntry takes over one entry of an answer. It reports whether the entry has an endpoint as ready whose removal in a later
-// generation a peer reported.
+// setEntry applies one entry of an answer from discovery. It reports whether the entry is outdated, that is, ready although
+// a peer has reported the endpoint as removed in a later generation.
 func (l *endpointList) setEntry(entry relay.Endpoint) (outdated bool) {
 	removedIn, reported := l.removedByPeers[entry.ID]
 	if reported && removedIn > l.generation {
@@ -113,7 +113,7 @@
 	return false
 }
 
-// removeUnlisted removes the endpoints that a full list leaves out.
+// removeUnlisted removes the endpoints that a full list omits.
 func (l *endpointList) removeUnlisted(listed map[relay.EndpointID]bool) {
 	var unlisted []relay.EndpointID
 	for endpoint := range l.processes {
@@ -127,7 +127,7 @@
 	}
 }
 
-// remove takes a ready endpoint off the list, and reports whether it was on it.
+// remove removes a ready endpoint from the list and reports whether it was listed.
 func (l *endpointList) remove(endpoint relay.EndpointID, generation int64) bool {
 	hash, listed := l.processes[endpoint]
 	if !listed {
@@ -143,7 +143,7 @@
 	return true
 }
 
-// removeByPeer applies a removal that a peer reported, and reports whether it changed anything.
+// removeByPeer applies a removal reported by a peer and reports whether it changed the list.
 func (l *endpointList) removeByPeer(endpoint relay.EndpointID, generation int64) bool {
 	if generation <= l.generation || !l.remove(endpoint, generation) {
 		return false
@@ -152,7 +152,7 @@
 	return true
 }
 
-// rememberVersion adds a version to those that deltas may start from.
+// rememberVersion adds a version to those that deltas can start from.
 func (l *endpointList) rememberVersion(version listVersion) {
 	l.versions = append(l.versions, version)
 	if excess := len(l.versions) - maxVersions; excess > 0 {
@@ -160,7 +160,7 @@
 	}
 }
 
-// forgetGenerations drops what refers to generations of before a restart of discovery.
+// forgetGenerations drops everything that refers to the generations before a restart of discovery.
 func (l *endpointList) forgetGenerations() {
 	clear(l.removedByPeers)
 	l.versions = nil
@@ -168,7 +168,7 @@
 	l.removalsSince = 0
 }
 
-// removedSince returns the endpoints removed since a version, in order of their ids. It is false if that is not known here.
+// removedSince returns the endpoints removed since a version, ordered by id, and whether this node knows them.
 func (l *endpointList) removedSince(base listVersion) ([]relay.EndpointID, bool) {
 	if base.generation < l.removalsSince || !slices.Contains(l.versions, base) {
 		return nil, false
--- a/membership/membership.go
+++ b/membership/membership.go
@@ -1,15 +1,15 @@
-// Package membership keeps the lease on a relay's endpoint list and the gossip by which relays confirm and update their
-// lists for one another.
+// Package membership maintains the lease on a relay's endpoint list, and the gossip with which relays confirm and update
+// each other's lists.
 //
-// Discovery serves all relays and may be slow or down, so a relay cannot poll it for every decision. A change of the list
-// binds a relay a fixed time after discovery had it, whether or not the change arrived; the lease on the list ends before
-// that. It is renewed by an answer of discovery to this relay, or by a peer that was answered later and holds the same list
-// (equal generation and digest). A peer with a newer list sends a delta, the endpoints removed since, so that the rest of an
-// older list can be used without a poll.
+// Discovery serves all relays and may be slow or down, so a relay cannot poll it for every decision. A fixed time after a
+// change, every relay counts as notified of it, whether or not it has received the change. A relay therefore uses its list
+// only under a lease that ends before that time. The lease is renewed by an answer from discovery to this relay, or by a
+// peer that was answered more recently and holds the same list (equal generation and digest). A peer with a newer list
+// sends a delta, which names the endpoints removed since, so that the rest of an older list can be used without a poll.
 //
-// A Node is a state machine without I/O, clock or goroutine: its host calls Step with one event at a time, from one
-// goroutine, and carries out the Output. Backoff spaces the host's polls. The package imports relay alone; docs/membership.md
-// describes the design, the wire format and operation.
+// A Node is a state machine without I/O, clock or goroutines: its host calls Step with one event at a time, from one
+// goroutine, and carries out the Output. Backoff determines when the host polls. Of this module, the package
+// imports only relay. The file docs/membership.md describes the design, the wire format and operation.
 package membership
 
 import (
@@ -23,37 +23,37 @@
 type Settings struct {
 	Self         relay.ID      // this relay
 	Relays       int           // in the fleet, this one included
-	PeerMessages bool          // relays may send one another datagrams
-	PollInterval relay.Seconds // for which a relay without a watch may act on its list; 0: unlimited
-	Epoch        relay.Seconds // Unix time of the node's time zero; all relays read one clock
+	PeerMessages bool          // relays may send each other datagrams
+	PollInterval relay.Seconds // how long a relay without a watch may use its list after a poll; 0: unlimited
+	Epoch        relay.Seconds // Unix time of the node's time zero; the clocks of all relays must be synchronized
 }
 
-// Output is what the host has to carry out after a step.
+// Output is what the host must do after a step.
 type Output struct {
 	Messages           [][]byte           // datagrams to send to all other relays
-	Removed            []relay.EndpointID // listed endpoints that take no new requests from now on
-	LeaseExpiresAt     relay.Seconds      // until when the list may be acted on; 0: the list is not confirmed yet
-	TimerAt            relay.Seconds      // when a TimerFired event is due; Never: none
-	DiscoveryRecovered bool               // discovery answers a peer again, after polls of the fleet had failed
+	Removed            []relay.EndpointID // listed endpoints to which no new requests may be sent from now on
+	LeaseExpiresAt     relay.Seconds      // until when the list may be used; 0: the list is not confirmed yet
+	TimerAt            relay.Seconds      // when the host must send a TimerFired event; Never: no timer
+	DiscoveryRecovered bool               // discovery has answered a peer again after polls had failed
 }
 
-// Node is one relay's part in the membership protocol. It is not safe for concurrent use.
+// Node implements the membership protocol for one relay. It is not safe for concurrent use.
 type Node struct {
 	settings Settings
 	random   *rand.Rand
-	now      relay.Seconds // of the latest step
+	now      relay.Seconds // time of the latest step
 	output   Output        // of the step in progress
 
 	list    endpointList
-	version listVersion // of the list as known, from discovery or with the deltas of peers
+	version listVersion // of the list, as known from discovery and the deltas of peers
 
-	answeredAt       relay.Seconds // when discovery last confirmed the version to any relay; Never: not known
-	failedPollAt     relay.Seconds // when the latest poll known to have failed began, of any relay; Never: none
+	answeredAt       relay.Seconds // when discovery last confirmed the version to any relay; Never: unknown
+	failedPollAt     relay.Seconds // start of the latest poll by any relay that is known to have failed; Never: none
 	agreedAt         relay.Seconds // when a peer with the same version was last heard; Never: not yet
-	messagesSince    relay.Seconds // when the peers' messages began that no silence has interrupted; Never: not yet
-	messageAt        relay.Seconds // when the latest message of a peer came; Never: not yet
-	confirmedAt      relay.Seconds // the latest time as of which the list was ever confirmed; Never: not yet
-	newestGeneration int64         // the highest that any peer is known to hold
+	contactSince     relay.Seconds // start of the current contact with peers, uninterrupted by silence; Never: no contact yet
+	lastMessageAt    relay.Seconds // when the latest message from a peer arrived; Never: none yet
+	confirmedAt      relay.Seconds // latest time for which the list has been confirmed so far; Never: not yet
+	newestGeneration int64         // highest generation that any relay is known to hold
 
 	poll       pollState
 	gossip     gossip
@@ -61,16 +61,16 @@
 	counters   Counters
 }
 
-// Counters count what a node received and sent since its start.
+// Counters counts the messages that a node has received and sent since its start.
 type Counters struct {
 	Heartbeats int // heartbeats sent
 	Deltas     int // datagrams of deltas sent
 	Received   int // messages accepted
-	Unreadable int // messages dropped, as malformed or from this relay itself
-	Conflicts  int // messages of a list with this node's generation and another digest
+	Unreadable int // messages dropped because they were malformed or came from this relay itself
+	Conflicts  int // messages with the same generation as this node, but a different digest
 }
 
-// New returns the node of one relay, ready for its first step. The seed determines its random delays.
+// New returns a node that is ready for its first step. The seed determines its random delays.
 func New(settings Settings, seed int64) *Node {
 	settings.PollInterval = orNever(settings.PollInterval)
 	return &Node{
@@ -81,8 +81,8 @@
 		answeredAt:       Never,
 		failedPollAt:     Never,
 		agreedAt:         Never,
-		messagesSince:    Never,
-		messageAt:        Never,
+		contactSince:     Never,
+		lastMessageAt:    Never,
 		confirmedAt:      Never,
 		newestGeneration: noGeneration,
 		gossip:           newGossip(),
@@ -90,11 +90,11 @@
 	}
 }
 
-// Counters returns the counts since the start.
+// Counters returns the counters since the start of the node.
 func (n *Node) Counters() Counters { return n.counters }
 
-// Step applies one event. A time before that of the previous step counts as the latter. The output's slices are valid until
-// the next step.
+// Step applies one event. If now is before the time of the previous step, that time is used instead. The slices of the
+// output are valid until the next step.
 func (n *Node) Step(now relay.Seconds, event Event) Output {
 	n.now = math.Max(now, n.now)
 	n.output = Output{Messages: n.output.Messages[:0], Removed: n.output.Removed[:0]}
--- a/membership/message.go
+++ b/membership/message.go
@@ -6,54 +6,55 @@
 	"lichenroad/relay"
 )
 
-// The wire format. A message is one datagram; it begins with the mark of all messages between relays and a kind of its own:
+// The wire format. A message is one datagram. It begins with the magic byte that all messages between relays share,
+// followed by the kind of the message:
 //
-//	mark, kind                one byte each
+//	magic byte, kind          one byte each
 //	generation                uvarint
 //	digest                    8 bytes, little-endian
 //	answeredAt, failedPollAt  uvarints, Unix time in milliseconds; 0: none
 //
-// A delta continues with
+// A delta continues with:
 //
 //	base generation           uvarint
 //	base digest               8 bytes
 //	part, parts, count        one byte each
 //	endpoints                 count times 8 bytes
 //
-// Numbers are encoded in the fewest bytes, so that a message has exactly one encoding.
+// Each uvarint has its shortest encoding, so that a message has exactly one encoding.
 const (
 	messageMagic  = 0x4c
 	kindHeartbeat = 5
 	kindDelta     = 6
 
-	maxDatagramBytes  = 256 // protocol
-	maxDeltaEndpoints = 24  // in one datagram: 8 bytes each beside at most 60 of header
+	maxDatagramBytes  = 256 // limit of the protocol between relays
+	maxDeltaEndpoints = 24  // in one datagram: 8 bytes each, after at most 60 bytes of header
 	maxDeltaParts     = 32  // datagrams of one delta
 )
 
-// message is what one relay sends to all others.
+// message is a heartbeat or a delta, which a relay sends to all others.
 type message struct {
 	version      listVersion
-	answeredAt   uint64 // when discovery last confirmed this version to any relay, Unix milliseconds; 0: not known
-	failedPollAt uint64 // when the latest poll began that is known to have failed; 0: none
+	answeredAt   uint64 // when discovery last confirmed this version to any relay, in Unix milliseconds; 0: unknown
+	failedPollAt uint64 // start of the latest poll known to have failed, in Unix milliseconds; 0: none
 	delta        *delta // nil: a heartbeat
 }
 
-// delta is one datagram's part of the endpoints removed since an older list.
+// delta is the part of a delta that one datagram carries: some of the endpoints removed since the base version.
 type delta struct {
 	base      listVersion
-	part      int // from 0
-	parts     int // of the whole delta
+	part      int // number of this part, from 0
+	parts     int // number of parts of the whole delta
 	endpoints []relay.EndpointID
 }
 
-// IsMessage reports whether a datagram between relays belongs to this package. Its body may still be malformed.
+// IsMessage reports whether a datagram from another relay is a message of this package. The message may still be malformed.
 func IsMessage(body []byte) bool {
 	return len(body) >= 2 && body[0] == messageMagic && (body[1] == kindHeartbeat || body[1] == kindDelta)
 }
 
-// splitDelta distributes the endpoints of a delta over datagrams; one without endpoints takes one. It returns none for a
-// delta that is too long to send.
+// splitDelta splits a delta into one part for each datagram. A delta without endpoints has one part. A delta that is too
+// long to send has none.
 func splitDelta(base listVersion, endpoints []relay.EndpointID) []delta {
 	parts := max(1, (len(endpoints)+maxDeltaEndpoints-1)/maxDeltaEndpoints)
 	if parts > maxDeltaParts {
--- a/membership/message_test.go
+++ b/membership/message_test.go
@@ -32,16 +32,16 @@
 		t.Run(c.name, func(t *testing.T) {
 			body := c.encode()
 			if got := hex.EncodeToString(body); got != c.want {
-				t.Errorf("%s, want %s", got, c.want)
+				t.Errorf("encoded as %s, want %s", got, c.want)
 			}
-			if back, err := decode(body); err != nil || !reflect.DeepEqual(back, c.message) {
-				t.Errorf("%+v, %v", back, err)
+			if decoded, err := decode(body); err != nil || !reflect.DeepEqual(decoded, c.message) {
+				t.Errorf("decoded as %+v, error %v; want %+v", decoded, err, c.message)
 			}
 		})
 	}
 }
 
-// mustDecodeHex returns the bytes of a test's datagram.
+// mustDecodeHex returns the bytes of a datagram given in hexadecimal.
 func mustDecodeHex(t *testing.T, digits string) []byte {
 	t.Helper()
 	body, err := hex.DecodeString(digits)
@@ -62,23 +62,23 @@
 		want     error
 	}{
 		"empty":                        {"", errUnknownKind},
-		"another mark":                 {"4d05" + version + times, errUnknownKind},
-		"another kind":                 {"4c07" + version + times, errUnknownKind},
-		"longer than a datagram":       {"4c05" + version + times + strings.Repeat("00", maxDatagramBytes), errTooLong},
-		"without a generation":         {"4c05", errTruncated},
-		"within the digest":            {"4c05" + "05" + "0000", errTruncated},
-		"without times":                {"4c05" + version, errTruncated},
+		"wrong magic byte":             {"4d05" + version + times, errUnknownKind},
+		"unknown kind":                 {"4c07" + version + times, errUnknownKind},
+		"datagram too long":            {"4c05" + version + times + strings.Repeat("00", maxDatagramBytes), errTooLong},
+		"missing generation":           {"4c05", errTruncated},
+		"truncated digest":             {"4c05" + "05" + "0000", errTruncated},
+		"missing times":                {"4c05" + version, errTruncated},
 		"trailing byte":                {"4c05" + version + times + "00", errTrailingBytes},
-		"number in too many bytes":     {"4c05" + "8500" + "0000000000000000" + times, errBadNumber},
-		"number beyond int64":          {"4c05" + "ffffffffffffffffff01" + "0000000000000000" + times, errBadNumber},
-		"number beyond uint64":         {"4c05" + "ffffffffffffffffffff01" + "0000000000000000" + times, errBadNumber},
-		"delta without parts":          {header + version + "000000", errBadPart},
-		"part beyond the parts":        {header + version + "020200", errBadPart},
-		"more parts than a delta has":  {header + version + "002100", errBadPart},
-		"more endpoints than fit":      {header + version + "000119", errBadPart},
-		"endpoints missing":            {header + version + "000101", errTruncated},
-		"base newer than the list":     {header + "06" + "0000000000000000" + "000100", errBaseAfterDelta},
-		"truncated, so parts are zero": {header + version, errTruncated},
+		"number in a long encoding":    {"4c05" + "8500" + "0000000000000000" + times, errBadNumber},
+		"number above the int64 range": {"4c05" + "ffffffffffffffffff01" + "0000000000000000" + times, errBadNumber},
+		"number above 64 bits":         {"4c05" + "ffffffffffffffffffff01" + "0000000000000000" + times, errBadNumber},
+		"delta with zero parts":        {header + version + "000000", errBadPart},
+		"part number out of range":     {header + version + "020200", errBadPart},
+		"too many parts":               {header + version + "002100", errBadPart},
+		"too many endpoints":           {header + version + "000119", errBadPart},
+		"missing endpoints":            {header + version + "000101", errTruncated},
+		"base newer than the target":   {header + "06" + "0000000000000000" + "000100", errBaseAfterDelta},
+		"truncated before the parts":   {header + version, errTruncated},
 	} {
 		t.Run(name, func(t *testing.T) {
 			_, err := decode(mustDecodeHex(t, c.datagram))
@@ -112,12 +112,12 @@
 			}
 		}
 		body := m.encode()
-		if back, err := decode(body); err != nil || !reflect.DeepEqual(back, m) {
-			t.Fatalf("%+v became %+v, %v", m, back, err)
+		if decoded, err := decode(body); err != nil || !reflect.DeepEqual(decoded, m) {
+			t.Fatalf("%+v was decoded as %+v, error %v", m, decoded, err)
 		}
 		if cut := rapid.IntRange(0, len(body)-1).Draw(t, "cut"); len(body) > cut {
 			if _, err := decode(body[:cut]); err == nil {
-				t.Fatalf("the first %d of %d bytes were accepted", cut, len(body))
+				t.Fatalf("a message truncated to %d of %d bytes was accepted", cut, len(body))
 			}
 		}
 	})
@@ -137,30 +137,31 @@
 			m.delta = &d
 			body := m.encode()
 			if len(body) > maxDatagramBytes {
-				t.Fatalf("a datagram of %d bytes", len(body))
+				t.Fatalf("a datagram has %d bytes, want at most %d", len(body), maxDatagramBytes)
 			}
-			back, err := decode(body)
+			part, err := decode(body)
 			if err != nil {
 				t.Fatal(err)
 			}
-			decoded = append(decoded, back.delta.endpoints...)
+			decoded = append(decoded, part.delta.endpoints...)
 		}
 		if count > maxDeltaParts*maxDeltaEndpoints && decoded != nil {
-			t.Fatalf("%d endpoints of %d were encoded", len(decoded), count)
+			t.Fatalf("%d endpoints were encoded of a delta with %d, which is too long to send", len(decoded), count)
 		} else if count <= maxDeltaParts*maxDeltaEndpoints && !slices.Equal(decoded, endpoints) {
-			t.Fatalf("%d endpoints were encoded, want %d", len(decoded), count)
+			t.Fatalf("%d endpoints were decoded, want the same %d that were encoded", len(decoded), count)
 		}
 	})
 }
 
-// FuzzDecode checks that any input is either rejected or encoded by the same bytes again, and within its bounds.
+// FuzzDecode checks that any input is either rejected, or decoded within the bounds of the format and encoded to the same
+// bytes again.
 func FuzzDecode(f *testing.F) {
 	m := message{version: listVersion{300, 1}, answeredAt: 1_700_000_000_123, failedPollAt: 5}
 	heartbeat := m.encode()
 	f.Add(heartbeat)
 	f.Add(heartbeat[:len(heartbeat)-1])
 	f.Add(append(slices.Clone(heartbeat), 0))
-	f.Add([]byte{messageMagic, kindHeartbeat, 0x80, 0x00, 1, 2, 3, 4, 5, 6, 7, 8, 0, 0}) // a generation in more bytes than needed
+	f.Add([]byte{messageMagic, kindHeartbeat, 0x80, 0x00, 1, 2, 3, 4, 5, 6, 7, 8, 0, 0}) // generation not in its shortest encoding
 	f.Add(append([]byte{messageMagic, kindHeartbeat}, binary.AppendUvarint(nil, math.MaxUint64)...))
 	for _, endpoints := range []int{0, 1, maxDeltaEndpoints, maxDeltaEndpoints + 1} {
 		m.delta = &delta{listVersion{299, 2}, 0, 1, make([]relay.EndpointID, endpoints)}
@@ -176,14 +177,14 @@
 			return
 		}
 		if again := m.encode(); !bytes.Equal(again, body) {
-			t.Fatalf("%x became %x", body, again)
+			t.Fatalf("%x was encoded again as %x", body, again)
 		}
 		if len(body) > maxDatagramBytes || m.version.generation < 0 || m.answeredAt > math.MaxInt64 || m.failedPollAt > math.MaxInt64 {
-			t.Fatalf("out of bounds: %+v", m)
+			t.Fatalf("message out of bounds: %+v", m)
 		}
 		if d := m.delta; d != nil && (d.base.generation < 0 || d.base.generation > m.version.generation || d.parts < 1 ||
 			d.parts > maxDeltaParts || d.part < 0 || d.part >= d.parts || len(d.endpoints) > maxDeltaEndpoints) {
-			t.Fatalf("out of bounds: %+v", d)
+			t.Fatalf("delta out of bounds: %+v", d)
 		}
 	})
 }
--- a/membership/receive.go
+++ b/membership/receive.go
@@ -2,17 +2,17 @@
 
 import "lichenroad/relay"
 
-// maxAssemblies bounds the peers whose deltas are being received at one time.
+// maxAssemblies limits the number of peers whose deltas can be in the process of reassembly at the same time.
 const maxAssemblies = 8
 
-// assembly is a peer's delta of which some datagrams have come.
+// assembly is a delta from a peer that has been received in part.
 type assembly struct {
 	base, target listVersion
 	parts        int
-	received     uint64 // a bit for each part
+	received     uint64 // bit set of the received parts
 }
 
-// receive handles a message of a peer.
+// receive handles a message from a peer.
 func (n *Node) receive(event MessageReceived) {
 	m, err := decode(event.Body)
 	if err != nil || event.From == n.settings.Self {
@@ -37,18 +37,18 @@
 	}
 }
 
-// recordContact records that a peer was heard.
+// recordContact records that a message from a peer has arrived.
 func (n *Node) recordContact() {
-	afterSilence := n.messageAt == Never || n.now-n.messageAt >= contactTimeout
+	afterSilence := n.lastMessageAt == Never || n.now-n.lastMessageAt >= contactTimeout
 	if afterSilence {
-		n.messagesSince = n.now
+		n.contactSince = n.now
 	}
-	n.messageAt = n.now
-	n.gossip.heartbeatsUnheard = 0
+	n.lastMessageAt = n.now
+	n.gossip.heartbeatsSinceContact = 0
 }
 
-// recordDiscoveryAnswer records an answer of discovery to any relay. The first one after failed polls is reported to the host,
-// as its own next poll may succeed too.
+// recordDiscoveryAnswer records an answer from discovery to any relay. The first answer after failed polls is reported to
+// the host, because its own next poll may succeed too.
 func (n *Node) recordDiscoveryAnswer(answeredAt relay.Seconds) {
 	if answeredAt == Never {
 		return
@@ -62,7 +62,7 @@
 	}
 }
 
-// receiveSameVersion handles a message of a peer that holds the same list.
+// receiveSameVersion handles a message from a peer that holds the same list.
 func (n *Node) receiveSameVersion(m message, answeredAt relay.Seconds) {
 	if m.delta != nil {
 		n.gossip.cancelDelta(m.delta.base)
@@ -78,8 +78,8 @@
 	n.gossip.suppressHeartbeat(n)
 }
 
-// receiveNewerVersion handles a message of a peer with a newer list. A delta from the list held here is applied; otherwise
-// a heartbeat with this node's version asks for one.
+// receiveNewerVersion handles a message from a peer with a newer list. A delta from this node's version is applied. In
+// response to any other message, a heartbeat with this node's version is scheduled, which asks the peers for such a delta.
 func (n *Node) receiveNewerVersion(from relay.ID, m message, answeredAt relay.Seconds) {
 	if m.delta == nil || m.delta.base != n.version {
 		n.gossip.scheduleHeartbeat(n, deltaBackoff)
@@ -93,7 +93,8 @@
 	if complete := n.assemble(from, m); !complete {
 		return
 	}
-	// Not remembered as a base of deltas: the endpoints that joined are not known here, nor which of them leave later.
+	// The version is not remembered as a base of deltas: this node does not know which endpoints joined in it, and so could
+	// not report their later removal.
 	n.version = m.version
 	n.answeredAt = later(n.answeredAt, answeredAt)
 	n.agreedAt = n.now
@@ -101,7 +102,7 @@
 	n.gossip.suppressHeartbeat(n)
 }
 
-// assemble records one datagram of a delta, and reports whether it was the last one missing.
+// assemble records one part of a delta and reports whether the delta is now complete.
 func (n *Node) assemble(from relay.ID, m message) (complete bool) {
 	a := n.assemblies[from]
 	sameDelta := a != nil && a.base == m.delta.base && a.target == m.version && a.parts == m.delta.parts
--- a/membership/simulated_discovery_test.go
+++ b/membership/simulated_discovery_test.go
@@ -7,12 +7,12 @@
 	"lichenroad/relay"
 )
 
-// simulatedDiscovery is the discovery service and the true course of its list.
+// simulatedDiscovery is the discovery service, with the true history of its list.
 type simulatedDiscovery struct {
 	up          bool
 	upAt        relay.Seconds // when it last came up
-	upBefore    relay.Seconds // up-time before that
-	incarnation int           // of its count of generations
+	upBefore    relay.Seconds // accumulated up-time before upAt
+	incarnation int           // number of times that generations restarted from 1
 	generation  int64
 	ready       map[relay.EndpointID]int          // process of each ready endpoint
 	changed     map[relay.EndpointID]int64        // generation of each endpoint's last change
@@ -38,7 +38,7 @@
 	}
 }
 
-// upTime returns for how long discovery has been up.
+// upTime returns the total time for which discovery has been up.
 func (s *simulation) upTime() relay.Seconds {
 	if s.up {
 		return s.upBefore + s.now - s.upAt
@@ -46,7 +46,7 @@
 	return s.upBefore
 }
 
-// change removes some endpoints from the list, of which a few restart, and adds others.
+// change removes some endpoints from the list, lets one in ten of them restart as a new process, and adds new endpoints.
 func (s *simulation) change(amount int) {
 	if !s.up {
 		return
@@ -81,7 +81,7 @@
 	}
 }
 
-// stopDiscovery ends the polls that discovery holds, some of which stall.
+// stopDiscovery starts an outage of discovery. The polls that it holds fail or stall.
 func (s *simulation) stopDiscovery() {
 	if !s.up {
 		return
@@ -110,7 +110,7 @@
 	return relay.Endpoint{ID: endpoint, State: relay.Ready, StartKnown: true, StartedAt: relay.Seconds(number)}
 }
 
-// answerPoll sends discovery's present list or the change of it, which may be lost.
+// answerPoll answers a poll with the full list or with the changes since the relay's generation. The answer may be lost.
 func (s *simulation) answerPoll(host *simulatedRelay) {
 	host.watchHeld = false
 	if s.drawStall(stalledFraction) {
--- a/membership/simulated_relay_test.go
+++ b/membership/simulated_relay_test.go
@@ -7,7 +7,7 @@
 	"lichenroad/relay"
 )
 
-// simulatedRelay hosts a node: it keeps the list, polls discovery, and stores a list for its next start.
+// simulatedRelay hosts a node: it maintains the list, polls discovery, and stores its list for the next start.
 type simulatedRelay struct {
 	*Node
 	number         int
@@ -17,14 +17,14 @@
 	generation     int64
 	incarnation    int
 	stored         *simulatedRelay // list, generation and incarnation for the next start
-	polls          int             // started
+	polls          int             // number of polls started
 	pollStartedAt  relay.Seconds
 	pollWait       relay.Seconds
-	watchHeld      bool // discovery holds the poll
+	watchHeld      bool // discovery is holding the poll
 	stopped        bool
 }
 
-// startRelay starts a relay with the list that it stored, if any.
+// startRelay replaces a relay by a newly started one with the given stored list, if any.
 func (s *simulation) startRelay(number int, stored *simulatedRelay) {
 	old := s.relays[number]
 	old.stopped = true
@@ -38,7 +38,7 @@
 	s.after(s.uniform(0, 0.5), func() { s.poll(host, false) })
 }
 
-// list returns the relay's list.
+// list returns the relay's current list as a full list.
 func (h *simulatedRelay) list() List {
 	update := List{Generation: h.generation, Full: true}
 	for _, endpoint := range slices.Sorted(maps.Keys(h.listed)) {
@@ -47,7 +47,7 @@
 	return update
 }
 
-// step applies an event to a node and carries out its output.
+// step applies an event to a relay's node, as modified by the mutant, and carries out the output.
 func (s *simulation) step(host *simulatedRelay, event Event) {
 	if s.rewriteEvent != nil {
 		event = s.rewriteEvent(host.Node, event)
@@ -104,7 +104,7 @@
 	}
 }
 
-// receiveAnswer applies an answer of discovery, and polls again.
+// receiveAnswer applies an answer from discovery. The relay then polls again, usually at once.
 func (s *simulation) receiveAnswer(host *simulatedRelay, update List, incarnation int) {
 	if host.stopped {
 		return
@@ -130,17 +130,17 @@
 	s.after(s.uniform(0, 2), func() { s.poll(host, false) })
 }
 
-// drawStall draws whether a poll stalls.
-func (s *simulation) drawStall(part float64) bool {
-	return s.discoveryFault == noDiscoveryFault && s.random.Float64() < part
+// drawStall decides at random whether a poll stalls. None does in histories with a fault of discovery.
+func (s *simulation) drawStall(probability float64) bool {
+	return s.discoveryFault == noDiscoveryFault && s.random.Float64() < probability
 }
 
-// stallPoll fails a poll at its own timeout.
+// stallPoll lets a poll end without an answer when its timeout is reached.
 func (s *simulation) stallPoll(host *simulatedRelay) {
 	s.failPoll(host, host.pollStartedAt+host.pollWait+1-s.now, PollFailed{Stalled: true})
 }
 
-// failPoll fails a poll after a delay, and retries it later.
+// failPoll lets a poll fail after a delay. The relay then retries it.
 func (s *simulation) failPoll(host *simulatedRelay, wait relay.Seconds, event PollFailed) {
 	s.after(wait, func() {
 		if !host.stopped {
--- a/membership/simulation_test.go
+++ b/membership/simulation_test.go
@@ -7,8 +7,8 @@
 	"lichenroad/relay"
 )
 
-// simulation plays a history in virtual time: discovery, the network, the hosts of the nodes and the true course of the
-// list, which the nodes are checked against.
+// simulation runs a history in virtual time. It simulates discovery, the network and the hosts of the nodes, and keeps the
+// true history of the list, against which the nodes are checked.
 type simulation struct {
 	history
 	mutant
@@ -16,15 +16,15 @@
 	random      *rand.Rand
 	now         relay.Seconds
 	events      busEvents
-	order       int // of events at one time
-	violation   error
-	leasesHeld  int          // checks of a relay whose lease held
+	order       int          // orders events that are due at the same time
+	violation   error        // the first one that the checker found
+	leasesHeld  int          // number of checks of a relay with a valid lease
 	partitioned map[int]bool // relays partitioned from all peers
 	isolated    map[int]bool // relays partitioned from discovery
 	relays      []*simulatedRelay
 }
 
-// simulate plays a history and returns the first violation that the checker found.
+// simulate runs a history and returns the first violation that the checker found.
 func simulate(h history, m mutant) (*simulation, error) {
 	s := &simulation{
 		history:            h,
@@ -59,7 +59,7 @@
 	heap.Push(&s.events, busEvent{at: s.now + wait, order: s.order, action: action})
 }
 
-// uniform draws a duration between two bounds.
+// uniform returns a random duration between two bounds.
 func (s *simulation) uniform(lowerBound, upperBound relay.Seconds) relay.Seconds {
 	return lowerBound + (upperBound-lowerBound)*s.random.Float64()
 }
@@ -89,7 +89,7 @@
 		clear(s.rejected)
 	case nodeRestarts:
 		if !s.rejected[a.node] {
-			clear(s.rejected) // or there might be nobody else who is answered
+			clear(s.rejected) // this node may be the only one whose polls are answered
 		}
 		s.relays[a.node].stopped = true
 		s.after(s.uniform(0.1, 2), func() { s.startRelay(a.node, s.relays[a.node].stored) })
@@ -106,7 +106,7 @@
 	}
 }
 
-// isolate partitions a relay from discovery, which it notices by a stalled poll or by polls that fail.
+// isolate partitions a relay from discovery. The poll that discovery holds for it stalls.
 func (s *simulation) isolate(host *simulatedRelay) {
 	s.isolated[host.number] = true
 	if host.watchHeld {
@@ -115,7 +115,7 @@
 	}
 }
 
-// send delivers a message to each relay with losses, duplicates and delays of its own.
+// send delivers a message to each other relay, with a separate delay for each and random losses and duplicates.
 func (s *simulation) send(from *simulatedRelay, body []byte) {
 	for to := range s.relays {
 		if to == from.number || s.partitioned[to] || s.partitioned[from.number] || s.random.Float64() < s.loss {
