--- a/membership/gossip.go
+++ b/membership/gossip.go
@@ -25,8 +25,8 @@
 	maxDoublings = 3
 	// maxDeltaBases limits the number of older lists for which deltas can be pending at the same time.
 	maxDeltaBases = 4
-	// bytesPerSecond and burstBytes limit what a node sends, headers included: half of the 4 KB/s that a relay may send in
-	// datagrams.
+	// bytesPerSecond and burstBytes limit what a node sends, headers included: half of the 4 KB/s that the capacity budget
+	// gives a relay's control traffic.
 	bytesPerSecond      = 2048
 	burstBytes          = 8192
 	datagramHeaderBytes = 28 // UDP and IP
--- a/membership/lease.go
+++ b/membership/lease.go
@@ -6,15 +6,15 @@
 	"lichenroad/relay"
 )
 
-// Durations in seconds. Those marked "protocol" are part of discovery's protocol.
+// Durations in seconds. The first three are set by the relay protocol, the protocol between relays, discovery and platform.
 const (
 	// maxNotifyDelay is the time from a change at discovery until every relay counts as notified of it, whether or not the
-	// relay has received it (protocol).
+	// relay has received it.
 	maxNotifyDelay = 6.0
 	// maxNotifyDelayAfterWait is the time from the end of a watch's wait until the relay counts as notified of a change
-	// that the watch missed because it stalled, if that is later (protocol).
+	// that the watch missed because it stalled, if that is later.
 	maxNotifyDelayAfterWait = 2.0
-	// failedPollFactor times Settings.PollInterval is how long the list may be used after a failed poll (protocol).
+	// failedPollFactor times Settings.PollInterval is how long the list may be used after a failed poll.
 	failedPollFactor = 4.0
 	// leaseMargin is how long the lease ends before the relay could count as notified of a change. It allows for the
 	// milliseconds that messages and steps take.
--- a/membership/message.go
+++ b/membership/message.go
@@ -27,7 +27,7 @@
 	kindHeartbeat = 5
 	kindDelta     = 6
 
-	maxDatagramBytes  = 256 // limit of the protocol between relays
+	maxDatagramBytes  = 256 // set by the relay protocol
 	maxDeltaEndpoints = 24  // in one datagram: 8 bytes each, after at most 60 bytes of header
 	maxDeltaParts     = 32  // datagrams of one delta
 )
