--- a/internal/discovery/address.go
+++ b/internal/discovery/address.go
@@ -5,9 +5,10 @@
 	"lichenroad/relay"
 )
 
-// ChangeAddress changes the address of the discovery service, on the loop. The new address is asked for the full list, as its
-// generations need not be those of the old one. The watch at the old address goes on until the first list of the new one,
-// and what it brings holds until then. The end of the old watch is no failure.
+// ChangeAddress changes the address of the discovery service. It is called on the loop. The client polls the new address
+// for the full list, because its generations need not match those of the old address. Until the first list from the new
+// address arrives, the watch at the old address continues and its lists are used. The end of that watch does not count as a
+// failure.
 func (c *Client) ChangeAddress(address string) {
 	if c.current.address == address {
 		return
@@ -23,7 +24,7 @@
 	}
 }
 
-// closePrevious ends what is left at the address before a change.
+// closePrevious closes the connections to the previous address, if there is one.
 func (c *Client) closePrevious() {
 	if c.previous != nil {
 		c.previous.close()
@@ -31,9 +32,10 @@
 	}
 }
 
-// closePreviousSoon closes the previous address shortly after the first list of the new one. A drain that the old address
-// wrote before may still be on its way, and binds the relay though the new list, which is older, does not have it.
-func (c *Client) closePreviousSoon() {
+// schedulePreviousClose has the previous address closed shortly after the first list from the new one. A drain notice that
+// the previous address sent earlier may still be in transit. The relay counts as notified of it even if the new address's
+// list, which can be older, does not contain the drain.
+func (c *Client) schedulePreviousClose() {
 	if c.previous == nil || c.previousClosing {
 		return
 	}
@@ -46,8 +48,8 @@
 	})
 }
 
-// leavingEndpoints is a list of the draining and removed endpoints alone. It has no generation, as that of the previous
-// address says nothing at the new one.
+// leavingEndpoints returns a list of only the draining and removed endpoints of l. It has no generation, because
+// generations of the previous address are meaningless at the new one.
 func (l List) leavingEndpoints() (leaving List) {
 	for _, endpoint := range l.Endpoints {
 		if endpoint.State != relay.Ready {
--- a/internal/discovery/address_test.go
+++ b/internal/discovery/address_test.go
@@ -12,8 +12,9 @@
 	"lichenroad/relay"
 )
 
-// TestAddressChangeKeepsThePreviousWatchUntilTheNewAddressAnswers changes the address: what the old one sends meanwhile
-// holds, of what it sends after the new one's first answer only that endpoints leave, and its end is no failure.
+// TestAddressChangeKeepsThePreviousWatchUntilTheNewAddressAnswers changes the address. Lists from the old address must be
+// used until the new one answers. After that, only its leaving endpoints must be used, and the end of its watch is not a
+// failure.
 func TestAddressChangeKeepsThePreviousWatchUntilTheNewAddressAnswers(t *testing.T) {
 	for _, pushed := range []bool{false, true} {
 		t.Run(fmt.Sprint("pushed ", pushed), func(t *testing.T) {
@@ -25,11 +26,11 @@
 			host.client.ChangeAddress(current.address())
 			full := current.nextPoll()
 			if full.path != listPath {
-				t.Error("not polled for the full list:", full.path)
+				t.Error("polled for something other than the full list:", full.path)
 			}
 			watch.answer(listBody(2, false, listEntry("DRAINING")))
 			if update := host.waitForUpdate(relay.ListDelta); update.Endpoints[0].State != relay.Draining {
-				t.Errorf("%+v", update)
+				t.Errorf("want one draining endpoint: %+v", update)
 			}
 			watch = previous.nextPoll()
 			full.answer(listBody(40, true, listEntry("DELETED")))
@@ -39,12 +40,12 @@
 			previous.nextPoll().answer(listBody(4, false, listEntry("DRAINING"), otherEntry))
 			update := host.waitForUpdate(relay.ListDelta)
 			if len(update.Endpoints) != 1 || update.Endpoints[0].State != relay.Draining {
-				t.Errorf("%+v", update)
+				t.Errorf("want one draining endpoint: %+v", update)
 			}
 			current.nextPoll().answer(listBody(41, false, listEntry("SERVING")))
 			host.waitForUpdate(relay.ListDelta)
 			if failures := host.loop.Metrics.Get(metrics.DiscoveryFailed); len(host.updates) != 0 || failures != 0 {
-				t.Errorf("%+v, %d failures", host.updates, failures)
+				t.Errorf("unexpected updates %+v, %d failures", host.updates, failures)
 			}
 			stop := make(chan struct{})
 			defer close(stop)
@@ -52,14 +53,15 @@
 			watch = previous.nextPoll()
 			watch.SetReadDeadline(time.Now().Add(testTimeout))
 			if _, err := watch.Read(make([]byte, 1)); !errors.Is(err, io.EOF) {
-				t.Error("the previous watch is kept:", err)
+				t.Error("the connection of the previous watch was not closed:", err)
 			}
 		})
 	}
 }
 
-// TestSuccessiveAddressChanges changes the address again before the new one has answered, and back to the first one: each
-// time the full list is polled for, what happens at the address before is no failure, and its late answer is not taken.
+// TestSuccessiveAddressChanges changes the address again before the new one has answered, and then back to the first one.
+// Each time the client must poll for the full list. The end of a poll at an earlier address is not a failure, and a late
+// answer from there must be ignored.
 func TestSuccessiveAddressChanges(t *testing.T) {
 	for _, pushed := range []bool{false, true} {
 		t.Run(fmt.Sprint("pushed ", pushed), func(t *testing.T) {
@@ -73,7 +75,7 @@
 			host.client.ChangeAddress(third.address())
 			full := third.nextPoll()
 			if full.path != listPath {
-				t.Error("not polled for the full list:", full.path)
+				t.Error("polled for something other than the full list:", full.path)
 			}
 			unanswered.Close()
 			full.answer(listBody(7, true, listEntry("SERVING")))
@@ -82,12 +84,12 @@
 			host.client.ChangeAddress(first.address())
 			back := first.nextPoll()
 			if back.path != listPath {
-				t.Error("not polled for the full list on the way back:", back.path)
+				t.Error("after the change back, polled for something other than the full list:", back.path)
 			}
-			back.answer(listBody(3, true, listEntry("DRAINING"))) // its generations are its own
+			back.answer(listBody(3, true, listEntry("DRAINING"))) // its generations are unrelated to those before
 			update := host.waitForUpdate(relay.ListFull)
 			if len(update.Endpoints) != 1 || update.Endpoints[0].State != relay.Draining {
-				t.Errorf("%+v", update)
+				t.Errorf("want one draining endpoint: %+v", update)
 			}
 			host.checkNoFailures(host.allUpdates)
 		})
--- a/internal/discovery/bench_test.go
+++ b/internal/discovery/bench_test.go
@@ -9,7 +9,8 @@
 	"lichenroad/relay"
 )
 
-// encodeList is an answer with so many endpoints, with names and addresses as long as those of a site of many services.
+// encodeList returns an answer with the given number of endpoints. Their names and addresses are as long as those of a site
+// with many services.
 func encodeList(endpoints int, full bool) []byte {
 	var b bytes.Buffer
 	fmt.Fprintf(&b, `{"generation":41,"reset":%v,"instances":[`, full)
@@ -29,7 +30,8 @@
 	return NewReader(nil, nil, func(s float64) relay.Seconds { return s })
 }
 
-// BenchmarkParse reads full lists up to the largest one that is taken; heap-B is what the list holds once it is read.
+// BenchmarkParse parses full lists up to the largest that is accepted. The metric heap-B is the memory used by the parsed
+// list.
 func BenchmarkParse(b *testing.B) {
 	for _, endpoints := range []int{300, 1024, 2048, 4096, 8192, maxEndpoints} {
 		b.Run(fmt.Sprintf("units=%d", endpoints), func(b *testing.B) {
@@ -50,7 +52,7 @@
 	}
 }
 
-// BenchmarkParseChanges reads an answer of a watch, by the changes in it.
+// BenchmarkParseChanges parses answers to a watch with different numbers of changes.
 func BenchmarkParseChanges(b *testing.B) {
 	for _, changes := range []int{1, 4, 16, 64, 256} {
 		b.Run(fmt.Sprintf("changes=%d", changes), func(b *testing.B) {
--- a/internal/discovery/conn.go
+++ b/internal/discovery/conn.go
@@ -12,39 +12,39 @@
 	"lichenroad/internal/metrics"
 )
 
-// statusOK is the status code of an answer that has a list.
+// statusOK is the HTTP status code of an answer that contains a list.
 const statusOK = 200
 
 var (
-	// errServerClosedIdle is of a request that was written just as the server ended the idle connection.
-	errServerClosedIdle = errors.New("the connection had ended")
-	// errResponseTimeout is of a response that did not come, or not to its end, in time.
-	errResponseTimeout = errors.New("no answer in time")
+	// errServerClosedIdle is the error if the server closed an idle connection just as a request was being written.
+	errServerClosedIdle = errors.New("server closed the idle connection")
+	// errResponseTimeout is the error if a response was not received completely in time.
+	errResponseTimeout = errors.New("timed out waiting for the response")
 )
 
-// pollError is why a poll ended without a list. Its text is that of the error that it wraps.
+// pollError is the error of a poll that ended without a list. It wraps the cause.
 type pollError struct {
-	reason metrics.CloseReason // of the connection
+	reason metrics.CloseReason // for closing the connection
 	err    error
 }
 
-// Error returns the text of the wrapped error.
+// Error implements the error interface with the text of the cause.
 func (e *pollError) Error() string { return e.err.Error() }
 
-// Unwrap returns the wrapped error.
+// Unwrap returns the cause.
 func (e *pollError) Unwrap() error { return e.err }
 
-// stalled says that the service sent nothing in time, not even the end of the connection.
+// stalled reports whether the service sent nothing in time, not even the end of the connection.
 func (e *pollError) stalled() bool { return e.reason == metrics.ClosedByResponseTimeout }
 
-// conn is a connection to the discovery service, which is dialed when needed and carries one request after the other. It
-// belongs to one goroutine of the server.
+// conn is a connection to the discovery service. It is dialed when needed and carries one request at a time. It is used by
+// one goroutine of the server only.
 type conn struct {
 	server   *server
-	forWatch bool               // it carries the polls of the watch
+	forWatch bool               // the connection carries the polls of the watch
 	net      netpoll.Connection // nil: not open
 	openedAt time.Time
-	requests int // since it was opened
+	requests int // number of requests since the connection was opened
 }
 
 // close closes and logs the connection, if it is open.
@@ -56,7 +56,7 @@
 		reason = metrics.ClosedByAddressChange
 	}
 	c.server.removeConn(c.net)
-	_ = c.net.Close() // nothing is left to be written
+	_ = c.net.Close() // no data is left to write
 	c.net = nil
 	end := metrics.ConnectionEnd{
 		Peer:     metrics.PeerDiscovery,
@@ -68,8 +68,8 @@
 	end.Log(c.server.client.loop.Log)
 }
 
-// get sends a poll and returns its list. A request that crossed the end of an idle connection has not reached the service
-// and is retried once, on a new connection; any other is sent once.
+// get sends a poll and returns the list in the answer. If the service closed the idle connection at the same moment, the
+// poll has not reached it and is retried once on a new connection. After any other error the poll is not retried.
 func (c *conn) get(p poll) (List, *pollError) {
 	c.server.client.loop.Metrics.Add(metrics.DiscoveryCalls, 1)
 	list, failure := c.roundTrip(p)
@@ -96,12 +96,12 @@
 	}
 	list, err := c.server.client.reader.Parse(response.Body)
 	if err != nil {
-		return List{}, c.badInput(err)
+		return List{}, c.badInputError(err)
 	}
 	return list, nil
 }
 
-// ensureOpen dials unless the connection is open.
+// ensureOpen dials the service unless the connection is already open.
 func (c *conn) ensureOpen() *pollError {
 	if c.net != nil && !c.net.IsActive() {
 		c.close(metrics.ClosedByPeer)
@@ -114,12 +114,12 @@
 		return &pollError{metrics.ClosedByConnectError, err}
 	}
 	c.net, c.openedAt, c.requests = connection, time.Now(), 0
-	_ = connection.SetWriteTimeout(limits.DiscoveryDialTimeout) // it stores the value and has no error to report
+	_ = connection.SetWriteTimeout(limits.DiscoveryDialTimeout) // it only stores the value and cannot fail
 	c.server.addConn(connection)
 	return nil
 }
 
-// exchange writes the request of a poll and reads the response to it.
+// exchange sends the request of a poll and reads the response.
 func (c *conn) exchange(p poll) (httpwire.Response, *pollError) {
 	c.requests++
 	if c.forWatch {
@@ -143,7 +143,8 @@
 	return response, failure
 }
 
-// readResponse reads up to the end of a response. One that pauses for too long is as stalled as one that never begins.
+// readResponse reads a response to its end. A response that pauses for too long counts as stalled, like one that never
+// begins.
 func (c *conn) readResponse(deadline time.Time) (httpwire.Response, *pollError) {
 	var response httpwire.Response
 	reader := c.net.Reader()
@@ -153,23 +154,24 @@
 			return response, &pollError{metrics.ClosedByResponseTimeout, errResponseTimeout}
 		}
 		if response.Started() {
-			timeout = min(timeout, c.server.client.settings.nextChunk)
+			timeout = min(timeout, c.server.client.settings.chunkTimeout)
 		}
-		_ = c.net.SetReadTimeout(timeout) // it stores the value and has no error to report
+		_ = c.net.SetReadTimeout(timeout) // it only stores the value and cannot fail
 		if _, err := reader.Peek(1); err != nil {
 			return response, endOfInput(&response, err)
 		}
-		chunk, _ := reader.Next(reader.Len()) // that many bytes are there
+		chunk, _ := reader.Next(reader.Len()) // cannot fail: all of these bytes are buffered
 		_, err := response.Feed(chunk)
-		_ = reader.Release() // gives the buffer back; the next Peek reports what is wrong with the connection
+		_ = reader.Release() // the next Peek reports any error of the connection
 		if err != nil {
-			return response, c.badInput(err)
+			return response, c.badInputError(err)
 		}
 	}
 	return response, nil
 }
 
-// endOfInput says what the failure to read on means to a response: nothing if the connection may end there.
+// endOfInput returns the error of a response after a failed read, or nil if the response is complete with the end of the
+// connection.
 func endOfInput(response *httpwire.Response, err error) *pollError {
 	if errors.Is(err, netpoll.ErrReadTimeout) {
 		return &pollError{metrics.ClosedByResponseTimeout, err}
@@ -180,8 +182,8 @@
 	return nil
 }
 
-// badInput counts an answer that can't be read.
-func (c *conn) badInput(err error) *pollError {
+// badInputError counts an answer that cannot be parsed and returns its error.
+func (c *conn) badInputError(err error) *pollError {
 	c.server.client.loop.Metrics.Add(metrics.BadInput, 1)
 	return &pollError{metrics.ClosedByBadInput, err}
 }
--- a/internal/discovery/drain_discovery_test.go
+++ b/internal/discovery/drain_discovery_test.go
@@ -6,26 +6,27 @@
 	"lichenroad/relay"
 )
 
-// This file is the discovery service of a drainSimulation, and the bench's rules on when the relay counts as notified.
+// This file implements the discovery service of a drainSimulation, and the rule of the relay protocol on when a relay counts
+// as notified of a change.
 
-// Times of the bench's rules, in seconds.
+// Times of that rule, in seconds.
 const (
-	stallNotice      = 6.0 // after a stall, when what it missed counts as notified
-	stallAfterWait   = 2.0 // the same after the poll's wait, if that is later
-	moveNotice       = 4.0 // after a change of the service's address
-	watchGap         = 0.2 // after an answer in which the next poll continues the watch
-	failedPollFactor = 4   // on the poll interval after a failed poll
+	stallNotice      = 6.0 // after a stall, until the relay counts as notified of the missed changes
+	stallAfterWait   = 2.0 // the same after the end of the poll's wait, if that is later
+	moveNotice       = 4.0 // after a change of the service's address, until the relay counts as notified of changes
+	watchGap         = 0.2 // after an answer, within which the next poll continues the watch
+	failedPollFactor = 4   // by which the poll interval is multiplied after a failed poll
 )
 
 func (d *drainSimulation) isDown() bool { return d.now >= d.downAt && d.now < d.upAt }
 
-// overloaded says whether the service fails a poll by chance, which is more likely right after it moved.
+// overloaded decides at random whether the service fails a poll, which is more likely shortly after its address changed.
 func (d *drainSimulation) overloaded() bool {
 	justMoved := d.now >= d.moveAt && d.now < d.moveAt+2
 	return d.Intn(6) == 0 || justMoved && d.Intn(2) == 0
 }
 
-// changeEndpoint lets an endpoint drain, go or come back.
+// changeEndpoint lets a random endpoint drain, be removed or become ready again.
 func (d *drainSimulation) changeEndpoint() {
 	i := d.Intn(len(d.endpoints))
 	d.version++
@@ -38,14 +39,14 @@
 	d.leftAt[i], d.notifiedAt[i] = d.now, d.changeNotifiedAt()
 }
 
-// changeNotifiedAt is when the relay counts as notified of a change made now, unless a list is written to it before.
+// changeNotifiedAt returns when the relay counts as notified of a change made now, unless it is sent a list before then.
 func (d *drainSimulation) changeNotifiedAt() relay.Seconds {
 	switch {
 	case d.poll != nil && d.poll.stalled:
 		return d.stallNotifiedAt()
 	case !d.pushed:
 		return never()
-	case d.isDown(): // what the agent gets at the return counts at once
+	case d.isDown(): // changes that reach the agent when it comes back count as notified at once
 		return d.upAt
 	case d.now >= d.moveAt && d.now < d.moveAt+moveNotice:
 		return d.now + moveNotice
@@ -54,8 +55,9 @@
 	}
 }
 
-// stallNotifiedAt is when a change counts that the stalled poll misses. While the service is down nobody can learn of it,
-// so the time counts anew from its return.
+// stallNotifiedAt returns when the relay counts as notified of a change that the stalled poll misses. If that time falls
+// into an outage of the service, in which no relay can learn of the change, it is counted from the end of the outage
+// instead.
 func (d *drainSimulation) stallNotifiedAt() relay.Seconds {
 	at := math.Max(d.stallAt, d.poll.startedAt) + stallNotice
 	if wait := d.poll.wait.Seconds(); wait > 0 {
@@ -70,7 +72,7 @@
 	return d.upAt + d.pollInterval
 }
 
-// listWritten notes that a list with all changes since a version was written to the relay, which counts at once.
+// listWritten records that a list with all changes since a version was sent to the relay, which thereby counts as notified.
 func (d *drainSimulation) listWritten(since int) {
 	for i, version := range d.changedIn {
 		if d.leftAt[i] > 0 && version > since {
@@ -79,9 +81,10 @@
 	}
 }
 
-// notifyUnwatched holds a relay without a watch to the list that it has for the poll interval of the settings, counted from
-// its last poll, four times as long if that failed, and anew when the service is back; from then on each change counts so
-// long after it was made. A watch goes on if the next poll comes within watchGap.
+// notifyUnwatched applies the rule for a relay without a watch. The relay may use its list for the poll interval after its
+// last poll, or for failedPollFactor times as long if that poll failed. The time is counted again from the end of an
+// outage. After that, the relay counts as notified of each change the same time after the change. A watch continues if the
+// next poll starts within watchGap.
 func (d *drainSimulation) notifyUnwatched() {
 	if d.poll != nil || d.previousPoll != nil {
 		d.watchedAt = d.now
@@ -104,8 +107,7 @@
 	}
 }
 
-// injectFaults stalls a poll that waits, or lets it fail. All polls that are open at one moment stall, whether or not an
-// answer is on its way.
+// injectFaults lets a waiting poll stall or fail. At stallAt all open polls stall, even if an answer is already in transit.
 func (d *drainSimulation) injectFaults(poll *simulatedPoll) {
 	if poll == nil {
 		return
@@ -114,11 +116,11 @@
 		poll.stalled, poll.failsAt, poll.answeredAt, poll.arrivesAt = true, never(), never(), never()
 	}
 	if d.isDown() && poll.startedAt < d.downAt && !poll.stalled && poll.answeredAt > d.now {
-		poll.failsAt = math.Min(poll.failsAt, d.now) // its connection is reset
+		poll.failsAt = math.Min(poll.failsAt, d.now) // the connection is reset
 	}
 }
 
-// answer writes the answer to a poll when it is due.
+// answer sends the answer to a poll when it is due.
 func (d *drainSimulation) answer(poll *simulatedPoll) {
 	if poll == nil || poll.stalled || poll.failsAt != never() || poll.answeredAt != never() {
 		return
@@ -138,8 +140,9 @@
 	d.listWritten(poll.afterVersion)
 }
 
-// changeAddress moves the service: the new address is polled for the full list, and the watch at the old one goes on until
-// that has answered, or the old address ends it. What a stall has swallowed counts from the change.
+// changeAddress changes the address of the service. The new address is polled for the full list, and the watch at the old
+// one continues until the new one has answered or the old one ends it. The relay counts as notified of changes that a stall
+// has hidden at the earliest moveNotice after the change of address.
 func (d *drainSimulation) changeAddress() {
 	d.previousPoll, d.previousSchedule = d.poll, d.schedule
 	for i := range d.notifiedAt {
--- a/internal/discovery/drain_simulation_test.go
+++ b/internal/discovery/drain_simulation_test.go
@@ -11,43 +11,44 @@
 	"lichenroad/relay"
 )
 
-// The files drain_*_test.go simulate one relay in virtual time: the real decision module and the real poll schedule against
-// a simulated discovery service, with endpoints that drain, watches that stall, polls that fail, an outage, a change of the
-// service's address, and connections that come up late. Whether new requests go to a draining endpoint is checked apart
-// from both, by the bench's rules on when a change counts as notified.
+// The files drain_*_test.go simulate one relay in virtual time. The decision module and the poll schedule are the real
+// ones; the discovery service is simulated. Endpoints drain, watches stall, polls fail, the service has an outage and
+// changes its address, and connections are established late. A separate check verifies that no new requests are sent to
+// draining endpoints. It uses its own implementation of the rule of the relay protocol on when a relay counts as notified of
+// a change.
 
-// disabledSafeguards are safeguards that a simulation does without, to show that the check detects it.
+// disabledSafeguards selects the safeguards that a simulation disables, to show that the check detects the violations.
 type disabledSafeguards struct {
-	lateStallDetection  bool // a stalled watch is given up 2 s after its wait, and retried as after any failure
-	keepWaitingAttempts bool // an attempt that waits for a connection outlives the drain of its endpoint
-	noPushedWatch       bool // pushed lists are not polled for
-	stopAfterMove       bool // a list of the old address ends the polls at the new one
+	lateStallDetection  bool // a stalled watch is abandoned only 2 s after its wait, and retried like after any failure
+	keepWaitingAttempts bool // attempts that wait for a connection to an endpoint are not ended when it drains
+	noPushedWatch       bool // the client does not poll for pushed lists
+	stopAfterMove       bool // the end of the watch at the old address ends the polls at the new one
 }
 
-// Facts of a simulation, in seconds.
+// Parameters of a simulation, in seconds unless stated otherwise.
 const (
 	simulationLength = 60.0
 	simulationStep   = 0.005
-	requestRate      = 20 // per second
-	drainSlack       = 0.05
-	endpointCount    = 12
+	requestRate      = 20   // per second
+	drainSlack       = 0.05 // tolerance of the check
+	endpointCount    = 12   // number of endpoints
 )
 
-// drainSimulation is one relay, its discovery service and its endpoints.
+// drainSimulation simulates one relay, its discovery service and its endpoints.
 type drainSimulation struct {
 	*rand.Rand
 	now            relay.Seconds
 	pushed         bool
 	grace          relay.Seconds
-	pollInterval   relay.Seconds // to which a relay without a watch is held
+	pollInterval   relay.Seconds // how long a relay without a watch may use its list after a poll
 	connectTimeout relay.Seconds
 	disabled       disabledSafeguards
 
 	// The discovery service, in drain_discovery_test.go.
 	version    int
 	endpoints  []relay.Endpoint
-	changedIn  []int           // version of each endpoint's last change
-	leftAt     []relay.Seconds // when it last stopped being ready; 0: it is ready
+	changedIn  []int           // version of the list in which each endpoint last changed
+	leftAt     []relay.Seconds // when each endpoint last stopped being ready; 0: it is ready
 	notifiedAt []relay.Seconds // when the relay counts as notified of that
 	stallAt    relay.Seconds
 	downAt     relay.Seconds
@@ -57,31 +58,31 @@
 	// The relay's discovery client.
 	schedule             *pollSchedule
 	poll                 *simulatedPoll // nil: none
-	previousSchedule     *pollSchedule  // of the address before a change; nil: it has not changed
-	previousPoll         *simulatedPoll // of the watch at that address; nil: none
+	previousSchedule     *pollSchedule  // schedule of the previous address; nil: the address has not changed
+	previousPoll         *simulatedPoll // poll of the watch at the previous address; nil: none
 	newAddressAnsweredAt relay.Seconds  // when the new address sent its first list; 0: not yet
-	nextPollAt           relay.Seconds  // when the next poll starts; never: by command
-	lastPollAt           relay.Seconds  // start of the last poll
+	nextPollAt           relay.Seconds  // when the next poll starts; never: on a command
+	lastPollAt           relay.Seconds  // when the last poll started
 	lastPollFailed       bool
-	watchedAt            relay.Seconds // when a poll last waited
+	watchedAt            relay.Seconds // when a poll was last waiting
 
 	// The relay's decision module and its requests.
 	module       *policy.Policy
-	events       []relay.Event // that the module has not seen yet
+	events       []relay.Event // events not yet passed to the module
 	timers       []relay.SetTimer
 	lastRequest  relay.RequestID
 	attempts     []*simulatedAttempt
 	attemptsOf   map[relay.RequestID]relay.AttemptNumber
 	sentAttempts int
-	violation    string // the first one
+	violation    string // the first violation found
 }
 
-// simulatedPoll is a poll and its fate. Times that do not come are never.
+// simulatedPoll is a poll and the times of its events. Events that will not occur have the time never.
 type simulatedPoll struct {
 	poll
 	startedAt    relay.Seconds
-	answeredAt   relay.Seconds // when the service writes the answer
-	arrivesAt    relay.Seconds // when the relay has it
+	answeredAt   relay.Seconds // when the service sends the answer
+	arrivesAt    relay.Seconds // when the answer arrives at the relay
 	failsAt      relay.Seconds
 	afterVersion int
 	stalled      bool
@@ -127,7 +128,7 @@
 	return d
 }
 
-// startRelay starts the relay with the first list cached.
+// startRelay starts the relay with the initial list cached.
 func (d *drainSimulation) startRelay(seed int64) {
 	d.module = policy.New(relay.Settings{
 		Relays:        1,
@@ -151,7 +152,8 @@
 	}
 }
 
-// run runs the simulation and returns the first attempt that went to an endpoint notified as draining, or "".
+// run runs the simulation and returns the first violation: an attempt to a draining endpoint after the drain grace. If
+// there is none, it returns the empty string.
 func (d *drainSimulation) run() string {
 	for nextChange := 0.5; d.now < simulationLength; d.now += simulationStep {
 		if d.now >= d.moveAt && d.previousSchedule == nil {
@@ -191,7 +193,7 @@
 	d.timers = pending
 }
 
-// stepModule lets the decision module see what happened, and carries out its commands.
+// stepModule passes the new events to the decision module and carries out its commands.
 func (d *drainSimulation) stepModule() {
 	if len(d.events) == 0 {
 		return
@@ -219,7 +221,7 @@
 	}
 }
 
-// startPoll starts the next poll of the watch, which may be bound to fail.
+// startPoll starts the next poll of the watch and decides whether the poll will fail.
 func (d *drainSimulation) startPoll() {
 	d.poll = d.newPoll(d.schedule)
 	afterFailure := d.lastPollFailed
@@ -242,7 +244,7 @@
 	}
 }
 
-// continueWatch does what the client does with the watch.
+// continueWatch simulates the client's handling of the watch.
 func (d *drainSimulation) continueWatch() {
 	if d.now >= d.nextPollAt {
 		d.startPoll()
@@ -277,7 +279,7 @@
 	}
 }
 
-// continuePreviousWatch goes on with the watch at the address before a change.
+// continuePreviousWatch continues the watch at the previous address.
 func (d *drainSimulation) continuePreviousWatch() {
 	poll := d.previousPoll
 	if poll == nil {
@@ -300,7 +302,7 @@
 	d.previousPoll = d.newPoll(d.previousSchedule)
 }
 
-// takeList takes a list as the client does: the connections to endpoints learn of it first.
+// takeList handles a list as the client does: the connections to the endpoints are notified first.
 func (d *drainSimulation) takeList(list List, kind relay.ListUpdateKind) relay.ListUpdate {
 	update := relay.ListUpdate{Kind: kind}
 	for _, endpoint := range list.Endpoints {
@@ -321,7 +323,7 @@
 	}
 	d.attemptsOf[command.Request]++
 	if d.Intn(3) == 0 {
-		attempt.connectedAt = d.now + d.Float64() // a new connection, some of which don't come up in time
+		attempt.connectedAt = d.now + d.Float64() // a new connection, which may not be established in time
 	}
 	if attempt.connectedAt > attempt.endsAt {
 		attempt.connectedAt = never()
@@ -329,7 +331,8 @@
 	d.attempts = append(d.attempts, attempt)
 }
 
-// endWaitingAttempts ends the attempts that wait for a connection to an endpoint, as the pool does when it leaves.
+// endWaitingAttempts ends the attempts that wait for a connection to an endpoint, as the connection pool does when the
+// endpoint leaves.
 func (d *drainSimulation) endWaitingAttempts(id relay.EndpointID) {
 	for _, attempt := range d.attempts {
 		if attempt.command.Endpoint == id && !attempt.sent {
@@ -338,7 +341,7 @@
 	}
 }
 
-// progressAttempts sends the attempts whose connections are up, and ends those whose time has come.
+// progressAttempts sends the attempts whose connections are established and ends those that have reached their end.
 func (d *drainSimulation) progressAttempts() {
 	open := d.attempts[:0]
 	for _, attempt := range d.attempts {
@@ -367,13 +370,14 @@
 	d.attempts = open
 }
 
-// checkAttempt holds an attempt that is sent against the rule on draining endpoints.
+// checkAttempt checks that an attempt is not sent to an endpoint after its drain grace, counted from the time at which the
+// relay counts as notified of the drain.
 func (d *drainSimulation) checkAttempt(attempt *simulatedAttempt) {
 	i := int(attempt.command.Endpoint) - 1
 	forbiddenFrom := d.notifiedAt[i] + d.grace + drainSlack
 	if d.leftAt[i] == 0 || d.now <= forbiddenFrom || d.violation != "" {
 		return
 	}
-	d.violation = fmt.Sprintf("%.3f: an attempt went to endpoint %d, which left at %.3f and counts as notified at %.3f, grace %v",
+	d.violation = fmt.Sprintf("at %.3f an attempt was sent to endpoint %d, which left at %.3f; notified by %.3f, drain grace %v",
 		d.now, attempt.command.Endpoint, d.leftAt[i], d.notifiedAt[i], d.grace)
 }
--- a/internal/discovery/drain_test.go
+++ b/internal/discovery/drain_test.go
@@ -2,13 +2,14 @@
 
 import "testing"
 
-// simulationRuns is how many simulations, by their seeds, each test runs.
+// simulationRuns is the number of simulations, each with its own seed, that a test runs.
 const simulationRuns = 60
 
-// minAttemptsPerSecond is what a simulation has to send, so that the check means something.
+// minAttemptsPerSecond is the minimum rate of attempts in a simulation. Without attempts the check would find nothing.
 const minAttemptsPerSecond = 10
 
-// TestNoNewAttemptsToDrainingEndpoints runs simulations with lists on request and with pushed ones.
+// TestNoNewAttemptsToDrainingEndpoints checks in simulations, with lists on request and with pushed lists, that no new
+// attempts are sent to draining endpoints after the drain grace.
 func TestNoNewAttemptsToDrainingEndpoints(t *testing.T) {
 	for _, pushed := range []bool{false, true} {
 		sent := 0
@@ -20,21 +21,22 @@
 			sent += simulation.sentAttempts
 		}
 		if sent < simulationRuns*simulationLength*minAttemptsPerSecond {
-			t.Errorf("pushed %v: only %d attempts sent", pushed, sent)
+			t.Errorf("pushed %v: only %d attempts sent, too few for a meaningful check", pushed, sent)
 		}
 	}
 }
 
-// TestDrainCheckDetectsDisabledSafeguards disables one safeguard at a time: the same simulations violate the rule then.
+// TestDrainCheckDetectsDisabledSafeguards disables one safeguard at a time and checks that the same simulations then find a
+// violation.
 func TestDrainCheckDetectsDisabledSafeguards(t *testing.T) {
 	for name, test := range map[string]struct {
 		pushed   bool
 		disabled disabledSafeguards
 	}{
-		"a stalled watch noticed late":           {false, disabledSafeguards{lateStallDetection: true}},
-		"an attempt that outlives the drain":     {false, disabledSafeguards{keepWaitingAttempts: true}},
-		"pushed lists that nobody polls for":     {true, disabledSafeguards{noPushedWatch: true}},
-		"polls that end after a changed address": {false, disabledSafeguards{stopAfterMove: true}},
+		"late detection of stalled watches":       {false, disabledSafeguards{lateStallDetection: true}},
+		"waiting attempts kept after a drain":     {false, disabledSafeguards{keepWaitingAttempts: true}},
+		"no watch for pushed lists":               {true, disabledSafeguards{noPushedWatch: true}},
+		"no more polls after a change of address": {false, disabledSafeguards{stopAfterMove: true}},
 	} {
 		found := 0
 		for seed := range int64(simulationRuns) {
@@ -42,9 +44,9 @@
 				found++
 			}
 		}
-		t.Logf("%s: %d of %d simulations", name, found, simulationRuns)
+		t.Logf("%s: violations in %d of %d simulations", name, found, simulationRuns)
 		if found == 0 {
-			t.Error("not found:", name)
+			t.Error("no violation found with a disabled safeguard:", name)
 		}
 	}
 }
--- a/internal/discovery/events.go
+++ b/internal/discovery/events.go
@@ -9,34 +9,34 @@
 	"lichenroad/relay"
 )
 
-// The goroutines of a server post these events; their Apply methods run on the loop.
+// Events that the goroutines of a server post to the loop, which calls their Apply methods.
 type (
-	// pollStartEvent is a poll of the watch that is about to be sent.
+	// pollStartEvent announces that a poll of the watch is about to be sent.
 	pollStartEvent struct {
 		server *server
 		poll   poll
 	}
-	// listEvent is a list, received from the service or cached before the start.
+	// listEvent carries a list that was received from the service or cached during an earlier run.
 	listEvent struct {
 		server *server
 		listUpdate
 	}
-	// pollFailureEvent is the end of a poll without a list.
+	// pollFailureEvent reports that a poll ended without a list.
 	pollFailureEvent struct {
 		server     *server
-		stalled    bool // no answer came in time
-		unreadable bool // an answer came that is no list
+		stalled    bool // no answer was received in time
+		unreadable bool // an answer was received that could not be parsed as a list
 	}
 )
 
-// listUpdate is a list and what it means to the decision module.
+// listUpdate is a list, with its meaning for the decision module.
 type listUpdate struct {
 	list   List
 	kind   relay.ListUpdateKind
-	notify bool // the decision module is to learn of it
+	notify bool // the decision module must be notified of it
 }
 
-// Apply tells the membership node, which counts the polls at the current address.
+// Apply notifies the membership node of a poll at the current address. Polls at the previous address are ignored.
 func (e pollStartEvent) Apply(*pipeline.Loop) {
 	c := e.server.client
 	if e.server != c.current {
@@ -45,15 +45,15 @@
 	c.membership.step(membership.PollStarted{Wait: e.poll.wait.Seconds(), ContinuesWatch: e.poll.continues})
 }
 
-// Apply hands the list to the listener, the decision module and the membership node. Once the new address has sent a list,
-// the previous one is believed about endpoints that leave alone.
+// Apply passes the list to the listener, the decision module and the membership node. Once the new address has sent a list,
+// only the leaving endpoints are used of lists from the previous address.
 func (e listEvent) Apply(*pipeline.Loop) {
 	c, update := e.server.client, e.listUpdate
 	switch {
 	case e.server == c.current:
-		c.closePreviousSoon()
+		c.schedulePreviousClose()
 	case e.server != c.previous:
-		return // sent before an address change that has been completed since
+		return // from an address that is no longer in use
 	case c.previousClosing:
 		update.list, update.kind = update.list.leavingEndpoints(), relay.ListDelta
 		if len(update.list.Endpoints) == 0 {
@@ -66,7 +66,7 @@
 	c.membership.listReceived(update)
 }
 
-// Apply tells the membership node and, where it orders the polls, the decision module.
+// Apply notifies the membership node and, if the decision module commands the polls, the decision module as well.
 func (e pollFailureEvent) Apply(l *pipeline.Loop) {
 	c := e.server.client
 	switch e.server {
@@ -75,11 +75,11 @@
 		c.closePrevious()
 		return
 	default:
-		return // sent before an address change that has been completed since
+		return // from an address that is no longer in use
 	}
 	c.membership.step(membership.PollFailed{Stalled: e.stalled, Unreadable: e.unreadable})
 	if c.settings.pushed {
-		return // the client retries by itself
+		return // the client itself retries the watch
 	}
 	kind := relay.ListFetchFailed
 	if e.stalled {
@@ -88,7 +88,7 @@
 	l.AddEvent(relay.ListUpdate{Kind: kind})
 }
 
-// publish hands a list to the listener, then to the decision module.
+// publish passes a list to the listener and then to the decision module.
 func (c *Client) publish(update listUpdate) {
 	event := relay.ListUpdate{Kind: update.kind}
 	listed := map[relay.EndpointID]bool{}
--- a/internal/discovery/fetch.go
+++ b/internal/discovery/fetch.go
@@ -2,7 +2,7 @@
 
 import "lichenroad/internal/metrics"
 
-// commandFetch orders a fetch of the full list. One that is waiting already does for both.
+// commandFetch requests a fetch of the full list. It does nothing if an earlier request is still waiting.
 func (s *server) commandFetch() {
 	select {
 	case s.fetchCommands <- struct{}{}:
@@ -10,7 +10,7 @@
 	}
 }
 
-// runFetches fetches the full list by command, each time on a connection of its own, until the server is closed.
+// runFetches fetches the full list on each command until the server is closed. Each fetch uses a new connection.
 func (s *server) runFetches() {
 	for {
 		select {
--- a/internal/discovery/fleet_discovery_test.go
+++ b/internal/discovery/fleet_discovery_test.go
@@ -6,28 +6,28 @@
 	"lichenroad/relay"
 )
 
-// fleetDiscovery is the discovery service. It answers new polls in turn, and fails those that waited too long but works on
-// them all the same.
+// fleetDiscovery simulates an overloaded discovery service. It answers new polls one after another. Polls that have waited
+// too long fail, but the service still spends time on them.
 type fleetDiscovery struct {
 	fleet        *fleet
 	down         bool
 	version      int
 	endpoints    []relay.Endpoint
-	leftAt       []relay.Seconds   // when each endpoint left; 0: it has not
-	notifiedAt   [][]relay.Seconds // by relay and endpoint, when the change was written; 0: it was not
-	lastAnswerAt []relay.Seconds   // by relay, when a poll was last answered
-	queue        []*fleetPoll
-	busy         bool
-	waiting      map[*fleetPoll]bool
+	leftAt       []relay.Seconds     // when each endpoint left; 0: it has not left
+	notifiedAt   [][]relay.Seconds   // by relay and endpoint, when the relay was sent the change; 0: not yet
+	lastAnswerAt []relay.Seconds     // by relay, when its last poll was answered
+	queue        []*fleetPoll        // new polls that are not served yet
+	busy         bool                // a poll is being served
+	waiting      map[*fleetPoll]bool // polls that continue a watch
 }
 
-// fleetPoll is a poll of a relay.
+// fleetPoll is a poll by a relay.
 type fleetPoll struct {
 	poll
 	from            *fleetRelay
 	startedAt       relay.Seconds
 	afterGeneration int64
-	closed          bool // answered or failed
+	closed          bool // the poll was answered or has failed
 }
 
 func newFleetDiscovery(f *fleet) *fleetDiscovery {
@@ -47,7 +47,7 @@
 	return d
 }
 
-// receive receives a poll: one that continues a watch waits, any other one queues.
+// receive handles a poll. If it continues a watch, it waits for a change; otherwise it is queued.
 func (d *fleetDiscovery) receive(poll *fleetPoll) {
 	fleet := d.fleet
 	if !d.down && poll.continues && fleet.now <= d.lastAnswerAt[poll.from.id]+continuesFor {
@@ -71,7 +71,7 @@
 	}
 }
 
-// serveQueue works on the first poll of the queue, then on the next.
+// serveQueue serves the polls in the queue one after another.
 func (d *fleetDiscovery) serveQueue() {
 	if d.busy || len(d.queue) == 0 {
 		return
@@ -87,7 +87,7 @@
 	})
 }
 
-// answer answers a poll by what changed since the relay's list.
+// answer answers a poll with the changes since the relay's generation.
 func (d *fleetDiscovery) answer(poll *fleetPoll) {
 	fleet, r := d.fleet, poll.from
 	poll.closed = true
@@ -120,17 +120,17 @@
 	}
 }
 
-// goDown ends all watches and loses the queue, whose polls fail in their time.
+// goDown starts an outage. All watches end at once. The queue is lost, and its polls fail after discoveryWait.
 func (d *fleetDiscovery) goDown() {
 	d.down, d.queue = true, nil
-	for _, r := range d.fleet.relays { // in an order that the seed fixes
+	for _, r := range d.fleet.relays { // not over the map, to keep runs with the same seed equal
 		if r != nil && d.waiting[r.poll] {
 			d.fail(r.poll)
 		}
 	}
 }
 
-// comeBack takes polls again; a third of the endpoints leave at that moment.
+// comeBack ends the outage. A third of the endpoints leave at that moment.
 func (d *fleetDiscovery) comeBack() {
 	d.down = false
 	d.version++
@@ -139,7 +139,7 @@
 	}
 }
 
-// notifiedBy is when a relay counts as notified that an endpoint left.
+// notifiedBy returns when a relay counts as notified that an endpoint has left.
 func (d *fleetDiscovery) notifiedBy(relayID, index int) relay.Seconds {
 	at := d.leftAt[index] + maxNotifyDelay
 	if written := d.notifiedAt[relayID][index]; written > 0 {
--- a/internal/discovery/fleet_relay_test.go
+++ b/internal/discovery/fleet_relay_test.go
@@ -9,7 +9,7 @@
 	"lichenroad/relay"
 )
 
-// fleetRelay is one process of a relay, wired as Client and membershipHost wire it.
+// fleetRelay is one process of a relay. It connects its parts in the same way as Client and membershipHost.
 type fleetRelay struct {
 	fleet     *fleet
 	id        int
@@ -18,16 +18,16 @@
 	module    *policy.Policy
 	schedule  *pollSchedule
 	node      *membership.Node
-	events    []relay.Event // that the decision module has not seen yet
+	events    []relay.Event // events not yet passed to the decision module
 
-	poll         *fleetPoll // of the watch; nil: none
-	commanded    bool       // the poll answers a command, and does not continue the watch
-	watchPending bool       // a watch was commanded meanwhile
+	poll         *fleetPoll // poll of the watch; nil: none
+	commanded    bool       // the poll was sent on a command, and not to continue the watch
+	watchPending bool       // a watch was commanded during the poll
 
-	timerAt    relay.Seconds // of the membership node; membership.Never: none
+	timerAt    relay.Seconds // timer of the membership node; membership.Never: none
 	lease      relay.Seconds
-	leasedAt   relay.Seconds // when the first lease came; 0: none yet
-	listed     bool          // the discovery service's own list came since the start
+	leasedAt   relay.Seconds // when the first lease was granted; 0: none yet
+	listed     bool          // the current list of the discovery service was received since the start
 	cachedList []relay.Endpoint
 
 	requests   relay.RequestID
@@ -35,7 +35,7 @@
 	waiting    []*fleetAttempt
 }
 
-// fleetAttempt is an attempt, which may have to wait for its connection.
+// fleetAttempt is an attempt to send a request, which may have to wait for a connection.
 type fleetAttempt struct {
 	command relay.SendAttempt
 	number  relay.AttemptNumber
@@ -43,7 +43,8 @@
 	ended   bool
 }
 
-// runAt runs something of this process at a time, and lets the decision module see what came of it.
+// runAt runs a function at a time, unless the process is dead by then, and passes the resulting events to the decision
+// module.
 func (r *fleetRelay) runAt(at relay.Seconds, run func()) {
 	r.fleet.runAt(at, func() {
 		if r.dead {
@@ -56,7 +57,7 @@
 
 func (r *fleetRelay) addEvents(events ...relay.Event) { r.events = append(r.events, events...) }
 
-// flush lets the decision module see what happened, and carries out its commands.
+// flush passes the new events to the decision module and carries out its commands, until there are no more events.
 func (r *fleetRelay) flush() {
 	for len(r.events) > 0 {
 		events, leased := r.events, r.fleet.now < r.lease
@@ -71,18 +72,19 @@
 	}
 }
 
-// checkRejections counts the requests without a lease that are rejected at once, as all should be.
+// checkRejections counts the requests that were rejected at once, and those that were not. It is called for relays without
+// a lease, which should reject all requests.
 func (r *fleetRelay) checkRejections(events []relay.Event, commands []relay.Command) {
 	rejected := map[relay.RequestID]bool{}
 	for _, command := range commands {
-		if reject, is := command.(relay.Reject); is && reject.RetryAfter > 0 {
+		if reject, ok := command.(relay.Reject); ok && reject.RetryAfter > 0 {
 			rejected[reject.Request] = true
 		}
 	}
 	for _, event := range events {
-		request, is := event.(relay.Request)
+		request, ok := event.(relay.Request)
 		switch {
-		case !is:
+		case !ok:
 		case rejected[request.ID]:
 			r.fleet.findings.rejected++
 		default:
@@ -119,7 +121,7 @@
 	r.runAt(r.fleet.now+requestInterval, r.sendRequest)
 }
 
-// startWatch starts a poll after a failure or by command.
+// startWatch starts a poll after a failure or on a command.
 func (r *fleetRelay) startWatch() {
 	r.commanded = true
 	r.startPoll()
@@ -134,7 +136,7 @@
 	r.fleet.discovery.receive(poll)
 }
 
-// pollAnswered takes a list from the discovery service, and goes on with the watch.
+// pollAnswered handles a list from the discovery service and continues the watch.
 func (r *fleetRelay) pollAnswered(poll *fleetPoll, list List) {
 	if r.poll != poll {
 		return
@@ -145,16 +147,16 @@
 	}
 	update := r.schedule.accept(list, origin)
 	list = update.list
-	given := membership.List{Generation: list.Generation, Full: update.kind != relay.ListDelta}
+	received := membership.List{Generation: list.Generation, Full: update.kind != relay.ListDelta}
 	for _, endpoint := range list.Endpoints {
 		r.endpointLeaving(endpoint.ID)
-		given.Endpoints = append(given.Endpoints, endpoint.Endpoint)
+		received.Endpoints = append(received.Endpoints, endpoint.Endpoint)
 	}
 	if update.notify {
-		r.addEvents(relay.ListUpdate{Kind: update.kind, Endpoints: given.Endpoints})
+		r.addEvents(relay.ListUpdate{Kind: update.kind, Endpoints: received.Endpoints})
 	}
-	r.updateCachedList(given.Endpoints)
-	r.stepMembership(membership.PollAnswered{List: given})
+	r.updateCachedList(received.Endpoints)
+	r.stepMembership(membership.PollAnswered{List: received})
 	if !r.listed && r.startedAt >= restartAt && list.Generation == int64(r.fleet.discovery.version) {
 		r.fleet.findings.maxListDelaySeen = math.Max(r.fleet.findings.maxListDelaySeen, r.fleet.now-r.startedAt)
 	}
@@ -163,7 +165,8 @@
 	r.startPoll()
 }
 
-// updateCachedList keeps the list that the relay would find after a restart: of what changes, all leaves.
+// updateCachedList updates the list that the relay would find after a restart. All changed endpoints have left, because in
+// this simulation none joins.
 func (r *fleetRelay) updateCachedList(changed []relay.Endpoint) {
 	var remaining []relay.Endpoint
 	gone := map[relay.EndpointID]bool{}
@@ -200,7 +203,7 @@
 	r.addEvents(relay.ListUpdate{Kind: kind})
 }
 
-// stepMembership hands an event to the membership node, and carries out what it returns.
+// stepMembership passes an event to the membership node and carries out the output.
 func (r *fleetRelay) stepMembership(event membership.Event) {
 	now, output := r.fleet.now, r.node.Step(r.fleet.now, event)
 	for _, body := range output.Messages {
@@ -246,7 +249,7 @@
 	}
 }
 
-// startAttempt sends an attempt on an open connection, or on a new one, some of which don't come up in time.
+// startAttempt sends an attempt on an open connection or on a new one, which may not be established in time.
 func (r *fleetRelay) startAttempt(command relay.SendAttempt) {
 	fleet := r.fleet
 	attempt := &fleetAttempt{command: command, number: r.attemptsOf[command.Request]}
@@ -281,7 +284,8 @@
 	})
 }
 
-// endpointLeaving ends the attempts that wait for a connection to an endpoint, as the pool does when it leaves.
+// endpointLeaving ends the attempts that wait for a connection to an endpoint, as the connection pool does when the
+// endpoint leaves.
 func (r *fleetRelay) endpointLeaving(id relay.EndpointID) {
 	var waiting []*fleetAttempt
 	for _, attempt := range r.waiting {
@@ -295,7 +299,7 @@
 	r.waiting = waiting
 }
 
-// sendAttempt sends an attempt to its endpoint, which is checked.
+// sendAttempt sends an attempt to its endpoint and checks it. An attempt that is too late is ended without being sent.
 func (r *fleetRelay) sendAttempt(attempt *fleetAttempt) {
 	fleet := r.fleet
 	if attempt.ended {
@@ -311,7 +315,8 @@
 	r.runAt(fleet.now+0.02+0.2*fleet.Float64(), func() { r.endAttempt(attempt, relay.Succeeded) })
 }
 
-// checkAttempt holds an attempt against the rule on draining endpoints.
+// checkAttempt checks that an attempt is not sent to an endpoint after its drain grace, counted from the time at which the
+// relay counts as notified of the drain.
 func (r *fleetRelay) checkAttempt(attempt *fleetAttempt) {
 	fleet, index := r.fleet, int(attempt.command.Endpoint)-1
 	notifiedBy := fleet.discovery.notifiedBy(r.id, index)
@@ -320,7 +325,7 @@
 	}
 	if fleet.findings.violations++; fleet.findings.violations == 1 {
 		fleet.findings.firstViolation = fmt.Sprintf(
-			"%.3f: relay %d, started at %.3f, sent an attempt to endpoint %d, which counts as notified as leaving at %.3f",
+			"at %.3f relay %d, started at %.3f, sent an attempt to endpoint %d, although notified of its drain by %.3f",
 			fleet.now, r.id, r.startedAt, index+1, notifiedBy)
 	}
 }
--- a/internal/discovery/fleet_simulation_test.go
+++ b/internal/discovery/fleet_simulation_test.go
@@ -10,52 +10,54 @@
 	"lichenroad/relay"
 )
 
-// The files fleet_*_test.go simulate a whole fleet in virtual time with an overloaded discovery service: each relay is the
-// real decision module, the real poll schedule and the real membership node, wired as Client and membershipHost wire them.
-// The service is down for some seconds; at its return a third of the endpoints leave, and most relays die and start together
-// with the list that they had cached. What counts as notified to a relay is kept by the simulated service, apart from all
-// that is tested.
+// The files fleet_*_test.go simulate a whole fleet in virtual time with an overloaded discovery service. Each relay
+// consists of the real decision module, poll schedule and membership node, connected in the same way as by Client and
+// membershipHost. The service has an outage of some seconds. When it comes back, a third of the endpoints leave. Shortly
+// afterwards most relays are killed, and restarted together with the lists that they had cached. The simulated service
+// records when each relay counts as notified of a change, independently of the code under test.
 
-// Facts of the simulation, in seconds where nothing else is said.
+// Parameters of the simulation, in seconds unless stated otherwise.
 const (
-	fleetRelays    = 300
-	fleetEndpoints = 60
-	fleetGrace     = 0.25
-	graceSlack     = 0.05 // of the check, for what is on its way
-
-	discoveryRate   = 37.5 // polls per second: one of each relay in 8 s
-	discoveryWait   = 2.0  // after which a poll that has not had its turn fails
-	continuesFor    = 0.2  // after an answer, in which the next poll continues the watch
-	maxNotifyDelay  = 6.0  // after which every relay counts as notified of a change
-	requestInterval = 0.25 // between two requests of one relay
-	messageLossRate = 0.02
+	fleetRelays    = 300  // number of relays
+	fleetEndpoints = 60   // number of endpoints
+	fleetGrace     = 0.25 // drain grace
+	graceSlack     = 0.05 // tolerance of the check for attempts in transit
+
+	discoveryRate   = 37.5 // new polls that discovery answers per second: one from each relay in 8 s
+	discoveryWait   = 2.0  // after which a poll that is still in the queue fails
+	continuesFor    = 0.2  // after an answer, within which the next poll continues the watch
+	maxNotifyDelay  = 6.0  // after a change, until every relay counts as notified of it
+	requestInterval = 0.25 // between two requests to the same relay
+	messageLossRate = 0.02 // fraction of messages that are lost
 	connectTimeout  = 0.25
 
-	firstStarts = 8.5  // over which the relays start at first
-	outageAt    = 17.0 // all of them have a watch by then
-	returnAt    = 25.0
-	killAt      = returnAt + 2
-	restartAt   = killAt + 1.6
-	fleetEnd    = restartAt + 16
-	restarted   = fleetRelays * 7 / 10
-	cutOff      = 10 // relays that live on and receive no messages of the others from the outage on
+	firstStarts     = 8.5  // period over which the relays start initially
+	outageAt        = 17.0 // by then all relays have a watch
+	returnAt        = 25.0
+	killAt          = returnAt + 2
+	restartAt       = killAt + 1.6
+	fleetEnd        = restartAt + 16
+	restartedRelays = fleetRelays * 7 / 10 // number of relays that are restarted
+	// partitionedRelays is the number of relays that are not restarted, but receive no messages from peers from the start of
+	// the outage on.
+	partitionedRelays = 10
 )
 
-// fleetSafeguards are safeguards that a simulation does without, to show that the checks detect it.
+// fleetSafeguards selects the safeguards that a simulation disables, to show that the checks detect the violations.
 type fleetSafeguards struct {
-	noLease    bool // the decision module does not learn of the lease
-	noMessages bool // relays send one another no messages
-	fixedRetry bool // polls start at once at the start, and 1 to 2 s after each failure
+	noLease    bool // the decision module is not notified of the lease
+	noMessages bool // relays do not send messages to each other
+	fixedRetry bool // the first poll starts at once, and failed polls are retried after 1 to 2 s
 }
 
-// timedEvent is something that happens in the fleet at a time.
+// timedEvent is a function that is due at a time.
 type timedEvent struct {
 	dueAt    relay.Seconds
-	sequence int // the order of events at one time
+	sequence int // orders events that are due at the same time
 	run      func()
 }
 
-// eventHeap is a heap.Interface by the time of its events.
+// eventHeap implements heap.Interface, ordered by time.
 type eventHeap []timedEvent
 
 func (h eventHeap) Len() int      { return len(h) }
@@ -71,32 +73,32 @@
 	return event
 }
 
-// fleet is all relays, their endpoints and their discovery service.
+// fleet simulates all relays, their endpoints and their discovery service.
 type fleet struct {
 	*rand.Rand
 	disabled  fleetSafeguards
 	now       relay.Seconds
 	events    eventHeap
-	scheduled int
+	scheduled int // number of events scheduled so far
 	discovery *fleetDiscovery
 	relays    []*fleetRelay
-	shuffled  []int // relays in random order: the first ones are restarted, the last ones cut off
+	shuffled  []int // relays in random order: the first are restarted, the last are partitioned
 	findings  fleetFindings
 }
 
-// fleetFindings is what the checks found.
+// fleetFindings holds the results of the checks.
 type fleetFindings struct {
-	violations        int // attempts to endpoints whose drain had been notified for longer than the grace
+	violations        int // attempts to draining endpoints after the drain grace
 	firstViolation    string
-	unrejected        int // requests to a relay without a lease that were not rejected at once
-	rejected          int // those that were
+	unrejected        int // requests to relays without a lease that were not rejected at once
+	rejected          int // requests to relays without a lease that were rejected at once
 	requests          int
 	attempts          int
-	noList            int           // restarted relays that never had the service's own list
-	noLease           int           // or a lease
-	maxLeaseDelaySeen relay.Seconds // the longest time from a restart to the lease
-	maxListDelaySeen  relay.Seconds // and to the service's own list
-	pollsBySecond     []int         // polls that do not continue a watch, by second
+	noList            int           // restarted relays that never received the service's current list
+	noLease           int           // restarted relays that never had a lease
+	maxLeaseDelaySeen relay.Seconds // longest time from a restart to the first lease
+	maxListDelaySeen  relay.Seconds // longest time from a restart to the service's current list
+	pollsBySecond     []int         // number of polls in each second that do not continue a watch
 }
 
 func newFleet(seed int64, disabled fleetSafeguards) *fleet {
@@ -119,7 +121,7 @@
 	heap.Push(&f.events, timedEvent{math.Max(at, f.now), f.scheduled, run})
 }
 
-// run runs the simulation and returns what the checks found.
+// run runs the simulation and returns the results of the checks.
 func (f *fleet) run() fleetFindings {
 	for len(f.events) > 0 && f.events[0].dueAt <= fleetEnd {
 		next := heap.Pop(&f.events).(timedEvent)
@@ -140,16 +142,16 @@
 	return f.findings
 }
 
-// killRelays ends most relays at one moment; they start together with the list that they had cached.
+// killRelays kills most relays at the same time and schedules their common restart with the lists that they had cached.
 func (f *fleet) killRelays() {
-	for _, i := range f.shuffled[:restarted] {
+	for _, i := range f.shuffled[:restartedRelays] {
 		r := f.relays[i]
 		r.dead = true
 		f.runAt(restartAt, func() { f.startRelay(i, r.schedule.generation, r.cachedList) })
 	}
 }
 
-// startRelay starts the process of a relay.
+// startRelay starts a process of a relay with a cached list.
 func (f *fleet) startRelay(id int, generation int64, cachedList []relay.Endpoint) {
 	seed := f.Int63()
 	settings := relay.Settings{
@@ -192,11 +194,11 @@
 	r.runAt(f.now+requestInterval*f.Float64(), r.sendRequest)
 }
 
-// broadcast carries a message to all other relays that live when it arrives.
+// broadcast delivers a message to all other relays that are alive when it arrives.
 func (f *fleet) broadcast(from relay.ID, body []byte) {
-	for place, id := range f.shuffled {
-		isCutOff := f.now >= outageAt && place >= fleetRelays-cutOff
-		if id == int(from) || isCutOff || f.Float64() < messageLossRate {
+	for position, id := range f.shuffled {
+		isPartitioned := f.now >= outageAt && position >= fleetRelays-partitionedRelays
+		if id == int(from) || isPartitioned || f.Float64() < messageLossRate {
 			continue
 		}
 		f.runAt(f.now+0.001+0.038*f.Float64(), func() {
@@ -208,7 +210,8 @@
 	}
 }
 
-// recoverySeconds is how long after the restart the service last had more new polls in a second than it answers.
+// recoverySeconds returns the time from the restart until the rate of new polls finally stays below the rate that the
+// service can answer.
 func (f fleetFindings) recoverySeconds() int {
 	first := int(math.Floor(restartAt))
 	last := first
--- a/internal/discovery/host_test.go
+++ b/internal/discovery/host_test.go
@@ -20,18 +20,18 @@
 )
 
 const (
-	testTimeout  = 10 * time.Second // that a test waits for what should come at once
-	shortTimeout = 20 * time.Millisecond
+	testTimeout  = 10 * time.Second      // how long a test waits for events that should occur at once
+	shortTimeout = 20 * time.Millisecond // for timeouts that a test lets expire
 )
 
-// fakeDiscovery is a discovery service that hands each poll to the test.
+// fakeDiscovery is a discovery service that passes each poll to the test.
 type fakeDiscovery struct {
 	t        *testing.T
 	listener net.Listener
 	polls    chan receivedPoll
 }
 
-// receivedPoll is a poll that waits for its answer, on a connection by its number.
+// receivedPoll is a poll that waits for its answer, with the number of its connection.
 type receivedPoll struct {
 	net.Conn
 	conn int
@@ -79,7 +79,7 @@
 	case p := <-d.polls:
 		return p
 	case <-time.After(testTimeout):
-		d.t.Fatal("no poll")
+		d.t.Fatal("no poll was received within the timeout")
 		return receivedPoll{}
 	}
 }
@@ -98,14 +98,14 @@
 	return fmt.Sprintf(`{"generation":%d,"reset":%v,"instances":[%s]}`, generation, full, strings.Join(entries, ","))
 }
 
-// testHost is what stands round a client: the loop, and the connections to endpoints as its listener.
+// testHost is the environment of a client under test: it provides the loop and is the listener.
 type testHost struct {
 	t            *testing.T
 	loop         *pipeline.Loop
 	client       *Client
 	leavingCalls int
 	serviceOpen  bool
-	updates      []relay.ListUpdate // that waitForUpdate has not passed yet
+	updates      []relay.ListUpdate // updates not yet consumed by waitForUpdate
 	allUpdates   []relay.ListUpdate
 }
 
@@ -113,7 +113,7 @@
 func (h *testHost) EndpointLeaving(relay.EndpointID, bool)        { h.leavingCalls++ }
 func (h *testHost) FullListReceived(func(relay.EndpointID) bool)  {}
 
-// noopHost carries out no command: a loop that runs for long enough gives some, and these tests give their own.
+// noopHost ignores all commands. A loop that runs long enough issues some, but these tests issue their own.
 type noopHost struct{}
 
 func (noopHost) Send(*pipeline.Attempt)         {}
@@ -143,16 +143,16 @@
 	return h
 }
 
-// setSettings changes how the client polls.
+// setSettings changes the poll settings of the client.
 func (h *testHost) setSettings(change func(*pollSettings)) {
 	change(&h.client.settings)
 	h.client.current.schedule.settings = h.client.settings
 }
 
-// shortTimeouts shortens the timeouts, so that a stall shows soon.
+// shortTimeouts shortens the timeouts, so that a stall is detected quickly.
 func (h *testHost) shortTimeouts() *testHost {
 	h.setSettings(func(s *pollSettings) {
-		s.maxWatchWait, s.answerGrace, s.immediateAnswer, s.nextChunk = shortTimeout, shortTimeout, shortTimeout, shortTimeout
+		s.maxWatchWait, s.answerGrace, s.immediateAnswerTimeout, s.chunkTimeout = shortTimeout, shortTimeout, shortTimeout, shortTimeout
 	})
 	return h
 }
@@ -160,22 +160,23 @@
 // start starts the client with a cached list.
 func (h *testHost) start() {
 	h.t.Helper()
-	known, err := h.client.reader.Parse([]byte(listBody(1, true, listEntry("SERVING"))))
+	cached, err := h.client.reader.Parse([]byte(listBody(1, true, listEntry("SERVING"))))
 	if err != nil {
 		h.t.Fatal(err)
 	}
-	h.client.UseCachedList(known)
+	h.client.UseCachedList(cached)
 	h.client.Start()
 	if !h.client.settings.pushed {
 		h.client.Watch(true, false)
 	}
 }
 
-// waitForUpdate takes what is posted up to an update of a kind, which it returns.
+// waitForUpdate applies posted events until there is an update of the given kind, and returns it. Earlier updates are
+// discarded.
 func (h *testHost) waitForUpdate(kind relay.ListUpdateKind) relay.ListUpdate {
 	h.t.Helper()
 	for end := time.Now().Add(testTimeout); time.Now().Before(end); time.Sleep(time.Millisecond) {
-		h.takePosted()
+		h.applyPosted()
 		for i, update := range h.updates {
 			if update.Kind == kind {
 				h.updates = h.updates[i+1:]
@@ -183,11 +184,11 @@
 			}
 		}
 	}
-	h.t.Fatalf("no update of kind %d", kind)
+	h.t.Fatalf("no list update of kind %d within %v", kind, testTimeout)
 	return relay.ListUpdate{}
 }
 
-func (h *testHost) takePosted() {
+func (h *testHost) applyPosted() {
 	for _, event := range h.loop.TakePosted() {
 		event.Apply(h.loop)
 	}
@@ -198,12 +199,12 @@
 	}
 }
 
-// checkNoFailures checks that the decision module did not learn of a failed or stalled poll.
+// checkNoFailures checks that the decision module was not notified of a failed or stalled poll.
 func (h *testHost) checkNoFailures(updates []relay.ListUpdate) {
 	h.t.Helper()
 	for _, update := range updates {
 		if update.Kind == relay.ListFetchFailed || update.Kind == relay.ListWatchStalled {
-			h.t.Error("the decision module, which ordered no poll, learnt of a failure")
+			h.t.Error("the decision module was notified of the failure of a poll that it did not command")
 		}
 	}
 }
--- a/internal/discovery/list.go
+++ b/internal/discovery/list.go
@@ -10,43 +10,43 @@
 	"lichenroad/relay"
 )
 
-// maxEndpoints bounds a list: a thousand times what one relay sends to.
+// maxEndpoints is the maximum number of entries in a list: a thousand times the endpoints that one relay sends to.
 const maxEndpoints = 1 << 14
 
-// errMalformedList is of an answer, or an entry of one, that can't be read.
+// errMalformedList is the error for an answer, or an entry in one, that cannot be parsed.
 var errMalformedList = errors.New("malformed list")
 
-// List is one answer of the discovery service.
+// List is one answer from the discovery service.
 type List struct {
 	Generation int64
-	Full       bool // it holds all endpoints, not the changes alone
+	Full       bool // the list contains all endpoints, not only the changes
 	Endpoints  []ListedEndpoint
-	Unreadable int // entries that could not be read; of those, Endpoints has the ones that leave, as partial
+	Unreadable int // number of malformed entries; Endpoints contains those of leaving endpoints, marked as partial
 }
 
-// ListedEndpoint is one entry of a list: what the decision module sees of it, and where it is.
+// ListedEndpoint is one entry of a list. The decision module sees only the embedded relay.Endpoint.
 type ListedEndpoint struct {
 	relay.Endpoint
 	Name, Address string
 }
 
-// Reader reads lists. It remembers the numbers that it gave to zones and machine types, so there is one for the life of
-// the process. It may be used by several goroutines.
+// Reader parses lists. It assigns numbers to zones and machine types and remembers them, so a process must use a single
+// Reader. It is safe for concurrent use.
 type Reader struct {
-	mu           sync.Mutex // guards what follows
+	mu           sync.Mutex // guards zones and machineTypes
 	zones        *numbering
 	machineTypes *numbering
 	fromUnix     func(float64) relay.Seconds
 }
 
-// NewReader returns a reader. The zones and machine types of the settings are numbered by their place there; fromUnix
-// turns a Unix time in seconds into the program's.
+// NewReader returns a reader. The given zones and machine types, which are those of the settings, are numbered by their
+// position. The function fromUnix converts a Unix time in seconds to the program's time.
 func NewReader(zones, machineTypes []string, fromUnix func(float64) relay.Seconds) *Reader {
 	return &Reader{zones: newNumbering(zones), machineTypes: newNumbering(machineTypes), fromUnix: fromUnix}
 }
 
-// Parse reads a list. An entry that can't be read is left out and does not lose the rest, but one that says of an endpoint
-// that it leaves is believed with what can be read of it. Of two entries with one id the later holds.
+// Parse parses a list. Malformed entries are omitted, and the other entries are still used. If a malformed entry states
+// that an endpoint is leaving, it is included as partial. If two entries have the same id, the later one is used.
 func (r *Reader) Parse(raw []byte) (List, error) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -55,7 +55,7 @@
 		return List{}, fmt.Errorf("%w: %w", errMalformedList, err)
 	}
 	if wire.Generation == nil || len(wire.Instances) > maxEndpoints {
-		return List{}, fmt.Errorf("%w: %d entries", errMalformedList, len(wire.Instances))
+		return List{}, fmt.Errorf("%w: no generation or too many entries (%d)", errMalformedList, len(wire.Instances))
 	}
 	list := List{Generation: *wire.Generation, Full: wire.Reset}
 	indexOf := map[relay.EndpointID]int{}
@@ -77,7 +77,8 @@
 	return list, nil
 }
 
-// parseEndpoint reads one entry. With an error, the endpoint is partial if the entry says that it leaves, else empty.
+// parseEndpoint parses one entry. With an error it returns a partial endpoint if the entry states that the endpoint is
+// leaving, and an empty one otherwise.
 func (r *Reader) parseEndpoint(raw []byte) (ListedEndpoint, error) {
 	wire, fault, err := decodeEndpoint(raw)
 	if err != nil {
@@ -85,7 +86,8 @@
 	}
 	state, known := lifecycleStates[wire.Lifecycle]
 	if wire.ID == "" || !known {
-		return ListedEndpoint{}, fmt.Errorf("%w: entry %.40q", errMalformedList, wire.ID)
+		return ListedEndpoint{}, fmt.Errorf("%w: entry %.40q without an id or with an unknown lifecycle", errMalformedList,
+			wire.ID)
 	}
 	if fault == nil && state != relay.Removed {
 		fault = checkAddress(wire.HostPort)
@@ -107,7 +109,7 @@
 	return nil
 }
 
-// listedEndpoint turns an entry without faults into an endpoint.
+// listedEndpoint converts a valid entry to an endpoint.
 func (r *Reader) listedEndpoint(wire wireEndpoint, state relay.EndpointState) ListedEndpoint {
 	endpoint := relay.Endpoint{
 		ID:            endpointID(wire.ID),
--- a/internal/discovery/listwire.go
+++ b/internal/discovery/listwire.go
@@ -9,7 +9,8 @@
 	"lichenroad/relay"
 )
 
-// wireList is a list in the discovery service's JSON form. Its entries are decoded one by one, as each may be malformed.
+// wireList is a list in the JSON form of the discovery service. Entries are decoded individually, because any of them may
+// be malformed.
 type wireList struct {
 	Generation *int64            `json:"generation"`
 	Reset      bool              `json:"reset"`
@@ -29,15 +30,16 @@
 	Build         quotableNumber `json:"build"`
 }
 
-// lifecycleStates are the states by their names in an entry.
+// lifecycleStates maps the lifecycle field of an entry to the state of the endpoint.
 var lifecycleStates = map[string]relay.EndpointState{
 	"SERVING":  relay.Ready,
 	"DRAINING": relay.Draining,
 	"DELETED":  relay.Removed,
 }
 
-// decodeEndpoint decodes an entry. Where something in it is malformed (fault), id and lifecycle alone are decoded, as an
-// endpoint that leaves gets no new requests, whatever else is wrong with its entry; err says that even those could not be.
+// decodeEndpoint decodes an entry. If some of its fields are malformed, fault is set and only the id and the lifecycle are
+// decoded: a leaving endpoint must get no new requests, whatever else is wrong with its entry. If the id or the lifecycle
+// is malformed too, err is set.
 func decodeEndpoint(raw []byte) (entry wireEndpoint, fault, err error) {
 	fault = json.Unmarshal(raw, &entry)
 	if fault == nil {
@@ -53,7 +55,7 @@
 	return wireEndpoint{ID: bare.ID, Lifecycle: bare.Lifecycle}, fault, nil
 }
 
-// quotableNumber is a JSON number that may stand in quotes.
+// quotableNumber is a JSON number that may be enclosed in quotes.
 type quotableNumber float64
 
 // UnmarshalJSON implements json.Unmarshaler.
@@ -63,7 +65,8 @@
 	return err
 }
 
-// numbering gives numbers to names: to those of the settings by their place there, to others as they come.
+// numbering assigns numbers to names. Names that are known at the start are numbered by their position, others in the order
+// in which they first occur.
 type numbering struct{ numbers map[string]int }
 
 func newNumbering(known []string) *numbering {
@@ -83,9 +86,10 @@
 	return number
 }
 
-// endpointID numbers an endpoint by a hash of its name: relays tell one another of endpoints, so all must use one number.
+// endpointID derives the id of an endpoint from a hash of its name. Relays send these ids to each other, so all relays must
+// assign the same id.
 func endpointID(name string) relay.EndpointID {
 	hash := fnv.New64a()
-	_, _ = hash.Write([]byte(name)) // a hash never fails
+	_, _ = hash.Write([]byte(name)) // writing to a hash never fails
 	return relay.EndpointID(hash.Sum64())
 }
--- a/internal/discovery/membership.go
+++ b/internal/discovery/membership.go
@@ -7,17 +7,18 @@
 	"lichenroad/relay"
 )
 
-// noLease is a lease that no node returns: the decision module has not been notified of any yet.
+// noLease is a value that no node returns as a lease. It means that the decision module has not been notified of a lease
+// yet.
 const noLease relay.Seconds = -1
 
-// membershipHost hosts the relay's node of the membership protocol: it hands over what happens, and carries out what the
-// node returns. All of it runs on the loop.
+// membershipHost hosts the relay's node of the membership protocol: it passes events to the node and carries out the node's
+// output. It may be used only on the loop.
 type membershipHost struct {
 	client  *Client
 	loop    *pipeline.Loop
 	node    *membership.Node
-	timerAt relay.Seconds // of the timer that is set; membership.Never: none
-	lease   relay.Seconds // of which the decision module was notified last
+	timerAt relay.Seconds // time of the earliest timer that is set; membership.Never: none
+	lease   relay.Seconds // lease of which the decision module was last notified
 }
 
 func newMembershipHost(c *Client, seed int64) *membershipHost {
@@ -32,7 +33,7 @@
 	return &membershipHost{client: c, loop: c.loop, node: node, timerAt: membership.Never, lease: noLease}
 }
 
-// listReceived tells the node of a list, received or cached before the start.
+// listReceived passes a list to the node, whether received or cached during an earlier run.
 func (m *membershipHost) listReceived(update listUpdate) {
 	list := membership.List{Generation: update.list.Generation, Full: update.kind != relay.ListDelta}
 	for _, endpoint := range update.list.Endpoints {
@@ -45,7 +46,7 @@
 	m.step(membership.PollAnswered{List: list})
 }
 
-// step hands an event to the node, and carries out what it returns.
+// step passes an event to the node and carries out the output.
 func (m *membershipHost) step(event membership.Event) {
 	now := m.loop.Clock.Now()
 	output := m.node.Step(now, event)
@@ -60,7 +61,7 @@
 	m.setTimer(output.TimerAt)
 }
 
-// endpointsLeaving tells the listener and the decision module of endpoints that peers know to be leaving.
+// endpointsLeaving notifies the listener and the decision module of endpoints that peers have reported as leaving.
 func (m *membershipHost) endpointsLeaving(leaving []relay.EndpointID) {
 	if len(leaving) == 0 {
 		return
@@ -74,7 +75,8 @@
 	m.loop.AddEvent(update)
 }
 
-// setLease tells the decision module until when its list may be used. The first lease that has not expired opens service.
+// setLease notifies the decision module until when its list may be used. The first lease that has not expired opens
+// service.
 func (m *membershipHost) setLease(now, lease relay.Seconds) {
 	if lease != m.lease {
 		m.lease = lease
@@ -85,7 +87,7 @@
 	}
 }
 
-// setTimer sets a timer for the node, unless one that is set fires early enough.
+// setTimer sets a timer for the node, unless an existing timer fires early enough.
 func (m *membershipHost) setTimer(at relay.Seconds) {
 	if at >= m.timerAt {
 		return
@@ -99,7 +101,7 @@
 	})
 }
 
-// MembershipMessage takes a datagram of another relay, on the loop.
+// MembershipMessage handles a membership message from another relay. It is called on the loop.
 func (c *Client) MembershipMessage(from relay.ID, body []byte) {
 	node := c.membership.node
 	unreadable := node.Counters().Unreadable
--- a/internal/discovery/schedule.go
+++ b/internal/discovery/schedule.go
@@ -9,80 +9,81 @@
 	"lichenroad/relay"
 )
 
-// listPath is the path of the list at the discovery service.
+// listPath is the URL path of the list at the discovery service.
 const listPath = "/api/targets"
 
-// noGeneration is the generation of a relay that has no list.
+// noGeneration is the generation of a relay that does not have a list.
 const noGeneration = -1
 
 // poll is one request to the discovery service.
 type poll struct {
 	path      string
-	wait      time.Duration // for which the service may hold the poll until something changes
+	wait      time.Duration // the longest time that the service may hold the poll until the list changes
 	timeout   time.Duration // after which the poll counts as stalled
-	continues bool          // it continues the watch, without a gap after the answer before
+	continues bool          // the poll continues the watch without a gap after the previous answer
 }
 
-// pollOrigin says why a poll was sent.
+// pollOrigin is the reason for which a poll was sent.
 type pollOrigin int
 
 const (
-	watchContinued pollOrigin = iota // after another poll of the watch
-	watchCommanded                   // the first after the watch was turned on
-	fetchCommanded                   // a fetch of the full list
+	watchContinued pollOrigin = iota // follows another poll of the watch
+	watchCommanded                   // first poll after the watch was turned on
+	fetchCommanded                   // fetch of the full list
 )
 
-// pollSettings are how the lists of a site are polled.
+// pollSettings determines how a client polls for the lists of a site.
 type pollSettings struct {
-	pushed          bool          // no command orders the watch: the client retries it by itself
-	maxWatchWait    time.Duration // for which a poll of the watch waits at most
-	answerGrace     time.Duration // beyond its wait, for the answer to a poll of the watch
-	immediateAnswer time.Duration // for the answer to a poll that does not wait
-	nextChunk       time.Duration // for the next part of an answer that has begun
-	firstPushedList time.Duration // after the start, until service opens without the pushed list
-	firstList       time.Duration // after the start, until service opens without any list
-	maxBackoff      time.Duration // between two attempts to open a pushed watch
+	pushed                 bool          // lists are pushed: the watch is not commanded, and the client itself retries it
+	maxWatchWait           time.Duration // longest wait of a poll of the watch
+	answerGrace            time.Duration // time for the answer to a poll of the watch, in addition to its wait
+	immediateAnswerTimeout time.Duration // time for the answer to a poll that does not wait
+	chunkTimeout           time.Duration // time for the next part of an answer that has begun
+	firstPushedListTimeout time.Duration // time after the start until service opens without the pushed list
+	firstListTimeout       time.Duration // time after the start until service opens without any list
+	maxBackoff             time.Duration // longest delay before a watch for pushed lists is retried
 }
 
-// newPollSettings returns the settings of a site. Changes that are pushed while no watch stands bind the relay after the
-// drain grace, so the backoff is bounded by a part of that.
+// newPollSettings returns the settings of a site. The relay counts as notified of a pushed drain even if its watch is down,
+// and must stop sending to the endpoint after the drain grace, so the backoff is limited to a fraction of that grace.
 func newPollSettings(pushed bool, drainGrace relay.Seconds) pollSettings {
 	partOfGrace := time.Duration(limits.PushedListPollFraction * drainGrace * float64(time.Second))
 	return pollSettings{
-		pushed:          pushed,
-		maxWatchWait:    limits.MaxWatchTime,
-		answerGrace:     limits.WatchResponseTimeout,
-		immediateAnswer: limits.PollResponseTimeout,
-		nextChunk:       limits.ListReadTimeout,
-		firstPushedList: limits.AgentListTimeout,
-		firstList:       limits.FirstListTimeout,
-		maxBackoff:      max(limits.MinPushedListPoll, min(partOfGrace, limits.MaxBackoff)),
+		pushed:                 pushed,
+		maxWatchWait:           limits.MaxWatchTime,
+		answerGrace:            limits.WatchResponseTimeout,
+		immediateAnswerTimeout: limits.PollResponseTimeout,
+		chunkTimeout:           limits.ListReadTimeout,
+		firstPushedListTimeout: limits.AgentListTimeout,
+		firstListTimeout:       limits.FirstListTimeout,
+		maxBackoff:             max(limits.MinPushedListPoll, min(partOfGrace, limits.MaxBackoff)),
 	}
 }
 
-// pollSchedule decides what the watch at one address polls for next, what of an answer is new, and when a failed watch is
-// retried. It has no clock, goroutine or socket, so that tests run it in virtual time. The caller guards it.
+// pollSchedule determines the next poll of the watch at one address, which part of an answer is new, and when a failed
+// watch is retried. It uses no clock, goroutine or socket, so that tests can run it in virtual time. The caller must
+// synchronize access.
 type pollSchedule struct {
 	settings    pollSettings
 	random      *rand.Rand
-	generation  int64         // of the list that holds, or noGeneration
-	backoff     time.Duration // bound of the last wait before a retry; 0: no failure since an answer
-	established bool          // the last poll of the watch was answered, and the next one continues it
+	generation  int64         // generation of the current list, or noGeneration
+	backoff     time.Duration // maximum of the last delay before a retry; 0: no failure since the last answer
+	established bool          // the last poll of the watch was answered, so the next one continues the watch
 }
 
 func newPollSchedule(seed int64, settings pollSettings) *pollSchedule {
 	return &pollSchedule{settings: settings, random: rand.New(rand.NewSource(seed)), generation: noGeneration}
 }
 
-// nextPoll returns the next poll of the watch. The first one does not wait: its answer, even an empty one, confirms the
-// list for this relay and for its peers. The wait of the others is random, so that relays whose watches stalled together
-// don't all notice and poll again at one moment.
+// nextPoll returns the next poll of the watch. The first poll does not wait: even an empty answer to it confirms the list
+// for this relay and its peers. The wait of later polls is random, so that relays whose watches stall at the same time do
+// not all detect the stall and poll again at the same time.
 func (s *pollSchedule) nextPoll() poll {
 	if s.generation < 0 {
 		return s.fullListPoll()
 	}
 	if !s.established {
-		return poll{path: changesPath(s.generation, 0), timeout: s.settings.immediateAnswer}
+		return poll{path: changesPath(s.generation, 0), timeout: s.settings.immediateAnswerTimeout}
 	}
 	part := limits.MinWatchFraction + (1-limits.MinWatchFraction)*s.random.Float64()
 	wait := time.Duration(part * float64(s.settings.maxWatchWait))
@@ -94,23 +95,23 @@
 	}
 }
 
-// fullListPoll returns a poll for the full list, which does not wait.
+// fullListPoll returns a poll for the full list. It does not wait.
 func (s *pollSchedule) fullListPoll() poll {
-	return poll{path: listPath, timeout: s.settings.immediateAnswer}
+	return poll{path: listPath, timeout: s.settings.immediateAnswerTimeout}
 }
 
-// changesPath is the path of the changes since a generation, for which the service may wait.
+// changesPath returns the URL path for the changes since a generation. The service may wait that long for a change.
 func changesPath(since int64, wait time.Duration) string {
 	return fmt.Sprintf("%s?after=%d&wait_ms=%d", listPath, since, wait.Milliseconds())
 }
 
-// accept takes the answer to a poll, and says what of it is new. The decision module learns of each answer to a command,
-// and of others only if they change something.
+// accept records the answer to a poll and returns the part of it that is new. The decision module is notified of each
+// answer to a command, and of other answers only if they contain changes.
 func (s *pollSchedule) accept(list List, origin pollOrigin) listUpdate {
 	if origin != fetchCommanded {
 		s.established = true
 	} else if list.Generation < s.generation {
-		list = List{Generation: s.generation} // the watch has brought a newer list meanwhile
+		list = List{Generation: s.generation} // the watch has received a newer list in the meantime
 	}
 	s.generation, s.backoff = list.Generation, 0
 	kind := relay.ListDelta
@@ -121,8 +122,9 @@
 	return listUpdate{list: list, kind: kind, notify: changes || origin != watchContinued}
 }
 
-// pollFailed says whether the client retries the watch by itself, and after which wait: exponential backoff with jitter,
-// but none after a stall, as what was missed in it is about to bind the relay.
+// pollFailed returns whether the client itself retries the watch, and after which delay: exponential backoff with jitter.
+// After a stall the retry is immediate, because the relay will soon count as notified of the changes that the stalled poll
+// missed.
 func (s *pollSchedule) pollFailed(stalled bool) (retry bool, wait time.Duration) {
 	s.established = false
 	if !s.settings.pushed || stalled {
--- a/internal/discovery/server.go
+++ b/internal/discovery/server.go
@@ -10,8 +10,8 @@
 	"lichenroad/internal/metrics"
 )
 
-// server is the discovery service at one address, until the address changes. Its two goroutines, runWatch and runFetches,
-// begin with start and end by close. Commands reach them through channels that never block the loop.
+// server represents the discovery service at one address. Its two goroutines, runWatch and runFetches, run from start until
+// close. They receive commands through channels on which the loop never blocks.
 type server struct {
 	client        *Client
 	address       string
@@ -19,10 +19,10 @@
 	fetchCommands chan struct{}
 	closed        chan struct{} // closed by close
 
-	mu             sync.Mutex // guards what follows, and keeps lists in the order of their generations
+	mu             sync.Mutex // guards the fields below, and keeps lists in the order of their generations
 	schedule       *pollSchedule
-	watchConn      netpoll.Connection // on which a poll of the watch waits; nil: none
-	restartOrdered bool               // that poll was given up by command
+	watchConn      netpoll.Connection // connection on which a poll of the watch is waiting; nil: none
+	watchAbandoned bool               // a command has abandoned that poll
 	conns          map[netpoll.Connection]struct{}
 }
 
@@ -43,7 +43,8 @@
 	go s.runFetches()
 }
 
-// close ends the goroutines. The connections are shut down, not closed: the goroutine that reads from one closes it.
+// close stops the goroutines. It shuts the connections down, but does not close them: each is closed by the goroutine that
+// reads from it.
 func (s *server) close() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -62,7 +63,7 @@
 	}
 }
 
-// addConn notes an open connection, which close is to shut down.
+// addConn registers an open connection, which close will shut down.
 func (s *server) addConn(connection netpoll.Connection) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -72,29 +73,29 @@
 	}
 }
 
-// removeConn notes that a connection is about to be closed.
+// removeConn unregisters a connection that is about to be closed.
 func (s *server) removeConn(connection netpoll.Connection) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	delete(s.conns, connection)
 }
 
-// shutdown wakes the goroutine that waits on a connection.
+// shutdown shuts a connection down, which unblocks the goroutine that reads from it.
 func shutdown(connection netpoll.Connection) {
 	if c, ok := connection.(netpoll.Conn); ok {
-		_ = syscall.Shutdown(c.Fd(), syscall.SHUT_RDWR) // fails only where the peer has ended the connection already
+		_ = syscall.Shutdown(c.Fd(), syscall.SHUT_RDWR) // fails only if the peer has already closed the connection
 	}
 }
 
-// acceptList posts an answer to the loop. That happens under the lock, in the order of the generations: a full list that
-// crosses an answer to the watch would else undo the change in it.
+// acceptList posts an answer to the loop. It does so under the lock, in the order of the generations. Otherwise a full list
+// that was fetched at the same time as a change arrived on the watch could undo that change.
 func (s *server) acceptList(list List, origin pollOrigin) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.client.loop.Post(listEvent{s, s.schedule.accept(list, origin)})
 }
 
-// reportFailure counts, logs and posts a failed poll, unless the address has changed, which is no failure.
+// reportFailure counts, logs and posts a failed poll. A poll that ended because the address changed is not a failure.
 func (s *server) reportFailure(failure *pollError) {
 	if s.isClosed() {
 		return
--- a/internal/discovery/watch.go
+++ b/internal/discovery/watch.go
@@ -8,7 +8,7 @@
 	"lichenroad/internal/metrics"
 )
 
-// commandWatch turns the watch on or off. A command that was not taken yet is replaced.
+// commandWatch turns the watch on or off. It replaces a command that has not been received yet.
 func (s *server) commandWatch(on bool) {
 	select {
 	case <-s.watchCommands:
@@ -17,7 +17,7 @@
 	s.watchCommands <- on
 }
 
-// runWatch keeps the watch while it is on, until the server is closed.
+// runWatch maintains the watch while it is on, until the server is closed.
 func (s *server) runWatch() {
 	for {
 		select {
@@ -31,7 +31,7 @@
 	}
 }
 
-// watch sends one poll after the other until the watch is turned off, or fails and is not to be retried from here.
+// watch sends one poll after another until the watch is turned off, or fails and must not be retried without a command.
 func (s *server) watch() {
 	c := &conn{server: s, forWatch: true}
 	origin := watchCommanded
@@ -41,7 +41,7 @@
 		switch {
 		case failure == nil:
 			s.acceptList(list, origin)
-			on = s.stillOn()
+			on = s.watchStillOn()
 		case restarted:
 			c.close(metrics.ClosedByReplacement)
 			s.interruptWatch()
@@ -54,8 +54,8 @@
 	c.close(metrics.ClosedByPolicy)
 }
 
-// stillOn takes a command that came while the watch was on.
-func (s *server) stillOn() bool {
+// watchStillOn reports whether the watch is still on after any command that has arrived in the meantime.
+func (s *server) watchStillOn() bool {
 	select {
 	case on := <-s.watchCommands:
 		return on
@@ -64,7 +64,7 @@
 	}
 }
 
-// startPoll plans the next poll of the watch and announces it to the loop.
+// startPoll returns the next poll of the watch and announces it to the loop.
 func (s *server) startPoll() poll {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -73,41 +73,41 @@
 	return next
 }
 
-// beginWatchPoll notes the connection on which a poll of the watch waits from now on.
+// beginWatchPoll records the connection on which a poll of the watch is now waiting.
 func (s *server) beginWatchPoll(connection netpoll.Connection) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.watchConn, s.restartOrdered = connection, false
+	s.watchConn, s.watchAbandoned = connection, false
 }
 
-// endWatchPoll notes that no poll of the watch waits. It says whether the last one was given up by command.
+// endWatchPoll records that no poll of the watch is waiting. It reports whether the last one was abandoned by a command.
 func (s *server) endWatchPoll() (restarted bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	restarted = s.restartOrdered
-	s.watchConn, s.restartOrdered = nil, false
+	restarted = s.watchAbandoned
+	s.watchConn, s.watchAbandoned = nil, false
 	return restarted
 }
 
-// restartWatch gives up the poll of the watch that waits, if any.
+// restartWatch abandons the waiting poll of the watch, if any.
 func (s *server) restartWatch() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if _, open := s.conns[s.watchConn]; open && !s.restartOrdered {
-		s.restartOrdered = true
+	if _, open := s.conns[s.watchConn]; open && !s.watchAbandoned {
+		s.watchAbandoned = true
 		shutdown(s.watchConn)
 	}
 }
 
-// interruptWatch notes that the next poll begins a new watch.
+// interruptWatch records that the next poll starts a new watch.
 func (s *server) interruptWatch() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.schedule.established = false
 }
 
-// waitForRetry waits until a failed watch is to be retried. It returns false if the watch waits for a command instead, or
-// the server is closed.
+// waitForRetry waits until a failed watch should be retried. It returns false if only a command can restart the watch, or
+// if the server is closed.
 func (s *server) waitForRetry(failure *pollError) bool {
 	s.mu.Lock()
 	retry, backoff := s.schedule.pollFailed(failure.stalled())
