--- a/internal/discovery/drain_discovery_test.go
+++ b/internal/discovery/drain_discovery_test.go
@@ -6,8 +6,8 @@
 	"lichenroad/relay"
 )
 
-// This file implements the discovery service of a drainSimulation, and the rule of the relay protocol on when a relay counts
-// as notified of a change.
+// This file implements the discovery service of a drainSimulation, and the rule of the relay protocol on when a relay
+// counts as notified of a change.
 
 // Times of that rule, in seconds.
 const (
@@ -83,8 +83,8 @@
 
 // notifyUnwatched applies the rule for a relay without a watch. The relay may use its list for the poll interval after its
 // last poll, or for failedPollFactor times as long if that poll failed. The time is counted again from the end of an
-// outage. After that, the relay counts as notified of each change the same time after the change. A watch continues if the
-// next poll starts within watchGap.
+// outage. After that, the relay counts as notified of each change that long after the change. A watch continues if the next
+// poll starts within watchGap.
 func (d *drainSimulation) notifyUnwatched() {
 	if d.poll != nil || d.previousPoll != nil {
 		d.watchedAt = d.now
--- a/internal/discovery/drain_simulation_test.go
+++ b/internal/discovery/drain_simulation_test.go
@@ -49,7 +49,7 @@
 	endpoints  []relay.Endpoint
 	changedIn  []int           // version of the list in which each endpoint last changed
 	leftAt     []relay.Seconds // when each endpoint last stopped being ready; 0: it is ready
-	notifiedAt []relay.Seconds // when the relay counts as notified of that
+	notifiedAt []relay.Seconds // when the relay counts as notified that the endpoint left
 	stallAt    relay.Seconds
 	downAt     relay.Seconds
 	upAt       relay.Seconds
--- a/internal/discovery/schedule.go
+++ b/internal/discovery/schedule.go
@@ -19,7 +19,7 @@
 type poll struct {
 	path      string
 	wait      time.Duration // the longest time that the service may hold the poll until the list changes
-	timeout   time.Duration // after which the poll counts as stalled
+	timeout   time.Duration // time after which the poll counts as stalled
 	continues bool          // the poll continues the watch without a gap after the previous answer
 }
 
--- a/membership/backoff.go
+++ b/membership/backoff.go
@@ -67,8 +67,8 @@
 func (b *Backoff) Answered() { b.failures = 0 }
 
 // PeerAnswered returns a random delay before the next poll after discovery has answered a peer again. The delay is spread
-// like that of a first poll, because all relays whose polls failed want to poll now. It also limits the failure count, so that
-// the next failure is followed by a short backoff.
+// like that of a first poll, because all relays whose polls failed are about to poll again. It also limits the failure
+// count, so that the next failure is followed by a short backoff.
 func (b *Backoff) PeerAnswered() relay.Seconds {
 	b.failures = min(b.failures, 1)
 	return b.First()
--- a/membership/gossip.go
+++ b/membership/gossip.go
@@ -21,7 +21,8 @@
 	deltaBackoff = 0.3
 	// staleAfter is how far a peer's confirmation time may lag behind this node's before a heartbeat updates the peer.
 	staleAfter = 2.0
-	// maxDoublings limits how often the delay between heartbeats doubles while no peer is heard. The longest delay is 12 s.
+	// maxDoublings limits how often the delay between heartbeats doubles while no message from a peer arrives. The longest
+	// delay is 12 s.
 	maxDoublings = 3
 	// maxDeltaBases limits the number of older lists for which deltas can be pending at the same time.
 	maxDeltaBases = 4
--- a/membership/lease.go
+++ b/membership/lease.go
@@ -22,8 +22,8 @@
 	// contactTimeout is how long a message from a peer counts as contact with the fleet: about three heartbeats.
 	contactTimeout = 3.0
 	// minContactTime is how long this node must have been in contact with peers, after its start or after a silence, before
-	// a failed poll counts as an outage of discovery. Relays that started together may all hold the same old list; a peer
-	// with a newer one is heard within the time of a heartbeat and a delta.
+	// a failed poll counts as an outage of discovery. Relays that started together may all hold the same old list; a
+	// message from a peer with a newer list arrives within the time of a heartbeat and a delta.
 	minContactTime = heartbeatInterval + heartbeatBackoff + deltaBackoff
 )
 
@@ -60,8 +60,8 @@
 	return n.agreedAt
 }
 
-// inContact reports whether a failed poll counts as an outage for the whole fleet, because this node would have heard of an
-// answer to any other relay. If discovery answers no relay, it is down, and no relay counts as notified of changes that
+// inContact reports whether a failed poll counts as an outage for the whole fleet, because this node would have learned of
+// an answer to any other relay. If discovery answers no relay, it is down, and no relay counts as notified of changes that
 // have not reached it. If it answers other relays, it is overloaded, and all relays count as notified in time. A relay
 // without peers competes with no other for answers.
 func (n *Node) inContact() bool {
--- a/membership/membership.go
+++ b/membership/membership.go
@@ -49,7 +49,7 @@
 
 	answeredAt       relay.Seconds // when discovery last confirmed the version to any relay; Never: unknown
 	failedPollAt     relay.Seconds // start of the latest poll by any relay that is known to have failed; Never: none
-	agreedAt         relay.Seconds // when a peer with the same version was last heard; Never: not yet
+	agreedAt         relay.Seconds // when a message from a peer with the same version last arrived; Never: not yet
 	contactSince     relay.Seconds // start of the current contact with peers, uninterrupted by silence; Never: no contact yet
 	lastMessageAt    relay.Seconds // when the latest message from a peer arrived; Never: none yet
 	confirmedAt      relay.Seconds // latest time for which the list has been confirmed so far; Never: not yet
--- a/membership/membership_test.go
+++ b/membership/membership_test.go
@@ -143,7 +143,7 @@
 	wantLease(t, out.LeaseExpiresAt, 11+minContactTime+leaseTime) // counted from the last contact, not from the poll
 	out = n.Step(13.6, MessageReceived{1, heartbeat(n.version, Never, Never)})
 	wantLease(t, out.LeaseExpiresAt, 13+leaseTime)
-	out = failPoll(n, 17, 17.5, PollFailed{}) // the peer was last heard at 13.6
+	out = failPoll(n, 17, 17.5, PollFailed{}) // the last message from the peer arrived at 13.6
 	wantLease(t, out.LeaseExpiresAt, 13+leaseTime)
 }
 
