--- a/policy/admission_test.go
+++ b/policy/admission_test.go
@@ -6,9 +6,10 @@
 	"lichenroad/relay"
 )
 
-// Attempts that one endpoint swallowed filled admission's limit, and it rejected what the others could answer.
+// Open attempts at an endpoint that never answered used to fill the admission limit, so that requests were rejected which
+// the other endpoints could have answered.
 func TestUnansweredAttemptsDoNotStopAdmission(t *testing.T) {
-	w := newWorld(t, plainSettings())
+	w := newWorld(t, testSettings())
 	w.outcomeOf = func(_ *worldRequest, attempt *worldAttempt) relay.Outcome {
 		if attempt.endpoint.ID == 1 {
 			attempt.end = w.now + 100
@@ -24,54 +25,55 @@
 		return out
 	})
 	if w.rejected > 5 {
-		t.Errorf("%d of %d rejected", w.rejected, w.next)
+		t.Errorf("%d of %d requests were rejected", w.rejected, w.nextID)
 	}
 }
 
-// Admission knew its pace from two seconds of answers: after a quiet time it turned a burst away from idle endpoints.
+// The admission limit used to depend only on the mean rate of answers over 2 s, so that after a quiet period a burst was
+// rejected while endpoints were idle.
 func TestAdmissionOpensInABurst(t *testing.T) {
-	p := New(plainSettings(), 1)
+	p := New(testSettings(), 1)
 	for p.now = 10; p.now < 12; p.now += 0.25 {
-		p.admission.answered.Add(p.now, 0, 1) // four a second, due in 1 s
+		p.admission.answered.Add(p.now, 0, 1) // four answers a second, with a latency objective of 1 s
 	}
 	quiet := p.admission.limit()
 	for p.now = 12; p.now < 12.49; p.now += 0.01 {
-		p.admission.answered.Add(p.now, 0, 1) // a hundred a second
+		p.admission.answered.Add(p.now, 0, 1) // a hundred answers a second
 	}
 	burst := p.admission.limit()
-	p.now = 13.75 // over, and nothing answered since: the mean of 2 s alone is left
-	after, mean := p.admission.limit(), spareRequests+maxObjectiveUsage*p.admission.answered.Total(p.now, 0)/(trafficBucketTime*trafficBuckets)
-	if quiet > spareRequests+4 || burst < spareRequests+20 || after != mean {
-		t.Errorf("limit %.1f, in the burst %.1f, after it %.1f of %.1f", quiet, burst, after, mean)
+	p.now = 13.75 // the burst is over and nothing has been answered since, so only the mean over 2 s counts
+	afterBurst, mean := p.admission.limit(), spareRequests+maxObjectiveUsage*p.admission.answered.Total(p.now, 0)/(trafficBucketTime*trafficBuckets)
+	if quiet > spareRequests+4 || burst < spareRequests+20 || afterBurst != mean {
+		t.Errorf("limit %.1f before the burst, %.1f in it, %.1f after it (wanted %.1f)", quiet, burst, afterBurst, mean)
 	}
 }
 
-// A tenant beyond its share met one limit in all classes but the least: a burst, mostly one tenant's, was
-// served in the order in which it came.
-func TestPriorityRanksBeyondAQuota(t *testing.T) {
-	set := plainSettings()
-	set.Tenants = []relay.TenantSettings{{TrafficShare: 0.5}, {TrafficShare: 0.5}}
-	for i := range set.Classes {
-		set.Classes[i].PriorityWeight = float64(i + 1)
+// All classes except the lowest used to have the same limit for a tenant above its traffic share. A burst, which mostly
+// comes from one tenant, was then served in the order of arrival and not by priority.
+func TestPriorityCountsAboveATrafficShare(t *testing.T) {
+	settings := testSettings()
+	settings.Tenants = []relay.TenantSettings{{TrafficShare: 0.5}, {TrafficShare: 0.5}}
+	for i := range settings.Classes {
+		settings.Classes[i].PriorityWeight = float64(i + 1)
 	}
-	p := New(set, 1)
+	p := New(settings, 1)
 	p.now = 20
 	p.admission.answered.Add(19.6, 0, 1000)
-	admits := func(tenant relay.Tenant, category int) (n int) {
+	admits := func(tenant relay.Tenant, class int) (n int) {
 		for ; n < 10000; n++ {
 			p.router.openOnTime = n
-			if p.admission.rejects(&trackedRequest{Request: relay.Request{Tenant: tenant, Class: relay.RequestClass(category)}, class: &p.classes[category]}) {
+			if p.admission.rejects(&trackedRequest{Request: relay.Request{Tenant: tenant, Class: relay.RequestClass(class)}, class: &p.classes[class]}) {
 				return n
 			}
 		}
 		return n
 	}
-	for c := 1; c < len(set.Classes); c++ {
-		if less, more := admits(0, c-1), admits(0, c); less >= more {
-			t.Errorf("beyond its share, value %d is rejected at %d open, value %d at %d", c, less, c+1, more)
+	for class := 1; class < len(settings.Classes); class++ {
+		if lower, higher := admits(0, class-1), admits(0, class); lower >= higher {
+			t.Errorf("above the traffic share: priority weight %d is rejected from %d open requests on, weight %d from %d", class, lower, class+1, higher)
 		}
-		if beyond, within := admits(0, c), admits(1, c); beyond >= within {
-			t.Errorf("value %d: rejected at %d open beyond a share, at %d within", c+1, beyond, within)
+		if above, within := admits(0, class), admits(1, class); above >= within {
+			t.Errorf("priority weight %d: rejected from %d open requests on above the traffic share, from %d below it", class+1, above, within)
 		}
 	}
 }
--- a/policy/endpoints_test.go
+++ b/policy/endpoints_test.go
@@ -9,106 +9,108 @@
 	"lichenroad/relay"
 )
 
-// TestStalledWatchIsPolledAtOnce tells of a stalled watch, whose 2 s are nearly over: the next call is made at once. Those
-// behind it that fail are backed off, so that a fleet does not keep up the overload that fails them; up to their answer
-// the lease holds the relay back. Whatever fails, the next call comes within the time that a failed one is held to.
+// TestStalledWatchIsPolledAtOnce reports a stalled watch. The next call is made at once, since changes that the watch
+// missed count as delivered 2 s after the end of its wait. If further calls fail, they are retried with backoff, so that
+// the fleet does not sustain the overload that makes them fail; until one is answered, the lease keeps the relay from
+// using an old list. Whatever fails, the next call comes while the list may still be used.
 func TestStalledWatchIsPolledAtOnce(t *testing.T) {
 	for seed := range int64(50) {
-		set := plainSettings()
-		set.ListOnRequest = true
-		set.Relays = 300
-		p, now := New(set, seed), relay.Seconds(0)
-		asks := func(events ...relay.Event) bool {
-			for _, o := range p.Step(now, events) {
-				if w, ok := o.(relay.Watch); ok && w.On {
+		settings := testSettings()
+		settings.ListOnRequest = true
+		settings.Relays = 300
+		p, now := New(settings, seed), relay.Seconds(0)
+		polls := func(events ...relay.Event) bool {
+			for _, command := range p.Step(now, events) {
+				if watch, ok := command.(relay.Watch); ok && watch.On {
 					return true
 				}
 			}
 			return false
 		}
-		after := func(form relay.ListUpdateKind) (wait relay.Seconds) {
-			for asked := asks(relay.ListUpdate{Kind: form}); !asked; asked = asks(relay.TimerFired{ID: 1}) {
-				now, wait = now+tickInterval, wait+tickInterval
+		pollDelay := func(kind relay.ListUpdateKind) (delay relay.Seconds) {
+			for polled := polls(relay.ListUpdate{Kind: kind}); !polled; polled = polls(relay.TimerFired{ID: 1}) {
+				now, delay = now+tickInterval, delay+tickInterval
 			}
-			return wait
+			return delay
 		}
-		asks(relay.ListUpdate{Kind: relay.ListFull, Endpoints: entries(3, 1, 1)})
-		if wait := after(relay.ListWatchStalled); wait > 2*tickInterval {
-			t.Errorf("seed %d: polled %v after a silence", seed, wait)
+		polls(relay.ListUpdate{Kind: relay.ListFull, Endpoints: entries(3, 1, 1)})
+		if delay := pollDelay(relay.ListWatchStalled); delay > 2*tickInterval {
+			t.Errorf("seed %d: polled %v after a stalled watch", seed, delay)
 		}
 		longest := 0.0
 		for range 20 {
-			longest = math.Max(longest, after(relay.ListFetchFailed))
+			longest = math.Max(longest, pollDelay(relay.ListFetchFailed))
 		}
 		if longest < 4 || longest > 16+tickInterval {
-			t.Errorf("seed %d: calls that fail are made again after %v at most", seed, longest)
+			t.Errorf("seed %d: failed calls are retried after at most %v", seed, longest)
 		}
-		asks(relay.ListUpdate{Kind: relay.ListDelta})
-		if wait := after(relay.ListFetchFailed); wait > 2+tickInterval {
-			t.Errorf("seed %d: polled %v after the first failure behind an answer", seed, wait)
+		polls(relay.ListUpdate{Kind: relay.ListDelta})
+		if delay := pollDelay(relay.ListFetchFailed); delay > 2+tickInterval {
+			t.Errorf("seed %d: polled %v after the first failure that followed an answer", seed, delay)
 		}
-		p = New(set, seed)
-		asks(relay.ListUpdate{Kind: relay.ListFull, Endpoints: entries(3, 1, 1)})
-		p.endpoints.backoff = membership.NewBackoff(set.Relays, 0.5, p.random) // a failed call holds for 2 s then
+		p = New(settings, seed)
+		polls(relay.ListUpdate{Kind: relay.ListFull, Endpoints: entries(3, 1, 1)})
+		p.endpoints.backoff = membership.NewBackoff(settings.Relays, 0.5, p.random) // a list is valid for 2 s after a failed call
 		for range 20 {
-			if wait := after(relay.ListFetchFailed); wait > 2 {
-				t.Errorf("seed %d: held to a list for 2 s, polled again after %v", seed, wait)
+			if delay := pollDelay(relay.ListFetchFailed); delay > 2 {
+				t.Errorf("seed %d: polled %v after a failed call, though the list may be used for 2 s only", seed, delay)
 			}
 		}
 	}
 }
 
-// TestPeerUpdateIsNoAnswerOfDiscovery has a call fail, and peers tell of endpoints that left and that discovery answers again:
-// the first leaves the retry as it was, the second brings it forward, spread over the fleet.
+// TestPeerUpdateIsNoAnswerOfDiscovery lets calls to discovery fail. A peer's update about a draining endpoint must not
+// change the time of the retry. Once discovery answers a peer again, the retry comes earlier, at times spread over the
+// fleet.
 func TestPeerUpdateIsNoAnswerOfDiscovery(t *testing.T) {
 	const relays = 200
-	at := map[bool][]relay.Seconds{}
-	for _, answers := range []bool{false, true} {
+	pollTimes := map[bool][]relay.Seconds{}
+	for _, recovered := range []bool{false, true} {
 		for seed := range int64(relays) {
-			set := plainSettings()
-			set.ListOnRequest, set.Relays = true, relays
-			p := New(set, seed)
+			settings := testSettings()
+			settings.ListOnRequest, settings.Relays = true, relays
+			p := New(settings, seed)
 			p.Step(0, []relay.Event{relay.ListUpdate{Kind: relay.ListFull, Endpoints: entries(3, 1, 1)}})
 			for range 6 {
 				p.Step(1, []relay.Event{relay.ListUpdate{Kind: relay.ListFetchFailed}})
 			}
 			events := []relay.Event{relay.ListUpdate{Kind: relay.ListDelta, FromPeers: true,
 				Endpoints: []relay.Endpoint{{ID: 1, State: relay.Draining, Partial: true}}}}
-			if answers {
+			if recovered {
 				events = append(events, relay.DiscoveryRecovered{})
 			}
-			asked := false
-			for now := 1.0; !asked && now < 30; now += tickInterval {
-				for _, o := range p.Step(now, append(events, relay.TimerFired{ID: 1})) {
-					if w, ok := o.(relay.Watch); ok && w.On {
-						asked = true
-						at[answers] = append(at[answers], now)
+			polled := false
+			for now := 1.0; !polled && now < 30; now += tickInterval {
+				for _, command := range p.Step(now, append(events, relay.TimerFired{ID: 1})) {
+					if watch, ok := command.(relay.Watch); ok && watch.On {
+						polled = true
+						pollTimes[recovered] = append(pollTimes[recovered], now)
 					}
 				}
 				events = nil
 			}
-			if !asked {
-				t.Fatalf("seed %d, answers %v: the retry was dropped", seed, answers)
+			if !polled {
+				t.Fatalf("seed %d, discovery recovered %v: the call was not retried", seed, recovered)
 			}
 		}
-		sort.Float64s(at[answers])
+		sort.Float64s(pollTimes[recovered])
 	}
-	if last := at[true][relays-1]; last > 1+8+2*tickInterval || last < 1+4 {
-		t.Errorf("the last of the fleet calls %v after discovery answers again", last-1)
+	if last := pollTimes[true][relays-1]; last > 1+8+2*tickInterval || last < 1+4 {
+		t.Errorf("the last relay calls %v after discovery answers again", last-1)
 	}
-	if at[true][relays/2] >= at[false][relays/2] {
-		t.Errorf("no sooner than without: %v, %v", at[true][relays/2], at[false][relays/2])
+	if pollTimes[true][relays/2] >= pollTimes[false][relays/2] {
+		t.Errorf("median retry at %v after discovery answers a peer again, at %v otherwise", pollTimes[true][relays/2], pollTimes[false][relays/2])
 	}
 }
 
-// TestUnlistedStageRestartsTheWatch tells of a stage whose endpoints are not listed: relays open their watches anew,
-// once each and not together, and none does where they are.
+// TestUnlistedStageRestartsTheWatch starts a stage. If its endpoints are not listed, most relays restart their watch, each
+// once and at different times. If they are listed, none does.
 func TestUnlistedStageRestartsTheWatch(t *testing.T) {
 	const relays = 100
 	for _, listed := range []bool{false, true} {
-		anew, at := 0, map[int]int{}
+		restarts, restartsBySecond := 0, map[int]int{}
 		for seed := range int64(relays) {
-			p := New(plainSettings(), seed)
+			p := New(testSettings(), seed)
 			p.Step(0, []relay.Event{relay.ListUpdate{Kind: relay.ListFull, Endpoints: entries(20, 1, 1)},
 				relay.RolloutStatus{Valid: true, Build: 2, Phase: relay.PhaseCanary, ExposureLimit: 0.1}})
 			for now := relay.Seconds(0); now < 15; now += tickInterval {
@@ -116,47 +118,47 @@
 				if listed && now > 2 {
 					events = append(events, relay.ListUpdate{Kind: relay.ListDelta, Endpoints: entries(5, 2, 21)})
 				}
-				for _, o := range p.Step(now, events) {
-					if w, ok := o.(relay.Watch); ok && w.Restart {
-						anew++
-						at[int(now)]++
+				for _, command := range p.Step(now, events) {
+					if watch, ok := command.(relay.Watch); ok && watch.Restart {
+						restarts++
+						restartsBySecond[int(now)]++
 					}
 				}
 			}
 		}
 		maxCount := 0
-		for second, n := range at {
+		for second, n := range restartsBySecond {
 			if maxCount = max(maxCount, n); second < int(listingDelay+watchRestartDelay) {
-				t.Error("doubted before its endpoints could be listed")
+				t.Error("watch restarted before the endpoints could be listed")
 			}
 		}
-		if listed && anew > 0 || !listed && (anew < relays*9/10 || anew > relays || maxCount > relays/2) {
-			t.Errorf("listed %v: %d times, %d in one second", listed, anew, maxCount)
+		if listed && restarts > 0 || !listed && (restarts < relays*9/10 || restarts > relays || maxCount > relays/2) {
+			t.Errorf("listed %v: %d restarts, at most %d within a second", listed, restarts, maxCount)
 		}
 	}
 }
 
-// TestUpdateOfAnotherCallKeepsTheRetry has a call fail and a list come all the same, as when discovery moves and the old
-// watch still tells something: the watch is polled again, or the relay would hear nothing more.
+// TestUpdateOfAnotherCallKeepsTheRetry lets a call fail and a list arrive afterwards, as from the old watch when the
+// address of discovery changes. The failed call is still retried; otherwise the relay would get no more updates.
 func TestUpdateOfAnotherCallKeepsTheRetry(t *testing.T) {
-	for _, form := range []relay.ListUpdateKind{relay.ListFetchFailed, relay.ListWatchStalled} {
-		p, now, asked := New(plainSettings(), 1), relay.Seconds(0), false
+	for _, kind := range []relay.ListUpdateKind{relay.ListFetchFailed, relay.ListWatchStalled} {
+		p, now, polled := New(testSettings(), 1), relay.Seconds(0), false
 		p.Step(0, []relay.Event{relay.ListUpdate{Kind: relay.ListFull, Endpoints: entries(3, 1, 1)}})
-		p.Step(1, []relay.Event{relay.ListUpdate{Kind: form}, relay.ListUpdate{Kind: relay.ListDelta, Endpoints: entries(1, 1, 1)}})
+		p.Step(1, []relay.Event{relay.ListUpdate{Kind: kind}, relay.ListUpdate{Kind: relay.ListDelta, Endpoints: entries(1, 1, 1)}})
 		for now = 1; now < 4; now += tickInterval {
-			for _, o := range p.Step(now, []relay.Event{relay.TimerFired{ID: 1}}) {
-				w, ok := o.(relay.Watch)
-				asked = asked || ok && w.On
+			for _, command := range p.Step(now, []relay.Event{relay.TimerFired{ID: 1}}) {
+				watch, ok := command.(relay.Watch)
+				polled = polled || ok && watch.On
 			}
 		}
-		if !asked {
-			t.Errorf("after status of form %d and a list: not polled again", form)
+		if !polled {
+			t.Errorf("after an update of kind %d and a list: not polled again", kind)
 		}
 		p.Step(now, []relay.Event{relay.ListUpdate{Kind: relay.ListDelta}})
 		for ; now < 10; now += tickInterval {
-			for _, o := range p.Step(now, []relay.Event{relay.TimerFired{ID: 1}}) {
-				if w, ok := o.(relay.Watch); ok {
-					t.Errorf("polled at %v, though the call behind the failure was answered: %+v", now, w)
+			for _, command := range p.Step(now, []relay.Event{relay.TimerFired{ID: 1}}) {
+				if watch, ok := command.(relay.Watch); ok {
+					t.Errorf("polled at %v, though the call after the failed one was answered: %+v", now, watch)
 				}
 			}
 		}
--- a/policy/limits_test.go
+++ b/policy/limits_test.go
@@ -9,7 +9,8 @@
 	"unicode/utf8"
 )
 
-// decisionFiles reads the list of the files that hold every decision from the deploy file, as paths from this folder.
+// decisionFiles returns the files that make the relay's decisions, which the deploy file lists, as paths relative to this
+// folder.
 func decisionFiles(t *testing.T) (paths []string) {
 	t.Helper()
 	deploy, err := os.ReadFile("../deploy/balancer.toml")
@@ -29,7 +30,8 @@
 	return paths
 }
 
-// TestDecisionFilesStayReadable holds each file of decisions to a length and a width that can be read in one go.
+// TestDecisionFilesStayReadable checks that each file that makes decisions is short and narrow enough to be read in one
+// go.
 func TestDecisionFilesStayReadable(t *testing.T) {
 	const (
 		maxFileLines = 500
--- a/policy/scenario_test.go
+++ b/policy/scenario_test.go
@@ -6,18 +6,19 @@
 	"lichenroad/relay"
 )
 
-// attemptsAtBuild has a hundred relays with a few requests each, and counts their attempts at endpoints of one build.
-func attemptsAtBuild(t *testing.T, queries int, build relay.Build, endpoints []relay.Endpoint, status relay.RolloutStatus) (attempts int) {
-	set := plainSettings()
-	set.Relays = 100
+// attemptsAtBuild simulates a hundred relays that get a few requests each, and counts their attempts at endpoints of one
+// build.
+func attemptsAtBuild(t *testing.T, requests int, build relay.Build, endpoints []relay.Endpoint, status relay.RolloutStatus) (attempts int) {
+	settings := testSettings()
+	settings.Relays = 100
 	for seed := int64(0); seed < 100; seed++ {
-		w := newWorld(t, set)
-		w.mod = New(set, seed)
+		w := newWorld(t, settings)
+		w.policy = New(settings, seed)
 		w.now = 10
 		w.step(relay.ListUpdate{Kind: relay.ListFull, Endpoints: endpoints}, status)
 		w.now += 0.1
 		w.step(relay.TimerFired{ID: 1})
-		for i := 0; i < queries; i++ {
+		for i := 0; i < requests; i++ {
 			w.step(w.newRequest(0, 0))
 		}
 		attempts += w.attemptsAt(build, w.sent)
@@ -25,58 +26,61 @@
 	return attempts
 }
 
-// canaryRun puts a build of newUnits endpoints on trial beside eight earlier ones; each attempt ends as how says.
-func canaryRun(t *testing.T, newUnits int, how attemptEnding) []relay.Vote {
-	return canaryOf(t, entries(newUnits, 6, 20), relay.RolloutStatus{Valid: true, Build: 6, Stage: 1, ExposureLimit: 0.4}, 14, how).votes
+// canaryVotes puts a build on trial that runs on newEndpoints endpoints, beside eight of the earlier build, and returns
+// the votes cast.
+func canaryVotes(t *testing.T, newEndpoints int, ending attemptEnding) []relay.Vote {
+	return runCanary(t, entries(newEndpoints, 6, 20), relay.RolloutStatus{Valid: true, Build: 6, Stage: 1, ExposureLimit: 0.4}, 14, ending).votes
 }
 
-// canaryOf does so with these endpoints and status for a while; attempts sent before that are forgotten.
-func canaryOf(t *testing.T, newer []relay.Endpoint, status relay.RolloutStatus, span relay.Seconds, how attemptEnding) *world {
-	w := newWorld(t, plainSettings())
+// runCanary first runs eight endpoints of the released build 5 for 12 s, which is one evidence window. It then adds the
+// newer endpoints, delivers the status and runs for the span. The sent attempts of the returned world are
+// those of that span only. The ending determines how attempts end.
+func runCanary(t *testing.T, newer []relay.Endpoint, status relay.RolloutStatus, span relay.Seconds, ending attemptEnding) *world {
+	w := newWorld(t, testSettings())
 	w.outcomeOf = func(_ *worldRequest, attempt *worldAttempt) relay.Outcome {
-		o, took := how(attempt.endpoint, w.now)
-		attempt.end = w.now + took
-		return o
+		outcome, duration := ending(attempt.endpoint, w.now)
+		attempt.end = w.now + duration
+		return outcome
 	}
 	w.step(relay.ListUpdate{Kind: relay.ListFull, Endpoints: entries(8, 5, 1)},
 		relay.RolloutStatus{Valid: true, Build: 5, Phase: relay.PhaseReleased, ExposureLimit: 1})
-	w.run(12, w.load)
+	w.run(12, w.requestEachTick)
 	w.sent = nil
 	w.step(relay.ListUpdate{Kind: relay.ListDelta, Endpoints: newer}, status)
-	w.run(span, w.load)
+	w.run(span, w.requestEachTick)
 	return w
 }
 
-// load is a request each tick.
-func (w *world) load() []relay.Event { return []relay.Event{w.newRequest(0, 0)} }
+// requestEachTick is a function for run that sends one request in each tick.
+func (w *world) requestEachTick() []relay.Event { return []relay.Event{w.newRequest(0, 0)} }
 
-// started is endpoints that start at a time.
-func started(es []relay.Endpoint, at relay.Seconds) []relay.Endpoint {
-	for i := range es {
-		es[i].StartKnown, es[i].StartedAt = true, at
+// startedAt sets the start time of list entries.
+func startedAt(list []relay.Endpoint, at relay.Seconds) []relay.Endpoint {
+	for i := range list {
+		list[i].StartKnown, list[i].StartedAt = true, at
 	}
-	return es
+	return list
 }
 
-func rolledBack(votes []relay.Vote) bool {
-	for _, v := range votes {
-		if v.Verdict == relay.VoteRollBack {
+func votedToRollBack(votes []relay.Vote) bool {
+	for _, vote := range votes {
+		if vote.Verdict == relay.VoteRollBack {
 			return true
 		}
 	}
 	return false
 }
 
-// ending says how an attempt sent to an endpoint at some time ends, and after how long.
-type attemptEnding func(u relay.Endpoint, at relay.Seconds) (relay.Outcome, relay.Seconds)
+// attemptEnding returns the outcome and the duration of an attempt that is sent to an endpoint at some time.
+type attemptEnding func(endpoint relay.Endpoint, at relay.Seconds) (relay.Outcome, relay.Seconds)
 
-// fails lets every kth attempt that hits fail after took; all others are answered.
-func fails(k int, took relay.Seconds, hits func(u relay.Endpoint) bool) attemptEnding {
+// failEvery lets every kth attempt at a matching endpoint fail after the duration. All other attempts succeed.
+func failEvery(k int, duration relay.Seconds, matches func(endpoint relay.Endpoint) bool) attemptEnding {
 	n := 0
-	return func(u relay.Endpoint, _ relay.Seconds) (relay.Outcome, relay.Seconds) {
-		if hits(u) {
+	return func(endpoint relay.Endpoint, _ relay.Seconds) (relay.Outcome, relay.Seconds) {
+		if matches(endpoint) {
 			if n++; n%k == 0 {
-				return relay.Errored, took
+				return relay.Errored, duration
 			}
 		}
 		return relay.Succeeded, 0.1
--- a/policy/world_test.go
+++ b/policy/world_test.go
@@ -12,52 +12,58 @@
 	"lichenroad/relay"
 )
 
-// The same verdict each time: random runs start from a fixed seed and leave nothing behind.
+// TestMain makes the property tests reproducible: rapid starts from a fixed seed and writes no files.
 func TestMain(m *testing.M) {
 	flag.Parse()
-	for k, v := range map[string]string{"rapid.seed": "7", "rapid.nofailfile": "true", "rapid.checks": "150"} {
-		if err := flag.Set(k, v); err != nil {
+	for name, value := range map[string]string{"rapid.seed": "7", "rapid.nofailfile": "true", "rapid.checks": "150"} {
+		if err := flag.Set(name, value); err != nil {
 			panic(err)
 		}
 	}
 	os.Exit(m.Run())
 }
 
-// world plays the other side of one relay and checks every order against the rules' text. It knows
-// nothing of the module's guards.
+// world simulates everything outside the decision module of one relay: its host, clients, endpoints and
+// platform. It checks every command of the module against the rules, independently of the module's own
+// checks.
 type world struct {
 	t              interface{ Fatalf(string, ...any) }
-	set            relay.Settings
-	mod            *Policy
+	settings       relay.Settings
+	policy         *Policy
 	now            relay.Seconds
-	next           relay.RequestID
+	nextID         relay.RequestID
 	requests       map[relay.RequestID]*worldRequest
 	endpoints      map[relay.EndpointID]*worldEndpoint
 	timers         []relay.SetTimer
-	accepted       []worldMark // requests taken, attempts on trial, by class
-	canaryAttempts []worldMark
+	received       []exposureRecord // received requests
+	canaryAttempts []exposureRecord // attempts at builds on trial
 	status         *relay.RolloutStatus
-	limitSince     relay.Seconds // when the present cap began to bind
-	previousLimit  float64       // the cap that it replaced
-	keys           map[relay.Key]relay.Build
-	outcomeOf      func(request *worldRequest, attempt *worldAttempt) relay.Outcome // how an attempt will end
-	sent           []relay.SendAttempt
-	votes          []relay.Vote
-	rejected       int
-	reportTimes    []relay.Seconds // when it sent reports
+	limitLoweredAt relay.Seconds             // when the present exposure limit replaced a higher one; -100: it did not
+	previousLimit  float64                   // highest exposure limit of the newest build before that
+	keyBuilds      map[relay.Key]relay.Build // newest build that has answered a request with the key
+	// returns the outcome of an attempt that is being sent; may also set its end
+	outcomeOf   func(request *worldRequest, attempt *worldAttempt) relay.Outcome
+	sent        []relay.SendAttempt
+	votes       []relay.Vote
+	rejected    int
+	reportTimes []relay.Seconds // when the module sent messages
 }
 
-type worldMark struct {
+// exposureRecord is a request or an attempt that counts for an exposure limit.
+type exposureRecord struct {
 	at    relay.Seconds
 	build relay.Build
 	class relay.RequestClass
 }
 
+// worldEndpoint is an endpoint as discovery last reported it.
 type worldEndpoint struct {
 	relay.Endpoint
-	notReadySince relay.Seconds // when it was told as not ready
+	notReadySince relay.Seconds // when it was first reported as draining or removed
 }
 
+// worldAttempt is an attempt that the module has sent. Its end and outcome are drawn when it is sent; a
+// cancellation may change them.
 type worldAttempt struct {
 	endpoint        relay.Endpoint
 	at, end         relay.Seconds
@@ -70,30 +76,30 @@
 type worldRequest struct {
 	relay.Request
 	attempts []*worldAttempt
-	finished bool // ended by the module, or told as over
+	finished bool // has its final answer from the module, or was reported to the module as finished
 }
 
-func newWorld(t interface{ Fatalf(string, ...any) }, set relay.Settings) *world {
-	w := &world{t: t, set: set, mod: New(set, 1), requests: map[relay.RequestID]*worldRequest{},
-		endpoints: map[relay.EndpointID]*worldEndpoint{}, keys: map[relay.Key]relay.Build{}}
+func newWorld(t interface{ Fatalf(string, ...any) }, settings relay.Settings) *world {
+	w := &world{t: t, settings: settings, policy: New(settings, 1), requests: map[relay.RequestID]*worldRequest{},
+		endpoints: map[relay.EndpointID]*worldEndpoint{}, keyBuilds: map[relay.Key]relay.Build{}}
 	w.outcomeOf = func(*worldRequest, *worldAttempt) relay.Outcome { return relay.Succeeded }
 	return w
 }
 
-// worldBatch is what a batch of events brings that binds from the next batch on.
+// worldBatch holds the effects of a batch of events that the checks consider only from the next batch on.
 type worldBatch struct {
 	finished  []*worldRequest // reported to the module as finished
 	succeeded map[relay.Key]relay.Build
 }
 
-// step delivers events at the present time, carries out the commands and checks the rules.
+// step delivers events at the present time, executes the commands and checks the rules.
 func (w *world) step(events ...relay.Event) {
 	batch := worldBatch{succeeded: map[relay.Key]relay.Build{}}
 	for _, event := range events {
-		w.happened(event, &batch)
+		w.recordEvent(event, &batch)
 	}
-	for _, command := range w.mod.Step(w.now, events) {
-		w.carryOut(command)
+	for _, command := range w.policy.Step(w.now, events) {
+		w.execute(command)
 	}
 	for _, event := range events {
 		w.checkUnsentCancelled(event)
@@ -102,17 +108,17 @@
 		request.finished = true
 	}
 	for key, build := range batch.succeeded {
-		w.keys[key] = max(w.keys[key], build)
+		w.keyBuilds[key] = max(w.keyBuilds[key], build)
 	}
 	w.checkAnswers()
 }
 
-// happened takes an event into the world's own state.
-func (w *world) happened(event relay.Event, batch *worldBatch) {
+// recordEvent applies an event to the simulated state.
+func (w *world) recordEvent(event relay.Event, batch *worldBatch) {
 	switch event := event.(type) {
 	case relay.Request:
 		w.requests[event.ID] = &worldRequest{Request: event}
-		w.accepted = append(w.accepted, worldMark{w.now, 0, event.Class})
+		w.received = append(w.received, exposureRecord{w.now, 0, event.Class})
 	case relay.AttemptEnded:
 		request := w.requests[event.Request]
 		if event.RequestFinished {
@@ -133,32 +139,32 @@
 	}
 }
 
-// carryOut carries out a command, and checks that it is allowed.
-func (w *world) carryOut(command relay.Command) {
+// execute applies a command to the simulated state, and checks that it is permitted.
+func (w *world) execute(command relay.Command) {
 	switch command := command.(type) {
 	case relay.SendAttempt:
 		w.sendAttempt(command)
 	case relay.Reject:
 		w.rejected++
-		w.checkRejection(w.final(command.Request))
+		w.checkRejection(w.finishRequest(command.Request))
 	case relay.Fail:
-		w.final(command.Request)
+		w.finishRequest(command.Request)
 	case relay.CancelUnsent:
 		w.requests[command.Request].attempts[command.Attempt].cancelledUnsent = true
 	case relay.SetTimer:
 		w.timers = append(w.timers, command)
 	case relay.CancelAttempt:
-		if !w.set.Limits.CancelAttempts || int(command.Attempt) >= len(w.requests[command.Request].attempts) {
-			w.t.Fatalf("%v: cancel not allowed", w.now)
+		if !w.settings.Limits.CancelAttempts || int(command.Attempt) >= len(w.requests[command.Request].attempts) {
+			w.t.Fatalf("%v: cancelled an unknown attempt, or the settings do not permit cancelling", w.now)
 		}
 		w.requests[command.Request].attempts[command.Attempt].cancelled = true
 	case relay.HealthCheck:
-		if !w.set.Limits.HealthChecks {
-			w.t.Fatalf("health check not allowed")
+		if !w.settings.Limits.HealthChecks {
+			w.t.Fatalf("the settings do not permit health checks")
 		}
 	case relay.SendMessage:
-		if !w.set.Limits.PeerMessages || len(command.Body) > 256 {
-			w.t.Fatalf("message not allowed, or of %d bytes", len(command.Body))
+		if !w.settings.Limits.PeerMessages || len(command.Body) > 256 {
+			w.t.Fatalf("message not permitted, or too long: %d bytes", len(command.Body))
 		}
 		w.reportTimes = append(w.reportTimes, w.now)
 	case relay.Vote:
@@ -166,69 +172,70 @@
 	}
 }
 
-func (w *world) final(id relay.RequestID) *worldRequest {
+// finishRequest records the final answer of a request, and checks that it is the only one.
+func (w *world) finishRequest(id relay.RequestID) *worldRequest {
 	request := w.requests[id]
 	if request == nil || request.finished {
-		w.t.Fatalf("%v: a final answer to request %d, which is over", w.now, id)
+		w.t.Fatalf("%v: final answer to request %d, which is unknown or finished", w.now, id)
 	}
 	request.finished = true
 	return request
 }
 
-func (w *world) listUpdated(r relay.ListUpdate) {
+func (w *world) listUpdated(update relay.ListUpdate) {
 	listed := map[relay.EndpointID]bool{}
-	for _, e := range r.Endpoints {
-		listed[e.ID] = true
-		if u := w.endpoints[e.ID]; u == nil {
-			w.endpoints[e.ID] = &worldEndpoint{e, w.now}
+	for _, entry := range update.Endpoints {
+		listed[entry.ID] = true
+		if known := w.endpoints[entry.ID]; known == nil {
+			w.endpoints[entry.ID] = &worldEndpoint{entry, w.now}
 		} else {
-			if e.State != relay.Ready && u.State == relay.Ready {
-				u.notReadySince = w.now
+			if entry.State != relay.Ready && known.State == relay.Ready {
+				known.notReadySince = w.now
 			}
-			u.Endpoint = e
+			known.Endpoint = entry
 		}
 	}
-	for id, u := range w.endpoints {
-		if (r.Kind == relay.ListCached || r.Kind == relay.ListFull) && !listed[id] {
-			if u.State == relay.Ready {
-				u.notReadySince = w.now
+	for id, known := range w.endpoints {
+		if (update.Kind == relay.ListCached || update.Kind == relay.ListFull) && !listed[id] {
+			if known.State == relay.Ready {
+				known.notReadySince = w.now
 			}
-			u.State = relay.Removed
+			known.State = relay.Removed
 		}
 	}
 }
 
-func (w *world) statusReceived(n relay.RolloutStatus) {
-	if !n.Valid {
+func (w *world) statusReceived(status relay.RolloutStatus) {
+	if !status.Valid {
 		return
 	}
-	if w.status == nil || n.Build != w.status.Build {
-		w.limitSince, w.previousLimit = -100, 0
-	} else if n.ExposureLimit < w.status.ExposureLimit {
-		w.limitSince, w.previousLimit = w.now, max(w.status.ExposureLimit, w.previousLimit)
+	if w.status == nil || status.Build != w.status.Build {
+		w.limitLoweredAt, w.previousLimit = -100, 0
+	} else if status.ExposureLimit < w.status.ExposureLimit {
+		w.limitLoweredAt, w.previousLimit = w.now, max(w.status.ExposureLimit, w.previousLimit)
 	}
-	for k, b := range w.keys {
-		if b == n.Build && (n.Phase == relay.PhaseRollingBack || n.Phase == relay.PhaseWithdrawn) {
-			delete(w.keys, k)
+	for key, build := range w.keyBuilds {
+		if build == status.Build && (status.Phase == relay.PhaseRollingBack || status.Phase == relay.PhaseWithdrawn) {
+			delete(w.keyBuilds, key)
 		}
 	}
-	w.status = &n
+	w.status = &status
 }
 
-// sendAttempt checks the rules for one attempt, and draws how it ends.
+// sendAttempt checks an attempt against the rules, and draws how it ends.
 func (w *world) sendAttempt(command relay.SendAttempt) {
 	request, endpoint := w.requests[command.Request], w.endpoints[command.Endpoint]
 	if request == nil || endpoint == nil || request.finished {
-		w.t.Fatalf("%v: an attempt of request %d, unknown or over, or to an unknown endpoint", w.now, command.Request)
+		w.t.Fatalf("%v: attempt of request %d: the request is unknown or finished, or the endpoint is unknown", w.now, command.Request)
 	}
-	if endpoint.State != relay.Ready && w.now > endpoint.notReadySince+w.set.Rules.DrainGrace {
-		w.t.Fatalf("%v: an attempt to an endpoint reported as not ready at %v", w.now, endpoint.notReadySince)
+	if endpoint.State != relay.Ready && w.now > endpoint.notReadySince+w.settings.Rules.DrainGrace {
+		w.t.Fatalf("%v: attempt at an endpoint reported as not ready at %v", w.now, endpoint.notReadySince)
 	}
 	for _, earlier := range request.attempts {
 		w.checkRetry(request, earlier, endpoint, command.SendBy)
 	}
-	if len(request.attempts) >= w.set.Limits.MaxAttempts {
-		w.t.Fatalf("%v: too many attempts", w.now)
+	if len(request.attempts) >= w.settings.Limits.MaxAttempts {
+		w.t.Fatalf("%v: more attempts of a request than the settings permit", w.now)
 	}
 	w.checkExposure(request, endpoint.Endpoint)
 	attempt := &worldAttempt{endpoint: endpoint.Endpoint, at: w.now}
@@ -243,17 +250,17 @@
 	w.sent = append(w.sent, command)
 }
 
-// due collects what has come about by now: wake-ups and ends of attempts.
-func (w *world) due() (events []relay.Event) {
-	left := w.timers[:0]
-	for _, k := range w.timers {
-		if k.At <= w.now {
-			events = append(events, relay.TimerFired{ID: k.ID})
+// dueEvents returns the events that are due by now: timers and ends of attempts.
+func (w *world) dueEvents() (events []relay.Event) {
+	remaining := w.timers[:0]
+	for _, timer := range w.timers {
+		if timer.At <= w.now {
+			events = append(events, relay.TimerFired{ID: timer.ID})
 		} else {
-			left = append(left, k)
+			remaining = append(remaining, timer)
 		}
 	}
-	w.timers = left
+	w.timers = remaining
 	ids := make([]int, 0, len(w.requests))
 	for id := range w.requests {
 		ids = append(ids, int(id))
@@ -261,70 +268,72 @@
 	sort.Ints(ids)
 	for _, id := range ids {
 		request := w.requests[relay.RequestID(id)]
-		over := request.finished
+		requestFinished := request.finished
 		for i, attempt := range request.attempts {
 			if attempt.cancelled && !attempt.done && attempt.end > w.now {
 				attempt.end, attempt.outcome = w.now, relay.Cancelled
 			}
 			if !attempt.done && attempt.end <= w.now {
 				attempt.done = true
-				over = over || attempt.outcome == relay.Succeeded
+				requestFinished = requestFinished || attempt.outcome == relay.Succeeded
 				events = append(events, relay.AttemptEnded{Request: request.ID, Attempt: relay.AttemptNumber(i), Endpoint: attempt.endpoint.ID, Outcome: attempt.outcome,
-					Duration: attempt.end - attempt.at, RequestFinished: over})
+					Duration: attempt.end - attempt.at, RequestFinished: requestFinished})
 			}
 		}
 	}
 	return events
 }
 
-// run lets time pass in ticks of 10 ms; each is called before its tick for more events.
-func (w *world) run(span relay.Seconds, each func() []relay.Event) {
+// run simulates a span of time in ticks of 10 ms. extraEvents, if not nil, returns further events for each
+// tick.
+func (w *world) run(span relay.Seconds, extraEvents func() []relay.Event) {
 	for end := w.now + span; w.now < end; {
 		w.now += 0.01
-		events := w.due()
-		if each != nil {
-			events = append(events, each()...)
+		events := w.dueEvents()
+		if extraEvents != nil {
+			events = append(events, extraEvents()...)
 		}
 		w.step(events...)
 	}
 }
 
-// thin is a request each so many hundredths of a second.
-func (w *world) thin(every int) func() []relay.Event {
+// requestEvery returns a function for run that sends one request every so many ticks.
+func (w *world) requestEvery(ticks int) func() []relay.Event {
 	return func() []relay.Event {
-		if int(w.now*100)%every == 0 {
-			return w.load()
+		if int(w.now*100)%ticks == 0 {
+			return w.requestEachTick()
 		}
 		return nil
 	}
 }
 
-// attemptsAt is how many of the attempts went to a build.
+// attemptsAt counts the attempts that were sent to endpoints of a build.
 func (w *world) attemptsAt(build relay.Build, attempts []relay.SendAttempt) (n int) {
-	for _, o := range attempts {
-		if w.endpoints[o.Endpoint].Build == build {
+	for _, attempt := range attempts {
+		if w.endpoints[attempt.Endpoint].Build == build {
 			n++
 		}
 	}
 	return n
 }
 
-func (w *world) newRequest(c relay.RequestClass, key relay.Key) relay.Request {
-	w.next++
-	return relay.Request{ID: w.next - 1, Class: c, Key: key, Deadline: w.now + w.set.Classes[c].Deadline,
+func (w *world) newRequest(class relay.RequestClass, key relay.Key) relay.Request {
+	w.nextID++
+	return relay.Request{ID: w.nextID - 1, Class: class, Key: key, Deadline: w.now + w.settings.Classes[class].Deadline,
 		Work: 0.1, HasWork: true}
 }
 
-func entries(n int, build relay.Build, from int) (es []relay.Endpoint) {
+// entries returns list entries of n ready endpoints with consecutive ids, in two zones and three failure domains.
+func entries(n int, build relay.Build, firstID int) (list []relay.Endpoint) {
 	for i := 0; i < n; i++ {
-		es = append(es, relay.Endpoint{ID: relay.EndpointID(from + i), Zone: relay.Zone(i % 2), FailureDomain: relay.FailureDomain(i % 3),
+		list = append(list, relay.Endpoint{ID: relay.EndpointID(firstID + i), Zone: relay.Zone(i % 2), FailureDomain: relay.FailureDomain(i % 3),
 			Build: build, State: relay.Ready})
 	}
-	return es
+	return list
 }
 
-// plainSettings are those of a middling site with three classes, one of each kind.
-func plainSettings() relay.Settings {
+// testSettings returns the settings of a medium-sized site with three classes, one for each kind of idempotency.
+func testSettings() relay.Settings {
 	return relay.Settings{Relays: 1, ListOnRequest: true,
 		Classes: []relay.ClassSettings{
 			{Idempotency: relay.Idempotent, LatencyObjective: 1, Deadline: 3, PriorityWeight: 2},
@@ -338,29 +347,29 @@
 			MinStageTime: 2}}
 }
 
-// drawSettings varies all that the rules depend on.
+// drawSettings draws settings in which everything varies that the rules depend on.
 func drawSettings(t *rapid.T) relay.Settings {
-	s := plainSettings()
-	pick := func(name string) bool { return rapid.Bool().Draw(t, name) }
-	s.Relays = rapid.IntRange(1, 6).Draw(t, "relays")
-	s.Self = relay.ID(rapid.IntRange(0, s.Relays-1).Draw(t, "self"))
-	s.ListOnRequest = pick("ask")
-	for i := range s.Classes {
-		s.Classes[i].DedupScope = relay.DedupScope(rapid.IntRange(0, 2).Draw(t, fmt.Sprint("group", i)))
-		s.Classes[i].Idempotency = relay.Idempotency(rapid.IntRange(0, 2).Draw(t, fmt.Sprint("repeat", i)))
+	settings := testSettings()
+	drawBool := func(name string) bool { return rapid.Bool().Draw(t, name) }
+	settings.Relays = rapid.IntRange(1, 6).Draw(t, "relays")
+	settings.Self = relay.ID(rapid.IntRange(0, settings.Relays-1).Draw(t, "self"))
+	settings.ListOnRequest = drawBool("list on request")
+	for i := range settings.Classes {
+		settings.Classes[i].DedupScope = relay.DedupScope(rapid.IntRange(0, 2).Draw(t, fmt.Sprint("dedup scope ", i)))
+		settings.Classes[i].Idempotency = relay.Idempotency(rapid.IntRange(0, 2).Draw(t, fmt.Sprint("idempotency ", i)))
 	}
-	s.Limits = relay.Limits{MaxAttempts: rapid.IntRange(1, 6).Draw(t, "legs"), CancelAttempts: pick("cancel"),
-		PeerMessages: pick("messages"), HealthChecks: pick("probes"), HedgedRequests: pick("copies"), RetryAfter: pick("after")}
-	s.Rules.DrainGrace = rapid.SampledFrom([]float64{0, 0.25, 2}).Draw(t, "grace")
-	r := &s.Rollout
-	r.Control = relay.RolloutControl(rapid.IntRange(0, 2).Draw(t, "control"))
-	r.InPlace, r.PerClass, r.StickyKeys = pick("inplace"), pick("percategory"), pick("forward")
-	r.IdempotentOnlyStages = rapid.IntRange(0, 2).Draw(t, "guarded")
-	r.ExposureAllowance = float64(rapid.IntRange(0, 3).Draw(t, "uncounted"))
-	r.ExposureWindow = rapid.SampledFrom([]float64{0.5, 2, 4}).Draw(t, "window")
-	if pick("bare") { // an all but empty start
-		r.ExposureLimits, r.StageShares, r.VotesPerSec, r.VoteTTL = []float64{0}, nil, 0, 0
-		s.Rules.SlowStartTime, s.Rules.OverloadWindow = 0, 0
+	settings.Limits = relay.Limits{MaxAttempts: rapid.IntRange(1, 6).Draw(t, "max attempts"), CancelAttempts: drawBool("cancel"),
+		PeerMessages: drawBool("peer messages"), HealthChecks: drawBool("health checks"), HedgedRequests: drawBool("hedged requests"), RetryAfter: drawBool("retry after")}
+	settings.Rules.DrainGrace = rapid.SampledFrom([]float64{0, 0.25, 2}).Draw(t, "drain grace")
+	rollout := &settings.Rollout
+	rollout.Control = relay.RolloutControl(rapid.IntRange(0, 2).Draw(t, "control"))
+	rollout.InPlace, rollout.PerClass, rollout.StickyKeys = drawBool("in place"), drawBool("per class"), drawBool("sticky keys")
+	rollout.IdempotentOnlyStages = rapid.IntRange(0, 2).Draw(t, "idempotent-only stages")
+	rollout.ExposureAllowance = float64(rapid.IntRange(0, 3).Draw(t, "exposure allowance"))
+	rollout.ExposureWindow = rapid.SampledFrom([]float64{0.5, 2, 4}).Draw(t, "exposure window")
+	if drawBool("minimal") { // hardly any settings
+		rollout.ExposureLimits, rollout.StageShares, rollout.VotesPerSec, rollout.VoteTTL = []float64{0}, nil, 0, 0
+		settings.Rules.SlowStartTime, settings.Rules.OverloadWindow = 0, 0
 	}
-	return s
+	return settings
 }
