--- a/relay/settings.go
+++ b/relay/settings.go
@@ -43,7 +43,7 @@
 	Zone                    Zone
 	Classes                 []ClassSettings
 	Tenants                 []TenantSettings
-	OverQuotaPriorityWeight float64 // priority weight of requests beyond their tenant's quota
+	OverQuotaPriorityWeight float64 // priority weight of a request beyond its tenant's quota, as a fraction of that of its class
 	Limits                  Limits
 	Rules                   Rules
 	Rollout                 Rollout
