--- a/policy/canary.go
+++ b/policy/canary.go
@@ -31,7 +31,7 @@
 	verdicts []peerwire.ClassVerdict // by class
 	// last sufficient outcomes of the earlier build, by class, and at the end over all classes
 	lastEarlierCounts [evidenceSourceCount][]outcomeCounts
-	preTrialCounts    outcomeCounts // of all endpoints when the newest build was announced
+	preTrialCounts    outcomeCounts // counts of all endpoints when the newest build was announced
 	// own attempts at the newest build that count as evidence, by class
 	newestAttempts   window.Sliding
 	unreported       []peerwire.Observation // not yet reported to the aggregators
--- a/policy/endpoint.go
+++ b/policy/endpoint.go
@@ -50,7 +50,7 @@
 
 	lastFailureEstimate float64 // value at failureEstimatedAt
 	failureEstimatedAt  relay.Seconds
-	failedFraction      float64       // of its last attempts, without decay over time; smoothed
+	failedFraction      float64       // smoothed over the last attempts; does not decay with time
 	faultyAt            relay.Seconds // when failedFraction last marked it faulty, or a connection broke
 
 	lastLatencyRatio float64 // value at latencyRatioAt; 0: not known
--- a/policy/evidence.go
+++ b/policy/evidence.go
@@ -29,10 +29,12 @@
 	late     float64
 
 	measured float64     // attempts with a known baseline ratio
-	overall  logRatioSum // of their ratio over the baseline
+	overall  logRatioSum // sum over the measured attempts of their ratio over the baseline
 
-	matched  float64     // of these, newest build only, while earlier machines showed the present load
-	relative logRatioSum // of their ratio over that of the earlier machines at the same time
+	// measured attempts at the newest build while machines of the earlier build showed the present load
+	matched float64
+	// sum over the matched attempts of their ratio over that of the earlier machines at the same time
+	relative logRatioSum
 }
 
 // logRatioSum is a sum of logarithms of a latency ratio, and the sum of their squares.
--- a/policy/fusion.go
+++ b/policy/fusion.go
@@ -11,7 +11,7 @@
 	verdictTTL            = 6.0  // seconds for which a reported verdict counts
 	minFlaggingRelays     = 2    // relays that must flag the build
 	halfDetectionOutcomes = 20.0 // outcomes at which a bad build is flagged half the time
-	falseAlarmProbability = 0.01 // of one relay, over all classes
+	falseAlarmProbability = 0.01 // for one relay over all classes
 	priorBad              = 0.35 // prior probability that a build is bad
 	// cost of rolling a good build back, relative to that of letting a bad one through: the same
 	falseAlarmCost     = 1.0
--- a/policy/requests.go
+++ b/policy/requests.go
@@ -122,7 +122,7 @@
 	p               *Policy
 	requests        map[relay.RequestID]*trackedRequest
 	openRequests    []*trackedRequest // unanswered or with open attempts, by time of arrival
-	openOnTime      int               // of these, unanswered and not past their latency objective
+	openOnTime      int               // unanswered requests that are not past their latency objective
 	attemptDuration window.Mean
 	objectiveUsage  window.Mean    // running mean of attempt duration over latency objective
 	connects        window.Sliding // ended attempts, and those that got no connection
--- a/policy/verdicts.go
+++ b/policy/verdicts.go
@@ -50,9 +50,9 @@
 // fleetCapacity is the capacity of the ready endpoints; an endpoint past its slow start counts 1.
 type fleetCapacity struct {
 	ready   float64 // number of ready endpoints
-	newest  float64 // of these, endpoints on the newest build
+	newest  float64 // number of ready endpoints on the newest build
 	all     float64 // capacity that this relay may use
-	onTrial float64 // of that, capacity of builds on trial
+	onTrial float64 // part of that capacity on builds on trial
 }
 
 func (c *canary) measureCapacity() (capacity fleetCapacity) {
