--- a/cmd/lichenroad/controller.go
+++ b/cmd/lichenroad/controller.go
@@ -77,7 +77,7 @@
 				}
 			}()
 		}
-		return failed(releasecontroller.Start(ctx, releasecontroller.Options{Plan: releases, Dir: *dir, Control: *address, Log: log,
+		return failed(releasecontroller.Start(ctx, releasecontroller.Options{Plan: releases, Dir: *dir, ControlAddress: *address, Log: log,
 			Ready: ready}))
 	}
 	return c
--- a/internal/peers/peers.go
+++ b/internal/peers/peers.go
@@ -21,8 +21,8 @@
 	"lichenroad/relay"
 )
 
-// MaxBody is the most bytes of a datagram, by the protocol page.
-const MaxBody = 256
+// MaxDatagramBytes is the most bytes of a datagram, by the protocol page.
+const MaxDatagramBytes = 256
 
 // Membership receives the messages of the membership protocol. It is called on the loop.
 type Membership interface {
@@ -92,7 +92,7 @@
 
 // SendMessage queues a message, or drops and counts it if it is too long or the queue is full. It does not block.
 func (t *Transport) SendMessage(m relay.SendMessage) {
-	if len(m.Body) > MaxBody {
+	if len(m.Body) > MaxDatagramBytes {
 		t.countDropped()
 		t.loop.Log.WithFields(logrus.Fields{"peer": "relay", "bytes": len(m.Body)}).Error("peer message too long")
 		return
@@ -139,7 +139,7 @@
 
 // readLoop receives messages until the socket is closed, which happens in tests alone.
 func (t *Transport) readLoop() {
-	var buffer [MaxBody + 1]byte // one more than allowed, to tell datagrams that are too long
+	var buffer [MaxDatagramBytes + 1]byte // one more than allowed, to tell datagrams that are too long
 	for {
 		size, sender, err := t.conn.ReadFromUDPAddrPort(buffer[:])
 		if errors.Is(err, net.ErrClosed) {
@@ -157,7 +157,7 @@
 // receive posts a datagram of another relay to the loop, unless its queue is full. The body is valid during the call.
 func (t *Transport) receive(sender netip.AddrPort, body []byte) {
 	number, known := t.numbers[netip.AddrPortFrom(sender.Addr().Unmap(), sender.Port())]
-	if !known || len(body) > MaxBody || number == t.loop.Site.Self {
+	if !known || len(body) > MaxDatagramBytes || number == t.loop.Site.Self {
 		t.countDropped()
 		return
 	}
--- a/internal/peers/peers_test.go
+++ b/internal/peers/peers_test.go
@@ -105,7 +105,7 @@
 // receive reads the next datagram at a socket, which must come from the transport.
 func (f *fleet) receive(at *net.UDPConn) string {
 	f.t.Helper()
-	buf := make([]byte, 2*MaxBody)
+	buf := make([]byte, 2*MaxDatagramBytes)
 	n, from, err := at.ReadFromUDPAddrPort(buf)
 	if err != nil {
 		f.t.Fatal(err)
@@ -231,7 +231,7 @@
 func TestSendDropsMessagesThatAreTooLong(t *testing.T) {
 	f := newFleet(t)
 	f.transport.Start()
-	longest := strings.Repeat("x", MaxBody)
+	longest := strings.Repeat("x", MaxDatagramBytes)
 	f.sendMessage(0, longest+"y")
 	f.sendMessage(0, longest)
 	if got := f.receive(f.peers[0]); got != longest {
@@ -239,7 +239,7 @@
 	}
 	f.waitForCounter(metrics.PeerMessagesOut, 1)
 	f.wantCounter(metrics.PeerMessagesDropped, 1)
-	if line := f.log.LastEntry(); line == nil || line.Level != logrus.ErrorLevel || line.Data["bytes"] != MaxBody+1 {
+	if line := f.log.LastEntry(); line == nil || line.Level != logrus.ErrorLevel || line.Data["bytes"] != MaxDatagramBytes+1 {
 		t.Errorf("%+v", line)
 	}
 }
@@ -268,7 +268,7 @@
 func TestReceivesMessagesOfPeers(t *testing.T) {
 	f := newFleet(t)
 	f.transport.Start()
-	longest := strings.Repeat("x", MaxBody)
+	longest := strings.Repeat("x", MaxDatagramBytes)
 	f.sendDatagram(f.peers[1], longest)
 	f.waitForCounter(metrics.PeerMessagesIn, 1)
 	f.sendDatagram(f.peers[0], "from the first")
@@ -286,8 +286,8 @@
 	for name, play := range map[string]func(f *fleet){
 		"unknown sender": func(f *fleet) { f.sendDatagram(openSocket(f.t), "from a stranger") },
 		"itself":         func(f *fleet) { f.sendMessage(self, "to itself") },
-		"one too long":   func(f *fleet) { f.sendDatagram(f.peers[0], strings.Repeat("x", MaxBody+1)) },
-		"far too long":   func(f *fleet) { f.sendDatagram(f.peers[0], strings.Repeat("x", 8*MaxBody)) },
+		"one too long":   func(f *fleet) { f.sendDatagram(f.peers[0], strings.Repeat("x", MaxDatagramBytes+1)) },
+		"far too long":   func(f *fleet) { f.sendDatagram(f.peers[0], strings.Repeat("x", 8*MaxDatagramBytes)) },
 	} {
 		t.Run(name, func(t *testing.T) {
 			f := newFleet(t)
--- a/internal/releasecontroller/compact.go
+++ b/internal/releasecontroller/compact.go
@@ -14,8 +14,8 @@
 	maxSnapshotEvents = 500 // in one record of a snapshot
 )
 
-// Large reports whether the journal should be compacted.
-func (j *Journal) Large() bool { return j.size >= CompactAt }
+// NeedsCompaction reports whether the journal should be compacted.
+func (j *Journal) NeedsCompaction() bool { return j.size >= CompactionThresholdBytes }
 
 // Compact begins the journal anew with a snapshot: events that lead to the present state. The earlier journal is kept for
 // the history. A crash at any place leaves the earlier journal or the new one, each complete: the new one is written and
--- a/internal/releasecontroller/controller.go
+++ b/internal/releasecontroller/controller.go
@@ -52,13 +52,13 @@
 
 // Options are the settings of Start.
 type Options struct {
-	Plan       *plan.Plan
-	Dir        string // of the journal
-	Control    string // address of the control socket; a free port of 127.0.0.1 if empty
-	Log        *logrus.Logger
-	Clock      func() plan.Unix                                  // the machine's if nil
-	CrashPoint func(place string) error                          // for tests, see Journal
-	Ready      func(controller *Controller, addresses Addresses) // called once all listeners are open; may be nil
+	Plan           *plan.Plan
+	Dir            string // of the journal
+	ControlAddress string // address of the control socket; a free port of 127.0.0.1 if empty
+	Log            *logrus.Logger
+	Clock          func() plan.Unix                                  // the machine's if nil
+	CrashPoint     func(place string) error                          // for tests, see Journal
+	Ready          func(controller *Controller, addresses Addresses) // called once all listeners are open; may be nil
 }
 
 // Addresses lists the addresses of the open listeners.
@@ -127,7 +127,7 @@
 func (d *Controller) openListeners(options Options) (Addresses, error) {
 	addresses := Addresses{Relays: map[string]map[string]string{}, Watch: map[string]string{}}
 	var err error
-	if d.control, err = openControl(d, options.Control); err != nil {
+	if d.control, err = openControl(d, options.ControlAddress); err != nil {
 		return addresses, fmt.Errorf("control: %w", err)
 	}
 	addresses.Control = d.control.listener.Addr().String()
@@ -255,7 +255,7 @@
 }
 
 func (d *Controller) compactIfLarge() error {
-	if !d.journal.Large() {
+	if !d.journal.NeedsCompaction() {
 		return nil
 	}
 	if err := d.journal.Compact(d.core.Snapshot()); err != nil {
--- a/internal/releasecontroller/journal.go
+++ b/internal/releasecontroller/journal.go
@@ -19,8 +19,8 @@
 	lockName    = "lock"
 )
 
-// CompactAt is the size in bytes from which a journal is compacted; some ten thousand votes.
-const CompactAt = 4 << 20
+// CompactionThresholdBytes is the size in bytes from which a journal is compacted; some ten thousand votes.
+const CompactionThresholdBytes = 4 << 20
 
 // ErrLocked says that another release controller has the directory open.
 var ErrLocked = errors.New("another release controller has it open")
