--- a/internal/releasecontroller/control.go
+++ b/internal/releasecontroller/control.go
@@ -22,32 +22,32 @@
 )
 
 const (
-	controlName      = "control"       // file with the address and the token that operators need
-	maxRequestBytes  = 16 << 10        // of a request
-	maxReplyBytes    = 16 << 20        // of a reply: a long history
-	controlTimeout   = 5 * time.Second // that a request and its reply may take
-	maxControlConns  = 16              // operators at once
-	maxHistoryEvents = 10000           // in a reply
-	tokenBytes       = 16              // of chance in the control file's token
+	controlFileName  = "control" // holds the socket's address and the token
+	maxRequestBytes  = 16 << 10
+	maxReplyBytes    = 16 << 20        // the longest replies are histories
+	controlTimeout   = 5 * time.Second // for a request and its reply together
+	maxControlConns  = 16              // open connections
+	maxHistoryEvents = 10000           // in one reply
+	tokenBytes       = 16              // random bytes of the token; hexadecimal in the control file
 )
 
-// Verb is what an operator asks for.
+// Verb is the operation that a request asks for.
 type Verb string
 
 // The verbs of the control socket.
 const (
-	VerbStatus   Verb = "status"  // of all services
-	VerbHistory  Verb = "history" // the journal's events
-	VerbOffer    Verb = "offer"   // a new build to a service
-	VerbFreeze   Verb = "freeze"  // stops moves, of one service or of all
-	VerbUnfreeze Verb = "thaw"    // ends such a freeze
-	VerbHalt     Verb = "halt"    // stops a service's moves
+	VerbStatus   Verb = "status"  // reports all services
+	VerbHistory  Verb = "history" // returns events of the journals
+	VerbOffer    Verb = "offer"   // offers a new build to a service
+	VerbFreeze   Verb = "freeze"  // lets no build enter its next step, in one service or in all
+	VerbUnfreeze Verb = "thaw"    // ends a freeze set by an operator
+	VerbHalt     Verb = "halt"    // lets no build of a service enter its next step until VerbResume
 	VerbResume   Verb = "resume"  // ends a halt
-	VerbRollBack Verb = "back"    // sends a service's newest build back
+	VerbRollBack Verb = "back"    // rolls back the newest build of a service
 )
 
-// operations are the events that rollout.Core makes for the verbs that need nothing else.
-var operations = map[Verb]rollout.EventKind{
+// operationEvents maps the verbs that rollout.Core.Operate handles to the kind of event that it returns.
+var operationEvents = map[Verb]rollout.EventKind{
 	VerbFreeze:   rollout.EventFrozen,
 	VerbUnfreeze: rollout.EventUnfrozen,
 	VerbHalt:     rollout.EventHalted,
@@ -55,60 +55,60 @@
 	VerbRollBack: rollout.EventRollingBack,
 }
 
-// Request is one command of an operator. On the control socket it is a line of JSON, as is its reply.
+// Request is one command from an operator. Requests and replies are single lines of JSON on the control socket.
 type Request struct {
-	Token        string      `json:"word"` // of the control file; Call fills it in
+	Token        string      `json:"word"` // from the control file; Call fills it in
 	Verb         Verb        `json:"verb"`
-	Service      string      `json:"service,omitempty"` // empty in a freeze: all services
-	Build        relay.Build `json:"build,omitempty"`   // of an offer
-	FreezeName   string      `json:"name,omitempty"`    // of a freeze
-	Until        plan.Unix   `json:"until,omitempty"`   // end of a freeze; 0: until it is ended by hand
-	Actor        string      `json:"who,omitempty"`     // the operator, for the journal
-	Reason       string      `json:"why,omitempty"`     // the reason, for the journal
-	IncludeVotes bool        `json:"votes,omitempty"`   // history: votes too
-	MaxEvents    int         `json:"last,omitempty"`    // history: so many of the latest events
+	Service      string      `json:"service,omitempty"` // if empty, a freeze applies to all services
+	Build        relay.Build `json:"build,omitempty"`   // for VerbOffer
+	FreezeName   string      `json:"name,omitempty"`    // for VerbFreeze and VerbUnfreeze
+	Until        plan.Unix   `json:"until,omitempty"`   // for VerbFreeze: its end; 0 means until VerbUnfreeze
+	Actor        string      `json:"who,omitempty"`     // name of the operator, for the journal
+	Reason       string      `json:"why,omitempty"`     // for the journal
+	IncludeVotes bool        `json:"votes,omitempty"`   // for VerbHistory: return votes as well
+	MaxEvents    int         `json:"last,omitempty"`    // for VerbHistory: number of latest events to return
 }
 
-// Reply is the answer to a Request. Error is empty if the request was carried out; its texts are part of the protocol, as
-// the field names are.
+// Reply is the answer to a Request. Error is empty if the request was carried out. The JSON field names and the texts of
+// Error are part of the protocol of the control socket.
 type Reply struct {
 	Error   string           `json:"error,omitempty"`
 	At      plan.Unix        `json:"at,omitempty"`
 	Status  []rollout.Status `json:"status,omitempty"`
-	Freezes []rollout.Event  `json:"freezes,omitempty"` // those that operators set
-	Events  []rollout.Event  `json:"events,omitempty"`  // history
+	Freezes []rollout.Event  `json:"freezes,omitempty"` // set by operators and still in effect
+	Events  []rollout.Event  `json:"events,omitempty"`  // for VerbHistory
 }
 
-// controlServer serves the control socket. One goroutine accepts, until close; one more for each connection ends at
-// controlTimeout at the latest.
+// controlServer serves the control socket. One goroutine accepts connections until close is called. Each connection has a
+// goroutine that ends after controlTimeout at the latest.
 type controlServer struct {
 	controller *Controller
 	listener   net.Listener
 	token      string
-	slots      chan struct{} // one taken by each open connection
+	connSlots  chan struct{} // holds one element for each open connection
 }
 
-// openControl listens on loopback and writes the control file: the address, and a token that only someone who may read
-// the file knows.
+// openControl listens on a loopback address and writes the control file, which holds the address and a secret token. Only
+// users who may read the file can send requests.
 func openControl(controller *Controller, address string) (*controlServer, error) {
 	if address == "" {
 		address = "127.0.0.1:0"
 	}
 	host, _, err := net.SplitHostPort(address)
 	if ip := net.ParseIP(host); err != nil || ip == nil || !ip.IsLoopback() {
-		return nil, fmt.Errorf("%s is no loopback address with a port", address)
+		return nil, fmt.Errorf("%q is not a loopback address with a port", address)
 	}
 	listener, err := net.Listen("tcp", address)
 	if err != nil {
 		return nil, err
 	}
 	token := make([]byte, tokenBytes)
-	_, _ = rand.Read(token) // never fails: it ends the program instead
+	_, _ = rand.Read(token) // returns no error: on a failure it ends the program
 	s := &controlServer{
 		controller: controller,
 		listener:   listener,
 		token:      hex.EncodeToString(token),
-		slots:      make(chan struct{}, maxControlConns),
+		connSlots:  make(chan struct{}, maxControlConns),
 	}
 	if err := s.writeFile(); err != nil {
 		s.close()
@@ -118,19 +118,19 @@
 	return s, nil
 }
 
-// writeFile puts the control file in place, complete or not at all.
+// writeFile writes the control file under a temporary name and renames it, so that readers never see a partial file.
 func (s *controlServer) writeFile() error {
-	name := filepath.Join(s.controller.dir, controlName)
-	next := name + ".next"
+	name := filepath.Join(s.controller.dir, controlFileName)
+	temporary := name + ".next"
 	content := s.listener.Addr().String() + " " + s.token + "\n"
-	if err := os.WriteFile(next, []byte(content), 0o600); err != nil {
+	if err := os.WriteFile(temporary, []byte(content), 0o600); err != nil {
 		return err
 	}
-	return os.Rename(next, name)
+	return os.Rename(temporary, name)
 }
 
 func (s *controlServer) close() {
-	_ = s.listener.Close() // a listener holds nothing that could be lost
+	_ = s.listener.Close() // no data is pending on a listener, so the error does not matter
 }
 
 func (s *controlServer) serve() {
@@ -140,28 +140,28 @@
 			return
 		}
 		select {
-		case s.slots <- struct{}{}:
+		case s.connSlots <- struct{}{}:
 			go s.serveConn(connection)
 		default:
-			_ = connection.Close() // too many operators: nothing was said on it
+			_ = connection.Close() // over maxControlConns; nothing has been sent on it yet
 		}
 	}
 }
 
 func (s *controlServer) serveConn(connection net.Conn) {
 	defer func() {
-		_ = connection.Close() // the reply is written, or can't be
-		<-s.slots
+		_ = connection.Close() // the reply has been written or can't be
+		<-s.connSlots
 	}()
-	_ = connection.SetDeadline(time.Now().Add(controlTimeout)) // fails only where the reads and writes after it fail too
-	reply := s.reply(connection)
-	_ = json.NewEncoder(connection).Encode(reply) // an operator who has left misses the reply; the journal has the command
+	_ = connection.SetDeadline(time.Now().Add(controlTimeout)) // if it fails, the reads and writes after it fail too
+	reply := s.serveRequest(connection)
+	_ = json.NewEncoder(connection).Encode(reply) // an operator who has disconnected misses the reply, but the journal has the command
 }
 
-// reply reads a request and carries it out.
-func (s *controlServer) reply(from io.Reader) Reply {
+// serveRequest reads a request, checks its token and carries it out.
+func (s *controlServer) serveRequest(reader io.Reader) Reply {
 	var request Request
-	line, err := bufio.NewReader(io.LimitReader(from, maxRequestBytes)).ReadBytes('\n')
+	line, err := bufio.NewReader(io.LimitReader(reader, maxRequestBytes)).ReadBytes('\n')
 	if err == nil {
 		err = json.Unmarshal(line, &request)
 	}
@@ -174,75 +174,76 @@
 	return s.controller.handle(request)
 }
 
-// handle carries out a request and waits until it is on disk. Any goroutine but the loop may call it.
-func (d *Controller) handle(request Request) Reply {
-	if request.Verb == VerbHistory { // read beside the loop; a record that is being written is incomplete, and left out
-		events, err := History(d.dir, request.IncludeVotes, min(max(request.MaxEvents, 1), maxHistoryEvents))
+// handle carries out a request and returns once its events are on disk. It waits for the loop, so the loop must not call it.
+func (ctl *Controller) handle(request Request) Reply {
+	if request.Verb == VerbHistory { // reads the files without the loop; a record still being written is incomplete and left out
+		events, err := History(ctl.dir, request.IncludeVotes, min(max(request.MaxEvents, 1), maxHistoryEvents))
 		if err != nil {
 			return Reply{Error: oneLine(err)}
 		}
 		return Reply{Events: events}
 	}
 	replies := make(chan Reply, 1)
-	d.post(func(d *Controller) {
+	ctl.post(func(ctl *Controller) {
 		var reply Reply
-		if err := d.execute(request); err != nil {
+		if err := ctl.execute(request); err != nil {
 			reply.Error = oneLine(err)
 		}
-		d.pendingReplies = append(d.pendingReplies, func() {
-			now := d.now()
-			reply.At, reply.Status, reply.Freezes = now, d.core.ServiceStatuses(now), d.core.OperatorFreezes()
+		ctl.pendingReplies = append(ctl.pendingReplies, func() {
+			now := ctl.now()
+			reply.At, reply.Status, reply.Freezes = now, ctl.core.ServiceStatuses(now), ctl.core.OperatorFreezes()
 			replies <- reply
 		})
 	})
 	select {
 	case reply := <-replies:
 		return reply
-	case <-d.done:
-		return Reply{Error: "the desk ends"}
+	case <-ctl.done:
+		return Reply{Error: "the desk ends"} // "desk" is the former name of the release controller
 	}
 }
 
-// execute applies a request to the state machine. Loop only.
-func (d *Controller) execute(request Request) error {
+// execute applies a request to the state machine. Only the loop may call it.
+func (ctl *Controller) execute(request Request) error {
 	if request.Verb == VerbStatus {
 		return nil
 	}
-	event, err := d.eventOf(request)
+	event, err := ctl.eventForRequest(request)
 	if err != nil {
 		return err
 	}
-	d.apply(event)
-	d.advance()
+	ctl.apply(event)
+	ctl.advance()
 	return nil
 }
 
-// eventOf is the event that a request leads to.
-func (d *Controller) eventOf(request Request) (rollout.Event, error) {
+// eventForRequest returns the event that carries out a request, or an error if the state machine rejects it.
+func (ctl *Controller) eventForRequest(request Request) (rollout.Event, error) {
 	if request.Verb == VerbOffer {
-		return d.offer(request)
+		return ctl.offer(request)
 	}
-	kind, known := operations[request.Verb]
+	kind, known := operationEvents[request.Verb]
 	if !known {
 		return rollout.Event{}, fmt.Errorf("%q is no verb", request.Verb)
 	}
-	return d.core.Operate(rollout.Operation{Kind: kind, Service: request.Service, FreezeName: request.FreezeName, Until: request.Until,
-		Actor: request.Actor, Reason: request.Reason}, d.now())
+	return ctl.core.Operate(rollout.Operation{Kind: kind, Service: request.Service, FreezeName: request.FreezeName, Until: request.Until,
+		Actor: request.Actor, Reason: request.Reason}, ctl.now())
 }
 
-func (d *Controller) offer(request Request) (rollout.Event, error) {
-	service, ok := d.core.Plan().Service(request.Service)
+// offer returns the event that offers the request's build to its service.
+func (ctl *Controller) offer(request Request) (rollout.Event, error) {
+	service, ok := ctl.core.Plan().Service(request.Service)
 	if !ok {
 		return rollout.Event{}, fmt.Errorf("there is no service %q", request.Service)
 	}
 	if request.Actor == "" || request.Reason == "" {
 		return rollout.Event{}, errors.New("who and why must be said")
 	}
-	return d.core.Offer(service, request.Build, request.Actor, request.Reason, d.now())
+	return ctl.core.Offer(service, request.Build, request.Actor, request.Reason, ctl.now())
 }
 
-// Call sends a request to the release controller that runs with a directory, and returns its reply. The error is that of
-// the connection, or the reply's own.
+// Call sends a request to the release controller that uses the directory, and returns its reply. The error is a connection
+// error, or Reply.Error if the release controller rejected the request.
 func Call(ctx context.Context, dir string, request Request) (Reply, error) {
 	address, token, err := readControlFile(dir)
 	if err != nil {
@@ -254,18 +255,18 @@
 	var dialer net.Dialer
 	connection, err := dialer.DialContext(ctx, "tcp", address)
 	if err != nil {
-		return Reply{}, fmt.Errorf("the release controller does not answer: %w", err)
+		return Reply{}, fmt.Errorf("connect to the release controller: %w", err)
 	}
-	defer func() { _ = connection.Close() }() // the reply has been read, or the error says why not
+	defer func() { _ = connection.Close() }() // the reply has been read, or reading it failed with an error already
 	if deadline, ok := ctx.Deadline(); ok {
-		_ = connection.SetDeadline(deadline) // fails only where the write after it fails too
+		_ = connection.SetDeadline(deadline) // if it fails, the write after it fails too
 	}
 	if err := json.NewEncoder(connection).Encode(request); err != nil {
 		return Reply{}, err
 	}
 	var reply Reply
 	if err := json.NewDecoder(io.LimitReader(connection, maxReplyBytes)).Decode(&reply); err != nil {
-		return Reply{}, fmt.Errorf("the release controller's answer: %w", err)
+		return Reply{}, fmt.Errorf("read the release controller's reply: %w", err)
 	}
 	if reply.Error != "" {
 		return reply, errors.New(reply.Error)
@@ -273,18 +274,19 @@
 	return reply, nil
 }
 
-// readControlFile returns what a running release controller left for operators in its directory.
+// readControlFile returns the control socket's address and the token from the control file in a directory.
 func readControlFile(dir string) (address, token string, err error) {
-	name := filepath.Join(dir, controlName)
+	name := filepath.Join(dir, controlFileName)
 	content, err := os.ReadFile(name)
 	if err != nil {
 		return "", "", fmt.Errorf("no release controller runs with %s: %w", dir, err)
 	}
 	fields := strings.Fields(string(content))
 	if len(fields) != 2 {
-		return "", "", fmt.Errorf("%s: can't be read", name)
+		return "", "", fmt.Errorf("%s: want an address and a token", name)
 	}
 	return fields[0], fields[1], nil
 }
 
+// oneLine returns an error's text on one line, for JSON replies and log fields.
 func oneLine(err error) string { return strings.ReplaceAll(err.Error(), "\n", "; ") }
--- a/internal/releasecontroller/control_test.go
+++ b/internal/releasecontroller/control_test.go
@@ -18,10 +18,10 @@
 	r := start(t, dir, 1000, nil)
 	r.must(Request{Verb: "offer", Service: "a", Build: 7})
 	r.must(Request{Verb: "freeze", FreezeName: "audit"})
-	a, b := dial(t, r.at.Relays["a"]["r0"]), dial(t, r.at.Relays["a"]["r1"])
+	a, b := dial(t, r.addresses.Relays["a"]["r0"]), dial(t, r.addresses.Relays["a"]["r1"])
 	a.call("VOTE 7 0 approve")
 	if s := b.call("VOTE 7 0 approve"); !strings.HasPrefix(s, "OK 7 0 ") {
-		t.Error("it went on in the freeze: ", s)
+		t.Error("promoted during the freeze: ", s)
 	}
 	if out := r.must(Request{Verb: "status"}); out.Status[0].BlockCode != rollout.BlockedByOperatorFreeze || len(out.Freezes) != 1 {
 		t.Errorf("%+v", out)
@@ -50,28 +50,28 @@
 		t.Error(got, err)
 	}
 	if _, err := Call(context.Background(), t.TempDir(), Request{Verb: "status"}); err == nil {
-		t.Error("no release controller answered")
+		t.Error("Call succeeded without a running release controller")
 	}
-	raw, _ := os.ReadFile(filepath.Join(dir, controlName))
-	os.WriteFile(filepath.Join(dir, controlName), []byte(strings.Fields(string(raw))[0]+" 00\n"), 0o600)
+	raw, _ := os.ReadFile(filepath.Join(dir, controlFileName))
+	os.WriteFile(filepath.Join(dir, controlFileName), []byte(strings.Fields(string(raw))[0]+" 00\n"), 0o600)
 	if _, err := r.call(Request{Verb: "status"}); err == nil || !strings.Contains(err.Error(), "word") {
 		t.Error(err)
 	}
 	if _, err := Open(dir, func(rollout.Event) error { return nil }); err == nil || !strings.Contains(err.Error(), "another release controller") {
-		t.Error("two release controllers have one directory: ", err)
+		t.Error("a second release controller opened the directory: ", err)
 	}
 }
 
-// TestControlNeedsItsFile opens the operators' socket of a release controller whose directory can't be written: without the file
-// nobody could reach it, so it must be refused.
-func TestControlNeedsItsFile(t *testing.T) {
+// TestOpenControlFailsWithoutControlFile opens the control socket in a directory that can't be written to. Operators find the
+// socket by the control file only, so opening it must fail.
+func TestOpenControlFailsWithoutControlFile(t *testing.T) {
 	missing := filepath.Join(t.TempDir(), "missing")
 	if c, err := openControl(&Controller{dir: missing}, ""); !errors.Is(err, fs.ErrNotExist) {
 		t.Errorf("opened: %v, error: %v", c != nil, err)
 	}
 }
 
-// TestRequestFormat pins the words of the control socket, which other programs may send.
+// TestRequestFormat checks the JSON of a request: other programs may send requests to the control socket.
 func TestRequestFormat(t *testing.T) {
 	got, err := json.Marshal(Request{Token: "w", Verb: VerbFreeze, Service: "a", Build: 7, FreezeName: "n", Until: 2, Actor: "o", Reason: "y",
 		IncludeVotes: true, MaxEvents: 3})
--- a/internal/releasecontroller/controller.go
+++ b/internal/releasecontroller/controller.go
@@ -1,8 +1,10 @@
-// Package releasecontroller runs the release controller: it hosts the state machine rollout.Core, which takes every
-// decision about releases, on sockets and on disk. It owns the journal of the state's events, the listeners at which
-// relays vote and watch, and the control socket for operators. One goroutine, the loop of Start, applies events; an event
-// is on disk before anyone is notified of it. It imports plan, rollout and relay for their types, internal/linewire for
-// the lines to relays, and internal/sockets and internal/metrics for their connections.
+// Package releasecontroller hosts rollout.Core, the state machine that takes all decisions about releases, and connects it
+// to the network and the disk.
+//
+// It owns the journal of events, the listeners for votes and watches from relays, and the control socket for operators.
+// One goroutine, the loop that Start runs, applies all events. Each event is on disk before its effects are sent to
+// anyone. The package imports plan, rollout and relay for their types, internal/linewire for the line protocol, and
+// internal/sockets and internal/metrics for the connections.
 package releasecontroller
 
 import (
@@ -22,15 +24,15 @@
 )
 
 const (
-	maxQueuedCalls = 1 << 12                // functions that wait for the loop: some for each connection
-	maxBatch       = 256                    // functions that are run before one flush of the journal
-	maxSleep       = 250 * time.Millisecond // between two looks at the clock: the wall clock may be set
+	maxQueuedCalls = 1 << 12                // functions waiting for the loop; each connection has a few
+	maxBatch       = 256                    // functions run before the journal is flushed once for all
+	maxSleep       = 250 * time.Millisecond // longest wait between calls of Advance: the wall clock may be set
 )
 
-// Controller is a release controller that runs. The goroutine that called Start runs the loop, which ends with Start's
-// context or at an error of the journal. Other goroutines hand functions to the loop with post.
+// Controller is a running release controller. The goroutine that called Start runs the loop, which ends when the context
+// is done or the journal fails. Other goroutines pass functions to the loop with post.
 type Controller struct {
-	// Set before the loop starts, then only read.
+	// Set before the loop starts and read-only after that.
 	log       *logrus.Logger
 	clock     func() plan.Unix
 	calls     chan func(*Controller)
@@ -43,36 +45,36 @@
 	core           *rollout.Core
 	journal        *Journal
 	conns          map[*relayConn]struct{}
-	pendingEvents  []rollout.Event       // applied, and not yet on disk
-	pendingReplies []func()              // to send once pendingEvents are on disk
-	notified       []relay.RolloutStatus // last status sent to watchers, by service
-	resentAt       time.Time             // when every status was last sent, changed or not
+	pendingEvents  []rollout.Event       // already applied, but not on disk yet
+	pendingReplies []func()              // called once pendingEvents are on disk
+	notified       []relay.RolloutStatus // status last sent to watchers, by plan.ServiceIndex
+	resentAt       time.Time             // when all statuses were last sent, changed or not
 	keepAliveAt    time.Time             // when keep-alives were last sent
 }
 
 // Options are the settings of Start.
 type Options struct {
 	Plan           *plan.Plan
-	Dir            string // of the journal
-	ControlAddress string // address of the control socket; a free port of 127.0.0.1 if empty
+	Dir            string // holds the journal, its lock and the control file
+	ControlAddress string // loopback address of the control socket; if empty, a free port of 127.0.0.1
 	Log            *logrus.Logger
-	Clock          func() plan.Unix                                  // the machine's if nil
-	CrashPoint     func(place string) error                          // for tests, see Journal
-	Ready          func(controller *Controller, addresses Addresses) // called once all listeners are open; may be nil
+	Clock          func() plan.Unix                                  // the system clock if nil
+	CrashPoint     func(place string) error                          // for tests; see Journal.CrashPoint
+	Ready          func(controller *Controller, addresses Addresses) // called when all listeners are open; may be nil
 }
 
 // Addresses lists the addresses of the open listeners.
 type Addresses struct {
-	Relays  map[string]map[string]string // by service and relay
-	Watch   map[string]string            // by service
+	Relays  map[string]map[string]string // by the names of service and relay
+	Watch   map[string]string            // by service name
 	Control string
 }
 
-// Start opens the journal and rebuilds the state from it, opens the listeners, and runs until the context ends. It
-// returns nil in that case, and otherwise the error that stopped it; after an error of the journal the state on disk is
-// found out by the next start.
+// Start opens the journal, rebuilds the state from it, opens the listeners, and runs until the context is done, for which
+// it returns nil. Any other end returns an error. After a journal error it is unknown which events are on disk; the next
+// start reads them.
 func Start(ctx context.Context, options Options) error {
-	d := &Controller{
+	ctl := &Controller{
 		log:      options.Log,
 		clock:    options.Clock,
 		calls:    make(chan func(*Controller), maxQueuedCalls),
@@ -82,55 +84,55 @@
 		conns:    map[*relayConn]struct{}{},
 		notified: make([]relay.RolloutStatus, len(options.Plan.Services)),
 	}
-	if d.clock == nil {
-		d.clock = func() plan.Unix { return float64(time.Now().UnixNano()) / 1e9 }
+	if ctl.clock == nil {
+		ctl.clock = func() plan.Unix { return float64(time.Now().UnixNano()) / 1e9 }
 	}
-	if err := d.openJournal(options); err != nil {
+	if err := ctl.openJournal(options); err != nil {
 		return err
 	}
-	defer d.journal.Close()
-	d.apply(rollout.Event{At: d.now(), Kind: rollout.EventControllerStarted})
-	if err := d.flush(); err != nil {
+	defer ctl.journal.Close()
+	ctl.apply(rollout.Event{At: ctl.now(), Kind: rollout.EventControllerStarted})
+	if err := ctl.flush(); err != nil {
 		return err
 	}
-	defer d.shutdown()
-	addresses, err := d.openListeners(options)
+	defer ctl.shutdown()
+	addresses, err := ctl.openListeners(options)
 	if err != nil {
 		return err
 	}
 	if options.Ready != nil {
-		options.Ready(d, addresses)
+		options.Ready(ctl, addresses)
 	}
-	return d.run(ctx)
+	return ctl.run(ctx)
 }
 
-// openJournal applies the journal's events to the state machine.
-func (d *Controller) openJournal(options Options) error {
+// openJournal opens the journal and applies its events to the state machine.
+func (ctl *Controller) openJournal(options Options) error {
 	events := 0
 	journal, err := Open(options.Dir, func(e rollout.Event) error {
 		events++
-		return d.core.Apply(e)
+		return ctl.core.Apply(e)
 	})
 	if err != nil {
 		return err
 	}
 	journal.CrashPoint = options.CrashPoint
-	d.journal = journal
+	ctl.journal = journal
 	if journal.TruncatedBytes > 0 {
-		d.log.WithField("bytes", journal.TruncatedBytes).Warn("truncated a torn record at the end of the journal")
+		ctl.log.WithField("bytes", journal.TruncatedBytes).Warn("truncated a torn record at the end of the journal")
 	}
-	d.log.WithField("events", events).Info("journal read")
+	ctl.log.WithField("events", events).Info("journal read")
 	return nil
 }
 
-// openListeners opens the control socket and one listener for each address of the plan.
-func (d *Controller) openListeners(options Options) (Addresses, error) {
+// openListeners opens the control socket and a listener for each listening address in the plan.
+func (ctl *Controller) openListeners(options Options) (Addresses, error) {
 	addresses := Addresses{Relays: map[string]map[string]string{}, Watch: map[string]string{}}
 	var err error
-	if d.control, err = openControl(d, options.ControlAddress); err != nil {
-		return addresses, fmt.Errorf("control: %w", err)
+	if ctl.control, err = openControl(ctl, options.ControlAddress); err != nil {
+		return addresses, fmt.Errorf("control socket: %w", err)
 	}
-	addresses.Control = d.control.listener.Addr().String()
+	addresses.Control = ctl.control.listener.Addr().String()
 	for i := range options.Plan.Services {
 		service := &options.Plan.Services[i]
 		addresses.Relays[service.Name] = map[string]string{}
@@ -138,7 +140,7 @@
 			if r.ListenAddress == "" {
 				continue
 			}
-			address, err := d.listen(plan.ServiceIndex(i), r.Name, r.ListenAddress)
+			address, err := ctl.listen(plan.ServiceIndex(i), r.Name, r.ListenAddress)
 			if err != nil {
 				return addresses, fmt.Errorf("service %s, relay %s: %w", service.Name, r.Name, err)
 			}
@@ -147,159 +149,160 @@
 		if service.WatchAddress == "" {
 			continue
 		}
-		address, err := d.listen(plan.ServiceIndex(i), "", service.WatchAddress)
+		address, err := ctl.listen(plan.ServiceIndex(i), "", service.WatchAddress)
 		if err != nil {
-			return addresses, fmt.Errorf("service %s, watch: %w", service.Name, err)
+			return addresses, fmt.Errorf("service %s, watch address: %w", service.Name, err)
 		}
 		addresses.Watch[service.Name] = address
 	}
 	return addresses, nil
 }
 
-// shutdown closes the connections and stops the listeners. The loop has ended.
-func (d *Controller) shutdown() {
-	for _, l := range d.listeners {
+// shutdown stops the listeners, then closes the connections and the control socket. It runs after the loop has ended.
+func (ctl *Controller) shutdown() {
+	for _, l := range ctl.listeners {
 		sockets.StopAccepting(l.listener)
 	}
-	for c := range d.conns {
+	for c := range ctl.conns {
 		c.close(metrics.ClosedByShutdown, nil)
 	}
-	if d.control != nil {
-		d.control.close()
+	if ctl.control != nil {
+		ctl.control.close()
 	}
 }
 
-func (d *Controller) now() plan.Unix { return d.clock() }
+func (ctl *Controller) now() plan.Unix { return ctl.clock() }
 
-// post hands a function to the loop. It blocks while the loop is behind: the caller is a connection's goroutine, whose
-// peer then waits too. Once the loop has ended the function is dropped.
-func (d *Controller) post(f func(*Controller)) {
+// post passes a function to the loop. It blocks while the queue is full, which stops the caller from reading more from its
+// connection and so slows the peer down. Once the loop has ended, the function is dropped.
+func (ctl *Controller) post(f func(*Controller)) {
 	select {
-	case d.calls <- f:
-	case <-d.done:
+	case ctl.calls <- f:
+	case <-ctl.done:
 	}
 }
 
-// apply applies an event to the state machine; it goes to disk with the batch. Loop only.
-func (d *Controller) apply(e rollout.Event) {
-	if err := d.core.Apply(e); err != nil {
-		d.log.WithError(err).Error("event rejected") // Core made it from its own state
+// apply applies an event to the state machine and adds it to the batch for the journal. Only the loop may call it.
+func (ctl *Controller) apply(e rollout.Event) {
+	if err := ctl.core.Apply(e); err != nil {
+		ctl.log.WithError(err).Error("event rejected") // not expected, as Core created the event from its current state
 		return
 	}
-	d.pendingEvents = append(d.pendingEvents, e)
+	ctl.pendingEvents = append(ctl.pendingEvents, e)
 }
 
-// advance makes the moves that the state machine has become ready for. Loop only.
-func (d *Controller) advance() {
-	d.pendingEvents = append(d.pendingEvents, d.core.Advance(d.now())...)
+// advance lets the state machine make the transitions that are due by now. Only the loop may call it.
+func (ctl *Controller) advance() {
+	ctl.pendingEvents = append(ctl.pendingEvents, ctl.core.Advance(ctl.now())...)
 }
 
-// replyAfterFlush sends a reply once the batch is on disk; its text is made then. Loop only.
-func (d *Controller) replyAfterFlush(c *relayConn, text func() string) {
-	d.pendingReplies = append(d.pendingReplies, func() { c.send(text()) })
+// replyAfterFlush sends a reply once the batch is on disk. text is called at that time, so the reply shows the state after
+// the whole batch. Only the loop may call it.
+func (ctl *Controller) replyAfterFlush(c *relayConn, text func() string) {
+	ctl.pendingReplies = append(ctl.pendingReplies, func() { c.send(text()) })
 }
 
-// flush puts the batch on disk, then sends the replies and notifies watchers. Loop only.
-func (d *Controller) flush() error {
-	if len(d.pendingEvents) > 0 {
-		if err := d.journal.Append(d.pendingEvents); err != nil {
+// flush writes the batch to disk, then sends the replies and notifies watchers. Only the loop may call it.
+func (ctl *Controller) flush() error {
+	if len(ctl.pendingEvents) > 0 {
+		if err := ctl.journal.Append(ctl.pendingEvents); err != nil {
 			return fmt.Errorf("journal: %w", err)
 		}
-		d.logEvents()
-		d.pendingEvents = d.pendingEvents[:0]
+		ctl.logEvents()
+		ctl.pendingEvents = ctl.pendingEvents[:0]
 	}
-	for _, reply := range d.pendingReplies {
+	for _, reply := range ctl.pendingReplies {
 		reply()
 	}
-	d.pendingReplies = d.pendingReplies[:0]
-	d.notifyWatchers()
+	ctl.pendingReplies = ctl.pendingReplies[:0]
+	ctl.notifyWatchers()
 	return nil
 }
 
-// logEvents writes a line for each event of the batch but the votes, which are too many.
-func (d *Controller) logEvents() {
-	for _, e := range d.pendingEvents {
+// logEvents logs the events of the batch, except votes, as there are too many of them.
+func (ctl *Controller) logEvents() {
+	for _, e := range ctl.pendingEvents {
 		if e.Kind == rollout.EventVoted {
 			continue
 		}
-		d.log.WithFields(logrus.Fields{"event": string(e.Kind), "service": e.Service, "build": e.Build, "step": e.Step,
+		ctl.log.WithFields(logrus.Fields{"event": string(e.Kind), "service": e.Service, "build": e.Build, "step": e.Step,
 			"name": e.FreezeName, "who": e.Actor, "why": e.Reason}).Info("rollout event")
 	}
 }
 
-// run is the loop: it runs a batch of functions, advances the state machine, and flushes.
-func (d *Controller) run(ctx context.Context) error {
-	defer close(d.done)
+// run is the loop: it calls a batch of posted functions, advances the state machine, and flushes, until ctx is done.
+func (ctl *Controller) run(ctx context.Context) error {
+	defer close(ctl.done)
 	timer := time.NewTimer(0)
 	defer timer.Stop()
 	for {
 		select {
 		case <-ctx.Done():
 			return nil
-		case f := <-d.calls:
-			f(d)
-			for n := 1; n < maxBatch && len(d.calls) > 0; n++ {
-				(<-d.calls)(d)
+		case f := <-ctl.calls:
+			f(ctl)
+			for n := 1; n < maxBatch && len(ctl.calls) > 0; n++ {
+				(<-ctl.calls)(ctl)
 			}
 		case <-timer.C:
 		}
-		d.advance()
-		if err := d.flush(); err != nil {
+		ctl.advance()
+		if err := ctl.flush(); err != nil {
 			return err
 		}
-		if err := d.compactIfLarge(); err != nil {
+		if err := ctl.compactIfLarge(); err != nil {
 			return err
 		}
-		timer.Reset(d.sleep())
+		timer.Reset(ctl.sleepDuration())
 	}
 }
 
-func (d *Controller) compactIfLarge() error {
-	if !d.journal.NeedsCompaction() {
+func (ctl *Controller) compactIfLarge() error {
+	if !ctl.journal.NeedsCompaction() {
 		return nil
 	}
-	if err := d.journal.Compact(d.core.Snapshot()); err != nil {
+	if err := ctl.journal.Compact(ctl.core.Snapshot()); err != nil {
 		return fmt.Errorf("journal: %w", err)
 	}
-	d.log.Info("journal compacted")
+	ctl.log.Info("journal compacted")
 	return nil
 }
 
-// sleep is the time until the loop must look at the state machine again, from a millisecond to maxSleep.
-func (d *Controller) sleep() time.Duration {
+// sleepDuration returns how long the loop may wait before it must advance the state machine again: between a millisecond
+// and maxSleep.
+func (ctl *Controller) sleepDuration() time.Duration {
 	const minSeconds = 0.001
-	untilNext := d.core.NextAdvance(d.now()) - d.now()
+	untilNext := ctl.core.NextAdvance(ctl.now()) - ctl.now()
 	seconds := math.Min(math.Max(untilNext, minSeconds), maxSleep.Seconds())
 	return time.Duration(seconds * float64(time.Second))
 }
 
-var errServicesDiffer = errors.New("services come and go only at a start")
+var errServicesDiffer = errors.New("the services differ from those of the current plan; adding or removing one needs a restart")
 
-// Replan puts another plan in place of the present one; a plan with an error, as plan.Load returned it, or with other
-// services is logged and changes nothing. Listeners stay as they are: those of new relays are opened by the next start.
-// Any goroutine may call it.
-func (d *Controller) Replan(next *plan.Plan, err error) {
-	d.post(func(d *Controller) {
+// Replan replaces the plan. It takes the results of loading a plan: an error, or a plan with other services, is logged and
+// changes nothing. Listeners are not changed; those of new relays are opened at the next start. Any goroutine may call it.
+func (ctl *Controller) Replan(next *plan.Plan, err error) {
+	ctl.post(func(ctl *Controller) {
 		if err == nil {
-			err = d.replan(next)
+			err = ctl.replan(next)
 		}
 		if err != nil {
-			d.log.WithField("error", oneLine(err)).Error("plan rejected, keeping the old one")
+			ctl.log.WithField("error", oneLine(err)).Error("plan rejected, keeping the old one")
 			return
 		}
-		d.log.Info("plan reloaded")
+		ctl.log.Info("plan reloaded")
 	})
 }
 
-func (d *Controller) replan(next *plan.Plan) error {
-	present := d.core.Plan().Services
-	if len(next.Services) != len(present) {
+func (ctl *Controller) replan(next *plan.Plan) error {
+	current := ctl.core.Plan().Services
+	if len(next.Services) != len(current) {
 		return errServicesDiffer
 	}
-	for i := range present {
-		if next.Services[i].Name != present[i].Name {
+	for i := range current {
+		if next.Services[i].Name != current[i].Name {
 			return errServicesDiffer
 		}
 	}
-	return d.core.Replan(next)
+	return ctl.core.Replan(next)
 }
--- a/internal/releasecontroller/controller_test.go
+++ b/internal/releasecontroller/controller_test.go
@@ -34,59 +34,62 @@
 	return p
 }
 
-// running is a release controller that a test runs; its time is the test's.
-type running struct {
+// runningController is a release controller that runs within a test. The test sets its clock.
+type runningController struct {
 	t          *testing.T
 	dir        string
-	at         Addresses
+	addresses  Addresses
 	controller *Controller
 	ended      chan error
 	mu         sync.Mutex
 	now        plan.Unix
 }
 
-func start(t *testing.T, dir string, now plan.Unix, crash func(string) error) *running {
+func start(t *testing.T, dir string, now plan.Unix, crash func(string) error) *runningController {
 	t.Helper()
-	r := &running{t: t, dir: dir, ended: make(chan error, 1), now: now}
+	r := &runningController{t: t, dir: dir, ended: make(chan error, 1), now: now}
 	log := logrus.New()
 	log.SetOutput(io.Discard)
 	ctx, cancel := context.WithCancel(context.Background())
 	ready := make(chan struct{})
 	go func() {
 		r.ended <- Start(ctx, Options{Plan: testPlan(t), Dir: dir, Log: log, CrashPoint: crash, Clock: r.clock,
-			Ready: func(d *Controller, at Addresses) { r.controller, r.at = d, at; close(ready) }})
+			Ready: func(controller *Controller, addresses Addresses) {
+				r.controller, r.addresses = controller, addresses
+				close(ready)
+			}})
 	}()
 	select {
 	case <-ready:
 	case err := <-r.ended:
 		t.Fatal(err)
 	case <-time.After(testTimeout):
-		t.Fatal("not up")
+		t.Fatal("release controller not ready in time")
 	}
 	t.Cleanup(cancel)
 	return r
 }
 
-func (r *running) clock() plan.Unix {
+func (r *runningController) clock() plan.Unix {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.now
 }
 
-func (r *running) advance(d float64) {
+func (r *runningController) advance(seconds float64) {
 	r.mu.Lock()
-	r.now += d
+	r.now += seconds
 	r.mu.Unlock()
 }
 
-func (r *running) call(q Request) (Reply, error) {
+func (r *runningController) call(q Request) (Reply, error) {
 	if q.Actor == "" {
 		q.Actor, q.Reason = "ops", "a test"
 	}
 	return Call(context.Background(), r.dir, q)
 }
 
-func (r *running) must(q Request) Reply {
+func (r *runningController) must(q Request) Reply {
 	r.t.Helper()
 	out, err := r.call(q)
 	if err != nil {
@@ -95,14 +98,14 @@
 	return out
 }
 
-// caller is a relay's connection.
-type caller struct {
+// lineClient is a relay's or a watcher's connection to the release controller.
+type lineClient struct {
 	t *testing.T
 	net.Conn
-	r *bufio.Reader
+	reader *bufio.Reader
 }
 
-func dial(t *testing.T, address string) *caller {
+func dial(t *testing.T, address string) *lineClient {
 	t.Helper()
 	c, err := net.Dial("tcp", address)
 	if err != nil {
@@ -110,26 +113,26 @@
 	}
 	t.Cleanup(func() { c.Close() })
 	c.SetDeadline(time.Now().Add(testTimeout))
-	return &caller{t, c, bufio.NewReader(c)}
+	return &lineClient{t, c, bufio.NewReader(c)}
 }
 
-func (c *caller) call(line string) string {
+func (c *lineClient) call(line string) string {
 	c.t.Helper()
 	fmt.Fprintf(c, "%s\r\n", line)
 	return c.line()
 }
 
-func (c *caller) line() string {
+func (c *lineClient) line() string {
 	c.t.Helper()
-	s, err := c.r.ReadString('\n')
+	s, err := c.reader.ReadString('\n')
 	if err != nil {
 		c.t.Fatal(err)
 	}
 	return strings.TrimRight(s, "\r\n")
 }
 
-// until reads lines up to one with a prefix.
-func (c *caller) until(prefix string) {
+// until reads lines up to and including the first one with the prefix.
+func (c *lineClient) until(prefix string) {
 	c.t.Helper()
 	for !strings.HasPrefix(c.line(), prefix) {
 	}
@@ -137,13 +140,13 @@
 
 func TestRelayLines(t *testing.T) {
 	r := start(t, t.TempDir(), 1000, nil)
-	w := dial(t, r.at.Watch["a"])
+	w := dial(t, r.addresses.Watch["a"])
 	if s := w.call("WATCH"); s != "OK" {
 		t.Fatal(s)
 	}
-	a, b := dial(t, r.at.Relays["a"]["r0"]), dial(t, r.at.Relays["a"]["r1"])
+	a, b := dial(t, r.addresses.Relays["a"]["r0"]), dial(t, r.addresses.Relays["a"]["r1"])
 	if s := a.call("VOTE 7 0 approve"); s != "ERR ConditionFailed" {
-		t.Error("no build is there: ", s)
+		t.Error("vote without a build: ", s)
 	}
 	r.must(Request{Verb: "offer", Service: "a", Build: 7})
 	w.until("* news 7 0 canary 0.1 ")
@@ -154,7 +157,7 @@
 		}
 	}
 	if s := w.call("VOTE 7 0 approve"); !strings.HasPrefix(s, "*") && s != "ERR ValidationError" {
-		t.Error("a vote where none is taken: ", s)
+		t.Error("vote at a watch address: ", s)
 	}
 	r.advance(0.31)
 	if s := a.call("VOTE 7 0 approve"); s != "OK 7 0 canary 0.1 310" {
@@ -164,52 +167,52 @@
 		t.Error(s)
 	}
 	w.until("* news 7 1 canary 0.5 ")
-	// Calls one behind another are answered in their order.
+	// Pipelined calls are answered in their order.
 	fmt.Fprint(a, "VOTE 7 1 approve\r\nVOTE 9 1 approve\r\nVOTE 7 1 reject\r\n")
-	// The state replied is the one that all of them led to, where they are one batch.
+	// Replies show the status after the whole batch. The calls may come in one batch or in several.
 	if s := a.line() + "|" + a.line() + "|" + a.line(); !strings.HasPrefix(s, "OK 7 1 ") || !strings.Contains(s, "|ERR ConditionFailed|OK 7 1 reverting 0 ") {
 		t.Error(s)
 	}
 	w.until("* news 7 1 reverting 0 ")
-	w.until("*") // keep-alives go on
+	w.until("*") // a keep-alive
 }
 
 func TestConnectionLimits(t *testing.T) {
 	r := start(t, t.TempDir(), 1000, nil)
-	address := r.at.Relays["a"]["r0"]
+	address := r.addresses.Relays["a"]["r0"]
 	long := dial(t, address)
 	fmt.Fprint(long, strings.Repeat("x", 9000))
-	if _, err := long.r.ReadByte(); err == nil {
-		t.Error("a line of 9,000 bytes was taken")
+	if _, err := long.reader.ReadByte(); err == nil {
+		t.Error("a line of 9,000 bytes was accepted")
 	}
-	var open []*caller
-	for range maxConnsEach {
+	var open []*lineClient
+	for range maxConnsPerListener {
 		c := dial(t, address)
 		c.call("VOTE 1 0 approve")
 		open = append(open, c)
 	}
 	over := dial(t, address)
 	fmt.Fprint(over, "VOTE 1 0 approve\r\n")
-	if s, err := over.r.ReadString('\n'); err == nil {
-		t.Error("one connection more was answered: ", s)
+	if s, err := over.reader.ReadString('\n'); err == nil {
+		t.Error("a connection beyond the limit was answered: ", s)
 	}
 	open[0].Close()
-	for i := 0; ; i++ { // the place comes free when the release controller has seen it
+	for i := 0; ; i++ { // until the release controller has seen that the connection closed
 		c := dial(t, address)
 		fmt.Fprint(c, "VOTE 1 0 approve\r\n")
-		if _, err := c.r.ReadString('\n'); err == nil {
+		if _, err := c.reader.ReadString('\n'); err == nil {
 			break
 		}
 		if i > 1000 {
-			t.Fatal("no place came free")
+			t.Fatal("no connection accepted after one closed")
 		}
 	}
 }
 
 var errKilled = errors.New("killed")
 
-// TestCrashAroundAppend ends the release controller at each place round the vote that completes a step. Whatever was
-// replied to anyone holds after the next start, and the service is promoted once.
+// TestCrashAroundAppend ends the release controller just before or after it writes the vote that completes a step. The vote
+// gets no reply in either case. After a restart all earlier replies still hold, and the service is promoted exactly once.
 func TestCrashAroundAppend(t *testing.T) {
 	for _, place := range []string{"before append", "after append"} {
 		t.Run(place, func(t *testing.T) {
@@ -222,23 +225,23 @@
 				return nil
 			})
 			r.must(Request{Verb: "offer", Service: "a", Build: 7})
-			a, b := dial(t, r.at.Relays["a"]["r0"]), dial(t, r.at.Relays["a"]["r1"])
+			a, b := dial(t, r.addresses.Relays["a"]["r0"]), dial(t, r.addresses.Relays["a"]["r1"])
 			a.call("VOTE 7 0 approve")
 			armed.Store(true)
 			fmt.Fprint(b, "VOTE 7 0 approve\r\n")
 			if err := <-r.ended; !errors.Is(err, errKilled) {
 				t.Fatal(err)
 			}
-			if s, err := b.r.ReadString('\n'); err == nil {
-				t.Error("it was answered: ", s)
+			if s, err := b.reader.ReadString('\n'); err == nil {
+				t.Error("vote answered in spite of the crash: ", s)
 			}
 			r = start(t, dir, 1001, nil)
 			n := r.must(Request{Verb: "status"}).Status[0]
 			if want := map[string]string{"before append": "one", "after append": "two"}[place]; n.Step != want || n.Phase != "on trial" {
 				t.Errorf("%+v", n)
 			}
-			if place == "before append" { // the relay repeats it, as it got no answer; the first relay's vote holds
-				if s := dial(t, r.at.Relays["a"]["r1"]).call("VOTE 7 0 approve"); !strings.HasPrefix(s, "OK 7 1 ") {
+			if place == "before append" { // the relay votes again, as it got no reply; the vote of the other relay still counts
+				if s := dial(t, r.addresses.Relays["a"]["r1"]).call("VOTE 7 0 approve"); !strings.HasPrefix(s, "OK 7 1 ") {
 					t.Error(s)
 				}
 			}
@@ -256,7 +259,8 @@
 	}
 }
 
-// TestReplan puts plans in place of the one that holds: a bad one, one without a service, and a good one.
+// TestReplan checks that an error of the plan file, a plan without a service of the current one and a plan without the
+// current step change nothing, and that a valid plan takes effect.
 func TestReplan(t *testing.T) {
 	r := start(t, t.TempDir(), 1000, nil)
 	r.must(Request{Verb: "offer", Service: "a", Build: 7})
@@ -269,11 +273,11 @@
 	short.Services[0].Steps = nil
 	r.controller.Replan(short, nil)
 	if got := step(); got != 0.1 {
-		t.Error("a bad plan changed the cap to ", got)
+		t.Error("a rejected plan changed the exposure limit to ", got)
 	}
 	more.Services[0].Steps[0].ExposureLimit = 0.05
 	r.controller.Replan(more, nil)
 	if got := step(); got != 0.05 {
-		t.Error("the good plan does not hold: ", got)
+		t.Error("the valid plan is not in effect: exposure limit ", got)
 	}
 }
--- a/internal/releasecontroller/history.go
+++ b/internal/releasecontroller/history.go
@@ -8,8 +8,8 @@
 	"lichenroad/rollout"
 )
 
-// History returns the events of the journals that are kept in a directory, the earliest first, at most limit of the
-// latest. Votes are left out unless they are asked for. It works beside a running release controller.
+// History returns the latest events of the journal and its archives in a directory, oldest first and at most limit. Votes
+// are included only if votes is set. It may be called while a release controller uses the directory.
 func History(dir string, votes bool, limit int) ([]rollout.Event, error) {
 	paths, err := archives(dir)
 	if err != nil {
@@ -22,7 +22,7 @@
 			return nil, err
 		}
 		if i > 0 {
-			events = withoutSnapshot(events) // the journal before it has what led to the snapshot
+			events = withoutSnapshot(events) // the archive before it has the events that led to the snapshot
 		}
 		for _, e := range events {
 			if votes || e.Kind != rollout.EventVoted {
@@ -33,7 +33,7 @@
 	return history[max(0, len(history)-limit):], nil
 }
 
-// readEvents returns the events of one journal.
+// readEvents returns the events of one journal file.
 func readEvents(path string) ([]rollout.Event, error) {
 	content, err := os.ReadFile(path)
 	if err != nil {
@@ -50,7 +50,8 @@
 	return events, nil
 }
 
-// withoutSnapshot returns the events behind the snapshot that a compacted journal begins with; its last event says so.
+// withoutSnapshot returns the events after the snapshot at the beginning of a compacted journal. The last event of a
+// snapshot is an EventControllerStarted with the reason "snapshot".
 func withoutSnapshot(events []rollout.Event) []rollout.Event {
 	for i, e := range events {
 		if e.Kind == rollout.EventControllerStarted && e.Reason == "snapshot" {
--- a/internal/releasecontroller/journal.go
+++ b/internal/releasecontroller/journal.go
@@ -12,36 +12,37 @@
 	"lichenroad/rollout"
 )
 
-// Names of the files in the controller's directory.
+// Names of files in the controller's directory.
 const (
-	journalName = "journal"
-	nextName    = "journal.next" // of a compacted one that is being written
-	lockName    = "lock"
+	journalName     = "journal"
+	nextJournalName = "journal.next" // a compacted journal while it is being written
+	lockName        = "lock"
 )
 
-// CompactionThresholdBytes is the size in bytes from which a journal is compacted; some ten thousand votes.
+// CompactionThresholdBytes is the size from which a journal is compacted: some ten thousand votes.
 const CompactionThresholdBytes = 4 << 20
 
-// ErrLocked says that another release controller has the directory open.
-var ErrLocked = errors.New("another release controller has it open")
+// ErrLocked reports that another release controller has the directory open.
+var ErrLocked = errors.New("another release controller uses this directory")
 
-// Journal is the write-ahead log of the state machine's events: an event is on disk before anyone is notified of it. One
-// goroutine at a time may use it.
+// Journal is the write-ahead log of the state machine's events: an event is on disk before anyone is notified of it. It is
+// not safe for concurrent use.
 type Journal struct {
 	dir  string
 	file *os.File
 	lock *os.File
 	size int64
 
-	// TruncatedBytes is the size of a torn last record that Open cut off.
+	// TruncatedBytes is the size of the torn last record that Open cut off; 0 if there was none.
 	TruncatedBytes int64
 
-	// CrashPoint, if set, is called at named places, for tests that end the process or the writing there.
+	// CrashPoint, if set, is called at named places between writes. Tests use it to end the process there, or to return an
+	// error, which stops the operation.
 	CrashPoint func(place string) error
 }
 
-// Open opens the journal in a directory, or begins one, and hands each of its events to apply. It fails with ErrLocked
-// while another process has it open, and with ErrDamaged where a record in the middle can't be read.
+// Open opens the journal in a directory, or creates one, and calls apply for each of its events. It fails with ErrLocked
+// while another process has the journal open, and with ErrDamaged if a record other than the last one can't be read.
 func Open(dir string, apply func(rollout.Event) error) (*Journal, error) {
 	if err := os.MkdirAll(dir, 0o700); err != nil {
 		return nil, err
@@ -51,7 +52,7 @@
 		return nil, err
 	}
 	if err := syscall.Flock(int(lock.Fd()), syscall.LOCK_EX|syscall.LOCK_NB); err != nil {
-		_ = lock.Close() // an empty file
+		_ = lock.Close() // nothing was written to it
 		return nil, fmt.Errorf("%s: %w", dir, ErrLocked)
 	}
 	j := &Journal{dir: dir, lock: lock}
@@ -64,9 +65,9 @@
 
 func (j *Journal) path(name string) string { return filepath.Join(j.dir, name) }
 
-// replay opens the file, hands its events to apply, and cuts off a torn last record.
+// replay opens the journal file, calls apply for each of its events, and cuts off a torn last record.
 func (j *Journal) replay(apply func(rollout.Event) error) error {
-	_ = os.Remove(j.path(nextName)) // of a crash while it was written, if any; the journal itself is complete
+	_ = os.Remove(j.path(nextJournalName)) // left by a crash during a compaction, if it exists; the journal itself is complete
 	file, err := os.OpenFile(j.path(journalName), os.O_CREATE|os.O_RDWR, 0o600)
 	if err != nil {
 		return err
@@ -77,7 +78,7 @@
 		return err
 	}
 	if len(content) < len(journalHeader) && strings.HasPrefix(journalHeader, string(content)) {
-		return j.begin(len(content))
+		return j.initialize(len(content))
 	}
 	complete, err := Scan(content, apply)
 	if err != nil {
@@ -96,8 +97,8 @@
 	return err
 }
 
-// begin makes the file an empty journal. It is new, or a crash left so many bytes of the header.
-func (j *Journal) begin(torn int) error {
+// initialize writes an empty journal to the file, which is new, or holds the first torn bytes of a header because of a crash.
+func (j *Journal) initialize(torn int) error {
 	j.TruncatedBytes = int64(torn)
 	if err := writeHeader(j.file); err != nil {
 		return err
@@ -106,14 +107,14 @@
 	return j.syncDir()
 }
 
-// Append writes events as one record and flushes it to disk. After an error no one may be notified of anything: what is
-// on disk is not known, and only a new start finds out.
+// Append writes events as one record and flushes it to disk. After an error nobody may be notified of any event: it is
+// unknown whether the record is on disk until the journal is opened again.
 func (j *Journal) Append(events []rollout.Event) error {
 	record, err := encodeRecord(events)
 	if err != nil {
 		return err
 	}
-	if err := j.crash("before append"); err != nil {
+	if err := j.reachCrashPoint("before append"); err != nil {
 		return err
 	}
 	if _, err := j.file.Write(record); err != nil {
@@ -123,30 +124,30 @@
 		return err
 	}
 	j.size += int64(len(record))
-	return j.crash("after append")
+	return j.reachCrashPoint("after append")
 }
 
-// Close releases the directory. What Append wrote is on disk already.
+// Close closes the journal and releases the lock. All that Append wrote is on disk already.
 func (j *Journal) Close() {
 	if j.file != nil {
 		_ = j.file.Close() // every write was flushed
 	}
-	_ = j.lock.Close() // an empty file
+	_ = j.lock.Close() // nothing was written to it
 }
 
-func (j *Journal) crash(place string) error {
+func (j *Journal) reachCrashPoint(place string) error {
 	if j.CrashPoint != nil {
 		return j.CrashPoint(place)
 	}
 	return nil
 }
 
-// syncDir flushes the directory, and with it the names of files.
+// syncDir flushes the directory, so that created and renamed files are found after a crash.
 func (j *Journal) syncDir() error {
 	dir, err := os.Open(j.dir)
 	if err != nil {
 		return err
 	}
-	defer func() { _ = dir.Close() }() // opened for reading
+	defer func() { _ = dir.Close() }() // opened only for reading
 	return dir.Sync()
 }
--- a/internal/releasecontroller/journal_test.go
+++ b/internal/releasecontroller/journal_test.go
@@ -14,7 +14,7 @@
 	"lichenroad/rollout"
 )
 
-// controllerEvents are the events of three releases and three freezes.
+// controllerEvents returns the events of three releases and three freezes.
 func controllerEvents(t *testing.T) []rollout.Event {
 	c := rollout.New(testPlan(t))
 	var out []rollout.Event
@@ -48,6 +48,7 @@
 	return out
 }
 
+// status returns the status of all services after the events.
 func status(t *testing.T, events []rollout.Event) []rollout.Status {
 	c := rollout.New(testPlan(t))
 	for _, e := range events {
@@ -58,14 +59,14 @@
 	return c.ServiceStatuses(5000)
 }
 
-// writtenJournal is a journal as it stands on disk.
+// writtenJournal is a journal file and its content.
 type writtenJournal struct {
 	name string
 	raw  []byte
-	ends []int64 // of the header, and of each record
+	ends []int64 // offsets of the end of the header and of each record
 }
 
-// writeJournal writes a journal of one record an event.
+// writeJournal writes a journal with one record for each event.
 func writeJournal(t *testing.T, dir string, events []rollout.Event) writtenJournal {
 	t.Helper()
 	j, err := Open(dir, func(rollout.Event) error { return nil })
@@ -86,7 +87,7 @@
 	return written
 }
 
-// wholeRecords is how many records end before a cut.
+// wholeRecords returns how many records are complete in the first cut bytes.
 func (w *writtenJournal) wholeRecords(cut int) int {
 	whole := 0
 	for whole+1 < len(w.ends) && w.ends[whole+1] <= int64(cut) {
@@ -95,7 +96,8 @@
 	return whole
 }
 
-// TestTornRecords cuts a journal at every byte: each start folds the whole records before the cut, and goes on.
+// TestTornRecords cuts a journal off at every byte. Open must apply the complete records before the cut, and a record
+// appended after that must be readable.
 func TestTornRecords(t *testing.T) {
 	events := controllerEvents(t)
 	dir := t.TempDir()
@@ -126,11 +128,12 @@
 	}
 }
 
-// TestDamagedRecord has a wrong byte in the middle: that is damage, not a torn end, and nothing is thrown away.
+// TestDamagedRecord changes a byte in the middle of a journal. Open must report ErrDamaged with the position of the record,
+// and must not truncate the file as it does after a crash.
 func TestDamagedRecord(t *testing.T) {
 	dir := t.TempDir()
 	written := writeJournal(t, dir, controllerEvents(t))
-	for _, at := range []int64{written.ends[1] + 2, written.ends[1] + recordHeader + 3} {
+	for _, at := range []int64{written.ends[1] + 2, written.ends[1] + recordHeaderBytes + 3} {
 		bad := append([]byte(nil), written.raw...)
 		bad[at] ^= 0x55
 		if err := os.WriteFile(written.name, bad, 0o600); err != nil {
@@ -141,12 +144,13 @@
 			t.Errorf("byte %d: %v", at, err)
 		}
 		if left, _ := os.ReadFile(written.name); len(left) != len(bad) {
-			t.Error("something was cut off")
+			t.Error("the damaged journal was truncated")
 		}
 	}
 }
 
-// TestCrashWhileCompacting ends the writing at each place: the state is the same after the next start, and the history whole.
+// TestCrashWhileCompacting stops a compaction at each crash point. The next start must rebuild the same state, and the history
+// must be complete.
 func TestCrashWhileCompacting(t *testing.T) {
 	events := controllerEvents(t)
 	want := status(t, events)
@@ -174,7 +178,7 @@
 				t.Fatal(err)
 			}
 			j.Close()
-			for range 2 { // and once more
+			for range 2 { // the second start must find the same state
 				var got []rollout.Event
 				j, err := Open(dir, func(e rollout.Event) error { got = append(got, e); return nil })
 				if err != nil {
@@ -186,14 +190,15 @@
 				j.Close()
 			}
 			all, err := History(dir, true, 1000)
-			if place != "before rename" && (err != nil || len(all) != len(events)) { // there it stands twice, until the next time
-				t.Errorf("a history of %d events, %d happened, %v", len(all), len(events), err)
+			// After a crash before the rename, the journal and its archive hold the same events until the next compaction.
+			if place != "before rename" && (err != nil || len(all) != len(events)) {
+				t.Errorf("history has %d events, want %d; error: %v", len(all), len(events), err)
 			}
 		})
 	}
 }
 
-// TestRecordFormat pins the bytes of a journal: those that earlier versions have written stay readable.
+// TestRecordFormat checks the bytes of a journal, so that journals written by earlier versions stay readable.
 func TestRecordFormat(t *testing.T) {
 	dir := t.TempDir()
 	journal, err := Open(dir, func(rollout.Event) error { return nil })
--- a/internal/releasecontroller/record.go
+++ b/internal/releasecontroller/record.go
@@ -13,22 +13,22 @@
 	"lichenroad/rollout"
 )
 
-// The journal's format: a header line, then records. A record is the length and the CRC-32C of its payload, four bytes
-// each, little endian, and the payload, a JSON array of events that are applied together. The header keeps the name that the
-// release controller had first: journals written then stay readable.
+// The format of a journal is a header line followed by records. A record consists of the length of its payload, the CRC-32C
+// of its payload (both as four bytes, little endian) and the payload, a JSON array of events that are applied together. The
+// header contains the former name of the release controller ("desk"), so that old journals stay readable.
 const (
-	journalHeader  = "lichenroad desk journal 1\n"
-	recordHeader   = 8       // bytes before a payload
-	maxRecordBytes = 1 << 20 // of a payload: some thousand events
+	journalHeader     = "lichenroad desk journal 1\n"
+	recordHeaderBytes = 8       // length and checksum
+	maxRecordBytes    = 1 << 20 // size limit of a payload: some thousand events
 )
 
 var checksumTable = crc32.MakeTable(crc32.Castagnoli)
 
-// ErrDamaged says that a record can't be read while later ones can. A crash tears the last record only, so something else
-// has changed the file.
+// ErrDamaged reports that a record can't be read although a later one can. A crash damages only the last record, so the
+// cause is something else, such as a disk error.
 var ErrDamaged = errors.New("damaged")
 
-// writeHeader makes a file an empty journal and leaves its position behind the header.
+// writeHeader turns a file into an empty journal and sets the file position to the end of the header.
 func writeHeader(file *os.File) error {
 	if err := file.Truncate(0); err != nil {
 		return err
@@ -43,30 +43,32 @@
 	return err
 }
 
-// Scan hands the events of a journal's content to apply and returns how many bytes of it are complete records. A torn
-// last record ends it; one that can't be read before a complete one is ErrDamaged, with its place.
+// Scan calls apply for each event of a journal's content, and returns the length of the header and all complete records in
+// bytes. It stops at a torn last record without an error. If a complete record follows one that can't be read, the error
+// wraps ErrDamaged and gives the positions of both.
 func Scan(content []byte, apply func(rollout.Event) error) (complete int, err error) {
 	if !strings.HasPrefix(string(content[:min(len(content), len(journalHeader))]), journalHeader) {
-		return 0, errors.New("no journal of a release controller, or of another version")
+		return 0, errors.New("not a release controller journal of this version")
 	}
-	at := len(journalHeader)
-	for at < len(content) {
-		payload, ok := decodeRecord(content[at:])
+	offset := len(journalHeader)
+	for offset < len(content) {
+		payload, ok := decodeRecord(content[offset:])
 		if !ok {
-			if next, found := nextRecord(content, at+1); found {
-				return 0, fmt.Errorf("byte %d: %w, with a whole record at byte %d; restore a copy, or move the file away to begin anew",
-					at, ErrDamaged, next)
+			if next, found := nextRecord(content, offset+1); found {
+				return 0, fmt.Errorf("byte %d: %w record before an intact one at byte %d; restore a copy, or move the file away to start a new journal",
+					offset, ErrDamaged, next)
 			}
-			return at, nil
+			return offset, nil
 		}
 		if err := applyPayload(payload, apply); err != nil {
-			return 0, fmt.Errorf("byte %d: %w", at, err)
+			return 0, fmt.Errorf("byte %d: %w", offset, err)
 		}
-		at += recordHeader + len(payload)
+		offset += recordHeaderBytes + len(payload)
 	}
-	return at, nil
+	return offset, nil
 }
 
+// applyPayload decodes the events of a record and calls apply for each.
 func applyPayload(payload []byte, apply func(rollout.Event) error) error {
 	var events []rollout.Event
 	if err := json.Unmarshal(payload, &events); err != nil {
@@ -80,26 +82,26 @@
 	return nil
 }
 
-// nextRecord finds the first complete record from a byte on.
-func nextRecord(content []byte, from int) (at int, found bool) {
-	for at := from; at+recordHeader < len(content); at++ {
-		if _, ok := decodeRecord(content[at:]); ok {
-			return at, true
+// nextRecord returns the position of the first complete record at or after a position.
+func nextRecord(content []byte, from int) (offset int, found bool) {
+	for offset := from; offset+recordHeaderBytes < len(content); offset++ {
+		if _, ok := decodeRecord(content[offset:]); ok {
+			return offset, true
 		}
 	}
 	return 0, false
 }
 
-// decodeRecord returns the payload of the record at the start of raw, if it is complete.
+// decodeRecord returns the payload of the record at the start of raw if it is complete and its checksum is right.
 func decodeRecord(raw []byte) (payload []byte, ok bool) {
-	if len(raw) < recordHeader {
+	if len(raw) < recordHeaderBytes {
 		return nil, false
 	}
 	length := binary.LittleEndian.Uint32(raw)
-	if length == 0 || length > maxRecordBytes || int(length) > len(raw)-recordHeader {
+	if length == 0 || length > maxRecordBytes || int(length) > len(raw)-recordHeaderBytes {
 		return nil, false
 	}
-	payload = raw[recordHeader : recordHeader+int(length)]
+	payload = raw[recordHeaderBytes : recordHeaderBytes+int(length)]
 	return payload, crc32.Checksum(payload, checksumTable) == binary.LittleEndian.Uint32(raw[4:])
 }
 
@@ -109,7 +111,7 @@
 		return nil, err
 	}
 	if len(payload) > maxRecordBytes {
-		return nil, fmt.Errorf("a record of %d bytes", len(payload))
+		return nil, fmt.Errorf("journal record of %d bytes is longer than the limit of %d", len(payload), maxRecordBytes)
 	}
 	record := binary.LittleEndian.AppendUint32(nil, uint32(len(payload)))
 	record = binary.LittleEndian.AppendUint32(record, crc32.Checksum(payload, checksumTable))
--- a/internal/releasecontroller/relayconn.go
+++ b/internal/releasecontroller/relayconn.go
@@ -13,48 +13,48 @@
 	"lichenroad/relay"
 )
 
-// Bounds of a connection and of the sends to it. The platform's page asks for those that name it.
+// Limits of a connection. Those marked as protocol are part of the platform's protocol, which relays rely on.
 const (
-	maxConnsEach      = 32               // connections at one address, as the platform's page says; more are reset
-	idleTimeout       = 10 * time.Second // after which a connection that watches nothing is closed, as that page says
-	keepAliveInterval = 1 * time.Second  // between keep-alives, as it says
-	resendInterval    = 5 * time.Second  // after which the status is sent again: it makes up for a line that was lost
-	maxUnsentBytes    = 256 << 10        // queued for a reader that is behind, as it says
-	writeTimeout      = 2 * time.Second  // that a write may take: a reader that takes nothing is cut off
-	maxCallsInFlight  = 64               // calls of a connection that wait for the loop: a relay has a few in flight
+	maxConnsPerListener = 32               // protocol: open connections at one address; further ones are closed at once
+	idleTimeout         = 10 * time.Second // protocol: a connection without a watch is closed after this time without a call
+	keepAliveInterval   = 1 * time.Second  // protocol: between keep-alives to a watcher
+	resendInterval      = 5 * time.Second  // between repetitions of an unchanged status, in case a watcher lost a line
+	maxUnsentBytes      = 256 << 10        // protocol: queued bytes at which a connection is closed, as its peer reads too slowly
+	writeTimeout        = 2 * time.Second  // for one write; a peer that reads nothing for this long is disconnected
+	maxCallsInFlight    = 64               // calls of one connection that wait for the loop; a relay has only a few in flight
 )
 
-var errTooFarBehind = errors.New("too far behind")
+var errSendQueueFull = errors.New("send queue full: the peer reads too slowly")
 
-// relayConn is the connection of a relay, or of a watcher. netpoll calls read from one goroutine at a time, and closed
-// once. While sends wait there is one more goroutine, drain; it ends when the queue is empty or the connection closed.
+// relayConn is a connection of a relay or a watcher. netpoll calls read from one goroutine at a time and closed once. While
+// sendQueue is not empty, another goroutine runs writeQueue, which ends when the queue is empty or the connection closes.
 type relayConn struct {
-	listener *relayListener
-	net      netpoll.Connection
-	openedAt time.Time
-	splitter linewire.Splitter // of read
+	listener   *relayListener
+	connection netpoll.Connection
+	openedAt   time.Time
+	splitter   linewire.Splitter // used by read only
 
 	calls         atomic.Int64
-	lastCallAt    atomic.Int64 // Unix nanoseconds
+	lastCallAt    atomic.Int64 // in Unix nanoseconds
 	callsInFlight atomic.Int64
 
-	watching bool // owned by the controller's loop
+	watching bool // a watch was requested; owned by the controller's loop
 
-	mu          sync.Mutex // guards what follows
-	queue       []string   // that drain has still to write
-	unsentBytes int
-	writing     bool // drain runs
-	over        bool // nothing more is sent
-	closeReason metrics.CloseReason
-	closeErr    error // that led to closeReason; may be nil
+	mu            sync.Mutex // guards the fields below
+	sendQueue     []string   // texts that writeQueue has not taken yet
+	unsentBytes   int
+	writerRunning bool // writeQueue runs
+	stopped       bool // nothing more is sent: the connection is closed or about to be
+	closeReason   metrics.CloseReason
+	closeErr      error // the error behind closeReason; may be nil
 }
 
-// closed is netpoll's close callback.
+// closed is netpoll's close callback. It logs the end of the connection and removes it from the controller.
 func (c *relayConn) closed(netpoll.Connection) error {
 	controller := c.listener.controller
 	c.listener.open.Add(-1)
 	c.mu.Lock()
-	c.over = true
+	c.stopped = true
 	if c.closeReason == "" {
 		c.closeReason = metrics.ClosedByPeer
 	}
@@ -62,25 +62,25 @@
 	c.mu.Unlock()
 	name := c.listener.relay
 	if name == "" {
-		name = c.net.RemoteAddr().String()
+		name = c.connection.RemoteAddr().String()
 	}
 	end := metrics.ConnectionEnd{Peer: metrics.PeerRelay, Name: name, Reason: reason, Age: time.Since(c.openedAt).Seconds(),
 		Requests: int(c.calls.Load()), Err: err}
 	end.Log(controller.log)
-	controller.post(func(d *Controller) { delete(d.conns, c) })
+	controller.post(func(ctl *Controller) { delete(ctl.conns, c) })
 	return nil
 }
 
-// close closes the connection. The first reason given is the one that is logged. Any goroutine but the loop may call it
-// while the loop runs.
+// close closes the connection. The reason of the first call is logged. While the loop runs, the loop must not call it: the
+// close callback posts to the loop, which could wait for itself.
 func (c *relayConn) close(reason metrics.CloseReason, err error) {
 	c.mu.Lock()
 	if c.closeReason == "" {
 		c.closeReason, c.closeErr = reason, err
 	}
-	c.over = true
+	c.stopped = true
 	c.mu.Unlock()
-	_ = c.net.Close() // nothing is sent any more, so nothing is lost; closed logs the end
+	_ = c.connection.Close() // the error does not matter: nothing more is sent, and closed logs the end
 }
 
 // idle reports whether the connection has sent no call for idleTimeout.
@@ -88,23 +88,23 @@
 	return now.UnixNano()-c.lastCallAt.Load() > int64(idleTimeout)
 }
 
-// read is netpoll's request callback: it takes what has been received.
+// read is netpoll's request callback: it splits the received bytes into lines and handles each.
 func (c *relayConn) read() error {
-	reader := c.net.Reader()
+	reader := c.connection.Reader()
 	received, err := reader.Next(reader.Len())
 	if err != nil {
 		return err
 	}
 	err = c.splitter.Feed(received, c.call)
-	_ = reader.Release() // gives a buffer back, and fails only on a connection that is closed
+	_ = reader.Release() // returns the buffer; fails only if the connection is closed
 	if err != nil {
 		c.close(metrics.ClosedByBadInput, err)
 	}
 	return nil
 }
 
-// call handles one line. A call that can't be parsed is answered as such; the connection stays open, as the platform's
-// page says.
+// call handles one line. A line that can't be parsed gets an error reply and the connection stays open, as the platform's
+// protocol requires. A connection with too many calls in flight gets an error reply at once.
 func (c *relayConn) call(line string) {
 	c.calls.Add(1)
 	c.lastCallAt.Store(time.Now().UnixNano())
@@ -114,73 +114,76 @@
 		return
 	}
 	call, err := linewire.ParseCall(line)
-	c.listener.controller.post(func(d *Controller) {
+	c.listener.controller.post(func(ctl *Controller) {
 		c.callsInFlight.Add(-1)
 		switch {
 		case err != nil:
-			d.replyAfterFlush(c, invalidCall)
+			ctl.replyAfterFlush(c, invalidCall)
 		case call.Watch:
-			d.replyAfterFlush(c, func() string { return d.startWatch(c) })
+			ctl.replyAfterFlush(c, func() string { return ctl.startWatch(c) })
 		default:
-			d.countVote(c, call.Vote)
+			ctl.countVote(c, call.Vote)
 		}
 	})
 }
 
+// invalidCall returns the reply to a call that can't be parsed or is not allowed at this address.
 func invalidCall() string { return linewire.ErrorLine("ValidationError") }
 
-// startWatch makes the connection a watcher and returns the first text for it. Loop only.
-func (d *Controller) startWatch(c *relayConn) string {
+// startWatch makes the connection a watcher and returns its first text: the acceptance, and the rollout status if there is
+// one. Only the loop may call it.
+func (ctl *Controller) startWatch(c *relayConn) string {
 	c.watching = true
-	status := d.core.RolloutStatus(c.listener.service, d.now())
+	status := ctl.core.RolloutStatus(c.listener.service, ctl.now())
 	if !status.Valid {
 		return linewire.OKLine
 	}
 	return linewire.OKLine + linewire.StatusNoticeLine(status)
 }
 
-// countVote counts a vote unless the state machine rejects it. The reply is sent once the vote is on disk. Loop only.
-func (d *Controller) countVote(c *relayConn, vote relay.Vote) {
+// countVote counts a vote unless the state machine rejects it. The reply is sent once the vote is on disk. Only the loop may
+// call it.
+func (ctl *Controller) countVote(c *relayConn, vote relay.Vote) {
 	service, voter := c.listener.service, c.listener.relay
 	if voter == "" {
-		d.replyAfterFlush(c, invalidCall)
+		ctl.replyAfterFlush(c, invalidCall)
 		return
 	}
-	event, rejection := d.core.Vote(service, voter, vote, d.now())
+	event, rejection := ctl.core.Vote(service, voter, vote, ctl.now())
 	if rejection != "" {
-		d.replyAfterFlush(c, func() string { return linewire.ErrorLine(string(rejection)) })
+		ctl.replyAfterFlush(c, func() string { return linewire.ErrorLine(string(rejection)) })
 		return
 	}
-	d.apply(event)
-	d.replyAfterFlush(c, func() string { return linewire.StatusReplyLine(d.core.RolloutStatus(service, d.now())) })
+	ctl.apply(event)
+	ctl.replyAfterFlush(c, func() string { return linewire.StatusReplyLine(ctl.core.RolloutStatus(service, ctl.now())) })
 }
 
-// send queues text for drain, so that nobody waits for a slow reader. Any goroutine may call it.
+// send queues text for writeQueue, so that the caller never waits for a slow peer. Any goroutine may call it.
 func (c *relayConn) send(text string) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if c.over {
+	if c.stopped {
 		return
 	}
 	if c.unsentBytes += len(text); c.unsentBytes > maxUnsentBytes {
-		go c.close(metrics.ClosedByWriteError, errTooFarBehind) // it takes the lock, and the caller may be the loop
+		go c.close(metrics.ClosedByWriteError, errSendQueueFull) // close locks mu, and the caller may be the loop
 		return
 	}
-	c.queue = append(c.queue, text)
-	if !c.writing {
-		c.writing = true
-		go c.drain()
+	c.sendQueue = append(c.sendQueue, text)
+	if !c.writerRunning {
+		c.writerRunning = true
+		go c.writeQueue()
 	}
 }
 
-// drain writes the queue.
-func (c *relayConn) drain() {
+// writeQueue writes the queued texts until the queue is empty, the connection closes or a write fails.
+func (c *relayConn) writeQueue() {
 	for {
-		text, ok := c.next()
+		text, ok := c.dequeue()
 		if !ok {
 			return
 		}
-		if _, err := c.net.Write([]byte(text)); err != nil {
+		if _, err := c.connection.Write([]byte(text)); err != nil {
 			c.close(metrics.ClosedByWriteError, err)
 			return
 		}
@@ -190,15 +193,15 @@
 	}
 }
 
-// next takes the first text of the queue. Without one, drain ends.
-func (c *relayConn) next() (text string, ok bool) {
+// dequeue removes and returns the first text of the queue. If there is none, or the connection has stopped, writeQueue ends.
+func (c *relayConn) dequeue() (text string, ok bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if len(c.queue) == 0 || c.over {
-		c.writing = false
+	if len(c.sendQueue) == 0 || c.stopped {
+		c.writerRunning = false
 		return "", false
 	}
-	text = c.queue[0]
-	c.queue = c.queue[1:]
+	text = c.sendQueue[0]
+	c.sendQueue = c.sendQueue[1:]
 	return text, true
 }
--- a/internal/releasecontroller/relaylistener.go
+++ b/internal/releasecontroller/relaylistener.go
@@ -13,22 +13,22 @@
 	"lichenroad/plan"
 )
 
-// relayListener is one listening address: of one relay, or for the watchers of a service. netpoll's event loop accepts
-// on a goroutine of its own, which ends when the controller shuts down.
+// relayListener listens at one address, either for one relay or for the watchers of a service. netpoll's event loop accepts
+// connections on a separate goroutine, which ends when the controller shuts down.
 type relayListener struct {
 	controller *Controller
 	service    plan.ServiceIndex
-	relay      string // empty: watchers, whose votes are not taken
+	relay      string // empty: the listener is for watchers, whose votes are rejected
 	listener   net.Listener
-	open       atomic.Int64 // connections
+	open       atomic.Int64 // number of open connections
 }
 
-// connKey is the key of a *relayConn in the context that netpoll hands to its callbacks.
+// connKey is the key of the *relayConn in the context that netpoll passes to its callbacks.
 type connKey struct{}
 
-// listen opens a listener and returns its address. It is called before the loop starts.
-func (d *Controller) listen(service plan.ServiceIndex, relay, address string) (string, error) {
-	l := &relayListener{controller: d, service: service, relay: relay}
+// listen opens a listener and returns its address. It must be called before the loop starts.
+func (ctl *Controller) listen(service plan.ServiceIndex, relay, address string) (string, error) {
+	l := &relayListener{controller: ctl, service: service, relay: relay}
 	listener, err := net.Listen("tcp", address)
 	if err != nil {
 		return "", fmt.Errorf("listen: %w", err)
@@ -39,24 +39,24 @@
 	}
 	loop, err := netpoll.NewEventLoop(received, netpoll.WithOnPrepare(l.accept))
 	if err != nil {
-		_ = listener.Close() // the event loop's error says why it is not used
-		return "", fmt.Errorf("listen: %w", err)
+		_ = listener.Close() // the error of the event loop is returned instead
+		return "", fmt.Errorf("start the event loop at %s: %w", address, err)
 	}
-	go func() { _ = loop.Serve(listener) }() // it returns at shutdown, with the error of a listener that accepts no more
-	d.listeners = append(d.listeners, l)
+	go func() { _ = loop.Serve(listener) }() // returns at shutdown with the error of the stopped listener, which is of no use
+	ctl.listeners = append(ctl.listeners, l)
 	return listener.Addr().String(), nil
 }
 
-// accept is netpoll's callback for a new connection. Over the bound it is closed at once.
+// accept is netpoll's callback for a new connection. It closes connections beyond maxConnsPerListener at once.
 func (l *relayListener) accept(connection netpoll.Connection) context.Context {
-	c := &relayConn{listener: l, net: connection, openedAt: time.Now()}
+	c := &relayConn{listener: l, connection: connection, openedAt: time.Now()}
 	c.lastCallAt.Store(c.openedAt.UnixNano())
-	_ = connection.SetWriteTimeout(writeTimeout) // netpoll stores it and returns nil
-	_ = connection.AddCloseCallback(c.closed)    // as above
-	if l.open.Add(1) > maxConnsEach {
+	_ = connection.SetWriteTimeout(writeTimeout) // always returns nil
+	_ = connection.AddCloseCallback(c.closed)    // always returns nil
+	if l.open.Add(1) > maxConnsPerListener {
 		c.close(metrics.ClosedByLimit, nil)
 	} else {
-		l.controller.post(func(d *Controller) { d.conns[c] = struct{}{} })
+		l.controller.post(func(ctl *Controller) { ctl.conns[c] = struct{}{} })
 	}
 	return context.WithValue(context.Background(), connKey{}, c)
 }
--- a/internal/releasecontroller/watch.go
+++ b/internal/releasecontroller/watch.go
@@ -8,21 +8,22 @@
 	"lichenroad/plan"
 )
 
-// notifyWatchers sends watchers the statuses that have changed, every resendInterval all of them, and keep-alives between.
-// Connections that neither watch nor call are closed along with the keep-alives. Loop only.
-func (d *Controller) notifyWatchers() {
-	now := d.now()
+// notifyWatchers sends watchers the statuses that have changed. It also sends all statuses every resendInterval, and
+// keep-alives every keepAliveInterval. Idle connections without a watch are closed at the same times as keep-alives are sent.
+// Only the loop may call it.
+func (ctl *Controller) notifyWatchers() {
+	now := ctl.now()
 	wallTime := time.Now()
-	resend := wallTime.Sub(d.resentAt) >= resendInterval
-	keepAlive := wallTime.Sub(d.keepAliveAt) >= keepAliveInterval
-	notices := d.statusNotices(now, resend)
+	resend := wallTime.Sub(ctl.resentAt) >= resendInterval
+	keepAlive := wallTime.Sub(ctl.keepAliveAt) >= keepAliveInterval
+	notices := ctl.statusNotices(now, resend)
 	if resend {
-		d.resentAt = wallTime
+		ctl.resentAt = wallTime
 	}
 	if keepAlive {
-		d.keepAliveAt = wallTime
+		ctl.keepAliveAt = wallTime
 	}
-	for c := range d.conns {
+	for c := range ctl.conns {
 		switch {
 		case c.watching:
 			text := notices[c.listener.service]
@@ -33,23 +34,23 @@
 				c.send(text)
 			}
 		case keepAlive && c.idle(wallTime):
-			go c.close(metrics.ClosedByIdleTimeout, nil) // its close callback posts to the loop, which must not wait for itself
+			go c.close(metrics.ClosedByIdleTimeout, nil) // the close callback posts to the loop, which must not wait for itself
 		}
 	}
 }
 
-// statusNotices returns the notices to send, by service: of the statuses that differ in more than their age from what was
-// sent last, or of all of them. It records them as sent. Loop only.
-func (d *Controller) statusNotices(now plan.Unix, all bool) []string {
-	notices := make([]string, len(d.notified))
-	for i := range d.notified {
-		status := d.core.RolloutStatus(plan.ServiceIndex(i), now)
-		last := d.notified[i]
+// statusNotices returns the notices to send, by plan.ServiceIndex, and records them as sent. Unless all is set, a
+// service gets a notice only if its status differs from the last one sent in more than its age. Only the loop may call it.
+func (ctl *Controller) statusNotices(now plan.Unix, all bool) []string {
+	notices := make([]string, len(ctl.notified))
+	for i := range ctl.notified {
+		status := ctl.core.RolloutStatus(plan.ServiceIndex(i), now)
+		last := ctl.notified[i]
 		last.Age = status.Age
 		if status == last && !all {
 			continue
 		}
-		d.notified[i] = status
+		ctl.notified[i] = status
 		if status.Valid {
 			notices[i] = linewire.StatusNoticeLine(status)
 		}
