--- a/internal/peers/peers.go
+++ b/internal/peers/peers.go
@@ -1,8 +1,9 @@
-// Package peers carries the messages of relays to one another, as UDP datagrams without acknowledgement.
+// Package peers transports messages between relays as UDP datagrams without acknowledgement.
 //
-// A Transport owns one socket and the queue of messages to send. One goroutine reads the socket and posts what it receives
-// to the loop, one writes the queue. Messages of the membership protocol go to its host, all others to the decision code.
-// The package imports the loop (internal/pipeline), limits, metrics and membership.
+// A Transport owns one socket and a queue of messages to send. One goroutine reads the socket and posts received messages to
+// the loop; another writes the queued messages to the socket. On the loop, messages of the membership protocol are passed to
+// its host, all others to the decision module. The package imports internal/pipeline for the loop, internal/limits,
+// internal/metrics, and membership to recognize its messages.
 package peers
 
 import (
@@ -21,17 +22,19 @@
 	"lichenroad/relay"
 )
 
-// MaxDatagramBytes is the most bytes of a datagram, by the protocol page.
+// MaxDatagramBytes is the maximum size of a datagram in the protocol between relays.
 const MaxDatagramBytes = 256
 
-// Membership receives the messages of the membership protocol. It is called on the loop.
+// Membership receives messages of the membership protocol. Its method is called on the loop.
 type Membership interface {
 	MembershipMessage(from relay.ID, body []byte)
 }
 
-// Transport sends and receives messages between the relays of a fleet. Its methods may be called on any goroutine.
+// Transport sends messages to and receives messages from the other relays of a fleet. Its methods may be called on any
+// goroutine.
 type Transport struct {
-	// Membership is set before Start. If it is nil, membership messages go to the decision code, which does not know them.
+	// Membership must be set before Start. If it is nil, membership messages are passed to the decision module, which does not
+	// understand them.
 	Membership Membership
 
 	// The fields below do not change after Open.
@@ -39,12 +42,12 @@
 	conn             *net.UDPConn
 	addresses        []netip.AddrPort // by relay number
 	numbers          map[netip.AddrPort]relay.ID
-	broadcastAddress netip.AddrPort         // of all other relays; not valid: none
-	sendQueue        chan relay.SendMessage // bounded by limits.MaxQueuedPeerMessages
+	broadcastAddress netip.AddrPort         // reaches all other relays; not valid if there is none
+	sendQueue        chan relay.SendMessage // capacity limits.MaxQueuedPeerMessages
 }
 
-// Open binds the address at which this relay receives messages. Peers are the addresses of all relays in the order of their
-// numbers; broadcast is the one that reaches all of them, or empty. Its errors name the setting that is wrong.
+// Open binds the address at which this relay receives messages. peers holds the addresses of all relays by relay number;
+// broadcast is an address that reaches all of them, or empty. Errors name the setting that is wrong.
 func Open(loop *pipeline.Loop, listen string, peers []string, broadcast string) (*Transport, error) {
 	t := &Transport{
 		loop:      loop,
@@ -75,7 +78,7 @@
 	return t, nil
 }
 
-// parseAddress reads an address. Its error names the setting and quotes its value.
+// parseAddress parses an address with a port. Its error names the setting and quotes its value.
 func parseAddress(setting, text string) (netip.AddrPort, error) {
 	address, err := netip.ParseAddrPort(text)
 	if err != nil {
@@ -84,13 +87,13 @@
 	return address, nil
 }
 
-// Start begins to send and receive, which goes on until the process ends.
+// Start starts the goroutines that send and receive until the process ends.
 func (t *Transport) Start() {
 	go t.readLoop()
 	go t.writeLoop()
 }
 
-// SendMessage queues a message, or drops and counts it if it is too long or the queue is full. It does not block.
+// SendMessage queues a message without blocking. If the message is too long or the queue is full, it is dropped and counted.
 func (t *Transport) SendMessage(m relay.SendMessage) {
 	if len(m.Body) > MaxDatagramBytes {
 		t.countDropped()
@@ -104,14 +107,14 @@
 	}
 }
 
-// writeLoop sends the queued messages until the queue is closed, which happens in tests alone.
+// writeLoop sends the queued messages until the queue is closed, which only tests do.
 func (t *Transport) writeLoop() {
 	for m := range t.sendQueue {
 		t.write(m)
 	}
 }
 
-// write sends one message. Errors are not retried: any message may be lost.
+// write sends one message. It does not retry after an error, as receivers must cope with lost messages anyway.
 func (t *Transport) write(m relay.SendMessage) {
 	address := t.addressOf(m.To)
 	if !address.IsValid() {
@@ -126,7 +129,8 @@
 	t.loop.Metrics.Add(metrics.PeerMessagesOut, 1)
 }
 
-// addressOf returns the address of a relay or, for relay.Broadcast, of all; one that is not valid if there is none.
+// addressOf returns the address of a relay, or the broadcast address for relay.Broadcast. If there is none, the result is not
+// valid.
 func (t *Transport) addressOf(to relay.ID) netip.AddrPort {
 	if to == relay.Broadcast {
 		return t.broadcastAddress
@@ -137,9 +141,9 @@
 	return t.addresses[to]
 }
 
-// readLoop receives messages until the socket is closed, which happens in tests alone.
+// readLoop receives messages until the socket is closed, which only tests do.
 func (t *Transport) readLoop() {
-	var buffer [MaxDatagramBytes + 1]byte // one more than allowed, to tell datagrams that are too long
+	var buffer [MaxDatagramBytes + 1]byte // one byte more than allowed, to detect datagrams that are too long
 	for {
 		size, sender, err := t.conn.ReadFromUDPAddrPort(buffer[:])
 		if errors.Is(err, net.ErrClosed) {
@@ -154,7 +158,8 @@
 	}
 }
 
-// receive posts a datagram of another relay to the loop, unless its queue is full. The body is valid during the call.
+// receive posts a datagram from another relay to the loop, unless the queue of the loop is full. It drops and counts
+// datagrams that are too long or come from unknown senders or this relay itself. body is only valid during the call.
 func (t *Transport) receive(sender netip.AddrPort, body []byte) {
 	number, known := t.numbers[netip.AddrPortFrom(sender.Addr().Unmap(), sender.Port())]
 	if !known || len(body) > MaxDatagramBytes || number == t.loop.Site.Self {
@@ -168,7 +173,7 @@
 	}
 }
 
-// deliver passes a message to its receiver, on the loop.
+// deliver passes a message to the membership protocol or to the decision module. It runs on the loop.
 func (t *Transport) deliver(l *pipeline.Loop, received relay.MessageReceived) {
 	if t.Membership != nil && membership.IsMessage(received.Body) {
 		t.Membership.MembershipMessage(received.From, received.Body)
--- a/internal/peers/peers_test.go
+++ b/internal/peers/peers_test.go
@@ -24,12 +24,13 @@
 )
 
 const (
-	testTimeout = 10 * time.Second // for what has to happen; no test waits until it is over
-	peerCount   = 2                // relays that the test plays, with the lowest numbers
-	self        = peerCount        // number of the relay under test; not 0, which an unknown sender would have
+	testTimeout = 10 * time.Second // upper limit for expected events; a test that passes does not wait that long
+	peerCount   = 2                // relays simulated by the test; they have the lowest numbers
+	self        = peerCount        // number of the relay under test; not 0, which a map lookup returns for an unknown sender
 )
 
-// fleet is the transport under test and the sockets of the other relays, which the test plays. It also plays the loop.
+// fleet holds the transport under test and the sockets of the other relays, which the test simulates. The test also runs the
+// loop's events itself.
 type fleet struct {
 	t         *testing.T
 	transport *Transport
@@ -39,7 +40,7 @@
 	log       *logtest.Hook
 }
 
-// newFleet opens a transport that the test has to start.
+// newFleet opens a transport. The test has to start it.
 func newFleet(t *testing.T) *fleet {
 	t.Helper()
 	f := &fleet{t: t, broadcast: openSocket(t)}
@@ -53,7 +54,7 @@
 		addresses[self] = freeAddress(t)
 		transport, err := Open(f.loop, addresses[self], addresses, addressOf(f.broadcast).String())
 		if errors.Is(err, syscall.EADDRINUSE) {
-			continue // another process took the port in between
+			continue // another process took the port meanwhile
 		}
 		if err != nil {
 			t.Fatal(err)
@@ -67,7 +68,7 @@
 	return f
 }
 
-// newLoop returns a loop whose events the test takes, and what it logs.
+// newLoop returns a loop whose events the test takes, and a hook that records its log entries.
 func newLoop() (*pipeline.Loop, *logtest.Hook) {
 	site := settings.Site{}
 	site.Self = self
@@ -78,7 +79,7 @@
 	return pipeline.NewLoop(site, 1, buffer.NewPool(1<<20), &metrics.Counters{}, log), hook
 }
 
-// openSocket returns a socket on loopback that is closed at the end of the test.
+// openSocket opens a socket on a loopback address, which is closed at the end of the test.
 func openSocket(t *testing.T) *net.UDPConn {
 	t.Helper()
 	c, err := net.ListenUDP("udp", net.UDPAddrFromAddrPort(netip.MustParseAddrPort("127.0.0.1:0")))
@@ -92,7 +93,7 @@
 	return c
 }
 
-// freeAddress returns an address on which nobody listened just now.
+// freeAddress returns an address that was free a moment ago.
 func freeAddress(t *testing.T) string {
 	t.Helper()
 	c := openSocket(t)
@@ -102,7 +103,7 @@
 
 func addressOf(c *net.UDPConn) netip.AddrPort { return c.LocalAddr().(*net.UDPAddr).AddrPort() }
 
-// receive reads the next datagram at a socket, which must come from the transport.
+// receive reads the next datagram at a socket and checks that it comes from the transport.
 func (f *fleet) receive(at *net.UDPConn) string {
 	f.t.Helper()
 	buf := make([]byte, 2*MaxDatagramBytes)
@@ -111,7 +112,7 @@
 		f.t.Fatal(err)
 	}
 	if from != addressOf(f.transport.conn) {
-		f.t.Errorf("from %v, not %v", from, addressOf(f.transport.conn))
+		f.t.Errorf("datagram from %v, want %v", from, addressOf(f.transport.conn))
 	}
 	return string(buf[:n])
 }
@@ -124,17 +125,17 @@
 	}
 }
 
-// sendMessage has the transport send a message.
+// sendMessage sends a message by the transport under test.
 func (f *fleet) sendMessage(to relay.ID, body string) {
 	f.transport.SendMessage(relay.SendMessage{To: to, Body: []byte(body)})
 }
 
-// waitForCounter waits until a counter has reached a value, which it must not exceed.
+// waitForCounter waits until a counter has reached a value, and fails the test if it exceeds it.
 func (f *fleet) waitForCounter(counter metrics.Counter, want int64) {
 	f.t.Helper()
 	for end := time.Now().Add(testTimeout); f.loop.Metrics.Get(counter) < want; time.Sleep(time.Millisecond) {
 		if time.Now().After(end) {
-			f.t.Fatalf("counter %d at %d, not %d", counter, f.loop.Metrics.Get(counter), want)
+			f.t.Fatalf("counter %d is %d, want %d", counter, f.loop.Metrics.Get(counter), want)
 		}
 	}
 	f.wantCounter(counter, want)
@@ -144,11 +145,11 @@
 func (f *fleet) wantCounter(counter metrics.Counter, want int64) {
 	f.t.Helper()
 	if got := f.loop.Metrics.Get(counter); got != want {
-		f.t.Errorf("counter %d at %d, not %d", counter, got, want)
+		f.t.Errorf("counter %d is %d, want %d", counter, got, want)
 	}
 }
 
-// takeEvents applies the events posted to the loop, and returns those for the decision code.
+// takeEvents applies the events posted to the loop, and returns the resulting events for the decision module.
 func (f *fleet) takeEvents() []relay.Event {
 	for _, e := range f.loop.TakePosted() {
 		e.Apply(f.loop)
@@ -160,15 +161,15 @@
 func (f *fleet) wantReceived(want ...relay.MessageReceived) {
 	f.t.Helper()
 	same := func(got relay.Event, want relay.MessageReceived) bool {
-		h, ok := got.(relay.MessageReceived)
-		return ok && h.From == want.From && bytes.Equal(h.Body, want.Body)
+		message, ok := got.(relay.MessageReceived)
+		return ok && message.From == want.From && bytes.Equal(message.Body, want.Body)
 	}
 	if got := f.takeEvents(); !slices.EqualFunc(got, want, same) {
-		f.t.Errorf("%q, not %q", got, want)
+		f.t.Errorf("received %q, want %q", got, want)
 	}
 }
 
-// TestMessageGoesToOneRelay sends each of two relays a message of its own.
+// TestMessageGoesToOneRelay sends a different message to each of two relays.
 func TestMessageGoesToOneRelay(t *testing.T) {
 	f := newFleet(t)
 	f.transport.Start()
@@ -177,14 +178,14 @@
 	if got := f.receive(f.peers[0]); got != "to the first" {
 		t.Errorf("%q", got)
 	}
-	if got := f.receive(f.peers[1]); got != "to the second" { // and nothing before it
+	if got := f.receive(f.peers[1]); got != "to the second" { // and no other message before it
 		t.Errorf("%q", got)
 	}
 	f.waitForCounter(metrics.PeerMessagesOut, 2)
 	f.wantCounter(metrics.PeerMessagesDropped, 0)
 }
 
-// TestBroadcastGoesToTheBroadcastAddress sends a broadcast once, and not to single relays.
+// TestBroadcastGoesToTheBroadcastAddress checks that a broadcast is sent once to the broadcast address and not to the relays.
 func TestBroadcastGoesToTheBroadcastAddress(t *testing.T) {
 	f := newFleet(t)
 	f.transport.Start()
@@ -193,15 +194,15 @@
 	if got := f.receive(f.broadcast); got != "to everyone" {
 		t.Errorf("%q", got)
 	}
-	if got := f.receive(f.peers[0]); got != "to one" { // and nothing before it
+	if got := f.receive(f.peers[0]); got != "to one" { // and no other message before it
 		t.Errorf("%q", got)
 	}
 	f.waitForCounter(metrics.PeerMessagesOut, 2)
 	f.wantCounter(metrics.PeerMessagesDropped, 0)
 }
 
-// TestSendDropsMessagesWithoutAnAddress sends to a relay that is not listed, to one whose address this socket can't reach, and
-// a broadcast without a broadcast address. Each is counted as dropped, and the next message is sent.
+// TestSendDropsMessagesWithoutAnAddress sends a message to a relay that is not listed, one to an address that an IPv4 socket
+// can't reach, and a broadcast without a broadcast address. Each must be counted as dropped, and the next message sent.
 func TestSendDropsMessagesWithoutAnAddress(t *testing.T) {
 	loop, _ := newLoop()
 	one := openSocket(t)
@@ -224,10 +225,11 @@
 		t.Errorf("%q", got)
 	}
 	f.waitForCounter(metrics.PeerMessagesOut, 1)
-	f.wantCounter(metrics.PeerMessagesDropped, 3) // the messages before it are done with
+	f.wantCounter(metrics.PeerMessagesDropped, 3) // the messages before the one received
 }
 
-// TestSendDropsMessagesThatAreTooLong sends the longest message allowed, and drops and logs a longer one.
+// TestSendDropsMessagesThatAreTooLong checks that a message that is too long is dropped and logged, and that the longest
+// allowed message is sent.
 func TestSendDropsMessagesThatAreTooLong(t *testing.T) {
 	f := newFleet(t)
 	f.transport.Start()
@@ -244,8 +246,8 @@
 	}
 }
 
-// TestSendDropsMessagesAtAFullQueue queues more than is allowed before anything is sent: SendMessage does not block, the
-// excess is dropped, and the queued messages are sent.
+// TestSendDropsMessagesAtAFullQueue queues more messages than the queue holds before the transport is started. SendMessage
+// must not block, the excess must be dropped, and the queued messages must be sent.
 func TestSendDropsMessagesAtAFullQueue(t *testing.T) {
 	const extra = 3
 	f := newFleet(t)
@@ -257,14 +259,15 @@
 	f.transport.Start()
 	for i := range limits.MaxQueuedPeerMessages {
 		if got := f.receive(f.peers[0]); got != body(i) {
-			t.Fatalf("%q instead of message %d", got, i)
+			t.Fatalf("received %q, want message %d", got, i)
 		}
 	}
 	f.waitForCounter(metrics.PeerMessagesOut, limits.MaxQueuedPeerMessages)
 	f.wantCounter(metrics.PeerMessagesDropped, extra)
 }
 
-// TestReceivesMessagesOfPeers receives messages of other relays with their numbers, up to the longest; each has a body of its own.
+// TestReceivesMessagesOfPeers checks that messages from other relays, up to the longest allowed, are received with the number
+// of the sender. Each event must have its own copy of the body, as the read buffer is reused.
 func TestReceivesMessagesOfPeers(t *testing.T) {
 	f := newFleet(t)
 	f.transport.Start()
@@ -280,10 +283,10 @@
 	f.wantCounter(metrics.PeerMessagesDropped, 0)
 }
 
-// TestDropsDatagramsFromOutsideTheFleet drops and counts datagrams from an address that is not listed, from the relay itself
-// and of too many bytes, and receives the next message.
-func TestDropsDatagramsFromOutsideTheFleet(t *testing.T) {
-	for name, play := range map[string]func(f *fleet){
+// TestDropsInvalidDatagrams checks that datagrams from an unlisted address, from the relay itself and with too many bytes are
+// dropped and counted, and that the next message is received.
+func TestDropsInvalidDatagrams(t *testing.T) {
+	for name, send := range map[string]func(f *fleet){
 		"unknown sender": func(f *fleet) { f.sendDatagram(openSocket(f.t), "from a stranger") },
 		"itself":         func(f *fleet) { f.sendMessage(self, "to itself") },
 		"one too long":   func(f *fleet) { f.sendDatagram(f.peers[0], strings.Repeat("x", MaxDatagramBytes+1)) },
@@ -292,7 +295,7 @@
 		t.Run(name, func(t *testing.T) {
 			f := newFleet(t)
 			f.transport.Start()
-			play(f)
+			send(f)
 			f.waitForCounter(metrics.PeerMessagesDropped, 1)
 			f.sendDatagram(f.peers[0], "from the first")
 			f.waitForCounter(metrics.PeerMessagesIn, 1)
@@ -302,8 +305,8 @@
 	}
 }
 
-// TestReceiveDropsMessagesAtAFullQueue receives a message while the loop's queue is full, which is dropped, and another one once
-// there is capacity again.
+// TestReceiveDropsMessagesAtAFullQueue checks that a message received while the loop's queue is full is dropped, and that the
+// next one is received once there is room in the queue again.
 func TestReceiveDropsMessagesAtAFullQueue(t *testing.T) {
 	f := newFleet(t)
 	for range limits.MaxQueuedEvents {
@@ -320,14 +323,15 @@
 	f.wantCounter(metrics.QueueLimitReached, 1)
 }
 
-// TestOpenRejectsBadAddresses opens addresses that can't be parsed or bound: the error names the setting and the fault in one line.
+// TestOpenRejectsBadAddresses checks that an address that can't be parsed or bound is rejected with a one-line error that names
+// the setting and what is wrong.
 func TestOpenRejectsBadAddresses(t *testing.T) {
 	taken := addressOf(openSocket(t)).String()
-	for name, x := range map[string]struct {
-		listen string
-		peers  []string
-		all    string
-		want   []string // parts of the error
+	for name, test := range map[string]struct {
+		listen    string
+		peers     []string
+		broadcast string
+		want      []string // parts of the error
 	}{
 		"a peer without a port": {"127.0.0.1:0", []string{"127.0.0.1:7", "127.0.0.1"}, "", []string{"peers: ", `"127.0.0.1"`}},
 		"a peer by name":        {"127.0.0.1:0", []string{"relay-1:7"}, "", []string{"peers: ", "relay-1"}},
@@ -338,17 +342,17 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			loop, _ := newLoop()
-			transport, err := Open(loop, x.listen, x.peers, x.all)
+			transport, err := Open(loop, test.listen, test.peers, test.broadcast)
 			if err == nil || transport != nil {
 				t.Fatalf("opened: %v, error: %v", transport != nil, err)
 			}
-			for _, part := range x.want {
+			for _, part := range test.want {
 				if !strings.Contains(err.Error(), part) {
-					t.Errorf("%q lacks %q", err, part)
+					t.Errorf("error %q does not contain %q", err, part)
 				}
 			}
 			if strings.Contains(err.Error(), "\n") {
-				t.Errorf("more than a line: %q", err)
+				t.Errorf("error has more than one line: %q", err)
 			}
 		})
 	}
--- a/internal/platform/conn.go
+++ b/internal/platform/conn.go
@@ -12,24 +12,24 @@
 )
 
 var (
-	// errLineTimeout ends a wait for a line. The connection can still be used.
-	errLineTimeout = errors.New("no line in time")
-	// errUnexpectedLine is a line that answers no request, or that its request can't have.
-	errUnexpectedLine = fmt.Errorf("%w: unexpected here", linewire.ErrMalformed)
+	// errLineTimeout reports that no line arrived in time. The connection can still be used.
+	errLineTimeout = errors.New("timeout waiting for a line")
+	// errUnexpectedLine reports a reply without a request, or of a kind that does not fit the request.
+	errUnexpectedLine = fmt.Errorf("%w: unexpected reply", linewire.ErrMalformed)
 )
 
-// lineConn is a connection that is read line by line, by one goroutine.
+// lineConn is a connection that one goroutine reads line by line.
 type lineConn struct {
-	client    *Client
-	address   string
-	net       netpoll.Connection
-	splitter  linewire.Splitter
-	lines     []string // received and not read yet
-	openedAt  time.Time
-	callsSent int // for the log; of a voteConn guarded by its mu
+	client     *Client
+	address    string
+	connection netpoll.Connection
+	splitter   linewire.Splitter
+	lines      []string // received, but not returned by nextLine yet
+	openedAt   time.Time
+	callsSent  int // logged by close; in a voteConn guarded by its mu
 }
 
-// dial opens a connection. A failure is logged and counted here.
+// dial opens a connection. It logs and counts failures itself.
 func (c *Client) dial(address string) (*lineConn, error) {
 	connection, err := netpoll.DialConnection("tcp", address, c.timeout)
 	if err != nil {
@@ -37,13 +37,13 @@
 		end.Log(c.loop.Log)
 		return nil, err
 	}
-	_ = connection.SetWriteTimeout(c.timeout) // always nil
-	return &lineConn{client: c, address: address, net: connection, openedAt: time.Now()}, nil
+	_ = connection.SetWriteTimeout(c.timeout) // always returns nil
+	return &lineConn{client: c, address: address, connection: connection, openedAt: time.Now()}, nil
 }
 
-// close closes the connection and logs why.
+// close closes the connection and logs the reason.
 func (c *lineConn) close(reason metrics.CloseReason) {
-	_ = c.net.Close() // nothing is left to send, and there is no use for an error
+	_ = c.connection.Close() // nothing is left to send, so the error does not matter
 	end := metrics.ConnectionEnd{
 		Peer:     metrics.PeerPlatform,
 		Name:     c.address,
@@ -54,7 +54,7 @@
 	end.Log(c.client.loop.Log)
 }
 
-// nextLine returns the next line without its end. After errLineTimeout it may be called again.
+// nextLine returns the next line without its line end. It may be called again after errLineTimeout.
 func (c *lineConn) nextLine(timeout time.Duration) (string, error) {
 	deadline := time.Now().Add(timeout)
 	for len(c.lines) == 0 {
@@ -67,14 +67,14 @@
 	return line, nil
 }
 
-// readLines waits for bytes and splits them into lines, of which they may complete none.
+// readLines waits until bytes arrive and splits them into lines. Fewer bytes than a line add nothing to c.lines.
 func (c *lineConn) readLines(deadline time.Time) error {
 	remaining := time.Until(deadline)
 	if remaining <= 0 {
 		return errLineTimeout
 	}
-	_ = c.net.SetReadTimeout(remaining) // always nil
-	reader := c.net.Reader()
+	_ = c.connection.SetReadTimeout(remaining) // always returns nil
+	reader := c.connection.Reader()
 	if _, err := reader.Peek(1); err != nil {
 		if errors.Is(err, netpoll.ErrReadTimeout) {
 			return errLineTimeout
@@ -86,12 +86,12 @@
 		return err
 	}
 	err = c.splitter.Feed(received, func(line string) { c.lines = append(c.lines, line) })
-	_ = reader.Release() // always nil for the buffer of a connection
+	_ = reader.Release() // always returns nil for the buffer of a connection
 	return err
 }
 
-// closeReason returns why a connection is closed after an error of nextLine or of handling a line, and counts bad input. No
-// error counts as an end by the peer.
+// closeReason returns why a connection is closed after err, which comes from nextLine or from handling a line. It counts bad
+// input. All other errors, and nil, are taken as a close by the peer.
 func (c *Client) closeReason(err error) metrics.CloseReason {
 	badInput := errors.Is(err, linewire.ErrMalformed) || errors.Is(err, linewire.ErrTooLong)
 	switch {
--- a/internal/platform/platform.go
+++ b/internal/platform/platform.go
@@ -1,10 +1,10 @@
-// Package platform is the client of the release platform: it sends votes on one connection and watches the rollout status
+// Package platform is the client of the release platform. It sends votes on one connection and watches the rollout status
 // on another.
 //
-// A Client owns the address of the platform and two long-lived goroutines: voteLoop sends the votes that the decision code
-// queues, watchLoop keeps a watch established; each connection has a reader of its own. What the platform replies reaches
-// the decision code as rollout statuses on the loop. The package imports the loop (internal/pipeline), the line codec
-// (internal/linewire), limits and metrics.
+// A Client runs two goroutines until the process ends: voteLoop sends the votes that the decision module casts, and
+// watchLoop keeps a watch established. Another goroutine reads each connection. Replies of the platform are passed to the
+// decision module as rollout statuses, on the loop. The package imports internal/pipeline for the loop, internal/linewire
+// for the line protocol, internal/limits and internal/metrics.
 package platform
 
 import (
@@ -17,20 +17,21 @@
 	"lichenroad/relay"
 )
 
-// Client talks to the platform for one service. Its methods may be called on any goroutine and do not block.
+// Client is the connection of one service to the platform. Its methods may be called on any goroutine and do not block.
 type Client struct {
-	// OnStatus, if set, receives all statuses on the loop in place of the decision code. Other notices, which show that the
-	// platform is alive, are reported to it alone, as statuses that are not valid. It is set before Start or StartWatch.
+	// OnStatus, if set, receives all statuses on the loop instead of the decision module. It is also called with a status
+	// that is not valid for each other notice, such as a keep-alive, which shows that the platform is alive. It must be set
+	// before Start or StartWatch.
 	OnStatus func(*pipeline.Loop, relay.RolloutStatus)
 
 	loop        *pipeline.Loop
-	address     atomic.Value  // string; empty: there is no platform
-	timeout     time.Duration // of connecting and of each reply
+	address     atomic.Value  // string; empty: no platform is configured
+	timeout     time.Duration // for connecting and for each reply
 	votes       chan relay.Vote
-	watchEvents chan watchEvent // for watchLoop
+	watchEvents chan watchEvent // handled by watchLoop
 }
 
-// New returns a client. Without an address there is no platform: nothing is watched, and votes are not counted.
+// New returns a client. If address is empty, the client does not watch, and reports each vote as not counted.
 func New(loop *pipeline.Loop, address string) *Client {
 	c := &Client{
 		loop:        loop,
@@ -45,7 +46,7 @@
 	return c
 }
 
-// Start begins to vote and watch, which goes on until the process ends. Without an address it does nothing.
+// Start starts the goroutines that vote and watch until the process ends. Without an address it does nothing.
 func (c *Client) Start() {
 	if c.currentAddress() == "" {
 		return
@@ -54,24 +55,25 @@
 	go c.watchLoop()
 }
 
-// StartWatch begins to watch only, until the process ends.
+// StartWatch starts only the goroutine that watches, until the process ends.
 func (c *Client) StartWatch() { go c.watchLoop() }
 
-// SetAddress changes the platform's address. Votes without a reply at the old address still get it there. A watch is opened
-// at the new one at once, and replaces the old one when it is established.
+// SetAddress changes the platform's address. Replies to votes that are pending at the old address are still read. A watch
+// is opened at the new address at once, and replaces the old one when it is established.
 func (c *Client) SetAddress(address string) {
-	old := c.address.Swap(address).(string)
-	if old == address {
+	previous := c.address.Swap(address).(string)
+	if previous == address {
 		return
 	}
-	if old == "" {
+	if previous == "" {
 		c.Start()
 		return
 	}
-	go func() { c.watchEvents <- watchEvent{kind: addressChanged} }() // watchLoop may be busy
+	go func() { c.watchEvents <- watchEvent{kind: addressChanged} }() // must not block while watchLoop is busy
 }
 
-// Vote queues a vote. Its result reaches the decision code as a rollout status.
+// Vote queues a vote. Its result is reported as a rollout status; without an address or with a full queue it is
+// relay.ReplyNotCounted.
 func (c *Client) Vote(vote relay.Vote) {
 	if c.currentAddress() != "" {
 		select {
@@ -86,7 +88,7 @@
 
 func (c *Client) currentAddress() string { return c.address.Load().(string) }
 
-// report counts a status and passes it on, on the loop.
+// report counts a status and passes it on the loop to OnStatus or the decision module.
 func (c *Client) report(status relay.RolloutStatus) {
 	c.countStatus(status.Reply)
 	c.loop.Post(pipeline.Func(func(l *pipeline.Loop) {
@@ -98,6 +100,7 @@
 	}))
 }
 
+// countStatus increments the counter for the kind of a status.
 func (c *Client) countStatus(reply relay.VoteReply) {
 	switch reply {
 	case relay.ReplyNone:
--- a/internal/platform/vote.go
+++ b/internal/platform/vote.go
@@ -13,18 +13,19 @@
 	"lichenroad/relay"
 )
 
-// voteConn is a connection for votes, which are pipelined: the replies come in their order. The goroutine of voteLoop
-// writes, one of its own reads (readReplies), which closes the connection.
+// voteConn is a connection for votes. Votes are pipelined: replies arrive in the order of the votes. The goroutine of
+// voteLoop writes; another one runs readReplies, which reads and finally closes the connection.
 type voteConn struct {
 	*lineConn
 
-	mu      sync.Mutex  // guards what follows and the writes
-	pending []time.Time // when the votes without a reply were sent, oldest first
-	usedAt  time.Time   // when the latest vote was sent
-	closed  bool        // it takes no more votes
+	mu      sync.Mutex  // guards the fields below and the writes
+	pending []time.Time // times when the votes without a reply yet were sent, oldest first
+	usedAt  time.Time   // time of the latest vote, or of opening the connection before that
+	closed  bool        // no more votes may be sent on it
 }
 
-// voteLoop sends the queued votes in order, on one connection as long as it lasts.
+// voteLoop sends the queued votes in order. It keeps one connection and opens a new one only after the old one has closed
+// or the address has changed.
 func (c *Client) voteLoop() {
 	var conn *voteConn
 	for vote := range c.votes {
@@ -39,13 +40,14 @@
 		}
 		conn = &voteConn{lineConn: opened, usedAt: time.Now()}
 		go conn.readReplies()
-		if !conn.send(vote) { // closed again, before anything was written
+		if !conn.send(vote) { // closed again before anything was written
 			c.report(relay.RolloutStatus{Reply: relay.ReplyNotCounted})
 		}
 	}
 }
 
-// dialCurrent opens a connection to the address, or to the present one if it changes while that fails.
+// dialCurrent opens a connection to the address. If that fails and the platform's address has changed meanwhile, it tries
+// the new one.
 func (c *Client) dialCurrent(address string) (*lineConn, error) {
 	conn, err := c.dial(address)
 	for err != nil && address != c.currentAddress() {
@@ -55,21 +57,22 @@
 	return conn, err
 }
 
-// send writes a vote, and reports whether the connection took it. In that case readReplies reports its result.
+// send writes a vote unless the connection is closed, and returns whether it did. If so, readReplies reports the result.
 func (c *voteConn) send(vote relay.Vote) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if c.closed || !c.net.IsActive() {
+	if c.closed || !c.connection.IsActive() {
 		return false
 	}
 	c.usedAt = time.Now()
 	c.pending = append(c.pending, c.usedAt)
 	c.callsSent++
-	_, _ = c.net.Write([]byte(linewire.VoteLine(vote))) // after an error the reader finds the connection closed
+	_, _ = c.connection.Write([]byte(linewire.VoteLine(vote))) // after an error readReplies finds the connection closed
 	return true
 }
 
-// remaining returns how much longer the oldest vote may wait for its reply or, without one, the idle connection stays open.
+// remaining returns the time left until the reply to the oldest pending vote is late. If no vote is pending, idle is true and
+// left is the time until the idle connection is closed.
 func (c *voteConn) remaining() (left time.Duration, idle bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -79,8 +82,9 @@
 	return c.client.timeout - time.Since(c.pending[0]), false
 }
 
-// closeIfIdle stops the connection from taking votes unless one is pending, and reports whether it did. Without this check
-// a vote sent since the look at remaining would be reported as one that may have counted.
+// closeIfIdle marks the connection closed unless a vote is pending, and returns whether it did. It checks for pending votes
+// again because a vote may have been sent since remaining was called. If the connection were closed with that vote pending,
+// the vote would be reported as one that may have been counted.
 func (c *voteConn) closeIfIdle() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -88,8 +92,8 @@
 	return c.closed
 }
 
-// readReplies reports the results of votes until the connection fails or is idle, then closes it. Votes that are pending
-// then may have counted.
+// readReplies reports the results of votes until the connection fails or is idle for too long, then closes it. Votes still
+// pending then are reported as relay.ReplyMaybeCounted.
 func (c *voteConn) readReplies() {
 	reason := c.readUntilClose()
 	c.mu.Lock()
@@ -103,7 +107,8 @@
 	}
 }
 
-// readUntilClose handles replies until one is late or malformed, or no vote was sent for long.
+// readUntilClose handles replies until one is late or malformed, the connection fails, or no vote has been sent for
+// limits.VoteConnIdleTimeout. It returns why the connection has to be closed.
 func (c *voteConn) readUntilClose() metrics.CloseReason {
 	for {
 		left, idle := c.remaining()
@@ -114,9 +119,9 @@
 			if c.closeIfIdle() {
 				return metrics.ClosedByIdleTimeout
 			}
-			continue // a vote was sent meanwhile
+			continue // a vote has been sent meanwhile
 		}
-		line, err := c.nextLine(min(left, c.client.timeout)) // no longer, as a vote may be sent meanwhile
+		line, err := c.nextLine(min(left, c.client.timeout)) // at most the reply timeout, as a vote may be sent while it waits
 		if errors.Is(err, errLineTimeout) {
 			continue
 		}
@@ -129,7 +134,7 @@
 	}
 }
 
-// handleReply reports the result of the oldest pending vote.
+// handleReply reports the result of the oldest pending vote. It ignores notices.
 func (c *voteConn) handleReply(line string) error {
 	reply, err := linewire.ParseReply(line)
 	if err != nil || reply.Unsolicited {
@@ -154,7 +159,7 @@
 	return nil
 }
 
-// takePending removes the oldest pending vote, and reports whether there was one.
+// takePending removes the oldest pending vote, and returns whether there was one.
 func (c *voteConn) takePending() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/internal/platform/vote_test.go
+++ b/internal/platform/vote_test.go
@@ -18,9 +18,10 @@
 	"lichenroad/settings"
 )
 
-// TestVoteThatCrossesTheIdleClose sends a vote between the check that finds the connection idle and its close: the vote is
-// answered. One that comes after the close is not taken.
-func TestVoteThatCrossesTheIdleClose(t *testing.T) {
+// TestVoteBetweenIdleCheckAndClose sends a vote after the check that finds the connection idle, but before the connection is
+// closed for it. The connection must stay open until the vote is answered. A vote after the close must be refused, so that it
+// is not reported as one that may have been counted.
+func TestVoteBetweenIdleCheckAndClose(t *testing.T) {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
@@ -39,13 +40,13 @@
 	defer platform.Close()
 	conn := &voteConn{lineConn: opened, usedAt: time.Now().Add(-limits.VoteConnIdleTimeout)}
 	if left, idle := conn.remaining(); left > 0 || !idle {
-		t.Fatal("not idle")
+		t.Fatalf("connection not idle: %v left, idle %v", left, idle)
 	}
 	if !conn.send(relay.Vote{Build: 2, Verdict: relay.VotePromote}) {
-		t.Fatal("vote not taken")
+		t.Fatal("vote refused by the open connection")
 	}
 	if conn.closeIfIdle() {
-		t.Error("closed with a pending vote")
+		t.Error("connection closed with a pending vote")
 	}
 	go conn.readReplies()
 	if line, err := bufio.NewReader(platform).ReadString('\n'); err != nil {
@@ -54,19 +55,19 @@
 	fmt.Fprint(platform, "OK 2 0 canary 0.5 10\r\n")
 	for end := time.Now().Add(10 * time.Second); counters.Get(metrics.VotesCounted) == 0; time.Sleep(time.Millisecond) {
 		if time.Now().After(end) {
-			t.Fatal("not counted")
+			t.Fatal("vote not counted in time")
 		}
 	}
 	if count := counters.Get(metrics.VotesMaybeCounted); count != 0 {
-		t.Errorf("%d may have counted", count)
+		t.Errorf("%d votes reported as maybe counted", count)
 	}
 	if !conn.closeIfIdle() || conn.send(relay.Vote{Build: 2}) {
-		t.Error("vote taken after the close")
+		t.Error("vote accepted after the close")
 	}
-	opened.net.Close()
+	opened.connection.Close()
 }
 
-// newTestClient returns a client that has not been started, with a loop that nobody runs.
+// newTestClient returns a client that has not been started, with a loop that is not run.
 func newTestClient(address string) *Client {
 	site := settings.Site{}
 	site.Relays = 1
--- a/internal/platform/watch.go
+++ b/internal/platform/watch.go
@@ -10,40 +10,40 @@
 	"lichenroad/internal/metrics"
 )
 
-// watchEventKind is what happened to a watch.
+// watchEventKind is the kind of a watchEvent.
 type watchEventKind int
 
 const (
-	watchEstablished watchEventKind = iota // the platform accepted it
-	watchStalled                           // it received no line for a while
-	watchEnded                             // its connection ended, or was never established
-	addressChanged                         // the platform is at another address
+	watchEstablished watchEventKind = iota // the platform accepted the watch
+	watchStalled                           // the watch received no line for limits.HeartbeatTimeout
+	watchEnded                             // the watch has ended: its connection is closed or could not be opened
+	addressChanged                         // SetAddress changed the platform's address
 )
 
-// watchEvent is sent to watchLoop.
+// watchEvent tells watchLoop about a change of a watch or of the address.
 type watchEvent struct {
 	watch *watch // nil for addressChanged
 	kind  watchEventKind
 }
 
-// watch is a connection on which the platform sends rollout statuses. It is read on a goroutine of its own (run), as
-// statuses must not wait while another connection is established.
+// watch is a connection on which the platform sends rollout statuses. Each watch has its own goroutine, run, so that statuses
+// are received without delay while another watch is being established.
 type watch struct {
 	client   *Client
 	address  string
-	replaced atomic.Bool // set by watchLoop: it ends with its next line or timeout
+	replaced atomic.Bool // set by watchLoop; the watch then ends after its next line or timeout
 }
 
-// watchSet is the state of watchLoop, used on its goroutine only.
+// watchSet is the state of watchLoop. Only the goroutine of watchLoop uses it.
 type watchSet struct {
 	client  *Client
-	current *watch // established; nil: none
-	next    *watch // being established; nil: none
-	backoff time.Duration
+	current *watch        // established; nil: none
+	next    *watch        // being established; nil: none
+	backoff time.Duration // delay of the next retry
 }
 
-// watchLoop keeps a watch established. When it is silent for long, or the address changes, another one is opened beside it,
-// which replaces it once it is established.
+// watchLoop keeps a watch established. When the watch receives nothing for limits.HeartbeatTimeout, or the address changes,
+// it opens a second watch, which replaces the first one once it is established.
 func (c *Client) watchLoop() {
 	watches := watchSet{client: c, backoff: limits.MinBackoff}
 	watches.open(0)
@@ -52,13 +52,13 @@
 	}
 }
 
-// open begins to establish a watch after a delay.
+// open starts to establish a new watch at the current address after a delay.
 func (s *watchSet) open(delay time.Duration) {
 	s.next = &watch{client: s.client, address: s.client.currentAddress()}
 	go s.next.run(delay)
 }
 
-// handle decides what follows from an event. Those of watches that were replaced change nothing.
+// handle reacts to an event. It ignores events of watches that have been replaced.
 func (s *watchSet) handle(event watchEvent) {
 	switch {
 	case event.kind == addressChanged:
@@ -77,7 +77,7 @@
 	}
 }
 
-// restartNext opens a watch at the present address at once.
+// restartNext opens a watch at the current address at once, in place of one that is being established.
 func (s *watchSet) restartNext() {
 	if s.next != nil {
 		s.next.replaced.Store(true)
@@ -86,7 +86,7 @@
 	s.open(0)
 }
 
-// promoteNext replaces the current watch by the one that has been established.
+// promoteNext replaces the current watch by the next one, which has been established.
 func (s *watchSet) promoteNext() {
 	if s.current != nil {
 		s.current.replaced.Store(true)
@@ -96,7 +96,8 @@
 	s.backoff = limits.MinBackoff
 }
 
-// retryNext opens a watch again after backoff, if none is established at the present address.
+// retryNext opens another watch after the backoff, unless the current watch is established at the current address. It
+// doubles the backoff for the next retry.
 func (s *watchSet) retryNext() {
 	s.next = nil
 	if s.current != nil && s.current.address == s.client.currentAddress() {
@@ -106,7 +107,7 @@
 	s.backoff = min(2*s.backoff, limits.MaxBackoff)
 }
 
-// run establishes the watch and reports statuses until the connection ends.
+// run establishes the watch and reports statuses until the connection fails or the watch is replaced.
 func (w *watch) run(delay time.Duration) {
 	defer func() { w.client.watchEvents <- watchEvent{w, watchEnded} }()
 	time.Sleep(delay)
@@ -115,10 +116,10 @@
 	}
 	conn, err := w.client.dial(w.address)
 	if err != nil {
-		return // logged by dial
+		return // dial has logged it
 	}
 	conn.callsSent++
-	if _, err = conn.net.Write([]byte(linewire.WatchLine)); err == nil {
+	if _, err = conn.connection.Write([]byte(linewire.WatchLine)); err == nil {
 		err = w.read(conn)
 	}
 	reason := w.client.closeReason(err)
@@ -128,7 +129,7 @@
 	conn.close(reason)
 }
 
-// read handles lines until the connection fails or the watch is replaced, for which it returns nil.
+// read handles lines until the connection fails or the watch is replaced. It returns nil in the second case.
 func (w *watch) read(conn *lineConn) error {
 	established := false
 	timeout := w.client.timeout
@@ -152,8 +153,8 @@
 	return nil
 }
 
-// handleNotice reports what the platform sent without a request: a status or, to OnStatus alone, another sign that it is
-// alive.
+// handleNotice reports a line that the platform sent without a request. Notices without a status, such as keep-alives, are
+// only reported if OnStatus is set.
 func (c *Client) handleNotice(line string) error {
 	reply, err := linewire.ParseReply(line)
 	if err != nil {
