--- a/cmd/lichenroad/fakes_test.go
+++ b/cmd/lichenroad/fakes_test.go
@@ -106,29 +106,29 @@
 		u.seen <- text
 		switch u.behaviourOf(text) {
 		case succeed:
-			c.Write(pgwire.Ready(fakes.Row("value of " + text[:6])))
+			c.Write(pgwire.AppendReadyForQuery(fakes.Row("value of " + text[:6])))
 		case succeedThenClose:
-			c.Write(pgwire.Ready(fakes.Row("value of " + text[:6])))
+			c.Write(pgwire.AppendReadyForQuery(fakes.Row("value of " + text[:6])))
 			return
 		case half:
 			c.Write(fakes.Row("a")[:40])
 		case noise:
 			c.Write([]byte{0xf7, 0, 0, 1, 0})
 		case badTag:
-			c.Write(pgwire.Ready(append(fakes.Row("a")[:len(fakes.Row("a"))-9], "\x01\xff\x00\x00\x00\x00\x00\x00\x00"...)))
+			c.Write(pgwire.AppendReadyForQuery(append(fakes.Row("a")[:len(fakes.Row("a"))-9], "\x01\xff\x00\x00\x00\x00\x00\x00\x00"...)))
 		case badLoad:
-			c.Write(append([]byte("S\x00\x00\x00\x0evitals=\xff\xff\xff"), pgwire.Ready(fakes.Row("a"))...))
+			c.Write(append([]byte("S\x00\x00\x00\x0evitals=\xff\xff\xff"), pgwire.AppendReadyForQuery(fakes.Row("a"))...))
 		case failing:
-			c.Write(pgwire.Ready(pgwire.ErrorResponse(pgwire.Error, "XX000", "broken", "")))
+			c.Write(pgwire.AppendReadyForQuery(pgwire.ErrorResponse(pgwire.Error, "XX000", "broken", "")))
 		case rejectFull:
-			c.Write(pgwire.Ready(pgwire.ErrorResponse(pgwire.Error, pgwire.CodeFull, "full", "")))
+			c.Write(pgwire.AppendReadyForQuery(pgwire.ErrorResponse(pgwire.Error, pgwire.CodeTooManyConnections, "full", "")))
 		case reset:
 			return
 		case garbage:
 			c.Write([]byte("HTTP/1.1 400 Bad Request\r\n\r\n"))
 		case twoRows:
 			b := fakes.Row("a")
-			c.Write(pgwire.Ready(append(b[:len(b)-14], fakes.Row("b")[len(fakes.Row(""))-25:]...)))
+			c.Write(pgwire.AppendReadyForQuery(append(b[:len(b)-14], fakes.Row("b")[len(fakes.Row(""))-25:]...)))
 		}
 	}
 }
@@ -365,9 +365,9 @@
 		}
 		time.Sleep(time.Millisecond)
 	}
-	for until := time.Now().Add(testTimeout); p.loop.Pool.Out() != 0; {
+	for until := time.Now().Add(testTimeout); p.loop.Pool.InUse() != 0; {
 		if time.Now().After(until) {
-			t.Fatalf("%d bytes of buffers are out", p.loop.Pool.Out()/buffer.Size)
+			t.Fatalf("%d bytes of buffers are out", p.loop.Pool.InUse()/buffer.Size)
 		}
 		time.Sleep(time.Millisecond)
 	}
--- a/cmd/lichenroad/interleaving_test.go
+++ b/cmd/lichenroad/interleaving_test.go
@@ -69,10 +69,10 @@
 		}
 		g.mu.Unlock()
 		if away {
-			c.Write(pgwire.Ready(pgwire.ErrorResponse(pgwire.Error, pgwire.CodeFull, "full", "")))
+			c.Write(pgwire.AppendReadyForQuery(pgwire.ErrorResponse(pgwire.Error, pgwire.CodeTooManyConnections, "full", "")))
 			continue
 		}
-		row := pgwire.Ready(fakes.Row("value"))
+		row := pgwire.AppendReadyForQuery(fakes.Row("value"))
 		<-g.mayBegin
 		c.Write(row[:len(row)/2])
 		<-g.mayFinish
--- a/cmd/lichenroad/ready_test.go
+++ b/cmd/lichenroad/ready_test.go
@@ -19,9 +19,9 @@
 		code   string
 	}{
 		"a good list":            {"", time.Second, ""},
-		"an empty list":          {`{"generation":1,"reset":true,"instances":[]}`, time.Second, pgwire.CodeFull},
-		"none":                   {"null", 8 * time.Second, pgwire.CodeFull},
-		"one that can't be read": {`{"generation":"x"}`, 8 * time.Second, pgwire.CodeFull},
+		"an empty list":          {`{"generation":1,"reset":true,"instances":[]}`, time.Second, pgwire.CodeTooManyConnections},
+		"none":                   {"null", 8 * time.Second, pgwire.CodeTooManyConnections},
+		"one that can't be read": {`{"generation":"x"}`, 8 * time.Second, pgwire.CodeTooManyConnections},
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
--- a/cmd/lichenroad/serve_test.go
+++ b/cmd/lichenroad/serve_test.go
@@ -114,17 +114,17 @@
 		maxStatements int
 		inTime        bool // answered before the deadline
 	}{
-		{"an error of a query that may run again", failing, "look", pgwire.CodeFull, 2, 3, true},
-		{"an error of one that may not", failing, "pay", pgwire.CodeFailed, 1, 1, true},
-		{"turned away", rejectFull, "pay", pgwire.CodeFull, 1, 3, true},
-		{"reset behind the last byte", reset, "pay", pgwire.CodeFailed, 1, 1, true},
-		{"reset of a numbered one", reset, "order", pgwire.CodeFull, 2, 3, true},
-		{"silence", noAnswer, "pay", pgwire.CodeFailed, 1, 1, false},
-		{"garbage", garbage, "pay", pgwire.CodeFailed, 1, 1, true},
-		{"two rows", twoRows, "pay", pgwire.CodeFailed, 1, 1, true},
-		{"half an answer", half, "pay", pgwire.CodeFailed, 1, 1, true},
-		{"noise of no known type", noise, "pay", pgwire.CodeFailed, 1, 1, true},
-		{"a tag that can't be read", badTag, "pay", pgwire.CodeFailed, 1, 1, true},
+		{"an error of a query that may run again", failing, "look", pgwire.CodeTooManyConnections, 2, 3, true},
+		{"an error of one that may not", failing, "pay", pgwire.CodeSystemError, 1, 1, true},
+		{"turned away", rejectFull, "pay", pgwire.CodeTooManyConnections, 1, 3, true},
+		{"reset behind the last byte", reset, "pay", pgwire.CodeSystemError, 1, 1, true},
+		{"reset of a numbered one", reset, "order", pgwire.CodeTooManyConnections, 2, 3, true},
+		{"silence", noAnswer, "pay", pgwire.CodeSystemError, 1, 1, false},
+		{"garbage", garbage, "pay", pgwire.CodeSystemError, 1, 1, true},
+		{"two rows", twoRows, "pay", pgwire.CodeSystemError, 1, 1, true},
+		{"half an answer", half, "pay", pgwire.CodeSystemError, 1, 1, true},
+		{"noise of no known type", noise, "pay", pgwire.CodeSystemError, 1, 1, true},
+		{"a tag that can't be read", badTag, "pay", pgwire.CodeSystemError, 1, 1, true},
 		{"a load report that can't be read", badLoad, "pay", "", 1, 1, true},
 	} {
 		t.Run(c.name, func(t *testing.T) {
@@ -175,7 +175,7 @@
 	c := dialClient(t, p)
 	c.until('Z')
 	c.send(read("pay", 700))
-	if _, code := c.answer(); code != pgwire.CodeFull {
+	if _, code := c.answer(); code != pgwire.CodeTooManyConnections {
 		t.Errorf("%q: a leg without a connection never ran", code)
 	}
 	if p.loop.Metrics.Get(metrics.AttemptConnectFailed) == 0 {
@@ -209,7 +209,7 @@
 	c := dialClient(t, p)
 	c.until('Z')
 	c.send(read("pay", 200))
-	if _, code := c.answer(); code != pgwire.CodeFailed {
+	if _, code := c.answer(); code != pgwire.CodeSystemError {
 		t.Error(code)
 	}
 	<-u.ended
@@ -305,7 +305,7 @@
 			kept = append(kept, c)
 			continue
 		}
-		if _, code, _, _ := pgwire.ParseError(body); code != pgwire.CodeFull || !c.closed() || i != 48 {
+		if _, code, _, _ := pgwire.ParseError(body); code != pgwire.CodeTooManyConnections || !c.closed() || i != 48 {
 			t.Errorf("connection %d: %q", i, code)
 		}
 		c.Close()
@@ -376,7 +376,7 @@
 		hog.Write(make([]byte, 1<<20))
 	}
 	c.send(read("pay", 1500))
-	if _, code := c.answer(); code != pgwire.CodeFull {
+	if _, code := c.answer(); code != pgwire.CodeTooManyConnections {
 		t.Error(code)
 	}
 	hog.Free()
--- a/internal/buffer/buffer.go
+++ b/internal/buffer/buffer.go
@@ -25,8 +25,8 @@
 // Full says whether no more requests should be admitted. Those under way may still exceed the bound a little.
 func (p *Pool) Full() bool { return p.inUse.Load() >= p.bound }
 
-// Out returns how many bytes are in use, counted by whole buffers.
-func (p *Pool) Out() int64 { return p.inUse.Load() }
+// InUse returns how many bytes are in use, counted by whole buffers.
+func (p *Pool) InUse() int64 { return p.inUse.Load() }
 
 // Chain returns an empty chain.
 func (p *Pool) Chain() *Chain { return &Chain{pool: p} }
--- a/internal/buffer/buffer_test.go
+++ b/internal/buffer/buffer_test.go
@@ -13,16 +13,16 @@
 	for i := 0; i < len(text); i += 7 {
 		chain.Write(text[i:min(i+7, len(text))])
 	}
-	if chain.Len() != len(text) || !bytes.Equal(chain.Bytes(), text) || pool.Out() != 3*Size || !pool.Full() {
-		t.Fatal(chain.Len(), pool.Out())
+	if chain.Len() != len(text) || !bytes.Equal(chain.Bytes(), text) || pool.InUse() != 3*Size || !pool.Full() {
+		t.Fatal(chain.Len(), pool.InUse())
 	}
 	t.Run("append", func(t *testing.T) { checkAppend(t, pool, chain, text) })
 	t.Run("each", func(t *testing.T) { checkEach(t, chain) })
 	chain.Free()
 	chain.Free()
 	(*Chain)(nil).Free()
-	if pool.Out() != 0 || pool.Full() || chain.Bytes() != nil {
-		t.Error(pool.Out())
+	if pool.InUse() != 0 || pool.Full() || chain.Bytes() != nil {
+		t.Error(pool.InUse())
 	}
 }
 
--- a/internal/clients/clients_test.go
+++ b/internal/clients/clients_test.go
@@ -250,7 +250,7 @@
 	if code := client.readUntil('Z'); code != pgwire.CodeShuttingDown || !client.atEnd() {
 		t.Errorf("%q", code)
 	}
-	h.waitFor("both are forgotten", func() bool { return len(h.server.conns) == 0 && h.Pool.Out() == 0 })
+	h.waitFor("both are forgotten", func() bool { return len(h.server.conns) == 0 && h.Pool.InUse() == 0 })
 	if h.Metrics.Get(metrics.RejectedAfterClose) != 3 || len(h.TakeEvents()) != 0 {
 		t.Error("not counted, or shown to the module")
 	}
@@ -296,7 +296,7 @@
 			if accepted != c.open || disconnected != c.open {
 				t.Errorf("%d requests, %d disconnects", accepted, disconnected)
 			}
-			if h.Pool.Out() != 0 {
+			if h.Pool.InUse() != 0 {
 				t.Error("buffers are not freed")
 			}
 		})
@@ -319,7 +319,7 @@
 		}
 		return false
 	})
-	if code := second.readUntil('E'); code != pgwire.CodeFull {
+	if code := second.readUntil('E'); code != pgwire.CodeTooManyConnections {
 		t.Error(code)
 	}
 	third := h.dial()
@@ -328,7 +328,7 @@
 	if err != nil || kind != 'E' || !strings.Contains(string(body), "D750\x00") {
 		t.Fatalf("%c %q %v", kind, body, err)
 	}
-	if _, code, _, _ := pgwire.ParseError(body); code != pgwire.CodeFull {
+	if _, code, _, _ := pgwire.ParseError(body); code != pgwire.CodeTooManyConnections {
 		t.Error(code)
 	}
 }
--- a/internal/clients/close.go
+++ b/internal/clients/close.go
@@ -104,7 +104,7 @@
 	}
 	l := c.server.loop
 	l.Metrics.Add(metrics.RejectedAfterClose, owed)
-	response := pgwire.Ready(pgwire.ErrorResponse(pgwire.Error, pgwire.CodeShuttingDown, messageShuttingDown, l.RetryAfterDetail()))
+	response := pgwire.AppendReadyForQuery(pgwire.ErrorResponse(pgwire.Error, pgwire.CodeShuttingDown, messageShuttingDown, l.RetryAfterDetail()))
 	for range owed {
 		_, _ = unix.SendmsgN(n.Fd(), response, nil, nil, unix.MSG_NOSIGNAL) // the connection ends in any case
 	}
--- a/internal/clients/process.go
+++ b/internal/clients/process.go
@@ -130,7 +130,7 @@
 	c.setCloseReason(reason)
 	c.setFault(err)
 	detail := ""
-	if code == pgwire.CodeFull {
+	if code == pgwire.CodeTooManyConnections {
 		detail = l.RetryAfterDetail()
 	}
 	message := pgwire.ErrorResponse(pgwire.Fatal, code, err.Error(), detail)
@@ -143,7 +143,7 @@
 func (c *conn) classify(err error) (code string, reason metrics.CloseReason) {
 	switch {
 	case errors.Is(err, errTooManyConns):
-		return pgwire.CodeFull, metrics.ClosedByLimit
+		return pgwire.CodeTooManyConnections, metrics.ClosedByLimit
 	case errors.Is(err, errTooManyQueued):
 		return pgwire.CodeTooLong, metrics.ClosedByLimit
 	case errors.Is(err, errUnsupported):
--- a/internal/clients/server.go
+++ b/internal/clients/server.go
@@ -123,7 +123,7 @@
 // nothing was done with it: a close alone says that, too, but not that a retry at once is of no use.
 func (s *Server) rejectConn(c *conn) {
 	s.loop.Metrics.Add(metrics.ConnLimitReached, 1)
-	message := pgwire.ErrorResponse(pgwire.Fatal, pgwire.CodeFull, errTooManyConns.Error(), s.loop.RetryAfterDetail())
+	message := pgwire.ErrorResponse(pgwire.Fatal, pgwire.CodeTooManyConnections, errTooManyConns.Error(), s.loop.RetryAfterDetail())
 	_, _ = c.net.Write(message) // the connection ends whether or not the client takes it
 	c.closeNow(metrics.ClosedByLimit)
 }
--- a/internal/pgwire/messages.go
+++ b/internal/pgwire/messages.go
@@ -37,13 +37,13 @@
 
 // Codes of ErrorResponses, from PostgreSQL's list.
 const (
-	CodeFull         = "53300" // too_many_connections: nothing was done, a retry is harmless
-	CodeShuttingDown = "57P03" // cannot_connect_now: the same
-	CodeFailed       = "58000" // system_error: no promise about what was done
-	CodeProtocol     = "08P01" // protocol_violation
-	CodeSyntax       = "42601" // syntax_error
-	CodeTooLong      = "54000" // program_limit_exceeded
-	CodeUnsupported  = "0A000" // feature_not_supported
+	CodeTooManyConnections = "53300" // too_many_connections: nothing was done, a retry is harmless
+	CodeShuttingDown       = "57P03" // cannot_connect_now: the same
+	CodeSystemError        = "58000" // system_error: no promise about what was done
+	CodeProtocol           = "08P01" // protocol_violation
+	CodeSyntax             = "42601" // syntax_error
+	CodeTooLong            = "54000" // program_limit_exceeded
+	CodeUnsupported        = "0A000" // feature_not_supported
 )
 
 // Types of the fields of an ErrorResponse.
@@ -71,18 +71,20 @@
 // appendString appends a string and the zero byte that ends it.
 func appendString(b []byte, s string) []byte { return append(append(b, s...), 0) }
 
-// Header appends the type and the length of a message whose body of bodyLength bytes follows.
-func Header(b []byte, messageType byte, bodyLength int) []byte {
+// AppendHeader appends the type and the length of a message whose body of bodyLength bytes follows.
+func AppendHeader(b []byte, messageType byte, bodyLength int) []byte {
 	return binary.BigEndian.AppendUint32(append(b, messageType), uint32(bodyLength+lengthLength))
 }
 
-// Ready appends a ReadyForQuery message.
-func Ready(b []byte) []byte {
-	return append(Header(b, TypeReadyForQuery, 1), transactionIdle)
+// AppendReadyForQuery appends a ReadyForQuery message.
+func AppendReadyForQuery(b []byte) []byte {
+	return append(AppendHeader(b, TypeReadyForQuery, 1), transactionIdle)
 }
 
 // EmptyQueryResponse builds the response to an empty query, with ReadyForQuery behind it.
-func EmptyQueryResponse() []byte { return Ready(Header(nil, TypeEmptyQueryResponse, 0)) }
+func EmptyQueryResponse() []byte {
+	return AppendReadyForQuery(AppendHeader(nil, TypeEmptyQueryResponse, 0))
+}
 
 // QueryMessage builds the Query message of a simple query.
 func QueryMessage(text string) []byte {
--- a/internal/pgwire/pgwire_test.go
+++ b/internal/pgwire/pgwire_test.go
@@ -36,8 +36,8 @@
 		err = s.Feed(stream[cut:], emit)
 	}
 	s.Free()
-	if pool.Out() != 0 {
-		return fmt.Sprintf("%d bytes are not freed", pool.Out())
+	if pool.InUse() != 0 {
+		return fmt.Sprintf("%d bytes are not freed", pool.InUse())
 	}
 	fmt.Fprint(&b, err)
 	return b.String()
@@ -214,9 +214,9 @@
 }
 
 func TestErrorResponse(t *testing.T) {
-	b := ErrorResponse(Error, CodeFull, "no room", RetryAfterDetail(250))
+	b := ErrorResponse(Error, CodeTooManyConnections, "no room", RetryAfterDetail(250))
 	severity, code, text, err := ParseError(b[headerLength:])
-	if severity != Error || code != CodeFull || text != "no room" || err != nil || !bytes.Contains(b, []byte("D250\x00")) {
+	if severity != Error || code != CodeTooManyConnections || text != "no room" || err != nil || !bytes.Contains(b, []byte("D250\x00")) {
 		t.Errorf("%q %q %q %v", severity, code, text, err)
 	}
 	for n := headerLength; n < len(b); n++ {
--- a/internal/pgwire/startup.go
+++ b/internal/pgwire/startup.go
@@ -81,5 +81,5 @@
 	b, lengthAt = beginMessage(b, TypeBackendKeyData)
 	b = binary.BigEndian.AppendUint32(b, session)
 	b = endMessage(binary.BigEndian.AppendUint32(b, secretKey), lengthAt)
-	return Ready(b)
+	return AppendReadyForQuery(b)
 }
--- a/internal/pipeline/admit.go
+++ b/internal/pipeline/admit.go
@@ -31,7 +31,7 @@
 		request.RejectReason = messageTooManyOpen
 	}
 	if request.RejectReason != "" {
-		l.respondError(request, StatusRejected, pgwire.CodeFull, request.RejectReason, l.RetryAfterDetail())
+		l.respondError(request, StatusRejected, pgwire.CodeTooManyConnections, request.RejectReason, l.RetryAfterDetail())
 		return
 	}
 	request.ID = l.nextRequestID()
--- a/internal/pipeline/pipeline_test.go
+++ b/internal/pipeline/pipeline_test.go
@@ -105,7 +105,7 @@
 	l.execute(relay.Fail{Request: request.ID})
 	l.execute(relay.CancelAttempt{Request: request.ID})
 	l.dropFinished(len(l.finished))
-	if len(env.responses) != 1 || len(l.requests) != 0 || l.Pool.Out() != 0 || l.Metrics.Get(metrics.Succeeded) != 1 {
+	if len(env.responses) != 1 || len(l.requests) != 0 || l.Pool.InUse() != 0 || l.Metrics.Get(metrics.Succeeded) != 1 {
 		t.Errorf("%q, %d held, %s", env.responses, len(l.requests), l.Metrics.Fields())
 	}
 }
@@ -121,7 +121,7 @@
 		t.Errorf("%+v", got)
 	}
 	l.dropFinished(len(l.finished))
-	if len(l.requests) != 0 || l.Pool.Out() != 0 {
+	if len(l.requests) != 0 || l.Pool.InUse() != 0 {
 		t.Error("the record is kept")
 	}
 }
@@ -134,11 +134,11 @@
 		contains string
 	}{
 		{"rejected",
-			func(id relay.RequestID) relay.Command { return relay.Reject{Request: id} }, pgwire.CodeFull, ""},
+			func(id relay.RequestID) relay.Command { return relay.Reject{Request: id} }, pgwire.CodeTooManyConnections, ""},
 		{"rejected with a time to come back",
-			func(id relay.RequestID) relay.Command { return relay.Reject{Request: id, RetryAfter: 0.2501} }, pgwire.CodeFull, "D251\x00"},
+			func(id relay.RequestID) relay.Command { return relay.Reject{Request: id, RetryAfter: 0.2501} }, pgwire.CodeTooManyConnections, "D251\x00"},
 		{"failed",
-			func(id relay.RequestID) relay.Command { return relay.Fail{Request: id} }, pgwire.CodeFailed, ""},
+			func(id relay.RequestID) relay.Command { return relay.Fail{Request: id} }, pgwire.CodeSystemError, ""},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			l, env := newLoop(t)
@@ -192,7 +192,7 @@
 	if got := attemptsEnded(l); len(got) != 1 || got[0].Outcome != relay.TimedOut || len(env.responses) != 1 || env.responses[0][0] != 'E' {
 		t.Errorf("%+v %q", got, env.responses)
 	}
-	if l.Pool.Out() != 0 {
+	if l.Pool.InUse() != 0 {
 		t.Error("the late response's buffers are not freed")
 	}
 }
--- a/internal/pipeline/respond.go
+++ b/internal/pipeline/respond.go
@@ -19,20 +19,20 @@
 func (l *Loop) reject(command relay.Reject) {
 	if request := l.requests[command.Request]; request != nil && request.Status == StatusOpen {
 		detail := retryAfterDetail(command.RetryAfter)
-		l.respondError(request, StatusRejected, pgwire.CodeFull, messageRejected, detail)
+		l.respondError(request, StatusRejected, pgwire.CodeTooManyConnections, messageRejected, detail)
 	}
 }
 
 // fail carries out the module's decision that a request is given up: it may have been done.
 func (l *Loop) fail(command relay.Fail) {
 	if request := l.requests[command.Request]; request != nil && request.Status == StatusOpen {
-		l.respondError(request, StatusFailed, pgwire.CodeFailed, messageFailed, "")
+		l.respondError(request, StatusFailed, pgwire.CodeSystemError, messageFailed, "")
 	}
 }
 
 // respond forwards an endpoint's response to the client, unchanged but for ReadyForQuery behind it.
 func (l *Loop) respond(request *Request, response *buffer.Chain) {
-	writeChain(response, pgwire.Ready(nil))
+	writeChain(response, pgwire.AppendReadyForQuery(nil))
 	l.finish(request, StatusSucceeded)
 	request.Client.Respond(response)
 }
@@ -40,7 +40,7 @@
 // respondError ends a request with an ErrorResponse of the relay itself.
 func (l *Loop) respondError(request *Request, status RequestStatus, code, text, detail string) {
 	l.finish(request, status)
-	message := pgwire.Ready(pgwire.ErrorResponse(pgwire.Error, code, text, detail))
+	message := pgwire.AppendReadyForQuery(pgwire.ErrorResponse(pgwire.Error, code, text, detail))
 	request.Client.Respond(l.Pool.Filled(message))
 }
 
--- a/internal/pipeline/send.go
+++ b/internal/pipeline/send.go
@@ -42,7 +42,7 @@
 	deadline := strconv.FormatInt(millis, decimal)
 	size := request.Body.Len() - (request.DeadlineEnd - request.DeadlineStart) + len(deadline)
 	message := pool.Chain()
-	writeChain(message, pgwire.Header(nil, queryType, size))
+	writeChain(message, pgwire.AppendHeader(nil, queryType, size))
 	message.Append(request.Body, 0, request.DeadlineStart)
 	writeChain(message, []byte(deadline))
 	message.Append(request.Body, request.DeadlineEnd, request.Body.Len())
--- a/internal/upstream/read.go
+++ b/internal/upstream/read.go
@@ -139,13 +139,13 @@
 
 // appendToResponse adds a message to the response that is forwarded.
 func (c *conn) appendToResponse(m pgwire.Message) {
-	_, _ = c.response.Write(pgwire.Header(nil, m.Type, m.Body.Len())) // a chain's Write never fails
+	_, _ = c.response.Write(pgwire.AppendHeader(nil, m.Type, m.Body.Len())) // a chain's Write never fails
 	c.response.Append(m.Body, 0, m.Body.Len())
 }
 
 // outcomeOf is what an error code says of the attempt.
 func outcomeOf(code string) relay.Outcome {
-	if code == pgwire.CodeFull {
+	if code == pgwire.CodeTooManyConnections {
 		return relay.RejectedByEndpoint
 	}
 	return relay.Errored
--- a/internal/upstream/send_test.go
+++ b/internal/upstream/send_test.go
@@ -164,13 +164,13 @@
 	c.splitter = pgwire.Splitter{Pool: b.Pool, Types: pgwire.BackendTypes, MaxLength: pgwire.MaxResponse}
 	readyForQuery{c}.Apply(b.Loop)
 	b.pool.Send(b.attempt())
-	whole := append(pgwire.Header(nil, 'T', 25), "\x00\x01body\x00"...)
+	whole := append(pgwire.AppendHeader(nil, 'T', 25), "\x00\x01body\x00"...)
 	whole = append(whole, make([]byte, 18)...)
-	whole = append(pgwire.Header(whole, 'D', 9), "\x00\x01\x00\x00\x00\x03old"...)
+	whole = append(pgwire.AppendHeader(whole, 'D', 9), "\x00\x01\x00\x00\x00\x03old"...)
 	end := len(whole)
-	whole = append(pgwire.Header(whole, 'C', 9), "SELECT 1\x00"...)
+	whole = append(pgwire.AppendHeader(whole, 'C', 9), "SELECT 1\x00"...)
 	b.feed(c, whole[:end])
-	b.feed(c, pgwire.Ready(pgwire.ErrorResponse(pgwire.Error, "XX000", "late", "")))
+	b.feed(c, pgwire.AppendReadyForQuery(pgwire.ErrorResponse(pgwire.Error, "XX000", "late", "")))
 	if ended := b.drain(); len(ended) != 1 || ended[0].Outcome != relay.Errored {
 		t.Fatalf("%+v", ended)
 	}
--- a/lab/demo/clients.go
+++ b/lab/demo/clients.go
@@ -64,7 +64,7 @@
 		d.counts.failed.Add(1)
 	case response.Value != "":
 		d.counts.succeeded.Add(1)
-	case response.Code == pgwire.CodeFull || response.Code == pgwire.CodeShuttingDown:
+	case response.Code == pgwire.CodeTooManyConnections || response.Code == pgwire.CodeShuttingDown:
 		d.counts.rejected.Add(1)
 	default:
 		d.counts.failed.Add(1)
--- a/lab/fakes/fakes_test.go
+++ b/lab/fakes/fakes_test.go
@@ -77,7 +77,7 @@
 		responses <- response
 	}()
 	<-processing
-	if got, err := second.Query("SELECT 1", testDeadline); err != nil || got.Code != pgwire.CodeFull {
+	if got, err := second.Query("SELECT 1", testDeadline); err != nil || got.Code != pgwire.CodeTooManyConnections {
 		t.Errorf("the second query: %+v, %v", got, err)
 	}
 	close(finish)
--- a/lab/fakes/server.go
+++ b/lab/fakes/server.go
@@ -86,12 +86,12 @@
 	s.logQuery(statement)
 	defer s.inFlight.Add(-1)
 	if inFlight := s.inFlight.Add(1); s.MaxInFlight > 0 && inFlight > int64(s.MaxInFlight) {
-		return pgwire.Ready(pgwire.ErrorResponse(pgwire.Error, pgwire.CodeFull, "full", ""))
+		return pgwire.AppendReadyForQuery(pgwire.ErrorResponse(pgwire.Error, pgwire.CodeTooManyConnections, "full", ""))
 	}
 	if s.process(statement) {
-		return pgwire.Ready(pgwire.ErrorResponse(pgwire.Error, "XX000", "the build is bad", ""))
+		return pgwire.AppendReadyForQuery(pgwire.ErrorResponse(pgwire.Error, "XX000", "the build is bad", ""))
 	}
-	return pgwire.Ready(Row(s.Name))
+	return pgwire.AppendReadyForQuery(Row(s.Name))
 }
 
 func (s *Server) logQuery(statement string) {
--- a/lab/fakes/wire.go
+++ b/lab/fakes/wire.go
@@ -34,7 +34,7 @@
 	return header[0], body, err
 }
 
-// Row is a response of one row with one binary column. pgwire.Ready adds the ReadyForQuery that ends it.
+// Row is a response of one row with one binary column. pgwire.AppendReadyForQuery adds the ReadyForQuery that ends it.
 func Row(value string) []byte {
 	const (
 		binaryFormat   = 1
--- a/lab/live/exchange.go
+++ b/lab/live/exchange.go
@@ -65,7 +65,7 @@
 	switch {
 	case response.Value != "":
 		return lab.RequestSucceeded
-	case response.Code == pgwire.CodeFull:
+	case response.Code == pgwire.CodeTooManyConnections:
 		return lab.RequestRejected
 	default:
 		return lab.RequestFailed
