--- a/internal/pgwire/loadreport.go
+++ b/internal/pgwire/loadreport.go
@@ -5,11 +5,12 @@
 	"strings"
 )
 
-// maxLoad is the highest figure of a load report that is believed.
+// maxLoad is the highest value of a load report that is accepted.
 const maxLoad = 1e9
 
-// ParseLoadReport reads a load report, name=value pairs with commas between them, into the order of fields. It is nil
-// where one of those is missing, can't be read or can't be a figure of load; other names are passed over.
+// ParseLoadReport parses a load report, which is a comma-separated list of name=value pairs, and returns the values in the
+// order of fields. It returns nil if the value of a field is missing, malformed, negative, infinite, NaN or above maxLoad.
+// Names that are not in fields are ignored.
 func ParseLoadReport(report string, fields []string) []float32 {
 	values := make([]float32, len(fields))
 	found := 0
@@ -33,11 +34,10 @@
 	return values
 }
 
-// parseLoad reads one figure of load.
 func parseLoad(text string) (value float32, ok bool) {
 	const bits = 32
 	number, err := strconv.ParseFloat(text, bits)
-	if err != nil || !(number >= 0 && number <= maxLoad) { // NaN is neither
+	if err != nil || !(number >= 0 && number <= maxLoad) { // the negation also rejects NaN
 		return 0, false
 	}
 	return float32(number), true
--- a/internal/pgwire/parse.go
+++ b/internal/pgwire/parse.go
@@ -6,10 +6,10 @@
 	"fmt"
 )
 
-// malformed returns an error that wraps ErrMalformed and names what can't be read.
+// malformed returns an error that wraps ErrMalformed and names the malformed part.
 func malformed(what string) error { return fmt.Errorf("%w: %s", ErrMalformed, what) }
 
-// cutString takes a string that a zero byte ends off b.
+// cutString splits b after its first zero-terminated string. ok is false if b has no zero byte.
 func cutString(b []byte) (s string, rest []byte, ok bool) {
 	head, rest, ok := bytes.Cut(b, []byte{0})
 	if !ok {
@@ -18,8 +18,8 @@
 	return string(head), rest, true
 }
 
-// ParseError reads severity, code and text of an ErrorResponse's body; the text may be cut off. An error wraps
-// ErrMalformed.
+// ParseError parses the body of an ErrorResponse and returns its severity, SQLSTATE code and message text. The text is
+// truncated to maxErrorText bytes. Errors wrap ErrMalformed.
 func ParseError(body []byte) (severity, code, text string, err error) {
 	for len(body) > 0 && body[0] != 0 {
 		value, rest, ok := cutString(body[1:])
@@ -43,7 +43,7 @@
 	return severity, code, text, nil
 }
 
-// ParseStatus reads the body of a ParameterStatus. An error wraps ErrMalformed.
+// ParseStatus parses the body of a ParameterStatus. Errors wrap ErrMalformed.
 func ParseStatus(body []byte) (name, value string, err error) {
 	name, rest, nameOK := cutString(body)
 	value, rest, valueOK := cutString(rest)
@@ -53,12 +53,11 @@
 	return name, value, nil
 }
 
-// CheckRowDescription returns an error, which wraps ErrMalformed, unless the body of a RowDescription has exactly one
-// column.
+// CheckRowDescription checks that the body of a RowDescription describes exactly one column. Errors wrap ErrMalformed.
 func CheckRowDescription(body []byte) error {
 	const (
-		countLength = 2  // of the number of columns
-		fixedLength = 18 // of a column behind its name
+		countLength = 2  // length of the column count
+		fixedLength = 18 // length of a column's fields after its name
 	)
 	if len(body) < countLength || binary.BigEndian.Uint16(body) != 1 {
 		return malformed("RowDescription")
@@ -69,10 +68,11 @@
 	return nil
 }
 
-// ParseRow gives the value of a DataRow of one column. An error wraps ErrMalformed, or ErrTooLong.
+// ParseRow returns the value of a DataRow with one column. The error is ErrTooLong if the value is longer than MaxValue;
+// other errors wrap ErrMalformed.
 func ParseRow(body []byte) ([]byte, error) {
 	const (
-		countLength = 2 // of the number of columns
+		countLength = 2 // length of the column count
 		valueAt     = countLength + lengthLength
 	)
 	if len(body) < valueAt || binary.BigEndian.Uint16(body) != 1 {
@@ -88,8 +88,8 @@
 	return value, nil
 }
 
-// CheckComplete returns an error, which wraps ErrMalformed, unless the body of a CommandComplete has a tag that can be
-// read.
+// CheckComplete checks that the body of a CommandComplete holds a printable command tag of 1 to maxWordLength bytes. Errors
+// wrap ErrMalformed.
 func CheckComplete(body []byte) error {
 	tag, rest, ok := cutString(body)
 	if !ok || len(rest) != 0 || tag == "" || len(tag) > maxWordLength {
@@ -103,5 +103,5 @@
 	return nil
 }
 
-// isPrintable says whether a byte is a printable ASCII character or a space.
+// isPrintable reports whether c is a printable ASCII character or a space.
 func isPrintable(c byte) bool { return c >= ' ' && c <= '~' }
--- a/internal/pgwire/pgwire.go
+++ b/internal/pgwire/pgwire.go
@@ -1,34 +1,35 @@
-// Package pgwire reads and builds messages of version 3 of PostgreSQL's wire protocol, as far as simple queries without
-// a password need it, and the statements that the relay serves. It does no I/O, and every length is bounded.
+// Package pgwire encodes and decodes messages of version 3 of PostgreSQL's wire protocol, and parses the statements that a
+// relay serves. It supports the subset of the protocol that simple queries without password authentication need. It does no
+// I/O, and the length of everything that it parses is bounded.
 //
-// It has no state but a Splitter's, which belongs to the goroutine that feeds it; the functions are safe on any. It
-// imports only internal/buffer.
+// Its only state is that of a Splitter, which must be used by one goroutine; the functions are safe for concurrent use. The
+// package imports only internal/buffer from this module.
 package pgwire
 
 import "errors"
 
-// Bounds, in bytes.
+// Length limits, in bytes.
 const (
-	// MaxValue is the longest value, by the protocol page.
+	// MaxValue is the maximum length of a value, set by the relay protocol.
 	MaxValue = 64 << 10
-	// MaxMessage is the longest message from a client: a value in hexadecimal with the statement around it.
+	// MaxMessage is the maximum length of a message from a client: a value in hexadecimal and the statement around it.
 	MaxMessage = 2*MaxValue + 4096
-	// MaxResponse is the longest message from an endpoint.
+	// MaxResponse is the maximum length of a message from an endpoint.
 	MaxResponse = MaxValue + 1024
-	// MaxStartup is the longest startup packet.
+	// MaxStartup is the maximum length of a startup packet.
 	MaxStartup = 4096
 
 	typeLength    = 1
-	lengthLength  = 4 // of the length field, which counts itself
+	lengthLength  = 4 // the length field, whose value includes these 4 bytes
 	headerLength  = typeLength + lengthLength
-	maxErrorText  = 200 // of a peer's error text that is kept
-	maxWordLength = 128 // of an object, a name, a value of a parameter or a command tag
+	maxErrorText  = 200 // the part of an endpoint's error text that is kept
+	maxWordLength = 128 // an object, a parameter's name or value, or a command tag
 )
 
-// Errors about what came in, tested by errors.Is.
+// Errors of received input, for use with errors.Is.
 var (
-	// ErrMalformed is the error of a message or a statement that can't be read.
+	// ErrMalformed is the error for a message or statement that can't be parsed.
 	ErrMalformed = errors.New("malformed message")
-	// ErrTooLong is the error of a message or a value beyond its bound.
+	// ErrTooLong is the error for a message or value that exceeds its maximum length.
 	ErrTooLong = errors.New("message too long")
 )
--- a/internal/pgwire/pgwire_test.go
+++ b/internal/pgwire/pgwire_test.go
@@ -16,7 +16,7 @@
 		"/* id=9b1f,c=order,t=acme,d=480,k=5c0f,r=1,h=1500,new=1 */"
 )
 
-// split feeds a stream in two pieces, and gives the messages and the error that came of it as text.
+// split feeds a stream to a Splitter in two parts and formats the messages and the error that result.
 func split(stream []byte, cut int) string {
 	pool := buffer.NewPool(1 << 20)
 	s := Splitter{Pool: pool, Startup: true}
@@ -24,9 +24,9 @@
 	emit := func(m Message) error {
 		fmt.Fprintf(&b, "%d:%q ", m.Type, m.Body.Bytes())
 		if m.Type == 0 {
-			what, err := ParseStartup(m.Body.Bytes())
-			fmt.Fprint(&b, what, err, " ")
-			s.Startup = what != StartupSession
+			kind, err := ParseStartup(m.Body.Bytes())
+			fmt.Fprint(&b, kind, err, " ")
+			s.Startup = kind != StartupSession
 		}
 		m.Body.Free()
 		return nil
@@ -37,12 +37,14 @@
 	}
 	s.Free()
 	if pool.InUse() != 0 {
-		return fmt.Sprintf("%d bytes are not freed", pool.InUse())
+		return fmt.Sprintf("%d bytes were not freed", pool.InUse())
 	}
 	fmt.Fprint(&b, err)
 	return b.String()
 }
 
+// session returns the stream of a session: a request for encryption, a startup packet, two queries (the second longer than
+// a buffer) and Terminate.
 func session() []byte {
 	b := append([]byte{0, 0, 0, 8, 4, 210, 22, 47}, Startup("worker", "catalog")...)
 	b = append(b, QueryMessage(readText)...)
@@ -54,7 +56,7 @@
 	stream := session()
 	whole := split(stream, 0)
 	if !strings.HasSuffix(whole, "<nil>") || strings.Count(whole, "81:") != 2 {
-		t.Fatalf("%.300s", whole)
+		t.Fatalf("unexpected messages: %.300s", whole)
 	}
 	for cut := range stream {
 		if got := split(stream, cut); got != whole {
@@ -87,12 +89,12 @@
 		{"shorter than its length field", []byte{'Q', 0, 0, 0, 3}, false, ErrMalformed},
 		{"message too long", []byte{'Q', 0x7f, 0, 0, 0}, false, ErrTooLong},
 		{"startup packet too long", []byte{0, 0, 0x20, 0}, true, ErrTooLong},
-		{"below the bound, to be continued", []byte{'Q', 0, 2, 0, 0}, false, nil},
+		{"incomplete, within the limit", []byte{'Q', 0, 2, 0, 0}, false, nil},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			s := Splitter{Pool: buffer.NewPool(1), Startup: c.startup}
 			if err := s.Feed(c.stream, nil); !errors.Is(err, c.want) {
-				t.Errorf("%v: %v", c.stream, err)
+				t.Errorf("%v: got error %v, want %v", c.stream, err, c.want)
 			}
 		})
 	}
@@ -105,7 +107,7 @@
 	var got []Message
 	s.Feed(append(QueryMessage(readText), 'X', 0, 0, 0, 4), func(m Message) error { got = append(got, m); return nil })
 	if len(got) != 2 || !got[0].Discarded || got[0].Body != nil || got[1].Type != 'X' || got[1].Discarded {
-		t.Errorf("%+v", got)
+		t.Errorf("got messages %+v", got)
 	}
 	s.Startup = true
 	s.Feed(Startup("worker", "catalog"), func(m Message) error { got = append(got, m); return nil })
@@ -122,7 +124,7 @@
 		{"read", readText, Query{ID: "9b1f", Class: "basket", Tenant: "acme", Object: "7f3a", DeadlineMillis: 480}},
 		{"write", writeText, Query{ID: "9b1f", Class: "order", Tenant: "acme", Object: "7f3a", DeadlineMillis: 480,
 			IdempotencyKey: "5c0f", Retried: true, HasWork: true, WorkMicros: 1500, Write: true}},
-		{"comma behind the last parameter", strings.Replace(readText, "d=480 ", "d=480, ", 1),
+		{"comma after the last parameter", strings.Replace(readText, "d=480 ", "d=480, ", 1),
 			Query{ID: "9b1f", Class: "basket", Tenant: "acme", Object: "7f3a", DeadlineMillis: 480}},
 	} {
 		t.Run(c.name, func(t *testing.T) {
@@ -131,11 +133,11 @@
 				t.Fatal(err)
 			}
 			if deadline := c.text[got.DeadlineStart:got.DeadlineEnd]; deadline != "480" {
-				t.Errorf("the deadline is said to stand at %q", deadline)
+				t.Errorf("the deadline's offsets select %q", deadline)
 			}
 			got.DeadlineStart, got.DeadlineEnd = 0, 0
 			if got != c.want {
-				t.Errorf("%+v", got)
+				t.Errorf("got %+v, want %+v", got, c.want)
 			}
 		})
 	}
@@ -148,7 +150,7 @@
 		{"d=480", "d=99999999999"},
 	} {
 		if _, err := ParseQuery([]byte(strings.Replace(readText, change[0], change[1], 1))); !errors.Is(err, ErrMalformed) {
-			t.Errorf("with %q for %q: %v", change[1], change[0], err)
+			t.Errorf("with %q in place of %q: got error %v", change[1], change[0], err)
 		}
 	}
 }
@@ -161,15 +163,15 @@
 		{"half a byte", "9f0", ErrMalformed},
 		{"not hexadecimal", "9g", ErrMalformed},
 		{"too long", strings.Repeat("00", MaxValue+1), ErrTooLong},
-		{"the longest", strings.Repeat("ab", MaxValue), nil},
+		{"longest allowed", strings.Repeat("ab", MaxValue), nil},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			text := strings.Replace(writeText, "9f03", c.value, 1)
 			if _, err := ParseQuery([]byte(text)); !errors.Is(err, c.want) {
-				t.Error(err)
+				t.Errorf("got error %v, want %v", err, c.want)
 			}
 			if c.want == nil && len(text)+headerLength+1 > MaxMessage {
-				t.Errorf("a message of %d bytes is allowed, %d are needed", MaxMessage, len(text)+headerLength+1)
+				t.Errorf("MaxMessage is %d bytes, but the message has %d", MaxMessage, len(text)+headerLength+1)
 			}
 		})
 	}
@@ -217,11 +219,11 @@
 	b := ErrorResponse(Error, CodeTooManyConnections, "no room", RetryAfterDetail(250))
 	severity, code, text, err := ParseError(b[headerLength:])
 	if severity != Error || code != CodeTooManyConnections || text != "no room" || err != nil || !bytes.Contains(b, []byte("D250\x00")) {
-		t.Errorf("%q %q %q %v", severity, code, text, err)
+		t.Errorf("got severity %q, code %q, text %q, error %v", severity, code, text, err)
 	}
 	for n := headerLength; n < len(b); n++ {
 		if _, _, _, err := ParseError(b[headerLength:n]); err == nil {
-			t.Errorf("accepted when cut at %d", n)
+			t.Errorf("accepted when truncated at %d", n)
 		}
 	}
 }
@@ -233,36 +235,36 @@
 	}
 	for n := range row {
 		if _, err := ParseRow(row[:n]); err == nil {
-			t.Errorf("row accepted when cut at %d", n)
+			t.Errorf("row accepted when truncated at %d", n)
 		}
 	}
 	null := []byte{0, 1, 255, 255, 255, 255}
 	if _, err := ParseRow(null); err == nil {
-		t.Error("a row without a value was accepted")
+		t.Error("a row with a null value was accepted")
 	}
 	column := append([]byte("\x00\x01body\x00"), make([]byte, 18)...)
 	if err := CheckRowDescription(column); err != nil {
 		t.Error(err)
 	}
 	if CheckRowDescription(column[:len(column)-1]) == nil || CheckRowDescription([]byte{0, 2}) == nil {
-		t.Error("a wrong RowDescription was accepted")
+		t.Error("an invalid RowDescription was accepted")
 	}
 	if n, v, err := ParseStatus([]byte("vitals\x00a=1\x00")); n != "vitals" || v != "a=1" || err != nil {
 		t.Error(n, v, err)
 	}
 	if _, _, err := ParseStatus([]byte("vitals\x00a=1")); err == nil {
-		t.Error("a cut ParameterStatus was accepted")
+		t.Error("a truncated ParameterStatus was accepted")
 	}
 	fields := []string{"recent_ms", "outstanding"}
 	if got := ParseLoadReport("outstanding=7, recent_ms=0.5,more=1", fields); len(got) != 2 || got[0] != 0.5 || got[1] != 7 {
 		t.Error(got)
 	}
 	if ParseLoadReport("outstanding=7", fields) != nil || ParseLoadReport("outstanding=7,recent_ms=x", fields) != nil {
-		t.Error("a report with a field missing was accepted")
+		t.Error("a load report with a missing or malformed value was accepted")
 	}
-	for _, absurd := range []string{"NaN", "Inf", "-1", "1e300", "\xff\x00"} {
-		if got := ParseLoadReport("outstanding=7,recent_ms="+absurd, fields); got != nil {
-			t.Errorf("%q was read as %v", absurd, got)
+	for _, invalid := range []string{"NaN", "Inf", "-1", "1e300", "\xff\x00"} {
+		if got := ParseLoadReport("outstanding=7,recent_ms="+invalid, fields); got != nil {
+			t.Errorf("%q was parsed as %v", invalid, got)
 		}
 	}
 }
--- a/internal/pgwire/query.go
+++ b/internal/pgwire/query.go
@@ -7,26 +7,25 @@
 	"strings"
 )
 
-// Query is what a statement of one of the two published forms holds: a read or a write of one object, with parameters in
-// a comment.
+// Query is a parsed statement. A statement reads or writes one object and has parameters in a trailing comment.
 type Query struct {
 	ID             string
-	Class          string // its name in the settings
-	Tenant         string // the same
-	IdempotencyKey string // by which endpoints drop a duplicate; empty: none
+	Class          string // name of the request class in the settings
+	Tenant         string // name of the tenant in the settings
+	IdempotencyKey string // lets endpoints recognize duplicates; empty: none
 	Object         string
-	DeadlineMillis int64 // that the client waits
-	WorkMicros     int64 // expected
+	DeadlineMillis int64 // how long the client waits for the response
+	WorkMicros     int64 // expected work, if HasWork is set
 	HasWork        bool
-	Retried        bool // the client marked it as a retry
+	Retried        bool // the client marked the request as a retry
 	Write          bool
 
-	// DeadlineStart and DeadlineEnd are where the digits of the deadline stand in the statement.
+	// DeadlineStart and DeadlineEnd are the offsets of the deadline's digits in the statement.
 	DeadlineStart, DeadlineEnd int
 }
 
-// The two forms: readPrefix OBJECT readSuffix and writePrefix OBJECT writeInfix VALUE writeSuffix, each with parameters
-// and commentEnd behind it.
+// A read is readPrefix OBJECT readSuffix PARAMETERS commentEnd, a write is writePrefix OBJECT writeInfix VALUE writeSuffix
+// PARAMETERS commentEnd.
 const (
 	readPrefix  = "SELECT body FROM objects WHERE oid = '"
 	readSuffix  = "' /* "
@@ -41,10 +40,10 @@
 	maxWorkMicros     = 3600 * 1000_000 // an hour
 )
 
-// IsEmpty says whether a statement is an empty query.
+// IsEmpty reports whether a statement is an empty query.
 func IsEmpty(text []byte) bool { return len(bytes.TrimRight(text, " \t\r\n;")) == 0 }
 
-// Statement takes the statement out of the body of a Query message. An error wraps ErrMalformed.
+// Statement returns the statement in the body of a Query message. Errors wrap ErrMalformed.
 func Statement(body []byte) ([]byte, error) {
 	if len(body) == 0 || bytes.IndexByte(body, 0) != len(body)-1 {
 		return nil, malformed("statement without its end")
@@ -52,8 +51,8 @@
 	return body[:len(body)-1], nil
 }
 
-// ParseQuery reads a statement. Anything but the two forms is an error, which wraps ErrMalformed or ErrTooLong: an
-// endpoint would not accept it.
+// ParseQuery parses a statement. It rejects everything except the two forms of read and write, as endpoints would not
+// accept it either. Errors wrap ErrMalformed or ErrTooLong.
 func ParseQuery(text []byte) (Query, error) {
 	var query Query
 	rest, err := query.parseStatement(text)
@@ -73,7 +72,7 @@
 	return query, nil
 }
 
-// parseStatement reads a statement up to the parameters, and gives the rest.
+// parseStatement parses a statement up to the parameters and returns the rest.
 func (q *Query) parseStatement(text []byte) (rest []byte, err error) {
 	if rest, ok := bytes.CutPrefix(text, []byte(readPrefix)); ok {
 		return q.parseObject(rest, readSuffix)
@@ -89,7 +88,7 @@
 	return cutValue(rest)
 }
 
-// parseObject reads the object, which end stands behind.
+// parseObject parses the object, which ends before the first occurrence of end, and returns what follows end.
 func (q *Query) parseObject(text []byte, end string) (rest []byte, err error) {
 	object, rest, ok := bytes.Cut(text, []byte(end))
 	if !ok || !isWord(object) {
@@ -99,7 +98,7 @@
 	return rest, nil
 }
 
-// cutValue takes the value of a write off, which is only checked.
+// cutValue checks the value of a write, which is not decoded, and returns what follows writeSuffix.
 func cutValue(text []byte) (rest []byte, err error) {
 	const digitsPerByte = 2
 	value, rest, ok := bytes.Cut(text, []byte(writeSuffix))
@@ -112,7 +111,7 @@
 	return rest, nil
 }
 
-// parseParameters reads name=value pairs with commas between them, which stand at the given offset of the statement.
+// parseParameters parses a comma-separated list of name=value pairs that begins at the given offset of the statement.
 func (q *Query) parseParameters(text []byte, offset int) error {
 	for len(text) > 0 {
 		pair, rest, _ := bytes.Cut(text, []byte(","))
@@ -130,8 +129,8 @@
 	return nil
 }
 
-// setParameter takes one parameter, whose value stands at the given offset of the statement. Unknown ones are passed
-// over.
+// setParameter sets the field for a parameter whose value begins at the given offset of the statement. Parameters with
+// unknown names are ignored.
 func (q *Query) setParameter(name, value string, offset int) (err error) {
 	switch name {
 	case "id":
@@ -157,7 +156,7 @@
 	return nil
 }
 
-// parseNumber reads a number from 0 to maxNumber.
+// parseNumber parses a decimal integer from 0 to maxNumber.
 func parseNumber(value string, maxNumber int64) (int64, error) {
 	const base, bits = 10, 64
 	number, err := strconv.ParseInt(value, base, bits)
@@ -170,8 +169,8 @@
 	return number, nil
 }
 
-// isWord says whether b may stand as an object, a name or a value: it has nothing that could end the literal, the value
-// or the comment that it stands in.
+// isWord reports whether b is valid as an object or as the name or value of a parameter: it contains nothing that could end
+// the string literal, the parameter or the comment around it.
 func isWord(b []byte) bool {
 	const reserved = `'\,*`
 	for _, c := range b {
@@ -182,7 +181,7 @@
 	return len(b) > 0 && len(b) <= maxWordLength
 }
 
-// isHex says whether b is bytes in hexadecimal.
+// isHex reports whether b is a hexadecimal encoding of whole bytes.
 func isHex(b []byte) bool {
 	for _, c := range b {
 		isDigit := c >= '0' && c <= '9'
--- a/internal/pgwire/splitter.go
+++ b/internal/pgwire/splitter.go
@@ -8,30 +8,31 @@
 	"lichenroad/internal/buffer"
 )
 
-// Message is one message; its body is complete, and belongs to whoever gets it.
+// Message is one complete message. Its receiver owns the body and must free it.
 type Message struct {
-	Type      byte // TypeStartup and so on
-	Body      *buffer.Chain
-	Discarded bool // the pool was full when it came: the body was passed over
+	Type      byte          // one of the Type constants
+	Body      *buffer.Chain // nil if Discarded
+	Discarded bool          // the body was discarded because the pool was full
 }
 
-// Splitter cuts a stream into messages, fed in pieces of any length. It belongs to one goroutine.
+// Splitter splits a byte stream into messages. The stream is fed in parts of any length. A Splitter must be used by one
+// goroutine.
 type Splitter struct {
 	Pool      *buffer.Pool
 	Startup   bool   // the next message is a startup packet
-	Discard   bool   // pass over the bodies of queries that come while the pool is full
-	Types     string // those that may come; empty: any
-	MaxLength int    // bytes of a message; 0: MaxMessage
+	Discard   bool   // discard the bodies of queries that begin while the pool is full
+	Types     string // accepted message types; empty: all
+	MaxLength int    // maximum length of a message in bytes; 0: MaxMessage
 
-	header        [headerLength]byte // the type byte is not used of a startup packet
-	headerRead    int                // bytes of the present message's header
+	header        [headerLength]byte // in a startup packet the type byte is unused
+	headerRead    int                // bytes of the current message's header that were received
 	inBody        bool
-	bodyRemaining int // bytes that are still to come
+	bodyRemaining int // bytes of the body that were not received yet
 	message       Message
 }
 
-// Feed takes the next bytes and calls emit for every message that they complete. It stops at the first error, of emit or
-// about the stream (ErrMalformed, ErrTooLong); the stream can't be read on after that.
+// Feed processes the next bytes of the stream and calls emit for every message that they complete. It returns the first
+// error, either from emit or one that wraps ErrMalformed or ErrTooLong. After an error the Splitter can't continue.
 func (s *Splitter) Feed(p []byte, emit func(Message) error) error {
 	for {
 		if !s.inBody {
@@ -54,7 +55,7 @@
 	}
 }
 
-// readHeader reads a message's header, and begins the message when it is complete.
+// readHeader reads a message's header, and begins the body once the header is complete.
 func (s *Splitter) readHeader(p []byte) (rest []byte, complete bool, err error) {
 	start := 0
 	if s.Startup {
@@ -73,7 +74,7 @@
 	return p[copied:], true, nil
 }
 
-// checkHeader checks the type and the length of the message whose header has been read.
+// checkHeader checks the type and the length in the header that was read.
 func (s *Splitter) checkHeader(length int) error {
 	maxLength := MaxMessage
 	if s.MaxLength > 0 {
@@ -93,7 +94,7 @@
 	return nil
 }
 
-// beginBody begins the message whose header has been read.
+// beginBody begins the body of the message whose header was read. length is that of the body.
 func (s *Splitter) beginBody(length int) {
 	s.message = Message{Type: s.header[0]}
 	if s.Startup {
@@ -106,7 +107,7 @@
 	}
 }
 
-// readBody reads a message's body.
+// readBody reads what p holds of the message's body.
 func (s *Splitter) readBody(p []byte) (rest []byte, complete bool) {
 	size := min(s.bodyRemaining, len(p))
 	if !s.message.Discarded {
@@ -116,10 +117,10 @@
 	return p[size:], s.bodyRemaining == 0
 }
 
-// Partial says that a message has begun and is not complete.
+// Partial reports whether a message has begun that is not complete yet.
 func (s *Splitter) Partial() bool { return s.inBody || s.headerRead > 0 }
 
-// Free gives up a message that has begun.
+// Free discards an incomplete message and frees its body.
 func (s *Splitter) Free() {
 	s.message.Body.Free()
 	s.message = Message{}
--- a/internal/pgwire/startup.go
+++ b/internal/pgwire/startup.go
@@ -5,31 +5,31 @@
 	"fmt"
 )
 
-// Codes in place of the protocol's version in startup packets, and the versions taken.
+// Request codes that a startup packet may hold in place of a protocol version, and the accepted protocol versions.
 const (
 	cancelRequestCode  = 80877102
 	sslRequestCode     = 80877103
 	gssEncRequestCode  = 80877104
 	protocolVersion3   = 3 << 16
-	maxProtocolVersion = protocolVersion3 + 1<<16 - 1 // any minor version
+	maxProtocolVersion = protocolVersion3 + 1<<16 - 1 // any minor version of version 3
 )
 
-// NoEncryption is the one byte that answers a request for encryption.
+// NoEncryption is the response to a request for encryption: a single byte that declines it.
 const NoEncryption = 'N'
 
-// StartupKind is what a startup packet asks for.
+// StartupKind is the kind of request in a startup packet.
 type StartupKind int
 
 const (
-	// StartupSession asks for a session.
+	// StartupSession requests a session.
 	StartupSession StartupKind = iota
-	// StartupEncryption asks for encryption; another startup packet follows the answer.
+	// StartupEncryption requests encryption. The client sends another startup packet after the response.
 	StartupEncryption
-	// StartupCancel asks to cancel a request of another session.
+	// StartupCancel requests to cancel a query of another session.
 	StartupCancel
 )
 
-// ParseStartup reads the body of a startup packet. An error wraps ErrMalformed.
+// ParseStartup parses the body of a startup packet. Errors wrap ErrMalformed.
 func ParseStartup(body []byte) (StartupKind, error) {
 	if len(body) < lengthLength {
 		return 0, malformed("short startup")
@@ -49,7 +49,7 @@
 	return StartupSession, nil
 }
 
-// Startup builds the startup packet that opens a session.
+// Startup returns the startup packet that opens a session.
 func Startup(user, database string) []byte {
 	b := make([]byte, lengthLength)
 	b = binary.BigEndian.AppendUint32(b, protocolVersion3)
@@ -59,7 +59,7 @@
 	return endMessage(append(b, 0), 0)
 }
 
-// serverParameters are the parameters that a client is told of, which clients' libraries expect.
+// serverParameters are the parameters that client libraries expect to be reported when a session opens.
 var serverParameters = [...]struct{ name, value string }{
 	{"server_version", "15.0"},
 	{"server_encoding", "UTF8"},
@@ -69,7 +69,8 @@
 	{"standard_conforming_strings", "on"},
 }
 
-// StartupResponse builds the response to a startup packet, with ReadyForQuery at its end.
+// StartupResponse returns the response to a startup packet that opens a session, up to and including ReadyForQuery. session
+// is the process ID in its BackendKeyData message.
 func StartupResponse(session uint32) []byte {
 	const authenticationOK, secretKey = 0, 0
 	b, lengthAt := beginMessage(nil, TypeAuthentication)
