--- a/internal/config/config_test.go
+++ b/internal/config/config_test.go
@@ -114,7 +114,7 @@
 seed: "q" is no number in hex
 limits: less than 32 MB or 64 sockets
 settings: missing
-platform.news: malformed line: news of build "1"`
+platform.news: malformed line: rollout status of build "1"`
 	if err == nil || err.Error() != want {
 		t.Errorf("got\n%v\nwanted\n%s", err, want)
 	}
--- a/internal/httpwire/httpwire.go
+++ b/internal/httpwire/httpwire.go
@@ -1,6 +1,6 @@
-// Package httpwire builds HTTP/1.1 requests without a body and parses the responses to them. It is a parser without I/O,
-// goroutines or shared state: the caller reads from its connection and feeds what comes, in any pieces. Every part of a
-// response is bounded. It imports the standard library alone.
+// Package httpwire builds HTTP/1.1 requests without a body and parses the responses to them. It has no I/O, goroutines or
+// shared state: the caller reads from its connection and feeds the bytes to the parser in parts of any length. The size of
+// every part of a response is bounded. The package imports only the standard library.
 package httpwire
 
 import (
@@ -11,32 +11,32 @@
 	"strings"
 )
 
-// Bounds of a response.
+// Size limits of a response.
 const (
-	MaxHeaderBytes = 16 << 10 // status line and header fields, and again chunk sizes and trailers
-	MaxBodyBytes   = 4 << 20  // a list of a thousand endpoints at 4 KB each, indented and with long names
+	MaxHeaderBytes = 16 << 10 // status line and header fields; applied separately to each chunk size line and to the trailer
+	MaxBodyBytes   = 4 << 20  // a list of a thousand endpoints of 4 KB each, indented and with long names
 )
 
-// Errors of a response.
+// Errors of a response, for use with errors.Is.
 var (
-	ErrTooLong   = errors.New("answer too long")
-	ErrMalformed = errors.New("malformed answer")
-	ErrTruncated = errors.New("answer cut short")
+	ErrTooLong   = errors.New("response too long")
+	ErrMalformed = errors.New("malformed response")
+	ErrTruncated = errors.New("response truncated")
 )
 
-// Status codes that decide how a response goes on.
+// Status codes that determine what follows the header of a response.
 const (
-	firstFinalStatus  = 200 // those below are interim responses
+	firstFinalStatus  = 200 // responses with lower status codes are interim responses
 	statusNoContent   = 204
 	statusNotModified = 304
 )
 
-// Get returns a GET request that keeps the connection open.
+// Get returns a GET request. The connection stays open after the response.
 func Get(host, target string) string {
 	return "GET " + target + " HTTP/1.1\r\nHost: " + host + "\r\nAccept: application/json\r\n\r\n"
 }
 
-// state is the part of a response that comes next.
+// state is the part of a response that is parsed next.
 type state int
 
 const (
@@ -47,32 +47,32 @@
 	inChunkData
 	inChunkEnd
 	inTrailer
-	inBodyUntilClose // the body ends with the connection
+	inBodyUntilClose // the end of the connection ends the body
 	done
 )
 
-// Response parses one response. It belongs to one goroutine.
+// Response parses one response. It must be used by one goroutine. The zero value is ready for use.
 type Response struct {
 	Status int
 	Body   []byte
 	Close  bool // the connection can't carry another request
 
 	state       state
-	line        []byte // what has come of a line
-	headerBytes int    // that count against MaxHeaderBytes
-	remaining   int    // bytes of the body or the chunk
+	line        []byte // the received part of an incomplete line
+	headerBytes int    // bytes counted against MaxHeaderBytes
+	remaining   int    // bytes of the body or chunk that were not received yet
 	hasLength   bool
 	chunked     bool
 }
 
-// Started says whether something of the response has come.
+// Started reports whether any part of the response was received.
 func (r *Response) Started() bool { return r.state != inStatusLine || len(r.line) > 0 }
 
-// Done says whether the response is complete.
+// Done reports whether the response is complete.
 func (r *Response) Done() bool { return r.state == done }
 
-// Feed takes bytes and returns how many of them belonged to this response. After an error, which is ErrTooLong or wraps
-// ErrMalformed, the response can't go on.
+// Feed processes the next bytes of the connection and returns how many of them belong to this response. The error is
+// ErrTooLong or wraps ErrMalformed; after it the response can't be parsed any further.
 func (r *Response) Feed(data []byte) (consumed int, err error) {
 	for consumed < len(data) && r.state != done {
 		var n int
@@ -89,7 +89,7 @@
 	return consumed, nil
 }
 
-// End says that the connection has ended. It returns ErrTruncated unless the response may end there.
+// End must be called when the connection has ended. It returns ErrTruncated if the response is incomplete.
 func (r *Response) End() error {
 	if r.state == inBodyUntilClose {
 		r.state = done
@@ -104,7 +104,7 @@
 	return r.state == inBody || r.state == inChunkData || r.state == inBodyUntilClose
 }
 
-// feedBody appends data to the body, up to its end or that of the chunk.
+// feedBody appends data to the body, up to the end of the body or of the current chunk.
 func (r *Response) feedBody(data []byte) (consumed int, err error) {
 	if r.state != inBodyUntilClose {
 		data = data[:min(len(data), r.remaining)]
@@ -127,7 +127,7 @@
 	return len(data), nil
 }
 
-// feedLine takes data up to the end of the line, and parses the line if that has come.
+// feedLine takes data up to the end of the line, and parses the line if it is complete.
 func (r *Response) feedLine(data []byte) (consumed int, err error) {
 	end := bytes.IndexByte(data, '\n')
 	complete := end >= 0
@@ -160,7 +160,7 @@
 		return r.parseChunkSize(line)
 	case inChunkEnd:
 		if line != "" {
-			return fmt.Errorf("%w: no line end behind a chunk", ErrMalformed)
+			return fmt.Errorf("%w: chunk is not followed by a line end", ErrMalformed)
 		}
 		r.state = inChunkSize
 	case inTrailer:
@@ -186,19 +186,19 @@
 func (r *Response) parseField(line string) error {
 	name, value, found := strings.Cut(line, ":")
 	if !found || name == "" || strings.ContainsAny(name, " \t") {
-		return fmt.Errorf("%w: field %.40q", ErrMalformed, line)
+		return fmt.Errorf("%w: header field %.40q", ErrMalformed, line)
 	}
 	value = strings.TrimSpace(value)
 	switch strings.ToLower(name) {
 	case "content-length":
 		length, err := strconv.ParseUint(value, 10, 31)
 		if err != nil || r.hasLength && int(length) != r.remaining {
-			return fmt.Errorf("%w: length %.40q", ErrMalformed, value)
+			return fmt.Errorf("%w: content length %.40q", ErrMalformed, value)
 		}
 		r.remaining, r.hasLength = int(length), true
 	case "transfer-encoding":
 		if !strings.EqualFold(value, "chunked") {
-			return fmt.Errorf("%w: encoding %.40q", ErrMalformed, value)
+			return fmt.Errorf("%w: transfer encoding %.40q", ErrMalformed, value)
 		}
 		r.chunked = true
 	case "connection":
@@ -207,14 +207,14 @@
 	return nil
 }
 
-// startBody decides what follows the header.
+// startBody selects the state that follows the header, by status code and framing.
 func (r *Response) startBody() error {
 	r.headerBytes = 0
 	switch {
-	case r.Status < firstFinalStatus: // the final response follows
+	case r.Status < firstFinalStatus: // an interim response: parse the response that follows it
 		*r = Response{}
 	case r.chunked && r.hasLength:
-		return fmt.Errorf("%w: two lengths", ErrMalformed)
+		return fmt.Errorf("%w: both chunked and with a content length", ErrMalformed)
 	case r.chunked:
 		r.state = inChunkSize
 	case r.hasNoBody():
@@ -233,7 +233,7 @@
 	return r.Status == statusNoContent || r.Status == statusNotModified || r.hasLength && r.remaining == 0
 }
 
-// parseChunkSize starts a chunk, or the trailer behind the last one.
+// parseChunkSize starts a chunk or, after the last chunk, the trailer.
 func (r *Response) parseChunkSize(line string) error {
 	digits, _, _ := strings.Cut(line, ";")
 	size, err := strconv.ParseUint(strings.TrimSpace(digits), 16, 31)
--- a/internal/httpwire/httpwire_test.go
+++ b/internal/httpwire/httpwire_test.go
@@ -16,7 +16,7 @@
 	noBody     = "HTTP/1.1 503 Service Unavailable\r\nContent-Length: 0\r\n\r\n"
 )
 
-// feed feeds a response in two pieces and describes what came of it.
+// feed feeds a response to the parser in two parts and formats the result.
 func feed(raw string, cut int) string {
 	var response Response
 	consumed, err := response.Feed([]byte(raw[:cut]))
@@ -34,7 +34,7 @@
 
 func TestResponseCutAnywhere(t *testing.T) {
 	for name, test := range map[string]struct{ raw, want string }{
-		"with length, then more": {withLength + "next",
+		"with length, followed by other bytes": {withLength + "next",
 			`200 "hello" close=false done=true used=` + fmt.Sprint(len(withLength)) + " end=<nil>"},
 		"chunked":     {chunked, `200 "hello" close=true done=true used=` + fmt.Sprint(len(chunked)) + " end=<nil>"},
 		"interim":     {interim, `200 "hello" close=false done=true used=` + fmt.Sprint(len(interim)) + " end=<nil>"},
@@ -44,7 +44,7 @@
 		t.Run(name, func(t *testing.T) {
 			for cut := 0; cut <= len(test.raw); cut++ {
 				if got := feed(test.raw, cut); got != test.want {
-					t.Errorf("cut at %d: %s", cut, got)
+					t.Errorf("cut at %d: got %s, want %s", cut, got, test.want)
 				}
 			}
 		})
@@ -58,7 +58,7 @@
 				var response Response
 				_, err := response.Feed([]byte(raw[:n]))
 				if err != nil || response.Done() || !errors.Is(response.End(), ErrTruncated) {
-					t.Errorf("%q counts as complete", raw[:n])
+					t.Errorf("%q was not reported as truncated", raw[:n])
 				}
 			}
 		})
@@ -75,9 +75,9 @@
 		"negative length":         ok + "Content-Length: -1\r\n",
 		"two different lengths":   ok + "Content-Length: 1\r\nContent-Length: 2\r\n",
 		"unknown encoding":        ok + "Transfer-Encoding: gzip\r\n",
-		"length over the bound":   ok + "Content-Length: 9000000\r\n\r\n",
+		"length over the limit":   ok + "Content-Length: 9000000\r\n\r\n",
 		"malformed chunk size":    ok + "Transfer-Encoding: chunked\r\n\r\nxyz\r\n",
-		"chunk longer than said":  ok + "Transfer-Encoding: chunked\r\n\r\n1\r\nab\r\n",
+		"chunk over its size":     ok + "Transfer-Encoding: chunked\r\n\r\n1\r\nab\r\n",
 		"chunked and with length": ok + "Transfer-Encoding: chunked\r\nContent-Length: 3\r\n\r\n",
 		"endless header":          ok + strings.Repeat("a", MaxHeaderBytes),
 	} {
@@ -87,13 +87,13 @@
 			}
 		})
 	}
-	t.Run("body over the bound", func(t *testing.T) {
+	t.Run("body over the limit", func(t *testing.T) {
 		var response Response
 		if _, err := response.Feed([]byte("HTTP/1.1 200 OK\r\n\r\n")); err != nil {
 			t.Fatal(err)
 		}
 		if _, err := response.Feed(make([]byte, MaxBodyBytes+1)); !errors.Is(err, ErrTooLong) {
-			t.Error(err)
+			t.Errorf("got error %v, want ErrTooLong", err)
 		}
 	})
 }
@@ -106,8 +106,8 @@
 		if cut < 0 || cut > len(raw) {
 			cut = 0
 		}
-		if inPieces, atOnce := feed(raw, cut), feed(raw, 0); inPieces != atOnce {
-			t.Errorf("cut at %d: %s\nat once: %s", cut, inPieces, atOnce)
+		if inParts, whole := feed(raw, cut), feed(raw, 0); inParts != whole {
+			t.Errorf("cut at %d: %s\nin one part: %s", cut, inParts, whole)
 		}
 	})
 }
--- a/internal/linewire/linewire_test.go
+++ b/internal/linewire/linewire_test.go
@@ -9,7 +9,7 @@
 	"lichenroad/relay"
 )
 
-// splitAt returns the lines and the error of a stream that is fed in two parts.
+// splitAt feeds a stream to a Splitter in two parts and formats the lines and the error that result.
 func splitAt(stream string, cut int) string {
 	var splitter Splitter
 	var lines []string
@@ -34,16 +34,16 @@
 func TestBadLines(t *testing.T) {
 	var splitter Splitter
 	if err := splitter.Feed([]byte("OK\n"), nil); !errors.Is(err, ErrMalformed) {
-		t.Error("without CR:", err)
+		t.Error("line without CR: got error", err)
 	}
 	if err := splitter.Feed([]byte(strings.Repeat("a", MaxLine+1)), nil); !errors.Is(err, ErrTooLong) {
-		t.Error("too long:", err)
+		t.Error("line longer than MaxLine: got error", err)
 	}
 	for _, line := range []string{"", "HELLO", "ERR", "OK 42", "OK 42 1 canary 0.28 x", "OK 42 1 flying 0.28 310", "* news 42",
 		"OK -1 1 canary 0.28 310", "OK 42 1 canary NaN 310", "OK 42 1 canary 1.5 310", "OK 99999 1 canary 0.1 310"} {
 		t.Run(line, func(t *testing.T) {
 			if reply, err := ParseReply(line); !errors.Is(err, ErrMalformed) {
-				t.Errorf("%+v, %v", reply, err)
+				t.Errorf("got %+v and error %v", reply, err)
 			}
 		})
 	}
@@ -61,7 +61,7 @@
 	} {
 		t.Run(line, func(t *testing.T) {
 			if got, err := ParseReply(line); got != want || err != nil {
-				t.Errorf("%+v, %v", got, err)
+				t.Errorf("got %+v and error %v", got, err)
 			}
 		})
 	}
@@ -70,7 +70,7 @@
 	}
 }
 
-// TestStatusLines holds the bytes of a status in each phase, which is read back as it was.
+// TestStatusLines checks the exact lines of a status in each phase, and that parsing them returns the same status.
 func TestStatusLines(t *testing.T) {
 	for phase, word := range map[relay.Phase]string{
 		relay.PhaseCanary:      "canary",
@@ -84,7 +84,7 @@
 			wantNotice := Reply{Unsolicited: true, Status: status}
 			for line, want := range map[string]Reply{StatusReplyLine(status): wantReply, StatusNoticeLine(status): wantNotice} {
 				if got, err := ParseReply(strings.TrimSuffix(line, "\r\n")); got != want || err != nil {
-					t.Errorf("%q: %+v, %v", line, got, err)
+					t.Errorf("%q: got %+v and error %v", line, got, err)
 				}
 			}
 			if got, want := StatusReplyLine(status), "OK 42 3 "+word+" 0.05 1250\r\n"; got != want {
@@ -97,8 +97,8 @@
 	}
 }
 
-// TestVotesAreReadBack holds the word of each verdict.
-func TestVotesAreReadBack(t *testing.T) {
+// TestVoteRoundTrip checks the exact line of each verdict, and that parsing it returns the same vote.
+func TestVoteRoundTrip(t *testing.T) {
 	for verdict, word := range map[relay.Verdict]string{
 		relay.NoVote:       "clear",
 		relay.VotePromote:  "approve",
@@ -113,7 +113,7 @@
 			}
 			call, err := ParseCall(strings.TrimSuffix(line, "\r\n"))
 			if err != nil || call != (Call{Vote: vote}) {
-				t.Errorf("%+v, %v", call, err)
+				t.Errorf("got %+v and error %v", call, err)
 			}
 		})
 	}
@@ -127,7 +127,7 @@
 		"VOTE 65536 1 wait", "VOTE 42 256 wait", "vote 42 1 wait"} {
 		t.Run(line, func(t *testing.T) {
 			if call, err := ParseCall(line); !errors.Is(err, ErrMalformed) {
-				t.Errorf("%+v, %v", call, err)
+				t.Errorf("got %+v and error %v", call, err)
 			}
 		})
 	}
--- a/internal/linewire/reply.go
+++ b/internal/linewire/reply.go
@@ -8,32 +8,32 @@
 )
 
 const (
-	// CodeStale is the error code of a vote on a build or stage that is past.
+	// CodeStale is the error code for a vote on a build or stage that is no longer current.
 	CodeStale = "ConditionFailed"
-	// OKLine accepts a watch.
+	// OKLine is the reply that accepts a watch.
 	OKLine = "OK" + lineEnd
-	// KeepAliveLine shows on a watch that the platform is alive.
+	// KeepAliveLine is the heartbeat that the platform sends on a watch.
 	KeepAliveLine = "*" + lineEnd
 )
 
-// noticeMark begins the lines that the platform sends without a request; statusNotice follows it if the line holds a
-// rollout status.
+// noticeMark is the first word of lines that the platform sends on a watch without a request. statusNotice is the second
+// word if the line holds a rollout status.
 const (
 	noticeMark   = "*"
 	statusNotice = "news"
 )
 
-// statusWords is the least number of words of a rollout status; further ones are ignored.
+// statusWords is the minimum number of words in a rollout status. Additional words are ignored.
 const statusWords = 5
 
 // Reply is one line from the platform.
 type Reply struct {
-	Unsolicited bool                // not the reply to a request, but a notice on a watch
-	Status      relay.RolloutStatus // not valid if the line holds none
-	Error       string              // code of a request that was rejected; empty: none
+	Unsolicited bool                // the line is a notice on a watch, not the reply to a request
+	Status      relay.RolloutStatus // its field Valid is false if the line holds no status
+	Error       string              // error code of a rejected request; empty: none
 }
 
-// ParseReply reads one line without its end. Its errors wrap ErrMalformed.
+// ParseReply parses a line without its CRLF. Errors wrap ErrMalformed.
 func ParseReply(line string) (Reply, error) {
 	words := strings.Split(line, " ")
 	switch {
@@ -50,7 +50,7 @@
 	return Reply{}, malformedLine(line)
 }
 
-// parseNotice reads what follows the mark of a notice. Kinds that are not known here count as signs of life.
+// parseNotice parses the words after noticeMark. Notices of unknown kinds are treated as heartbeats.
 func parseNotice(words []string) (Reply, error) {
 	if len(words) == 0 || words[0] != statusNotice {
 		return Reply{Unsolicited: true}, nil
@@ -61,7 +61,7 @@
 
 func parseStatusWords(words []string) (relay.RolloutStatus, error) {
 	if len(words) < statusWords {
-		return relay.RolloutStatus{}, fmt.Errorf("%w: %d fields of news", ErrMalformed, len(words))
+		return relay.RolloutStatus{}, fmt.Errorf("%w: rollout status has %d of %d fields", ErrMalformed, len(words), statusWords)
 	}
 	return StatusFields{
 		Build:           words[0],
@@ -72,15 +72,15 @@
 	}.Parse()
 }
 
-// StatusReplyLine returns the reply to a vote that counts.
+// StatusReplyLine returns the reply to a vote that was counted.
 func StatusReplyLine(status relay.RolloutStatus) string {
 	return "OK " + formatStatus(status) + lineEnd
 }
 
-// StatusNoticeLine returns the notice of a rollout status on a watch.
+// StatusNoticeLine returns the notice that reports a rollout status on a watch.
 func StatusNoticeLine(status relay.RolloutStatus) string {
 	return noticeMark + " " + statusNotice + " " + formatStatus(status) + lineEnd
 }
 
-// ErrorLine returns the reply to a request that was rejected.
+// ErrorLine returns the reply to a rejected request.
 func ErrorLine(code string) string { return "ERR " + code + lineEnd }
--- a/internal/linewire/request.go
+++ b/internal/linewire/request.go
@@ -9,10 +9,10 @@
 	"lichenroad/relay"
 )
 
-// WatchLine asks the platform to send rollout statuses as they change.
+// WatchLine is the request for a watch, on which the platform sends the rollout status whenever it changes.
 const WatchLine = "WATCH" + lineEnd
 
-// verdictWords are the words of the verdicts on the wire.
+// verdictWords maps verdicts to their words on the wire.
 var verdictWords = [...]string{
 	relay.NoVote:       "clear",
 	relay.VotePromote:  "approve",
@@ -25,13 +25,13 @@
 	return fmt.Sprintf("VOTE %d %d %s"+lineEnd, vote.Build, vote.Stage, verdictWords[vote.Verdict])
 }
 
-// Call is a request of a relay: to watch, or else to vote.
+// Call is a request from a relay: either for a watch or to cast a vote.
 type Call struct {
-	Watch bool
-	Vote  relay.Vote
+	Watch bool       // the request is for a watch
+	Vote  relay.Vote // the vote to cast, unless Watch is set
 }
 
-// ParseCall reads a request without its line end. Its errors wrap ErrMalformed.
+// ParseCall parses a request without its CRLF. Errors wrap ErrMalformed.
 func ParseCall(line string) (Call, error) {
 	words := strings.Split(line, " ")
 	if len(words) == 1 && words[0] == "WATCH" {
@@ -50,5 +50,5 @@
 	return Call{Vote: vote}, nil
 }
 
-// malformedLine returns an ErrMalformed that quotes the start of the line.
+// malformedLine returns an error that wraps ErrMalformed and quotes the start of the line.
 func malformedLine(line string) error { return fmt.Errorf("%w: %.40q", ErrMalformed, line) }
--- a/internal/linewire/splitter.go
+++ b/internal/linewire/splitter.go
@@ -5,12 +5,14 @@
 	"fmt"
 )
 
-// Splitter cuts a stream into lines. Its zero value is at the start of a stream; after an error it can't be used further.
+// Splitter splits a byte stream into lines. The zero value is ready for use at the start of a stream. After an error a
+// Splitter can't be used any more.
 type Splitter struct {
-	partial []byte // of the line that is not complete yet
+	partial []byte // the received part of an incomplete line
 }
 
-// Feed takes the next bytes and calls emit for every line that they complete, without its end.
+// Feed processes the next bytes of the stream and calls emit for every line that they complete, without its CRLF. The error
+// is ErrTooLong or wraps ErrMalformed.
 func (s *Splitter) Feed(received []byte, emit func(line string)) error {
 	for len(received) > 0 {
 		size := bytes.IndexByte(received, '\n')
--- a/internal/linewire/status.go
+++ b/internal/linewire/status.go
@@ -9,7 +9,7 @@
 	"lichenroad/relay"
 )
 
-// phaseWords are the words of the phases on the wire.
+// phaseWords maps phases to their words on the wire.
 var phaseWords = [...]string{
 	relay.PhaseCanary:      "canary",
 	relay.PhaseRollingBack: "reverting",
@@ -17,16 +17,16 @@
 	relay.PhaseWithdrawn:   "reverted",
 }
 
-// StatusFields are the fields of a rollout status as text.
+// StatusFields holds the fields of a rollout status as text.
 type StatusFields struct {
 	Build           string // unsigned, 16 bits
 	Stage           string // unsigned, 8 bits
 	Phase           string // one of phaseWords
 	ExposureLimit   string // from 0 to 1
-	AgeMilliseconds string // of the status when it was sent
+	AgeMilliseconds string // age of the status at the time it was sent
 }
 
-// Parse reads the fields. Its errors wrap ErrMalformed.
+// Parse converts the fields to a valid RolloutStatus. Errors wrap ErrMalformed.
 func (f StatusFields) Parse() (relay.RolloutStatus, error) {
 	build, buildErr := strconv.ParseUint(f.Build, 10, 16)
 	stage, stageErr := strconv.ParseUint(f.Stage, 10, 8)
@@ -36,7 +36,7 @@
 	unreadable := errors.Join(buildErr, stageErr, limitErr, ageErr) != nil || phase < 0
 	inRange := limit >= 0 && limit <= 1 && milliseconds >= 0 // false for NaN
 	if unreadable || !inRange {
-		return relay.RolloutStatus{}, fmt.Errorf("%w: news of build %.20q", ErrMalformed, f.Build)
+		return relay.RolloutStatus{}, fmt.Errorf("%w: rollout status of build %.20q", ErrMalformed, f.Build)
 	}
 	return relay.RolloutStatus{
 		Valid:         true,
@@ -48,7 +48,7 @@
 	}, nil
 }
 
-// formatStatus returns the words of a status, separated by spaces.
+// formatStatus returns the words of a rollout status, separated by spaces.
 func formatStatus(status relay.RolloutStatus) string {
 	limit := strconv.FormatFloat(status.ExposureLimit, 'g', -1, 64)
 	milliseconds := status.Age * 1000
