--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -1,8 +1,8 @@
-// Package config reads the JSON configuration of a relay, at its start and again at a reload: addresses, limits of the
-// process, the status of the current rollout, the last known endpoint list and the site's settings.
+// Package config reads the JSON configuration of a relay, at start and on a reload: addresses, limits of the process, the
+// status of the current rollout, the last known endpoint list and the site's settings.
 //
-// A Config is data that nobody changes once it was read; the package holds no state. It imports limits, linewire, settings
-// and relay.
+// A Config must not be changed after it was read. The package has no state. From this module it imports limits, linewire,
+// settings and relay.
 package config
 
 import (
@@ -18,35 +18,35 @@
 	"lichenroad/settings"
 )
 
-// Variables of the environment that come before what the file says.
+// Environment variables that override values of the file.
 const (
 	envName      = "BALANCER_NAME"
 	envListen    = "BALANCER_LISTEN"
 	envDiscovery = "BALANCER_DISCOVERY"
 )
 
-// Config is the whole configuration of one relay. Addresses are an IP address and a port.
+// Config is the complete configuration of one relay. Addresses consist of an IP address and a port.
 type Config struct {
 	Name          string
-	Listen        string // address for clients
+	Listen        string // address on which clients connect
 	Discovery     string // address of discovery
-	Seed          int64  // of all random draws
+	Seed          int64  // of all random numbers
 	Cores         float64
 	MemoryMB      int64
 	Sockets       int
-	PeerListen    string              // address for messages of other relays; empty: none are taken
+	PeerListen    string              // address on which messages from other relays are received; empty: none are received
 	Peers         []string            // addresses of other relays
-	PeersAll      string              // address that reaches all of them with one datagram; empty: there is none
-	Platform      string              // address of the rollout platform; empty: there is none
-	RolloutStatus relay.RolloutStatus // Valid where the configuration holds one
+	PeersAll      string              // address that reaches all other relays with one datagram; empty: none
+	Platform      string              // address of the rollout platform; empty: none
+	RolloutStatus relay.RolloutStatus // its field Valid is false if the configuration holds no status
 	KnownList     json.RawMessage     // the last known endpoint list, not parsed; nil: none
 	Site          settings.Site
 }
 
-// errNoPath is the error of Load without a path.
-var errNoPath = errors.New("no configuration named: set BALANCER_CONFIG or --config")
+// errNoPath is the error that Load returns for an empty path.
+var errNoPath = errors.New("no configuration file given: set BALANCER_CONFIG or --config")
 
-// Load reads a configuration from a file. getenv looks up variables of the environment.
+// Load reads a configuration from a file. getenv looks up environment variables.
 func Load(path string, getenv func(string) string) (Config, error) {
 	if path == "" {
 		return Config{}, errNoPath
@@ -56,7 +56,7 @@
 		return Config{}, err
 	}
 	if info.Size() > limits.MaxConfigBytes {
-		return Config{}, fmt.Errorf("%s: over %d bytes", path, limits.MaxConfigBytes)
+		return Config{}, fmt.Errorf("%s: configuration is larger than %d bytes", path, limits.MaxConfigBytes)
 	}
 	raw, err := os.ReadFile(path)
 	if err != nil {
@@ -69,8 +69,8 @@
 	return c, nil
 }
 
-// Reload reads the file again, for a relay that runs. The environment's address of discovery was that of the start: the
-// one in the file holds now.
+// Reload reads the file again for a running relay. It ignores the environment's address of discovery, which applies only at
+// start, and takes the one in the file.
 func Reload(path string, getenv func(string) string) (Config, error) {
 	return Load(path, func(name string) string {
 		if name == envDiscovery {
@@ -80,8 +80,8 @@
 	})
 }
 
-// NeedRestart names what differs in the next configuration and only takes effect at the next start. The seed and the last
-// known list are used at a start alone, so they are not named.
+// NeedRestart returns the names of the parts that differ in the next configuration and take effect only after a restart.
+// The seed and the last known list are left out, as they are only used at start.
 func (c Config) NeedRestart(next Config) []string {
 	limitsDiffer := c.Cores != next.Cores || c.MemoryMB != next.MemoryMB || c.Sockets != next.Sockets
 	peersDiffer := c.PeerListen != next.PeerListen || c.PeersAll != next.PeersAll || !slices.Equal(c.Peers, next.Peers)
--- a/internal/config/config_test.go
+++ b/internal/config/config_test.go
@@ -12,15 +12,15 @@
 	"lichenroad/relay"
 )
 
-const good = `{"name":"n3","listen":"127.0.0.1:5433","discovery":"127.0.0.1:8500","seed":"8c1f30d27a5be964",
+const validConfig = `{"name":"n3","listen":"127.0.0.1:5433","discovery":"127.0.0.1:8500","seed":"8c1f30d27a5be964",
  "limits":{"cores":1.0,"memory_mb":192,"sockets":1024},"peer_listen":"127.0.0.1:7946","peers":["127.0.0.1:7946"],
  "platform":{"address":"127.0.0.1:6400","news":{"image":42,"ring":"1","progress":"canary","ceiling":0.28,"lag_ms":310}},
  "known":{"generation":41,"reset":true,"instances":[]},"settings":{"grades":[{"name":"basket","repeat":"retryable"}]}}`
 
-// noEnv is an environment without variables.
+// noEnv looks up variables in an empty environment.
 func noEnv(string) string { return "" }
 
-// parse reads a configuration that must be good.
+// parse parses a configuration that must be valid.
 func parse(t *testing.T, raw string) Config {
 	t.Helper()
 	c, err := Parse([]byte(raw), noEnv)
@@ -32,7 +32,7 @@
 
 func TestParse(t *testing.T) {
 	env := map[string]string{"BALANCER_LISTEN": "127.0.0.2:5433"}
-	c, err := Parse([]byte(good), func(name string) string { return env[name] })
+	c, err := Parse([]byte(validConfig), func(name string) string { return env[name] })
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -48,23 +48,23 @@
 }
 
 func TestDefaults(t *testing.T) {
-	c := parse(t, strings.Replace(good, `{"cores":1.0,"memory_mb":192,"sockets":1024}`, `{}`, 1))
+	c := parse(t, strings.Replace(validConfig, `{"cores":1.0,"memory_mb":192,"sockets":1024}`, `{}`, 1))
 	if c.Cores != 1 || c.MemoryMB != 192 || c.Sockets != 1024 {
 		t.Errorf("%+v", c)
 	}
 }
 
-func TestNoListIsNoFault(t *testing.T) {
-	c := parse(t, strings.Replace(good, `{"generation":41,"reset":true,"instances":[]}`, "null", 1))
+func TestNullKnownListIsValid(t *testing.T) {
+	c := parse(t, strings.Replace(validConfig, `{"generation":41,"reset":true,"instances":[]}`, "null", 1))
 	if c.KnownList != nil {
 		t.Errorf("%s", c.KnownList)
 	}
 }
 
-// TestKnownThatCantBeReadIsNoFault has the last known list spoilt: it is handed on as it is, for the start to report it,
-// and neither keeps a relay from starting nor holds up a move of discovery.
-func TestKnownThatCantBeReadIsNoFault(t *testing.T) {
-	raw := strings.Replace(good, `"generation":41`, `"generation":"x"`, 1)
+// TestMalformedKnownListIsPassedOn checks that a malformed last known list is passed on unparsed, to be reported at start,
+// and prevents neither the start nor a reload, which may bring a new address of discovery.
+func TestMalformedKnownListIsPassedOn(t *testing.T) {
+	raw := strings.Replace(validConfig, `"generation":41`, `"generation":"x"`, 1)
 	if c := parse(t, raw); !strings.Contains(string(c.KnownList), `"x"`) {
 		t.Errorf("%s", c.KnownList)
 	}
@@ -73,15 +73,15 @@
 		t.Fatal(err)
 	}
 	if _, err := Reload(path, noEnv); err != nil {
-		t.Error("a move is held up:", err)
+		t.Error("the list prevents a reload:", err)
 	}
 }
 
 func TestFaultsAreNamed(t *testing.T) {
 	for _, c := range []struct {
 		name     string
-		from, to string // what is replaced in the good configuration
-		says     string
+		from, to string // replaced in the valid configuration
+		want     string // part of the error
 	}{
 		{"listen", `"listen":"127.0.0.1:5433"`, `"listen":"here"`, "listen"},
 		{"discovery", `"discovery":"127.0.0.1:8500"`, `"discovery":""`, "discovery"},
@@ -91,32 +91,32 @@
 		{"rollout status", `"canary"`, `"flying"`, "platform.news"},
 		{"no classes", `[{"name":"basket","repeat":"retryable"}]`, `[]`, "settings"},
 		{"no settings", `"settings":{`, `"other":{`, "settings"},
-		{"no JSON", `"seed"`, `seed`, "invalid"},
+		{"invalid JSON", `"seed"`, `seed`, "invalid"},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			_, err := Parse([]byte(strings.Replace(good, c.from, c.to, 1)), noEnv)
-			if err == nil || !strings.Contains(err.Error(), c.says) {
-				t.Errorf("%s: %v", c.to, err)
+			_, err := Parse([]byte(strings.Replace(validConfig, c.from, c.to, 1)), noEnv)
+			if err == nil || !strings.Contains(err.Error(), c.want) {
+				t.Errorf("with %s: got error %v, want one that contains %q", c.to, err, c.want)
 			}
 		})
 	}
 }
 
-// TestAllFaultsAtOnce holds the texts of the faults and their order.
+// TestAllFaultsAtOnce checks the texts of the faults and their order.
 func TestAllFaultsAtOnce(t *testing.T) {
 	_, err := Parse([]byte(`{"listen":"here","peers_all":"x","platform":{"address":"y","news":{"image":1}},"peers":["z"],"seed":"q",
  "limits":{"sockets":1}}`), noEnv)
-	const want = `listen: "here" is no address with a port
-discovery: "" is no address with a port
-peers_all: "x" is no address with a port
-platform.address: "y" is no address with a port
-peers: "z" is no address with a port
-seed: "q" is no number in hex
-limits: less than 32 MB or 64 sockets
+	const want = `listen: "here" is not an IP address with a port
+discovery: "" is not an IP address with a port
+peers_all: "x" is not an IP address with a port
+platform.address: "y" is not an IP address with a port
+peers: "z" is not an IP address with a port
+seed: "q" is not a hexadecimal number of up to 64 bits
+limits: at least 32 MB of memory and 64 sockets are needed
 settings: missing
 platform.news: malformed line: rollout status of build "1"`
 	if err == nil || err.Error() != want {
-		t.Errorf("got\n%v\nwanted\n%s", err, want)
+		t.Errorf("got\n%v\nwant\n%s", err, want)
 	}
 }
 
@@ -128,7 +128,7 @@
 	if _, err := Load(path, noEnv); !errors.Is(err, fs.ErrNotExist) {
 		t.Error("a missing file:", err)
 	}
-	if err := os.WriteFile(path, []byte(good), 0o600); err != nil {
+	if err := os.WriteFile(path, []byte(validConfig), 0o600); err != nil {
 		t.Fatal(err)
 	}
 	if _, err := Load(path, noEnv); err != nil {
@@ -136,28 +136,28 @@
 	}
 }
 
-// TestReload holds that the environment's address of discovery is that of the start alone.
+// TestReload checks that the environment's address of discovery applies only at start.
 func TestReload(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "config.json")
-	if err := os.WriteFile(path, []byte(good), 0o600); err != nil {
+	if err := os.WriteFile(path, []byte(validConfig), 0o600); err != nil {
 		t.Fatal(err)
 	}
 	env := map[string]string{"BALANCER_DISCOVERY": "127.0.0.9:1", "BALANCER_LISTEN": "127.0.0.9:2"}
 	getenv := func(name string) string { return env[name] }
 	atStart, err := Load(path, getenv)
 	if err != nil || atStart.Discovery != "127.0.0.9:1" || atStart.Listen != "127.0.0.9:2" {
-		t.Errorf("at the start: %q %q %v", atStart.Discovery, atStart.Listen, err)
+		t.Errorf("at start: %q %q %v", atStart.Discovery, atStart.Listen, err)
 	}
 	reloaded, err := Reload(path, getenv)
 	if err != nil || reloaded.Discovery != "127.0.0.1:8500" || reloaded.Listen != "127.0.0.9:2" {
-		t.Errorf("at a reload: %q %q %v", reloaded.Discovery, reloaded.Listen, err)
+		t.Errorf("on a reload: %q %q %v", reloaded.Discovery, reloaded.Listen, err)
 	}
 }
 
 func TestNeedRestart(t *testing.T) {
 	for _, c := range []struct {
 		name     string
-		from, to string // what is replaced in the good configuration
+		from, to string // replaced in the valid configuration
 		want     []string
 	}{
 		{"nothing", "", "", nil},
@@ -172,9 +172,9 @@
 		{"settings", "retryable", "dedup", []string{"settings"}},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			next := parse(t, strings.Replace(good, c.from, c.to, 1))
-			if got := parse(t, good).NeedRestart(next); !slices.Equal(got, c.want) {
-				t.Errorf("%q, wanted %q", got, c.want)
+			next := parse(t, strings.Replace(validConfig, c.from, c.to, 1))
+			if got := parse(t, validConfig).NeedRestart(next); !slices.Equal(got, c.want) {
+				t.Errorf("got %q, want %q", got, c.want)
 			}
 		})
 	}
--- a/internal/config/parse.go
+++ b/internal/config/parse.go
@@ -13,7 +13,8 @@
 	"lichenroad/settings"
 )
 
-// wire is the file. Its structs have no names of their own, as the JSON package would put them into the texts of its errors.
+// wire is the layout of the JSON file. Its nested structs are anonymous because encoding/json would include the names of
+// their types in its error texts.
 type wire struct {
 	Name      string `json:"name"`
 	Listen    string `json:"listen"`
@@ -37,7 +38,7 @@
 
 const defaultCores = 1
 
-// Parse reads a configuration and checks it. Its error joins all faults that were found.
+// Parse parses and validates a configuration. The error joins all faults that were found.
 func Parse(raw []byte, getenv func(string) string) (Config, error) {
 	var w wire
 	if err := json.Unmarshal(raw, &w); err != nil {
@@ -56,14 +57,14 @@
 	return p.config, errors.Join(p.faults...)
 }
 
-// override replaces a value of the file where the environment has one.
+// override replaces a value of the file if the environment variable is set.
 func override(value *string, fromEnvironment string) {
 	if fromEnvironment != "" {
 		*value = fromEnvironment
 	}
 }
 
-// parser makes a Config of a file, one section after another, and gathers the faults.
+// parser converts the file to a Config, one section at a time, and collects the faults.
 type parser struct {
 	wire   *wire
 	config Config
@@ -89,7 +90,7 @@
 
 func (p *parser) requiredAddress(name, address string) string {
 	if _, err := netip.ParseAddrPort(address); err != nil {
-		p.fault("%s: %q is no address with a port", name, address)
+		p.fault("%s: %q is not an IP address with a port", name, address)
 	}
 	return address
 }
@@ -107,7 +108,7 @@
 	}
 	seed, err := strconv.ParseUint(p.wire.Seed, 16, 64)
 	if err != nil {
-		p.fault("seed: %q is no number in hex", p.wire.Seed)
+		p.fault("seed: %q is not a hexadecimal number of up to 64 bits", p.wire.Seed)
 	}
 	p.config.Seed = int64(seed)
 }
@@ -126,7 +127,7 @@
 		p.config.Sockets = limits.DefaultDescriptors
 	}
 	if p.config.MemoryMB < limits.MinMemoryMB || p.config.Sockets < limits.MinDescriptors {
-		p.fault("limits: less than %d MB or %d sockets", limits.MinMemoryMB, limits.MinDescriptors)
+		p.fault("limits: at least %d MB of memory and %d sockets are needed", limits.MinMemoryMB, limits.MinDescriptors)
 	}
 }
 
@@ -141,7 +142,7 @@
 		return
 	}
 	if len(site.ClassByName) == 0 {
-		p.fault("settings: no categories (grades)")
+		p.fault("settings: no request classes (grades)")
 	}
 	p.config.Site = site
 }
@@ -157,7 +158,7 @@
 	p.config.RolloutStatus = status
 }
 
-// parseRolloutStatus reads the status of a rollout, whose fields may be numbers or text.
+// parseRolloutStatus parses a rollout status whose fields are JSON numbers or strings.
 func parseRolloutStatus(fields map[string]json.RawMessage) (relay.RolloutStatus, error) {
 	text := func(name string) string {
 		var s string
@@ -175,8 +176,8 @@
 	}.Parse()
 }
 
-// knownList takes the list as it is: one that can't be read is reported at the start, and neither keeps a relay from
-// starting nor a reload from taking effect.
+// knownList copies the last known endpoint list without parsing it. A malformed list is reported at start, but prevents
+// neither the start nor a reload.
 func (p *parser) knownList() {
 	if string(p.wire.KnownList) != "null" {
 		p.config.KnownList = p.wire.KnownList
--- a/internal/xmlconfig/attributes.go
+++ b/internal/xmlconfig/attributes.go
@@ -7,22 +7,22 @@
 	"time"
 )
 
-// maxSpan bounds spans of time.
+// maxSpan is the longest duration that Seconds accepts.
 const maxSpan = 31 * 24 * time.Hour
 
-// maxNameLength bounds names, in bytes.
+// maxNameLength is the maximum length of a name in bytes.
 const maxNameLength = 64
 
-// Number reads an attribute as a decimal number from lowest to highest. It gives fallback where the attribute is absent or
-// at fault.
+// Number parses an attribute as a decimal number from lowest to highest. It returns fallback if the attribute is absent or
+// invalid.
 func (r *Reader) Number(node *Node, name string, fallback, lowest, highest float64) float64 {
 	text, ok := node.Attrs[name]
 	if !ok {
 		return fallback
 	}
 	value, err := strconv.ParseFloat(text, 64)
-	inRange := value >= lowest && value <= highest // not so for NaN
-	// ParseFloat also takes hexadecimal, "Inf", "NaN" and underscores.
+	inRange := value >= lowest && value <= highest // false for NaN
+	// ParseFloat also accepts hexadecimal, "Inf", "NaN" and underscores.
 	if err != nil || !inRange || strings.ContainsAny(text, "xXpPnN_") {
 		r.AddFault(node, "%s: %.20q is no number from %g to %g", name, text, lowest, highest)
 		return fallback
@@ -30,15 +30,15 @@
 	return value
 }
 
-// Seconds reads an attribute as a span of time such as 90s, 5m or 1h30m, and gives its seconds. It gives fallback where the
-// attribute is absent or at fault.
+// Seconds parses an attribute as a duration such as 90s, 5m or 1h30m and returns it in seconds. It returns fallback if the
+// attribute is absent or invalid.
 func (r *Reader) Seconds(node *Node, name string, fallback float64) float64 {
 	text, ok := node.Attrs[name]
 	if !ok {
 		return fallback
 	}
 	span, err := time.ParseDuration(text)
-	// ParseDuration also takes signs and units below the millisecond.
+	// ParseDuration also accepts signs and units below the millisecond.
 	if err != nil || span < 0 || span > maxSpan || strings.ContainsAny(text, "+-nµu") {
 		r.AddFault(node, "%s: %.20q is no span of up to 31 days, such as 90s, 5m or 1h30m", name, text)
 		return fallback
@@ -46,7 +46,8 @@
 	return span.Seconds()
 }
 
-// UniqueName reads the attribute name. It must be a name and not be in taken, to which it is added.
+// UniqueName returns the value of the attribute "name" and adds it to taken. A value that is not a valid name or is already
+// in taken is a fault.
 func (r *Reader) UniqueName(node *Node, taken map[string]bool) string {
 	name, given := node.Attrs["name"]
 	if given && !isName(name) {
@@ -64,8 +65,8 @@
 	return text != "" && len(text) <= maxNameLength && !hasOther
 }
 
-// Enum reads an attribute that is one of some words. It gives fallback where the attribute is absent; where it is none of
-// the words, that is a fault and the result is zero.
+// Enum parses an attribute whose value is one of the words. It returns fallback if the attribute is absent. Any other value
+// is a fault, and the result is zero.
 func Enum[T ~int](r *Reader, node *Node, name string, fallback T, words map[string]T) T {
 	text, ok := node.Attrs[name]
 	if !ok {
@@ -83,7 +84,7 @@
 	return value
 }
 
-// CheckAddress checks that an attribute is an address with a port, and says whether it is.
+// CheckAddress reports whether an attribute is an address with a port. If not, it records a fault.
 func (r *Reader) CheckAddress(node *Node, name string) bool {
 	address := node.Attrs[name]
 	colon := strings.LastIndexByte(address, ':')
--- a/internal/xmlconfig/reader.go
+++ b/internal/xmlconfig/reader.go
@@ -11,26 +11,26 @@
 	"strings"
 )
 
-// ElementSchema says what an element may hold.
+// ElementSchema lists the attributes and children that an element may have.
 type ElementSchema struct {
-	Required []string // attributes
-	Optional []string // attributes
-	Children []string // elements
+	Required []string // names of required attributes
+	Optional []string // names of optional attributes
+	Children []string // names of child elements
 }
 
-// Reader reads one file and gathers its faults.
+// Reader reads one file and collects its faults.
 type Reader struct {
 	Root   string                   // name of the root element
-	Schema map[string]ElementSchema // by element
+	Schema map[string]ElementSchema // by element name
 	Faults []Fault                  // in the order in which they were found
 }
 
-// AddFault records that something is wrong with an element.
+// AddFault records a fault of an element.
 func (r *Reader) AddFault(node *Node, format string, args ...any) {
 	r.Faults = append(r.Faults, Fault{node.Line, node.Name, fmt.Sprintf(format, args...)})
 }
 
-// Err gives the faults that were found as an *Error, sorted by line; nil where there are none.
+// Err returns the faults found so far as an *Error sorted by line, or nil if there are none.
 func (r *Reader) Err(file string) error {
 	if len(r.Faults) == 0 {
 		return nil
@@ -39,12 +39,12 @@
 	return &Error{file, r.Faults}
 }
 
-// Parse reads a file's elements and holds them against the schema. Attributes and elements that the schema doesn't know are
-// faults; unknown elements are left out of the tree. It gives nil where the file is no XML, is too large or has another
-// root: nothing more can be said of it then.
+// Parse parses the content of a file and validates its elements against the schema. Attributes and elements that are not in
+// the schema are faults, and such elements are left out of the tree. Parse returns nil if the file is too large, is not
+// well-formed or has another root element.
 func (r *Reader) Parse(raw []byte) *Node {
 	if len(raw) > MaxBytes {
-		r.Faults = append(r.Faults, Fault{1, "", fmt.Sprintf("over %d bytes", MaxBytes)})
+		r.Faults = append(r.Faults, Fault{1, "", fmt.Sprintf("the file is over %d bytes", MaxBytes)})
 		return nil
 	}
 	tree := treeBuilder{decoder: xml.NewDecoder(bytes.NewReader(raw)), reader: r}
@@ -61,7 +61,7 @@
 	return tree.root
 }
 
-// validate holds an element and those in it against the schema.
+// validate checks an element and its descendants against the schema, and removes the elements that are not in it.
 func (r *Reader) validate(node *Node) {
 	schema := r.Schema[node.Name]
 	for _, name := range schema.Required {
@@ -91,25 +91,25 @@
 	node.Children = known
 }
 
-// Faults that end the reading of a file.
+// Faults after which parsing stops.
 var (
-	// A DOCTYPE could bring entities that expand without bound.
-	errDeclaration = errors.New("no DOCTYPE or other declarations are taken")
-	errSecondRoot  = errors.New("more than one root")
-	errEmpty       = errors.New("empty")
-	errTooLarge    = fmt.Errorf("over %d elements, or %d deep", MaxElements, maxDepth)
+	// A DOCTYPE could define entities whose expansion is unbounded.
+	errDeclaration = errors.New("no DOCTYPE or other declarations are allowed")
+	errSecondRoot  = errors.New("more than one root element")
+	errEmpty       = errors.New("empty: no root element")
+	errTooLarge    = fmt.Errorf("over %d elements, or nested over %d deep", MaxElements, maxDepth)
 )
 
-// treeBuilder makes the tree of a file's elements.
+// treeBuilder builds the tree of a file's elements.
 type treeBuilder struct {
 	decoder  *xml.Decoder
-	reader   *Reader // for faults that don't end the reading
+	reader   *Reader // records faults after which parsing continues
 	root     *Node
-	open     []*Node // the elements that have begun and not ended, from the root down
+	open     []*Node // elements that are open, from the root down
 	elements int
 }
 
-// build reads the whole file. Its error is what ends the reading, at the decoder's position.
+// build parses the whole file. Its error is the fault that stopped parsing, at the decoder's position.
 func (t *treeBuilder) build() error {
 	for {
 		token, err := t.decoder.Token()
@@ -117,7 +117,7 @@
 			break
 		}
 		if err != nil {
-			return notXML(err)
+			return syntaxError(err)
 		}
 		if err := t.add(token); err != nil {
 			return err
@@ -129,8 +129,8 @@
 	return nil
 }
 
-// notXML leaves out the line that the decoder puts into a syntax error: the fault has one already.
-func notXML(err error) error {
+// syntaxError removes the line number from a decoder's syntax error, as the fault has its own.
+func syntaxError(err error) error {
 	var syntax *xml.SyntaxError
 	if errors.As(err, &syntax) {
 		return errors.New("no XML: " + syntax.Msg)
@@ -173,14 +173,14 @@
 	return nil
 }
 
-// attributes takes an element's attributes, but for namespaces and the location of a schema.
+// attributes stores an element's attributes, except for namespace declarations and the location of a schema.
 func (t *treeBuilder) attributes(node *Node, attrs []xml.Attr) {
 	for _, attr := range attrs {
 		name := attr.Name.Local
 		switch {
 		case isNamespace(attr.Name):
 		case node.Attrs[name] != "":
-			t.reader.AddFault(node, "attribute %s stands twice", name)
+			t.reader.AddFault(node, "attribute %s is given twice", name)
 		default:
 			node.Attrs[name] = attr.Value
 		}
@@ -193,7 +193,7 @@
 	return name.Space == "xmlns" || name.Local == "xmlns" || name.Space == schemaInstance
 }
 
-// text reports text between elements, which no file has a use for. Text outside the root is ignored.
+// text reports text in an element as a fault, as no file uses any. Text outside the root element is ignored.
 func (t *treeBuilder) text(data xml.CharData) {
 	text := strings.TrimSpace(string(data))
 	if text == "" || len(t.open) == 0 {
--- a/internal/xmlconfig/xmlconfig.go
+++ b/internal/xmlconfig/xmlconfig.go
@@ -1,8 +1,9 @@
-// Package xmlconfig reads small XML files of configuration: a tree of elements, held against a schema, and typed
-// attributes. All faults of a file are gathered and reported by line in one *Error. What the elements mean is the matter of
-// the packages that read their own files with it (internal/planxml, trace).
+// Package xmlconfig reads small XML configuration files: it builds the tree of elements, validates it against a schema and
+// parses typed attributes. All faults of a file are collected and reported by line in one *Error. The packages that use it,
+// internal/planxml and trace, define the schemas and interpret the elements.
 //
-// A Reader belongs to one goroutine and one file; the package holds no state besides. It imports the standard library alone.
+// A Reader is for one file and must be used by one goroutine; the package has no other state. It imports only the standard
+// library.
 package xmlconfig
 
 import (
@@ -12,24 +13,24 @@
 	"strings"
 )
 
-// Bounds of a file. A plan for hundreds of relays takes a tenth of them.
+// Size limits of a file. A plan for hundreds of relays needs a tenth of them.
 const (
 	MaxBytes    = 1 << 20
 	MaxElements = 20000
 	maxDepth    = 8
 )
 
-// maxListedFaults bounds the report of a file; the faults past it are only counted.
+// maxListedFaults is the number of faults that an Error lists. Further faults are only counted.
 const maxListedFaults = 100
 
-// Fault is one thing that is wrong with a file.
+// Fault is one error in a file.
 type Fault struct {
 	Line    int
-	Element string // empty where the fault is the file's
+	Element string // empty if the fault concerns the whole file
 	Text    string
 }
 
-// String gives the fault with its line and element, without the file.
+// String formats the fault with its line and element, without the name of the file.
 func (f Fault) String() string {
 	if f.Element == "" {
 		return fmt.Sprintf("%d: %s", f.Line, f.Text)
@@ -37,16 +38,16 @@
 	return fmt.Sprintf("%d: <%s>: %s", f.Line, f.Element, f.Text)
 }
 
-// Error is all that is wrong with a file, sorted by line.
+// Error holds all faults of a file, sorted by line.
 type Error struct {
 	File   string
 	Faults []Fault
 }
 
-// Error gives each fault on a line of its own.
+// Error returns the lines of Lines, joined by newlines.
 func (e *Error) Error() string { return strings.Join(e.Lines(), "\n") }
 
-// Lines gives a line for each fault, and a last one that counts the rest where there are very many.
+// Lines returns one line for each fault, up to maxListedFaults, and one with the number of further faults if there are any.
 func (e *Error) Lines() []string {
 	var lines []string
 	for i, fault := range e.Faults {
@@ -58,25 +59,25 @@
 	return lines
 }
 
-// ReadFile reads a file, but no more than one byte past MaxBytes, which is enough for Reader.Parse to report it.
+// ReadFile reads at most MaxBytes+1 bytes of a file. The additional byte lets Reader.Parse detect a file that is too large.
 func ReadFile(path string) ([]byte, error) {
 	file, err := os.Open(path)
 	if err != nil {
 		return nil, err
 	}
-	defer func() { _ = file.Close() }() // nothing was written that a failed close could lose
+	defer func() { _ = file.Close() }() // the file was only read, so a failed close loses nothing
 	return io.ReadAll(io.LimitReader(file, MaxBytes+1))
 }
 
 // Node is an element of a file.
 type Node struct {
 	Name     string
-	Line     int // of the end of its start tag
+	Line     int // line on which the start tag ends
 	Attrs    map[string]string
 	Children []*Node
 }
 
-// ChildrenNamed lists the node's children of a name, in the file's order.
+// ChildrenNamed returns the node's children with the given element name, in the order of the file.
 func (n *Node) ChildrenNamed(name string) []*Node {
 	var named []*Node
 	for _, child := range n.Children {
--- a/internal/xmlconfig/xmlconfig_test.go
+++ b/internal/xmlconfig/xmlconfig_test.go
@@ -18,7 +18,7 @@
 
 func newReader() *Reader { return &Reader{Root: "root", Schema: testSchema} }
 
-// linesOf gives the lines of an *Error; none where err is nil.
+// linesOf returns the lines of an *Error, or none if err is nil.
 func linesOf(t *testing.T, err error) []string {
 	t.Helper()
 	if err == nil {
@@ -35,19 +35,19 @@
 	for _, c := range []struct {
 		name string
 		text string
-		want []string // none: no fault
+		want []string // lines of the faults
 	}{
-		{"good", `<root version="1"><item name="a"/></root>`, nil},
+		{"valid", `<root version="1"><item name="a"/></root>`, nil},
 		{"a comment, namespaces and a schema", `<?xml version="1.0"?><!-- x --><root xmlns="urn:x" xmlns:xsi="http://www.w3.org/2001/XMLSchema-instance" xsi:schemaLocation="x" version="1"/>`, nil},
 		{"text outside the root", "before<root version=\"1\"/>behind", nil},
-		{"empty", " \n", []string{"f:2: empty"}},
+		{"empty", " \n", []string{"f:2: empty: no root element"}},
 		{"no XML", "<root", []string{"f:1: no XML: unexpected EOF"}},
-		{"two roots", `<root version="1"/><root/>`, []string{"f:1: more than one root"}},
+		{"two roots", `<root version="1"/><root/>`, []string{"f:1: more than one root element"}},
 		{"another root", `<tree/>`, []string{"f:1: <tree>: the root must be <root>"}},
-		{"a declaration", `<!DOCTYPE root><root/>`, []string{"f:1: no DOCTYPE or other declarations are taken"}},
-		{"too deep", strings.Repeat("<item>", maxDepth+1), []string{"f:1: over 20000 elements, or 8 deep"}},
-		{"too many", "<root>" + strings.Repeat("<item/>", MaxElements), []string{"f:1: over 20000 elements, or 8 deep"}},
-		{"too long", strings.Repeat(" ", MaxBytes+1), []string{"f:1: over 1048576 bytes"}},
+		{"a declaration", `<!DOCTYPE root><root/>`, []string{"f:1: no DOCTYPE or other declarations are allowed"}},
+		{"too deep", strings.Repeat("<item>", maxDepth+1), []string{"f:1: over 20000 elements, or nested over 8 deep"}},
+		{"too many", "<root>" + strings.Repeat("<item/>", MaxElements), []string{"f:1: over 20000 elements, or nested over 8 deep"}},
+		{"too long", strings.Repeat(" ", MaxBytes+1), []string{"f:1: the file is over 1048576 bytes"}},
 		{"several, by line", "<root>\n<item nam='a' sort='b'/>\n<thing/>words</root>", []string{
 			"f:1: <root>: attribute version is missing",
 			"f:2: <item>: attribute name is missing",
@@ -56,23 +56,23 @@
 			`f:3: <root>: text "words" is not expected`,
 			"f:3: <thing>: not known in <root>",
 		}},
-		{"an attribute twice", `<root version="1" version="2"/>`, []string{"f:1: <root>: attribute version stands twice"}},
+		{"an attribute twice", `<root version="1" version="2"/>`, []string{"f:1: <root>: attribute version is given twice"}},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			r := newReader()
 			r.Parse([]byte(c.text))
 			if lines := linesOf(t, r.Err("f")); !slices.Equal(lines, c.want) {
-				t.Errorf("got\n%s\nwanted\n%s", strings.Join(lines, "\n"), strings.Join(c.want, "\n"))
+				t.Errorf("got\n%s\nwant\n%s", strings.Join(lines, "\n"), strings.Join(c.want, "\n"))
 			}
 		})
 	}
 }
 
-// TestUnknownElementsAreLeftOut holds that callers only see elements of the schema.
+// TestUnknownElementsAreLeftOut checks that the tree only has elements of the schema.
 func TestUnknownElementsAreLeftOut(t *testing.T) {
 	root := newReader().Parse([]byte(`<root version="1"><thing/><item name="a"/><thing/><item name="b"/></root>`))
 	if root == nil || len(root.Children) != 2 || len(root.ChildrenNamed("item")) != 2 || root.ChildrenNamed("thing") != nil {
-		t.Errorf("%+v", root)
+		t.Errorf("got tree %+v", root)
 	}
 }
 
@@ -81,11 +81,11 @@
 	r.Parse([]byte(`<root version="1">` + strings.Repeat("<thing/>", maxListedFaults+7) + "</root>"))
 	lines := linesOf(t, r.Err("f"))
 	if len(lines) != maxListedFaults+1 || lines[maxListedFaults] != "f: and 7 more faults" {
-		t.Errorf("%d lines, the last %q", len(lines), lines[len(lines)-1])
+		t.Errorf("got %d lines, the last one %q", len(lines), lines[len(lines)-1])
 	}
 }
 
-// attribute is a node with one attribute x.
+// attribute returns a node whose only attribute is x, with the given value.
 func attribute(text string) *Node {
 	return &Node{Name: "item", Line: 1, Attrs: map[string]string{"x": text}}
 }
@@ -103,13 +103,13 @@
 		t.Run(c.text, func(t *testing.T) {
 			r := newReader()
 			if got := r.Number(attribute(c.text), "x", 7, 0, 1); got != c.want || (len(r.Faults) > 0) != c.fault {
-				t.Errorf("%g, %v", got, r.Faults)
+				t.Errorf("got %g and faults %v, want %g", got, r.Faults, c.want)
 			}
 		})
 	}
 	r := newReader()
 	if got := r.Number(attribute("1"), "absent", 7, 0, 1); got != 7 || r.Faults != nil {
-		t.Errorf("absent: %g, %v", got, r.Faults)
+		t.Errorf("absent attribute: got %g and faults %v", got, r.Faults)
 	}
 }
 
@@ -126,7 +126,7 @@
 		t.Run(c.text, func(t *testing.T) {
 			r := newReader()
 			if got := r.Seconds(attribute(c.text), "x", 7); got != c.want || (len(r.Faults) > 0) != c.fault {
-				t.Errorf("%g, %v", got, r.Faults)
+				t.Errorf("got %g and faults %v, want %g", got, r.Faults, c.want)
 			}
 		})
 	}
@@ -146,10 +146,10 @@
 			r := newReader()
 			node := &Node{Name: "item", Attrs: map[string]string{"name": c.name}}
 			if got := r.UniqueName(node, taken); got != c.name || !taken[c.name] {
-				t.Errorf("%q, taken %v", got, taken[c.name])
+				t.Errorf("got %q, taken: %v", got, taken[c.name])
 			}
 			if text := fmt.Sprint(r.Faults); !strings.Contains(text, c.fault) || (r.Faults != nil) != (c.fault != "") {
-				t.Errorf("%s, wanted %q", text, c.fault)
+				t.Errorf("got faults %s, want %q", text, c.fault)
 			}
 		})
 	}
@@ -169,7 +169,7 @@
 		t.Run(c.name, func(t *testing.T) {
 			r := newReader()
 			if got := Enum(r, attribute(c.text), c.attribute, 1, words); got != c.want || fmt.Sprint(r.Faults) != c.faults {
-				t.Errorf("%d, %v", got, r.Faults)
+				t.Errorf("got %d and faults %v, want %d and %s", got, r.Faults, c.want, c.faults)
 			}
 		})
 	}
@@ -183,7 +183,7 @@
 		t.Run(text, func(t *testing.T) {
 			r := newReader()
 			if got := r.CheckAddress(attribute(text), "x"); got != want || (r.Faults == nil) != want {
-				t.Errorf("%v, %v", got, r.Faults)
+				t.Errorf("got %v and faults %v, want %v", got, r.Faults, want)
 			}
 		})
 	}
@@ -192,13 +192,13 @@
 func TestReadFile(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "f.xml")
 	if _, err := ReadFile(path); !errors.Is(err, fs.ErrNotExist) {
-		t.Errorf("an absent file: %v", err)
+		t.Errorf("missing file: got error %v", err)
 	}
 	if err := os.WriteFile(path, make([]byte, MaxBytes+100), 0o600); err != nil {
 		t.Fatal(err)
 	}
 	raw, err := ReadFile(path)
 	if err != nil || len(raw) != MaxBytes+1 {
-		t.Errorf("%d bytes, %v", len(raw), err)
+		t.Errorf("got %d bytes and error %v", len(raw), err)
 	}
 }
