--- a/internal/buffer/buffer.go
+++ b/internal/buffer/buffer.go
@@ -1,6 +1,6 @@
-// Package buffer holds bytes in pooled buffers of one size. A Chain strings together as many as a message needs; a Pool
-// counts the bytes in use and says when its bound is reached. A Pool is safe for use by several goroutines, a Chain belongs
-// to one at a time. The package imports the standard library alone.
+// Package buffer holds bytes in pooled buffers of one size. A Chain uses as many buffers as a message needs. A Pool counts
+// the bytes in use and reports when its limit is reached. A Pool is safe for concurrent use; a Chain must be used by one
+// goroutine at a time. The package imports only the standard library.
 package buffer
 
 import (
@@ -8,24 +8,25 @@
 	"sync/atomic"
 )
 
-// Size of every buffer, in bytes: nearly all requests and responses fit one, and a socket's empty send buffer takes that
-// much at once.
+// Size is the size of a buffer in bytes. Nearly all requests and responses fit into one buffer, and an empty send buffer of
+// a socket accepts this much at once.
 const Size = 4096
 
-// Pool hands out buffers and counts them.
+// Pool provides buffers to chains and counts the bytes in use.
 type Pool struct {
 	free  sync.Pool    // of *[Size]byte
-	inUse atomic.Int64 // bytes of the buffers handed out
-	bound int64
+	inUse atomic.Int64 // bytes in buffers that chains hold
+	limit int64
 }
 
-// NewPool returns a pool that is full when bound bytes are in use.
-func NewPool(bound int64) *Pool { return &Pool{bound: bound} }
+// NewPool returns a pool that is full when limit bytes are in use.
+func NewPool(limit int64) *Pool { return &Pool{limit: limit} }
 
-// Full says whether no more requests should be admitted. Those under way may still exceed the bound a little.
-func (p *Pool) Full() bool { return p.inUse.Load() >= p.bound }
+// Full reports whether the limit is reached, so that no more requests should be admitted. Open requests may still exceed
+// the limit slightly.
+func (p *Pool) Full() bool { return p.inUse.Load() >= p.limit }
 
-// InUse returns how many bytes are in use, counted by whole buffers.
+// InUse returns the number of bytes in use, counted in whole buffers.
 func (p *Pool) InUse() int64 { return p.inUse.Load() }
 
 // Chain returns an empty chain.
@@ -51,14 +52,14 @@
 	p.free.Put(buffer)
 }
 
-// Chain is a run of bytes in buffers of a pool. It belongs to one goroutine at a time, which frees it when it is done.
+// Chain is a sequence of bytes in buffers of a pool. It must be used by one goroutine at a time, and freed after use.
 type Chain struct {
 	pool    *Pool
 	buffers []*[Size]byte // all full but the last
 	length  int
 }
 
-// Len returns the number of bytes held.
+// Len returns the length of the chain in bytes.
 func (c *Chain) Len() int { return c.length }
 
 // Write appends data. It implements io.Writer and never fails.
@@ -79,7 +80,7 @@
 	}
 }
 
-// Append copies the bytes of another chain from offset start up to, not including, offset end.
+// Append appends a copy of the bytes of another chain from offset start up to but not including offset end.
 func (c *Chain) Append(from *Chain, start, end int) {
 	for start < end {
 		offset := start % Size
@@ -89,7 +90,7 @@
 	}
 }
 
-// Each calls visit for the parts in turn, and returns the first error.
+// Each calls visit with the bytes in each buffer, in order. It stops at the first error and returns it.
 func (c *Chain) Each(visit func([]byte) error) error {
 	for i := range c.buffers {
 		if err := visit(c.part(i)); err != nil {
@@ -99,11 +100,11 @@
 	return nil
 }
 
-// part is what buffer i holds.
+// part returns the bytes in buffer i.
 func (c *Chain) part(i int) []byte { return c.buffers[i][:min(Size, c.length-i*Size)] }
 
-// Bytes returns all bytes in one piece: the buffer itself where one holds them, else a copy. It is valid until the chain
-// is freed, and nil if the chain is empty.
+// Bytes returns the whole content as one slice: the buffer itself if the chain has only one, otherwise a copy. The slice is
+// valid until the chain is freed. It is nil if the chain is empty.
 func (c *Chain) Bytes() []byte {
 	switch len(c.buffers) {
 	case 0:
@@ -118,7 +119,7 @@
 	return all
 }
 
-// Free gives the buffers back. A nil or freed chain may be freed again.
+// Free returns the buffers to the pool. Freeing a nil or already freed chain has no effect.
 func (c *Chain) Free() {
 	if c == nil {
 		return
--- a/internal/buffer/buffer_test.go
+++ b/internal/buffer/buffer_test.go
@@ -14,7 +14,7 @@
 		chain.Write(text[i:min(i+7, len(text))])
 	}
 	if chain.Len() != len(text) || !bytes.Equal(chain.Bytes(), text) || pool.InUse() != 3*Size || !pool.Full() {
-		t.Fatal(chain.Len(), pool.InUse())
+		t.Fatalf("chain of %d bytes, %d bytes in use", chain.Len(), pool.InUse())
 	}
 	t.Run("append", func(t *testing.T) { checkAppend(t, pool, chain, text) })
 	t.Run("each", func(t *testing.T) { checkEach(t, chain) })
@@ -22,7 +22,7 @@
 	chain.Free()
 	(*Chain)(nil).Free()
 	if pool.InUse() != 0 || pool.Full() || chain.Bytes() != nil {
-		t.Error(pool.InUse())
+		t.Errorf("after Free: %d bytes in use", pool.InUse())
 	}
 }
 
@@ -41,7 +41,7 @@
 			defer target.Free()
 			target.Append(chain, part.start, part.end)
 			if want := append([]byte("x"), text[part.start:part.end]...); !bytes.Equal(target.Bytes(), want) {
-				t.Errorf("%d bytes", target.Len())
+				t.Errorf("got %d bytes, want %d", target.Len(), len(want))
 			}
 		})
 	}
@@ -58,6 +58,6 @@
 		return nil
 	})
 	if !errors.Is(err, errStop) || parts != 2 {
-		t.Error(err, parts)
+		t.Errorf("got error %v after %d parts, want %v after 2", err, parts, errStop)
 	}
 }
--- a/internal/limits/loop.go
+++ b/internal/limits/loop.go
@@ -2,14 +2,15 @@
 
 // The loop that owns the decision module.
 const (
-	// MaxQueuedEvents is the number of events that wait for the loop: several for each descriptor. Peer messages are
-	// dropped at it.
+	// MaxQueuedEvents is the number of events that may wait for the loop, several for each descriptor. At this number, peer
+	// messages are dropped.
 	MaxQueuedEvents = 1 << 16
 
-	// MaxRetainedEvents is the largest capacity of a batch of events that is kept for the next one: a busy moment's.
+	// MaxRetainedEvents is the largest capacity of an event queue that is reused, enough for a busy moment. Larger ones are
+	// released.
 	MaxRetainedEvents = 1 << 12
 
-	// MaxOpenRequests bounds the open requests where the settings name no lower bound: far more than there are
-	// descriptors.
+	// MaxOpenRequests is the maximum number of open requests if the settings give no lower one. It is far more than there
+	// are descriptors.
 	MaxOpenRequests = 1 << 14
 )
--- a/internal/metrics/counters.go
+++ b/internal/metrics/counters.go
@@ -1,7 +1,7 @@
-// Package metrics holds what the program reports about itself: counters, and the line that each closed connection leaves
-// in the log with the reason of its close. Its only state is Counters, which any goroutine may change and read without a
-// lock; it starts no goroutine. It imports nothing of the program. The names in the log are public: docs/on-call.md
-// explains each, and a change belongs into CHANGELOG.md.
+// Package metrics has the counters of the program, and the log line that each connection writes when it ends, with the
+// close reason. Its only state is in Counters, which any goroutine may change and read without a lock; it starts no
+// goroutine and imports nothing from this module. The names in the log are public: docs/on-call.md explains each of them,
+// and changes must be listed in CHANGELOG.md.
 package metrics
 
 import (
@@ -13,27 +13,27 @@
 // Counter identifies one of the Counters.
 type Counter int
 
-// The counters. They only grow, but those named Open, which are the present number.
+// The counters only grow, except for those whose names end in Open, which count what is open now.
 //
-// At any time Accepted is the sum of Succeeded, Rejected, Failed, ClientLeft and Open, and AttemptsSent the sum of
-// AttemptsOpen and the outcomes from AttemptSucceeded to AttemptNotSent, which stand together for that.
+// At any time Accepted is the sum of Succeeded, Rejected, Failed, ClientLeft and Open, and AttemptsSent is the sum of
+// AttemptsOpen and the outcomes from AttemptSucceeded to AttemptNotSent, which are consecutive for this reason.
 const (
 	// Connections.
 	ClientConns Counter = iota
 	ClientConnsOpen
-	EndpointConns // dialed, whether they came up or not
+	EndpointConns // all that were dialed, successfully or not
 	EndpointConnsOpen
 
-	// Requests of clients, and how they ended.
+	// Requests from clients and their outcomes.
 	Accepted
 	Succeeded
 	Rejected
 	Failed
-	ClientLeft // before their response
+	ClientLeft // the client disconnected before the response
 	Open
 
-	// Attempts, one or more of a request, and how they ended.
-	AttemptsSent // to a connection, which may have to come up first
+	// Attempts, of which a request has one or more, and their outcomes.
+	AttemptsSent // given to a connection, which may have to be established first
 	AttemptsOpen
 	AttemptSucceeded
 	AttemptErrored
@@ -44,16 +44,16 @@
 	AttemptCancelled
 	AttemptNotSent
 
-	AttemptsReleased   // taken back before their last byte was written
-	RejectedAfterClose // requests that arrived while their connection was closed as idle
+	AttemptsReleased   // withdrawn before the last byte was written
+	RejectedAfterClose // requests that arrived while their connection was being closed as idle
 	HealthChecks
 
 	// Votes on a rollout, and the platform's replies to them.
 	Votes
 	VotesCounted
 	VotesNotCounted
-	VotesStale        // the build or stage voted on was past
-	VotesMaybeCounted // no reply came
+	VotesStale        // the build or stage was no longer current
+	VotesMaybeCounted // no reply arrived
 	RolloutStatuses   // received from the platform
 
 	// Messages between relays.
@@ -64,21 +64,21 @@
 	// Calls to discovery.
 	DiscoveryCalls
 	DiscoveryFailed
-	DiscoveryStalled        // failed calls that got no response in time
-	EndpointsRemovedByPeers // known from peers before discovery reported it
+	DiscoveryStalled        // calls that failed because no response arrived in time
+	EndpointsRemovedByPeers // removals that a peer reported before discovery did
 
 	// Bad input and the program's own limits.
 	BadInput
 	ConnLimitReached
 	BufferLimitReached
 	QueueLimitReached
-	LogDropped // lines that the log's reader was too slow for
+	LogDropped // log lines dropped because the reader of the log was too slow
 	Reloads
 	ReloadsRefused
 	counterCount
 )
 
-// counterNames has the name of each counter in the log.
+// counterNames maps counters to their names in the log.
 var counterNames = [counterCount]string{
 	ClientConns:             "client_conns",
 	ClientConnsOpen:         "client_conns_open",
@@ -125,16 +125,17 @@
 	ReloadsRefused:          "reloads_refused",
 }
 
-// Counters holds one value for each Counter. The zero value is ready for use, by any goroutine; it must not be copied.
+// Counters holds a value for each Counter. The zero value is ready for use. It is safe for concurrent use and must not be
+// copied.
 type Counters struct{ values [counterCount]atomic.Int64 }
 
-// Add adds n, which is negative where an Open counter falls.
+// Add adds n to a counter. n is negative when an Open counter decreases.
 func (c *Counters) Add(id Counter, n int64) { c.values[id].Add(n) }
 
-// Get returns the present value.
+// Get returns the current value of a counter.
 func (c *Counters) Get(id Counter) int64 { return c.values[id].Load() }
 
-// Fields returns all counters by name, for one line of the log. Counters that change meanwhile may not add up.
+// Fields returns all counters by name, for a log line. The sums of related counters may be off if they change meanwhile.
 func (c *Counters) Fields() logrus.Fields {
 	fields := logrus.Fields{}
 	for id, name := range counterNames {
--- a/internal/metrics/metrics_test.go
+++ b/internal/metrics/metrics_test.go
@@ -9,7 +9,7 @@
 	"github.com/sirupsen/logrus"
 )
 
-// TestCounterNames has each counter named once, in snake_case.
+// TestCounterNames checks that each counter has a unique name in snake_case.
 func TestCounterNames(t *testing.T) {
 	named := map[string]Counter{}
 	snakeCase := regexp.MustCompile(`^[a-z]+(_[a-z]+)*$`)
@@ -25,7 +25,7 @@
 	}
 }
 
-// TestFields has each counter's value come out under its name.
+// TestFields checks that each counter's value is reported under its name.
 func TestFields(t *testing.T) {
 	var c Counters
 	for i := range counterNames {
@@ -34,11 +34,11 @@
 	}
 	fields := c.Fields()
 	if len(fields) != int(counterCount) {
-		t.Errorf("%d fields, %d counters", len(fields), counterCount)
+		t.Errorf("got %d fields for %d counters", len(fields), counterCount)
 	}
 	for i, name := range counterNames {
 		if got := c.Get(Counter(i)); got != int64(i) || fields[name] != got {
-			t.Errorf("%s: %d, logged as %v, instead of %d", name, got, fields[name], i)
+			t.Errorf("%s: got %d, logged as %v, want %d", name, got, fields[name], i)
 		}
 	}
 }
@@ -63,7 +63,7 @@
 			log.SetFormatter(&logrus.TextFormatter{DisableTimestamp: true})
 			c.end.Log(log)
 			if out.String() != c.want {
-				t.Errorf("%s instead of %s", out.String(), c.want)
+				t.Errorf("got %s, want %s", out.String(), c.want)
 			}
 		})
 	}
--- a/internal/sockets/sockets.go
+++ b/internal/sockets/sockets.go
@@ -1,6 +1,7 @@
-// Package sockets asks the kernel about descriptors what the network library does not tell: whether input waits on a
-// socket, whether connections wait at a listener, and how to take a listener out of service without closing it. It owns no
-// state, may be called on any goroutine, never blocks, and imports golang.org/x/sys/unix alone.
+// Package sockets provides operations on descriptors that the network library lacks: checking whether a socket has unread
+// input or a listener has connections to accept, and making a listener stop accepting without closing it. The functions
+// have no state, are safe for concurrent use and never block. The package imports golang.org/x/sys/unix and the standard
+// library.
 package sockets
 
 import (
@@ -9,38 +10,38 @@
 	"golang.org/x/sys/unix"
 )
 
-// Poll says what waits on a socket: input or a connection (readable), and its end or an error (ended). The caller sees to
-// it that the descriptor is not closed meanwhile.
+// Poll reports whether a socket has unread input or a connection to accept (readable), and whether it has been closed by
+// the peer or has an error (ended). The caller must make sure that the descriptor is not closed meanwhile.
 func Poll(fd int) (readable, ended bool) {
 	fds := [1]unix.PollFd{{Fd: int32(fd), Events: unix.POLLIN | unix.POLLRDHUP}}
-	_, _ = unix.Poll(fds[:], 0) // an interrupted call finds nothing, as one a moment earlier would
+	_, _ = unix.Poll(fds[:], 0) // an interrupted call reports nothing, like one made slightly earlier
 	events := fds[0].Revents
 	return events&unix.POLLIN != 0, events&^unix.POLLIN != 0
 }
 
-// Readable says whether anything waits on a socket: input, a connection, its end or an error. The caller sees to it that
-// the descriptor is not closed meanwhile.
+// Readable reports whether a socket has unread input, a connection to accept or an error, or was closed by the peer. The
+// caller must make sure that the descriptor is not closed meanwhile.
 func Readable(fd int) bool {
 	readable, ended := Poll(fd)
 	return readable || ended
 }
 
-// HasBacklog says whether connections wait to be accepted. Of a listener that is not TCP it says no.
+// HasBacklog reports whether a TCP listener has connections to accept. For other listeners it returns false.
 func HasBacklog(listener net.Listener) (waiting bool) {
 	control(listener, func(fd uintptr) { waiting = Readable(int(fd)) })
 	return waiting
 }
 
-// StopAccepting takes a listening TCP socket out of service without closing it, so that no other socket gets its descriptor
-// while the library's poller still knows it. The library's own way closes the descriptor that it polls twice, and the second
-// time may close what another part of the program has opened in between.
+// StopAccepting makes a TCP listener refuse new connections without closing it, so that its descriptor is not reused while
+// the network library's poller still has it registered. The library's own shutdown closes the descriptor twice, and the second close
+// may hit a descriptor that another part of the program has opened in between.
 func StopAccepting(listener net.Listener) {
 	control(listener, func(fd uintptr) {
-		_ = unix.Shutdown(int(fd), unix.SHUT_RDWR) // fails only where the socket is out of service already
+		_ = unix.Shutdown(int(fd), unix.SHUT_RDWR) // fails only if the listener has already stopped accepting
 	})
 }
 
-// control calls a function with the descriptor of a TCP listener, unless that is closed.
+// control calls a function with the descriptor of a listener. It does nothing if the listener is closed or not TCP.
 func control(listener net.Listener, call func(fd uintptr)) {
 	tcp, ok := listener.(*net.TCPListener)
 	if !ok {
@@ -48,7 +49,7 @@
 	}
 	raw, err := tcp.SyscallConn()
 	if err != nil {
-		return // only a listener that was never open has none
+		return // only a listener that was never opened has no descriptor
 	}
-	_ = raw.Control(call) // fails only for a closed listener, at which nothing waits
+	_ = raw.Control(call) // fails only for a closed listener, which has no connections to accept
 }
--- a/internal/sockets/sockets_test.go
+++ b/internal/sockets/sockets_test.go
@@ -6,7 +6,7 @@
 	"time"
 )
 
-// testTimeout is how long a test waits for what should come at once.
+// testTimeout is how long a test waits for something that should happen immediately.
 const testTimeout = 10 * time.Second
 
 func listen(t *testing.T) net.Listener {
@@ -19,7 +19,7 @@
 	return listener
 }
 
-// waitFor waits until a condition holds.
+// waitFor waits until a condition holds, and fails the test after testTimeout.
 func waitFor(t *testing.T, condition func() bool, failure string) {
 	t.Helper()
 	for end := time.Now().Add(testTimeout); !condition(); time.Sleep(time.Millisecond) {
@@ -29,18 +29,18 @@
 	}
 }
 
-// TestReadableSeesWhatTheKernelHolds checks both places on the way in: the backlog and the socket's buffer.
-func TestReadableSeesWhatTheKernelHolds(t *testing.T) {
+// TestReadable checks that connections in a listener's backlog and bytes in a socket's receive buffer are reported.
+func TestReadable(t *testing.T) {
 	listener := listen(t)
 	if HasBacklog(listener) {
-		t.Error("nobody has come")
+		t.Error("backlog reported without a connection")
 	}
 	client, err := net.Dial("tcp", listener.Addr().String())
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer client.Close()
-	waitFor(t, func() bool { return HasBacklog(listener) }, "a connection in the backlog is not seen")
+	waitFor(t, func() bool { return HasBacklog(listener) }, "a connection in the backlog is not reported")
 	accepted, err := listener.Accept()
 	if err != nil {
 		t.Fatal(err)
@@ -50,30 +50,30 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	readable := func() (is bool) {
-		raw.Control(func(fd uintptr) { is = Readable(int(fd)) })
-		return is
+	hasInput := func() (readable bool) {
+		raw.Control(func(fd uintptr) { readable = Readable(int(fd)) })
+		return readable
 	}
-	if readable() {
-		t.Error("nothing has come")
+	if hasInput() {
+		t.Error("socket reported as readable without input")
 	}
 	client.Write([]byte{'Q'})
-	waitFor(t, readable, "a byte in the socket's buffer is not seen")
+	waitFor(t, hasInput, "a byte in the receive buffer is not reported")
 }
 
-// TestListenerThatStopsAccepting checks that new connections are refused and the descriptor stays open.
-func TestListenerThatStopsAccepting(t *testing.T) {
+// TestStopAccepting checks that new connections are refused and the descriptor stays open.
+func TestStopAccepting(t *testing.T) {
 	listener := listen(t)
 	StopAccepting(listener)
 	if client, err := net.Dial("tcp", listener.Addr().String()); err == nil {
 		client.Close()
-		t.Error("still accepting")
+		t.Error("a new connection was accepted")
 	}
 	raw, err := listener.(*net.TCPListener).SyscallConn()
 	if err != nil {
 		t.Fatal(err)
 	}
 	if raw.Control(func(uintptr) {}) != nil {
-		t.Error("closed")
+		t.Error("the descriptor is closed")
 	}
 }
