--- a/internal/linewire/status.go
+++ b/internal/linewire/status.go
@@ -9,6 +9,8 @@
 	"lichenroad/relay"
 )
 
+const millisPerSecond = 1000
+
 // phaseWords maps phases to their words on the wire.
 var phaseWords = [...]string{
 	relay.PhaseCanary:      "canary",
@@ -44,13 +46,13 @@
 		Stage:         relay.Stage(stage),
 		Phase:         relay.Phase(phase),
 		ExposureLimit: limit,
-		Age:           milliseconds / 1000,
+		Age:           milliseconds / millisPerSecond,
 	}, nil
 }
 
 // formatStatus returns the words of a rollout status, separated by spaces.
 func formatStatus(status relay.RolloutStatus) string {
 	limit := strconv.FormatFloat(status.ExposureLimit, 'g', -1, 64)
-	milliseconds := status.Age * 1000
+	milliseconds := status.Age * millisPerSecond
 	return fmt.Sprintf("%d %d %s %s %.0f", status.Build, status.Stage, phaseWords[status.Phase], limit, milliseconds)
 }
--- a/internal/pgwire/query.go
+++ b/internal/pgwire/query.go
@@ -24,8 +24,8 @@
 	DeadlineStart, DeadlineEnd int
 }
 
-// A read is readPrefix OBJECT readSuffix PARAMETERS commentEnd, a write is writePrefix OBJECT writeInfix VALUE writeSuffix
-// PARAMETERS commentEnd.
+// The constant parts of the two published forms of statement. A read is readPrefix OBJECT readSuffix PARAMETERS commentEnd,
+// a write is writePrefix OBJECT writeInfix VALUE writeSuffix PARAMETERS commentEnd.
 const (
 	readPrefix  = "SELECT body FROM objects WHERE oid = '"
 	readSuffix  = "' /* "
@@ -51,8 +51,8 @@
 	return body[:len(body)-1], nil
 }
 
-// ParseQuery parses a statement. It rejects everything except the two forms of read and write, as endpoints would not
-// accept it either. Errors wrap ErrMalformed or ErrTooLong.
+// ParseQuery parses a statement. It rejects everything except reads and writes of the published forms, as endpoints would
+// not accept it either. Errors wrap ErrMalformed or ErrTooLong.
 func ParseQuery(text []byte) (Query, error) {
 	var query Query
 	rest, err := query.parseStatement(text)
--- a/internal/sockets/sockets.go
+++ b/internal/sockets/sockets.go
@@ -33,8 +33,8 @@
 }
 
 // StopAccepting makes a TCP listener refuse new connections without closing it, so that its descriptor is not reused while
-// the network library's poller still has it registered. The library's own shutdown closes the descriptor twice, and the second close
-// may hit a descriptor that another part of the program has opened in between.
+// the network library's poller still has it registered. The library's own shutdown closes the descriptor twice, and the
+// second close may hit a descriptor that another part of the program has opened in between.
 func StopAccepting(listener net.Listener) {
 	control(listener, func(fd uintptr) {
 		_ = unix.Shutdown(int(fd), unix.SHUT_RDWR) // fails only if the listener has already stopped accepting
