--- a/internal/buffer/buffer_test.go
+++ b/internal/buffer/buffer_test.go
@@ -13,16 +13,16 @@
 	for i := 0; i < len(text); i += 7 {
 		chain.Write(text[i:min(i+7, len(text))])
 	}
-	if chain.Len() != len(text) || !bytes.Equal(chain.Bytes(), text) || pool.Out() != 3*Size || !pool.Full() {
-		t.Fatal(chain.Len(), pool.Out())
+	if chain.Len() != len(text) || !bytes.Equal(chain.Bytes(), text) || pool.InUse() != 3*Size || !pool.Full() {
+		t.Fatalf("chain of %d bytes, %d bytes in use", chain.Len(), pool.InUse())
 	}
 	t.Run("append", func(t *testing.T) { checkAppend(t, pool, chain, text) })
 	t.Run("each", func(t *testing.T) { checkEach(t, chain) })
 	chain.Free()
 	chain.Free()
 	(*Chain)(nil).Free()
-	if pool.Out() != 0 || pool.Full() || chain.Bytes() != nil {
-		t.Error(pool.Out())
+	if pool.InUse() != 0 || pool.Full() || chain.Bytes() != nil {
+		t.Errorf("after Free: %d bytes in use", pool.InUse())
 	}
 }
 
@@ -41,7 +41,7 @@
 			defer target.Free()
 			target.Append(chain, part.start, part.end)
 			if want := append([]byte("x"), text[part.start:part.end]...); !bytes.Equal(target.Bytes(), want) {
-				t.Errorf("%d bytes", target.Len())
+				t.Errorf("got %d bytes, want %d", target.Len(), len(want))
 			}
 		})
 	}
@@ -58,6 +58,6 @@
 		return nil
 	})
 	if !errors.Is(err, errStop) || parts != 2 {
-		t.Error(err, parts)
+		t.Errorf("got error %v after %d parts, want %v after 2", err, parts, errStop)
 	}
 }
