--- a/internal/pipeline/accept.go
+++ b/internal/pipeline/accept.go
@@ -9,9 +9,9 @@
 	"lichenroad/settings"
 )
 
-// Accept makes the record of a request from the text of its statement and from body, the body of the message that
-// holds the text. It takes body over unless it returns an error, which wraps pgwire.ErrMalformed or
-// pgwire.ErrTooLong. It touches no state of the loop, so connections call it on the goroutine that reads.
+// Accept creates the record of a request from the text of its statement and from body, the body of the Query message
+// that contains the text. It takes ownership of body unless it returns an error, which wraps pgwire.ErrMalformed or
+// pgwire.ErrTooLong. It uses no state of the loop: connections call it on the goroutine that reads them.
 func Accept(site *settings.Site, text []byte, body *buffer.Chain, receivedAt relay.Seconds) (*Request, error) {
 	query, err := pgwire.ParseQuery(text)
 	if err != nil {
@@ -29,8 +29,8 @@
 	return request, nil
 }
 
-// NewRejected makes the record of a request that is rejected for the given reason without having been read, as there
-// is no capacity for it. It is counted like any other.
+// NewRejected creates the record of a request that is rejected without being parsed, because there is no capacity for
+// it. The client gets reason as the text of the error. The request is counted like any other.
 func NewRejected(reason string, receivedAt relay.Seconds) *Request {
 	return &Request{RejectReason: reason, ReceivedAt: receivedAt}
 }
--- a/internal/pipeline/account.go
+++ b/internal/pipeline/account.go
@@ -6,12 +6,13 @@
 	"lichenroad/relay"
 )
 
-// AttemptResult is how an attempt or a health check ended.
+// AttemptResult describes how an attempt or a health check ended. Duration counts from the last byte sent if a response
+// came or the connection broke, and from the command otherwise.
 type AttemptResult struct {
 	Outcome    relay.Outcome
-	Duration   relay.Seconds // of a response or a break from the last byte sent, else from the command
-	LoadReport []float32     // in the order of the settings' fields; nil: none
-	Response   *buffer.Chain // of an attempt that succeeded: what the client gets
+	Duration   relay.Seconds
+	LoadReport []float32     // in the order of the fields in the settings; nil if there is none
+	Response   *buffer.Chain // forwarded to the client; set only if the attempt succeeded
 }
 
 var outcomeCounters = [...]metrics.Counter{
@@ -32,8 +33,9 @@
 	StatusClientLeft: metrics.ClientLeft,
 }
 
-// EndAttempt records the end of an attempt or a health check and reports it to the module. Only the first end of an
-// attempt counts. It takes result.Response over. Only on the loop.
+// EndAttempt records the end of an attempt or a health check and reports it to the decision module. The response of a
+// successful attempt goes to the client if the request is still open. Only the first call for an attempt counts.
+// EndAttempt takes ownership of result.Response. Must run on the loop goroutine.
 func (l *Loop) EndAttempt(attempt *Attempt, result AttemptResult) {
 	if attempt.Ended {
 		result.Response.Free()
@@ -75,7 +77,7 @@
 	})
 }
 
-// finish records the end of a request.
+// finish sets the final status of a request, counts it and frees its body.
 func (l *Loop) finish(request *Request, status RequestStatus) {
 	request.Status = status
 	l.Metrics.Add(metrics.Open, -1)
@@ -84,8 +86,8 @@
 	l.markFinished(request)
 }
 
-// markFinished lists the record of a request that has ended, as has each of its attempts. The record is dropped once the
-// module has seen the end: commands of the step that is under way may still name it.
+// markFinished queues the record of a request for removal if the request and all its attempts have ended. The record
+// stays until the module has been told of the end, because commands of the current step may still refer to it.
 func (l *Loop) markFinished(request *Request) {
 	if request.Status != StatusOpen && request.openAttempts == 0 && !request.finished {
 		request.finished = true
@@ -93,7 +95,7 @@
 	}
 }
 
-// dropFinished drops the records of the first count requests listed, whose end the module has seen by now.
+// dropFinished removes the records of the first count requests in l.finished, whose end the module has been told of.
 func (l *Loop) dropFinished(count int) {
 	for _, request := range l.finished[:count] {
 		if request.openAttempts == 0 && l.requests[request.ID] == request {
--- a/internal/pipeline/admit.go
+++ b/internal/pipeline/admit.go
@@ -15,8 +15,8 @@
 	microsPerSecond = 1e6
 )
 
-// BeginRequest starts a request whose turn on its connection has come. Its time to answer counts from the given moment.
-// Only on the loop.
+// BeginRequest starts a request when the earlier requests on its connection are done. Its deadline counts from the
+// given time. Must run on the loop goroutine.
 func (l *Loop) BeginRequest(request *Request, from relay.Seconds) {
 	l.Metrics.Add(metrics.Accepted, 1)
 	l.Metrics.Add(metrics.Open, 1)
@@ -24,8 +24,8 @@
 	l.admit(request)
 }
 
-// admit shows a request to the decision module, which rejects it or commands attempts. At the bound of open requests it is
-// rejected before the module sees it.
+// admit passes a request to the decision module, which rejects it or commands attempts. At the limit of open requests
+// it rejects the request without asking the module.
 func (l *Loop) admit(request *Request) {
 	if request.RejectReason == "" && len(l.requests) >= l.maxOpenRequests() {
 		request.RejectReason = messageTooManyOpen
@@ -48,7 +48,8 @@
 	})
 }
 
-// maxOpenRequests is the settings' bound of open requests, as far as the program allows so many.
+// maxOpenRequests returns the limit of open requests from the settings, or limits.MaxOpenRequests if that is lower or
+// the settings name none.
 func (l *Loop) maxOpenRequests() int {
 	configured := l.Site.MaxInFlight
 	if configured <= 0 || configured > limits.MaxOpenRequests {
@@ -57,7 +58,7 @@
 	return configured
 }
 
-// nextRequestID gives an id that no held record has. Ids start over when their type is exhausted.
+// nextRequestID returns an ID that no record in l.requests has. IDs wrap around at the end of the range of their type.
 func (l *Loop) nextRequestID() relay.RequestID {
 	l.lastID++
 	for l.requests[l.lastID] != nil {
@@ -66,18 +67,18 @@
 	return l.lastID
 }
 
-// keyOf gives the object of a request as a number: the hexadecimal number that it is, or else its hash.
+// keyOf converts the object of a request to a number: its value if it is a hexadecimal number, otherwise its hash.
 func keyOf(object string) relay.Key {
 	const base, bits = 16, 64
 	if number, err := strconv.ParseUint(object, base, bits); err == nil {
 		return relay.Key(number)
 	}
 	hash := fnv.New64a()
-	_, _ = hash.Write([]byte(object)) // a hash never returns an error
+	_, _ = hash.Write([]byte(object)) // a hash.Hash never returns an error
 	return relay.Key(hash.Sum64())
 }
 
-// ClientLeft ends an open request whose client has disconnected. Only on the loop.
+// ClientLeft ends an open request whose client has disconnected. Must run on the loop goroutine.
 func (l *Loop) ClientLeft(request *Request) {
 	if request.Status == StatusOpen {
 		l.finish(request, StatusClientLeft)
--- a/internal/pipeline/attempt.go
+++ b/internal/pipeline/attempt.go
@@ -7,37 +7,40 @@
 	"lichenroad/relay"
 )
 
-// Attempt is a request on its way to one endpoint, or a health check. It belongs to the loop, but for the methods that
-// say otherwise.
+// Attempt is one attempt to have an endpoint serve a request, or a health check. Only the loop goroutine uses it,
+// except for the methods that are documented as safe for concurrent use.
 type Attempt struct {
-	Request   *Request // nil: a health check
+	Request   *Request // nil for a health check
 	Number    relay.AttemptNumber
 	Endpoint  relay.EndpointID
 	StartedAt relay.Seconds // when the module commanded it
-	Deadline  relay.Seconds // when it is given up
+	Deadline  relay.Seconds // when it times out
 	Ended     bool
-	Conn      UpstreamConn // that carries it; nil: none yet
+	Conn      UpstreamConn // the connection that carries it; nil until it has one
 
-	sendBy atomic.Uint64 // math.Float64bits of the send-by time; 0: none
+	sendBy atomic.Uint64 // math.Float64bits of the send-by time; 0 if there is none
 }
 
-// SetSendBy sets the time by which the attempt's last byte has to be written, or else the attempt is not sent. What the
-// module commanded it for may end while it waits for a connection or is being written. Only on the loop.
+// SetSendBy sets the time by which the last byte of the attempt has to be written; after it, the attempt is not sent.
+// This is for attempts whose reason may cease to hold while they wait for a connection or are being written. Must run
+// on the loop goroutine.
 func (attempt *Attempt) SetSendBy(at relay.Seconds) { attempt.sendBy.Store(math.Float64bits(at)) }
 
-// SendBy gives the time that SetSendBy set, if any. On any goroutine.
+// SendBy returns the time that SetSendBy set, if any. Safe for concurrent use.
 func (attempt *Attempt) SendBy() (at relay.Seconds, ok bool) {
 	at = math.Float64frombits(attempt.sendBy.Load())
 	return at, at != 0
 }
 
-// SendExpired says that the attempt must not be sent any more. On any goroutine.
+// SendExpired reports whether the send-by time has passed, so that the attempt must not be sent any more. Safe for
+// concurrent use.
 func (attempt *Attempt) SendExpired(now relay.Seconds) bool {
 	sendBy, ok := attempt.SendBy()
 	return ok && now >= sendBy
 }
 
-// RequestFinished says that the attempt's request is over, so that nothing of it should be sent. Only on the loop.
+// RequestFinished reports whether the request of the attempt has ended, so that nothing of it should be sent any more.
+// Must run on the loop goroutine.
 func (attempt *Attempt) RequestFinished() bool {
 	return attempt.Request != nil && attempt.Request.Status != StatusOpen
 }
--- a/internal/pipeline/commands.go
+++ b/internal/pipeline/commands.go
@@ -5,7 +5,8 @@
 	"lichenroad/relay"
 )
 
-// execute carries out one command of the module. A command about something that is over is skipped.
+// execute carries out one command of the decision module. Commands for a request or an attempt that has ended are
+// ignored, except SendAttempt (see route).
 func (l *Loop) execute(command relay.Command) {
 	switch command := command.(type) {
 	case relay.SendAttempt:
@@ -38,7 +39,7 @@
 	}
 }
 
-// vote hands a vote to the guard, or to the platform where there is none.
+// vote passes a vote of the module to the guard if there is one, otherwise to the platform.
 func (l *Loop) vote(vote relay.Vote) {
 	l.Metrics.Add(metrics.Votes, 1)
 	if l.Guard != nil {
@@ -48,7 +49,8 @@
 	}
 }
 
-// RolloutStatusReceived takes what the platform says of a rollout. Only on the loop.
+// RolloutStatusReceived passes a rollout status from the platform to the guard if there is one, otherwise to the
+// decision module. Must run on the loop goroutine.
 func (l *Loop) RolloutStatusReceived(status relay.RolloutStatus) {
 	if l.Guard != nil {
 		l.Guard.RolloutStatusReceived(status)
--- a/internal/pipeline/interfaces.go
+++ b/internal/pipeline/interfaces.go
@@ -5,21 +5,23 @@
 	"lichenroad/relay"
 )
 
-// Client is the connection that a request came on. internal/clients implements it.
+// Client receives the response to one request. internal/clients implements it.
 type Client interface {
-	// Respond sends the one final response to its request and takes it over. The loop calls it; it does not block.
+	// Respond sends the only and final response to the request and takes ownership of it. It is called on the loop
+	// goroutine and must not block.
 	Respond(response *buffer.Chain)
 }
 
-// Upstream is the connections to the endpoints. internal/upstream implements it. The loop calls each method, on its own
-// goroutine; none blocks. Each attempt and health check ends by one call of Loop.EndAttempt.
+// Upstream manages the connections to the endpoints. internal/upstream implements it. All methods are called on the
+// loop goroutine and must not block. Each attempt and each health check ends with one call of Loop.EndAttempt.
 type Upstream interface {
-	// Send gives an attempt a connection, or has it wait for one.
+	// Send sends an attempt on an idle connection, or queues it until a connection is ready.
 	Send(attempt *Attempt)
-	// Cancel gives an attempt up, and says whether its last byte may have been written. The caller ends the attempt.
+	// Cancel abandons an attempt, and reports whether its last byte may have been written. The caller then calls
+	// Loop.EndAttempt.
 	Cancel(attempt *Attempt) (sent bool)
-	// CancelUnsent ends an attempt as not sent unless its last byte has been written. The caller has set its send-by
-	// time to the present.
+	// CancelUnsent ends an attempt as not sent unless its last byte has been written. The caller sets the send-by time
+	// of the attempt to the current time first.
 	CancelUnsent(attempt *Attempt)
 	// HealthCheck starts a health check of an endpoint.
 	HealthCheck(endpoint relay.EndpointID)
@@ -27,41 +29,41 @@
 	CloseIdle(endpoint relay.EndpointID)
 }
 
-// UpstreamConn is the connection that carries an attempt. The Upstream that set Attempt.Conn is its only caller, on the
-// loop.
+// UpstreamConn is the connection that carries an attempt. Only the Upstream that set Attempt.Conn calls it, on the loop
+// goroutine.
 type UpstreamConn interface {
-	// Cancel closes the connection, and says whether the last byte of its attempt may have been written.
+	// Cancel closes the connection, and reports whether the last byte of its attempt may have been written.
 	Cancel() (sent bool)
 }
 
-// Discovery is the source of the endpoint list. internal/discovery implements it. The loop calls each method for a
-// command of the module; none blocks.
+// Discovery provides the endpoint list. internal/discovery implements it. The loop calls the methods to carry out
+// commands of the decision module; they must not block.
 type Discovery interface {
-	// Watch opens or ends the watch on the list; restart has a new one take the place of one that stands.
+	// Watch starts or stops the watch on the endpoint list. If restart is set, a new watch replaces the current one.
 	Watch(on, restart bool)
-	// FetchList fetches the whole list once.
+	// FetchList fetches the full list once.
 	FetchList()
 }
 
-// Platform is where votes on rollouts are cast. internal/platform implements it. The loop calls it for a command of the
-// module, or the Guard does, on the loop; it does not block.
+// Platform casts votes on rollouts. internal/platform implements it. The loop calls it to carry out commands of the
+// decision module, or the Guard calls it on the loop goroutine; it must not block.
 type Platform interface {
-	// Vote casts a vote. What came of it is reported by Loop.RolloutStatusReceived.
+	// Vote casts a vote. The result is reported through Loop.RolloutStatusReceived.
 	Vote(vote relay.Vote)
 }
 
-// Peers is the other relays. internal/peers implements it. The loop calls it for a command of the module; it does not
-// block, and messages may be lost.
+// Peers sends messages to the other relays, which may be lost. internal/peers implements it. The loop calls it to carry
+// out commands of the decision module; it must not block.
 type Peers interface {
-	// SendMessage sends a message to one relay, or to all.
+	// SendMessage sends a message to one relay, or to all others.
 	SendMessage(message relay.SendMessage)
 }
 
-// Guard stands between the platform and the module where a release plan holds. internal/guard implements it. The loop
-// calls each method; none blocks.
+// Guard enforces a release plan between the platform and the decision module. internal/guard implements it. All methods
+// are called on the loop goroutine and must not block.
 type Guard interface {
-	// RolloutStatusReceived takes what the platform said in place of the module.
+	// RolloutStatusReceived handles a status from the platform that would otherwise go to the module.
 	RolloutStatusReceived(status relay.RolloutStatus)
-	// Vote takes a vote of the module in place of the platform.
+	// Vote handles a vote of the module that would otherwise go to the platform.
 	Vote(vote relay.Vote)
 }
--- a/internal/pipeline/loop.go
+++ b/internal/pipeline/loop.go
@@ -1,11 +1,12 @@
-// Package pipeline takes a request through its stages: accept, admit, route, send, respond, account, one file each. It
-// holds the one loop that owns the decision module (package policy) and the records of all requests.
+// Package pipeline takes a request through its stages: accept, admit, route, send, respond and account, each in a file
+// of its own. Its Loop owns the decision module (package policy) and the records of all requests.
 //
-// Whatever happens on a socket or elsewhere is posted to the loop as an Event. The loop applies the events, fires its
-// timers, has the module step over what all that meant, and carries out the module's commands in their order. It never
-// blocks and decides nothing. Accept runs on the goroutine that reads a connection, all else on the loop, unless a method
-// says otherwise. The parts that do I/O import this package and implement its interfaces; it imports the module (policy,
-// relay, settings), the codec (internal/pgwire), the buffers, the bounds and the counters.
+// Whatever happens outside the loop, such as input on a socket, is posted to it as an Event. In each round the loop
+// applies the posted events, runs the timers that are due, passes the resulting relay.Events to the decision module in
+// one step, and carries out the module's commands in order. The loop never blocks and makes no decisions itself. Accept
+// runs on the goroutine that reads a connection; all else runs on the loop goroutine unless documented otherwise.
+// Packages that do I/O import this package and implement its interfaces. It imports the decision module (policy, relay,
+// settings), the codec (internal/pgwire), the buffers, the limits and the counters.
 package pipeline
 
 import (
@@ -21,9 +22,9 @@
 	"lichenroad/settings"
 )
 
-// Loop owns the decision module. The goroutine that calls Run is the loop's; it ends when Run's stop channel is closed.
-// The exported fields are set before Run and constant from then on. mu guards the queue of posted events; all other
-// fields belong to the loop.
+// Loop owns the decision module. The goroutine that calls Run is the loop goroutine. The exported fields are set before
+// Run and constant from then on. mu guards the queue of posted events; the other unexported fields are for the loop
+// goroutine only.
 type Loop struct {
 	Clock     Clock
 	Site      settings.Site
@@ -34,11 +35,11 @@
 	Discovery Discovery
 	Platform  Platform
 	Peers     Peers
-	Guard     Guard // nil: none
+	Guard     Guard // nil if there is none
 
 	module        *policy.Policy
 	requests      map[relay.RequestID]*Request
-	finished      []*Request // that ended since the last step, and wait for dropFinished
+	finished      []*Request // requests that have ended, to be removed by dropFinished
 	lastID        relay.RequestID
 	events        []relay.Event // for the module's next step
 	timers        timerHeap
@@ -48,11 +49,11 @@
 
 	mu     sync.Mutex
 	posted []Event
-	spare  []Event       // the last slice that TakePosted gave, whose space is used again; of the loop
-	wakeup chan struct{} // has one element when the loop is to look at posted
+	spare  []Event       // the last slice that TakePosted returned, reused for the next events; not guarded by mu
+	wakeup chan struct{} // wakes the loop to apply posted; buffered, so that Post never blocks
 }
 
-// NewLoop returns a loop with a fresh decision module.
+// NewLoop returns a loop with a new decision module.
 func NewLoop(site settings.Site, seed int64, pool *buffer.Pool, counters *metrics.Counters, log *logrus.Logger) *Loop {
 	return &Loop{
 		Clock:    NewClock(),
@@ -66,10 +67,10 @@
 	}
 }
 
-// Run runs the loop until stop is closed. Events that are posted later are not applied.
+// Run runs the loop until stop is closed. Events posted after that are not applied.
 func (l *Loop) Run(stop <-chan struct{}) {
-	alarm := time.NewTimer(0)
-	defer alarm.Stop()
+	wakeTimer := time.NewTimer(0)
+	defer wakeTimer.Stop()
 	for {
 		for _, event := range l.TakePosted() {
 			event.Apply(l)
@@ -77,21 +78,21 @@
 		l.fireTimers()
 		if len(l.events) > 0 {
 			l.step()
-			continue // the commands may have led to more events
+			continue // the commands may have caused more events
 		}
 		if len(l.timers) > 0 {
-			alarm.Reset(l.untilNextTimer())
+			wakeTimer.Reset(l.untilNextTimer())
 		}
 		select {
 		case <-stop:
 			return
 		case <-l.wakeup:
-		case <-alarm.C:
+		case <-wakeTimer.C:
 		}
 	}
 }
 
-// step shows the module all that has happened, and carries out its commands.
+// step passes the collected events to the decision module and carries out its commands.
 func (l *Loop) step() {
 	events := l.TakeEvents()
 	finishedBefore := len(l.finished)
@@ -101,17 +102,19 @@
 	l.dropFinished(finishedBefore)
 }
 
-// AddEvent adds an event to those that the module sees with its next step. Only on the loop.
+// AddEvent adds an event for the next step of the decision module. Must run on the loop goroutine.
 func (l *Loop) AddEvent(event relay.Event) { l.events = append(l.events, event) }
 
-// TakeEvents gives the events for the module's next step, and forgets them. Only on the loop.
+// TakeEvents returns the events for the next step of the decision module and clears them. Must run on the loop
+// goroutine.
 func (l *Loop) TakeEvents() []relay.Event {
 	events := l.events
 	l.events = nil
 	return events
 }
 
-// OpenService begins service: an endpoint list stands that may be acted on. Only on the loop.
+// OpenService opens service to clients: there is an endpoint list that may be used, or clients are no longer to wait
+// for one. Must run on the loop goroutine.
 func (l *Loop) OpenService() {
 	if l.serviceOpen {
 		return
@@ -123,7 +126,8 @@
 	l.onServiceOpen = nil
 }
 
-// OnServiceOpen runs a function once service has begun, at once if it has already. Only on the loop.
+// OnServiceOpen runs a function as soon as service is open, immediately if it already is. Must run on the loop
+// goroutine.
 func (l *Loop) OnServiceOpen(run func()) {
 	if l.serviceOpen {
 		run()
--- a/internal/pipeline/mailbox.go
+++ b/internal/pipeline/mailbox.go
@@ -5,10 +5,10 @@
 	"lichenroad/internal/metrics"
 )
 
-// Event is something that happened outside the loop. It carries the time at which it happened where that matters, as it
-// may wait in the queue.
+// Event is something that happened outside the loop. An event whose time matters carries it, as the event may wait in
+// the queue.
 type Event interface {
-	// Apply takes the event in. It runs on the loop and does not block.
+	// Apply updates the loop's state for the event. It runs on the loop goroutine and must not block.
 	Apply(l *Loop)
 }
 
@@ -18,19 +18,20 @@
 // Apply implements Event.
 func (f Func) Apply(l *Loop) { f(l) }
 
-// Post hands an event to the loop. It never blocks and never loses an event; whoever calls it is bounded by other means,
-// such as the number of connections. On any goroutine.
+// Post queues an event for the loop. It never blocks and never drops an event, so the number of events has to be
+// bounded by other means, such as the number of connections. Safe for concurrent use.
 func (l *Loop) Post(event Event) {
 	l.mu.Lock()
 	l.posted = append(l.posted, event)
 	l.mu.Unlock()
 	select {
 	case l.wakeup <- struct{}{}:
-	default: // the loop is to wake up already
+	default: // a wake-up is already pending
 	}
 }
 
-// TryPost posts an event that may be lost, and says whether the queue had space for it. On any goroutine.
+// TryPost posts an event unless the queue is full, and reports whether it did. It is meant for events that may be lost.
+// Safe for concurrent use.
 func (l *Loop) TryPost(event Event) bool {
 	l.mu.Lock()
 	full := len(l.posted) >= limits.MaxQueuedEvents
@@ -43,7 +44,8 @@
 	return true
 }
 
-// TakePosted empties the queue of posted events. The slice is good until the next call. Only on the loop.
+// TakePosted returns the posted events and empties the queue. The slice is valid until the next call. Must run on the
+// loop goroutine.
 func (l *Loop) TakePosted() []Event {
 	clear(l.spare)
 	if cap(l.spare) > limits.MaxRetainedEvents {
--- a/internal/pipeline/pipeline_test.go
+++ b/internal/pipeline/pipeline_test.go
@@ -15,13 +15,13 @@
 	"lichenroad/settings"
 )
 
-// fakeEnvironment implements Upstream and Client, and records what the loop does with them.
+// fakeEnvironment implements Upstream and Client, and records the calls of the loop.
 type fakeEnvironment struct {
 	sent            []*Attempt
 	cancelled       []*Attempt
 	unsentCancelled []*Attempt
 	responses       []string
-	wasSent         bool // what Cancel returns
+	wasSent         bool // the result of Cancel
 }
 
 func (env *fakeEnvironment) Send(attempt *Attempt) { env.sent = append(env.sent, attempt) }
@@ -81,7 +81,7 @@
 	l, env := newLoop(t)
 	request := beginRequest(t, l, env)
 	if got := l.TakeEvents()[0].(relay.Request); got.Deadline != request.ReceivedAt+0.48 || got.Key != 0x7f3a || got.ID != request.ID {
-		t.Errorf("%+v", got)
+		t.Errorf("request event %+v", got)
 	}
 }
 
@@ -99,30 +99,30 @@
 	}
 	got := attemptsEnded(l)
 	if len(got) != 2 || !got[0].RequestFinished || !got[1].RequestFinished || len(env.responses) != 1 || env.responses[0][:2] != "T\x00" {
-		t.Errorf("%+v %q", got, env.responses)
+		t.Errorf("attempts ended %+v, responses %q", got, env.responses)
 	}
 	l.execute(relay.Reject{Request: request.ID})
 	l.execute(relay.Fail{Request: request.ID})
 	l.execute(relay.CancelAttempt{Request: request.ID})
 	l.dropFinished(len(l.finished))
 	if len(env.responses) != 1 || len(l.requests) != 0 || l.Pool.Out() != 0 || l.Metrics.Get(metrics.Succeeded) != 1 {
-		t.Errorf("%q, %d held, %s", env.responses, len(l.requests), l.Metrics.Fields())
+		t.Errorf("responses %q, %d records kept, counters %s", env.responses, len(l.requests), l.Metrics.Fields())
 	}
 }
 
-// TestAttemptOfARequestWhoseClientLeft has a command to send come for a request that ended before the module saw it:
-// the attempt has its one end all the same.
+// TestAttemptOfARequestWhoseClientLeft executes a SendAttempt for a request whose client has disconnected without the
+// module knowing yet: the attempt still ends exactly once, as not sent.
 func TestAttemptOfARequestWhoseClientLeft(t *testing.T) {
 	l, env := newLoop(t)
 	request := beginRequest(t, l, env)
 	l.ClientLeft(request)
 	l.execute(relay.SendAttempt{Request: request.ID, Endpoint: 1})
 	if got := attemptsEnded(l); len(got) != 1 || got[0].Outcome != relay.NotSent || !got[0].RequestFinished || len(env.sent) != 0 {
-		t.Errorf("%+v", got)
+		t.Errorf("attempts ended: %+v; want one, not sent", got)
 	}
 	l.dropFinished(len(l.finished))
 	if len(l.requests) != 0 || l.Pool.Out() != 0 {
-		t.Error("the record is kept")
+		t.Error("the request's record or its buffers were not released")
 	}
 }
 
@@ -135,7 +135,7 @@
 	}{
 		{"rejected",
 			func(id relay.RequestID) relay.Command { return relay.Reject{Request: id} }, pgwire.CodeFull, ""},
-		{"rejected with a time to come back",
+		{"rejected with a retry-after time",
 			func(id relay.RequestID) relay.Command { return relay.Reject{Request: id, RetryAfter: 0.2501} }, pgwire.CodeFull, "D251\x00"},
 		{"failed",
 			func(id relay.RequestID) relay.Command { return relay.Fail{Request: id} }, pgwire.CodeFailed, ""},
@@ -146,7 +146,7 @@
 			l.execute(c.command(request.ID))
 			_, code, _, err := pgwire.ParseError([]byte(env.responses[0])[5 : len(env.responses[0])-6])
 			if code != c.code || err != nil || !strings.Contains(env.responses[0], c.contains) {
-				t.Errorf("%q %v", env.responses, err)
+				t.Errorf("responses %q, parse error %v", env.responses, err)
 			}
 		})
 	}
@@ -165,19 +165,19 @@
 			l, env := newLoop(t)
 			env.wasSent = c.wasSent
 			request := beginRequest(t, l, env)
-			request.Deadline = l.Clock.Now() // over at once
+			request.Deadline = l.Clock.Now() // times out immediately
 			l.execute(relay.SendAttempt{Request: request.ID, Endpoint: 1, Timeout: 5})
 			l.TakeEvents()
 			l.fireTimers()
 			got := attemptsEnded(l)
 			if len(got) != 1 || got[0].Outcome != c.want || got[0].RequestFinished || len(env.cancelled) != 1 {
-				t.Errorf("%+v", got)
+				t.Errorf("attempts ended: %+v", got)
 			}
 		})
 	}
 }
 
-func TestResponseThatRacesTheTimeoutCountsOnce(t *testing.T) {
+func TestResponseAfterTimeoutIsDropped(t *testing.T) {
 	l, env := newLoop(t)
 	env.wasSent = true
 	request := beginRequest(t, l, env)
@@ -190,25 +190,25 @@
 	l.EndAttempt(env.sent[0], AttemptResult{Outcome: relay.Succeeded, Response: response})
 	l.execute(relay.Fail{Request: request.ID})
 	if got := attemptsEnded(l); len(got) != 1 || got[0].Outcome != relay.TimedOut || len(env.responses) != 1 || env.responses[0][0] != 'E' {
-		t.Errorf("%+v %q", got, env.responses)
+		t.Errorf("attempts ended %+v, responses %q", got, env.responses)
 	}
 	if l.Pool.Out() != 0 {
-		t.Error("the late response's buffers are not freed")
+		t.Error("the buffers of the late response were not freed")
 	}
 }
 
-func TestServiceOpensWithTheFirstList(t *testing.T) {
+func TestServiceOpensOnce(t *testing.T) {
 	l, _ := newLoop(t)
 	opened := 0
 	l.OnServiceOpen(func() { opened++ })
 	if opened != 0 {
-		t.Error("opened without a list")
+		t.Error("function ran before service was open")
 	}
 	l.OpenService()
 	l.OpenService()
 	l.OnServiceOpen(func() { opened++ })
 	if opened != 2 {
-		t.Errorf("opened %d times", opened)
+		t.Errorf("functions ran %d times, want 2", opened)
 	}
 }
 
@@ -221,7 +221,7 @@
 	}
 	l.fireTimers()
 	if len(got) != 3 || got[0] != 2 || got[1] != 1 || got[2] != 3 {
-		t.Error(got)
+		t.Error("timers ran in the order", got)
 	}
 }
 
@@ -229,11 +229,11 @@
 	l, _ := newLoop(t)
 	for range limits.MaxQueuedEvents {
 		if !l.TryPost(Func(func(*Loop) {})) {
-			t.Fatal("rejected below the bound")
+			t.Fatal("event refused though the queue is not full")
 		}
 	}
 	if l.TryPost(Func(func(*Loop) {})) || l.Metrics.Get(metrics.QueueLimitReached) != 1 {
-		t.Error("accepted over the bound")
+		t.Error("event accepted though the queue is full, or not counted")
 	}
 	l.TakePosted()
 	var order []int
@@ -244,12 +244,12 @@
 	l.Post(Func(func(*Loop) { close(stop) }))
 	l.Run(stop)
 	if len(order) != 3 || order[0] != 0 || order[2] != 2 {
-		t.Error(order)
+		t.Error("events were applied in the order", order)
 	}
 }
 
-// TestAttemptCarriesItsSendByTime has one command name the time by which an attempt is sent, and another cancel an attempt that
-// is not sent yet.
+// TestAttemptCarriesItsSendByTime checks that an attempt gets its send-by time from SendAttempt, and that CancelUnsent
+// sets it to the current time.
 func TestAttemptCarriesItsSendByTime(t *testing.T) {
 	l, env := newLoop(t)
 	request := beginRequest(t, l, env)
@@ -257,11 +257,11 @@
 	l.execute(relay.SendAttempt{Request: request.ID, Endpoint: 1})
 	l.execute(relay.SendAttempt{Request: request.ID, Endpoint: 2, SendBy: now + 60})
 	if env.sent[0].SendExpired(now+60) || env.sent[1].SendExpired(now+59) || !env.sent[1].SendExpired(now+60) {
-		t.Error("expired at another time than the command says")
+		t.Error("the attempt does not expire at the time that the command names")
 	}
 	l.execute(relay.CancelUnsent{Request: request.ID, Attempt: 0})
 	l.execute(relay.CancelUnsent{Request: request.ID, Attempt: 7})
 	if len(env.unsentCancelled) != 1 || !env.sent[0].SendExpired(l.Clock.Now()) {
-		t.Errorf("%d cancelled", len(env.unsentCancelled))
+		t.Errorf("%d attempts passed to CancelUnsent, want 1, expired", len(env.unsentCancelled))
 	}
 }
--- a/internal/pipeline/request.go
+++ b/internal/pipeline/request.go
@@ -6,37 +6,37 @@
 	"lichenroad/relay"
 )
 
-// RequestStatus is whether and how a request ended.
+// RequestStatus says whether a request is open or how it ended.
 type RequestStatus int
 
 const (
-	// StatusOpen is the status of a request without a final response.
+	// StatusOpen: the request has no final response yet.
 	StatusOpen RequestStatus = iota
-	// StatusSucceeded is the end by an endpoint's response.
+	// StatusSucceeded: the client got the response of an endpoint.
 	StatusSucceeded
-	// StatusRejected is the end by an error that says that nothing was done.
+	// StatusRejected: the client got an error that says that the request had no effect.
 	StatusRejected
-	// StatusFailed is the end by an error that leaves open what was done.
+	// StatusFailed: the client got an error that leaves open whether the request had an effect.
 	StatusFailed
-	// StatusClientLeft is the end by the client, which disconnected before it had a response.
+	// StatusClientLeft: the client disconnected before it got a response.
 	StatusClientLeft
 )
 
-// Request is the one record of a request, from the goroutine that read it until the module has seen its end. It belongs
-// to the loop from BeginRequest on.
+// Request is the record of one client request. The goroutine that reads the request creates it, and it is kept until
+// the decision module has been told of the end. From BeginRequest on, only the loop goroutine uses it.
 type Request struct {
 	pgwire.Query
 	ID           relay.RequestID
 	Client       Client
-	Body         *buffer.Chain // of the Query message; freed at the end
+	Body         *buffer.Chain // body of the Query message; freed when the request ends
 	ReceivedAt   relay.Seconds // when its last byte was read
 	Deadline     relay.Seconds // when the client gives up
 	Class        relay.RequestClass
 	Tenant       relay.Tenant
 	Attempts     []*Attempt
 	Status       RequestStatus
-	RejectReason string // why it is rejected before the module sees it; empty: it is not
+	RejectReason string // error text of a request that is rejected without asking the module; empty otherwise
 
 	openAttempts int
-	finished     bool // it is in Loop.finished
+	finished     bool // whether it has been added to Loop.finished
 }
--- a/internal/pipeline/respond.go
+++ b/internal/pipeline/respond.go
@@ -8,14 +8,14 @@
 	"lichenroad/relay"
 )
 
-// Texts of the ErrorResponses that the relay gives itself.
+// Texts of the ErrorResponses that the relay itself creates.
 const (
 	messageTooManyOpen = "no room for another query"
 	messageRejected    = "turned away, nothing was done"
 	messageFailed      = "given up, with no word on what was done"
 )
 
-// reject carries out the module's decision that a request is rejected: nothing of it was done.
+// reject carries out a command to reject a request, which has had no effect.
 func (l *Loop) reject(command relay.Reject) {
 	if request := l.requests[command.Request]; request != nil && request.Status == StatusOpen {
 		detail := retryAfterDetail(command.RetryAfter)
@@ -23,29 +23,30 @@
 	}
 }
 
-// fail carries out the module's decision that a request is given up: it may have been done.
+// fail carries out a command to fail a request, which may have had an effect.
 func (l *Loop) fail(command relay.Fail) {
 	if request := l.requests[command.Request]; request != nil && request.Status == StatusOpen {
 		l.respondError(request, StatusFailed, pgwire.CodeFailed, messageFailed, "")
 	}
 }
 
-// respond forwards an endpoint's response to the client, unchanged but for ReadyForQuery behind it.
+// respond forwards the response of an endpoint to the client, unchanged except for a ReadyForQuery at its end.
 func (l *Loop) respond(request *Request, response *buffer.Chain) {
 	writeChain(response, pgwire.Ready(nil))
 	l.finish(request, StatusSucceeded)
 	request.Client.Respond(response)
 }
 
-// respondError ends a request with an ErrorResponse of the relay itself.
+// respondError ends a request with an ErrorResponse that the relay itself creates.
 func (l *Loop) respondError(request *Request, status RequestStatus, code, text, detail string) {
 	l.finish(request, status)
 	message := pgwire.Ready(pgwire.ErrorResponse(pgwire.Error, code, text, detail))
 	request.Client.Respond(l.Pool.Filled(message))
 }
 
-// RetryAfterDetail is the detail field of a rejection at a bound, which the module does not see: the settings' longest
-// time to come back, or empty where they allow none. A client that came again at once would find the same bound.
+// RetryAfterDetail returns the detail field for a rejection at a limit of this process, which the module is not asked
+// about: the longest retry-after time of the settings, or an empty string if the settings do not allow one. A client
+// that retried immediately would hit the same limit.
 func (l *Loop) RetryAfterDetail() string {
 	if site := l.Site.Limits; site.RetryAfter {
 		return retryAfterDetail(site.MaxRetryAfter)
@@ -53,7 +54,7 @@
 	return ""
 }
 
-// retryAfterDetail is the detail field that names a time to come back; empty for none.
+// retryAfterDetail returns the detail field for a retry-after time, or an empty string if the time is 0.
 func retryAfterDetail(after relay.Seconds) string {
 	if after > 0 {
 		return pgwire.RetryAfterDetail(int64(math.Ceil(after * millisPerSecond)))
--- a/internal/pipeline/route.go
+++ b/internal/pipeline/route.go
@@ -6,8 +6,9 @@
 	"lichenroad/relay"
 )
 
-// route turns the module's choice of an endpoint into an attempt with its deadline. A request that has ended since the
-// module last heard of it gets an attempt too, which ends as not sent: each command to send is owed one end.
+// route creates an attempt, with its deadline, for a command to send a request to an endpoint. If the request has ended
+// without the module knowing yet, the attempt is still created and ends as not sent: each SendAttempt command has to be
+// answered by exactly one AttemptEnded event.
 func (l *Loop) route(command relay.SendAttempt) {
 	request := l.requests[command.Request]
 	if request == nil {
@@ -32,7 +33,7 @@
 	l.send(attempt)
 }
 
-// cancelUnsent lets an attempt go on only if its last byte has been written.
+// cancelUnsent ends an attempt as not sent unless its last byte has been written.
 func (l *Loop) cancelUnsent(command relay.CancelUnsent) {
 	if attempt := l.openAttempt(command.Request, command.Attempt); attempt != nil {
 		attempt.SetSendBy(l.Clock.Now())
@@ -40,7 +41,7 @@
 	}
 }
 
-// cancelAttempt gives an attempt up.
+// cancelAttempt cancels an attempt whether or not it has been sent.
 func (l *Loop) cancelAttempt(command relay.CancelAttempt) {
 	if attempt := l.openAttempt(command.Request, command.Attempt); attempt != nil {
 		l.Upstream.Cancel(attempt)
@@ -48,8 +49,8 @@
 	}
 }
 
-// openAttempt finds an attempt that has not ended; nil if there is none. A command may name one that is over, as the
-// module learns of ends only with its next step.
+// openAttempt returns the attempt if it has not ended, otherwise nil. A command may refer to an attempt that has ended,
+// because the module is told of the end only in its next step.
 func (l *Loop) openAttempt(id relay.RequestID, number relay.AttemptNumber) *Attempt {
 	request := l.requests[id]
 	if request == nil || number < 0 || int(number) >= len(request.Attempts) || request.Attempts[number].Ended {
--- a/internal/pipeline/send.go
+++ b/internal/pipeline/send.go
@@ -9,7 +9,8 @@
 	"lichenroad/relay"
 )
 
-// send hands an attempt to the connections of its endpoint, and ends it at its deadline.
+// send passes an attempt to the upstream connections and sets a timer for its deadline. The attempt of a request that
+// has ended is not sent.
 func (l *Loop) send(attempt *Attempt) {
 	l.Metrics.Add(metrics.AttemptsSent, 1)
 	l.Metrics.Add(metrics.AttemptsOpen, 1)
@@ -21,20 +22,20 @@
 	l.Upstream.Send(attempt)
 }
 
-// timeOut ends an attempt that has reached its deadline.
+// timeOut ends an attempt at its deadline unless it has already ended.
 func (l *Loop) timeOut(attempt *Attempt) {
 	if attempt.Ended {
 		return
 	}
 	outcome := relay.TimedOut
 	if sent := l.Upstream.Cancel(attempt); !sent {
-		outcome = relay.ConnectFailed // it never left this relay
+		outcome = relay.ConnectFailed // the endpoint never got the complete request
 	}
 	l.EndAttempt(attempt, AttemptResult{Outcome: outcome, Duration: l.Clock.Now() - attempt.StartedAt})
 }
 
-// Message builds what goes to the endpoint: the statement as the client sent it, with the time that this relay will
-// still wait in place of the client's. The caller frees it.
+// Message builds the Query message for the endpoint: the statement as the client sent it, with its deadline parameter
+// replaced by the time in milliseconds that this relay will still wait. The caller frees the message.
 func (attempt *Attempt) Message(pool *buffer.Pool, now relay.Seconds) *buffer.Chain {
 	const decimal, queryType = 10, 'Q'
 	request := attempt.Request
@@ -49,7 +50,7 @@
 	return message
 }
 
-// writeChain appends bytes to a chain, whose Write never fails.
+// writeChain appends bytes to a chain.
 func writeChain(chain *buffer.Chain, b []byte) {
-	_, _ = chain.Write(b) // it has an error result for io.Writer alone
+	_, _ = chain.Write(b) // never fails; the error result is there for io.Writer
 }
--- a/internal/pipeline/timers.go
+++ b/internal/pipeline/timers.go
@@ -8,8 +8,8 @@
 	"lichenroad/relay"
 )
 
-// RunAt runs a function on the loop at or after a time. Functions of the same time run in the order of the calls. Only on
-// the loop.
+// RunAt schedules a function to run on the loop goroutine at the given time or a little later. Functions scheduled for
+// the same time run in the order of the calls. Must run on the loop goroutine.
 func (l *Loop) RunAt(at relay.Seconds, run func()) {
 	l.timerSequence++
 	heap.Push(&l.timers, timer{at, l.timerSequence, run})
@@ -23,20 +23,19 @@
 	}
 }
 
-// untilNextTimer is the time until the earliest timer is due, rounded up so that it is never early.
+// untilNextTimer returns the time until the earliest timer is due, rounded up so that the loop does not wake too early.
 func (l *Loop) untilNextTimer() time.Duration {
 	return time.Duration(math.Ceil((l.timers[0].at - l.Clock.Now()) * nanosPerSecond))
 }
 
-// timer is a function that runs at a time.
+// timer is a function that is scheduled to run at a time.
 type timer struct {
 	at       relay.Seconds
-	sequence uint64 // of the calls of RunAt
+	sequence uint64 // number of the RunAt call; orders timers of the same time
 	run      func()
 }
 
-// timerHeap implements heap.Interface, the earliest timer first. Its methods are called by container/heap alone, whose
-// interface has the element as any.
+// timerHeap implements heap.Interface with the earliest timer first. Only container/heap calls its methods.
 type timerHeap []timer
 
 // Len implements sort.Interface.
@@ -57,7 +56,7 @@
 func (t *timerHeap) Pop() any {
 	old := *t
 	last := old[len(old)-1]
-	old[len(old)-1] = timer{} // lets go of the function
+	old[len(old)-1] = timer{} // lets the function be garbage collected
 	*t = old[:len(old)-1]
 	return last
 }
