--- a/internal/clients/clients_test.go
+++ b/internal/clients/clients_test.go
@@ -20,10 +20,10 @@
 	"lichenroad/settings"
 )
 
-// testTimeout is how long a test waits for what should come at once.
+// testTimeout bounds the wait for things that should happen immediately.
 const testTimeout = 10 * time.Second
 
-// harness is a server on loopback whose loop is stepped by hand: the test chooses the order in which the loop sees
+// harness is a server on loopback whose loop does not run by itself: the test decides when the loop applies posted
 // events.
 type harness struct {
 	*testing.T
@@ -49,20 +49,20 @@
 	return h
 }
 
-// applyPosted has the loop apply the events posted so far.
+// applyPosted applies the events posted so far.
 func (h harness) applyPosted() {
 	for _, e := range h.TakePosted() {
 		e.Apply(h.Loop)
 	}
 }
 
-// waitFor applies posted events until a condition holds.
+// waitFor applies posted events until a condition holds; what describes the condition.
 func (h harness) waitFor(what string, holds func() bool) {
 	h.Helper()
 	h.poll(what, holds, h.applyPosted)
 }
 
-// waitWithoutLoop waits until a condition holds, and applies nothing meanwhile.
+// waitWithoutLoop waits until a condition holds without applying posted events.
 func (h harness) waitWithoutLoop(what string, holds func() bool) {
 	h.Helper()
 	h.poll(what, holds, func() {})
@@ -72,12 +72,12 @@
 	h.Helper()
 	for end := time.Now().Add(testTimeout); !holds(); time.Sleep(100 * time.Microsecond) {
 		if step(); time.Now().After(end) {
-			h.Fatal("not in time: " + what)
+			h.Fatal("timed out waiting for " + what)
 		}
 	}
 }
 
-// testClient is the client's side of a connection.
+// testClient is the client side of a connection.
 type testClient struct {
 	harness
 	net.Conn
@@ -95,7 +95,7 @@
 	return testClient{h, n, bufio.NewReader(n)}
 }
 
-// read gives the next message.
+// read returns the next message.
 func (c testClient) read() (kind byte, body []byte, err error) {
 	var head [5]byte
 	if _, err := io.ReadFull(c.reader, head[:]); err != nil {
@@ -106,13 +106,14 @@
 	return head[0], body, err
 }
 
-// readUntil reads messages up to one of a kind, and gives the code of an error on the way.
+// readUntil reads messages up to and including the first of the given kind. It returns the code of the last
+// ErrorResponse among them, or an empty string.
 func (c testClient) readUntil(kind byte) (code string) {
 	c.Helper()
 	for {
 		k, body, err := c.read()
 		if err != nil {
-			c.Fatalf("no %c: %v", kind, err)
+			c.Fatalf("no message of type %c: %v", kind, err)
 		}
 		if k == 'E' {
 			_, code, _, _ = pgwire.ParseError(body)
@@ -123,7 +124,7 @@
 	}
 }
 
-// atEnd waits for the end of the connection, and says whether nothing more came before it.
+// atEnd waits for the end of the connection, and reports whether nothing more came before it.
 func (c testClient) atEnd() bool {
 	b, _ := io.ReadAll(c.reader)
 	return len(b) == 0
@@ -134,7 +135,7 @@
 	queryMessage   = pgwire.QueryMessage("SELECT body FROM objects WHERE oid = '7f3a' /* id=9b1f,c=look,d=900 */")
 )
 
-// session opens a connection, waits until it is idle, and gives both sides.
+// session opens a connection, waits until its startup has been answered, and returns both sides.
 func (h harness) session() (testClient, *conn) {
 	h.Helper()
 	before := map[*conn]bool{}
@@ -156,67 +157,67 @@
 	return client, session
 }
 
-// respond has the open request succeed, and the client read the response.
+// respond waits for a request, responds to it, and has the client read the response.
 func (h harness) respond(client testClient, c *conn) {
 	h.Helper()
-	h.waitFor("the query's turn", func() bool { return c.current != nil && c.current.request != nil })
+	h.waitFor("the request to be processed", func() bool { return c.current != nil && c.current.request != nil })
 	h.finish(c)
 	if code := client.readUntil('Z'); code != "" {
-		h.Errorf("responded with error %s", code)
+		h.Errorf("client got error %s in place of a response", code)
 	}
 }
 
-// finish responds to the open request.
+// finish responds to the request being processed.
 func (h harness) finish(c *conn) {
 	c.current.request.Body.Free()
 	c.current.Respond(h.Pool.Filled(pgwire.EmptyQueryResponse()))
 }
 
-// TestIdleCloseRacesAQuery tries to close a connection as idle while a query is at each place on its way in: it is not idle,
-// and the query is served.
+// TestIdleCloseRacesAQuery tries to close a connection as idle at each point between the arrival of a query and its
+// processing. The connection must not be closed, and the query must be served.
 func TestIdleCloseRacesAQuery(t *testing.T) {
 	h := newHarness(t, 100, 10)
 	for _, reason := range []metrics.CloseReason{metrics.ClosedByIdleTimeout, metrics.ClosedByShutdown} {
 		client, c := h.session()
 		client.Write(queryMessage)
-		h.waitWithoutLoop("the query is read", func() bool { return c.unanswered.Load() == 1 })
+		h.waitWithoutLoop("the query to be read", func() bool { return c.unanswered.Load() == 1 })
 		if c.closeIfQuiescent(reason) {
 			t.Error("closed with a query on its way to the loop")
 		}
 		h.respond(client, c)
 
 		client.Write(queryMessage[:20])
-		h.waitWithoutLoop("half of the query is read", func() bool { return c.partialSince.Load() != 0 })
-		h.waitFor("the response is written", func() bool { return c.current == nil })
+		h.waitWithoutLoop("part of the query to be read", func() bool { return c.partialSince.Load() != 0 })
+		h.waitFor("the response to be written", func() bool { return c.current == nil })
 		if c.closeIfQuiescent(reason) {
-			t.Error("closed with half of a query read")
+			t.Error("closed with part of a query read")
 		}
 		client.Write(queryMessage[20:])
 		h.respond(client, c)
 
-		release := make(chan struct{})
-		hook := func() { <-release }
+		unblock := make(chan struct{})
+		hook := func() { <-unblock }
 		h.server.beforeRead.Store(&hook)
 		client.Write(queryMessage)
-		h.waitFor("the library has the query", func() bool { return c.net.Reader().Len() == len(queryMessage) && c.current == nil })
+		h.waitFor("the query to be in netpoll's buffer", func() bool { return c.net.Reader().Len() == len(queryMessage) && c.current == nil })
 		if c.closeIfQuiescent(reason) {
-			t.Error("closed with a query in the library's buffer")
+			t.Error("closed with a query in netpoll's buffer")
 		}
-		close(release)
+		close(unblock)
 		h.respond(client, c)
-		h.waitFor("idle again", func() bool { return c.current == nil })
+		h.waitFor("the connection to be idle again", func() bool { return c.current == nil })
 		h.server.beforeRead.Store(nil)
 		if !c.closeIfQuiescent(reason) || !client.atEnd() {
-			t.Error("an idle connection is not closed")
+			t.Error("an idle connection was not closed")
 		}
 	}
 	if h.Metrics.Get(metrics.RejectedAfterClose) != 0 {
-		t.Error("rejected:", h.Metrics.Get(metrics.RejectedAfterClose))
+		t.Error("requests rejected after the close:", h.Metrics.Get(metrics.RejectedAfterClose))
 	}
 }
 
-// TestQueryReadWhileClosing has the close fall between the look and what was read: the query is rejected, not left
-// without a response.
+// TestQueryReadWhileClosing closes a connection as idle although a query has just been read or is in netpoll's buffer,
+// as happens when it arrives between the check and the close. The query must be rejected, not left without a response.
 func TestQueryReadWhileClosing(t *testing.T) {
 	h := newHarness(t, 100, 10)
 	closeAnyway := func(c *conn) {
@@ -228,41 +229,41 @@
 	}
 	client, c := h.session()
 	client.Write(append(queryMessage[:len(queryMessage):len(queryMessage)], queryMessage...))
-	h.waitWithoutLoop("two queries are read", func() bool { return c.unanswered.Load() == 2 })
+	h.waitWithoutLoop("two queries to be read", func() bool { return c.unanswered.Load() == 2 })
 	closeAnyway(c)
 	for range 2 {
 		if code := client.readUntil('Z'); code != pgwire.CodeShuttingDown {
-			t.Errorf("%q", code)
+			t.Errorf("error code %q, want that of a shutdown", code)
 		}
 	}
 	if !client.atEnd() {
-		t.Error("more, or no end")
+		t.Error("client got more than two responses")
 	}
 
 	client, c = h.session()
-	release := make(chan struct{})
-	hook := func() { <-release }
+	unblock := make(chan struct{})
+	hook := func() { <-unblock }
 	h.server.beforeRead.Store(&hook)
 	client.Write(queryMessage)
-	h.waitWithoutLoop("the library has the query", func() bool { return c.net.Reader().Len() == len(queryMessage) })
+	h.waitWithoutLoop("the query to be in netpoll's buffer", func() bool { return c.net.Reader().Len() == len(queryMessage) })
 	closeAnyway(c)
-	close(release)
+	close(unblock)
 	if code := client.readUntil('Z'); code != pgwire.CodeShuttingDown || !client.atEnd() {
-		t.Errorf("%q", code)
+		t.Errorf("error code %q, want that of a shutdown and no more responses", code)
 	}
-	h.waitFor("both are forgotten", func() bool { return len(h.server.conns) == 0 && h.Pool.Out() == 0 })
+	h.waitFor("both connections to be removed", func() bool { return len(h.server.conns) == 0 && h.Pool.Out() == 0 })
 	if h.Metrics.Get(metrics.RejectedAfterClose) != 3 || len(h.TakeEvents()) != 0 {
-		t.Error("not counted, or shown to the module")
+		t.Error("the rejected requests were not counted, or passed to the module")
 	}
 }
 
-// TestClientLeavesInEachState has the client disconnect while its query is read, behind another one or open: nothing of it is
-// left for the loop to forward, and the module is notified of the open one alone.
+// TestClientLeavesInEachState has a client disconnect with a query open, queued behind another one, or partly sent. All
+// its buffers must be freed, and the module must be told of the disconnect for the open query only.
 func TestClientLeavesInEachState(t *testing.T) {
 	for name, c := range map[string]struct {
-		sends [][]byte
-		halve bool // close the sending half only, which counts as a disconnect too
-		open  int
+		sends     [][]byte
+		halfClose bool // close only the sending half, which also counts as a disconnect
+		open      int
 	}{
 		"query and end at once":     {[][]byte{queryMessage}, false, 1},
 		"half-close":                {[][]byte{queryMessage}, true, 1},
@@ -278,12 +279,12 @@
 				all = append(all, b...)
 			}
 			client.Write(all)
-			if c.halve {
+			if c.halfClose {
 				client.Conn.(*net.TCPConn).CloseWrite()
 			} else {
 				client.Close()
 			}
-			h.waitFor("the end", func() bool { return len(h.server.conns) == 0 })
+			h.waitFor("the connection to be removed", func() bool { return len(h.server.conns) == 0 })
 			accepted, disconnected := 0, 0
 			for _, e := range h.TakeEvents() {
 				switch e.(type) {
@@ -294,24 +295,24 @@
 				}
 			}
 			if accepted != c.open || disconnected != c.open {
-				t.Errorf("%d requests, %d disconnects", accepted, disconnected)
+				t.Errorf("the module got %d requests and %d disconnects", accepted, disconnected)
 			}
 			if h.Pool.Out() != 0 {
-				t.Error("buffers are not freed")
+				t.Error("buffers were not freed")
 			}
 		})
 	}
 }
 
-// TestConnectionOverTheLimitIsRejected has a client connect, with its query right behind the startup, beyond the
-// connections that are told of the limit once their startup is read: it is rejected with a time to come back.
-// One connection below that is told of the limit behind its startup.
+// TestConnectionOverTheLimitIsRejected connects two clients to a server that is full. The second connection is within
+// maxOverLimit and gets the error after its startup. The third is beyond that: although it has already sent a query, it
+// gets the error, with a retry-after time, without being read.
 func TestConnectionOverTheLimitIsRejected(t *testing.T) {
 	h := newHarness(t, 1, 1)
 	h.session()
 	second := h.dial()
 	second.Write(startupMessage)
-	h.waitFor("told of the limit", func() bool {
+	h.waitFor("the connection over the limit to be rejected", func() bool {
 		for c := range h.server.conns {
 			if c.overLimit && c.current != nil {
 				return true
@@ -320,49 +321,50 @@
 		return false
 	})
 	if code := second.readUntil('E'); code != pgwire.CodeFull {
-		t.Error(code)
+		t.Error("error code", code)
 	}
 	third := h.dial()
 	third.Write(append(startupMessage[:len(startupMessage):len(startupMessage)], queryMessage...))
 	kind, body, err := third.read()
 	if err != nil || kind != 'E' || !strings.Contains(string(body), "D750\x00") {
-		t.Fatalf("%c %q %v", kind, body, err)
+		t.Fatalf("got message %c %q, error %v; want an ErrorResponse with a retry-after time", kind, body, err)
 	}
 	if _, code, _, _ := pgwire.ParseError(body); code != pgwire.CodeFull {
-		t.Error(code)
+		t.Error("error code", code)
 	}
 }
 
-// TestConnectionsWithoutAStartupAreEvictedFirst has a client connect and send nothing: it is closed before one that was
-// served, and before that would be idle for long enough itself.
+// TestConnectionsWithoutAStartupAreEvictedFirst has a client connect and send nothing. Its connection is evicted before
+// one that has had a startup, and after a shorter idle time.
 func TestConnectionsWithoutAStartupAreEvictedFirst(t *testing.T) {
 	h := newHarness(t, 100, 10)
 	_, served := h.session()
 	silentClient := h.dial()
-	h.waitFor("both are accepted", func() bool { return len(h.server.conns) == 2 })
+	h.waitFor("both connections to be accepted", func() bool { return len(h.server.conns) == 2 })
 	if h.server.evictIdle() {
-		t.Error("closed at once: its startup may be on the way")
+		t.Error("evicted immediately, though its startup may be on the way")
 	}
 	for c := range h.server.conns {
 		c.idleSince -= limits.MinIdleBeforeStartup.Seconds()
 	}
 	if !h.server.evictIdle() || !silentClient.atEnd() || h.server.evictIdle() {
-		t.Error("the connection without a startup is not the one closed")
+		t.Error("the connection without a startup is not the only one evicted")
 	}
-	h.waitFor("it is closed", func() bool { return len(h.server.conns) == 1 })
+	h.waitFor("the evicted connection to be removed", func() bool { return len(h.server.conns) == 1 })
 	if served.closing {
-		t.Error("the one that was served was closed too")
+		t.Error("the connection that has had a startup was closed too")
 	}
 }
 
-// TestNewConnectionDuringShutdown has a connection accepted during the shutdown: it gets a moment for its first query.
+// TestNewConnectionDuringShutdown accepts a connection during the shutdown. It must get time for its first query, and
+// be closed after the response.
 func TestNewConnectionDuringShutdown(t *testing.T) {
 	h := newHarness(t, 100, 10)
 	ended := false
 	h.server.shuttingDown, h.server.onShutdown = true, func() { ended = true }
 	h.server.respondBy = h.Clock.Now() + 60
 	client := h.dial()
-	h.waitFor("it is accepted", func() bool { return len(h.server.conns) == 1 })
+	h.waitFor("the connection to be accepted", func() bool { return len(h.server.conns) == 1 })
 	client.Write(startupMessage)
 	if client.Write(queryMessage); len(h.server.conns) != 1 {
 		t.Fatal("closed before its first query")
@@ -370,32 +372,32 @@
 	var c *conn
 	for c = range h.server.conns {
 	}
-	h.waitFor("the query's turn", func() bool { return c.current != nil && c.current.request != nil })
+	h.waitFor("the request to be processed", func() bool { return c.current != nil && c.current.request != nil })
 	h.finish(c)
-	h.waitFor("closed behind its response", func() bool { return len(h.server.conns) == 0 })
+	h.waitFor("the connection to be closed after the response", func() bool { return len(h.server.conns) == 0 })
 	if code := client.readUntil('Z'); code != "" {
-		t.Error(code)
+		t.Error("the startup was answered with error", code)
 	}
 	if code := client.readUntil('Z'); code != "" || !client.atEnd() {
-		t.Error("no response, or no end:", code)
+		t.Error("no successful response, or more input after it:", code)
 	}
 	h.server.stopAccepting()
-	if h.waitFor("the end", func() bool { return ended }); !ended {
+	if h.waitFor("the end of the shutdown", func() bool { return ended }); !ended {
 		t.Error("onShutdown was not called")
 	}
 }
 
-// TestQueriesAfterSigtermEndBeforeSigkill shortens the deadline of a query to the time at which the program may be
-// killed.
+// TestQueriesAfterSigtermEndBeforeSigkill checks that the deadline of a query read during the shutdown is shortened to
+// the time by which the program has to respond before it may be killed.
 func TestQueriesAfterSigtermEndBeforeSigkill(t *testing.T) {
 	h := newHarness(t, 100, 10)
 	client, c := h.session()
 	h.server.Shutdown(func() {})
 	h.server.respondBy = h.Clock.Now() + 0.5
 	client.Write(queryMessage) // d=900
-	h.waitFor("the query's turn", func() bool { return c.current != nil && c.current.request != nil })
+	h.waitFor("the request to be processed", func() bool { return c.current != nil && c.current.request != nil })
 	if until := c.current.request.Deadline; until > h.server.respondBy+1e-9 || until < h.server.respondBy-0.4 {
-		t.Errorf("its deadline is %v, killed after %v", until, h.server.respondBy)
+		t.Errorf("the deadline of the query is %v, want one in the 0.4 s before %v", until, h.server.respondBy)
 	}
 	h.finish(c)
 }
--- a/internal/clients/close.go
+++ b/internal/clients/close.go
@@ -15,24 +15,25 @@
 const (
 	nanosPerSecond = 1e9
 
-	// messageShuttingDown is the text of the error to a request that was read while its connection was being closed.
+	// messageShuttingDown is the error text for a request that was read while its connection was being closed.
 	messageShuttingDown = "this relay is ending, nothing was done"
 )
 
-// closeNow closes the connection at once. On any goroutine.
+// closeNow closes the connection immediately. Safe for concurrent use.
 func (c *conn) closeNow(reason metrics.CloseReason) {
 	c.setCloseReason(reason)
 	c.inputIgnored.Store(true)
 	c.closeSocket()
 }
 
-// closeSocket closes the connection; netpoll calls handleClosed for the first call.
+// closeSocket closes the connection. The first call makes netpoll call handleClosed.
 func (c *conn) closeSocket() {
-	_ = c.net.Close() // there is nothing left to do about a failure
+	_ = c.net.Close() // nothing can be done about an error
 }
 
-// halfClose closes the sending half, so that the client reads all that was sent and then the end, and the rest when the
-// client has closed its half or is slow to. On the loop.
+// halfClose closes the sending half of the connection, so that the client reads everything that was sent and then end
+// of stream. The other half is closed when the client closes its side, or after limits.ClientCloseTimeout. Runs on the
+// loop goroutine.
 func (c *conn) halfClose(reason metrics.CloseReason) {
 	c.setCloseReason(reason)
 	c.inputIgnored.Store(true)
@@ -48,12 +49,13 @@
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if n, ok := c.net.(netpoll.Conn); ok && !c.closed {
-		_ = syscall.Shutdown(n.Fd(), syscall.SHUT_WR) // if it fails, the connection has ended or is closed a little later
+		_ = syscall.Shutdown(n.Fd(), syscall.SHUT_WR) // on failure the connection has ended or is closed soon anyway
 	}
 }
 
-// quiescent says that nothing has come on the connection that is still to be responded to: not read and on its way to
-// the loop, not half read, and not in the socket's buffer. On the loop.
+// quiescent reports whether no input on the connection still needs a response: no open request, none on its way to the
+// loop, no partial message, and nothing in the buffers of the library and the socket. A partial message counts only
+// until limits.PartialMessageTimeout. Runs on the loop goroutine.
 func (c *conn) quiescent() bool {
 	hasRequests := c.current != nil || len(c.queued) > 0 || c.unanswered.Load() > 0
 	startupOpen := c.startupReceived.Load() != c.startupAnswered.Load()
@@ -66,15 +68,15 @@
 			return false
 		}
 	}
-	c.mu.Lock() // while it is held the descriptor is this connection's own
+	c.mu.Lock() // keeps the descriptor from being closed and reused meanwhile
 	defer c.mu.Unlock()
 	n, ok := c.net.(netpoll.Conn)
 	return c.closed || !ok || !sockets.Readable(n.Fd())
 }
 
-// closeIfQuiescent closes the connection if it is quiescent, and says whether it was. What comes from now on is not read,
-// so that the client knows that it was not accepted and retries it elsewhere; what is read between the look and the close
-// is answered by rejectUnanswered. On the loop.
+// closeIfQuiescent closes the connection if it is quiescent, and reports whether it did. Input that arrives after the
+// close is not read, so the client can tell that it was not accepted and retries it elsewhere. Requests that are read
+// between the check and the close are answered by rejectUnanswered. Runs on the loop goroutine.
 func (c *conn) closeIfQuiescent(reason metrics.CloseReason) bool {
 	if c.closing || !c.quiescent() {
 		return false
@@ -87,33 +89,33 @@
 	return true
 }
 
-// rejectUnanswered rejects requests that were read as the connection was closed for being idle: a request that was read
-// has to get a response. The library no longer writes, but the descriptor is open until handleClosed returns, and nothing
-// else uses it.
+// rejectUnanswered rejects requests that were read while the connection was being closed as idle: every request that
+// was read must get a response. At this point netpoll no longer writes, but the descriptor is open until handleClosed
+// returns, and nothing else uses it.
 func (c *conn) rejectUnanswered() {
 	if c.net.Reader().Len() > 0 {
 		_ = c.read() // an error means that no more can be read
 	}
-	owed := c.unanswered.Load()
-	if owed == 0 && c.startupReceived.Load() && !c.startupAnswered.Load() {
-		owed = 1 // a startup, with a request behind it or about to come
+	rejected := c.unanswered.Load()
+	if rejected == 0 && c.startupReceived.Load() && !c.startupAnswered.Load() {
+		rejected = 1 // the client sends its first request right behind the startup, or is about to
 	}
 	n, ok := c.net.(netpoll.Conn)
-	if !ok || owed == 0 {
+	if !ok || rejected == 0 {
 		return
 	}
 	l := c.server.loop
-	l.Metrics.Add(metrics.RejectedAfterClose, owed)
+	l.Metrics.Add(metrics.RejectedAfterClose, rejected)
 	response := pgwire.Ready(pgwire.ErrorResponse(pgwire.Error, pgwire.CodeShuttingDown, messageShuttingDown, l.RetryAfterDetail()))
-	for range owed {
+	for range rejected {
 		_, _ = unix.SendmsgN(n.Fd(), response, nil, nil, unix.MSG_NOSIGNAL) // the connection ends in any case
 	}
 }
 
-// enforceStartupTimeout ends a connection that has sent no startup in time. On the loop.
+// enforceStartupTimeout closes a connection whose client has not sent a startup in time. Runs on the loop goroutine.
 func (c *conn) enforceStartupTimeout() {
 	if c.startupReceived.Load() || c.closing || c.closeIfQuiescent(metrics.ClosedByConnectTimeout) {
 		return
 	}
-	c.halfClose(metrics.ClosedByConnectTimeout) // half of a startup has come
+	c.halfClose(metrics.ClosedByConnectTimeout) // part of a startup packet has arrived
 }
--- a/internal/clients/conn.go
+++ b/internal/clients/conn.go
@@ -13,8 +13,8 @@
 	"lichenroad/relay"
 )
 
-// conn is one client's connection. It is of three goroutines: the loop, a poller's that reads, and the one that writes
-// its outbox.
+// conn is the connection of one client. Three goroutines use it: the loop goroutine, that of a netpoll poller, which
+// reads, and the one that writes its outbox.
 type conn struct {
 	// Constant.
 	server     *Server
@@ -23,42 +23,42 @@
 
 	outbox outbox
 
-	// Of the goroutine that reads.
+	// Used by the reading goroutine only.
 	splitter       pgwire.Splitter
 	startupPackets int
 
-	// Of the loop.
-	current     *inputMessage   // whose turn it is; nil: idle
-	queued      []*inputMessage // that wait for their turn
-	idleSince   relay.Seconds   // when the last response was written
-	listElement *list.Element   // in list, while it has no open request
+	// Used by the loop goroutine only.
+	current     *inputMessage   // the message being processed; nil if none is
+	queued      []*inputMessage // messages to be processed after current
+	idleSince   relay.Seconds   // when the last response was written, or the connection was accepted
+	listElement *list.Element   // the element in list; nil while a message is processed or the connection is closing
 	list        *list.List      // Server.awaitingStartup or Server.idle
 	overLimit   bool            // accepted beyond Server.maxConns
 	closing     bool
 
-	// Of any goroutine.
+	// Used by any goroutine.
 	startupReceived atomic.Bool
 	startupAnswered atomic.Bool
-	partialSince    atomic.Int64 // ns of the loop's clock when a message was last seen to be incomplete; 0: none is
+	partialSince    atomic.Int64 // when a message was last seen incomplete, in ns of the loop's clock; 0 if none is
 	closedAsIdle    atomic.Bool
 	inputIgnored    atomic.Bool
-	unanswered      atomic.Int64 // requests read and not yet responded to
+	unanswered      atomic.Int64 // requests that were read and have no response yet
 	requestCount    atomic.Int64
 
-	mu          sync.Mutex // guards what follows, and that the descriptor is this connection's own
+	mu          sync.Mutex // guards the fields below, and keeps the descriptor open unless closed is set
 	closed      bool       // the descriptor is about to be closed
 	closeReason metrics.CloseReason
-	fault       error // what was wrong with what came
+	connErr     error // what was wrong, for the log; nil if nothing was
 }
 
-// handleClosed runs once when the connection has ended, with no read under way.
+// handleClosed runs once after the connection has ended. No read is in progress then.
 func (c *conn) handleClosed(netpoll.Connection) error {
 	c.mu.Lock()
 	c.closed = true
 	if c.closeReason == "" {
 		c.closeReason = metrics.ClosedByPeer
 	}
-	reason, fault := c.closeReason, c.fault
+	reason, connErr := c.closeReason, c.connErr
 	c.mu.Unlock()
 	if c.closedAsIdle.Load() {
 		c.rejectUnanswered()
@@ -73,14 +73,14 @@
 		Reason:   reason,
 		Age:      s.loop.Clock.Now() - c.acceptedAt,
 		Requests: int(c.requestCount.Load()),
-		Err:      fault,
+		Err:      connErr,
 	}
 	end.Log(s.loop.Log)
 	s.loop.Post(pipeline.Func(func(*pipeline.Loop) { s.removeConn(c) }))
 	return nil
 }
 
-// removeConn forgets a connection that has ended, and ends its requests. On the loop.
+// removeConn removes a connection that has ended, and ends its requests. Runs on the loop goroutine.
 func (s *Server) removeConn(c *conn) {
 	delete(s.conns, c)
 	c.setIdle(false)
@@ -94,7 +94,8 @@
 	s.finishShutdown()
 }
 
-// setIdle notes whether the connection is idle. On the loop.
+// setIdle adds the connection to the server's list of connections without a startup or of idle ones, or removes it from
+// its list. A connection that is being closed is not added. Runs on the loop goroutine.
 func (c *conn) setIdle(idle bool) {
 	if c.listElement != nil {
 		c.list.Remove(c.listElement)
@@ -110,7 +111,7 @@
 	c.listElement = c.list.PushBack(c)
 }
 
-// setCloseReason notes why the connection is closed; the first reason holds. On any goroutine.
+// setCloseReason records why the connection is closed; the first reason is kept. Safe for concurrent use.
 func (c *conn) setCloseReason(reason metrics.CloseReason) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -119,9 +120,9 @@
 	}
 }
 
-// setFault notes what was wrong with what came. On any goroutine.
-func (c *conn) setFault(fault error) {
+// setConnErr records the error for which the connection is closed. Safe for concurrent use.
+func (c *conn) setConnErr(err error) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.fault = fault
+	c.connErr = err
 }
--- a/internal/clients/outbox.go
+++ b/internal/clients/outbox.go
@@ -7,21 +7,22 @@
 	"lichenroad/internal/metrics"
 )
 
-// outbox holds what a connection is to send, in order, so that its callers never wait for the client. A goroutine writes
-// it as long as it is not empty.
+// outbox is the queue of messages to send on a connection, so that callers of send never wait for the client. A
+// goroutine writes the messages in order and runs as long as there are any.
 type outbox struct {
 	mu      sync.Mutex // guards all fields
 	queue   []outgoing
-	writing bool // the goroutine runs
+	writing bool // the goroutine is running
 }
 
-// outgoing is one message that is to be sent.
+// outgoing is one message to be sent.
 type outgoing struct {
 	chain     *buffer.Chain
-	onWritten func() // nil: nothing
+	onWritten func() // may be nil
 }
 
-// send queues a chain, which it takes over; onWritten runs when it is written, or has failed to be. On any goroutine.
+// send queues a chain to be written and takes ownership of it. onWritten runs after the write, whether or not that
+// succeeded. Safe for concurrent use.
 func (c *conn) send(chain *buffer.Chain, onWritten func()) {
 	c.outbox.mu.Lock()
 	defer c.outbox.mu.Unlock()
@@ -32,8 +33,8 @@
 	}
 }
 
-// writeOutbox writes the outbox until it is empty. After a failure the connection is closed, so the writes of what is
-// left fail at once.
+// writeOutbox writes messages until the outbox is empty. A failed write closes the connection, so that the writes of
+// the remaining messages fail immediately.
 func (c *conn) writeOutbox() {
 	for {
 		next, ok := c.outbox.take()
@@ -49,8 +50,8 @@
 	}
 }
 
-// write writes a chain and frees it. The connection's own Write is safe against a close meanwhile; netpoll's Writer is
-// not.
+// write writes a chain and frees it. It uses the connection's Write method, which is safe when the connection is closed
+// concurrently; netpoll's Writer is not.
 func (c *conn) write(chain *buffer.Chain) error {
 	defer chain.Free()
 	return chain.Each(func(part []byte) error {
@@ -59,7 +60,8 @@
 	})
 }
 
-// take gives the next message. If there is none, the goroutine that asks is no longer the writer.
+// take removes and returns the next message. If there is none, it marks the writing goroutine as ended: the caller must
+// return.
 func (o *outbox) take() (next outgoing, ok bool) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
--- a/internal/clients/process.go
+++ b/internal/clients/process.go
@@ -12,33 +12,33 @@
 
 const millisPerSecond = 1000
 
-// inputKind says what an inputMessage is.
+// inputKind is the kind of an inputMessage.
 type inputKind int
 
 const (
 	kindStartup inputKind = iota
 	kindRequest
 	kindEmptyQuery
-	kindInvalid // input that ends the connection
+	kindInvalid // an input error, which ends the connection
 )
 
-// inputMessage is what was read on a connection and has its turn there. It is posted to the loop as an event, and is the
-// client of its request.
+// inputMessage is a message that was read on a connection. The messages of a connection are processed one at a time. It
+// is posted to the loop as an event, and implements pipeline.Client for its request.
 type inputMessage struct {
 	conn    *conn
 	kind    inputKind
-	request *pipeline.Request // of kindRequest
-	err     error             // of kindInvalid
+	request *pipeline.Request // for kindRequest
+	err     error             // for kindInvalid
 }
 
-// discard gives up a message that never had its turn.
+// discard frees a message that will not be processed.
 func (m *inputMessage) discard() {
 	if m.request != nil {
 		m.request.Body.Free()
 	}
 }
 
-// Apply implements pipeline.Event: the message has its turn, or waits for it.
+// Apply implements pipeline.Event: it processes the message, or queues it behind the one being processed.
 func (m *inputMessage) Apply(*pipeline.Loop) {
 	c := m.conn
 	if c.closing {
@@ -52,7 +52,7 @@
 	c.process(m)
 }
 
-// process takes a message whose turn it is. On the loop.
+// process makes a message the current one of its connection and starts to process it. Runs on the loop goroutine.
 func (c *conn) process(m *inputMessage) {
 	l := c.server.loop
 	c.current = m
@@ -74,8 +74,8 @@
 	}
 }
 
-// beginRequest begins a request. Its time counts from its arrival, or from the response before it. After SIGTERM it is
-// shortened to end before the program may be killed.
+// beginRequest starts a request. Its deadline counts from its arrival or from the response before it, whichever is
+// later. After SIGTERM the deadline is shortened so that the client gets a response before the program may be killed.
 func (c *conn) beginRequest(request *pipeline.Request) {
 	s := c.server
 	from := math.Max(request.ReceivedAt, c.idleSince)
@@ -86,7 +86,8 @@
 	s.loop.BeginRequest(request, from)
 }
 
-// Respond implements pipeline.Client. The next message has its turn when the response is written. On the loop.
+// Respond implements pipeline.Client. The next message of the connection is processed when the response has been
+// written. Runs on the loop goroutine.
 func (m *inputMessage) Respond(response *buffer.Chain) {
 	c := m.conn
 	if c.current != m {
@@ -105,7 +106,7 @@
 	})
 }
 
-// finishCurrent ends the turn of the current message. On the loop.
+// finishCurrent marks the current message as done and processes the next one, if any. Runs on the loop goroutine.
 func (c *conn) finishCurrent(l *pipeline.Loop) {
 	c.current, c.idleSince = nil, l.Clock.Now()
 	if len(c.queued) > 0 {
@@ -120,7 +121,7 @@
 	}
 }
 
-// respondFatal ends the connection with an ErrorResponse. On the loop.
+// respondFatal sends an ErrorResponse for err and closes the connection. Runs on the loop goroutine.
 func (c *conn) respondFatal(err error) {
 	l := c.server.loop
 	code, reason := c.classify(err)
@@ -128,7 +129,7 @@
 		l.Metrics.Add(metrics.BadInput, 1)
 	}
 	c.setCloseReason(reason)
-	c.setFault(err)
+	c.setConnErr(err)
 	detail := ""
 	if code == pgwire.CodeFull {
 		detail = l.RetryAfterDetail()
@@ -139,7 +140,7 @@
 	})
 }
 
-// classify gives the error code that the client is told, and the reason that the connection is closed for.
+// classify returns the code of the ErrorResponse for an error, and the close reason of the connection.
 func (c *conn) classify(err error) (code string, reason metrics.CloseReason) {
 	switch {
 	case errors.Is(err, errTooManyConns):
--- a/internal/clients/read.go
+++ b/internal/clients/read.go
@@ -13,21 +13,22 @@
 )
 
 const (
-	// maxStartupPackets is how many startup packets a connection may send: two requests for encryption and the startup.
+	// maxStartupPackets is the number of startup packets that a client may send: two requests for encryption and the
+	// startup.
 	maxStartupPackets = 3
 
-	// messageNoBuffers is the text of the error to a request that came while no buffers were free.
+	// messageNoBuffers is the error text for a request that arrived while no buffers were free.
 	messageNoBuffers = "no room for the query"
 )
 
-// Errors that end a connection, each with an error code of its own.
+// Errors that end a connection. classify maps them to error codes.
 var (
 	errUnsupported   = errors.New("only simple queries are offered")
 	errTooManyQueued = fmt.Errorf("more than %d queries ahead of their answers", limits.MaxPipelinedQueries)
 	errTooManyConns  = errors.New("too many connections")
 )
 
-// read takes what has come, on the connection's goroutine.
+// read handles the input that has arrived. Runs on the reading goroutine.
 func (c *conn) read() error {
 	if hook := c.server.beforeRead.Load(); hook != nil {
 		(*hook)()
@@ -54,13 +55,14 @@
 	return reader.Release()
 }
 
-// failInput ignores all further input; the error has its turn behind the requests that came before it.
+// failInput stops the handling of input. The error is posted like a message, so that earlier requests are answered
+// before it ends the connection.
 func (c *conn) failInput(err error) {
 	c.inputIgnored.Store(true)
 	c.server.loop.Post(&inputMessage{conn: c, kind: kindInvalid, err: err})
 }
 
-// handleMessage takes one message of the client, on the connection's goroutine.
+// handleMessage handles one message of the client. An error ends the connection. Runs on the reading goroutine.
 func (c *conn) handleMessage(m pgwire.Message, receivedAt relay.Seconds) error {
 	if m.Type == pgwire.TypeQuery && !c.inputIgnored.Load() {
 		return c.handleQuery(m, receivedAt)
@@ -79,7 +81,7 @@
 	}
 }
 
-// handleQuery posts the request, or the empty query, that a Query message holds.
+// handleQuery posts the request, or the empty query, in a Query message.
 func (c *conn) handleQuery(m pgwire.Message, receivedAt relay.Seconds) error {
 	request, err := c.parseRequest(m, receivedAt)
 	if err != nil {
@@ -100,8 +102,8 @@
 	return nil
 }
 
-// parseRequest makes the record of a request; nil for an empty query. Unless it returns an error, it takes the message's
-// body over.
+// parseRequest creates the record of a request; it is nil for an empty query. It takes ownership of the body of the
+// message unless it returns an error.
 func (c *conn) parseRequest(m pgwire.Message, receivedAt relay.Seconds) (*pipeline.Request, error) {
 	if m.Discarded {
 		c.server.loop.Metrics.Add(metrics.BufferLimitReached, 1)
@@ -118,7 +120,7 @@
 	return pipeline.Accept(&c.server.loop.Site, text, m.Body, receivedAt)
 }
 
-// handleStartup takes a startup packet.
+// handleStartup handles a startup packet: the startup of a session, or a request for encryption or cancellation.
 func (c *conn) handleStartup(body []byte) error {
 	c.startupPackets++
 	if c.startupPackets > maxStartupPackets {
--- a/internal/clients/server.go
+++ b/internal/clients/server.go
@@ -1,10 +1,11 @@
-// Package clients accepts the clients' connections, reads requests from them and writes the responses in the order of
-// the requests. A connection has one open request at a time; more that come on it wait their turn, within a bound.
+// Package clients accepts connections from clients, reads requests from them and writes the responses in the order of
+// the requests. A connection has one open request at a time; a limited number of further requests are queued behind it.
 //
-// What is read is posted to the pipeline's loop, which owns the order of requests and the lists of idle connections.
-// Netpoll's pollers run the reading of a connection, one call at a time, and its close callback behind the last; a
-// goroutine per connection writes while there is something to write (outbox.go). The package imports the codec
-// (internal/pgwire), the bounds (internal/limits), the socket calls that Go lacks (internal/sockets) and the counters.
+// Input is posted to the pipeline's loop, which keeps the order of requests and the lists of idle connections. A
+// netpoll poller runs the read callback of a connection, one call at a time, and its close callback after the last one.
+// Each connection has a goroutine that writes while there is something to write (outbox.go). The package imports the
+// codec (internal/pgwire), the limits (internal/limits), socket calls that Go lacks (internal/sockets) and the
+// counters.
 package clients
 
 import (
@@ -25,31 +26,32 @@
 	"lichenroad/relay"
 )
 
-// Server accepts clients. Its listener's goroutine ends with Close or Shutdown.
+// Server accepts connections from clients. The goroutine of its listener ends with Close or Shutdown.
 type Server struct {
-	// Constant from Listen on.
+	// Constant after Listen.
 	loop         *pipeline.Loop
 	maxConns     int64
-	evictAbove   int64 // connections from which on a new one has an idle one closed
-	maxOverLimit int64 // connections beyond maxConns that are told of the limit; more are closed at once
+	evictAbove   int64 // number of connections above which a new one causes an idle one to be closed
+	maxOverLimit int64 // connections beyond maxConns that get an error after their startup; more are closed immediately
 	listener     net.Listener
 
-	// Of any goroutine.
+	// Used by any goroutine.
 	openConns      atomic.Int64
 	lastSession    atomic.Uint32
 	listenerClosed atomic.Bool
-	beforeRead     atomic.Pointer[func()] // for tests: called before what has come is looked at
+	beforeRead     atomic.Pointer[func()] // for tests: called at the start of each read
 
-	// Of the loop.
+	// Used by the loop goroutine only.
 	conns           map[*conn]struct{}
-	awaitingStartup list.List     // of *conn that have sent no startup yet, the oldest first
-	idle            list.List     // of *conn that have and have no open request, the one idle for longest first
-	respondBy       relay.Seconds // by which requests read after SIGTERM have their response; 0: no SIGTERM yet
+	awaitingStartup list.List     // *conn whose client has not sent a startup yet, the oldest first
+	idle            list.List     // *conn after startup without an open request, the longest idle first
+	respondBy       relay.Seconds // deadline after SIGTERM for the responses to all requests; 0 before SIGTERM
 	shuttingDown    bool
-	onShutdown      func() // called once when all is closed
+	onShutdown      func() // called once when everything is closed
 }
 
-// New returns a server for at most maxConns connections, and maxOverLimit beyond those that are told of the limit.
+// New returns a server for at most maxConns connections. It keeps up to maxOverLimit more until their startup, to
+// answer it with an error.
 func New(l *pipeline.Loop, maxConns, maxOverLimit int) *Server {
 	return &Server{
 		loop:         l,
@@ -60,9 +62,9 @@
 	}
 }
 
-// Listen binds the address and serves it until Shutdown. Should the listener fail before that, failed is called, on a
-// goroutine of its own. An error wraps that of the socket or the event loop.
-func (s *Server) Listen(address string, failed func(error)) error {
+// Listen listens on a TCP address and serves connections until Close or Shutdown. If the listener fails before that,
+// onFailure is called on another goroutine. The returned error wraps that of the socket or of netpoll's event loop.
+func (s *Server) Listen(address string, onFailure func(error)) error {
 	listener, err := net.Listen("tcp", address)
 	if err != nil {
 		return fmt.Errorf("listen: %w", err)
@@ -72,31 +74,31 @@
 		func(ctx context.Context, _ netpoll.Connection) error { return ctx.Value(connKey{}).(*conn).read() },
 		netpoll.WithOnPrepare(s.accept))
 	if err != nil {
-		_ = listener.Close() // the error before it is the one to report
-		return fmt.Errorf("listen: %w", err)
+		_ = listener.Close() // the error of the event loop is the one to report
+		return fmt.Errorf("create event loop: %w", err)
 	}
 	go func() {
 		if err := events.Serve(listener); !s.listenerClosed.Load() {
-			failed(fmt.Errorf("the listener failed: %w", err))
+			onFailure(fmt.Errorf("accept client connections: %w", err))
 		}
 	}()
 	return nil
 }
 
-// Addr is the address that the server listens at.
+// Addr returns the address that the server listens on.
 func (s *Server) Addr() net.Addr { return s.listener.Addr() }
 
-// Close closes the listener at once; connections stay as they are.
+// Close closes the listener immediately. It does not close connections.
 func (s *Server) Close() error {
 	s.listenerClosed.Store(true)
 	sockets.StopAccepting(s.listener)
 	return s.listener.Close()
 }
 
-// connKey is the context key of a connection's *conn.
+// connKey is the context key for the *conn of a connection.
 type connKey struct{}
 
-// accept makes the record of a new connection. Netpoll calls it before the first read.
+// accept creates the conn of a new connection. netpoll calls it before the first read.
 func (s *Server) accept(n netpoll.Connection) context.Context {
 	now := s.loop.Clock.Now()
 	c := &conn{
@@ -110,7 +112,7 @@
 	s.loop.Metrics.Add(metrics.ClientConns, 1)
 	s.loop.Metrics.Add(metrics.ClientConnsOpen, 1)
 	_ = n.SetWriteTimeout(limits.ClientWriteTimeout) // never fails
-	_ = n.AddCloseCallback(c.handleClosed)           // the same
+	_ = n.AddCloseCallback(c.handleClosed)           // never fails
 	if openConns > s.maxConns+s.maxOverLimit {
 		s.rejectConn(c)
 		return context.Background()
@@ -119,16 +121,16 @@
 	return context.WithValue(context.Background(), connKey{}, c)
 }
 
-// rejectConn closes a connection beyond all bounds. The first request may have come already, so the client is told that
-// nothing was done with it: a close alone says that, too, but not that a retry at once is of no use.
+// rejectConn sends an error on a connection beyond all limits and closes it. The client may have sent its first request
+// already. A bare close would also tell it that the request had no effect, but not that an immediate retry is useless.
 func (s *Server) rejectConn(c *conn) {
 	s.loop.Metrics.Add(metrics.ConnLimitReached, 1)
 	message := pgwire.ErrorResponse(pgwire.Fatal, pgwire.CodeFull, errTooManyConns.Error(), s.loop.RetryAfterDetail())
-	_, _ = c.net.Write(message) // the connection ends whether or not the client takes it
+	_, _ = c.net.Write(message) // the connection is closed whether or not this succeeds
 	c.closeNow(metrics.ClosedByLimit)
 }
 
-// addConn takes a new connection in. On the loop.
+// addConn registers a new connection. Runs on the loop goroutine.
 func (s *Server) addConn(c *conn) {
 	s.conns[c] = struct{}{}
 	c.setIdle(true)
@@ -138,19 +140,20 @@
 		c.overLimit = true
 	}
 	if s.shuttingDown {
-		c.closeWhenQuiescent() // it was accepted just before the listener closed
+		c.closeWhenQuiescent() // the connection was accepted just before the listener closed
 	}
 	s.loop.RunAt(c.acceptedAt+limits.StartupTimeout.Seconds(), c.enforceStartupTimeout)
 }
 
-// evictIdle closes the connection that has been without a startup, or else idle, for longest, if that was long enough.
-// Clients keep connections that they may never use again, and some connect by the hundred and send nothing. It says
-// whether one was closed. On the loop.
+// evictIdle closes the connection that has waited longest for its startup, or else the one that has been idle longest,
+// if that time is long enough. It reports whether it closed one. Clients keep connections open that they may never use
+// again, and some open hundreds of connections and send nothing. Runs on the loop goroutine.
 func (s *Server) evictIdle() bool {
 	return s.evictFrom(&s.awaitingStartup, limits.MinIdleBeforeStartup) || s.evictFrom(&s.idle, limits.MinClientIdleTime)
 }
 
-// evictFrom closes the first connection of a list that nothing has come on, if it has been idle for at least minIdle.
+// evictFrom closes the first quiescent connection of a list that has been idle for at least minIdle, and reports
+// whether there was one.
 func (s *Server) evictFrom(conns *list.List, minIdle time.Duration) bool {
 	for element := conns.Front(); element != nil; element = element.Next() {
 		c := element.Value.(*conn)
--- a/internal/clients/shutdown.go
+++ b/internal/clients/shutdown.go
@@ -6,11 +6,12 @@
 	"lichenroad/internal/sockets"
 )
 
-// Shutdown ends service gracefully: for a little while new connections still come and are served, then the listener
-// closes, and each connection is closed between its requests. onShutdown runs when all are closed. Only on the loop.
+// Shutdown ends service gracefully: new connections are accepted and served for limits.ShutdownAcceptTime, then the
+// listener closes, and each connection is closed as soon as it has no open request. onShutdown runs when everything is
+// closed. Must run on the loop goroutine.
 func (s *Server) Shutdown(onShutdown func()) {
 	now := s.loop.Clock.Now()
-	s.loop.OpenService() // whoever waits for an endpoint list is told that there is none
+	s.loop.OpenService() // answers the empty queries that wait for service to open
 	longestDeadline := min(s.loop.Site.MaxDeadline(), limits.PlatformMaxDeadline)
 	s.respondBy = now + longestDeadline + limits.KillDelay - limits.FinalAnswerMargin
 	s.loop.RunAt(now+limits.ShutdownAcceptTime.Seconds(), func() {
@@ -23,8 +24,9 @@
 	})
 }
 
-// stopAccepting takes the listening socket out of service. What the kernel has accepted is taken out of its backlog
-// first, as it would be reset there, with a first request that may have come. On the loop.
+// stopAccepting takes the listening socket out of service. It first waits, until respondBy at the latest, for the
+// connections in the kernel's backlog to be accepted: they would be reset, although their first request may already
+// have arrived. Runs on the loop goroutine.
 func (s *Server) stopAccepting() {
 	if sockets.HasBacklog(s.listener) && s.loop.Clock.Now() < s.respondBy {
 		s.loop.RunAt(s.loop.Clock.Now()+limits.RecheckDelay.Seconds(), s.stopAccepting)
@@ -35,7 +37,7 @@
 	s.finishShutdown()
 }
 
-// finishShutdown calls onShutdown, once, if all is closed. On the loop.
+// finishShutdown calls onShutdown once if the listener and all connections are closed. Runs on the loop goroutine.
 func (s *Server) finishShutdown() {
 	allClosed := s.listenerClosed.Load() && len(s.conns) == 0 && s.openConns.Load() == 0
 	if s.shuttingDown && allClosed && s.onShutdown != nil {
@@ -44,11 +46,11 @@
 	}
 }
 
-// closeWhenQuiescent closes the connection if it is between requests, or else looks again when what has come is read; a
-// new one gets a moment for its first request. On the loop.
+// closeWhenQuiescent closes the connection if it is quiescent, and otherwise checks again later. A new connection gets
+// limits.FirstQueryTimeout for its first request. Runs on the loop goroutine.
 func (c *conn) closeWhenQuiescent() {
 	if c.current != nil || len(c.queued) > 0 || c.closing {
-		return // the end of the response comes back here
+		return // finishCurrent calls this again
 	}
 	l := c.server.loop
 	now := l.Clock.Now()
