--- a/internal/upstream/bench_test.go
+++ b/internal/upstream/bench_test.go
@@ -17,8 +17,8 @@
 
 var listSizes = []int{300, 1000, 2048, 4096, 8192, 12_000, 20_000, 30_000, 42_000}
 
-// BenchmarkListed gives the pool a full list, endpoint by endpoint, as the loop does; heap-B is what the pool holds then,
-// without any connection.
+// BenchmarkListed lists all endpoints to the pool one by one, as happens for a full endpoint list. heap-B is the heap
+// in bytes that the pool then holds without any connection.
 func BenchmarkListed(b *testing.B) {
 	for _, units := range listSizes {
 		b.Run(fmt.Sprintf("units=%d", units), func(b *testing.B) {
@@ -41,6 +41,7 @@
 	}
 }
 
+// emptyPool returns a pool without endpoints.
 func emptyPool() *Pool {
 	site := settings.Site{}
 	site.Relays = 1
@@ -50,6 +51,7 @@
 	return New(pipeline.NewLoop(site, 1, buffer.NewPool(1<<20), &metrics.Counters{}, log), 4)
 }
 
+// heapInUse returns the bytes of live heap objects, after a garbage collection.
 func heapInUse() float64 {
 	var m runtime.MemStats
 	runtime.GC()
--- a/internal/upstream/conn.go
+++ b/internal/upstream/conn.go
@@ -14,50 +14,51 @@
 
 const nanosPerSecond = 1e9
 
-// connState is where a connection stands between dialling and its end.
+// connState is the state of a connection.
 type connState int
 
 const (
 	stateStarting connState = iota // until the endpoint is ready for the first request
 	stateIdle
-	stateBusy     // from the start of a request to ReadyForQuery behind its response
-	stateSettling // ready again, but more of the response may be right behind
+	stateBusy     // from the start of a request until ReadyForQuery after its response
+	stateSettling // after ReadyForQuery, while unexpected further input may still follow the response
 	stateClosed
 )
 
-// conn is one connection to an endpoint. Each of its fields says which goroutines use it: the loop, the one that reads
-// (a poller's, one call at a time, up to the close callback) or the one that writes a long request (write.go).
+// conn is one connection to an endpoint. Its fields are grouped by the goroutines that use them: the loop goroutine,
+// the one that reads (that of a netpoll poller, which makes one call at a time and ends with the close callback) and
+// the one that writes a long request (write.go).
 type conn struct {
 	// Constant.
 	pool     *Pool
 	endpoint *endpointConns
-	address  string // which the endpoint had when it was dialled
+	address  string // of the endpoint when the connection was dialled
 	net      netpoll.Connection
 	dialedAt relay.Seconds
 
-	// Of the loop.
+	// Used by the loop goroutine only.
 	state          connState
-	attempt        *pipeline.Attempt // that waits for a response; nil: none
-	partialAttempt *pipeline.Attempt // whose response has begun
+	attempt        *pipeline.Attempt // the attempt that waits for a response; nil if there is none
+	partialAttempt *pipeline.Attempt // the last attempt for which responseBegun started a timer
 	idleSince      relay.Seconds
-	lastResponseAt relay.Seconds // when the last response was read; 0: none yet
+	lastResponseAt relay.Seconds // when the last response was read; 0 before the first
 	requestCount   int
-	fault          error // what was wrong with what came
-	writing        bool  // a write off the loop has not returned: until then the library refuses another one
-	idleDeferred   bool  // it would be idle but for that
+	connErr        error // what was wrong, for the log; nil if nothing was
+	writing        bool  // a write on another goroutine has not returned; until then netpoll refuses a second one
+	idleDeferred   bool  // the connection becomes idle when that write returns
 
-	// Of the goroutine that reads.
+	// Used by the reading goroutine only.
 	splitter   pgwire.Splitter
-	response   *buffer.Chain // as far as it has come; nil: none has begun
+	response   *buffer.Chain // the part received so far; nil if no response has begun
 	rowCount   int
-	rowValue   string // where it is short enough for a load report
+	rowValue   string // empty if it is too long for a load report
 	loadReport []float32
 
-	// Of the loop and the goroutine that writes.
-	sentAt atomic.Int64 // ns of the loop's clock when the last byte went; 0: not yet
+	// Used by the loop goroutine and the writing goroutine.
+	sentAt atomic.Int64 // when the last byte was written, in ns of the loop's clock; 0 before that
 }
 
-// sentTime gives the time at which the last byte of the request went, if it has.
+// sentTime returns the time at which the last byte of the request was written, if it was.
 func (c *conn) sentTime() (at relay.Seconds, sent bool) {
 	nanos := c.sentAt.Load()
 	return float64(nanos) / nanosPerSecond, nanos != 0
@@ -66,11 +67,12 @@
 // Cancel implements pipeline.UpstreamConn.
 func (c *conn) Cancel() (sent bool) {
 	c.close(metrics.ClosedByAttemptEnd)
-	_, sent = c.sentTime() // after the close, so that a write under way either shows or fails
+	_, sent = c.sentTime() // after the close, so that a concurrent write has either set the time or fails
 	return sent
 }
 
-// close ends the connection; the attempt that it carries ends by what is known of it. On the loop.
+// close closes the connection and ends the attempt that it carries, unless reason is ClosedByAttemptEnd: then the
+// caller ends the attempt. Runs on the loop goroutine.
 func (c *conn) close(reason metrics.CloseReason) {
 	if c.state == stateClosed {
 		return
@@ -78,12 +80,12 @@
 	previous := c.state
 	c.state = stateClosed
 	now := c.pool.loop.Clock.Now()
-	_ = c.net.Close() // there is nothing left to do about a failure
+	_ = c.net.Close() // nothing can be done about an error
 	c.pool.connEnded(c.endpoint, metrics.ConnectionEnd{
 		Reason:   reason,
 		Age:      now - c.dialedAt,
 		Requests: c.requestCount,
-		Err:      c.fault,
+		Err:      c.connErr,
 	})
 	switch previous {
 	case stateStarting:
@@ -95,15 +97,16 @@
 	case stateIdle:
 		c.endpoint.removeIdle(c)
 	case stateBusy:
-		if c.attempt != nil && reason != metrics.ClosedByAttemptEnd { // else whoever gives the attempt up ends it
-			c.breakAttempt(now)
+		if c.attempt != nil && reason != metrics.ClosedByAttemptEnd {
+			c.endBrokenAttempt(now)
 		}
 	}
 	c.attempt = nil
 }
 
-// breakAttempt ends the attempt of a connection that has broken.
-func (c *conn) breakAttempt(now relay.Seconds) {
+// endBrokenAttempt ends the attempt of a connection that was lost: as one that may have run if its last byte was
+// written, and otherwise as one that never ran.
+func (c *conn) endBrokenAttempt(now relay.Seconds) {
 	result := pipeline.AttemptResult{Outcome: relay.ConnectFailed, Duration: now - c.attempt.StartedAt}
 	if sentAt, sent := c.sentTime(); sent {
 		result = pipeline.AttemptResult{Outcome: relay.ConnectionBroken, Duration: now - sentAt}
--- a/internal/upstream/conn_test.go
+++ b/internal/upstream/conn_test.go
@@ -17,37 +17,42 @@
 	"lichenroad/settings"
 )
 
-// fakeConn is a connection that takes so many bytes and then breaks.
+const (
+	unlimited   = 1 << 20 // bytes, for fakeConn.accepts: more than any test writes
+	testTimeout = 10 * time.Second
+)
+
+// fakeConn is a connection that accepts a number of bytes. A write beyond that fails.
 type fakeConn struct {
 	netpoll.Connection
-	accepts     int
+	accepts     int // bytes that it still accepts
 	written     []byte
-	closed      int
-	beforeWrite func(b []byte) // a write
-	err         error          // that it fails with
+	closed      int            // number of calls of Close
+	beforeWrite func(b []byte) // called at the start of each write; may be nil
+	err         error          // the error of a failed write; nil for a default
 }
 
-func (p *fakeConn) Write(b []byte) (int, error) {
-	if p.beforeWrite != nil {
-		p.beforeWrite(b)
+func (f *fakeConn) Write(b []byte) (int, error) {
+	if f.beforeWrite != nil {
+		f.beforeWrite(b)
 	}
-	if p.accepts < len(b) {
-		if p.err != nil {
-			return 0, p.err
+	if f.accepts < len(b) {
+		if f.err != nil {
+			return 0, f.err
 		}
 		return 0, errors.New("broken")
 	}
-	p.accepts -= len(b)
-	p.written = append(p.written, b...)
+	f.accepts -= len(b)
+	f.written = append(f.written, b...)
 	return len(b), nil
 }
 
-func (p *fakeConn) IsActive() bool                      { return true }
-func (p *fakeConn) Reader() netpoll.Reader              { return netpoll.NewLinkBuffer() }
-func (p *fakeConn) Close() error                        { p.closed++; return nil }
-func (p *fakeConn) SetWriteTimeout(time.Duration) error { return nil }
+func (f *fakeConn) IsActive() bool                      { return true }
+func (f *fakeConn) Reader() netpoll.Reader              { return netpoll.NewLinkBuffer() }
+func (f *fakeConn) Close() error                        { f.closed++; return nil }
+func (f *fakeConn) SetWriteTimeout(time.Duration) error { return nil }
 
-// harness is a pool with one endpoint, on a loop that is stepped by hand.
+// harness is a pool with one endpoint, on a loop that does not run by itself: the test decides when it applies events.
 type harness struct {
 	*pipeline.Loop
 	pool     *Pool
@@ -71,22 +76,22 @@
 	return harness{l, p, p.endpoints[1]}
 }
 
-// conn puts a connection into the pool as one that has just come up.
-func (b harness) idleConn(n *fakeConn) *conn {
-	c := &conn{pool: b.pool, endpoint: b.endpoint, address: b.endpoint.address, net: n}
-	b.pool.openConns++
-	b.endpoint.openConns++
-	b.endpoint.pendingConns++
-	readyForQuery{c}.Apply(b.Loop)
+// idleConn adds an idle connection to the pool, as if it had just been opened.
+func (h harness) idleConn(n *fakeConn) *conn {
+	c := &conn{pool: h.pool, endpoint: h.endpoint, address: h.endpoint.address, net: n}
+	h.pool.openConns++
+	h.endpoint.openConns++
+	h.endpoint.pendingConns++
+	readyForQuery{c}.Apply(h.Loop)
 	return c
 }
 
-// drain applies what connections posted to the loop, and gives the ends of attempts that the module would see.
-func (b harness) drain() (ended []relay.AttemptEnded) {
-	for _, e := range b.TakePosted() {
-		e.Apply(b.Loop)
+// drain applies the posted events, and returns the AttemptEnded events for the module.
+func (h harness) drain() (ended []relay.AttemptEnded) {
+	for _, e := range h.TakePosted() {
+		e.Apply(h.Loop)
 	}
-	for _, e := range b.TakeEvents() {
+	for _, e := range h.TakeEvents() {
 		if end, ok := e.(relay.AttemptEnded); ok {
 			ended = append(ended, end)
 		}
@@ -94,102 +99,106 @@
 	return ended
 }
 
-func (b harness) attempt() *pipeline.Attempt {
-	body := b.Pool.Chain()
+// attempt returns a new attempt at the harness's endpoint.
+func (h harness) attempt() *pipeline.Attempt {
+	body := h.Pool.Chain()
 	body.Write([]byte("SELECT /* d=500 */\x00"))
-	request := &pipeline.Request{Body: body, Deadline: b.Clock.Now() + 60}
+	request := &pipeline.Request{Body: body, Deadline: h.Clock.Now() + 60}
 	request.DeadlineStart, request.DeadlineEnd = 12, 15
-	attempt := &pipeline.Attempt{Request: request, Endpoint: 1, StartedAt: b.Clock.Now(), Deadline: request.Deadline}
+	attempt := &pipeline.Attempt{Request: request, Endpoint: 1, StartedAt: h.Clock.Now(), Deadline: request.Deadline}
 	request.Attempts = append(request.Attempts, attempt)
 	return attempt
 }
 
-// TestBrokenWrites breaks a connection at every byte of a request: it never ran unless the last one was sent.
+// TestBrokenWrites breaks a connection after each possible number of bytes of a request. The request counts as never
+// run unless the write of its last byte was tried.
 func TestBrokenWrites(t *testing.T) {
-	whole := &fakeConn{accepts: 1 << 20}
-	b := newHarness(t, nil)
-	b.idleConn(whole)
-	b.pool.Send(b.attempt())
-	if ended := b.drain(); len(ended) != 0 || whole.written[0] != 'Q' || whole.written[len(whole.written)-1] != 0 {
-		t.Fatalf("%q %v", whole.written, ended)
+	whole := &fakeConn{accepts: unlimited}
+	h := newHarness(t, nil)
+	h.idleConn(whole)
+	h.pool.Send(h.attempt())
+	if ended := h.drain(); len(ended) != 0 || whole.written[0] != 'Q' || whole.written[len(whole.written)-1] != 0 {
+		t.Fatalf("written %q, attempts ended %v", whole.written, ended)
 	}
 	for accepts := range len(whole.written) {
-		b := newHarness(t, nil)
+		h := newHarness(t, nil)
 		n := &fakeConn{accepts: accepts}
-		c := b.idleConn(n)
-		b.pool.Send(b.attempt())
+		c := h.idleConn(n)
+		h.pool.Send(h.attempt())
 		want := relay.ConnectFailed
 		if accepts == len(whole.written)-1 {
-			want = relay.ConnectionBroken // the last byte was tried
+			want = relay.ConnectionBroken // the write of the last byte was tried
 		}
-		if ended := b.drain(); len(ended) != 1 || ended[0].Outcome != want || c.state != stateClosed || n.closed == 0 {
-			t.Errorf("broken after %d of %d bytes: %+v", accepts, len(whole.written), ended)
+		if ended := h.drain(); len(ended) != 1 || ended[0].Outcome != want || c.state != stateClosed || n.closed == 0 {
+			t.Errorf("broken after %d of %d bytes: attempts ended %+v", accepts, len(whole.written), ended)
 		}
 	}
 }
 
 func TestResponseAfterCancelDoesNotCount(t *testing.T) {
-	b := newHarness(t, nil)
-	c := b.idleConn(&fakeConn{accepts: 1 << 20})
-	attempt := b.attempt()
-	b.pool.Send(attempt)
-	if !b.pool.Cancel(attempt) {
-		t.Error("sent, and reported as not sent")
+	h := newHarness(t, nil)
+	c := h.idleConn(&fakeConn{accepts: unlimited})
+	attempt := h.attempt()
+	h.pool.Send(attempt)
+	if !h.pool.Cancel(attempt) {
+		t.Error("a sent attempt was reported as not sent")
 	}
-	b.EndAttempt(attempt, pipeline.AttemptResult{Outcome: relay.Cancelled})
-	responseReceived{conn: c, outcome: relay.Succeeded, response: b.Pool.Chain()}.Apply(b.Loop) // it was on its way
-	readyForQuery{c}.Apply(b.Loop)
-	if ended := b.drain(); len(ended) != 1 || ended[0].Outcome != relay.Cancelled || len(b.endpoint.idle) != 0 {
-		t.Errorf("%+v, %d idle", ended, len(b.endpoint.idle))
+	h.EndAttempt(attempt, pipeline.AttemptResult{Outcome: relay.Cancelled})
+	responseReceived{conn: c, outcome: relay.Succeeded, response: h.Pool.Chain()}.Apply(h.Loop) // it was already received
+	readyForQuery{c}.Apply(h.Loop)
+	if ended := h.drain(); len(ended) != 1 || ended[0].Outcome != relay.Cancelled || len(h.endpoint.idle) != 0 {
+		t.Errorf("attempts ended %+v, %d idle connections", ended, len(h.endpoint.idle))
 	}
 }
 
-// TestUnsolicitedInputBehindAResponse has a second response, or part of one, right behind the first while another
-// attempt waits: the first counts, and the second is not taken for the other attempt's.
+// TestUnsolicitedInputBehindAResponse receives unsolicited input right after a response while another attempt waits.
+// The response counts, and the input must not be taken for the response to the other attempt.
 func TestUnsolicitedInputBehindAResponse(t *testing.T) {
-	for name, unsolicited := range map[string]func(b harness, c *conn) pipeline.Event{
-		"a second response": func(b harness, c *conn) pipeline.Event {
-			return responseReceived{conn: c, receivedAt: b.Clock.Now(), outcome: relay.Succeeded, response: b.Pool.Chain()}
+	for name, unsolicited := range map[string]func(h harness, c *conn) pipeline.Event{
+		"a second response": func(h harness, c *conn) pipeline.Event {
+			return responseReceived{conn: c, receivedAt: h.Clock.Now(), outcome: relay.Succeeded, response: h.Pool.Chain()}
 		},
 		"part of a response":     func(_ harness, c *conn) pipeline.Event { return responseBegun{c} },
 		"a second ReadyForQuery": func(_ harness, c *conn) pipeline.Event { return readyForQuery{c} },
-		"noise":                  func(_ harness, c *conn) pipeline.Event { return protocolError{c, errOutOfPlace} },
+		"invalid input":          func(_ harness, c *conn) pipeline.Event { return protocolError{c, errUnexpectedMessage} },
 	} {
 		t.Run(name, func(t *testing.T) {
-			b := newHarness(t, nil)
-			n := &fakeConn{accepts: 1 << 20}
-			c := b.idleConn(n)
-			first, second := b.attempt(), b.attempt()
+			h := newHarness(t, nil)
+			n := &fakeConn{accepts: unlimited}
+			c := h.idleConn(n)
+			first, second := h.attempt(), h.attempt()
 			first.Request.Client, second.Request.ID = discardingClient{}, 1
-			b.pool.Send(first)
-			b.endpoint.pendingConns++ // one is coming up for the second, and never does
-			b.pool.Send(second)
-			b.Post(responseReceived{conn: c, receivedAt: b.Clock.Now(), outcome: relay.Succeeded, response: b.Pool.Chain()})
-			b.Post(readyForQuery{c})
-			b.Post(unsolicited(b, c))
-			if ended := b.drain(); len(ended) != 1 || ended[0].Request != 0 || ended[0].Outcome != relay.Succeeded || second.Ended {
-				t.Errorf("%+v", ended)
+			h.pool.Send(first)
+			h.endpoint.pendingConns++ // stands for a connection that is being opened for the second attempt
+			h.pool.Send(second)
+			h.Post(responseReceived{conn: c, receivedAt: h.Clock.Now(), outcome: relay.Succeeded, response: h.Pool.Chain()})
+			h.Post(readyForQuery{c})
+			h.Post(unsolicited(h, c))
+			if ended := h.drain(); len(ended) != 1 || ended[0].Request != 0 || ended[0].Outcome != relay.Succeeded || second.Ended {
+				t.Errorf("attempts ended %+v, want only the first", ended)
 			}
-			if n.closed == 0 || len(b.endpoint.idle) != 0 {
-				t.Error("the connection is kept")
+			if n.closed == 0 || len(h.endpoint.idle) != 0 {
+				t.Error("the connection was not closed")
 			}
 		})
 	}
 }
 
-// TestResponseReadBeforeItsRequestWasSent has a response that was read before the last byte of its request was sent.
+// TestResponseReadBeforeItsRequestWasSent applies a response that was read before the last byte of the request was
+// sent. It cannot be the response to that request, so the connection counts as broken.
 func TestResponseReadBeforeItsRequestWasSent(t *testing.T) {
-	b := newHarness(t, nil)
-	c := b.idleConn(&fakeConn{accepts: 1 << 20})
-	at := b.Clock.Now()
-	b.pool.Send(b.attempt())
-	responseReceived{conn: c, receivedAt: at, outcome: relay.Succeeded, response: b.Pool.Chain()}.Apply(b.Loop)
-	if ended := b.drain(); len(ended) != 1 || ended[0].Outcome != relay.ConnectionBroken || c.state != stateClosed {
-		t.Errorf("%+v", ended)
+	h := newHarness(t, nil)
+	c := h.idleConn(&fakeConn{accepts: unlimited})
+	at := h.Clock.Now()
+	h.pool.Send(h.attempt())
+	responseReceived{conn: c, receivedAt: at, outcome: relay.Succeeded, response: h.Pool.Chain()}.Apply(h.Loop)
+	if ended := h.drain(); len(ended) != 1 || ended[0].Outcome != relay.ConnectionBroken || c.state != stateClosed {
+		t.Errorf("attempts ended %+v, want one by a broken connection", ended)
 	}
 }
 
-// TestUnusableIdleConnection has bytes, or the end, come on an idle connection that nobody has read yet.
+// TestUnusableIdleConnection checks that an idle connection is not used if the endpoint has closed it or has sent
+// something, even if netpoll has not read that yet.
 func TestUnusableIdleConnection(t *testing.T) {
 	for _, end := range []bool{false, true} {
 		ln, err := net.Listen("tcp", "127.0.0.1:0")
@@ -207,106 +216,107 @@
 		}
 		c := &conn{net: n}
 		if reason := c.unusable(); reason != "" {
-			t.Error("nothing has come:", reason)
+			t.Error("unusable though the endpoint has sent nothing:", reason)
 		}
 		want := metrics.ClosedByBadInput
 		if peer.Write([]byte("x")); end {
 			want = metrics.ClosedByPeer
 			peer.Close()
 		}
-		for until := time.Now().Add(10 * time.Second); c.unusable() != want; time.Sleep(time.Millisecond) {
+		for until := time.Now().Add(testTimeout); c.unusable() != want; time.Sleep(time.Millisecond) {
 			if time.Now().After(until) {
-				t.Fatal("taken for fit")
+				t.Fatal("the connection still counts as usable, or as unusable for another reason")
 			}
 		}
 	}
 }
 
-// discardingClient frees the responses that it gets.
+// discardingClient implements pipeline.Client and frees the responses.
 type discardingClient struct{}
 
-func (discardingClient) Respond(a *buffer.Chain) { a.Free() }
+func (discardingClient) Respond(response *buffer.Chain) { response.Free() }
 
 func TestAttemptWithoutAConnectionIsUnsent(t *testing.T) {
-	b := newHarness(t, nil)
-	b.endpoint.pendingConns = 1 // one is coming up
-	attempt := b.attempt()
-	b.pool.Send(attempt)
-	if b.pool.Cancel(attempt) || len(b.endpoint.waiting) != 0 {
-		t.Error("said to have been sent, or still waiting")
+	h := newHarness(t, nil)
+	h.endpoint.pendingConns = 1 // stands for a connection that is being opened
+	attempt := h.attempt()
+	h.pool.Send(attempt)
+	if h.pool.Cancel(attempt) || len(h.endpoint.waiting) != 0 {
+		t.Error("the cancelled attempt was reported as sent, or still waits")
 	}
 }
 
 func TestIdleConnections(t *testing.T) {
-	b := newHarness(t, nil)
-	first, last := &fakeConn{accepts: 1 << 20}, &fakeConn{accepts: 1 << 20}
-	b.idleConn(first)
-	b.idleConn(last)
-	b.pool.Send(b.attempt())
+	h := newHarness(t, nil)
+	first, last := &fakeConn{accepts: unlimited}, &fakeConn{accepts: unlimited}
+	h.idleConn(first)
+	h.idleConn(last)
+	h.pool.Send(h.attempt())
 	if len(first.written) != 0 || len(last.written) == 0 {
-		t.Error("the one last used should be used first")
+		t.Error("the most recently used connection was not used first")
 	}
-	b.endpoint.idle[0].idleSince = b.Clock.Now() - 9
-	b.pool.closeExpired()
-	if first.closed == 0 || len(b.endpoint.idle) != 0 {
-		t.Error("idle for nine of ten seconds, and kept")
+	h.endpoint.idle[0].idleSince = h.Clock.Now() - 9
+	h.pool.closeExpired()
+	if first.closed == 0 || len(h.endpoint.idle) != 0 {
+		t.Error("a connection idle for 9 s of a timeout of 10 s was kept")
 	}
 	third, fourth := &fakeConn{}, &fakeConn{}
-	b.idleConn(third)
-	b.pool.CloseIdle(1)
-	b.idleConn(fourth)
-	b.pool.EndpointsListed(relay.Endpoint{ID: 1}, "s-1", "127.0.0.1:2")
+	h.idleConn(third)
+	h.pool.CloseIdle(1)
+	h.idleConn(fourth)
+	h.pool.EndpointsListed(relay.Endpoint{ID: 1}, "s-1", "127.0.0.1:2")
 	if third.closed == 0 || fourth.closed == 0 {
-		t.Error("a command to close it, or another address, and kept")
+		t.Error("an idle connection was kept after CloseIdle or after the endpoint's address changed")
 	}
 }
 
 func TestConnectionToAnOldAddressIsNotKept(t *testing.T) {
-	b := newHarness(t, nil)
-	n := &fakeConn{accepts: 1 << 20}
-	c := b.idleConn(n)
-	attempt := b.attempt()
-	b.pool.Send(attempt)
-	b.pool.EndpointsListed(relay.Endpoint{ID: 1}, "s-1", "127.0.0.1:2")
-	responseReceived{conn: c, outcome: relay.Errored, errorCode: "XX000"}.Apply(b.Loop)
-	readyForQuery{c}.Apply(b.Loop)
-	if n.closed == 0 || len(b.endpoint.idle) != 0 {
-		t.Error("kept")
+	h := newHarness(t, nil)
+	n := &fakeConn{accepts: unlimited}
+	c := h.idleConn(n)
+	attempt := h.attempt()
+	h.pool.Send(attempt)
+	h.pool.EndpointsListed(relay.Endpoint{ID: 1}, "s-1", "127.0.0.1:2")
+	responseReceived{conn: c, outcome: relay.Errored, errorCode: "XX000"}.Apply(h.Loop)
+	readyForQuery{c}.Apply(h.Loop)
+	if n.closed == 0 || len(h.endpoint.idle) != 0 {
+		t.Error("the connection to the old address was kept")
 	}
 }
 
 func TestConnectionLimit(t *testing.T) {
-	b := newHarness(t, nil)
-	b.pool.maxConns = 1
-	idle := &fakeConn{accepts: 1 << 20}
-	b.idleConn(idle)
-	b.pool.EndpointsListed(relay.Endpoint{ID: 2}, "s-2", "127.0.0.1:1")
-	attempt := b.attempt()
+	h := newHarness(t, nil)
+	h.pool.maxConns = 1
+	idle := &fakeConn{accepts: unlimited}
+	h.idleConn(idle)
+	h.pool.EndpointsListed(relay.Endpoint{ID: 2}, "s-2", "127.0.0.1:1")
+	attempt := h.attempt()
 	attempt.Endpoint = 2
-	b.pool.Send(attempt)
-	if idle.closed == 0 || b.pool.openConns != 1 {
-		t.Error("no room made by closing an idle connection:", b.pool.openConns)
+	h.pool.Send(attempt)
+	if idle.closed == 0 || h.pool.openConns != 1 {
+		t.Error("the idle connection was not closed to make room; open connections:", h.pool.openConns)
 	}
-	another := b.attempt()
-	b.pool.Send(another)
-	if ended := b.drain(); len(ended) != 1 || ended[0].Outcome != relay.NotSent {
-		t.Errorf("%+v", ended)
+	another := h.attempt()
+	h.pool.Send(another)
+	if ended := h.drain(); len(ended) != 1 || ended[0].Outcome != relay.NotSent {
+		t.Errorf("attempts ended %+v, want one, not sent", ended)
 	}
 }
 
 func TestHealthCheck(t *testing.T) {
-	b := newHarness(t, func(s *settings.Site) { s.LoadReportFields = []string{"recent_ms", "outstanding"} })
-	n := &fakeConn{accepts: 1 << 20}
-	c := b.idleConn(n)
-	b.pool.HealthCheck(1)
-	responseReceived{conn: c, receivedAt: b.Clock.Now(), outcome: relay.Succeeded, rowValue: "outstanding=3,recent_ms=2.5"}.Apply(b.Loop)
-	got, ok := b.TakeEvents()[0].(relay.HealthCheckEnded)
+	h := newHarness(t, func(s *settings.Site) { s.LoadReportFields = []string{"recent_ms", "outstanding"} })
+	n := &fakeConn{accepts: unlimited}
+	c := h.idleConn(n)
+	h.pool.HealthCheck(1)
+	responseReceived{conn: c, receivedAt: h.Clock.Now(), outcome: relay.Succeeded, rowValue: "outstanding=3,recent_ms=2.5"}.Apply(h.Loop)
+	got, ok := h.TakeEvents()[0].(relay.HealthCheckEnded)
 	if !ok || string(n.written[5:len(n.written)-1]) != "SHOW vitals" || got.Endpoint != 1 || len(got.LoadReport) != 2 || got.LoadReport[0] != 2.5 {
-		t.Errorf("%q %+v", n.written, got)
+		t.Errorf("written %q, health check ended %+v", n.written, got)
 	}
 }
 
-// TestRefusedConnection has the kernel refuse a connection: the attempt that waits for it never ran.
+// TestRefusedConnection dials an address where nothing listens. The attempt that waits for the connection must count as
+// never run.
 func TestRefusedConnection(t *testing.T) {
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -314,18 +324,18 @@
 	}
 	address := ln.Addr().String()
 	ln.Close()
-	b := newHarness(t, nil)
-	b.pool.EndpointsListed(relay.Endpoint{ID: 1}, "s-1", address)
-	b.pool.Send(b.attempt())
-	for until := time.Now().Add(10 * time.Second); ; time.Sleep(time.Millisecond) {
-		if ended := b.drain(); len(ended) == 1 {
-			if ended[0].Outcome != relay.ConnectFailed || b.pool.openConns != 0 {
-				t.Errorf("%+v, %d open", ended, b.pool.openConns)
+	h := newHarness(t, nil)
+	h.pool.EndpointsListed(relay.Endpoint{ID: 1}, "s-1", address)
+	h.pool.Send(h.attempt())
+	for until := time.Now().Add(testTimeout); ; time.Sleep(time.Millisecond) {
+		if ended := h.drain(); len(ended) == 1 {
+			if ended[0].Outcome != relay.ConnectFailed || h.pool.openConns != 0 {
+				t.Errorf("attempts ended %+v, %d open connections", ended, h.pool.openConns)
 			}
 			return
 		}
 		if time.Now().After(until) {
-			t.Fatal("the attempt does not end")
+			t.Fatal("the attempt did not end")
 		}
 	}
 }
--- a/internal/upstream/dial.go
+++ b/internal/upstream/dial.go
@@ -10,7 +10,7 @@
 	"lichenroad/internal/pipeline"
 )
 
-// dial brings a connection up and writes its startup message. It runs on a goroutine of its own, which ends with both.
+// dial opens a connection and writes its startup message. It runs on a goroutine of its own.
 func dial(p *Pool, endpoint *endpointConns, address string) {
 	dialedAt := p.loop.Clock.Now()
 	connection, err := netpoll.DialConnection("tcp", address, toDuration(p.connectTimeout))
@@ -49,11 +49,11 @@
 	}))
 }
 
-// attachCallbacks has netpoll call the connection. None of the setters ever fails.
+// attachCallbacks sets netpoll's callbacks and the write timeout. The setters never fail.
 func (c *conn) attachCallbacks() {
 	_ = c.net.SetWriteTimeout(toDuration(c.pool.connectTimeout))
 	_ = c.net.AddCloseCallback(func(netpoll.Connection) error {
-		// No read is under way here, and none follows.
+		// No read is in progress here, and none follows.
 		c.splitter.Free()
 		c.response.Free()
 		c.pool.loop.Post(pipeline.Func(func(*pipeline.Loop) { c.close(metrics.ClosedByPeer) }))
@@ -62,9 +62,9 @@
 	_ = c.net.SetOnRequest(func(_ context.Context, connection netpoll.Connection) error { return c.read(connection) })
 }
 
-// writeReturned takes in that a write off the loop has returned. The endpoint's response to it may have been read before
-// that, and the library refuses a write while another one has not returned: the next request would seem to have had no
-// connection. On the loop.
+// writeReturned handles the return of a write on another goroutine. The endpoint's response may be read before the
+// write returns, but the connection becomes idle only now: netpoll refuses a write while another one has not returned,
+// and the next request would end as if there were no connection. Runs on the loop goroutine.
 func (c *conn) writeReturned() {
 	c.writing = false
 	if c.idleDeferred && c.state != stateClosed {
@@ -73,7 +73,8 @@
 	}
 }
 
-// connectFailed ends the oldest attempts that wait, as many as no connection is coming up for any more.
+// connectFailed handles the failure to open a connection: it ends the oldest waiting attempts until no more wait than
+// there are pending connections.
 func (p *Pool) connectFailed(endpoint *endpointConns) {
 	for len(endpoint.waiting) > endpoint.pendingConns {
 		attempt := endpoint.waiting[0]
--- a/internal/upstream/endpoints.go
+++ b/internal/upstream/endpoints.go
@@ -12,25 +12,25 @@
 	name         string
 	address      string
 	incarnation  incarnation
-	unavailable  bool                // listed as draining or removed: nothing new goes to it
-	removed      bool                // dropped when nothing holds it any more
-	openConns    int                 // those coming up included
-	idle         []*conn             // the one last used is last
-	pendingConns int                 // connections coming up, or about to be idle again
+	unavailable  bool                // listed as draining or removed: no new attempts are sent to it
+	removed      bool                // to be dropped when it has no connections and no waiting attempts
+	openConns    int                 // including those being opened
+	idle         []*conn             // the most recently used last
+	pendingConns int                 // connections being opened, or about to become idle again
 	waiting      []*pipeline.Attempt // attempts without a connection, the oldest first
 }
 
-// incarnation tells one process of an endpoint from the next: an endpoint keeps its id, and may keep its address, over a
-// restart and with another build.
+// incarnation identifies one process of an endpoint. An endpoint keeps its ID, and may keep its address, when it
+// restarts or gets another build.
 type incarnation struct {
 	build     relay.Build
-	startedAt relay.Seconds // 0 where it is not known
+	startedAt relay.Seconds // 0 if not known
 }
 
-// EndpointsListed takes an endpoint as it is listed, before the module sees the list. One that has another address now,
-// has restarted or runs another build is another incarnation: connections to the earlier one are of no use, and attempts
-// that wait for one were not meant for it. With another build such an attempt would count against an exposure limit under
-// which it was not commanded.
+// EndpointsListed updates one endpoint from the endpoint list, before the module sees the list. An endpoint that has
+// another address, has restarted or runs another build is another incarnation: connections to the previous one are
+// useless, and attempts that wait for a connection were not meant for the new one. With another build, such an attempt
+// would count against an exposure limit that was not considered when it was commanded.
 func (p *Pool) EndpointsListed(e relay.Endpoint, name, address string) {
 	endpoint := p.endpoints[e.ID]
 	if endpoint == nil {
@@ -54,9 +54,9 @@
 	}
 }
 
-// EndpointLeaving takes in that an endpoint drains or is removed, before the module sees it. An attempt that still waits
-// for a connection was commanded before that and would be written after it, by as much as the connection takes to come
-// up; it was never sent, so the module can place it anew.
+// EndpointLeaving marks an endpoint as draining or removed, before the module is told. An attempt that still waits for
+// a connection would be written only when the connection is open, after the drain began. It ends as not sent instead,
+// so the module can choose another endpoint.
 func (p *Pool) EndpointLeaving(id relay.EndpointID, removed bool) {
 	endpoint := p.endpoints[id]
 	if endpoint == nil {
@@ -68,7 +68,7 @@
 	p.dropIfUnused(endpoint)
 }
 
-// FullListReceived takes in a full list: endpoints that it leaves out are removed.
+// FullListReceived removes the endpoints that are not in a full endpoint list.
 func (p *Pool) FullListReceived(listed func(relay.EndpointID) bool) {
 	for id := range p.endpoints {
 		if !listed(id) {
@@ -86,7 +86,7 @@
 	}
 }
 
-// removeWaiting takes an attempt out of those that wait, and says whether it was among them.
+// removeWaiting removes an attempt from the waiting ones, and reports whether it was among them.
 func (e *endpointConns) removeWaiting(attempt *pipeline.Attempt) bool {
 	for i, waiting := range e.waiting {
 		if waiting == attempt {
@@ -97,8 +97,8 @@
 	return false
 }
 
-// dropIfUnused drops an endpoint that is removed and holds nothing: with releases every day endpoints come and go for as
-// long as a relay runs.
+// dropIfUnused drops the record of a removed endpoint that has no connections and no waiting attempts. Without this,
+// records would accumulate, as each release adds and removes endpoints while a relay runs.
 func (p *Pool) dropIfUnused(endpoint *endpointConns) {
 	unused := endpoint.openConns == 0 && len(endpoint.waiting) == 0
 	if endpoint.removed && unused && p.endpoints[endpoint.id] == endpoint {
--- a/internal/upstream/endpoints_test.go
+++ b/internal/upstream/endpoints_test.go
@@ -8,17 +8,17 @@
 	"lichenroad/relay"
 )
 
-// pendingConn puts a connection into the pool as one that is coming up.
-func (b harness) pendingConn(n *fakeConn) *conn {
-	b.pool.openConns++
-	b.endpoint.openConns++
-	b.endpoint.pendingConns++
-	return &conn{pool: b.pool, endpoint: b.endpoint, address: b.endpoint.address, net: n}
+// pendingConn adds a connection to the pool that is still being opened.
+func (h harness) pendingConn(n *fakeConn) *conn {
+	h.pool.openConns++
+	h.endpoint.openConns++
+	h.endpoint.pendingConns++
+	return &conn{pool: h.pool, endpoint: h.endpoint, address: h.endpoint.address, net: n}
 }
 
-// TestListUpdateWhileAnAttemptWaits has an endpoint leave, or become another incarnation, while an attempt waits for a
-// connection that comes up late: nothing is written, and the module gets the attempt back as one that never ran, in the
-// same batch as the list update.
+// TestListUpdateWhileAnAttemptWaits drains, removes or moves an endpoint while an attempt waits for a connection that
+// is still being opened. Nothing must be written, and the attempt must end as never run together with the list update,
+// not only when the connection is open.
 func TestListUpdateWhileAnAttemptWaits(t *testing.T) {
 	for name, update := range map[string]func(*Pool){
 		"drains":                func(p *Pool) { p.EndpointLeaving(1, false) },
@@ -31,77 +31,79 @@
 		},
 	} {
 		t.Run(name, func(t *testing.T) {
-			b := newHarness(t, nil)
-			n := &fakeConn{accepts: 1 << 20}
-			c := b.pendingConn(n)
-			b.pool.Send(b.attempt())
-			if ended := b.drain(); len(ended) != 0 {
+			h := newHarness(t, nil)
+			n := &fakeConn{accepts: unlimited}
+			c := h.pendingConn(n)
+			h.pool.Send(h.attempt())
+			if ended := h.drain(); len(ended) != 0 {
 				t.Fatalf("ended before the update: %+v", ended)
 			}
-			update(b.pool)
-			ended := b.drain()
-			readyForQuery{c}.Apply(b.Loop) // late
-			ended = append(ended, b.drain()...)
+			update(h.pool)
+			ended := h.drain()
+			readyForQuery{c}.Apply(h.Loop) // the connection opens late
+			ended = append(ended, h.drain()...)
 			if len(ended) != 1 || ended[0].Outcome != relay.NotSent || !ended[0].Outcome.NeverRan() {
-				t.Errorf("%+v", ended)
+				t.Errorf("attempts ended %+v, want one, not sent", ended)
 			}
 			if len(n.written) != 0 || n.closed == 0 {
 				t.Errorf("%q written, closed %d times", n.written, n.closed)
 			}
-			if b.pool.openConns != 0 {
-				t.Error("connections counted as open:", b.pool.openConns)
+			if h.pool.openConns != 0 {
+				t.Error("connections counted as open:", h.pool.openConns)
 			}
 		})
 	}
 }
 
-// TestAttemptsUnderWayOutliveADrain lets a draining endpoint finish what it has, and gives it nothing more.
+// TestAttemptsUnderWayOutliveADrain checks that a draining endpoint finishes the attempts that it has and gets no more,
+// and that it is used again when it is listed as ready.
 func TestAttemptsUnderWayOutliveADrain(t *testing.T) {
-	b := newHarness(t, nil)
-	n, spare := &fakeConn{accepts: 1 << 20}, &fakeConn{accepts: 1 << 20}
-	b.idleConn(spare)
-	c := b.idleConn(n)
-	b.pool.Send(b.attempt())
-	b.pool.EndpointLeaving(1, false)
+	h := newHarness(t, nil)
+	n, spare := &fakeConn{accepts: unlimited}, &fakeConn{accepts: unlimited}
+	h.idleConn(spare)
+	c := h.idleConn(n)
+	h.pool.Send(h.attempt())
+	h.pool.EndpointLeaving(1, false)
 	if spare.closed == 0 || n.closed != 0 {
-		t.Errorf("idle closed %d, busy closed %d times", spare.closed, n.closed)
+		t.Errorf("idle connection closed %d times, busy one %d times", spare.closed, n.closed)
 	}
 	sent := len(n.written)
-	b.pool.Send(b.attempt())
-	if ended := b.drain(); len(ended) != 1 || ended[0].Outcome != relay.NotSent || len(n.written) != sent {
-		t.Errorf("%+v, %q", ended, n.written[sent:])
+	h.pool.Send(h.attempt())
+	if ended := h.drain(); len(ended) != 1 || ended[0].Outcome != relay.NotSent || len(n.written) != sent {
+		t.Errorf("attempts ended %+v, %q written during the drain", ended, n.written[sent:])
 	}
-	b.pool.HealthCheck(1)
-	responseReceived{conn: c, receivedAt: b.Clock.Now(), outcome: relay.Errored, errorCode: "XX000"}.Apply(b.Loop)
-	readyForQuery{c}.Apply(b.Loop)
-	c.becomeIdle() // settled
-	if ended := b.drain(); len(ended) != 1 || ended[0].Outcome != relay.Errored || n.closed == 0 || len(n.written) != sent {
-		t.Errorf("%+v, closed %d times", ended, n.closed)
+	h.pool.HealthCheck(1)
+	responseReceived{conn: c, receivedAt: h.Clock.Now(), outcome: relay.Errored, errorCode: "XX000"}.Apply(h.Loop)
+	readyForQuery{c}.Apply(h.Loop)
+	c.becomeIdle() // as after limits.ResponseSettleTime
+	if ended := h.drain(); len(ended) != 1 || ended[0].Outcome != relay.Errored || n.closed == 0 || len(n.written) != sent {
+		t.Errorf("attempts ended %+v, connection closed %d times", ended, n.closed)
 	}
-	b.pool.EndpointsListed(relay.Endpoint{ID: 1}, "s-1", "127.0.0.1:1") // it stays after all
-	again := &fakeConn{accepts: 1 << 20}
-	b.idleConn(again)
-	b.pool.Send(b.attempt())
+	h.pool.EndpointsListed(relay.Endpoint{ID: 1}, "s-1", "127.0.0.1:1") // the drain is over
+	again := &fakeConn{accepts: unlimited}
+	h.idleConn(again)
+	h.pool.Send(h.attempt())
 	if len(again.written) == 0 {
-		t.Error("ready again, and not served")
+		t.Error("nothing was sent to an endpoint that is ready again")
 	}
 }
 
-// TestRemovedEndpointsAreDropped lists and removes a thousand endpoints: nothing of them is left.
+// TestRemovedEndpointsAreDropped lists and removes 1024 endpoints: no record of them must be kept, except while one
+// still has a connection.
 func TestRemovedEndpointsAreDropped(t *testing.T) {
-	b := newHarness(t, nil)
+	h := newHarness(t, nil)
 	for id := relay.EndpointID(2); id < 1026; id++ {
-		b.pool.EndpointsListed(relay.Endpoint{ID: id}, "s", "127.0.0.1:1")
+		h.pool.EndpointsListed(relay.Endpoint{ID: id}, "s", "127.0.0.1:1")
 	}
-	b.pool.endpoints[2].openConns++ // one that still holds a connection
-	b.pool.FullListReceived(func(id relay.EndpointID) bool { return id == 1 })
-	if len(b.pool.endpoints) != 2 {
-		t.Errorf("%d kept", len(b.pool.endpoints))
+	h.pool.endpoints[2].openConns++ // stands for an open connection
+	h.pool.FullListReceived(func(id relay.EndpointID) bool { return id == 1 })
+	if len(h.pool.endpoints) != 2 {
+		t.Errorf("%d endpoints kept, want 2", len(h.pool.endpoints))
 	}
-	b.pool.openConns++
-	b.pool.connEnded(b.pool.endpoints[2], metrics.ConnectionEnd{})
-	if len(b.pool.endpoints) != 1 {
-		t.Error("kept without a connection")
+	h.pool.openConns++
+	h.pool.connEnded(h.pool.endpoints[2], metrics.ConnectionEnd{})
+	if len(h.pool.endpoints) != 1 {
+		t.Error("a removed endpoint without connections was kept")
 	}
 }
 
--- a/internal/upstream/events.go
+++ b/internal/upstream/events.go
@@ -12,23 +12,24 @@
 	"lichenroad/relay"
 )
 
-// What a protocolError may be about, besides errors of pgwire.
+// Causes of a protocolError, besides the errors of pgwire.
 var (
-	errOutOfPlace  = errors.New("message out of place")
-	errUnsolicited = errors.New("more than was asked for")
-	errIncomplete  = errors.New("an answer without its end")
+	errUnexpectedMessage = errors.New("unexpected message")
+	errUnsolicited       = errors.New("unsolicited input")
+	errIncomplete        = errors.New("incomplete response")
 )
 
 const millisPerSecond = 1e3
 
-// responseBegun is posted when a response has begun and is not complete.
+// responseBegun is posted when part of a response, or of a message, has been read.
 type responseBegun struct{ conn *conn }
 
-// Apply gives the rest of the response a little time: endpoints send a response in one go.
+// Apply closes the connection if it is idle or settling. Otherwise it starts a timer that closes the connection if the
+// response is not complete after limits.ResponseRestTimeout: endpoints send a response in one go.
 func (e responseBegun) Apply(l *pipeline.Loop) {
 	c, attempt := e.conn, e.conn.attempt
 	if c.state == stateIdle || c.state == stateSettling {
-		protocolError{c, errUnsolicited}.Apply(l) // it came behind the last response
+		protocolError{c, errUnsolicited}.Apply(l) // it follows the last response
 	}
 	if attempt == nil || attempt == c.partialAttempt {
 		return
@@ -44,22 +45,22 @@
 // responseReceived is posted when a response, or an error in its place, is complete.
 type responseReceived struct {
 	conn       *conn
-	receivedAt relay.Seconds // of its last byte
+	receivedAt relay.Seconds // when its last byte was read
 	outcome    relay.Outcome
-	response   *buffer.Chain // nil: an error
+	response   *buffer.Chain // nil for an error
 	rowValue   string
-	loadReport []float32 // the last that the endpoint sent
-	errorCode  string    // empty: no error
+	loadReport []float32 // the last one that the endpoint sent
+	errorCode  string    // empty if there is no error
 	errorText  string
 }
 
-// Apply ends the attempt whose response it is. Where there is none, it ends the connection.
+// Apply ends the attempt that the response belongs to. If there is none, it closes the connection.
 func (e responseReceived) Apply(l *pipeline.Loop) {
 	c, attempt := e.conn, e.conn.attempt
 	sentAt, sent := c.sentTime()
 	switch {
 	case c.state == stateStarting:
-		c.fault = fmt.Errorf("%s %s", e.errorCode, e.errorText)
+		c.connErr = fmt.Errorf("startup failed: %s %s", e.errorCode, e.errorText)
 		c.close(metrics.ClosedByStartupError)
 	case attempt == nil && e.errorCode != "":
 		c.close(metrics.ClosedByPeer) // the endpoint is about to close
@@ -76,7 +77,7 @@
 	c.attempt, c.lastResponseAt = nil, e.receivedAt
 	l.RunAt(l.Clock.Now()+limits.ResponseRestTimeout.Seconds(), func() {
 		if c.state == stateBusy && c.attempt == nil && c.lastResponseAt == e.receivedAt {
-			protocolError{c, errIncomplete}.Apply(l) // it never said that it is ready, and would stay for good
+			protocolError{c, errIncomplete}.Apply(l) // ReadyForQuery did not come: the connection would stay busy forever
 		}
 	})
 	l.EndAttempt(attempt, pipeline.AttemptResult{
@@ -87,7 +88,7 @@
 	})
 }
 
-// loadReportFor gives the load report that comes with the end of an attempt or a health check; nil for none.
+// loadReportFor returns the load report for the end of an attempt or a health check, or nil if there is none.
 func (e responseReceived) loadReportFor(attempt *pipeline.Attempt, l *pipeline.Loop) []float32 {
 	if attempt.Request == nil && len(l.Site.LoadReportFields) > 0 {
 		return pgwire.ParseLoadReport(e.rowValue, l.Site.LoadReportFields)
@@ -98,27 +99,28 @@
 	return e.loadReport
 }
 
-// protocolError is posted when what came can't be read, or was not asked for. The connection is of no further use.
+// protocolError is posted when input cannot be parsed or was not expected. The connection cannot be used any more.
 type protocolError struct {
 	conn  *conn
 	cause error
 }
 
-// Apply closes the connection. The attempt on it may have run if it was sent.
+// Apply closes the connection. The attempt on it counts as one that may have run if it was sent.
 func (e protocolError) Apply(l *pipeline.Loop) {
 	c := e.conn
-	c.fault = e.cause
+	c.connErr = e.cause
 	if c.lastResponseAt > 0 && c.attempt == nil {
-		late := (l.Clock.Now() - c.lastResponseAt) * millisPerSecond
-		c.fault = fmt.Errorf("%w, %.1f ms behind the last answer", e.cause, late)
+		delayMillis := (l.Clock.Now() - c.lastResponseAt) * millisPerSecond
+		c.connErr = fmt.Errorf("%w, %.1f ms after the last response", e.cause, delayMillis)
 	}
 	c.close(metrics.ClosedByBadInput)
 }
 
-// readyForQuery is posted when the endpoint says that it can take a request.
+// readyForQuery is posted when the endpoint reports that it is ready for a request.
 type readyForQuery struct{ conn *conn }
 
-// Apply makes the connection idle: at once after a startup, a little later after a response, as more of that may follow.
+// Apply makes the connection idle: immediately after a startup, but after a response only when
+// limits.ResponseSettleTime has passed, as unexpected further input may follow.
 func (e readyForQuery) Apply(l *pipeline.Loop) {
 	c := e.conn
 	switch {
@@ -133,6 +135,6 @@
 			}
 		})
 	case c.state != stateClosed:
-		protocolError{c, errUnsolicited}.Apply(l) // no response, no error, or no request
+		protocolError{c, errUnsolicited}.Apply(l) // no request was sent, or its response has not come
 	}
 }
--- a/internal/upstream/idle.go
+++ b/internal/upstream/idle.go
@@ -8,7 +8,8 @@
 	"lichenroad/internal/sockets"
 )
 
-// becomeIdle makes the connection an idle one, and gives it to an attempt that waits.
+// becomeIdle makes the connection available, and gives it to a waiting attempt if there is one. While a write has not
+// returned, it leaves that to writeReturned.
 func (c *conn) becomeIdle() {
 	if c.writing {
 		c.idleDeferred = true
@@ -20,13 +21,14 @@
 	if c.address != c.endpoint.address {
 		c.close(metrics.ClosedByAddressChange)
 	} else if c.endpoint.unavailable {
-		c.close(metrics.ClosedByDrain) // dialled before the drain, or answered after it
+		c.close(metrics.ClosedByDrain) // the connection was dialled or busy when the drain began
 	}
 	c.pool.serveWaiting(c.endpoint)
 }
 
-// unusable says why an idle connection can't take a request; empty if it can. It may have ended, and the request might
-// seem to have run, or something has come on it that would be taken for the response.
+// unusable returns the reason why an idle connection cannot take a request, or an empty string if it can. If the
+// connection has ended, a request sent on it might count as one that may have run; if it has unread input, that would
+// be taken for the response.
 func (c *conn) unusable() metrics.CloseReason {
 	if !c.net.IsActive() {
 		return metrics.ClosedByPeer
@@ -35,17 +37,17 @@
 		return metrics.ClosedByBadInput
 	}
 	if n, ok := c.net.(netpoll.Conn); ok {
-		switch came, ended := sockets.Poll(n.Fd()); {
+		switch readable, ended := sockets.Poll(n.Fd()); {
 		case ended:
 			return metrics.ClosedByPeer
-		case came:
+		case readable:
 			return metrics.ClosedByBadInput
 		}
 	}
 	return ""
 }
 
-// removeIdle takes a connection out of the idle ones.
+// removeIdle removes a connection from the idle ones.
 func (e *endpointConns) removeIdle(c *conn) {
 	for i, idle := range e.idle {
 		if idle == c {
@@ -55,8 +57,8 @@
 	}
 }
 
-// closeLongestIdle closes the connection that has been idle for longest, to make room for another. It says whether there
-// was one.
+// closeLongestIdle closes the connection, of all endpoints, that has been idle longest, to make room for another. It
+// reports whether there was one.
 func (p *Pool) closeLongestIdle() bool {
 	var oldest *conn
 	for _, endpoint := range p.endpoints {
@@ -71,14 +73,15 @@
 	return true
 }
 
-// closeIdleConns closes the idle connections to an endpoint, the one last used first.
+// closeIdleConns closes the idle connections to an endpoint, the most recently used first.
 func (p *Pool) closeIdleConns(endpoint *endpointConns, reason metrics.CloseReason) {
 	for len(endpoint.idle) > 0 {
 		endpoint.idle[len(endpoint.idle)-1].close(reason)
 	}
 }
 
-// closeExpired closes what has been idle for long, before the endpoint does, and runs again a little later.
+// closeExpired closes the connections that have been idle longer than p.idleTimeout, which is shorter than the
+// endpoint's own timeout. It runs every limits.IdleSweepInterval.
 func (p *Pool) closeExpired() {
 	now := p.loop.Clock.Now()
 	for _, endpoint := range p.endpoints {
--- a/internal/upstream/pool.go
+++ b/internal/upstream/pool.go
@@ -1,10 +1,11 @@
-// Package upstream keeps the connections to the endpoints: one request at a time on each, the one last used first. It
-// sends attempts and health checks and reports how each ended; which endpoint gets one is not its choice.
+// Package upstream manages the connections to the endpoints. A connection carries one request at a time, and the most
+// recently used idle connection is used first. The package sends attempts and health checks and reports how each ended;
+// the decision module chooses the endpoints.
 //
-// Its state belongs to the pipeline's loop and is used on that goroutine alone. Off the loop run the dialling of a
-// connection (dial.go), the write of a long request (write.go) and the reading of what comes (read.go), each of which
-// posts what became of it to the loop. It implements pipeline.Upstream and imports the codec (internal/pgwire), the
-// bounds (internal/limits) and the counters (internal/metrics).
+// Its state is used on the pipeline's loop goroutine only. Dialling a connection (dial.go), writing a long request
+// (write.go) and reading input (read.go) run on other goroutines, which post their results to the loop. The package
+// implements pipeline.Upstream and imports the codec (internal/pgwire), the limits (internal/limits) and the counters
+// (internal/metrics).
 package upstream
 
 import (
@@ -17,21 +18,21 @@
 	"lichenroad/relay"
 )
 
-// The session that a connection opens, and what a health check asks where there are no load reports.
+// The session that a connection opens, and the query of a health check if there are no load reports.
 const (
 	sessionUser      = "worker"
 	sessionDatabase  = "catalog"
 	healthCheckQuery = "SELECT 1"
 )
 
-// Pool holds the connections to all endpoints. It belongs to the loop, as do its methods.
+// Pool holds the connections to all endpoints. Its methods must be called on the loop goroutine.
 type Pool struct {
 	loop               *pipeline.Loop
 	endpoints          map[relay.EndpointID]*endpointConns
 	maxConns           int
-	openConns          int           // those coming up included
-	connectTimeout     relay.Seconds // for a connection, and for an attempt that waits for one
-	idleTimeout        relay.Seconds // 0: none
+	openConns          int           // including those being opened
+	connectTimeout     relay.Seconds // for opening a connection, and for an attempt that waits for one
+	idleTimeout        relay.Seconds // 0 if idle connections do not expire
 	startupMessage     []byte
 	healthCheckMessage []byte
 }
@@ -62,7 +63,7 @@
 // Send implements pipeline.Upstream.
 func (p *Pool) Send(attempt *pipeline.Attempt) {
 	endpoint := p.endpoints[attempt.Endpoint]
-	if endpoint == nil || endpoint.unavailable { // a health check, say, or a command of the step that was under way
+	if endpoint == nil || endpoint.unavailable { // a health check, or a command from before the module saw the list
 		p.loop.EndAttempt(attempt, pipeline.AttemptResult{Outcome: relay.NotSent})
 		return
 	}
@@ -83,8 +84,8 @@
 	}
 }
 
-// CancelUnsent implements pipeline.Upstream. An attempt that is being written is given up before its last byte, by
-// whoever writes it.
+// CancelUnsent implements pipeline.Upstream. An attempt that is being written is ended by its writer, which checks the
+// send-by time before the last byte.
 func (p *Pool) CancelUnsent(attempt *pipeline.Attempt) {
 	endpoint := p.endpoints[attempt.Endpoint]
 	if endpoint != nil && !attempt.Ended && endpoint.removeWaiting(attempt) {
@@ -92,7 +93,7 @@
 	}
 }
 
-// HealthCheck implements pipeline.Upstream. A health check takes a connection as an attempt does.
+// HealthCheck implements pipeline.Upstream. A health check uses a connection in the same way as an attempt.
 func (p *Pool) HealthCheck(id relay.EndpointID) {
 	now := p.loop.Clock.Now()
 	check := &pipeline.Attempt{Endpoint: id, StartedAt: now, Deadline: now + p.connectTimeout}
@@ -112,8 +113,8 @@
 	}
 }
 
-// Cancel implements pipeline.Upstream. The attempt loses its place in the queue, or its connection is closed. Only an
-// attempt whose last byte was handed to a connection may have been sent.
+// Cancel implements pipeline.Upstream. It removes a waiting attempt from the queue, or closes the connection that
+// carries the attempt. It returns true only if the last byte of the attempt may have been written.
 func (p *Pool) Cancel(attempt *pipeline.Attempt) (sent bool) {
 	endpoint := p.endpoints[attempt.Endpoint]
 	if endpoint == nil || endpoint.removeWaiting(attempt) || attempt.Conn == nil {
@@ -122,7 +123,8 @@
 	return attempt.Conn.Cancel()
 }
 
-// serveWaiting gives the attempts that wait the idle connections, and opens new ones for those that are left.
+// serveWaiting assigns idle connections to waiting attempts and opens new connections for the rest. At the limit of
+// connections it ends the newest attempts as not sent.
 func (p *Pool) serveWaiting(endpoint *endpointConns) {
 	for len(endpoint.waiting) > 0 && len(endpoint.idle) > 0 {
 		attempt := endpoint.waiting[0]
@@ -153,7 +155,7 @@
 	}
 }
 
-// openConn counts a new connection and has it come up.
+// openConn counts a new connection and starts to dial it.
 func (p *Pool) openConn(endpoint *endpointConns) {
 	p.openConns++
 	endpoint.openConns++
@@ -163,8 +165,8 @@
 	go dial(p, endpoint, endpoint.address)
 }
 
-// connEnded is the one place where a connection is counted as closed, whether it came up or not. It fills in whose end it
-// is.
+// connEnded counts a connection as closed, whether or not it was ever open, and logs its end. It fills in the peer. No
+// other function counts closed connections.
 func (p *Pool) connEnded(endpoint *endpointConns, end metrics.ConnectionEnd) {
 	p.openConns--
 	endpoint.openConns--
@@ -174,7 +176,7 @@
 	end.Log(p.loop.Log)
 }
 
-// endUnconnected ends an attempt that got no connection.
+// endUnconnected ends an attempt that did not get a connection.
 func (p *Pool) endUnconnected(attempt *pipeline.Attempt) {
 	p.loop.EndAttempt(attempt, pipeline.AttemptResult{
 		Outcome:  relay.ConnectFailed,
@@ -182,7 +184,7 @@
 	})
 }
 
-// endReleased ends an attempt that was commanded for what no longer holds.
+// endReleased ends an attempt as not sent because the reason for it no longer holds.
 func (p *Pool) endReleased(attempt *pipeline.Attempt) {
 	p.loop.Metrics.Add(metrics.AttemptsReleased, 1)
 	p.loop.EndAttempt(attempt, pipeline.AttemptResult{Outcome: relay.NotSent})
--- a/internal/upstream/read.go
+++ b/internal/upstream/read.go
@@ -10,10 +10,10 @@
 	"lichenroad/relay"
 )
 
-// loadReportParameter is the PostgreSQL parameter that holds an endpoint's load report.
+// loadReportParameter is the PostgreSQL parameter that contains the load report of an endpoint.
 const loadReportParameter = "vitals"
 
-// read takes what has come, on the connection's goroutine.
+// read handles the input that has arrived. Runs on the reading goroutine.
 func (c *conn) read(connection netpoll.Connection) error {
 	reader := connection.Reader()
 	for reader.Len() > 0 {
@@ -25,7 +25,7 @@
 		if err != nil {
 			c.pool.loop.Metrics.Add(metrics.BadInput, 1)
 			c.pool.loop.Post(protocolError{c, err})
-			_ = reader.Skip(reader.Len()) // as much is there; the connection is closed anyway
+			_ = reader.Skip(reader.Len()) // never fails for the available length; the connection is closed anyway
 			break
 		}
 	}
@@ -35,12 +35,12 @@
 	return reader.Release()
 }
 
-// handleMessage takes one message of the endpoint, on the connection's goroutine. An error ends the connection.
+// handleMessage handles one message from the endpoint. An error ends the connection. Runs on the reading goroutine.
 func (c *conn) handleMessage(m pgwire.Message, receivedAt relay.Seconds) error {
 	defer m.Body.Free()
 	switch m.Type {
 	case pgwire.TypeAuthentication, pgwire.TypeBackendKeyData, pgwire.TypeNoticeResponse:
-		return nil // no password is asked for; notices are passed over
+		return nil // endpoints ask for no password; notices are ignored
 	case pgwire.TypeParameterStatus:
 		c.handleParameterStatus(m)
 		return nil
@@ -56,11 +56,12 @@
 		c.pool.loop.Post(readyForQuery{c})
 		return nil
 	default:
-		return errOutOfPlace
+		return errUnexpectedMessage
 	}
 }
 
-// handleParameterStatus keeps a load report. One that can't be read is passed over: the response beside it may be good.
+// handleParameterStatus stores a load report. A malformed message is ignored, as the response that it comes with may be
+// valid.
 func (c *conn) handleParameterStatus(m pgwire.Message) {
 	name, value, err := pgwire.ParseStatus(m.Body.Bytes())
 	if err == nil && name == loadReportParameter {
@@ -68,7 +69,7 @@
 	}
 }
 
-// handleRowDescription begins a response.
+// handleRowDescription starts a new response.
 func (c *conn) handleRowDescription(m pgwire.Message) error {
 	if err := pgwire.CheckRowDescription(m.Body.Bytes()); err != nil {
 		return err
@@ -79,7 +80,7 @@
 	return nil
 }
 
-// handleDataRow takes the one row of a response.
+// handleDataRow adds the only row of a response.
 func (c *conn) handleDataRow(m pgwire.Message) error {
 	value, err := pgwire.ParseRow(m.Body.Bytes())
 	if err != nil {
@@ -87,7 +88,7 @@
 	}
 	c.rowCount++
 	if c.response == nil || c.rowCount > 1 {
-		return errOutOfPlace
+		return errUnexpectedMessage
 	}
 	c.rowValue = ""
 	if len(value) <= limits.MaxLoadReportBytes {
@@ -97,10 +98,10 @@
 	return nil
 }
 
-// handleCommandComplete completes a response.
+// handleCommandComplete completes a response and posts it.
 func (c *conn) handleCommandComplete(m pgwire.Message, receivedAt relay.Seconds) error {
 	if c.response == nil || c.rowCount != 1 {
-		return errOutOfPlace
+		return errUnexpectedMessage
 	}
 	if err := pgwire.CheckComplete(m.Body.Bytes()); err != nil {
 		return err
@@ -118,7 +119,8 @@
 	return nil
 }
 
-// handleErrorResponse takes an error. A row before it is dropped: nothing that comes later may complete that.
+// handleErrorResponse posts an error in place of a response. A partial response before it is dropped, so that no later
+// message can complete it.
 func (c *conn) handleErrorResponse(m pgwire.Message, receivedAt relay.Seconds) error {
 	c.response.Free()
 	c.response = nil
@@ -137,13 +139,13 @@
 	return nil
 }
 
-// appendToResponse adds a message to the response that is forwarded.
+// appendToResponse adds a message to the response, which is forwarded as received.
 func (c *conn) appendToResponse(m pgwire.Message) {
-	_, _ = c.response.Write(pgwire.Header(nil, m.Type, m.Body.Len())) // a chain's Write never fails
+	_, _ = c.response.Write(pgwire.Header(nil, m.Type, m.Body.Len())) // never fails
 	c.response.Append(m.Body, 0, m.Body.Len())
 }
 
-// outcomeOf is what an error code says of the attempt.
+// outcomeOf returns the outcome of an attempt that ended with an error of the given code.
 func outcomeOf(code string) relay.Outcome {
 	if code == pgwire.CodeFull {
 		return relay.RejectedByEndpoint
--- a/internal/upstream/send_test.go
+++ b/internal/upstream/send_test.go
@@ -13,84 +13,87 @@
 	"lichenroad/relay"
 )
 
-// TestAttemptThatExpiresBeforeItIsSent has the connection come up, or the last byte about to be written, when the send-by
-// time is over or the attempt was cancelled: the endpoint gets no complete request, and the attempt never ran.
+// TestAttemptThatExpiresBeforeItIsSent has an attempt expire, or be cancelled, while it waits for a connection or just
+// before its last byte is written. The endpoint must not get a complete request, and the attempt must count as never
+// run. An attempt that is cancelled after its last byte was written must continue.
 func TestAttemptThatExpiresBeforeItIsSent(t *testing.T) {
-	for name, expire := range map[string]func(b harness, attempt *pipeline.Attempt){
-		"its send-by time is over": func(b harness, attempt *pipeline.Attempt) { attempt.SetSendBy(b.Clock.Now()) },
-		"it is cancelled":          func(b harness, attempt *pipeline.Attempt) { b.cancelUnsent(attempt) },
+	for name, expire := range map[string]func(h harness, attempt *pipeline.Attempt){
+		"its send-by time is over": func(h harness, attempt *pipeline.Attempt) { attempt.SetSendBy(h.Clock.Now()) },
+		"it is cancelled":          func(h harness, attempt *pipeline.Attempt) { h.cancelUnsent(attempt) },
 	} {
 		t.Run(name+" while it waits", func(t *testing.T) {
-			b := newHarness(t, nil)
-			n := &fakeConn{accepts: 1 << 20}
-			c, attempt := b.pendingConn(n), b.attempt()
-			b.pool.Send(attempt)
-			expire(b, attempt)
-			readyForQuery{c}.Apply(b.Loop)
-			if ended := b.drain(); len(ended) != 1 || ended[0].Outcome != relay.NotSent || len(n.written) != 0 {
-				t.Errorf("%+v, %q", ended, n.written)
+			h := newHarness(t, nil)
+			n := &fakeConn{accepts: unlimited}
+			c, attempt := h.pendingConn(n), h.attempt()
+			h.pool.Send(attempt)
+			expire(h, attempt)
+			readyForQuery{c}.Apply(h.Loop)
+			if ended := h.drain(); len(ended) != 1 || ended[0].Outcome != relay.NotSent || len(n.written) != 0 {
+				t.Errorf("attempts ended %+v, written %q", ended, n.written)
 			}
 		})
 		t.Run(name+" before its last byte", func(t *testing.T) {
-			b := newHarness(t, nil)
-			n := &fakeConn{accepts: 1 << 20}
-			attempt := b.attempt()
+			h := newHarness(t, nil)
+			n := &fakeConn{accepts: unlimited}
+			attempt := h.attempt()
 			n.beforeWrite = func(p []byte) {
 				if len(n.written) == 0 && len(p) > 1 { // all but the last byte
-					expire(b, attempt)
+					expire(h, attempt)
 				}
 			}
-			b.idleConn(n)
-			b.pool.Send(attempt)
-			if ended := b.drain(); len(ended) != 1 || ended[0].Outcome != relay.NotSent || n.written[len(n.written)-1] == 0 || n.closed == 0 {
-				t.Errorf("%+v, %q", ended, n.written)
+			h.idleConn(n)
+			h.pool.Send(attempt)
+			if ended := h.drain(); len(ended) != 1 || ended[0].Outcome != relay.NotSent || n.written[len(n.written)-1] == 0 || n.closed == 0 {
+				t.Errorf("attempts ended %+v, written %q", ended, n.written)
 			}
 		})
 	}
-	b := newHarness(t, nil)
-	n := &fakeConn{accepts: 1 << 20}
-	attempt := b.attempt()
-	b.idleConn(n)
-	b.pool.Send(attempt)
-	b.cancelUnsent(attempt)
-	if ended := b.drain(); len(ended) != 0 || n.closed != 0 {
-		t.Errorf("cancelled though its last byte was sent: %+v", ended)
+	h := newHarness(t, nil)
+	n := &fakeConn{accepts: unlimited}
+	attempt := h.attempt()
+	h.idleConn(n)
+	h.pool.Send(attempt)
+	h.cancelUnsent(attempt)
+	if ended := h.drain(); len(ended) != 0 || n.closed != 0 {
+		t.Errorf("the attempt ended though its last byte was sent: %+v", ended)
 	}
 }
 
-// cancelUnsent does what the loop does with that command.
-func (b harness) cancelUnsent(attempt *pipeline.Attempt) {
-	attempt.SetSendBy(b.Clock.Now())
-	b.pool.CancelUnsent(attempt)
+// cancelUnsent does the same as the loop for a CancelUnsent command.
+func (h harness) cancelUnsent(attempt *pipeline.Attempt) {
+	attempt.SetSendBy(h.Clock.Now())
+	h.pool.CancelUnsent(attempt)
 }
 
-// TestAttemptForAnEarlierIncarnation lists the endpoint with another build, or a restart, under the same id and
-// address while an attempt waits for its connection: it was commanded for what no longer runs there.
+// TestAttemptForAnEarlierIncarnation lists an endpoint as restarted or with another build, under the same ID and
+// address, while an attempt waits for a connection. The attempt was meant for the previous incarnation and must not be
+// sent.
 func TestAttemptForAnEarlierIncarnation(t *testing.T) {
 	for name, e := range map[string]relay.Endpoint{
 		"another build": {ID: 1, Build: 2},
 		"a restart":     {ID: 1, StartKnown: true, StartedAt: 3},
 	} {
 		t.Run(name, func(t *testing.T) {
-			b := newHarness(t, nil)
-			n := &fakeConn{accepts: 1 << 20}
-			c := b.pendingConn(n)
-			b.pool.Send(b.attempt())
-			b.pool.EndpointsListed(relay.Endpoint{ID: 1}, "s-1", "127.0.0.1:1")
-			if ended := b.drain(); len(ended) != 0 {
-				t.Errorf("the same listed again: %+v", ended)
+			h := newHarness(t, nil)
+			n := &fakeConn{accepts: unlimited}
+			c := h.pendingConn(n)
+			h.pool.Send(h.attempt())
+			h.pool.EndpointsListed(relay.Endpoint{ID: 1}, "s-1", "127.0.0.1:1")
+			if ended := h.drain(); len(ended) != 0 {
+				t.Errorf("attempts ended when the unchanged endpoint was listed again: %+v", ended)
 			}
-			b.pool.EndpointsListed(e, "s-1", "127.0.0.1:1")
-			ended := b.drain()
-			readyForQuery{c}.Apply(b.Loop)
+			h.pool.EndpointsListed(e, "s-1", "127.0.0.1:1")
+			ended := h.drain()
+			readyForQuery{c}.Apply(h.Loop)
 			if len(ended) != 1 || ended[0].Outcome != relay.NotSent || len(n.written) != 0 {
-				t.Errorf("%+v, %q", ended, n.written)
+				t.Errorf("attempts ended %+v, written %q", ended, n.written)
 			}
 		})
 	}
 }
 
-// TestLastByteRefusedByTheKernel tells a last byte that surely was not sent from one that may have been.
+// TestLastByteRefusedByTheKernel checks which errors of the last byte's write prove that it was not sent, so that the
+// attempt counts as never run.
 func TestLastByteRefusedByTheKernel(t *testing.T) {
 	for _, c := range []struct {
 		name string
@@ -102,101 +105,101 @@
 		{"another error", errors.New("timed out"), relay.ConnectionBroken},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			b := newHarness(t, nil)
-			n := &fakeConn{accepts: 1 << 20}
+			h := newHarness(t, nil)
+			n := &fakeConn{accepts: unlimited}
 			n.beforeWrite = func(p []byte) {
 				if len(p) == 1 {
 					n.accepts, n.err = 0, c.err
 				}
 			}
-			b.idleConn(n)
-			b.pool.Send(b.attempt())
-			if ended := b.drain(); len(ended) != 1 || ended[0].Outcome != c.want {
-				t.Errorf("%+v", ended)
+			h.idleConn(n)
+			h.pool.Send(h.attempt())
+			if ended := h.drain(); len(ended) != 1 || ended[0].Outcome != c.want {
+				t.Errorf("attempts ended %+v", ended)
 			}
 		})
 	}
 }
 
-// TestReadyForQueryBeforeAWriteReturned has the endpoint's response to the startup, or to a long request, read while the
-// write of that has not returned: the library refuses another write, so the next request waits, and does not end as one
-// without a connection.
+// TestReadyForQueryBeforeAWriteReturned has the response to the startup, or to a long request, read before the write on
+// the other goroutine has returned. As netpoll refuses a second write until then, the next request must wait instead of
+// failing as if it had no connection.
 func TestReadyForQueryBeforeAWriteReturned(t *testing.T) {
 	for name, was := range map[string]connState{"the startup": stateStarting, "a long request": stateSettling} {
-		b := newHarness(t, nil)
-		n := &fakeConn{accepts: 1 << 20}
-		c := b.pendingConn(n)
+		h := newHarness(t, nil)
+		n := &fakeConn{accepts: unlimited}
+		c := h.pendingConn(n)
 		c.writing = true
 		n.beforeWrite = func([]byte) {
 			if c.writing {
 				n.accepts, n.err = 0, netpoll.ErrConcurrentAccess
 			}
 		}
-		b.pool.Send(b.attempt())
+		h.pool.Send(h.attempt())
 		if c.state = was; was == stateStarting {
-			readyForQuery{c}.Apply(b.Loop)
+			readyForQuery{c}.Apply(h.Loop)
 		} else {
-			c.becomeIdle() // it has settled
+			c.becomeIdle() // as after limits.ResponseSettleTime
 		}
-		if ended := b.drain(); len(ended) != 0 || len(n.written) != 0 {
-			t.Fatalf("%s: %+v, %q", name, ended, n.written)
+		if ended := h.drain(); len(ended) != 0 || len(n.written) != 0 {
+			t.Fatalf("%s: before the write returned, attempts ended %+v, written %q", name, ended, n.written)
 		}
 		c.writeReturned()
-		if ended := b.drain(); len(ended) != 0 || len(n.written) == 0 {
-			t.Errorf("%s: %+v, %q", name, ended, n.written)
+		if ended := h.drain(); len(ended) != 0 || len(n.written) == 0 {
+			t.Errorf("%s: after the write returned, attempts ended %+v, written %q", name, ended, n.written)
 		}
 	}
 }
 
-// feed has bytes received on a connection.
-func (b harness) feed(c *conn, p []byte) {
-	if err := c.splitter.Feed(p, func(m pgwire.Message) error { return c.handleMessage(m, b.Clock.Now()) }); err != nil {
-		b.Post(protocolError{c, err})
+// feed handles bytes as if they had been received on a connection.
+func (h harness) feed(c *conn, p []byte) {
+	if err := c.splitter.Feed(p, func(m pgwire.Message) error { return c.handleMessage(m, h.Clock.Now()) }); err != nil {
+		h.Post(protocolError{c, err})
 	}
 }
 
-// TestErrorBehindARow has a row, then an error in place of its end, and later the end alone as the response to the next
-// request: the row is not served to that.
+// TestErrorBehindARow has an endpoint send a row followed by an error, and then only CommandComplete as the response to
+// the next request. That request must not be answered with the row of the first one.
 func TestErrorBehindARow(t *testing.T) {
-	b := newHarness(t, nil)
-	n := &fakeConn{accepts: 1 << 20}
-	c := b.pendingConn(n)
-	c.splitter = pgwire.Splitter{Pool: b.Pool, Types: pgwire.BackendTypes, MaxLength: pgwire.MaxResponse}
-	readyForQuery{c}.Apply(b.Loop)
-	b.pool.Send(b.attempt())
+	h := newHarness(t, nil)
+	n := &fakeConn{accepts: unlimited}
+	c := h.pendingConn(n)
+	c.splitter = pgwire.Splitter{Pool: h.Pool, Types: pgwire.BackendTypes, MaxLength: pgwire.MaxResponse}
+	readyForQuery{c}.Apply(h.Loop)
+	h.pool.Send(h.attempt())
 	whole := append(pgwire.Header(nil, 'T', 25), "\x00\x01body\x00"...)
 	whole = append(whole, make([]byte, 18)...)
 	whole = append(pgwire.Header(whole, 'D', 9), "\x00\x01\x00\x00\x00\x03old"...)
 	end := len(whole)
 	whole = append(pgwire.Header(whole, 'C', 9), "SELECT 1\x00"...)
-	b.feed(c, whole[:end])
-	b.feed(c, pgwire.Ready(pgwire.ErrorResponse(pgwire.Error, "XX000", "late", "")))
-	if ended := b.drain(); len(ended) != 1 || ended[0].Outcome != relay.Errored {
-		t.Fatalf("%+v", ended)
+	h.feed(c, whole[:end])
+	h.feed(c, pgwire.Ready(pgwire.ErrorResponse(pgwire.Error, "XX000", "late", "")))
+	if ended := h.drain(); len(ended) != 1 || ended[0].Outcome != relay.Errored {
+		t.Fatalf("attempts ended %+v, want one by an error", ended)
 	}
-	c.becomeIdle() // settled
-	b.pool.Send(b.attempt())
-	b.feed(c, whole[end:])
-	if ended := b.drain(); len(ended) != 1 || ended[0].Outcome != relay.ConnectionBroken || n.closed == 0 {
-		t.Errorf("served from a row that was not its own: %+v", ended)
+	c.becomeIdle() // as after limits.ResponseSettleTime
+	h.pool.Send(h.attempt())
+	h.feed(c, whole[end:])
+	if ended := h.drain(); len(ended) != 1 || ended[0].Outcome != relay.ConnectionBroken || n.closed == 0 {
+		t.Errorf("the second attempt ended with a row of the first: %+v", ended)
 	}
 }
 
-// TestResponseWithoutReadyForQuery has a complete response without ReadyForQuery behind it: the response counts, and the
-// connection does not stay for good.
+// TestResponseWithoutReadyForQuery has a complete response without ReadyForQuery after it. The response counts, and the
+// connection must be closed, not stay busy forever.
 func TestResponseWithoutReadyForQuery(t *testing.T) {
-	b := newHarness(t, nil)
-	n := &fakeConn{accepts: 1 << 20}
-	c := b.idleConn(n)
-	attempt := b.attempt()
+	h := newHarness(t, nil)
+	n := &fakeConn{accepts: unlimited}
+	c := h.idleConn(n)
+	attempt := h.attempt()
 	attempt.Request.Client = discardingClient{}
-	b.pool.Send(attempt)
-	responseReceived{conn: c, receivedAt: b.Clock.Now(), outcome: relay.Succeeded, response: b.Pool.Chain()}.Apply(b.Loop)
+	h.pool.Send(attempt)
+	responseReceived{conn: c, receivedAt: h.Clock.Now(), outcome: relay.Succeeded, response: h.Pool.Chain()}.Apply(h.Loop)
 	stop := make(chan struct{})
-	b.RunAt(b.Clock.Now()+limits.ResponseRestTimeout.Seconds()+0.01, func() { close(stop) })
-	b.drain()
-	b.Run(stop)
-	if n.closed == 0 || b.pool.openConns != 0 {
-		t.Errorf("closed %d times, %d open", n.closed, b.pool.openConns)
+	h.RunAt(h.Clock.Now()+limits.ResponseRestTimeout.Seconds()+0.01, func() { close(stop) })
+	h.drain()
+	h.Run(stop)
+	if n.closed == 0 || h.pool.openConns != 0 {
+		t.Errorf("connection closed %d times, %d counted as open", n.closed, h.pool.openConns)
 	}
 }
--- a/internal/upstream/write.go
+++ b/internal/upstream/write.go
@@ -11,14 +11,14 @@
 	"lichenroad/internal/pipeline"
 )
 
-// maxInlineSize is the longest message, in bytes, that the loop writes itself: an empty send buffer takes it at once, so
-// the write never waits.
+// maxInlineSize is the size in bytes of the longest message that the loop goroutine writes itself: it fits into an
+// empty send buffer, so the write does not block.
 const maxInlineSize = buffer.Size
 
-// errSendExpired ends a write whose attempt must not be sent any more.
-var errSendExpired = errors.New("too late to be sent")
+// errSendExpired ends the write of an attempt whose send-by time has passed.
+var errSendExpired = errors.New("the send-by time of the attempt has passed")
 
-// start sends an attempt, or a health check, on an idle connection. On the loop.
+// start sends an attempt, or a health check, on an idle connection. Runs on the loop goroutine.
 func (c *conn) start(attempt *pipeline.Attempt) {
 	c.state, c.attempt = stateBusy, attempt
 	attempt.Conn = c
@@ -26,19 +26,19 @@
 	c.sentAt.Store(0)
 	message := c.message(attempt)
 	if message.Len() <= maxInlineSize {
-		_ = c.net.SetWriteTimeout(limits.InlineWriteTimeout) // it never fails
+		_ = c.net.SetWriteTimeout(limits.InlineWriteTimeout) // never fails
 		c.write(attempt, message)
 		return
 	}
-	_ = c.net.SetWriteTimeout(0) // the attempt's own time-out closes the connection
+	_ = c.net.SetWriteTimeout(0) // the timeout of the attempt closes the connection
 	c.writing = true
-	go func() { // ends when the write returns, at the latest with the connection
+	go func() { // ends when the write returns, which it does at the latest when the connection is closed
 		c.write(attempt, message)
 		c.pool.loop.Post(pipeline.Func(func(*pipeline.Loop) { c.writeReturned() }))
 	}()
 }
 
-// message builds what is sent for an attempt or a health check.
+// message builds the message to send for an attempt or a health check.
 func (c *conn) message(attempt *pipeline.Attempt) *buffer.Chain {
 	loop := c.pool.loop
 	if attempt.Request == nil {
@@ -47,7 +47,8 @@
 	return attempt.Message(loop.Pool, loop.Clock.Now())
 }
 
-// write sends a message, frees it and posts a failure. On the loop, or on the goroutine that start began.
+// write sends a message, frees it and posts an event if that fails. Runs on the loop goroutine, or on the one that
+// start creates.
 func (c *conn) write(attempt *pipeline.Attempt, message *buffer.Chain) {
 	defer message.Free()
 	err := c.writeMessage(attempt, message)
@@ -64,9 +65,10 @@
 	}
 }
 
-// writeMessage sends a message in two steps, all but the last byte and then that: as long as the first has not succeeded,
-// the endpoint has surely not begun. It uses the connection's own Write alone, which is safe against a close meanwhile;
-// netpoll's Writer is not. It stops short of the last byte of an attempt that has expired by then.
+// writeMessage sends a message in two steps, all but the last byte and then the last byte: if the first step fails, the
+// endpoint cannot have started the request. It does not send the last byte of an attempt that has expired by then. It
+// uses the connection's Write method, which is safe when the connection is closed concurrently; netpoll's Writer is
+// not.
 func (c *conn) writeMessage(attempt *pipeline.Attempt, message *buffer.Chain) error {
 	remaining := message.Len()
 	return message.Each(func(part []byte) error {
@@ -85,7 +87,7 @@
 	})
 }
 
-// writeLastByte sends the byte from which on the endpoint may act, and notes when.
+// writeLastByte sends the byte that completes the request, and records the time. From then on the endpoint may run it.
 func (c *conn) writeLastByte(attempt *pipeline.Attempt, last []byte) error {
 	now := c.pool.loop.Clock.Now()
 	if attempt.SendExpired(now) {
@@ -99,7 +101,8 @@
 	return err
 }
 
-// refusedByKernel says that nothing of a write was sent. After any other error it may have been, or may yet be.
+// refusedByKernel reports whether a write error proves that nothing was sent. After any other error the data may have
+// been sent, or may still be sent.
 func refusedByKernel(err error) bool {
 	return errors.Is(err, unix.EPIPE) || errors.Is(err, unix.ECONNRESET)
 }
