--- a/cmd/lichenroad/commands.go
+++ b/cmd/lichenroad/commands.go
@@ -8,8 +8,8 @@
 	"github.com/spf13/cobra"
 )
 
-// needsVerb is the RunE of a command that only groups others: it prints the help, and fails.
-func needsVerb(c *cobra.Command, args []string) error {
+// requireSubcommand is the RunE of a command that only groups others: it prints the help, and fails.
+func requireSubcommand(c *cobra.Command, args []string) error {
 	if len(args) > 0 {
 		return fmt.Errorf("%q is no command of %s; see lichenroad help %s", args[0], c.Name(), c.Name())
 	}
--- a/cmd/lichenroad/compare.go
+++ b/cmd/lichenroad/compare.go
@@ -34,13 +34,13 @@
 		if err != nil {
 			return failed(err)
 		}
-		return t.compare(first, second, options)
+		return t.printComparison(first, second, options)
 	}
 	return c
 }
 
-// compare prints a table of the figures of two lists of runs, by seed.
-func (t *tool) compare(first, second []experiment.Run, options experiment.Options) error {
+// printComparison prints a table of the figures of two lists of runs, by seed.
+func (t *tool) printComparison(first, second []experiment.Run, options experiment.Options) error {
 	comparisons, err := experiment.Compare(first, second, options)
 	if err != nil {
 		return failed(err)
@@ -87,11 +87,11 @@
 	if replayed.All.Requests == 0 {
 		return nil, errors.New("no sweep and no replay")
 	}
-	return []experiment.Run{{Seed: replayed.Seed, Metrics: figures(replayed)}}, nil
+	return []experiment.Run{{Seed: replayed.Seed, Metrics: replayMetrics(replayed)}}, nil
 }
 
-// figures are the figures of a replay by which runs are compared.
-func figures(r lab.ReplayResult) map[string]float64 {
+// replayMetrics are the replayMetrics of a replay by which runs are compared.
+func replayMetrics(r lab.ReplayResult) map[string]float64 {
 	requests := float64(max(r.All.Requests, 1))
 	return map[string]float64{
 		"service":          r.All.ServedFraction,
--- a/cmd/lichenroad/controller.go
+++ b/cmd/lichenroad/controller.go
@@ -32,7 +32,7 @@
 }
 
 func (t *tool) controllerCommandNamed(name, short string) *cobra.Command {
-	c := &cobra.Command{Use: name, Short: short, RunE: needsVerb}
+	c := &cobra.Command{Use: name, Short: short, RunE: requireSubcommand}
 	dir := c.PersistentFlags().String("state", "", "the release controller's directory, with its journal")
 	markRequired(c.MarkPersistentFlagRequired("state"))
 	c.AddCommand(
@@ -41,10 +41,10 @@
 		t.controllerHistory(dir),
 		t.controllerOffer(dir),
 		t.controllerFreeze(dir),
-		t.operation(dir, "thaw NAME", "End a freeze that an operator set", byName),
-		t.operation(dir, "halt SERVICE", "Stop one service's builds from starting and being promoted", byService),
-		t.operation(dir, "resume SERVICE", "End a halt", byService),
-		t.operation(dir, "back SERVICE", "Roll a service's newest build back", byService))
+		t.operatorCommand(dir, "thaw NAME", "End a freeze that an operator set", setFreezeName),
+		t.operatorCommand(dir, "halt SERVICE", "Stop one service's builds from starting and being promoted", setService),
+		t.operatorCommand(dir, "resume SERVICE", "End a halt", setService),
+		t.operatorCommand(dir, "back SERVICE", "Roll a service's newest build back", setService))
 	return c
 }
 
@@ -94,19 +94,19 @@
 // fillRequest puts a command's arguments into a request.
 type fillRequest func(request *releasecontroller.Request, args []string) error
 
-func byName(request *releasecontroller.Request, args []string) error {
+func setFreezeName(request *releasecontroller.Request, args []string) error {
 	request.FreezeName = args[0]
 	return nil
 }
 
-func byService(request *releasecontroller.Request, args []string) error {
+func setService(request *releasecontroller.Request, args []string) error {
 	request.Service = args[0]
 	return nil
 }
 
-// operation is a command that sends one request with the operator and the reason, and prints the status that it leads
+// operatorCommand is a command that sends one request with the operator and the reason, and prints the status that it leads
 // to. The first word of use is the verb; each other word is an argument.
-func (t *tool) operation(dir *string, use, short string, fill fillRequest) *cobra.Command {
+func (t *tool) operatorCommand(dir *string, use, short string, fill fillRequest) *cobra.Command {
 	c := &cobra.Command{Use: use, Short: short, Args: cobra.ExactArgs(countArgs(use))}
 	request := releasecontroller.Request{Verb: releasecontroller.Verb(c.Name())}
 	c.Flags().StringVar(&request.Actor, "who", operator(), "who says so; kept in the journal")
@@ -134,7 +134,7 @@
 		request.Service, request.Build = args[0], relay.Build(build)
 		return nil
 	}
-	return t.operation(dir, "offer SERVICE BUILD", "Offer a new build; it begins when plan and operators let it", fill)
+	return t.operatorCommand(dir, "offer SERVICE BUILD", "Offer a new build; it begins when plan and operators let it", fill)
 }
 
 func (t *tool) controllerFreeze(dir *string) *cobra.Command {
@@ -147,7 +147,7 @@
 		}
 		return nil
 	}
-	c := t.operation(dir, "freeze NAME", "Stop starts and promotions of builds, of one service (--service) or of all", fill)
+	c := t.operatorCommand(dir, "freeze NAME", "Stop starts and promotions of builds, of one service (--service) or of all", fill)
 	c.Flags().StringVar(&service, "service", "", "the service; all where not given")
 	c.Flags().DurationVar(&length, "for", 0, "how long, such as 2h; until it is thawed where not given")
 	return c
@@ -162,7 +162,7 @@
 			return failed(err)
 		}
 		if *asJSON {
-			encoder := json.NewEncoder(t.out)
+			encoder := json.NewEncoder(t.stdout)
 			encoder.SetIndent("", "  ")
 			return failed(encoder.Encode(reply))
 		}
@@ -186,10 +186,10 @@
 		}
 		for _, e := range events {
 			if !*asJSON {
-				printf(t.out, "%s\n", eventText(e))
+				printf(t.stdout, "%s\n", eventText(e))
 				continue
 			}
-			if err := json.NewEncoder(t.out).Encode(e); err != nil {
+			if err := json.NewEncoder(t.stdout).Encode(e); err != nil {
 				return failed(err)
 			}
 		}
--- a/cmd/lichenroad/controllertext.go
+++ b/cmd/lichenroad/controllertext.go
@@ -16,7 +16,7 @@
 // newTable is a writer that aligns columns, which tabs separate; they are printed by its Flush.
 func (t *tool) newTable() *tabwriter.Writer {
 	const padding = 2
-	return tabwriter.NewWriter(t.out, 0, 0, padding, ' ', 0)
+	return tabwriter.NewWriter(t.stdout, 0, 0, padding, ' ', 0)
 }
 
 // printStatus prints a table of the services, and the operators' freezes below it.
@@ -39,7 +39,7 @@
 		if service == "" {
 			service = "all services"
 		}
-		printf(t.out, "freeze %s of %s %s, by %s: %s\n", f.FreezeName, service, until, f.Actor, f.Reason)
+		printf(t.stdout, "freeze %s of %s %s, by %s: %s\n", f.FreezeName, service, until, f.Actor, f.Reason)
 	}
 	return nil
 }
--- a/cmd/lichenroad/exit.go
+++ b/cmd/lichenroad/exit.go
@@ -50,8 +50,8 @@
 	return exitError{exitRuleBroken, fmt.Errorf(format, args...)}
 }
 
-// report writes an error for the user, on one line, or on one for each fault of an XML file, and returns its exit code.
-func report(errs io.Writer, err error) exitCode {
+// reportError writes an error for the user, on one line, or on one for each fault of an XML file, and returns its exit code.
+func reportError(errs io.Writer, err error) exitCode {
 	if err == nil {
 		return exitDone
 	}
--- a/cmd/lichenroad/fakes_test.go
+++ b/cmd/lichenroad/fakes_test.go
@@ -33,13 +33,13 @@
 	succeed    behaviour = iota
 	failing              // XX000
 	rejectFull           // 53300
-	noAnswer
+	noResponse
 	reset            // the connection breaks after the request was received
 	garbage          // not a message of the protocol
 	twoRows          // a response of the wrong form
 	succeedThenClose // succeed, then close the connection
-	half             // a response that stops in the middle
-	noise            // a message of no known type, whose body is missing
+	halfResponse     // a response that stops in the middle
+	unknownMessage   // a message of no known type, whose body is missing
 	badTag           // a response whose last message can't be parsed
 	badLoad          // succeed, with a load report that can't be parsed
 )
@@ -52,12 +52,12 @@
 
 	mu         sync.Mutex
 	statements []string
-	opened     int         // connections that carried a statement; one that was opened too late carries none
-	seen       chan string // each statement received
-	ended      chan struct{}
+	usedConns  int         // connections that carried a statement; one that was opened too late carries none
+	received   chan string // each statement received
+	connEnded  chan struct{}
 }
 
-func listening(t *testing.T) net.Listener {
+func newListener(t *testing.T) net.Listener {
 	t.Helper()
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -68,8 +68,8 @@
 }
 
 func newFakeEndpoint(t *testing.T, does func(string) behaviour) *fakeEndpoint {
-	ln := listening(t)
-	u := &fakeEndpoint{t: t, ln: ln, behaviourOf: does, seen: make(chan string, 1000), ended: make(chan struct{}, 1000)}
+	ln := newListener(t)
+	u := &fakeEndpoint{t: t, ln: ln, behaviourOf: does, received: make(chan string, 1000), connEnded: make(chan struct{}, 1000)}
 	go func() {
 		for {
 			c, err := ln.Accept()
@@ -85,7 +85,7 @@
 func always(d behaviour) func(string) behaviour { return func(string) behaviour { return d } }
 
 func (u *fakeEndpoint) serve(c net.Conn) {
-	defer func() { c.Close(); u.ended <- struct{}{} }()
+	defer func() { c.Close(); u.connEnded <- struct{}{} }()
 	r := bufio.NewReader(c)
 	if _, _, err := fakes.ReadMessage(r, true); err != nil {
 		return
@@ -100,19 +100,19 @@
 		u.mu.Lock()
 		u.statements = append(u.statements, text)
 		if first {
-			u.opened++
+			u.usedConns++
 		}
 		u.mu.Unlock()
-		u.seen <- text
+		u.received <- text
 		switch u.behaviourOf(text) {
 		case succeed:
 			c.Write(pgwire.Ready(fakes.Row("value of " + text[:6])))
 		case succeedThenClose:
 			c.Write(pgwire.Ready(fakes.Row("value of " + text[:6])))
 			return
-		case half:
+		case halfResponse:
 			c.Write(fakes.Row("a")[:40])
-		case noise:
+		case unknownMessage:
 			c.Write([]byte{0xf7, 0, 0, 1, 0})
 		case badTag:
 			c.Write(pgwire.Ready(append(fakes.Row("a")[:len(fakes.Row("a"))-9], "\x01\xff\x00\x00\x00\x00\x00\x00\x00"...)))
@@ -133,10 +133,10 @@
 	}
 }
 
-func (u *fakeEndpoint) count() (statements, opened int) {
+func (u *fakeEndpoint) counts() (statements, opened int) {
 	u.mu.Lock()
 	defer u.mu.Unlock()
-	return len(u.statements), u.opened
+	return len(u.statements), u.usedConns
 }
 
 func (u *fakeEndpoint) address() string { return u.ln.Addr().String() }
@@ -215,8 +215,8 @@
  "family_info":{"call_timeout":300000000,"exposure_caps":[1],"waves":[1],"uncounted":1,"span":2000000000,
   "decided_by":"first_voice","to_advance":1,"to_abort":1,"ballot_ttl":10000000000,"votes_per_s":100}}`
 
-// running starts a complete relay on loopback.
-func running(t *testing.T, f *fakeDiscovery, change func(*config.Config)) *program {
+// startRelay starts a complete relay on loopback.
+func startRelay(t *testing.T, f *fakeDiscovery, change func(*config.Config)) *relayProcess {
 	t.Helper()
 	raw := fmt.Sprintf(`{"name":"n0","listen":"127.0.0.1:0","discovery":%q,"known":%s,"settings":%s}`,
 		f.srv.Listener.Addr().String(), f.list(), testSettings)
@@ -237,13 +237,13 @@
 	go func() { p.loop.Run(p.stop); close(done) }()
 	t.Cleanup(func() { p.end(); <-done; p.clients.Close() })
 	if !f.isDown() {
-		ready(t, p)
+		waitUntilReady(t, p)
 	}
 	return p
 }
 
-// ready waits until the relay admits requests, once its list is confirmed: until then it rejects them.
-func ready(t *testing.T, p *program) {
+// waitUntilReady waits until the relay admits requests, once its list is confirmed: until then it rejects them.
+func waitUntilReady(t *testing.T, p *relayProcess) {
 	t.Helper()
 	listed := make(chan struct{})
 	p.loop.Post(pipeline.Func(func(l *pipeline.Loop) { l.OnServiceOpen(func() { close(listed) }) }))
@@ -261,7 +261,7 @@
 	r *bufio.Reader
 }
 
-func dialClient(t *testing.T, p *program, first ...byte) *client {
+func dialClient(t *testing.T, p *relayProcess, first ...byte) *client {
 	t.Helper()
 	n, err := net.Dial("tcp", p.clients.Addr().String())
 	if err != nil {
@@ -274,8 +274,8 @@
 	return c
 }
 
-// until reads messages up to one of a kind.
-func (c *client) until(kind byte) []byte {
+// readUntil reads messages up to one of a kind.
+func (c *client) readUntil(kind byte) []byte {
 	c.t.Helper()
 	for {
 		k, body, err := fakes.ReadMessage(c.r, false)
@@ -291,14 +291,14 @@
 	}
 }
 
-func read(class string, ms int) string {
+func selectStatement(class string, ms int) string {
 	return fmt.Sprintf("SELECT body FROM objects WHERE oid = '7f3a' /* id=9b1f,c=%s,t=acme,d=%d */", class, ms)
 }
 
 func (c *client) send(text string) { c.Write(pgwire.QueryMessage(text)) }
 
-// answer reads the response to a request: its value, or the code of an error and its detail.
-func (c *client) answer() (value, code string) {
+// readResponse reads the response to a request: its value, or the code of an error and its detail.
+func (c *client) readResponse() (value, code string) {
 	c.t.Helper()
 	for {
 		kind, body, err := fakes.ReadMessage(c.r, false)
@@ -318,14 +318,14 @@
 	}
 }
 
-// closed reports whether the relay ends the connection.
-func (c *client) closed() bool {
+// closedByRelay reports whether the relay ends the connection.
+func (c *client) closedByRelay() bool {
 	_, err := io.Copy(io.Discard, c.r)
 	return err == nil
 }
 
-// settled waits until a counter has a value.
-func settled(t *testing.T, p *program, id metrics.Counter, want int64) {
+// waitForCounter waits until a counter has a value.
+func waitForCounter(t *testing.T, p *relayProcess, id metrics.Counter, want int64) {
 	t.Helper()
 	for until := time.Now().Add(testTimeout); p.loop.Metrics.Get(id) != want; {
 		if time.Now().After(until) {
@@ -336,7 +336,7 @@
 }
 
 // requestsAddUp says that as many requests have ended in some way as were accepted.
-func (p *program) requestsAddUp() bool {
+func (p *relayProcess) requestsAddUp() bool {
 	counters := p.loop.Metrics
 	ended := counters.Get(metrics.Succeeded) + counters.Get(metrics.Rejected) + counters.Get(metrics.Failed) +
 		counters.Get(metrics.ClientLeft)
@@ -344,7 +344,7 @@
 }
 
 // attemptsAddUp says that as many attempts have ended in some way as were sent.
-func (p *program) attemptsAddUp() bool {
+func (p *relayProcess) attemptsAddUp() bool {
 	counters := p.loop.Metrics
 	ended := int64(0)
 	for id := metrics.AttemptSucceeded; id <= metrics.AttemptNotSent; id++ {
@@ -353,12 +353,12 @@
 	return ended == counters.Get(metrics.AttemptsSent)
 }
 
-// sums checks the counters: every request accepted has ended in one way, every attempt sent too, and no buffer is in use.
+// checkCounters checks the counters: every request accepted has ended in one way, every attempt sent too, and no buffer is in use.
 // The loop changes one counter after the other, so a sum may be behind for a moment.
-func sums(t *testing.T, p *program) {
+func checkCounters(t *testing.T, p *relayProcess) {
 	t.Helper()
-	settled(t, p, metrics.Open, 0)
-	settled(t, p, metrics.AttemptsOpen, 0)
+	waitForCounter(t, p, metrics.Open, 0)
+	waitForCounter(t, p, metrics.AttemptsOpen, 0)
 	for until := time.Now().Add(testTimeout); !p.requestsAddUp() || !p.attemptsAddUp(); {
 		if time.Now().After(until) {
 			t.Fatalf("the counters do not add up: %v", p.loop.Metrics.Fields())
@@ -382,7 +382,7 @@
 }
 
 func newFakePlatform(t *testing.T, answer func(line string) string) *fakePlatform {
-	ln := listening(t)
+	ln := newListener(t)
 	d := &fakePlatform{ln: ln, lines: make(chan string, 100), conns: make(chan net.Conn, 100)}
 	go func() {
 		for {
@@ -406,7 +406,7 @@
 	return d
 }
 
-func (d *fakePlatform) line(t *testing.T, begins string) string {
+func (d *fakePlatform) nextLine(t *testing.T, begins string) string {
 	t.Helper()
 	for {
 		select {
--- a/cmd/lichenroad/fit.go
+++ b/cmd/lichenroad/fit.go
@@ -83,18 +83,18 @@
 	if err != nil {
 		return err
 	}
-	printf(t.out, "%s: %s = %s; %d sizes from %g to %g, residual %.1f%%", s.Name, flags.unit, fit.Formula(flags.size), fit.Sizes,
+	printf(t.stdout, "%s: %s = %s; %d sizes from %g to %g, residual %.1f%%", s.Name, flags.unit, fit.Formula(flags.size), fit.Sizes,
 		fit.MinSize, fit.MaxSize, percent*fit.Residual)
 	if flags.at > 0 {
-		printf(t.out, "; at %g: %.4g, %.2f times the largest size", flags.at, fit.ValueAt(flags.at), fit.ExtrapolationFactor(flags.at))
+		printf(t.stdout, "; at %g: %.4g, %.2f times the largest size", flags.at, fit.ValueAt(flags.at), fit.ExtrapolationFactor(flags.at))
 	}
 	if flags.budget > 0 {
 		reached := fit.SizeAt(flags.budget)
-		printf(t.out, "; %g at %s=%.4g", flags.budget, flags.size, reached)
+		printf(t.stdout, "; %g at %s=%.4g", flags.budget, flags.size, reached)
 		if flags.at > 0 && !math.IsInf(reached, 1) {
-			printf(t.out, " (%.4f of %g)", reached/flags.at, flags.at)
+			printf(t.stdout, " (%.4f of %g)", reached/flags.at, flags.at)
 		}
 	}
-	printf(t.out, "\n")
+	printf(t.stdout, "\n")
 	return nil
 }
--- a/cmd/lichenroad/fit_test.go
+++ b/cmd/lichenroad/fit_test.go
@@ -31,13 +31,13 @@
 		{"--unit B/op", 1, "no benchmark"},
 	} {
 		t.Run(cmp.Or(c.args, "all sizes"), func(t *testing.T) {
-			code, out, errs := call(append([]string{"lab", "fit", file}, strings.Fields(c.args)...)...)
+			code, out, errs := runCommand(append([]string{"lab", "fit", file}, strings.Fields(c.args)...)...)
 			if code != c.code || !strings.Contains(out+errs, c.want) || c.code != 0 && strings.Count(errs, "\n") != 1 {
 				t.Errorf("%d %q %q", code, out, errs)
 			}
 		})
 	}
-	if code, _, errs := call("lab", "fit", "/none"); code != 1 || strings.Count(errs, "\n") != 1 {
+	if code, _, errs := runCommand("lab", "fit", "/none"); code != 1 || strings.Count(errs, "\n") != 1 {
 		t.Errorf("%d %q", code, errs)
 	}
 }
--- a/cmd/lichenroad/interleaving_test.go
+++ b/cmd/lichenroad/interleaving_test.go
@@ -28,7 +28,7 @@
 }
 
 func newSteppedEndpoint(t *testing.T, turns *atomic.Int32) *steppedEndpoint {
-	g := &steppedEndpoint{ln: listening(t), rejections: turns, mayAccept: make(chan struct{}), mayBegin: make(chan struct{}), mayFinish: make(chan struct{})}
+	g := &steppedEndpoint{ln: newListener(t), rejections: turns, mayAccept: make(chan struct{}), mayBegin: make(chan struct{}), mayFinish: make(chan struct{})}
 	t.Cleanup(func() {
 		g.mu.Lock()
 		defer g.mu.Unlock()
@@ -94,7 +94,7 @@
 	return len(g.conns)
 }
 
-func open(steps ...chan struct{}) {
+func allow(steps ...chan struct{}) {
 	for _, c := range steps {
 		select {
 		case <-c:
@@ -107,7 +107,7 @@
 // interleaving is one request, held in one state while something else happens.
 type interleaving struct {
 	*testing.T
-	p                *program
+	p                *relayProcess
 	f                *fakeDiscovery
 	next             *fakeDiscovery // discovery at another address
 	a, b             *steppedEndpoint
@@ -118,7 +118,7 @@
 	notifiedDraining bool   // the list has named the endpoint as draining
 }
 
-func (x *interleaving) wait(what string, is func() bool) {
+func (x *interleaving) waitFor(what string, is func() bool) {
 	x.Helper()
 	for end := time.Now().Add(testTimeout); !is(); time.Sleep(time.Millisecond) {
 		if time.Now().After(end) {
@@ -142,43 +142,43 @@
 	}},
 	{"waiting for a connection", func(x *interleaving) {
 		x.c.Write(x.request)
-		settled(x.T, x.p, metrics.AttemptsOpen, 1)
-		x.wait("a connection", func() bool { return x.a.connections()+x.b.connections() > 0 })
+		waitForCounter(x.T, x.p, metrics.AttemptsOpen, 1)
+		x.waitFor("a connection", func() bool { return x.a.connections()+x.b.connections() > 0 })
 	}},
 	{"out", func(x *interleaving) {
-		open(x.a.mayAccept, x.b.mayAccept)
+		allow(x.a.mayAccept, x.b.mayAccept)
 		x.c.Write(x.request)
-		x.wait("the statement", func() bool { return x.ran() == 1 })
+		x.waitFor("the statement", func() bool { return x.ran() == 1 })
 	}},
 	{"half answered", func(x *interleaving) {
-		open(x.a.mayAccept, x.b.mayAccept, x.a.mayBegin, x.b.mayBegin)
+		allow(x.a.mayAccept, x.b.mayAccept, x.a.mayBegin, x.b.mayBegin)
 		x.c.Write(x.request)
-		x.wait("the statement", func() bool { return x.ran() == 1 })
+		x.waitFor("the statement", func() bool { return x.ran() == 1 })
 	}},
 	{"placed again", func(x *interleaving) {
 		x.a.rejections.Store(1)
-		open(x.a.mayAccept, x.b.mayAccept)
+		allow(x.a.mayAccept, x.b.mayAccept)
 		x.c.Write(x.request)
-		settled(x.T, x.p, metrics.AttemptRejected, 1)
-		x.wait("the statement", func() bool { return x.ran() == 1 })
+		waitForCounter(x.T, x.p, metrics.AttemptRejected, 1)
+		x.waitFor("the statement", func() bool { return x.ran() == 1 })
 	}},
 }
 
 // concurrentEvents are what happens meanwhile.
 var concurrentEvents = []struct {
-	name string
-	come func(x *interleaving)
+	name    string
+	trigger func(x *interleaving)
 }{
 	{"shutdown", func(x *interleaving) { x.p.shutdownGracefully() }},
 	{"reload", func(x *interleaving) {
 		next := x.p.config
 		next.Discovery = x.next.srv.Listener.Addr().String()
 		x.p.reload(next, nil)
-		settled(x.T, x.p, metrics.Reloads, 1)
+		waitForCounter(x.T, x.p, metrics.Reloads, 1)
 	}},
 	{"list update", func(x *interleaving) {
 		x.f.set(0, "DRAINING")
-		x.wait("the list update", func() bool { return x.p.loop.Metrics.Get(metrics.DiscoveryCalls) >= 3 }) // the next call follows it
+		x.waitFor("the list update", func() bool { return x.p.loop.Metrics.Get(metrics.DiscoveryCalls) >= 3 }) // the next call follows it
 		x.notifiedDraining = true
 	}},
 	{"client close", func(x *interleaving) { x.c.Close(); x.clientLeft = true }},
@@ -198,7 +198,7 @@
 		}
 	}},
 	{"answer", func(x *interleaving) {
-		open(x.a.mayAccept, x.b.mayAccept, x.a.mayBegin, x.b.mayBegin, x.a.mayFinish, x.b.mayFinish)
+		allow(x.a.mayAccept, x.b.mayAccept, x.a.mayBegin, x.b.mayBegin, x.a.mayFinish, x.b.mayFinish)
 	}},
 }
 
@@ -213,7 +213,7 @@
 			for _, what := range concurrentEvents {
 				t.Run(class+" "+point.name+", "+what.name, func(t *testing.T) {
 					t.Parallel()
-					runInterleaving(t, class, point.hold, what.come)
+					runInterleaving(t, class, point.hold, what.trigger)
 				})
 			}
 		}
@@ -225,11 +225,11 @@
 	x := &interleaving{T: t, a: newSteppedEndpoint(t, turns), b: newSteppedEndpoint(t, turns)}
 	x.f = newFakeDiscovery(t, &fakeEndpoint{ln: x.a.ln}, &fakeEndpoint{ln: x.b.ln})
 	x.next = newFakeDiscovery(t, &fakeEndpoint{ln: x.a.ln}, &fakeEndpoint{ln: x.b.ln})
-	x.p = running(t, x.f, nil)
-	x.request = pgwire.QueryMessage(strings.Replace(read(class, int(interleavingDeadline.Milliseconds())), "t=acme", "t=acme,k=5c", 1))
+	x.p = startRelay(t, x.f, nil)
+	x.request = pgwire.QueryMessage(strings.Replace(selectStatement(class, int(interleavingDeadline.Milliseconds())), "t=acme", "t=acme,k=5c", 1))
 	x.c = dialClient(t, x.p)
-	x.c.until('Z')
-	settled(t, x.p, metrics.DiscoveryCalls, 2) // the watch waits
+	x.c.readUntil('Z')
+	waitForCounter(t, x.p, metrics.DiscoveryCalls, 2) // the watch waits
 	hold(x)
 	begun := time.Now()
 	come(x)
@@ -240,22 +240,22 @@
 		x.c.Write(x.unsent)
 	}
 	if x.clientLeft {
-		x.wait("the end", func() bool { return x.p.loop.Metrics.Get(metrics.ClientConnsOpen) == 0 })
-		settled(t, x.p, metrics.Open, 0)
+		x.waitFor("the end", func() bool { return x.p.loop.Metrics.Get(metrics.ClientConnsOpen) == 0 })
+		waitForCounter(t, x.p, metrics.Open, 0)
 		ranBefore = x.ran()
 	}
-	open(x.a.mayAccept, x.b.mayAccept)
-	x.wait("a statement out, or an end", func() bool {
+	allow(x.a.mayAccept, x.b.mayAccept)
+	x.waitFor("a statement out, or an end", func() bool {
 		return x.ran() > 0 || x.p.loop.Metrics.Get(metrics.Open) == 0
 	})
-	open(x.a.mayBegin, x.b.mayBegin, x.a.mayFinish, x.b.mayFinish)
+	allow(x.a.mayBegin, x.b.mayBegin, x.a.mayFinish, x.b.mayFinish)
 	if x.clientLeft {
-		settled(t, x.p, metrics.AttemptsOpen, 0)
+		waitForCounter(t, x.p, metrics.AttemptsOpen, 0)
 		if x.ran() != ranBefore {
 			t.Errorf("%d statements behind the client's end", x.ran()-ranBefore)
 		}
 	} else {
-		value, code := x.c.answer()
+		value, code := x.c.readResponse()
 		if code == "closed" {
 			t.Error("closed without an answer")
 		}
@@ -273,6 +273,6 @@
 	if after := x.a.statements(); x.notifiedDraining && after != ranAtA {
 		t.Errorf("%d statements to an endpoint listed as draining", after-ranAtA)
 	}
-	settled(t, x.p, metrics.AttemptsOpen, 0)
-	sums(t, x.p)
+	waitForCounter(t, x.p, metrics.AttemptsOpen, 0)
+	checkCounters(t, x.p)
 }
--- a/cmd/lichenroad/lab.go
+++ b/cmd/lichenroad/lab.go
@@ -21,12 +21,12 @@
 )
 
 func (t *tool) labCommand() *cobra.Command {
-	c := &cobra.Command{Use: "lab", Short: "Emulators on loopback, a demonstration with them, and measurements", RunE: needsVerb}
+	c := &cobra.Command{Use: "lab", Short: "Emulators on loopback, a demonstration with them, and measurements", RunE: requireSubcommand}
 	c.AddCommand(t.labDemo(), t.labPlanner(), t.labSweep(), t.labCompare(), t.labShape(), t.labLedger(), t.labFit(), t.labScale())
 	return c
 }
 
-const demoLimit = 55 * time.Second // after which a demonstration is given up
+const demoTimeout = 55 * time.Second // after which a demonstration is given up
 
 func (t *tool) labDemo() *cobra.Command {
 	c := &cobra.Command{Use: "demo", Short: "Take a good and a bad build through a plan, with real processes on loopback", Args: cobra.NoArgs}
@@ -41,13 +41,13 @@
 		}
 		ctx, cancel := untilSignal()
 		defer cancel()
-		r, err := demo.Run(ctx, demo.Options{Self: self, Dir: *dir, Out: t.out, Limit: demoLimit})
+		r, err := demo.Run(ctx, demo.Options{Self: self, Dir: *dir, Out: t.stdout, Limit: demoTimeout})
 		if err != nil {
 			return failed(err)
 		}
-		printf(t.out, "%d queries: %d honoured, %d denied, %d failed; %d legs at builds on trial, at most %.2f of any allowance\n",
+		printf(t.stdout, "%d queries: %d honoured, %d denied, %d failed; %d legs at builds on trial, at most %.2f of any allowance\n",
 			r.Requests, r.Succeeded, r.Rejected, r.Failed, r.CanaryAttempts, r.MaxExposureUse)
-		printf(t.out, "report: %s\n", r.Report)
+		printf(t.stdout, "report: %s\n", r.Report)
 		if len(r.Violations) > 0 {
 			return ruleBroken("%s", strings.Join(r.Violations, "; "))
 		}
@@ -79,10 +79,10 @@
 				return failed(err)
 			}
 		}
-		printf(t.out, "%d relays, %d lines that are none of a relay's\n%8s %7s %9s %9s %9s %6s  %s\n", summary.Relays(), summary.Unparsed,
+		printf(t.stdout, "%d relays, %d lines that are none of a relay's\n%8s %7s %9s %9s %9s %6s  %s\n", summary.Relays(), summary.Unparsed,
 			"lines", "relays", "first s", "last s", "busiest", "in it", "kind")
 		for _, r := range summary.Rows() {
-			printf(t.out, "%8d %7d %9.3f %9.3f %9.0f %6d  %s\n", r.Lines, r.Relays, r.First, r.Last, r.PeakSecond, r.PeakLines, r.Kind)
+			printf(t.stdout, "%8d %7d %9.3f %9.3f %9.0f %6d  %s\n", r.Lines, r.Relays, r.First, r.Last, r.PeakSecond, r.PeakLines, r.Kind)
 		}
 		return nil
 	}
@@ -148,7 +148,7 @@
 			<-ctx.Done()
 			_ = listener.Close() // ends Serve
 		}()
-		planner.QueryLog = t.out
+		planner.QueryLog = t.stdout
 		if err := planner.Serve(listener); ctx.Err() == nil {
 			return failed(err)
 		}
--- a/cmd/lichenroad/logs.go
+++ b/cmd/lichenroad/logs.go
@@ -13,12 +13,12 @@
 // logger opens the program's log on standard error, at the level of --log-level. Writing to it never blocks. flush
 // writes what waits and ends the log.
 func (t *tool) logger() (log *logrus.Logger, counters *metrics.Counters, flush func(), err error) {
-	level, err := logrus.ParseLevel(t.level)
+	level, err := logrus.ParseLevel(t.logLevel)
 	if err != nil {
 		return nil, nil, nil, err
 	}
 	counters = &metrics.Counters{}
-	writer := newAsyncWriter(t.errs, counters)
+	writer := newAsyncWriter(t.stderr, counters)
 	log = logrus.New()
 	log.SetOutput(writer)
 	log.SetLevel(level)
--- a/cmd/lichenroad/main.go
+++ b/cmd/lichenroad/main.go
@@ -19,19 +19,19 @@
 
 // tool is what the commands share.
 type tool struct {
-	env       func(string) string // os.Getenv
-	out, errs io.Writer           // standard output and standard error
-	level     string              // of the log
+	getenv         func(string) string // os.Getenv
+	stdout, stderr io.Writer           // standard output and standard error
+	logLevel       string              // of the log
 }
 
 // run carries out one call of the program and returns its exit code.
 func run(args []string, env func(string) string, out, errs io.Writer) int {
-	t := &tool{env: env, out: out, errs: errs}
+	t := &tool{getenv: env, stdout: out, stderr: errs}
 	root := t.rootCommand()
 	root.SetArgs(args)
 	root.SetOut(out)
 	root.SetErr(errs)
-	return int(report(errs, root.Execute()))
+	return int(reportError(errs, root.Execute()))
 }
 
 func (t *tool) rootCommand() *cobra.Command {
@@ -48,7 +48,7 @@
 		}
 		return c.Help()
 	}
-	root.PersistentFlags().StringVar(&t.level, "log-level", "info", "debug, info, warn or error")
+	root.PersistentFlags().StringVar(&t.logLevel, "log-level", "info", "debug, info, warn or error")
 	root.AddCommand(t.serveCommand(), t.checkCommand(), t.planCommand(), t.controllerCommand(), t.deprecatedControllerCommand(), t.traceCommand(),
 		t.labCommand(), t.versionCommand(), t.exitCodesCommand())
 	return root
@@ -56,12 +56,12 @@
 
 func (t *tool) versionCommand() *cobra.Command {
 	return &cobra.Command{Use: "version", Short: "Print the version", Args: cobra.NoArgs,
-		Run: func(*cobra.Command, []string) { printf(t.out, "lichenroad %s\n", version()) }}
+		Run: func(*cobra.Command, []string) { printf(t.stdout, "lichenroad %s\n", version()) }}
 }
 
 func (t *tool) exitCodesCommand() *cobra.Command {
 	return &cobra.Command{Use: "exit-codes", Short: "What the exit codes mean", Long: "What the exit codes mean:\n\n" + exitText, Args: cobra.NoArgs,
-		Run: func(*cobra.Command, []string) { printf(t.out, "%s", exitText) }}
+		Run: func(*cobra.Command, []string) { printf(t.stdout, "%s", exitText) }}
 }
 
 // untilSignal is a context that ends at SIGTERM or an interrupt.
--- a/cmd/lichenroad/main_test.go
+++ b/cmd/lichenroad/main_test.go
@@ -46,20 +46,20 @@
 	}
 }
 
-// stuck is a writer that blocks until free is closed.
-type stuck struct {
+// blockedWriter is a writer that blocks until free is closed.
+type blockedWriter struct {
 	bytes.Buffer
 	free chan struct{}
 }
 
-func (s *stuck) Write(b []byte) (int, error) {
+func (s *blockedWriter) Write(b []byte) (int, error) {
 	<-s.free
 	return s.Buffer.Write(b)
 }
 
 func TestLogHoldsNobodyUp(t *testing.T) {
 	counters := &metrics.Counters{}
-	to := &stuck{free: make(chan struct{})}
+	to := &blockedWriter{free: make(chan struct{})}
 	l := newAsyncWriter(to, counters)
 	for range limits.MaxQueuedLogLines + 10 {
 		l.Write([]byte("line\n"))
--- a/cmd/lichenroad/peers_test.go
+++ b/cmd/lichenroad/peers_test.go
@@ -23,7 +23,7 @@
 	own, peer, all, stranger := open(), open(), open(), open()
 	listen := own.LocalAddr().String()
 	own.Close()
-	p := running(t, newFakeDiscovery(t, newFakeEndpoint(t, always(succeed))), func(c *config.Config) {
+	p := startRelay(t, newFakeDiscovery(t, newFakeEndpoint(t, always(succeed))), func(c *config.Config) {
 		c.PeerListen, c.PeersAll = listen, all.LocalAddr().String()
 		c.Peers = []string{listen, peer.LocalAddr().String()}
 		c.Site.Relays = 2
@@ -44,10 +44,10 @@
 	}{{peer, 5, metrics.PeerMessagesIn}, {stranger, 5, metrics.PeerMessagesDropped}, {peer, 257, metrics.PeerMessagesDropped}} {
 		before := p.loop.Metrics.Get(c.id)
 		c.from.WriteToUDP(make([]byte, c.n), to)
-		settled(t, p, c.id, before+1)
+		waitForCounter(t, p, c.id, before+1)
 	}
 	before := p.loop.Metrics.Get(metrics.PeerMessagesDropped)
 	p.loop.Peers.SendMessage(relay.SendMessage{To: relay.Broadcast, Body: make([]byte, 257)})
 	p.loop.Peers.SendMessage(relay.SendMessage{To: 7, Body: []byte("x")})
-	settled(t, p, metrics.PeerMessagesDropped, before+2)
+	waitForCounter(t, p, metrics.PeerMessagesDropped, before+2)
 }
--- a/cmd/lichenroad/plan.go
+++ b/cmd/lichenroad/plan.go
@@ -12,7 +12,7 @@
 )
 
 func (t *tool) planCommand() *cobra.Command {
-	c := &cobra.Command{Use: "plan", Short: "Check, show and try out plans of releases", RunE: needsVerb}
+	c := &cobra.Command{Use: "plan", Short: "Check, show and try out plans of releases", RunE: requireSubcommand}
 	c.AddCommand(t.planCheck(), t.planShow(), t.planSimulate())
 	return c
 }
@@ -28,7 +28,7 @@
 		for _, s := range p.Services {
 			steps += len(s.Steps)
 		}
-		printf(t.out, "ok: %d services with %d steps, %d sites, %d groups, %d freezes\n", len(p.Services), steps,
+		printf(t.stdout, "ok: %d services with %d steps, %d sites, %d groups, %d freezes\n", len(p.Services), steps,
 			len(p.Sites), len(p.Groups), len(p.Freezes))
 		return nil
 	}
@@ -53,7 +53,7 @@
 		if err := t.printSteps(p); err != nil {
 			return failed(err)
 		}
-		printf(t.out, "\nat %s:\n", when.UTC().Format(time.RFC3339))
+		printf(t.stdout, "\nat %s:\n", when.UTC().Format(time.RFC3339))
 		return failed(t.printFreezes(p, when))
 	}
 	return c
--- a/cmd/lichenroad/platform_test.go
+++ b/cmd/lichenroad/platform_test.go
@@ -32,23 +32,23 @@
 		}
 		return "OK 2 0 canary 0.5 10\r\n"
 	})
-	p := running(t, newFakeDiscovery(t, newFakeEndpoint(t, always(succeed))), withPlatform(d))
-	settled(t, p, metrics.RolloutStatuses, 1)
+	p := startRelay(t, newFakeDiscovery(t, newFakeEndpoint(t, always(succeed))), withPlatform(d))
+	waitForCounter(t, p, metrics.RolloutStatuses, 1)
 	vote := func() { p.loop.Platform.Vote(relay.Vote{Build: 2, Verdict: relay.VotePromote}) }
 	for i, want := range []metrics.Counter{metrics.VotesCounted, metrics.VotesNotCounted, metrics.VotesMaybeCounted, metrics.VotesMaybeCounted} {
 		before := p.loop.Metrics.Get(want)
 		vote()
-		if got := d.line(t, "VOTE"); got != "VOTE 2 0 approve" {
+		if got := d.nextLine(t, "VOTE"); got != "VOTE 2 0 approve" {
 			t.Errorf("%q", got)
 		}
-		settled(t, p, want, before+1)
+		waitForCounter(t, p, want, before+1)
 		if i == 3 {
-			settled(t, p, metrics.BadInput, 1)
+			waitForCounter(t, p, metrics.BadInput, 1)
 		}
 	}
 	d.ln.Close()
 	vote() // the connection was closed after the last reply; no other can be opened
-	settled(t, p, metrics.VotesNotCounted, 2)
+	waitForCounter(t, p, metrics.VotesNotCounted, 2)
 }
 
 // TestPipelinedVotes has several votes in flight on one connection, their replies in one write, and the connection
@@ -64,24 +64,24 @@
 		}
 		return ""
 	})
-	p := running(t, newFakeDiscovery(t, newFakeEndpoint(t, always(succeed))), func(c *config.Config) {
+	p := startRelay(t, newFakeDiscovery(t, newFakeEndpoint(t, always(succeed))), func(c *config.Config) {
 		withPlatform(d)(c)
 		c.Site.Rollout.CallTimeout = 10 * testTimeout.Seconds()
 	})
-	d.line(t, "WATCH")
+	d.nextLine(t, "WATCH")
 	<-d.conns
 	vote := func(n int) {
 		for range n {
 			p.loop.Platform.Vote(relay.Vote{Build: 2, Verdict: relay.VotePromote})
-			d.line(t, "VOTE")
+			d.nextLine(t, "VOTE")
 		}
 	}
 	vote(3)
-	settled(t, p, metrics.VotesCounted, 2)
-	settled(t, p, metrics.VotesStale, 1)
+	waitForCounter(t, p, metrics.VotesCounted, 2)
+	waitForCounter(t, p, metrics.VotesStale, 1)
 	vote(2)
 	(<-d.conns).Close()
-	settled(t, p, metrics.VotesMaybeCounted, 2)
+	waitForCounter(t, p, metrics.VotesMaybeCounted, 2)
 	if len(d.conns) != 0 {
 		t.Error("more than one connection for votes")
 	}
@@ -89,9 +89,9 @@
 
 func TestWatchReconnects(t *testing.T) {
 	d := newFakePlatform(t, func(string) string { return "OK\r\n* news 1 0 stable 1 5000\r\n" })
-	p := running(t, newFakeDiscovery(t, newFakeEndpoint(t, always(succeed))), withPlatform(d))
+	p := startRelay(t, newFakeDiscovery(t, newFakeEndpoint(t, always(succeed))), withPlatform(d))
 	for i := int64(1); i <= 3; i++ {
-		settled(t, p, metrics.RolloutStatuses, i)
+		waitForCounter(t, p, metrics.RolloutStatuses, i)
 		c := <-d.conns
 		if i == 2 {
 			fmt.Fprint(c, strings.Repeat("x", 9<<10)) // a line over the bound
@@ -99,14 +99,14 @@
 		}
 		c.Close()
 	}
-	settled(t, p, metrics.BadInput, 1)
+	waitForCounter(t, p, metrics.BadInput, 1)
 }
 
 func TestStalledWatchIsReplaced(t *testing.T) {
 	d := newFakePlatform(t, func(string) string { return "OK\r\n* news 1 0 stable 1 5000\r\n" })
-	p := running(t, newFakeDiscovery(t, newFakeEndpoint(t, always(succeed))), withPlatform(d))
+	p := startRelay(t, newFakeDiscovery(t, newFakeEndpoint(t, always(succeed))), withPlatform(d))
 	old := <-d.conns
-	settled(t, p, metrics.RolloutStatuses, 2) // no keep-alive came
+	waitForCounter(t, p, metrics.RolloutStatuses, 2) // no keep-alive came
 	old.SetDeadline(time.Now().Add(testTimeout))
 	if _, err := old.Read(make([]byte, 1)); !errors.Is(err, io.EOF) {
 		t.Error("the stalled connection is kept:", err)
@@ -122,13 +122,13 @@
 		}
 		return ""
 	})
-	p := running(t, newFakeDiscovery(t, newFakeEndpoint(t, always(succeed))), func(c *config.Config) {
+	p := startRelay(t, newFakeDiscovery(t, newFakeEndpoint(t, always(succeed))), func(c *config.Config) {
 		withPlatform(d)(c)
 		c.Site.Rollout.CallTimeout = 10 * testTimeout.Seconds()
 	})
 	old := <-d.conns
-	d.line(t, "WATCH")
-	d.line(t, "WATCH") // the new one calls, and is not answered
+	d.nextLine(t, "WATCH")
+	d.nextLine(t, "WATCH") // the new one calls, and is not answered
 	fmt.Fprint(old, "* news 2 0 canary 0.1 5\r\n")
-	settled(t, p, metrics.RolloutStatuses, 1)
+	waitForCounter(t, p, metrics.RolloutStatuses, 1)
 }
--- a/cmd/lichenroad/progress.go
+++ b/cmd/lichenroad/progress.go
@@ -15,7 +15,7 @@
 // progressBar is a bar on standard error, up to a total, -1 where it isn't known; nil where nobody sees it, as in a pipe.
 func (t *tool) progressBar(total int64, what string, more ...progressbar.Option) *progressbar.ProgressBar {
 	const redrawInterval = 200 * time.Millisecond
-	terminal, ok := t.errs.(*os.File)
+	terminal, ok := t.stderr.(*os.File)
 	if !ok {
 		return nil
 	}
--- a/cmd/lichenroad/ready_test.go
+++ b/cmd/lichenroad/ready_test.go
@@ -28,23 +28,23 @@
 			f := newFakeDiscovery(t, newFakeEndpoint(t, always(succeed)))
 			f.down = true
 			begun := time.Now()
-			p := running(t, f, func(to *config.Config) {
+			p := startRelay(t, f, func(to *config.Config) {
 				if c.known != "" {
 					to.KnownList = json.RawMessage(c.known)
 				}
 			})
 			cl := dialClient(t, p, pgwire.QueryMessage("")...)
-			cl.until('Z')
-			cl.until('I')
-			cl.until('Z')
+			cl.readUntil('Z')
+			cl.readUntil('I')
+			cl.readUntil('Z')
 			if took := time.Since(begun); took > c.within {
 				t.Errorf("ready after %v", took)
 			}
-			cl.send(read("look", 300))
-			if _, code := cl.answer(); code != c.code {
+			cl.send(selectStatement("look", 300))
+			if _, code := cl.readResponse(); code != c.code {
 				t.Errorf("%q", code)
 			}
-			sums(t, p)
+			checkCounters(t, p)
 		})
 	}
 }
@@ -53,14 +53,14 @@
 func TestSigtermBeforeReady(t *testing.T) {
 	f := newFakeDiscovery(t)
 	f.down = true
-	p := running(t, f, func(to *config.Config) { to.KnownList = nil })
+	p := startRelay(t, f, func(to *config.Config) { to.KnownList = nil })
 	cl := dialClient(t, p, pgwire.QueryMessage("")...)
-	cl.until('Z')
-	settled(t, p, metrics.DiscoveryFailed, 1)
+	cl.readUntil('Z')
+	waitForCounter(t, p, metrics.DiscoveryFailed, 1)
 	p.shutdownGracefully()
-	cl.until('I')
-	cl.until('Z')
-	if !cl.closed() {
+	cl.readUntil('I')
+	cl.readUntil('Z')
+	if !cl.closedByRelay() {
 		t.Error("the connection stays")
 	}
 	select {
--- a/cmd/lichenroad/relay.go
+++ b/cmd/lichenroad/relay.go
@@ -12,18 +12,18 @@
 
 // configFlag adds the flag that names a relay's configuration.
 func (t *tool) configFlag(c *cobra.Command) *string {
-	return c.Flags().String("config", t.env("BALANCER_CONFIG"), "the configuration, a JSON file; $BALANCER_CONFIG where not given")
+	return c.Flags().String("config", t.getenv("BALANCER_CONFIG"), "the configuration, a JSON file; $BALANCER_CONFIG where not given")
 }
 
 func (t *tool) checkCommand() *cobra.Command {
 	c := &cobra.Command{Use: "check", Short: "Read a configuration and report its faults", Args: cobra.NoArgs}
 	path := t.configFlag(c)
 	c.RunE = func(*cobra.Command, []string) error {
-		got, err := config.Load(*path, t.env)
+		got, err := config.Load(*path, t.getenv)
 		if err != nil {
 			return failed(err)
 		}
-		printf(t.out, "ok: %s listens on %s\n", got.Name, got.Listen)
+		printf(t.stdout, "ok: %s listens on %s\n", got.Name, got.Listen)
 		return nil
 	}
 	return c
@@ -38,7 +38,7 @@
 	c.Flags().StringVar(&releases.service, "service", "", "the service of the plan that this relay serves")
 	c.MarkFlagsRequiredTogether("plan", "service")
 	c.RunE = func(*cobra.Command, []string) error {
-		got, err := config.Load(*path, t.env)
+		got, err := config.Load(*path, t.getenv)
 		if err != nil {
 			return failed(err)
 		}
@@ -52,7 +52,7 @@
 			return err
 		}
 		defer flush()
-		reload := func() (config.Config, error) { return config.Reload(*path, t.env) }
+		reload := func() (config.Config, error) { return config.Reload(*path, t.getenv) }
 		return failed(serve(got, reload, releases, log, counters))
 	}
 	return c
--- a/cmd/lichenroad/reload_test.go
+++ b/cmd/lichenroad/reload_test.go
@@ -35,7 +35,7 @@
 func TestReloadBySignal(t *testing.T) {
 	before, after := newFakeEndpoint(t, always(succeed)), newFakeEndpoint(t, always(succeed))
 	old, fresh := newFakeDiscovery(t, before), newFakeDiscovery(t, after)
-	ln := listening(t)
+	ln := newListener(t)
 	listen := ln.Addr().String()
 	ln.Close()
 	path := filepath.Join(t.TempDir(), "config.json")
@@ -82,12 +82,12 @@
 		n.SetDeadline(time.Now().Add(testTimeout))
 		c := &client{t, n, bufio.NewReader(n)}
 		n.Write(pgwire.Startup("worker", "catalog"))
-		c.until('Z')
+		c.readUntil('Z')
 		c.send("") // answered when the relay is ready, as a load balancer waits for
-		c.until('I')
-		c.until('Z')
-		c.send(read("look", 1500))
-		v, _ := c.answer()
+		c.readUntil('I')
+		c.readUntil('Z')
+		c.send(selectStatement("look", 1500))
+		v, _ := c.readResponse()
 		return v
 	}
 	line("serving")
@@ -104,7 +104,7 @@
 	write(file(fresh))
 	cmd.Process.Signal(syscall.SIGHUP)
 	line("configuration reloaded")
-	for until := time.Now().Add(testTimeout); len(after.seen) == 0; { // the new list has another endpoint
+	for until := time.Now().Add(testTimeout); len(after.received) == 0; { // the new list has another endpoint
 		if ask() == "" && time.Now().After(until) {
 			t.Fatal("the list of the new discovery does not serve")
 		}
@@ -128,25 +128,25 @@
 		return ""
 	}
 	old, fresh := newFakePlatform(t, answer), newFakePlatform(t, answer)
-	p := running(t, newFakeDiscovery(t, newFakeEndpoint(t, always(succeed))), func(c *config.Config) {
+	p := startRelay(t, newFakeDiscovery(t, newFakeEndpoint(t, always(succeed))), func(c *config.Config) {
 		withPlatform(old)(c)
 		c.Site.Rollout.CallTimeout = 10 * testTimeout.Seconds()
 	})
 	watch := <-old.conns
-	old.line(t, "WATCH")
+	old.nextLine(t, "WATCH")
 	vote := func() { p.loop.Platform.Vote(relay.Vote{Build: 2, Verdict: relay.VotePromote}) }
 	vote()
-	old.line(t, "VOTE")
+	old.nextLine(t, "VOTE")
 	votes := <-old.conns
 	next := p.config
 	next.Platform = fresh.ln.Addr().String()
 	p.reload(next, nil)
-	fresh.line(t, "WATCH")
-	settled(t, p, metrics.RolloutStatuses, 2)
+	fresh.nextLine(t, "WATCH")
+	waitForCounter(t, p, metrics.RolloutStatuses, 2)
 	vote()
-	fresh.line(t, "VOTE")
+	fresh.nextLine(t, "VOTE")
 	fmt.Fprint(votes, "OK 2 0 canary 0.5 10\r\n")
-	settled(t, p, metrics.VotesCounted, 1)
+	waitForCounter(t, p, metrics.VotesCounted, 1)
 	fmt.Fprint(watch, "*\r\n")
 	watch.SetDeadline(time.Now().Add(testTimeout))
 	if _, err := watch.Read(make([]byte, 1)); !errors.Is(err, io.EOF) {
--- a/cmd/lichenroad/scale.go
+++ b/cmd/lichenroad/scale.go
@@ -67,7 +67,7 @@
 	if err := t.writeJSON(flags.json, result); err != nil {
 		return err
 	}
-	if err := result.WriteTable(t.out); err != nil {
+	if err := result.WriteTable(t.stdout); err != nil {
 		return failed(err)
 	}
 	if result.ViolationCount > 0 {
--- a/cmd/lichenroad/scale_test.go
+++ b/cmd/lichenroad/scale_test.go
@@ -16,7 +16,7 @@
 	file := filepath.Join(t.TempDir(), "scale.json")
 	args := []string{"lab", "scale", "--relays", "6", "--units", "20", "--services", "2", "--zones", "4", "--regions", "2",
 		"--shape", "skewed", "--seconds", "3", "--rate", "10", "--fault", "loss", "--fault", "reorder", "--json", file}
-	code, out, errs := call(args...)
+	code, out, errs := runCommand(args...)
 	if code != 0 || errs != "" || !strings.Contains(out, "broken: 0") {
 		t.Fatalf("%d %q %q", code, out, errs)
 	}
@@ -50,7 +50,7 @@
 		{[]string{"--shape", "wide", "--relays", "4300", "--units", "42000", "--measured", "4300"}, exitFailed, "this size needs about "},
 	} {
 		t.Run(strings.Join(c.args, " "), func(t *testing.T) {
-			code, out, errs := call(append([]string{"lab", "scale"}, c.args...)...)
+			code, out, errs := runCommand(append([]string{"lab", "scale"}, c.args...)...)
 			if code != int(c.code) || out != "" || !strings.HasPrefix(errs, "lichenroad: "+c.want) || strings.Count(errs, "\n") != 1 {
 				t.Errorf("%d %q %q", code, out, errs)
 			}
--- a/cmd/lichenroad/serve.go
+++ b/cmd/lichenroad/serve.go
@@ -36,9 +36,9 @@
 	plan    *plan.Plan
 }
 
-// program is a relay that runs. Its parts run on goroutines of their own and post to the loop, which runs on the
+// relayProcess is a relay that runs. Its parts run on goroutines of their own and post to the loop, which runs on the
 // goroutine of serve until stop is closed.
-type program struct {
+type relayProcess struct {
 	config    config.Config // in force; owned by the loop
 	releases  releasePlan
 	guard     *guard.Host // nil: no plan
@@ -100,7 +100,7 @@
 }
 
 // start puts the parts together and listens; what is received waits for the loop to run.
-func start(c config.Config, releases releasePlan, log *logrus.Logger, counters *metrics.Counters) (*program, error) {
+func start(c config.Config, releases releasePlan, log *logrus.Logger, counters *metrics.Counters) (*relayProcess, error) {
 	pool := buffer.NewPool(int64(limits.BufferFraction * float64(c.MemoryMB<<20)))
 	loop := pipeline.NewLoop(c.Site, c.Seed, pool, counters, log)
 	sockets := divideSockets(c.Sockets)
@@ -109,7 +109,7 @@
 	discoveryClient := discovery.New(loop, c.Discovery, reader, endpoints, c.Seed)
 	platformClient := platform.New(loop, c.Platform)
 	loop.Upstream, loop.Discovery, loop.Platform, loop.Peers = endpoints, discoveryClient, platformClient, noPeers{counters}
-	p := &program{config: c, releases: releases, loop: loop, discovery: discoveryClient, platform: platformClient, stop: make(chan struct{})}
+	p := &relayProcess{config: c, releases: releases, loop: loop, discovery: discoveryClient, platform: platformClient, stop: make(chan struct{})}
 	p.end = sync.OnceFunc(func() { close(p.stop) })
 	if err := p.openGuard(); err != nil {
 		return nil, err
@@ -143,7 +143,7 @@
 }
 
 // openGuard makes the guard that holds the relay to its plan, if it has one.
-func (p *program) openGuard() error {
+func (p *relayProcess) openGuard() error {
 	if p.releases.plan == nil {
 		return nil
 	}
@@ -157,7 +157,7 @@
 }
 
 // openPeers opens the socket for messages between relays, if the configuration names one.
-func (p *program) openPeers() error {
+func (p *relayProcess) openPeers() error {
 	if p.config.PeerListen == "" {
 		return nil
 	}
@@ -173,7 +173,7 @@
 
 // shutdownGracefully keeps serving for a little while, closes each connection between its requests, and ends when none is
 // left, or when every request must have been answered.
-func (p *program) shutdownGracefully() {
+func (p *relayProcess) shutdownGracefully() {
 	maxWait := max(limits.PlatformMaxDeadline, p.loop.Site.MaxDeadline())
 	p.loop.Post(pipeline.Func(func(l *pipeline.Loop) {
 		p.clients.Shutdown(p.end)
@@ -183,13 +183,13 @@
 
 // reload puts the next configuration in place of the one in force: discovery and platform are called at the addresses
 // that it names. One that can't be read changes nothing.
-func (p *program) reload(next config.Config, err error) {
+func (p *relayProcess) reload(next config.Config, err error) {
 	if err != nil {
 		p.loop.Metrics.Add(metrics.ReloadsRefused, 1)
 		p.loop.Log.WithError(err).Error("configuration rejected, keeping the old one")
 		return
 	}
-	p.replan()
+	p.reloadPlan()
 	p.loop.Post(pipeline.Func(func(l *pipeline.Loop) {
 		p.discovery.ChangeAddress(next.Discovery)
 		if next.Platform != "" {
@@ -202,8 +202,8 @@
 	}))
 }
 
-// replan reads the plan again. One with an error changes nothing and is logged.
-func (p *program) replan() {
+// reloadPlan reads the plan again. One with an error changes nothing and is logged.
+func (p *relayProcess) reloadPlan() {
 	if p.guard == nil {
 		return
 	}
@@ -223,7 +223,7 @@
 
 // handleSignals shuts the program down gracefully at the first SIGTERM or interrupt and at once at the second, and logs
 // the counters on SIGUSR1.
-func (p *program) handleSignals(signals <-chan os.Signal) {
+func (p *relayProcess) handleSignals(signals <-chan os.Signal) {
 	ending := false
 	for s := range signals {
 		switch {
--- a/cmd/lichenroad/serve_test.go
+++ b/cmd/lichenroad/serve_test.go
@@ -17,42 +17,42 @@
 
 func TestRequestSucceeds(t *testing.T) {
 	u := newFakeEndpoint(t, always(succeed))
-	p := running(t, newFakeDiscovery(t, u), nil)
-	c := dialClient(t, p, pgwire.QueryMessage(read("look", 1500))...) // the first query right behind the startup
-	c.until('Z')
-	if v, code := c.answer(); v != "value of SELECT" || code != "" {
+	p := startRelay(t, newFakeDiscovery(t, u), nil)
+	c := dialClient(t, p, pgwire.QueryMessage(selectStatement("look", 1500))...) // the first query right behind the startup
+	c.readUntil('Z')
+	if v, code := c.readResponse(); v != "value of SELECT" || code != "" {
 		t.Errorf("%q %q", v, code)
 	}
-	got := <-u.seen
+	got := <-u.received
 	var d int
 	at := strings.Index(got, ",d=")
 	fmt.Sscanf(got[at:], ",d=%d */", &d)
-	if d <= 0 || d > 1500 || strings.Replace(got, fmt.Sprint("d=", d), "d=1500", 1) != read("look", 1500) {
+	if d <= 0 || d > 1500 || strings.Replace(got, fmt.Sprint("d=", d), "d=1500", 1) != selectStatement("look", 1500) {
 		t.Errorf("changed on the way: %s", got)
 	}
 	c.send(" ; ")
-	if c.until('I'); len(c.until('Z')) != 1 {
+	if c.readUntil('I'); len(c.readUntil('Z')) != 1 {
 		t.Error("no answer to an empty query")
 	}
 	write := `INSERT INTO objects (oid, body) VALUES ('7f3a', '\x` + strings.Repeat("9f", pgwire.MaxValue) +
 		`') RETURNING body /* id=1,c=order,t=acme,d=1500,k=5c */`
 	c.send(write)
-	if v, _ := c.answer(); v != "value of INSERT" {
+	if v, _ := c.readResponse(); v != "value of INSERT" {
 		t.Errorf("%q", v)
 	}
-	if _, opened := u.count(); opened != 1 {
+	if _, opened := u.counts(); opened != 1 {
 		t.Errorf("%d connections for queries one after the other", opened)
 	}
 	c.Write([]byte{'X', 0, 0, 0, 4})
-	if !c.closed() {
+	if !c.closedByRelay() {
 		t.Error("not closed after Terminate")
 	}
-	sums(t, p)
+	checkCounters(t, p)
 }
 
 func TestQueriesSplitAnywhere(t *testing.T) {
-	p := running(t, newFakeDiscovery(t, newFakeEndpoint(t, always(succeed))), nil)
-	stream := append(pgwire.Startup("worker", "catalog"), pgwire.QueryMessage(read("look", 1500))...)
+	p := startRelay(t, newFakeDiscovery(t, newFakeEndpoint(t, always(succeed))), nil)
+	stream := append(pgwire.Startup("worker", "catalog"), pgwire.QueryMessage(selectStatement("look", 1500))...)
 	for cut := 1; cut < len(stream); cut += 7 {
 		n, err := net.Dial("tcp", p.clients.Addr().String())
 		if err != nil {
@@ -62,44 +62,44 @@
 		n.Write(stream[:cut])
 		n.Write(stream[cut:])
 		c := &client{t, n, bufio.NewReader(n)}
-		c.until('Z')
-		if v, code := c.answer(); v == "" {
+		c.readUntil('Z')
+		if v, code := c.readResponse(); v == "" {
 			t.Fatalf("cut at %d: %q", cut, code)
 		}
 		n.Close()
 	}
-	sums(t, p)
+	checkCounters(t, p)
 }
 
 func TestPipelinedRequestsAreAnsweredInOrder(t *testing.T) {
 	u := newFakeEndpoint(t, always(succeed))
-	p := running(t, newFakeDiscovery(t, u), nil)
+	p := startRelay(t, newFakeDiscovery(t, u), nil)
 	var pipelined []byte
 	for range 5 {
-		pipelined = append(pipelined, pgwire.QueryMessage(read("look", 1500))...)
+		pipelined = append(pipelined, pgwire.QueryMessage(selectStatement("look", 1500))...)
 		pipelined = append(pipelined, pgwire.QueryMessage("")...)
 	}
 	c := dialClient(t, p, pipelined...)
-	c.until('Z')
+	c.readUntil('Z')
 	for range 5 {
-		c.until('D')
-		c.until('Z')
-		c.until('I')
-		c.until('Z')
+		c.readUntil('D')
+		c.readUntil('Z')
+		c.readUntil('I')
+		c.readUntil('Z')
 	}
 	for range 40 {
-		c.send(read("look", 1500))
+		c.send(selectStatement("look", 1500))
 	}
 	for code := ""; code != pgwire.CodeTooLong; {
-		if _, code = c.answer(); code == "closed" {
+		if _, code = c.readResponse(); code == "closed" {
 			t.Fatal("closed without a word")
 		}
 	}
-	if !c.closed() {
+	if !c.closedByRelay() {
 		t.Error("queries without bound are taken in")
 	}
 	c.Close()
-	sums(t, p)
+	checkCounters(t, p)
 }
 
 // TestOutcomes sends a request of each class to endpoints with one behaviour: what the client receives, and how often
@@ -119,32 +119,32 @@
 		{"turned away", rejectFull, "pay", pgwire.CodeFull, 1, 3, true},
 		{"reset behind the last byte", reset, "pay", pgwire.CodeFailed, 1, 1, true},
 		{"reset of a numbered one", reset, "order", pgwire.CodeFull, 2, 3, true},
-		{"silence", noAnswer, "pay", pgwire.CodeFailed, 1, 1, false},
+		{"silence", noResponse, "pay", pgwire.CodeFailed, 1, 1, false},
 		{"garbage", garbage, "pay", pgwire.CodeFailed, 1, 1, true},
 		{"two rows", twoRows, "pay", pgwire.CodeFailed, 1, 1, true},
-		{"half an answer", half, "pay", pgwire.CodeFailed, 1, 1, true},
-		{"noise of no known type", noise, "pay", pgwire.CodeFailed, 1, 1, true},
+		{"half an answer", halfResponse, "pay", pgwire.CodeFailed, 1, 1, true},
+		{"noise of no known type", unknownMessage, "pay", pgwire.CodeFailed, 1, 1, true},
 		{"a tag that can't be read", badTag, "pay", pgwire.CodeFailed, 1, 1, true},
 		{"a load report that can't be read", badLoad, "pay", "", 1, 1, true},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			t.Parallel()
 			a, b := newFakeEndpoint(t, always(c.does)), newFakeEndpoint(t, always(c.does))
-			p := running(t, newFakeDiscovery(t, a, b), nil)
+			p := startRelay(t, newFakeDiscovery(t, a, b), nil)
 			cl := dialClient(t, p)
-			cl.until('Z')
+			cl.readUntil('Z')
 			begun := time.Now()
-			cl.send(read(c.class, 1500))
-			_, code := cl.answer()
-			n, _ := a.count()
-			m, _ := b.count()
+			cl.send(selectStatement(c.class, 1500))
+			_, code := cl.readResponse()
+			n, _ := a.counts()
+			m, _ := b.counts()
 			if code != c.code || n+m < c.minStatements || n+m > c.maxStatements {
 				t.Errorf("%q after %d statements", code, n+m)
 			}
 			if in := time.Since(begun) < 1490*time.Millisecond; in != c.inTime {
 				t.Errorf("after %v", time.Since(begun))
 			}
-			sums(t, p)
+			checkCounters(t, p)
 		})
 	}
 }
@@ -153,147 +153,147 @@
 	gone, well := newFakeEndpoint(t, always(succeed)), newFakeEndpoint(t, always(succeed))
 	gone.ln.Close()
 	f := newFakeDiscovery(t, gone, well)
-	p := running(t, f, nil)
+	p := startRelay(t, f, nil)
 	c := dialClient(t, p)
-	c.until('Z')
+	c.readUntil('Z')
 	for range 20 { // at least one of them is sent first to the endpoint that is not there
-		c.send(read("pay", 1500))
-		if v, code := c.answer(); v == "" {
+		c.send(selectStatement("pay", 1500))
+		if v, code := c.readResponse(); v == "" {
 			t.Fatal(code)
 		}
 	}
 	if p.loop.Metrics.Get(metrics.AttemptConnectFailed) == 0 {
 		t.Error("no leg went to the unit that is not there")
 	}
-	sums(t, p)
+	checkCounters(t, p)
 }
 
 func TestUnitThatNeverComesUp(t *testing.T) {
 	// It accepts, and says nothing to the startup.
-	f := newFakeDiscovery(t, &fakeEndpoint{ln: listening(t)})
-	p := running(t, f, nil)
+	f := newFakeDiscovery(t, &fakeEndpoint{ln: newListener(t)})
+	p := startRelay(t, f, nil)
 	c := dialClient(t, p)
-	c.until('Z')
-	c.send(read("pay", 700))
-	if _, code := c.answer(); code != pgwire.CodeFull {
+	c.readUntil('Z')
+	c.send(selectStatement("pay", 700))
+	if _, code := c.readResponse(); code != pgwire.CodeFull {
 		t.Errorf("%q: a leg without a connection never ran", code)
 	}
 	if p.loop.Metrics.Get(metrics.AttemptConnectFailed) == 0 {
 		t.Error(p.loop.Metrics.Fields())
 	}
-	sums(t, p)
+	checkCounters(t, p)
 }
 
 func TestClientLeaves(t *testing.T) {
-	u := newFakeEndpoint(t, always(noAnswer))
-	p := running(t, newFakeDiscovery(t, u), nil)
+	u := newFakeEndpoint(t, always(noResponse))
+	p := startRelay(t, newFakeDiscovery(t, u), nil)
 	c := dialClient(t, p)
-	c.until('Z')
-	c.send(read("look", 1900))
-	<-u.seen
+	c.readUntil('Z')
+	c.send(selectStatement("look", 1900))
+	<-u.received
 	c.Close()
-	settled(t, p, metrics.ClientLeft, 1)
-	<-u.ended // the attempt's connection is closed, not pooled; the attempt is counted behind that
-	settled(t, p, metrics.AttemptCancelled, 1)
-	sums(t, p)
+	waitForCounter(t, p, metrics.ClientLeft, 1)
+	<-u.connEnded // the attempt's connection is closed, not pooled; the attempt is counted behind that
+	waitForCounter(t, p, metrics.AttemptCancelled, 1)
+	checkCounters(t, p)
 }
 
 func TestConnectionIsNotKeptAfterATimeout(t *testing.T) {
 	u := newFakeEndpoint(t, func(s string) behaviour {
 		if strings.Contains(s, "c=pay") {
-			return noAnswer
+			return noResponse
 		}
 		return succeed
 	})
-	p := running(t, newFakeDiscovery(t, u), nil)
+	p := startRelay(t, newFakeDiscovery(t, u), nil)
 	c := dialClient(t, p)
-	c.until('Z')
-	c.send(read("pay", 200))
-	if _, code := c.answer(); code != pgwire.CodeFailed {
+	c.readUntil('Z')
+	c.send(selectStatement("pay", 200))
+	if _, code := c.readResponse(); code != pgwire.CodeFailed {
 		t.Error(code)
 	}
-	<-u.ended
-	c.send(read("look", 1500))
-	if v, code := c.answer(); v == "" {
+	<-u.connEnded
+	c.send(selectStatement("look", 1500))
+	if v, code := c.readResponse(); v == "" {
 		t.Error(code)
 	}
-	if _, opened := u.count(); opened != 2 {
+	if _, opened := u.counts(); opened != 2 {
 		t.Errorf("%d connections", opened)
 	}
-	sums(t, p)
+	checkCounters(t, p)
 }
 
 func TestUnitThatClosesBetweenQueries(t *testing.T) {
 	u := newFakeEndpoint(t, always(succeedThenClose))
-	p := running(t, newFakeDiscovery(t, u), nil)
+	p := startRelay(t, newFakeDiscovery(t, u), nil)
 	c := dialClient(t, p)
-	c.until('Z')
+	c.readUntil('Z')
 	for range 5 {
-		c.send(read("pay", 1500))
-		if v, code := c.answer(); v == "" {
+		c.send(selectStatement("pay", 1500))
+		if v, code := c.readResponse(); v == "" {
 			t.Fatal(code)
 		}
-		<-u.ended
-		settled(t, p, metrics.EndpointConnsOpen, 0)
+		<-u.connEnded
+		waitForCounter(t, p, metrics.EndpointConnsOpen, 0)
 	}
-	sums(t, p)
+	checkCounters(t, p)
 }
 
 func TestBadInputFromClients(t *testing.T) {
-	p := running(t, newFakeDiscovery(t, newFakeEndpoint(t, always(succeed))), nil)
+	p := startRelay(t, newFakeDiscovery(t, newFakeEndpoint(t, always(succeed))), nil)
 	for name, c := range map[string]struct {
 		bytes []byte
 		code  string
 	}{
 		"another statement": {pgwire.QueryMessage("DROP TABLE objects"), pgwire.CodeSyntax},
-		"unknown class":     {pgwire.QueryMessage(read("none", 100)), pgwire.CodeSyntax},
-		"unknown tenant":    {pgwire.QueryMessage(strings.Replace(read("look", 1), "acme", "x", 1)), pgwire.CodeSyntax},
-		"without an id":     {pgwire.QueryMessage(strings.Replace(read("look", 1), "id=9b1f,", "", 1)), pgwire.CodeSyntax},
+		"unknown class":     {pgwire.QueryMessage(selectStatement("none", 100)), pgwire.CodeSyntax},
+		"unknown tenant":    {pgwire.QueryMessage(strings.Replace(selectStatement("look", 1), "acme", "x", 1)), pgwire.CodeSyntax},
+		"without an id":     {pgwire.QueryMessage(strings.Replace(selectStatement("look", 1), "id=9b1f,", "", 1)), pgwire.CodeSyntax},
 		"extended protocol": {[]byte{'P', 0, 0, 0, 4}, pgwire.CodeUnsupported},
 		"oversized":         {[]byte{'Q', 0x7f, 0, 0, 0}, pgwire.CodeTooLong},
 		"short length":      {[]byte{'Q', 0, 0, 0, 1}, pgwire.CodeSyntax},
 	} {
 		before := p.loop.Metrics.Get(metrics.BadInput)
 		cl := dialClient(t, p)
-		cl.until('Z')
+		cl.readUntil('Z')
 		cl.Write(c.bytes)
-		if _, code := cl.answer(); code != c.code {
+		if _, code := cl.readResponse(); code != c.code {
 			t.Errorf("%s: %q", name, code)
 		}
-		if !cl.closed() || p.loop.Metrics.Get(metrics.BadInput) != before+1 {
+		if !cl.closedByRelay() || p.loop.Metrics.Get(metrics.BadInput) != before+1 {
 			t.Errorf("%s: not closed or not counted", name)
 		}
 		cl.Close()
 	}
 	cl := dialClient(t, p, bytes.Repeat([]byte{0}, 8)...)
-	if cl.until('Z'); !cl.closed() {
+	if cl.readUntil('Z'); !cl.closedByRelay() {
 		t.Error("garbage behind the startup")
 	}
 	cl.Close()
-	settled(t, p, metrics.ClientConnsOpen, 0)
-	sums(t, p)
+	waitForCounter(t, p, metrics.ClientConnsOpen, 0)
+	checkCounters(t, p)
 }
 
 func TestComplaintWaitsForTheAnswersBeforeIt(t *testing.T) {
 	release := make(chan struct{})
-	p := running(t, newFakeDiscovery(t, newFakeEndpoint(t, func(string) behaviour { <-release; return succeed })), nil)
+	p := startRelay(t, newFakeDiscovery(t, newFakeEndpoint(t, func(string) behaviour { <-release; return succeed })), nil)
 	c := dialClient(t, p)
-	c.until('Z')
-	c.Write(append(pgwire.QueryMessage(read("pay", 1900)), 'P', 0, 0, 0, 4))
-	settled(t, p, metrics.AttemptsOpen, 1)
+	c.readUntil('Z')
+	c.Write(append(pgwire.QueryMessage(selectStatement("pay", 1900)), 'P', 0, 0, 0, 4))
+	waitForCounter(t, p, metrics.AttemptsOpen, 1)
 	close(release)
-	if v, code := c.answer(); v == "" {
+	if v, code := c.readResponse(); v == "" {
 		t.Error("the open query was lost over what came behind it:", code)
 	}
-	if _, code := c.answer(); code != pgwire.CodeUnsupported || !c.closed() {
+	if _, code := c.readResponse(); code != pgwire.CodeUnsupported || !c.closedByRelay() {
 		t.Errorf("%q", code)
 	}
 	c.Close()
-	sums(t, p)
+	checkCounters(t, p)
 }
 
 func TestTooManyClientsAreRejected(t *testing.T) {
-	p := running(t, newFakeDiscovery(t, newFakeEndpoint(t, always(succeed))), func(c *config.Config) { c.Sockets = 128 })
+	p := startRelay(t, newFakeDiscovery(t, newFakeEndpoint(t, always(succeed))), func(c *config.Config) { c.Sockets = 128 })
 	var kept []*client
 	for i := 0; ; i++ {
 		c := dialClient(t, p)
@@ -305,17 +305,17 @@
 			kept = append(kept, c)
 			continue
 		}
-		if _, code, _, _ := pgwire.ParseError(body); code != pgwire.CodeFull || !c.closed() || i != 48 {
+		if _, code, _, _ := pgwire.ParseError(body); code != pgwire.CodeFull || !c.closedByRelay() || i != 48 {
 			t.Errorf("connection %d: %q", i, code)
 		}
 		c.Close()
 		break
 	}
 	kept[0].Close()
-	settled(t, p, metrics.ClientConnsOpen, 47)
-	again := dialClient(t, p, pgwire.QueryMessage(read("look", 1500))...)
-	again.until('Z')
-	if v, code := again.answer(); v == "" {
+	waitForCounter(t, p, metrics.ClientConnsOpen, 47)
+	again := dialClient(t, p, pgwire.QueryMessage(selectStatement("look", 1500))...)
+	again.readUntil('Z')
+	if v, code := again.readResponse(); v == "" {
 		t.Error(code)
 	}
 }
@@ -324,20 +324,20 @@
 // with a request in flight is kept, an idle one is closed in time for others to be served.
 func TestIdleClientsMakeRoom(t *testing.T) {
 	release := make(chan struct{})
-	p := running(t, newFakeDiscovery(t, newFakeEndpoint(t, func(s string) behaviour {
+	p := startRelay(t, newFakeDiscovery(t, newFakeEndpoint(t, func(s string) behaviour {
 		if strings.Contains(s, "c=pay") {
 			<-release
 		}
 		return succeed
 	})), func(c *config.Config) { c.Sockets = 128 })
 	busy := dialClient(t, p)
-	busy.until('Z')
-	busy.send(read("pay", 60000))
+	busy.readUntil('Z')
+	busy.send(selectStatement("pay", 60000))
 	var first *client
 	for range 47 {
-		c := dialClient(t, p, pgwire.QueryMessage(read("look", 1500))...)
-		c.until('Z')
-		if v, code := c.answer(); v == "" {
+		c := dialClient(t, p, pgwire.QueryMessage(selectStatement("look", 1500))...)
+		c.readUntil('Z')
+		if v, code := c.readResponse(); v == "" {
 			t.Fatal(code)
 		}
 		if first == nil {
@@ -345,10 +345,10 @@
 		}
 	}
 	for until := time.Now().Add(testTimeout); ; {
-		c := dialClient(t, p, pgwire.QueryMessage(read("look", 1500))...)
+		c := dialClient(t, p, pgwire.QueryMessage(selectStatement("look", 1500))...)
 		if kind, _, err := fakes.ReadMessage(c.r, false); err == nil && kind == 'R' {
-			c.until('Z')
-			if v, code := c.answer(); v == "" {
+			c.readUntil('Z')
+			if v, code := c.readResponse(); v == "" {
 				t.Error(code)
 			}
 			break
@@ -358,73 +358,73 @@
 			t.Fatal("nobody new is served")
 		}
 	}
-	if !first.closed() {
+	if !first.closedByRelay() {
 		t.Error("the connection idle for longest is not the one closed")
 	}
 	close(release)
-	if v, code := busy.answer(); v == "" {
+	if v, code := busy.readResponse(); v == "" {
 		t.Error("an open query was closed over:", code)
 	}
 }
 
 func TestFullBuffersReject(t *testing.T) {
-	p := running(t, newFakeDiscovery(t, newFakeEndpoint(t, always(succeed))), nil)
+	p := startRelay(t, newFakeDiscovery(t, newFakeEndpoint(t, always(succeed))), nil)
 	c := dialClient(t, p)
-	c.until('Z')
+	c.readUntil('Z')
 	hog := p.loop.Pool.Chain()
 	for !p.loop.Pool.Full() {
 		hog.Write(make([]byte, 1<<20))
 	}
-	c.send(read("pay", 1500))
-	if _, code := c.answer(); code != pgwire.CodeFull {
+	c.send(selectStatement("pay", 1500))
+	if _, code := c.readResponse(); code != pgwire.CodeFull {
 		t.Error(code)
 	}
 	hog.Free()
-	c.send(read("pay", 1500))
-	if v, code := c.answer(); v == "" {
+	c.send(selectStatement("pay", 1500))
+	if v, code := c.readResponse(); v == "" {
 		t.Error(code)
 	}
-	sums(t, p)
+	checkCounters(t, p)
 }
 
 func TestDrainedUnitGetsNothingNew(t *testing.T) {
 	a, b := newFakeEndpoint(t, always(succeed)), newFakeEndpoint(t, always(succeed))
 	f := newFakeDiscovery(t, a, b)
-	p := running(t, f, nil)
+	p := startRelay(t, f, nil)
 	c := dialClient(t, p)
-	c.until('Z')
-	settled(t, p, metrics.DiscoveryCalls, 2) // the first call has confirmed the list, and the watch waits
+	c.readUntil('Z')
+	waitForCounter(t, p, metrics.DiscoveryCalls, 2) // the first call has confirmed the list, and the watch waits
 	f.set(0, "DRAINING")
-	settled(t, p, metrics.DiscoveryCalls, 3) // the answer has been read
-	c.send(read("look", 1500))               // and is applied before this
-	c.answer()
-	before, _ := a.count()
+	waitForCounter(t, p, metrics.DiscoveryCalls, 3) // the answer has been read
+	c.send(selectStatement("look", 1500))           // and is applied before this
+	c.readResponse()
+	before, _ := a.counts()
 	for range 20 {
-		c.send(read("look", 1500))
-		if v, code := c.answer(); v == "" {
+		c.send(selectStatement("look", 1500))
+		if v, code := c.readResponse(); v == "" {
 			t.Fatal(code)
 		}
 	}
-	if after, _ := a.count(); after != before {
+	if after, _ := a.counts(); after != before {
 		t.Errorf("%d queries to a draining unit", after-before)
 	}
-	sums(t, p)
+	checkCounters(t, p)
 }
 
 func TestDiscoveryDown(t *testing.T) {
 	f := newFakeDiscovery(t, newFakeEndpoint(t, always(succeed)))
 	f.down = true
-	p := running(t, f, nil)
-	settled(t, p, metrics.DiscoveryFailed, 1)
-	c := dialClient(t, p, pgwire.QueryMessage(read("look", 1500))...)
-	c.until('Z')
-	if v, code := c.answer(); v == "" {
+	p := startRelay(t, f, nil)
+	waitForCounter(t, p, metrics.DiscoveryFailed, 1)
+	c := dialClient(t, p, pgwire.QueryMessage(selectStatement("look", 1500))...)
+	c.readUntil('Z')
+	if v, code := c.readResponse(); v == "" {
 		t.Error("the list as last held does not serve:", code)
 	}
 	f.mu.Lock()
 	f.down = false
 	f.mu.Unlock()
-	settled(t, p, metrics.DiscoveryCalls, 3) // polled again when the module commanded it: one call at once, then the watch
+	waitForCounter(t, p, metrics.DiscoveryCalls, 3) // polled again when the module commanded it: one call at once, then the watch
 }
 
 func TestGentleEnd(t *testing.T) {
@@ -435,28 +435,28 @@
 		}
 		return succeed
 	})
-	p := running(t, newFakeDiscovery(t, u), nil)
+	p := startRelay(t, newFakeDiscovery(t, u), nil)
 	busy, idle := dialClient(t, p), dialClient(t, p)
-	busy.until('Z')
-	idle.until('Z')
-	busy.send(read("pay", 1900))
-	<-u.seen
+	busy.readUntil('Z')
+	idle.readUntil('Z')
+	busy.send(selectStatement("pay", 1900))
+	<-u.received
 	p.shutdownGracefully()
-	idle.send(read("look", 1500)) // goes on being served for a while
-	if v, code := idle.answer(); v == "" {
+	idle.send(selectStatement("look", 1500)) // goes on being served for a while
+	if v, code := idle.readResponse(); v == "" {
 		t.Error(code)
 	}
-	late := dialClient(t, p, pgwire.QueryMessage(read("look", 1500))...)
-	late.until('Z')
-	if v, code := late.answer(); v == "" {
+	late := dialClient(t, p, pgwire.QueryMessage(selectStatement("look", 1500))...)
+	late.readUntil('Z')
+	if v, code := late.readResponse(); v == "" {
 		t.Error("a new connection just after the signal:", code)
 	}
-	if !idle.closed() {
+	if !idle.closedByRelay() {
 		t.Error("the idle connection should be closed cleanly")
 	}
 	idle.Close()
 	close(release)
-	if v, code := busy.answer(); v == "" || !busy.closed() {
+	if v, code := busy.readResponse(); v == "" || !busy.closedByRelay() {
 		t.Error("the open query should be answered, then the connection closed:", code)
 	}
 	busy.Close()
--- a/cmd/lichenroad/simulate.go
+++ b/cmd/lichenroad/simulate.go
@@ -14,10 +14,10 @@
 
 // Bounds of `plan simulate`.
 const (
-	maxSimulatedDays   = 60
-	maxSimulatedRelays = 1000 // and planners
-	maxSimulatedLoad   = 10   // times the ordinary day's
-	maxPrintedBroken   = 10
+	maxSimulatedDays     = 60
+	maxSimulatedRelays   = 1000 // and planners
+	maxSimulatedLoad     = 10   // times the ordinary day's
+	maxPrintedViolations = 10
 )
 
 // simulateFlags are the flags of `plan simulate` that are not fields of lab.Options unchanged.
@@ -122,7 +122,7 @@
 		if err != nil {
 			return failed(err)
 		}
-		printf(t.out, "report: %s\n", name)
+		printf(t.stdout, "report: %s\n", name)
 	}
 	t.printSummary(&result)
 	if ctx.Err() != nil {
@@ -162,19 +162,19 @@
 func (t *tool) printSummary(r *lab.Result) {
 	const secondsPerHour = 3600
 	counts := countReleases(r)
-	printf(t.out, "simulated: %g days, %d relays, %d planners, seed %d: %d queries in %.0f s of traffic\n", r.Days, r.Relays, r.Endpoints, r.Seed, r.Requests, r.TrafficTime)
-	printf(t.out, "releases: %d good, %d of them out after %.1f h on average; %d bad, %d of them out\n", counts.good, counts.goodReleased,
+	printf(t.stdout, "simulated: %g days, %d relays, %d planners, seed %d: %d queries in %.0f s of traffic\n", r.Days, r.Relays, r.Endpoints, r.Seed, r.Requests, r.TrafficTime)
+	printf(t.stdout, "releases: %d good, %d of them out after %.1f h on average; %d bad, %d of them out\n", counts.good, counts.goodReleased,
 		r.GoodReleaseTime/secondsPerHour, counts.bad, counts.badReleased)
-	printf(t.out, "service %.4f; worth lost by bad builds %.1f; at most %.2f of any allowance used\n", r.ServedFraction, r.WeightLostToBadBuilds, r.MaxAllowanceUsed)
+	printf(t.stdout, "service %.4f; worth lost by bad builds %.1f; at most %.2f of any allowance used\n", r.ServedFraction, r.WeightLostToBadBuilds, r.MaxAllowanceUsed)
 	if len(r.Violations) == 0 {
-		printf(t.out, "broken: nothing\n")
+		printf(t.stdout, "broken: nothing\n")
 	}
 	for i, b := range r.Violations {
-		if i == maxPrintedBroken {
-			printf(t.out, "broken: and %d more\n", len(r.Violations)-i+r.UnlistedViolations)
+		if i == maxPrintedViolations {
+			printf(t.stdout, "broken: and %d more\n", len(r.Violations)-i+r.UnlistedViolations)
 			break
 		}
-		printf(t.out, "broken: at %.3f s %s by %s: %s\n", b.Time, b.Rule, b.Relay, b.Text)
+		printf(t.stdout, "broken: at %.3f s %s by %s: %s\n", b.Time, b.Rule, b.Relay, b.Text)
 	}
-	printf(t.out, "timeline %s\n", r.TimelineHash)
+	printf(t.stdout, "timeline %s\n", r.TimelineHash)
 }
--- a/cmd/lichenroad/size_test.go
+++ b/cmd/lichenroad/size_test.go
@@ -56,7 +56,7 @@
 	}))
 	t.Cleanup(func() { discovery.Listener.Close(); discovery.CloseClientConnections(); discovery.Close() })
 	f := &fakeDiscovery{srv: discovery}
-	p := running(t, f, func(c *config.Config) {
+	p := startRelay(t, f, func(c *config.Config) {
 		c.KnownList, c.MemoryMB, c.Sockets, c.PeerListen = nil, 32, 256, "127.0.0.1:0"
 		for i := range count {
 			c.Peers = append(c.Peers, fmt.Sprintf("127.0.%d.%d:9", 1+i/256, i%256))
@@ -64,11 +64,11 @@
 		c.PeersAll, c.Site.Relays, c.Site.Limits.PeerMessages = "127.0.9.9:9", count, true
 	})
 	c := dialClient(t, p)
-	c.until('Z')
+	c.readUntil('Z')
 	ask := func(queries int) {
 		for range queries {
-			c.send(read("look", 1500))
-			if v, code := c.answer(); v == "" {
+			c.send(selectStatement("look", 1500))
+			if v, code := c.readResponse(); v == "" {
 				t.Fatalf("not served: %s", code)
 			}
 		}
@@ -76,7 +76,7 @@
 	ask(200)
 	statements := func(from, to int) (n int) {
 		for _, u := range units[from:to] {
-			k, _ := u.count()
+			k, _ := u.counts()
 			n += k
 		}
 		return n
@@ -85,19 +85,19 @@
 		t.Error("half of the fleet got nothing")
 	}
 	close(drain)
-	settled(t, p, metrics.DiscoveryCalls, 3) // the next call of the watch follows the delta
-	c.send(";")                              // and this response follows what the loop had then
+	waitForCounter(t, p, metrics.DiscoveryCalls, 3) // the next call of the watch follows the delta
+	c.send(";")                                     // and this response follows what the loop had then
 	for range 2 {
-		c.until('Z')
+		c.readUntil('Z')
 		c.send(";")
 	}
-	c.until('Z')
+	c.readUntil('Z')
 	before := statements(0, servers/2)
 	ask(200)
 	if after := statements(0, servers/2); after != before {
 		t.Errorf("%d requests went to endpoints listed as draining", after-before)
 	}
-	sums(t, p)
+	checkCounters(t, p)
 }
 
 // TestThousandPeersInTheFile reads a configuration with as many peers and known endpoints as a large fleet has.
--- a/cmd/lichenroad/sweep.go
+++ b/cmd/lichenroad/sweep.go
@@ -52,7 +52,7 @@
 	flags.add(c)
 	markRequired(c.MarkFlagRequired("mapping"))
 	markRequired(c.MarkFlagRequired("vary"))
-	c.RunE = func(_ *cobra.Command, files []string) error { return t.sweep(&in, files, &flags) }
+	c.RunE = func(_ *cobra.Command, files []string) error { return t.runSweep(&in, files, &flags) }
 	return c
 }
 
@@ -79,8 +79,8 @@
 	return variation{name: name, values: strings.Split(list, ",")}, ok && list != ""
 }
 
-// sweep plays all runs of a sweep, and compares each value with the first.
-func (t *tool) sweep(in *traceInput, files []string, flags *sweepFlags) error {
+// runSweep plays all runs of a runSweep, and compares each value with the first.
+func (t *tool) runSweep(in *traceInput, files []string, flags *sweepFlags) error {
 	vary, ok := parseVariation(flags.vary)
 	if !ok || flags.seeds < 1 || flags.seeds > maxSeeds {
 		return fmt.Errorf("--vary NAME=A,B,..., --seeds from 1 to 200")
@@ -99,7 +99,7 @@
 	if err != nil {
 		return err
 	}
-	runs, err := playAll(arrivals, replays)
+	runs, err := runReplays(arrivals, replays)
 	if err != nil {
 		return failed(err)
 	}
@@ -112,12 +112,12 @@
 		if err != nil {
 			return failed(err)
 		}
-		printf(t.out, "report: %s\n", page)
+		printf(t.stdout, "report: %s\n", page)
 	}
 	first := values[0]
 	for _, value := range values[1:] {
-		printf(t.out, "\n%s=%s against %s=%s (simulated)\n", vary.name, value, vary.name, first)
-		if err := t.compare(byValue[first], byValue[value], flags.comparison); err != nil {
+		printf(t.stdout, "\n%s=%s against %s=%s (simulated)\n", vary.name, value, vary.name, first)
+		if err := t.printComparison(byValue[first], byValue[value], flags.comparison); err != nil {
 			return err
 		}
 	}
@@ -128,7 +128,7 @@
 func (t *tool) readArrivals(in *traceInput, files []string) ([]lab.Arrival, error) {
 	const thinningSeed = 1 // the same requests for all runs
 	var arrivals []lab.Arrival
-	_, err := in.play(context.Background(), t, files, thinningSeed, func(arrival lab.Arrival) error {
+	_, err := in.emitArrivals(context.Background(), t, files, thinningSeed, func(arrival lab.Arrival) error {
 		if len(arrivals) >= maxSweptRequests {
 			return fmt.Errorf("over %d queries: thin or cut the trace", maxSweptRequests)
 		}
@@ -149,7 +149,7 @@
 	var replays []sweptReplay
 	for _, value := range v.values {
 		options := base
-		if err := vary(&options, v.name, value); err != nil {
+		if err := setVariedValue(&options, v.name, value); err != nil {
 			return nil, err
 		}
 		for seed := 1; seed <= seeds; seed++ {
@@ -160,13 +160,13 @@
 	return replays, nil
 }
 
-// vary puts a value of what is varied into a replay's options.
-func vary(options *lab.ReplayOptions, name, value string) (err error) {
+// setVariedValue puts a value of what is varied into a replay's options.
+func setVariedValue(options *lab.ReplayOptions, name, value string) (err error) {
 	switch name {
 	case "relays":
-		options.Relays, err = varyCount(value)
+		options.Relays, err = parseCount(value)
 	case "planners":
-		options.Endpoints, err = varyCount(value)
+		options.Endpoints, err = parseCount(value)
 	case "module":
 		options.NewModule, err = lab.Baseline(value)
 	case "fault":
@@ -181,7 +181,7 @@
 	return err
 }
 
-func varyCount(value string) (int, error) {
+func parseCount(value string) (int, error) {
 	n, err := strconv.Atoi(value)
 	if err != nil {
 		return 0, fmt.Errorf("--vary: %q is no number", value)
@@ -209,9 +209,9 @@
 	return func(s *relay.Settings) { s.Limits.RetryAfter = on }, nil
 }
 
-// playAll plays all runs, as many at a time as there are cores. Each is a simulation of its own, on a goroutine that
+// runReplays plays all runs, as many at a time as there are cores. Each is a simulation of its own, on a goroutine that
 // ends with it. The error is that of the first run that failed, in the order of the list.
-func playAll(arrivals []lab.Arrival, replays []sweptReplay) ([]experiment.Run, error) {
+func runReplays(arrivals []lab.Arrival, replays []sweptReplay) ([]experiment.Run, error) {
 	runs := make([]experiment.Run, len(replays))
 	errs := make([]error, len(replays))
 	slots := make(chan struct{}, runtime.GOMAXPROCS(0))
@@ -220,7 +220,7 @@
 		slots <- struct{}{}
 		wait.Go(func() {
 			defer func() { <-slots }()
-			runs[i], errs[i] = play(arrivals, r)
+			runs[i], errs[i] = runReplay(arrivals, r)
 		})
 	}
 	wait.Wait()
@@ -232,7 +232,7 @@
 	return runs, nil
 }
 
-func play(arrivals []lab.Arrival, r sweptReplay) (experiment.Run, error) {
+func runReplay(arrivals []lab.Arrival, r sweptReplay) (experiment.Run, error) {
 	replay, err := lab.NewReplay(r.options)
 	if err != nil {
 		return experiment.Run{}, err
@@ -240,7 +240,7 @@
 	for _, arrival := range arrivals {
 		replay.Arrive(arrival)
 	}
-	return experiment.Run{Value: r.value, Seed: r.options.Seed, Metrics: figures(replay.Finish())}, nil
+	return experiment.Run{Value: r.value, Seed: r.options.Seed, Metrics: replayMetrics(replay.Finish())}, nil
 }
 
 // writeSweepPage writes the charts of a sweep: each figure's mean and interval, by value.
--- a/cmd/lichenroad/tools_test.go
+++ b/cmd/lichenroad/tools_test.go
@@ -17,8 +17,8 @@
 	"lichenroad/lab/live"
 )
 
-// call runs a command and returns its exit code and what it printed.
-func call(args ...string) (code int, out, errs string) {
+// runCommand runs a command and returns its exit code and what it printed.
+func runCommand(args ...string) (code int, out, errs string) {
 	var o, e bytes.Buffer
 	code = run(args, func(string) string { return "" }, &o, &e)
 	return code, o.String(), e.String()
@@ -85,7 +85,7 @@
 			if args[0] != "completion" && args[0] != "help" { // these two take no such flag
 				args = append(args, "--log-level", "error")
 			}
-			code, out, errs := call(args...)
+			code, out, errs := runCommand(args...)
 			if code != c.code || !strings.Contains(out, c.out) || !strings.Contains(errs, c.errs) || strings.Count(errs, "\n") != c.lines {
 				t.Errorf("%d %.300q %q", code, out, errs)
 			}
@@ -98,7 +98,7 @@
 	play := func(more ...string) (int, map[string]any) {
 		file := filepath.Join(dir, "out.json")
 		os.Remove(file)
-		code, out, errs := call(append([]string{"plan", "simulate", "../../deploy/plan.xml", "--days", "0.45", "--relays", "9", "--planners", "12", "--json", file,
+		code, out, errs := runCommand(append([]string{"plan", "simulate", "../../deploy/plan.xml", "--days", "0.45", "--relays", "9", "--planners", "12", "--json", file,
 			"--report", dir}, more...)...)
 		raw, err := os.ReadFile(file)
 		var got map[string]any
@@ -128,7 +128,7 @@
 	if testing.Short() {
 		t.Skip("half a minute")
 	}
-	code, out, errs := call("lab", "demo", "--dir", t.TempDir())
+	code, out, errs := runCommand("lab", "demo", "--dir", t.TempDir())
 	if code != 0 || !strings.Contains(out, "build 2 is out") || !strings.Contains(out, "build 3 went back") {
 		t.Errorf("%d %s %s", code, out, errs)
 	}
@@ -147,7 +147,7 @@
 		"alibaba-2018": "320 rows: 316 taken (125 put back in order), 4 reported; 316 tasks", "azure-2021": "360 rows: 358 taken (170 put back in order), 2 reported; 358 tasks"} {
 		sample := "../../trace/testdata/" + layout + ".csv"
 		file := filepath.Join(dir, layout+".json")
-		code, out, errs := call("trace", "check", sample, "--layout", layout, "--json", file)
+		code, out, errs := runCommand("trace", "check", sample, "--layout", layout, "--json", file)
 		raw, err := os.ReadFile(file)
 		var got struct {
 			Rows, Taken int64
@@ -166,7 +166,7 @@
 		var runs []string
 		for range 2 {
 			os.Remove(file)
-			code, out, errs = call("trace", "replay", sample, "--layout", layout, "--mapping", byUser, "--json", file, "--seed", "5", "--report", dir)
+			code, out, errs = runCommand("trace", "replay", sample, "--layout", layout, "--mapping", byUser, "--json", file, "--seed", "5", "--report", dir)
 			raw, err = os.ReadFile(file)
 			if code != 0 || err != nil {
 				t.Fatalf("%s: %d %s %s", layout, code, out, errs)
@@ -198,7 +198,7 @@
 		{"trace replay " + bad + " --layout azure-2021 --mapping " + byUser, 1, "nothing could be played"},
 		{"trace replay ../../trace/testdata/azure-2021.csv --layout azure-2021 --mapping " + byUser + " --relays 0", 1, "relays"},
 	} {
-		if code, out, errs := call(strings.Fields(c.args)...); code != c.code || !strings.Contains(errs, c.errs) || strings.Count(errs, "\n") != 1 {
+		if code, out, errs := runCommand(strings.Fields(c.args)...); code != c.code || !strings.Contains(errs, c.errs) || strings.Count(errs, "\n") != 1 {
 			t.Errorf("%s: %d %s %s", c.args, code, out, errs)
 		}
 	}
@@ -219,7 +219,7 @@
 	for i := range got {
 		file := filepath.Join(dir, "live.json")
 		os.Remove(file)
-		code, out, errs := call(append(words, "--json", file, "--late", "1s")...) // a busy machine is no fault of what is tested
+		code, out, errs := runCommand(append(words, "--json", file, "--late", "1s")...) // a busy machine is no fault of what is tested
 		raw, err := os.ReadFile(file)
 		if code != 0 || err != nil || json.Unmarshal(raw, &got[i]) != nil || !strings.Contains(out, "measured on loopback: 316 queries") {
 			t.Fatalf("%d %s %s %v", code, out, errs, err)
@@ -239,7 +239,7 @@
 		{"--late 0s --late-share 0", 1, "invalid: the sender was over 0 s late"}, // any sender is: the check can fail
 		{"--late-share 2", 2, "late-share"}, {"--fault slow", 2, "--fault"}, {"--relays 41", 1, "relays"}, {"--mapping /none", 1, "/none"},
 	} {
-		if code, out, errs := call(append(words, strings.Fields(c.more)...)...); code != c.code || !strings.Contains(errs, c.errs) || strings.Count(errs, "\n") != 1 {
+		if code, out, errs := runCommand(append(words, strings.Fields(c.more)...)...); code != c.code || !strings.Contains(errs, c.errs) || strings.Count(errs, "\n") != 1 {
 			t.Errorf("%s: %d %s %s", c.more, code, out, errs)
 		}
 	}
@@ -280,12 +280,12 @@
 		var texts [2]string
 		for i := range texts {
 			file := filepath.Join(dir, s.Name+".csv")
-			if code, _, errs := call("lab", "shape", s.Name, file, "--span", "120", "--rate", "20", "--seed", "4"); code != 0 {
+			if code, _, errs := runCommand("lab", "shape", s.Name, file, "--span", "120", "--rate", "20", "--seed", "4"); code != 0 {
 				t.Fatal(errs)
 			}
 			raw, _ := os.ReadFile(file)
 			texts[i] = string(raw)
-			if code, out, errs := call("trace", "check", file, "--layout", s.Layout); code != 0 || !strings.Contains(out, " 0 reported") {
+			if code, out, errs := runCommand("trace", "check", file, "--layout", s.Layout); code != 0 || !strings.Contains(out, " 0 reported") {
 				t.Errorf("%s: %d %s %s", s.Name, code, out, errs)
 			}
 		}
@@ -294,7 +294,7 @@
 		}
 	}
 	for _, args := range [][]string{{"lab", "shape", "round", "x"}, {"lab", "shape", "tails", "x", "--rate", "0"}} {
-		if code, _, errs := call(args...); code != 2 || strings.Count(errs, "\n") != 1 {
+		if code, _, errs := runCommand(args...); code != 2 || strings.Count(errs, "\n") != 1 {
 			t.Errorf("%v: %d %s", args, code, errs)
 		}
 	}
@@ -321,7 +321,7 @@
 // sweep varies one thing, and wants so many runs of which none breaks a rule.
 func (s sweeper) sweep(runs int, args ...string) (result sweepResult, out string) {
 	s.t.Helper()
-	code, out, errs := call(append(slices.Clone(s.args), args...)...)
+	code, out, errs := runCommand(append(slices.Clone(s.args), args...)...)
 	raw, err := os.ReadFile(s.file)
 	if code != 0 || err != nil || json.Unmarshal(raw, &result) != nil || len(result.Runs) != runs {
 		s.t.Fatalf("%v: %d %v %d runs\n%s %s", args, code, err, len(result.Runs), out, errs)
@@ -365,8 +365,8 @@
 
 func TestCompareOfOneSeedIsInconclusive(t *testing.T) {
 	one := filepath.Join(t.TempDir(), "one.json")
-	call("trace", "replay", sampleTrace, "--layout", "alibaba-2018", "--mapping", "../../deploy/mapping.xml", "--seed", "2", "--json", one)
-	if code, out, errs := call("lab", "compare", one, one); code != 0 || !strings.Contains(out, "not told apart") {
+	runCommand("trace", "replay", sampleTrace, "--layout", "alibaba-2018", "--mapping", "../../deploy/mapping.xml", "--seed", "2", "--json", one)
+	if code, out, errs := runCommand("lab", "compare", one, one); code != 0 || !strings.Contains(out, "not told apart") {
 		t.Errorf("%d %s %s", code, out, errs)
 	}
 }
@@ -375,12 +375,12 @@
 func TestSweepOfAttempts(t *testing.T) {
 	s := newSweeper(t)
 	words, file, sample := s.args, s.file, sampleTrace
-	code, out, errs := call(append(words, "--vary", "legs=3,1", "--fault", "failing")...)
+	code, out, errs := runCommand(append(words, "--vary", "legs=3,1", "--fault", "failing")...)
 	if code != 0 || !strings.Contains(out, "legs=1 against legs=3") {
 		t.Errorf("%d %s %s", code, out, errs)
 	}
 	one := filepath.Join(t.TempDir(), "one.json")
-	call("trace", "replay", sampleTrace, "--layout", "alibaba-2018", "--mapping", "../../deploy/mapping.xml", "--seed", "2", "--json", one)
+	runCommand("trace", "replay", sampleTrace, "--layout", "alibaba-2018", "--mapping", "../../deploy/mapping.xml", "--seed", "2", "--json", one)
 	for _, c := range []struct {
 		args []string
 		code int
@@ -390,7 +390,7 @@
 		{append(words, "--vary", "cancel=true,perhaps"), 2}, {append(words, "--vary", "legs=1,2", "--fault", "moon"), 2}, {[]string{"lab", "compare", file, one}, 1}, {[]string{"lab", "compare", sample, one}, 1},
 		{[]string{"lab", "compare", "/none", one}, 1},
 	} {
-		if code, out, errs := call(c.args...); code != c.code || strings.Count(errs, "\n") != 1 {
+		if code, out, errs := runCommand(c.args...); code != c.code || strings.Count(errs, "\n") != 1 {
 			t.Errorf("%v: %d %s %s", c.args, code, out, errs)
 		}
 	}
--- a/cmd/lichenroad/trace.go
+++ b/cmd/lichenroad/trace.go
@@ -18,7 +18,7 @@
 )
 
 func (t *tool) traceCommand() *cobra.Command {
-	c := &cobra.Command{Use: "trace", Short: "Check public cluster traces in CSV, and replay them as load", RunE: needsVerb}
+	c := &cobra.Command{Use: "trace", Short: "Check public cluster traces in CSV, and replay them as load", RunE: requireSubcommand}
 	c.AddCommand(t.traceCheck(), t.traceReplay())
 	return c
 }
@@ -127,9 +127,9 @@
 	}
 }
 
-// play hands each task that is played to emit, as the arrival that it becomes: within the cut, kept by the thinning,
+// emitArrivals hands each task that is played to emit, as the arrival that it becomes: within the cut, kept by the thinning,
 // placed by the mapping.
-func (in *traceInput) play(ctx context.Context, t *tool, files []string, seed int64, emit func(lab.Arrival) error) (played int, err error) {
+func (in *traceInput) emitArrivals(ctx context.Context, t *tool, files []string, seed int64, emit func(lab.Arrival) error) (played int, err error) {
 	unplaced := map[trace.Reason]int64{}
 	started, first := false, 0.0
 	audit, err := in.read(t, files, func(task *trace.Task) error {
@@ -139,7 +139,7 @@
 		if ctx.Err() != nil {
 			return ctx.Err()
 		}
-		if !in.inCut(task.At-first) || !in.mapping.Sampled(task, seed) {
+		if !in.inTimeRange(task.At-first) || !in.mapping.Sampled(task, seed) {
 			return nil
 		}
 		request, why := in.mapping.Place(task)
@@ -162,8 +162,8 @@
 	return played, nil
 }
 
-// inCut reports whether a task is played that arrives so many seconds after the first.
-func (in *traceInput) inCut(since float64) bool {
+// inTimeRange reports whether a task is played that arrives so many seconds after the first.
+func (in *traceInput) inTimeRange(since float64) bool {
 	beforeCut := since < in.from
 	afterCut := in.length > 0 && since >= in.from+in.length
 	return !beforeCut && !afterCut
@@ -171,16 +171,16 @@
 
 // printAudit prints what was read of a trace, and each kind of row that could not be used.
 func (t *tool) printAudit(a *trace.Audit) {
-	printf(t.out, "%d rows: %d taken (%d put back in order), %d reported; %d tasks over %.1f s, %.2f a second, %g in the fullest\n", a.Rows,
+	printf(t.stdout, "%d rows: %d taken (%d put back in order), %d reported; %d tasks over %.1f s, %.2f a second, %g in the fullest\n", a.Rows,
 		a.Accepted, a.Reordered, a.ReportedRows(), a.Tasks, a.To-a.From, a.Rate(), a.Peak)
 	for _, line := range a.Lines() {
-		printf(t.out, "  %s\n", line)
+		printf(t.stdout, "  %s\n", line)
 	}
 }
 
 // printUnplaced prints how many tasks the mapping had no place for, by reason.
 func (t *tool) printUnplaced(unplaced map[trace.Reason]int64) {
 	for why, n := range unplaced {
-		printf(t.out, "  no place: %s: %d tasks\n", why, n)
+		printf(t.stdout, "  no place: %s: %d tasks\n", why, n)
 	}
 }
--- a/cmd/lichenroad/tracecheck.go
+++ b/cmd/lichenroad/tracecheck.go
@@ -37,8 +37,8 @@
 	r.Rate = map[string]float64{"mean": a.Rate(), "peak": a.Peak}
 }
 
-// place counts a task by the request class that the mapping gives it.
-func (r *checkResult) place(mapping *trace.Mapping, task *trace.Task) {
+// countTask counts a task by the request class that the mapping gives it.
+func (r *checkResult) countTask(mapping *trace.Mapping, task *trace.Task) {
 	request, why := mapping.Place(task)
 	if why != trace.Accepted {
 		r.Unplaced[why]++
@@ -57,7 +57,7 @@
 		result := checkResult{Categories: map[string]int64{}, Unplaced: map[trace.Reason]int64{}}
 		audit, err := in.read(t, args, func(task *trace.Task) error {
 			if in.mapping != nil {
-				result.place(in.mapping, task)
+				result.countTask(in.mapping, task)
 			}
 			return nil
 		})
--- a/cmd/lichenroad/tracelive.go
+++ b/cmd/lichenroad/tracelive.go
@@ -45,7 +45,7 @@
 	}
 	t.printSender(result.Sender)
 	if result.LateResponses > 0 {
-		printf(t.out, "%d answers came after their patience had ended\n", result.LateResponses)
+		printf(t.stdout, "%d answers came after their patience had ended\n", result.LateResponses)
 	}
 	switch {
 	case result.EndedEarly:
@@ -92,7 +92,7 @@
 		}
 	}
 	go func() {
-		_, err := in.play(ctx, t, files, seed, emit)
+		_, err := in.emitArrivals(ctx, t, files, seed, emit)
 		close(arrivals)
 		ended <- err
 	}()
@@ -100,6 +100,6 @@
 }
 
 func (t *tool) printSender(s live.Lateness) {
-	printf(t.out, "sender: %d sent, %d not; late p50 %.4f s, p99 %.4f s, most %.4f s; %.2f%% over %g s; at most %d connections to a relay, %d broke\n", s.Sent,
+	printf(t.stdout, "sender: %d sent, %d not; late p50 %.4f s, p99 %.4f s, most %.4f s; %.2f%% over %g s; at most %d connections to a relay, %d broke\n", s.Sent,
 		s.Unsent, s.Quantiles["p50"], s.Quantiles["p99"], s.Quantiles["max"], 100*s.LateShare, s.LateAfter, s.MaxConnections, s.BrokenConnections)
 }
--- a/cmd/lichenroad/tracereplay.go
+++ b/cmd/lichenroad/tracereplay.go
@@ -88,7 +88,7 @@
 	}
 	options.Fault = fault
 	var replay *lab.Replay
-	played, err := in.play(ctx, t, files, options.Seed, func(arrival lab.Arrival) error {
+	played, err := in.emitArrivals(ctx, t, files, options.Seed, func(arrival lab.Arrival) error {
 		if replay == nil { // the mapping, and with it the classes, is read with the trace
 			options.Classes, options.Tenants = in.mapping.Classes, in.mapping.Tenants
 			var err error
@@ -109,7 +109,7 @@
 	if err := t.printReplay("simulated", &result, flags.report); err != nil {
 		return err
 	}
-	printf(t.out, "timeline %s\n", result.TimelineHash)
+	printf(t.stdout, "timeline %s\n", result.TimelineHash)
 	if ctx.Err() != nil {
 		return failed(fmt.Errorf("ended by a signal after %d queries", played))
 	}
@@ -123,11 +123,11 @@
 		if err != nil {
 			return failed(err)
 		}
-		printf(t.out, "report: %s\n", name)
+		printf(t.stdout, "report: %s\n", name)
 	}
-	printf(t.out, "%s: %d queries over %.1f s, %d relays, %d planners: service %.4f, worst 10 s %.4f, tail %.4f\n", how, r.All.Requests, r.Duration, r.Relays,
+	printf(t.stdout, "%s: %d queries over %.1f s, %d relays, %d planners: service %.4f, worst 10 s %.4f, tail %.4f\n", how, r.All.Requests, r.Duration, r.Relays,
 		r.Endpoints, r.All.ServedFraction, r.Worst10, r.Tail)
-	printf(t.out, "%d denied, %d written off, %d unanswered, %.3f legs a query, %d crossings; latency p50 %.3f s, p99 %.3f s, most %.3f s\n", r.Rejected, r.Failed,
+	printf(t.stdout, "%d denied, %d written off, %d unanswered, %.3f legs a query, %d crossings; latency p50 %.3f s, p99 %.3f s, most %.3f s\n", r.Rejected, r.Failed,
 		r.Unanswered, r.AttemptsPerRequest, r.CrossSiteAttempts, r.Latency["p50"], r.Latency["p99"], r.Latency["max"])
 	return nil
 }
