--- a/cmd/lichenroad/commands.go
+++ b/cmd/lichenroad/commands.go
@@ -8,20 +8,21 @@
 	"github.com/spf13/cobra"
 )
 
-// requireSubcommand is the RunE of a command that only groups others: it prints the help, and fails.
+// requireSubcommand is the RunE of a command that only groups subcommands. It always fails, and prints the help if there
+// is no argument.
 func requireSubcommand(c *cobra.Command, args []string) error {
 	if len(args) > 0 {
-		return fmt.Errorf("%q is no command of %s; see lichenroad help %s", args[0], c.Name(), c.Name())
+		return fmt.Errorf("%s has no command %q; see lichenroad help %s", c.Name(), args[0], c.Name())
 	}
 	return errors.Join(c.Help(), errors.New("a command is missing"))
 }
 
-// markRequired takes the result of cobra's MarkFlagRequired, which fails only for a flag that the command does not have.
+// markRequired panics if cobra's MarkFlagRequired returned an error, which means that the command does not define the flag.
 func markRequired(err error) {
 	if err != nil {
 		panic(err)
 	}
 }
 
-// countArgs counts the arguments that a command's use line names behind its verb.
+// countArgs returns how many arguments follow the verb in a command's use line.
 func countArgs(use string) int { return len(strings.Fields(use)) - 1 }
--- a/cmd/lichenroad/compare.go
+++ b/cmd/lichenroad/compare.go
@@ -17,12 +17,12 @@
 )
 
 func addComparisonFlags(c *cobra.Command, options *experiment.Options) {
-	c.Flags().Float64Var(&options.Confidence, "confidence", 0.95, "of the intervals")
-	c.Flags().Float64Var(&options.Margin, "margin", 0, "a difference that matters to nobody, as a part")
+	c.Flags().Float64Var(&options.Confidence, "confidence", 0.95, "confidence level of the intervals, between 0 and 1")
+	c.Flags().Float64Var(&options.Margin, "margin", 0, "difference that does not matter, as a fraction of the first mean")
 }
 
 func (t *tool) labCompare() *cobra.Command {
-	c := &cobra.Command{Use: "compare A.json B.json", Short: "Compare the runs of two sweeps or replays, by seed", Args: cobra.ExactArgs(2)}
+	c := &cobra.Command{Use: "compare A.json B.json", Short: "Compare the runs of two sweeps or replays, paired by seed", Args: cobra.ExactArgs(2)}
 	var options experiment.Options
 	addComparisonFlags(c, &options)
 	c.RunE = func(_ *cobra.Command, args []string) error {
@@ -39,7 +39,7 @@
 	return c
 }
 
-// printComparison prints a table of the figures of two lists of runs, by seed.
+// printComparison compares two lists of runs, paired by seed, and prints a table with a row for each metric.
 func (t *tool) printComparison(first, second []experiment.Run, options experiment.Options) error {
 	comparisons, err := experiment.Compare(first, second, options)
 	if err != nil {
@@ -53,7 +53,7 @@
 	return table.Flush()
 }
 
-// readRuns reads the runs of a file that a sweep or a replay left.
+// readRuns reads the runs in a result file of a sweep or a replay.
 func readRuns(name string) ([]experiment.Run, error) {
 	content, err := os.ReadFile(name)
 	if err != nil {
@@ -66,7 +66,7 @@
 	return runs, nil
 }
 
-// parseRuns parses the runs of a sweep with one value, or the one run of a replay.
+// parseRuns parses the result of a sweep with one value, or of a replay, which is one run.
 func parseRuns(content []byte) ([]experiment.Run, error) {
 	var swept sweepResult
 	if err := json.Unmarshal(content, &swept); err != nil {
@@ -76,7 +76,7 @@
 		values, _ := experiment.GroupByValue(swept.Runs)
 		if len(values) > 1 {
 			sort.Strings(values)
-			return nil, fmt.Errorf("it has %d values (%s): compare them by the sweep itself", len(values), strings.Join(values, ", "))
+			return nil, fmt.Errorf("the file has runs of %d values (%s): lab sweep compares them itself", len(values), strings.Join(values, ", "))
 		}
 		return swept.Runs, nil
 	}
@@ -85,12 +85,12 @@
 		return nil, err
 	}
 	if replayed.All.Requests == 0 {
-		return nil, errors.New("no sweep and no replay")
+		return nil, errors.New("neither the result of a sweep nor of a replay")
 	}
 	return []experiment.Run{{Seed: replayed.Seed, Metrics: replayMetrics(replayed)}}, nil
 }
 
-// replayMetrics are the replayMetrics of a replay by which runs are compared.
+// replayMetrics returns the metrics of a replay by which runs are compared.
 func replayMetrics(r lab.ReplayResult) map[string]float64 {
 	requests := float64(max(r.All.Requests, 1))
 	return map[string]float64{
--- a/cmd/lichenroad/controller.go
+++ b/cmd/lichenroad/controller.go
@@ -19,21 +19,21 @@
 	"lichenroad/relay"
 )
 
-const maxHistoryEvents = 10000 // that one call prints
+const maxHistoryEvents = 10000 // limit of --last
 
-// controllerCommand runs the release controller, and calls one that runs.
+// controllerCommand returns the command whose subcommands run a release controller and operate a running one.
 func (t *tool) controllerCommand() *cobra.Command {
-	return t.controllerCommandNamed("controller", "Run the release controller, and operate one that runs")
+	return t.controllerCommandNamed("controller", "Run a release controller, or operate a running one")
 }
 
-// deprecatedControllerCommand is controllerCommand under the name that it had first, for scripts that use it.
+// deprecatedControllerCommand returns the same command under its former name, which scripts still use.
 func (t *tool) deprecatedControllerCommand() *cobra.Command {
 	return t.controllerCommandNamed("desk", "Deprecated: use controller, which is the same")
 }
 
 func (t *tool) controllerCommandNamed(name, short string) *cobra.Command {
 	c := &cobra.Command{Use: name, Short: short, RunE: requireSubcommand}
-	dir := c.PersistentFlags().String("state", "", "the release controller's directory, with its journal")
+	dir := c.PersistentFlags().String("state", "", "the release controller's state directory, with its journal")
 	markRequired(c.MarkPersistentFlagRequired("state"))
 	c.AddCommand(
 		t.controllerRun(dir),
@@ -42,7 +42,7 @@
 		t.controllerOffer(dir),
 		t.controllerFreeze(dir),
 		t.operatorCommand(dir, "thaw NAME", "End a freeze that an operator set", setFreezeName),
-		t.operatorCommand(dir, "halt SERVICE", "Stop one service's builds from starting and being promoted", setService),
+		t.operatorCommand(dir, "halt SERVICE", "Stop starts and promotions of builds of one service", setService),
 		t.operatorCommand(dir, "resume SERVICE", "End a halt", setService),
 		t.operatorCommand(dir, "back SERVICE", "Roll a service's newest build back", setService))
 	return c
@@ -50,9 +50,9 @@
 
 func (t *tool) controllerRun(dir *string) *cobra.Command {
 	c := &cobra.Command{Use: "run", Short: "Run a release controller in the foreground", Args: cobra.NoArgs,
-		Long: "Run a release controller in the foreground. It listens for each relay at the address that the plan keeps for it, counts\nits votes, promotes builds as the plan lets it, and keeps its state in a journal under --state. SIGHUP reads the plan again."}
-	file := c.Flags().String("plan", "", "the plan, an XML file")
-	address := c.Flags().String("control", "", "address on loopback for operators; a free port where not given")
+		Long: "Run a release controller in the foreground. It listens for each relay at the address that the plan has for it, counts\nthe relays' votes, promotes builds when the plan allows it, and keeps its state in a journal under --state. On SIGHUP\nit reads the plan again."}
+	file := c.Flags().String("plan", "", "release plan, an XML file")
+	address := c.Flags().String("control", "", "loopback address and port for operators (default a free port)")
 	markRequired(c.MarkFlagRequired("plan"))
 	c.RunE = func(*cobra.Command, []string) error {
 		releases, err := planxml.Load(*file)
@@ -71,7 +71,7 @@
 		defer signal.Stop(hangups)
 		ready := func(controller *releasecontroller.Controller, at releasecontroller.Addresses) {
 			log.WithFields(logrus.Fields{"control": at.Control, "watch": at.Watch, "relays": at.Relays}).Info("release controller ready")
-			go func() { // ends with the program
+			go func() { // runs until the process exits
 				for range hangups {
 					controller.Replan(planxml.Load(*file))
 				}
@@ -83,7 +83,7 @@
 	return c
 }
 
-// operator names who calls, where the call doesn't.
+// operator returns the name of the user who runs the command: the default of --who.
 func operator() string {
 	if u, err := user.Current(); err == nil {
 		return u.Username
@@ -91,7 +91,7 @@
 	return ""
 }
 
-// fillRequest puts a command's arguments into a request.
+// fillRequest sets the fields of a request that come from a command's arguments.
 type fillRequest func(request *releasecontroller.Request, args []string) error
 
 func setFreezeName(request *releasecontroller.Request, args []string) error {
@@ -104,13 +104,13 @@
 	return nil
 }
 
-// operatorCommand is a command that sends one request with the operator and the reason, and prints the status that it leads
-// to. The first word of use is the verb; each other word is an argument.
+// operatorCommand returns a command that sends one request, with the operator's name and the reason, to the release
+// controller and prints the status in its reply. The first word of use is the verb, each other word an argument.
 func (t *tool) operatorCommand(dir *string, use, short string, fill fillRequest) *cobra.Command {
 	c := &cobra.Command{Use: use, Short: short, Args: cobra.ExactArgs(countArgs(use))}
 	request := releasecontroller.Request{Verb: releasecontroller.Verb(c.Name())}
-	c.Flags().StringVar(&request.Actor, "who", operator(), "who says so; kept in the journal")
-	c.Flags().StringVar(&request.Reason, "why", "", "why; kept in the journal")
+	c.Flags().StringVar(&request.Actor, "who", operator(), "the operator, for the journal")
+	c.Flags().StringVar(&request.Reason, "why", "", "the reason, for the journal")
 	markRequired(c.MarkFlagRequired("why"))
 	c.RunE = func(c *cobra.Command, args []string) error {
 		if err := fill(&request, args); err != nil {
@@ -134,7 +134,7 @@
 		request.Service, request.Build = args[0], relay.Build(build)
 		return nil
 	}
-	return t.operatorCommand(dir, "offer SERVICE BUILD", "Offer a new build; it begins when plan and operators let it", fill)
+	return t.operatorCommand(dir, "offer SERVICE BUILD", "Offer a new build; its rollout begins when the plan and the operators allow it", fill)
 }
 
 func (t *tool) controllerFreeze(dir *string) *cobra.Command {
@@ -147,15 +147,15 @@
 		}
 		return nil
 	}
-	c := t.operatorCommand(dir, "freeze NAME", "Stop starts and promotions of builds, of one service (--service) or of all", fill)
-	c.Flags().StringVar(&service, "service", "", "the service; all where not given")
-	c.Flags().DurationVar(&length, "for", 0, "how long, such as 2h; until it is thawed where not given")
+	c := t.operatorCommand(dir, "freeze NAME", "Stop starts and promotions of builds of one service (--service) or of all", fill)
+	c.Flags().StringVar(&service, "service", "", "the service (default all)")
+	c.Flags().DurationVar(&length, "for", 0, "duration, such as 2h; without the flag the freeze lasts until it is thawed")
 	return c
 }
 
 func (t *tool) controllerStatus(dir *string) *cobra.Command {
-	c := &cobra.Command{Use: "status", Short: "Show where every service is and what it waits for", Args: cobra.NoArgs}
-	asJSON := c.Flags().Bool("json", false, "as JSON")
+	c := &cobra.Command{Use: "status", Short: "Show the state of each service's rollout and what it waits for", Args: cobra.NoArgs}
+	asJSON := c.Flags().Bool("json", false, "print JSON")
 	c.RunE = func(c *cobra.Command, _ []string) error {
 		reply, err := releasecontroller.Call(c.Context(), *dir, releasecontroller.Request{Verb: releasecontroller.VerbStatus})
 		if err != nil {
@@ -172,10 +172,10 @@
 }
 
 func (t *tool) controllerHistory(dir *string) *cobra.Command {
-	c := &cobra.Command{Use: "history", Short: "Show what happened, from the journal; works without a running release controller", Args: cobra.NoArgs}
-	asJSON := c.Flags().Bool("json", false, "as JSON, a line an event")
-	votes := c.Flags().Bool("votes", false, "votes too")
-	last := c.Flags().Int("last", 100, "so many of the latest events, 10000 at most")
+	c := &cobra.Command{Use: "history", Short: "Show the events in the journal; works without a running release controller", Args: cobra.NoArgs}
+	asJSON := c.Flags().Bool("json", false, "print JSON, one line for each event")
+	votes := c.Flags().Bool("votes", false, "include votes")
+	last := c.Flags().Int("last", 100, "number of latest events to show, at most 10000")
 	c.RunE = func(*cobra.Command, []string) error {
 		if *last < 1 || *last > maxHistoryEvents {
 			return errors.New("--last: from 1 to 10000")
--- a/cmd/lichenroad/controllertext.go
+++ b/cmd/lichenroad/controllertext.go
@@ -13,13 +13,13 @@
 	"lichenroad/rollout"
 )
 
-// newTable is a writer that aligns columns, which tabs separate; they are printed by its Flush.
+// newTable returns a writer to standard output that aligns columns separated by tabs. Call its Flush after the last row.
 func (t *tool) newTable() *tabwriter.Writer {
 	const padding = 2
 	return tabwriter.NewWriter(t.stdout, 0, 0, padding, ' ', 0)
 }
 
-// printStatus prints a table of the services, and the operators' freezes below it.
+// printStatus prints the services of a reply as a table, and below it the freezes that operators set.
 func (t *tool) printStatus(reply releasecontroller.Reply) error {
 	table := t.newTable()
 	printf(table, "SERVICE\tBUILD\tPHASE\tSTEP\tSINCE\tCAP\tON\tBACK\tNEXT\tWAITS FOR\n")
@@ -76,10 +76,10 @@
 	return s
 }
 
-// verdictTexts are the words of `controller history` for a vote.
+// verdictTexts are the words that `controller history` prints for the verdicts of votes.
 var verdictTexts = [...]string{relay.NoVote: "none", relay.VotePromote: "on", relay.VoteHold: "hold", relay.VoteRollBack: "back"}
 
-// eventText is an event on one line.
+// eventText returns an event as one line of text.
 func eventText(e rollout.Event) string {
 	words := []string{plan.Time(e.At).Format(time.RFC3339), string(e.Kind)}
 	if e.Service != "" {
--- a/cmd/lichenroad/exit.go
+++ b/cmd/lichenroad/exit.go
@@ -9,14 +9,14 @@
 	"lichenroad/internal/xmlconfig"
 )
 
-// exitCode is the program's exit code, as `lichenroad help exit-codes` explains them.
+// exitCode is an exit code of the program. `lichenroad exit-codes` explains them to users.
 type exitCode int
 
 const (
 	exitDone       exitCode = 0
-	exitFailed     exitCode = 1 // a file, an address or a state is at fault, or a release controller refused
-	exitUsage      exitCode = 2 // the call itself is wrong
-	exitRuleBroken exitCode = 3 // a simulation broke a rule
+	exitFailed     exitCode = 1 // a file, a plan, an address or a state directory is bad, or a release controller refused
+	exitUsage      exitCode = 2 // unknown command or flag, or a bad argument
+	exitRuleBroken exitCode = 3 // a simulation or replay violated a rule
 )
 
 const exitText = `0  done
@@ -25,19 +25,19 @@
 3  a simulation found broken rules (plan simulate)
 `
 
-// exitError is an error with an exit code. An error of a command without one is of the call: exitUsage.
+// exitError is an error with an exit code. An error without one, such as cobra's, exits with exitUsage.
 type exitError struct {
 	code exitCode
 	err  error
 }
 
-// Error returns the text of the error inside.
+// Error returns the text of the wrapped error.
 func (e exitError) Error() string { return e.err.Error() }
 
-// Unwrap returns the error inside, for errors.Is and errors.As.
+// Unwrap returns the wrapped error.
 func (e exitError) Unwrap() error { return e.err }
 
-// failed marks an error as one of what the call named, not of the call; nil stays nil.
+// failed gives an error the exit code exitFailed: the command line is valid, but carrying it out failed. nil stays nil.
 func failed(err error) error {
 	if err == nil {
 		return nil
@@ -45,13 +45,13 @@
 	return exitError{exitFailed, err}
 }
 
-// ruleBroken is the error of a simulation whose checker found something.
+// ruleBroken returns the error of a simulation or replay whose checker found violations, with the code exitRuleBroken.
 func ruleBroken(format string, args ...any) error {
 	return exitError{exitRuleBroken, fmt.Errorf(format, args...)}
 }
 
-// reportError writes an error for the user, on one line, or on one for each fault of an XML file, and returns its exit code.
-func reportError(errs io.Writer, err error) exitCode {
+// reportError prints an error and returns its exit code. It prints one line, or one line for each fault of an XML file.
+func reportError(stderr io.Writer, err error) exitCode {
 	if err == nil {
 		return exitDone
 	}
@@ -66,13 +66,13 @@
 		lines = faults.Lines()
 	}
 	for _, line := range lines {
-		printf(errs, "lichenroad: %s\n", line)
+		printf(stderr, "lichenroad: %s\n", line)
 	}
 	return code
 }
 
-// printf writes to the user's terminal or pipe. Nothing is left to do where that fails: whoever read it has gone, and
-// the exit code still tells how the command ended.
-func printf(to io.Writer, format string, args ...any) {
-	_, _ = fmt.Fprintf(to, format, args...) // see above
+// printf writes to the user's terminal or pipe. Errors are ignored: the reader of the output has gone then, and the exit
+// code still shows the result of the command.
+func printf(w io.Writer, format string, args ...any) {
+	_, _ = fmt.Fprintf(w, format, args...) // see above
 }
--- a/cmd/lichenroad/fit.go
+++ b/cmd/lichenroad/fit.go
@@ -15,27 +15,27 @@
 
 // fitFlags are the flags of `lab fit`.
 type fitFlags struct {
-	size   string // the size in the benchmarks' names
-	unit   string // of the figure
-	form   string
-	from   float64 // sizes that are fitted: from, to
-	to     float64
-	at     float64 // 0: none
-	budget float64 // 0: none
+	size   string  // key of the size in the benchmarks' names
+	unit   string  // of the measured value
+	form   string  // of the fitted function: a slope.Form
+	from   float64 // smallest size that is fitted
+	to     float64 // largest size that is fitted
+	at     float64 // size to extrapolate to; 0: none
+	budget float64 // value whose size is sought; 0: none
 }
 
 func (t *tool) labFit() *cobra.Command {
 	c := &cobra.Command{Use: "fit FILE", Args: cobra.ExactArgs(1),
-		Short: "Fit what go test -bench measured at several sizes (FILE, or - for standard input), and tell the figure at another"}
+		Short: "Fit a function to results of go test -bench at several sizes (FILE, or - for standard input), and extrapolate it"}
 	var flags fitFlags
 	f := c.Flags()
-	f.StringVar(&flags.size, "size", "units", "the size in the benchmarks' names, as in units=1024")
-	f.StringVar(&flags.unit, "unit", "ns/op", "of the figure")
-	f.StringVar(&flags.form, "form", string(slope.Line), "line: a + b n; power: a n^b")
-	f.Float64Var(&flags.from, "from", 0, "smaller sizes are left out")
-	f.Float64Var(&flags.to, "to", math.Inf(1), "larger sizes are left out")
-	f.Float64Var(&flags.at, "at", 0, "size for which to tell the figure; 0: none")
-	f.Float64Var(&flags.budget, "budget", 0, "figure for which to tell the size that reaches it; 0: none")
+	f.StringVar(&flags.size, "size", "units", "key of the size in the benchmarks' names, as in units=1024")
+	f.StringVar(&flags.unit, "unit", "ns/op", "unit of the measured value")
+	f.StringVar(&flags.form, "form", string(slope.Line), "function of the size n: line (a + b n) or power (a n^b)")
+	f.Float64Var(&flags.from, "from", 0, "smallest size to fit")
+	f.Float64Var(&flags.to, "to", math.Inf(1), "largest size to fit")
+	f.Float64Var(&flags.at, "at", 0, "size at which to print the fitted value; 0: none")
+	f.Float64Var(&flags.budget, "budget", 0, "value for which to print the size that reaches it; 0: none")
 	c.RunE = func(_ *cobra.Command, args []string) error {
 		if form := slope.Form(flags.form); form != slope.Line && form != slope.Power {
 			return fmt.Errorf("--form: %q is neither %s nor %s", flags.form, slope.Line, slope.Power)
@@ -55,7 +55,7 @@
 	return c
 }
 
-// read reads the benchmarks of a file, or of the standard input for -.
+// read reads benchmark results from a file, or from standard input for -.
 func (flags *fitFlags) read(name string) ([]slope.Series, error) {
 	in := io.Reader(os.Stdin)
 	if name != "-" {
@@ -63,7 +63,7 @@
 		if err != nil {
 			return nil, err
 		}
-		defer func() { _ = file.Close() }() // only read
+		defer func() { _ = file.Close() }() // an error does not matter after reading
 		in = file
 	}
 	series, err := slope.Read(in, flags.size, flags.unit)
@@ -71,12 +71,12 @@
 		return nil, err
 	}
 	if len(series) == 0 {
-		return nil, fmt.Errorf("%s: no benchmark with a size %s= and a figure in %s", name, flags.size, flags.unit)
+		return nil, fmt.Errorf("%s: no benchmark with a size %s= and a value in %s", name, flags.size, flags.unit)
 	}
 	return series, nil
 }
 
-// printFit prints one series' fit on one line.
+// printFit fits the samples of a series and prints the result on one line.
 func (t *tool) printFit(s slope.Series, flags *fitFlags) error {
 	const percent = 100
 	fit, err := slope.FitSamples(slope.Form(flags.form), s.Samples)
--- a/cmd/lichenroad/logs.go
+++ b/cmd/lichenroad/logs.go
@@ -10,8 +10,8 @@
 	"lichenroad/internal/metrics"
 )
 
-// logger opens the program's log on standard error, at the level of --log-level. Writing to it never blocks. flush
-// writes what waits and ends the log.
+// logger returns a log to standard error at the level of --log-level, and counters, which count the lines that it drops.
+// Writing to the log never blocks. flush writes the queued lines and ends the log.
 func (t *tool) logger() (log *logrus.Logger, counters *metrics.Counters, flush func(), err error) {
 	level, err := logrus.ParseLevel(t.logLevel)
 	if err != nil {
@@ -29,11 +29,11 @@
 	return log, counters, flush, nil
 }
 
-// asyncWriter is a writer for the log that never blocks: whoever reads the log may be slow, and the loop must not wait
-// for it. Lines that find the queue full are dropped and counted. A goroutine writes the queue until Close.
+// asyncWriter is the log's writer. It never blocks, because the loop must not wait for a slow reader of the log: lines are
+// queued, and dropped and counted while the queue is full. A goroutine writes the queued lines until Close.
 type asyncWriter struct {
 	queue    chan []byte
-	done     chan struct{} // closed when the queue is written
+	done     chan struct{} // closed when all queued lines are written
 	counters *metrics.Counters
 }
 
@@ -46,7 +46,7 @@
 	go func() {
 		defer close(w.done)
 		for line := range w.queue {
-			_, _ = to.Write(line) // there is nowhere else to say that the log can't be written
+			_, _ = to.Write(line) // an error can't be reported: this is the log
 		}
 	}()
 	return w
@@ -62,7 +62,7 @@
 	return len(line), nil
 }
 
-// Close writes what is queued, but waits limits.LogFlushTimeout at most. Write must not be called after it.
+// Close waits until the queued lines are written, but at most limits.LogFlushTimeout. Write must not be called after it.
 func (w *asyncWriter) Close() {
 	close(w.queue)
 	select {
--- a/cmd/lichenroad/main.go
+++ b/cmd/lichenroad/main.go
@@ -1,6 +1,8 @@
-// Command lichenroad is a relay, which takes requests from clients and passes them to endpoints with every decision left
-// to package policy, and the tools around it: plans of releases, the release controller, traces, the laboratory. Here the
-// parts are put together and the command line is read; each command's logic is in the package that it calls.
+// Command lichenroad runs a relay, which forwards requests from clients to endpoints, and the tools around it: release
+// plans, the release controller, replays of recorded traces, and a lab for simulations and measurements.
+//
+// This package parses the command line and connects the parts. What a relay decides about a request is in package policy,
+// and the logic of every other command is in the package that it calls.
 package main
 
 import (
@@ -17,38 +19,38 @@
 
 func main() { os.Exit(run(os.Args[1:], os.Getenv, os.Stdout, os.Stderr)) }
 
-// tool is what the commands share.
+// tool holds what all commands share: the environment, the output streams and the log level.
 type tool struct {
-	getenv         func(string) string // os.Getenv
-	stdout, stderr io.Writer           // standard output and standard error
-	logLevel       string              // of the log
+	getenv         func(string) string // os.Getenv, except in tests
+	stdout, stderr io.Writer
+	logLevel       string // value of --log-level
 }
 
-// run carries out one call of the program and returns its exit code.
-func run(args []string, env func(string) string, out, errs io.Writer) int {
-	t := &tool{getenv: env, stdout: out, stderr: errs}
+// run executes the command that the arguments name and returns the exit code of the process.
+func run(args []string, getenv func(string) string, stdout, stderr io.Writer) int {
+	t := &tool{getenv: getenv, stdout: stdout, stderr: stderr}
 	root := t.rootCommand()
 	root.SetArgs(args)
-	root.SetOut(out)
-	root.SetErr(errs)
-	return int(reportError(errs, root.Execute()))
+	root.SetOut(stdout)
+	root.SetErr(stderr)
+	return int(reportError(stderr, root.Execute()))
 }
 
 func (t *tool) rootCommand() *cobra.Command {
 	root := &cobra.Command{
 		Use:           "lichenroad",
-		Short:         "lichenroad passes requests between clients and endpoints, and shifts them between builds",
+		Short:         "Relay that forwards requests from clients to endpoints and shifts them between builds, with its tools",
 		SilenceErrors: true,
 		SilenceUsage:  true,
 		Args:          cobra.ArbitraryArgs,
 	}
 	root.RunE = func(c *cobra.Command, args []string) error {
 		if len(args) > 0 {
-			return fmt.Errorf("%q is no command; see lichenroad help", args[0])
+			return fmt.Errorf("unknown command %q; see lichenroad help", args[0])
 		}
 		return c.Help()
 	}
-	root.PersistentFlags().StringVar(&t.logLevel, "log-level", "info", "debug, info, warn or error")
+	root.PersistentFlags().StringVar(&t.logLevel, "log-level", "info", "level of the log: debug, info, warn or error")
 	root.AddCommand(t.serveCommand(), t.checkCommand(), t.planCommand(), t.controllerCommand(), t.deprecatedControllerCommand(), t.traceCommand(),
 		t.labCommand(), t.versionCommand(), t.exitCodesCommand())
 	return root
@@ -64,12 +66,12 @@
 		Run: func(*cobra.Command, []string) { printf(t.stdout, "%s", exitText) }}
 }
 
-// untilSignal is a context that ends at SIGTERM or an interrupt.
+// untilSignal returns a context that is cancelled at SIGTERM or an interrupt.
 func untilSignal() (context.Context, context.CancelFunc) {
 	return signal.NotifyContext(context.Background(), syscall.SIGTERM, os.Interrupt)
 }
 
-// version is the module's version, or the commit that it was built from.
+// version returns the version of the module, or the commit where it has none, and the version of Go.
 func version() string {
 	info, ok := debug.ReadBuildInfo()
 	if !ok {
--- a/cmd/lichenroad/plan.go
+++ b/cmd/lichenroad/plan.go
@@ -12,13 +12,13 @@
 )
 
 func (t *tool) planCommand() *cobra.Command {
-	c := &cobra.Command{Use: "plan", Short: "Check, show and try out plans of releases", RunE: requireSubcommand}
+	c := &cobra.Command{Use: "plan", Short: "Check, show and simulate release plans", RunE: requireSubcommand}
 	c.AddCommand(t.planCheck(), t.planShow(), t.planSimulate())
 	return c
 }
 
 func (t *tool) planCheck() *cobra.Command {
-	c := &cobra.Command{Use: "check FILE", Short: "Read a plan and name all of its faults", Args: cobra.ExactArgs(1)}
+	c := &cobra.Command{Use: "check FILE", Short: "Read a plan and report all of its errors", Args: cobra.ExactArgs(1)}
 	c.RunE = func(_ *cobra.Command, args []string) error {
 		p, err := planxml.Load(args[0])
 		if err != nil {
@@ -36,14 +36,14 @@
 }
 
 func (t *tool) planShow() *cobra.Command {
-	c := &cobra.Command{Use: "show FILE", Short: "Show a plan: steps, who is open at each, what is frozen", Args: cobra.ExactArgs(1)}
-	at := c.Flags().String("at", "", "the time to look at, such as 2026-12-24T18:00:00Z; now where not given")
+	c := &cobra.Command{Use: "show FILE", Short: "Show a plan: its steps, the groups of tenants that each opens, and which freezes are in effect", Args: cobra.ExactArgs(1)}
+	at := c.Flags().String("at", "", "time at which to show the freezes, such as 2026-12-24T18:00:00Z (default now)")
 	c.RunE = func(_ *cobra.Command, args []string) error {
 		when := time.Now()
 		if *at != "" {
 			var err error
 			if when, err = time.Parse(time.RFC3339, *at); err != nil {
-				return fmt.Errorf("--at: %q is no time such as 2026-12-24T18:00:00Z", *at)
+				return fmt.Errorf("--at: %q is not a time such as 2026-12-24T18:00:00Z", *at)
 			}
 		}
 		p, err := planxml.Load(args[0])
@@ -59,7 +59,7 @@
 	return c
 }
 
-// printSteps prints a table of the steps of all services.
+// printSteps prints the steps of all services as a table.
 func (t *tool) printSteps(p *plan.Plan) error {
 	table := t.newTable()
 	printf(table, "SERVICE\tSTEP\tSHARE\tCAP\tLEAST\tOPENS\tNEEDS\n")
@@ -80,7 +80,7 @@
 	return table.Flush()
 }
 
-// printFreezes prints, for each service and site, which freeze is in force at a time.
+// printFreezes prints, for each service and site, which freeze is in effect at a time and until when.
 func (t *tool) printFreezes(p *plan.Plan, when time.Time) error {
 	calendar := plan.NewCalendar(p, false)
 	now := float64(when.UnixNano()) / 1e9
--- a/cmd/lichenroad/progress.go
+++ b/cmd/lichenroad/progress.go
@@ -12,7 +12,7 @@
 	"lichenroad/lab"
 )
 
-// progressBar is a bar on standard error, up to a total, -1 where it isn't known; nil where nobody sees it, as in a pipe.
+// progressBar returns a progress bar on standard error, or nil if that is not a terminal. A total of -1 means unknown.
 func (t *tool) progressBar(total int64, what string, more ...progressbar.Option) *progressbar.ProgressBar {
 	const redrawInterval = 200 * time.Millisecond
 	terminal, ok := t.stderr.(*os.File)
@@ -27,8 +27,8 @@
 	return progressbar.NewOptions64(total, options...)
 }
 
-// virtualProgress shows how much of a span of virtual time has been simulated, in thousandths of the span's unit. The
-// function that it returns takes the time reached; it is nil where nobody sees the bar.
+// virtualProgress shows a progress bar of a simulation over a span of virtual time, in thousandths of the span's unit. It
+// returns the function to call with the time reached, or nil if standard error is not a terminal.
 func (t *tool) virtualProgress(span float64, what string) func(reached float64) {
 	const perMille = 1000
 	bar := t.progressBar(int64(span*perMille), what)
@@ -36,11 +36,11 @@
 		return nil
 	}
 	return func(reached float64) {
-		_ = bar.Set64(int64(reached * perMille)) // a bar that can't be drawn is no reason to stop
+		_ = bar.Set64(int64(reached * perMille)) // a simulation goes on if the bar can't be drawn
 	}
 }
 
-// writeJSON puts a result in a file, complete or not at all; nothing where no file is named.
+// writeJSON writes a result to a file, either as a whole or not at all. It does nothing if the name is empty.
 func (t *tool) writeJSON(name string, result any) error {
 	if name == "" {
 		return nil
--- a/cmd/lichenroad/relay.go
+++ b/cmd/lichenroad/relay.go
@@ -10,13 +10,13 @@
 	"lichenroad/internal/planxml"
 )
 
-// configFlag adds the flag that names a relay's configuration.
+// configFlag adds the flag --config, the path of a relay's configuration.
 func (t *tool) configFlag(c *cobra.Command) *string {
-	return c.Flags().String("config", t.getenv("BALANCER_CONFIG"), "the configuration, a JSON file; $BALANCER_CONFIG where not given")
+	return c.Flags().String("config", t.getenv("BALANCER_CONFIG"), "the configuration, a JSON file; without the flag, the file that $BALANCER_CONFIG names")
 }
 
 func (t *tool) checkCommand() *cobra.Command {
-	c := &cobra.Command{Use: "check", Short: "Read a configuration and report its faults", Args: cobra.NoArgs}
+	c := &cobra.Command{Use: "check", Short: "Read a configuration and report its errors", Args: cobra.NoArgs}
 	path := t.configFlag(c)
 	c.RunE = func(*cobra.Command, []string) error {
 		got, err := config.Load(*path, t.getenv)
@@ -31,11 +31,11 @@
 
 func (t *tool) serveCommand() *cobra.Command {
 	c := &cobra.Command{Use: "serve", Short: "Run a relay in the foreground", Args: cobra.NoArgs,
-		Long: "Run a relay in the foreground.\n\nWith --plan and --service it keeps to a plan of releases: who may meet a canary build, and when its votes\nmay promote it. SIGHUP reads configuration and plan again."}
+		Long: "Run a relay in the foreground.\n\nWith --plan and --service it follows a release plan: which tenants may get a canary build, and when the votes\nof this relay may promote it. On SIGHUP it reads the configuration and the plan again."}
 	path := t.configFlag(c)
 	var releases releasePlan
-	c.Flags().StringVar(&releases.path, "plan", "", "a plan of releases, an XML file")
-	c.Flags().StringVar(&releases.service, "service", "", "the service of the plan that this relay serves")
+	c.Flags().StringVar(&releases.path, "plan", "", "release plan, an XML file")
+	c.Flags().StringVar(&releases.service, "service", "", "name in the plan of the service that this relay serves")
 	c.MarkFlagsRequiredTogether("plan", "service")
 	c.RunE = func(*cobra.Command, []string) error {
 		got, err := config.Load(*path, t.getenv)
--- a/cmd/lichenroad/scale.go
+++ b/cmd/lichenroad/scale.go
@@ -10,7 +10,7 @@
 	"lichenroad/lab/scale"
 )
 
-// scaleFlags are the flags of `lab scale` that are not fields of scale.Options unchanged.
+// scaleFlags are the flags of `lab scale` that do not set a field of scale.Options directly.
 type scaleFlags struct {
 	shape   string
 	faults  []string
@@ -19,29 +19,29 @@
 }
 
 func (t *tool) labScale() *cobra.Command {
-	c := &cobra.Command{Use: "scale", Short: "Measure what relays of a large fleet cost: hollow relays in virtual time", Args: cobra.NoArgs,
-		Long: "Measure what relays of a large fleet cost. Hollow relays are the real decision code with its real messages and list\n" +
-			"reader; clients, endpoints, discovery, platform and network are emulated. The same call gives the same figures, processor\n" +
-			"time and memory aside. Exit code 3 where the checker found a broken rule. docs/scale-lab.md explains each figure."}
+	c := &cobra.Command{Use: "scale", Short: "Measure the cost of relays in a large fleet: hollow relays in virtual time", Args: cobra.NoArgs,
+		Long: "Measure the cost of relays in a large fleet. Hollow relays are the real decision code with its real messages and list\n" +
+			"reader; clients, endpoints, discovery, platform and network are emulated. The same flags give the same figures, except\n" +
+			"processor time and memory. Exit code 3 if the checker found a violation. docs/scale-lab.md explains each figure."}
 	var options scale.Options
 	var flags scaleFlags
 	f := c.Flags()
-	f.IntVar(&options.Relays, "relays", 43, "relays of the fleet")
-	f.IntVar(&options.Endpoints, "units", 420, "endpoints of the fleet, those of a release included")
-	f.IntVar(&options.Services, "services", 21, "services of a skewed fleet; a wide one has one")
-	f.IntVar(&options.Zones, "zones", 16, "zones")
-	f.IntVar(&options.Regions, "regions", 7, "regions, over which the zones are spread")
-	f.StringVar(&flags.shape, "shape", string(scale.Skewed), "wide: one service over all; skewed: few large services and a long tail")
-	f.Float64Var(&options.Seconds, "seconds", 20, "virtual seconds")
-	f.Int64Var(&options.Seed, "seed", 1, "of all chance")
-	f.IntVar(&options.Tenants, "tenants", 0, "tenants, spread over services by size")
-	f.IntVar(&options.Routes, "routes", 0, "routes, spread over services by size; each request has one as its key")
-	f.Float64Var(&options.Rate, "rate", 77, "requests a second at each relay, in the mean")
-	f.StringArrayVar(&flags.faults, "fault", nil, "what goes wrong; may be given more than once")
-	f.StringArrayVar(&flags.without, "without", nil, "a defence to switch off; may be given more than once")
-	f.IntVar(&options.Measured, "measured", 0, "relays of a service that are hosted whole besides its first 8; 0: by the budget")
-	f.IntVar(&options.Jobs, "jobs", runtime.GOMAXPROCS(0), "threads; they change no figure but processor time and memory")
-	f.StringVar(&flags.json, "json", "", "a file for the figures")
+	f.IntVar(&options.Relays, "relays", 43, "number of relays in the fleet")
+	f.IntVar(&options.Endpoints, "units", 420, "number of endpoints in the fleet, including those of a build on trial")
+	f.IntVar(&options.Services, "services", 21, "number of services in a skewed fleet; a wide fleet has one")
+	f.IntVar(&options.Zones, "zones", 16, "number of zones")
+	f.IntVar(&options.Regions, "regions", 7, "number of regions, over which the zones are spread")
+	f.StringVar(&flags.shape, "shape", string(scale.Skewed), "wide (one service over all) or skewed (few large services and a long tail)")
+	f.Float64Var(&options.Seconds, "seconds", 20, "virtual time to simulate, in s")
+	f.Int64Var(&options.Seed, "seed", 1, "seed of all random draws")
+	f.IntVar(&options.Tenants, "tenants", 0, "number of tenants, spread over the services by size")
+	f.IntVar(&options.Routes, "routes", 0, "number of routes, spread over the services by size; each request has one as its key")
+	f.Float64Var(&options.Rate, "rate", 77, "mean requests a second at each relay")
+	f.StringArrayVar(&flags.faults, "fault", nil, "fault to inject; may be given more than once")
+	f.StringArrayVar(&flags.without, "without", nil, "safeguard to switch off; may be given more than once")
+	f.IntVar(&options.Measured, "measured", 0, "relays of a service that are simulated in full besides its first 8; 0: as many as the budget of processor time and memory allows")
+	f.IntVar(&options.Jobs, "jobs", runtime.GOMAXPROCS(0), "number of threads; it changes no figure except processor time and memory")
+	f.StringVar(&flags.json, "json", "", "file to write the figures to")
 	c.RunE = func(*cobra.Command, []string) error { return t.runScale(options, flags) }
 	return c
 }
@@ -71,7 +71,7 @@
 		return failed(err)
 	}
 	if result.ViolationCount > 0 {
-		return ruleBroken("%d times a rule was broken", result.ViolationCount)
+		return ruleBroken("%d violations of rules", result.ViolationCount)
 	}
 	return nil
 }
--- a/cmd/lichenroad/serve.go
+++ b/cmd/lichenroad/serve.go
@@ -29,35 +29,35 @@
 	"lichenroad/relay"
 )
 
-// releasePlan is the plan of releases that a relay keeps to, and where it was read; plan is nil without one.
+// releasePlan is the release plan that a relay follows. plan is nil if there is none.
 type releasePlan struct {
-	path    string
-	service string // of the plan, that this relay serves
+	path    string // of the file that the plan was read from
+	service string // name in the plan of the service that the relay serves
 	plan    *plan.Plan
 }
 
-// relayProcess is a relay that runs. Its parts run on goroutines of their own and post to the loop, which runs on the
+// relayProcess is a running relay. Its parts run on their own goroutines and post events to the loop. The loop runs on the
 // goroutine of serve until stop is closed.
 type relayProcess struct {
-	config    config.Config // in force; owned by the loop
+	config    config.Config // in effect; only the loop may access it
 	releases  releasePlan
-	guard     *guard.Host // nil: no plan
+	guard     *guard.Host // nil without a plan
 	loop      *pipeline.Loop
 	clients   *clients.Server
 	discovery *discovery.Client
 	platform  *platform.Client
 	stop      chan struct{}
-	end       func()                // closes stop; any goroutine may call it, more than once
-	listenErr atomic.Pointer[error] // that ended the program; nil: none
+	end       func()                // closes stop; may be called more than once, from any goroutine
+	listenErr atomic.Pointer[error] // error of the listener that stopped the relay; nil: none
 }
 
-// serve runs a relay until a signal ends it; reload reads the configuration again. Two more goroutines handle signals,
-// until the program ends.
+// serve runs a relay until a signal or an error of the listener stops it. On SIGHUP it calls reload, which reads the
+// configuration again. Two goroutines handle signals until the process exits.
 func serve(c config.Config, reload func() (config.Config, error), releases releasePlan, log *logrus.Logger,
 	counters *metrics.Counters) error {
 	const maxQueuedSignals = 4
 	signals := make(chan os.Signal, maxQueuedSignals)
-	hangups := make(chan os.Signal, 1) // one that finds another waiting is covered by that one
+	hangups := make(chan os.Signal, 1) // a SIGHUP that is still queued covers later ones
 	signal.Notify(signals, syscall.SIGTERM, os.Interrupt, syscall.SIGUSR1)
 	signal.Notify(hangups, syscall.SIGHUP)
 	runtime.GOMAXPROCS(max(1, int(c.Cores)))
@@ -77,7 +77,7 @@
 		}
 	}()
 	p.loop.Run(p.stop)
-	_ = p.clients.Close() // a shutdown may have closed the listener before, and the process ends here
+	_ = p.clients.Close() // after a graceful shutdown the listener is closed already; the process exits now
 	log.WithFields(counters.Fields()).Info("counters")
 	if err := p.listenErr.Load(); err != nil {
 		return *err
@@ -85,11 +85,11 @@
 	return nil
 }
 
-// socketShares divides the sockets that a relay may open.
+// socketShares is how many of a relay's sockets each use may take.
 type socketShares struct {
 	clients   int // connections from clients
 	endpoints int // connections to endpoints
-	rejecting int // connections from clients over the bound, which are rejected
+	rejecting int // further connections from clients, each open only until it has been rejected
 }
 
 func divideSockets(total int) socketShares {
@@ -99,7 +99,7 @@
 	return socketShares{clients: usable - endpoints, endpoints: endpoints, rejecting: int(limits.OverflowClientFraction * float64(spare))}
 }
 
-// start puts the parts together and listens; what is received waits for the loop to run.
+// start creates and connects the parts and listens for clients. Events are queued until the loop runs.
 func start(c config.Config, releases releasePlan, log *logrus.Logger, counters *metrics.Counters) (*relayProcess, error) {
 	pool := buffer.NewPool(int64(limits.BufferFraction * float64(c.MemoryMB<<20)))
 	loop := pipeline.NewLoop(c.Site, c.Seed, pool, counters, log)
@@ -118,7 +118,7 @@
 		return nil, err
 	}
 
-	// The module's first step sees the cached list, then the status of the newest build.
+	// The first events that the decision module gets are the cached list and the status of the current rollout.
 	if known, err := reader.Parse(c.KnownList); err == nil {
 		discoveryClient.UseKnownList(known)
 	} else {
@@ -142,7 +142,7 @@
 	return p, nil
 }
 
-// openGuard makes the guard that holds the relay to its plan, if it has one.
+// openGuard creates the guard, which keeps the relay within its release plan, if it has a plan.
 func (p *relayProcess) openGuard() error {
 	if p.releases.plan == nil {
 		return nil
@@ -156,7 +156,7 @@
 	return nil
 }
 
-// openPeers opens the socket for messages between relays, if the configuration names one.
+// openPeers opens the socket for messages between relays, if the configuration has an address for it.
 func (p *relayProcess) openPeers() error {
 	if p.config.PeerListen == "" {
 		return nil
@@ -171,8 +171,8 @@
 	return nil
 }
 
-// shutdownGracefully keeps serving for a little while, closes each connection between its requests, and ends when none is
-// left, or when every request must have been answered.
+// shutdownGracefully starts a graceful shutdown of the server for clients. The loop stops when no connection is left, or
+// limits.ForcedShutdownDelay after the longest deadline that an open request can have.
 func (p *relayProcess) shutdownGracefully() {
 	maxWait := max(limits.PlatformMaxDeadline, p.loop.Site.MaxDeadline())
 	p.loop.Post(pipeline.Func(func(l *pipeline.Loop) {
@@ -181,8 +181,8 @@
 	}))
 }
 
-// reload puts the next configuration in place of the one in force: discovery and platform are called at the addresses
-// that it names. One that can't be read changes nothing.
+// reload applies the configuration that was read again: it switches to the new addresses of discovery and platform, and
+// reloads the plan. Other differences are logged, as they need a restart. If err is not nil, nothing changes.
 func (p *relayProcess) reload(next config.Config, err error) {
 	if err != nil {
 		p.loop.Metrics.Add(metrics.ReloadsRefused, 1)
@@ -202,7 +202,7 @@
 	}))
 }
 
-// reloadPlan reads the plan again. One with an error changes nothing and is logged.
+// reloadPlan reads the plan again. If that fails, it logs the error and the old plan stays in effect.
 func (p *relayProcess) reloadPlan() {
 	if p.guard == nil {
 		return
@@ -221,26 +221,26 @@
 	}))
 }
 
-// handleSignals shuts the program down gracefully at the first SIGTERM or interrupt and at once at the second, and logs
-// the counters on SIGUSR1.
+// handleSignals starts a graceful shutdown at the first SIGTERM or interrupt, stops the loop at the second, and logs the
+// counters on SIGUSR1.
 func (p *relayProcess) handleSignals(signals <-chan os.Signal) {
-	ending := false
+	shuttingDown := false
 	for s := range signals {
 		switch {
 		case s == syscall.SIGUSR1:
 			p.loop.Log.WithFields(p.loop.Metrics.Fields()).Info("counters")
-		case ending:
+		case shuttingDown:
 			p.end()
 		default:
-			ending = true
+			shuttingDown = true
 			p.loop.Log.WithField("signal", s.String()).Info("shutting down")
 			p.shutdownGracefully()
 		}
 	}
 }
 
-// noPeers takes the place of peers where the configuration names no address for messages.
+// noPeers stands in for the peer transport where the configuration has no address for messages between relays.
 type noPeers struct{ counters *metrics.Counters }
 
-// SendMessage drops the message and counts it.
+// SendMessage counts the message as dropped.
 func (n noPeers) SendMessage(relay.SendMessage) { n.counters.Add(metrics.PeerMessagesDropped, 1) }
--- a/cmd/lichenroad/simulate.go
+++ b/cmd/lichenroad/simulate.go
@@ -15,12 +15,12 @@
 // Bounds of `plan simulate`.
 const (
 	maxSimulatedDays     = 60
-	maxSimulatedRelays   = 1000 // and planners
-	maxSimulatedLoad     = 10   // times the ordinary day's
+	maxSimulatedRelays   = 1000 // also bounds the planners
+	maxSimulatedLoad     = 10   // times the load of an ordinary day
 	maxPrintedViolations = 10
 )
 
-// simulateFlags are the flags of `plan simulate` that are not fields of lab.Options unchanged.
+// simulateFlags are the flags of `plan simulate` that do not set a field of lab.Options directly.
 type simulateFlags struct {
 	guard   string
 	faults  string
@@ -31,23 +31,23 @@
 }
 
 func (t *tool) planSimulate() *cobra.Command {
-	c := &cobra.Command{Use: "simulate FILE", Short: "Try a plan out in virtual time, with real decision modules", Args: cobra.ExactArgs(1),
-		Long: "Try a plan out in virtual time: the real decision modules, guards and release controller against emulated planners, clients\nand faults. The same call gives the same result. Exit code 3 where a rule or a line of the plan was broken."}
+	c := &cobra.Command{Use: "simulate FILE", Short: "Simulate releases under a plan in virtual time, with the real decision modules", Args: cobra.ExactArgs(1),
+		Long: "Simulate releases under a plan in virtual time: the real decision modules, guards and release controller with emulated\nplanners, clients and faults. The same flags give the same result. Exit code 3 if a rule or the plan was violated."}
 	var options lab.Options
 	var flags simulateFlags
 	f := c.Flags()
-	f.Float64Var(&options.Days, "days", 7, "days to play, up to 60")
-	f.Int64Var(&options.Seed, "seed", 1, "of all chance")
-	f.IntVar(&options.Relays, "relays", 40, "relays, of all services together, up to 1000")
-	f.IntVar(&options.Endpoints, "planners", 30, "planners, of all services together, up to 1000")
-	f.Float64Var(&options.BadBuildFraction, "bad", 0.4, "part of the builds that are bad")
-	f.Float64Var(&options.LoadFactor, "load", 1, "times the ordinary day's requests")
-	f.StringVar(&flags.guard, "guard", "on", "on, or off: relays that know no plan")
-	f.StringVar(&flags.faults, "faults", "ordinary", "one of "+strings.Join(lab.FaultNames(), ", ")+"; or several with a + between")
-	f.StringSliceVar(&flags.without, "without", nil, "a defence to take out, such as guard-freezes or desk-needs; may be given more than once")
-	f.BoolVar(&flags.byClock, "by-clock", false, "the baseline: time alone promotes, no vote counts")
-	f.StringVar(&flags.json, "json", "", "a file for the result")
-	f.StringVar(&flags.report, "report", "", "a directory for the report, an HTML page")
+	f.Float64Var(&options.Days, "days", 7, "days to simulate, up to 60")
+	f.Int64Var(&options.Seed, "seed", 1, "seed of all random draws")
+	f.IntVar(&options.Relays, "relays", 40, "number of relays of all services together, up to 1000")
+	f.IntVar(&options.Endpoints, "planners", 30, "number of planners of all services together, up to 1000")
+	f.Float64Var(&options.BadBuildFraction, "bad", 0.4, "fraction of the builds that are bad")
+	f.Float64Var(&options.LoadFactor, "load", 1, "load as a multiple of an ordinary day's")
+	f.StringVar(&flags.guard, "guard", "on", "on, or off (the relays do not follow the plan)")
+	f.StringVar(&flags.faults, "faults", "ordinary", "one of "+strings.Join(lab.FaultNames(), ", ")+"; or several, joined with +")
+	f.StringSliceVar(&flags.without, "without", nil, "safeguard to switch off, such as guard-freezes or desk-needs; may be given more than once")
+	f.BoolVar(&flags.byClock, "by-clock", false, "simulate the baseline, in which builds are promoted by time alone and votes are ignored")
+	f.StringVar(&flags.json, "json", "", "file to write the result to")
+	f.StringVar(&flags.report, "report", "", "directory for the report, an HTML page")
 	c.RunE = func(_ *cobra.Command, args []string) error {
 		if err := flags.apply(&options); err != nil {
 			return err
@@ -65,7 +65,7 @@
 	return c
 }
 
-// apply checks the options and sets those that the flags name in words.
+// apply checks the options and sets those that the flags give by name.
 func (flags simulateFlags) apply(options *lab.Options) error {
 	if err := checkBounds(options); err != nil {
 		return err
@@ -75,7 +75,7 @@
 	case "off":
 		options.Guard.All = true
 	default:
-		return fmt.Errorf("--guard: on or off")
+		return fmt.Errorf("--guard: %q is neither on nor off", flags.guard)
 	}
 	faults, ok := lab.FaultsByName(flags.faults)
 	if !ok {
@@ -84,7 +84,7 @@
 	options.Faults = faults
 	for _, name := range flags.without {
 		if !options.DisableSafeguard(name) {
-			return fmt.Errorf("--without: there is no defence %q", name)
+			return fmt.Errorf("--without: there is no safeguard %q", name)
 		}
 	}
 	return nil
@@ -105,7 +105,7 @@
 	return nil
 }
 
-// runSimulation runs a simulation and prints its result, of the part before a signal too.
+// runSimulation runs a simulation and prints its result. After a signal it prints the result up to then, and fails.
 func (t *tool) runSimulation(options lab.Options, flags simulateFlags) error {
 	options.Progress = t.virtualProgress(options.Days, "days")
 	ctx, cancel := untilSignal()
@@ -129,12 +129,12 @@
 		return failed(fmt.Errorf("ended by a signal after %.2f days", result.Days))
 	}
 	if len(result.Violations) > 0 {
-		return ruleBroken("%d times a rule or a line of the plan was broken", len(result.Violations)+result.UnlistedViolations)
+		return ruleBroken("%d violations of rules or of the plan", len(result.Violations)+result.UnlistedViolations)
 	}
 	return nil
 }
 
-// releaseCounts counts the builds of a simulation, and those that are released in the end.
+// releaseCounts counts the good and bad builds of a simulation, and how many of them are released at its end.
 type releaseCounts struct {
 	good, goodReleased int
 	bad, badReleased   int
@@ -158,7 +158,7 @@
 	return counts
 }
 
-// printSummary prints the result in plain lines.
+// printSummary prints a summary of the result and its first violations.
 func (t *tool) printSummary(r *lab.Result) {
 	const secondsPerHour = 3600
 	counts := countReleases(r)
--- a/cmd/lichenroad/slim.go
+++ b/cmd/lichenroad/slim.go
@@ -8,13 +8,14 @@
 	"github.com/spf13/cobra"
 )
 
-// A relay in service needs no laboratory: what is here takes the place of its commands, so that charts, fonts and
-// emulators are not in the program that runs beside others on a part of a core.
+// A production relay shares a core with other processes and does not need the lab. With the build tag slim, the commands
+// below replace those that link charts, fonts and emulators.
 
 var errSlim = errors.New("not in this build: build without the tag slim")
 
+// absentCommand returns a command that only fails with errSlim.
 func absentCommand(use string) *cobra.Command {
-	return &cobra.Command{Use: use, Short: "Not in this build, which is for service", DisableFlagParsing: true,
+	return &cobra.Command{Use: use, Short: "Not in this build, which was built with the tag slim", DisableFlagParsing: true,
 		RunE: func(*cobra.Command, []string) error { return errSlim }}
 }
 
--- a/cmd/lichenroad/sweep.go
+++ b/cmd/lichenroad/sweep.go
@@ -18,18 +18,18 @@
 )
 
 const (
-	maxSweptRequests = 4 << 20 // 64 bytes each
+	maxSweptRequests = 4 << 20 // requests held in memory, 64 bytes each
 	maxSeeds         = 200
 )
 
-// sweepResult is the file that a sweep leaves and a comparison reads.
+// sweepResult is the result file that `lab sweep` writes and `lab compare` reads.
 type sweepResult struct {
 	Trace []string         `json:"trace"`
 	Vary  string           `json:"vary"`
 	Runs  []experiment.Run `json:"runs"`
 }
 
-// sweepFlags are the flags of `lab sweep` besides those of its input.
+// sweepFlags are the flags of `lab sweep` other than those of its input.
 type sweepFlags struct {
 	fault      string
 	report     string
@@ -42,10 +42,10 @@
 }
 
 func (t *tool) labSweep() *cobra.Command {
-	c := &cobra.Command{Use: "sweep FILE...", Short: "Replay a trace with one thing changed, on several seeds, and say what it does", Args: cobra.MinimumNArgs(1),
-		Long: "Replay a trace with one thing changed, on several seeds. --vary names it and its values: relays=4,8, planners=8,10,12,\nmodule=" + strings.Join(lab.Baselines(), ",") +
-			". Or a fault: fault=" + strings.Join(lab.EndpointFaultNames(), ",") +
-			",\nor a setting: legs=1,2,3, cancel=true,false, retry-after=true,false. Each value is compared with the first, by the same\nseeds; with one value the file alone is left, for lab compare, such as of another version of the program."}
+	c := &cobra.Command{Use: "sweep FILE...", Short: "Replay a trace with several values of one option, on several seeds, and compare the results", Args: cobra.MinimumNArgs(1),
+		Long: "Replay a trace with several values of one option, on several seeds. --vary is the option and its values: relays=4,8, planners=8,10,12,\nmodule=" + strings.Join(lab.Baselines(), ",") +
+			",\nfault=" + strings.Join(lab.EndpointFaultNames(), ",") +
+			",\nlegs=1,2,3 (attempts a request), cancel=true,false or retry-after=true,false. Each value is compared with the first, seed by\nseed. With one value the runs are only written to the file, for lab compare, such as with another version of the program."}
 	var in traceInput
 	var flags sweepFlags
 	in.addFlags(c)
@@ -58,17 +58,17 @@
 
 func (flags *sweepFlags) add(c *cobra.Command) {
 	f := c.Flags()
-	f.StringVar(&flags.fault, "fault", noFault, "what goes wrong with planners in all runs: "+strings.Join(lab.EndpointFaultNames(), ", "))
-	f.StringVar(&flags.report, "report", "", "a directory for the chart, an HTML page")
-	f.StringVar(&flags.vary, "vary", "", "what is changed, and its values: NAME=A,B,...")
-	f.IntVar(&flags.seeds, "seeds", 5, "seeds, from 1 on; up to 200")
-	f.IntVar(&flags.relays, "relays", 4, "relays, where they are not varied")
-	f.IntVar(&flags.planners, "planners", 10, "planners, where they are not varied")
-	f.StringVar(&flags.json, "json", "", "a file for all runs")
+	f.StringVar(&flags.fault, "fault", noFault, "fault of the planners in all runs: "+strings.Join(lab.EndpointFaultNames(), ", "))
+	f.StringVar(&flags.report, "report", "", "directory for the charts, an HTML page")
+	f.StringVar(&flags.vary, "vary", "", "option to vary, and its values: NAME=A,B,...")
+	f.IntVar(&flags.seeds, "seeds", 5, "number of seeds, up to 200; they are 1, 2 and so on")
+	f.IntVar(&flags.relays, "relays", 4, "number of relays, unless it is varied")
+	f.IntVar(&flags.planners, "planners", 10, "number of planners, unless it is varied")
+	f.StringVar(&flags.json, "json", "", "file to write all runs to")
 	addComparisonFlags(c, &flags.comparison)
 }
 
-// variation is what --vary changes, and its values.
+// variation is the option that --vary names, and its values.
 type variation struct {
 	name   string
 	values []string
@@ -79,11 +79,11 @@
 	return variation{name: name, values: strings.Split(list, ",")}, ok && list != ""
 }
 
-// runSweep plays all runs of a runSweep, and compares each value with the first.
+// runSweep runs all replays of a sweep, and compares the runs of each value with those of the first value.
 func (t *tool) runSweep(in *traceInput, files []string, flags *sweepFlags) error {
-	vary, ok := parseVariation(flags.vary)
+	varied, ok := parseVariation(flags.vary)
 	if !ok || flags.seeds < 1 || flags.seeds > maxSeeds {
-		return fmt.Errorf("--vary NAME=A,B,..., --seeds from 1 to 200")
+		return fmt.Errorf("--vary must be NAME=A,B,..., --seeds from 1 to 200")
 	}
 	fault, err := lab.EndpointFaultByName(flags.fault)
 	if err != nil {
@@ -95,7 +95,7 @@
 	}
 	base := lab.ReplayOptions{Fault: fault, Relays: flags.relays, Endpoints: flags.planners, Classes: in.mapping.Classes,
 		Tenants: in.mapping.Tenants}
-	replays, err := vary.replays(base, flags.seeds)
+	replays, err := varied.replays(base, flags.seeds)
 	if err != nil {
 		return err
 	}
@@ -103,12 +103,12 @@
 	if err != nil {
 		return failed(err)
 	}
-	if err := t.writeJSON(flags.json, sweepResult{files, vary.name, runs}); err != nil {
+	if err := t.writeJSON(flags.json, sweepResult{files, varied.name, runs}); err != nil {
 		return err
 	}
 	values, byValue := experiment.GroupByValue(runs)
 	if flags.report != "" {
-		page, err := writeSweepPage(flags.report, vary.name, values, byValue, flags.comparison.Confidence)
+		page, err := writeSweepPage(flags.report, varied.name, values, byValue, flags.comparison.Confidence)
 		if err != nil {
 			return failed(err)
 		}
@@ -116,7 +116,7 @@
 	}
 	first := values[0]
 	for _, value := range values[1:] {
-		printf(t.stdout, "\n%s=%s against %s=%s (simulated)\n", vary.name, value, vary.name, first)
+		printf(t.stdout, "\n%s=%s against %s=%s (simulated)\n", varied.name, value, varied.name, first)
 		if err := t.printComparison(byValue[first], byValue[value], flags.comparison); err != nil {
 			return err
 		}
@@ -124,13 +124,13 @@
 	return nil
 }
 
-// readArrivals reads a trace that is swept: its requests are held in memory, not its rows.
+// readArrivals reads the trace of a sweep. It keeps the arrivals in memory, but not the rows of the trace.
 func (t *tool) readArrivals(in *traceInput, files []string) ([]lab.Arrival, error) {
-	const thinningSeed = 1 // the same requests for all runs
+	const thinningSeed = 1 // a fixed seed, so that all runs have the same requests
 	var arrivals []lab.Arrival
 	_, err := in.emitArrivals(context.Background(), t, files, thinningSeed, func(arrival lab.Arrival) error {
 		if len(arrivals) >= maxSweptRequests {
-			return fmt.Errorf("over %d queries: thin or cut the trace", maxSweptRequests)
+			return fmt.Errorf("the trace has over %d requests: sample it, or use a shorter one", maxSweptRequests)
 		}
 		arrivals = append(arrivals, arrival)
 		return nil
@@ -138,13 +138,13 @@
 	return arrivals, err
 }
 
-// sweptReplay is one run of a sweep, before it is played.
+// sweptReplay describes one replay of a sweep, which has not run yet.
 type sweptReplay struct {
 	value   string
 	options lab.ReplayOptions
 }
 
-// replays lists the runs: for each value, one for each seed from 1 on.
+// replays returns the replays of a sweep: for each value, one for each seed from 1 to seeds.
 func (v variation) replays(base lab.ReplayOptions, seeds int) ([]sweptReplay, error) {
 	var replays []sweptReplay
 	for _, value := range v.values {
@@ -160,7 +160,7 @@
 	return replays, nil
 }
 
-// setVariedValue puts a value of what is varied into a replay's options.
+// setVariedValue sets the option that is varied to a value.
 func setVariedValue(options *lab.ReplayOptions, name, value string) (err error) {
 	switch name {
 	case "relays":
@@ -184,18 +184,18 @@
 func parseCount(value string) (int, error) {
 	n, err := strconv.Atoi(value)
 	if err != nil {
-		return 0, fmt.Errorf("--vary: %q is no number", value)
+		return 0, fmt.Errorf("--vary: %q is not a whole number", value)
 	}
 	return n, nil
 }
 
-// settingChange is the change of a setting that relays are started with.
+// settingChange returns a function that sets a varied setting of the relays to a value.
 func settingChange(name, value string) (func(*relay.Settings), error) {
 	if name == "legs" {
 		const maxAttempts = 10
 		n, err := strconv.Atoi(value)
 		if err != nil || n < 1 || n > maxAttempts {
-			return nil, fmt.Errorf("legs: %q is none from 1 to %d", value, maxAttempts)
+			return nil, fmt.Errorf("legs: %q is not a number from 1 to %d", value, maxAttempts)
 		}
 		return func(s *relay.Settings) { s.Limits.MaxAttempts = n }, nil
 	}
@@ -209,21 +209,21 @@
 	return func(s *relay.Settings) { s.Limits.RetryAfter = on }, nil
 }
 
-// runReplays plays all runs, as many at a time as there are cores. Each is a simulation of its own, on a goroutine that
-// ends with it. The error is that of the first run that failed, in the order of the list.
+// runReplays runs the replays concurrently, at most one for each core at a time. Each is an independent simulation on its
+// own goroutine. The error is that of the first replay in the list that failed.
 func runReplays(arrivals []lab.Arrival, replays []sweptReplay) ([]experiment.Run, error) {
 	runs := make([]experiment.Run, len(replays))
 	errs := make([]error, len(replays))
 	slots := make(chan struct{}, runtime.GOMAXPROCS(0))
-	var wait sync.WaitGroup
+	var running sync.WaitGroup
 	for i, r := range replays {
 		slots <- struct{}{}
-		wait.Go(func() {
+		running.Go(func() {
 			defer func() { <-slots }()
 			runs[i], errs[i] = runReplay(arrivals, r)
 		})
 	}
-	wait.Wait()
+	running.Wait()
 	for _, err := range errs {
 		if err != nil {
 			return nil, err
@@ -243,14 +243,14 @@
 	return experiment.Run{Value: r.value, Seed: r.options.Seed, Metrics: replayMetrics(replay.Finish())}, nil
 }
 
-// writeSweepPage writes the charts of a sweep: each figure's mean and interval, by value.
+// writeSweepPage writes an HTML page with a chart for each metric of a sweep: its mean and confidence interval, by value.
 func writeSweepPage(dir, varied string, values []string, byValue map[string][]experiment.Run, confidence float64) (string, error) {
 	charted := []string{"service", "worst_10s", "denied_part", "written_off_part", "legs_a_query", "p99_s"}
 	bars := map[string][]lab.Bar{}
-	for _, figure := range charted {
+	for _, metric := range charted {
 		for _, value := range values {
-			estimate := experiment.Mean(byValue[value], figure, confidence)
-			bars[figure] = append(bars[figure], lab.Bar{Name: value, Mean: estimate.Mean, Low: estimate.Low, High: estimate.High})
+			estimate := experiment.Mean(byValue[value], metric, confidence)
+			bars[metric] = append(bars[metric], lab.Bar{Name: value, Mean: estimate.Mean, Low: estimate.Low, High: estimate.High})
 		}
 	}
 	return lab.SweepPage(dir, "What "+varied+" does", charted, bars)
--- a/cmd/lichenroad/tools_test.go
+++ b/cmd/lichenroad/tools_test.go
@@ -195,7 +195,7 @@
 		{"trace check " + bad, 2, "layout"},
 		{"trace replay " + bad + " --layout azure-2021", 2, "mapping"},
 		{"trace replay " + bad + " --layout azure-2021 --mapping " + bad, 1, "bad.csv:3: empty"},
-		{"trace replay " + bad + " --layout azure-2021 --mapping " + byUser, 1, "nothing could be played"},
+		{"trace replay " + bad + " --layout azure-2021 --mapping " + byUser, 1, "the trace has no task that could be replayed"},
 		{"trace replay ../../trace/testdata/azure-2021.csv --layout azure-2021 --mapping " + byUser + " --relays 0", 1, "relays"},
 	} {
 		if code, out, errs := runCommand(strings.Fields(c.args)...); code != c.code || !strings.Contains(errs, c.errs) || strings.Count(errs, "\n") != 1 {
--- a/cmd/lichenroad/trace.go
+++ b/cmd/lichenroad/trace.go
@@ -18,30 +18,30 @@
 )
 
 func (t *tool) traceCommand() *cobra.Command {
-	c := &cobra.Command{Use: "trace", Short: "Check public cluster traces in CSV, and replay them as load", RunE: requireSubcommand}
+	c := &cobra.Command{Use: "trace", Short: "Check traces of public clusters in CSV, and replay them as load", RunE: requireSubcommand}
 	c.AddCommand(t.traceCheck(), t.traceReplay())
 	return c
 }
 
-// traceInput is how the commands read a trace.
+// traceInput holds the flags with which commands read a trace, and the mapping.
 type traceInput struct {
 	layout  string
-	mapping *trace.Mapping // of mappingFile; nil until read, and where no file is named
-	window  float64        // s within which rows are put back in order; below 0: the mapping's, or the usual
-	from    float64        // s after the first arrival from which tasks are played
-	length  float64        // s that are played; 0: all
+	mapping *trace.Mapping // content of mappingFile; nil until it is read, or if there is none
+	window  float64        // s within which rows are put in order; negative: that of the mapping, or the default
+	from    float64        // s after the first arrival at which the replay begins
+	length  float64        // s of the trace that are replayed; 0: all
 
 	mappingFile string
 }
 
 func (in *traceInput) addFlags(c *cobra.Command) {
-	c.Flags().StringVar(&in.layout, "layout", "", "one of "+strings.Join(trace.Layouts(), ", "))
-	c.Flags().StringVar(&in.mappingFile, "mapping", "", "an XML file that says which task becomes which request")
-	c.Flags().Float64Var(&in.window, "window", -1, "s within which rows are put back in order; the mapping's, or 60, where not given")
+	c.Flags().StringVar(&in.layout, "layout", "", "layout of the trace, one of "+strings.Join(trace.Layouts(), ", "))
+	c.Flags().StringVar(&in.mappingFile, "mapping", "", "XML file that maps tasks to requests")
+	c.Flags().Float64Var(&in.window, "window", -1, "time in s within which rows are put in order; below 0, that of the mapping, or 60 without a mapping")
 	markRequired(c.MarkFlagRequired("layout"))
 }
 
-// read reads the files, the standard input for -, and hands each task to emit.
+// read reads the trace in the files, where - is standard input, and calls emit with each task.
 func (in *traceInput) read(t *tool, files []string, emit func(*trace.Task) error) (*trace.Audit, error) {
 	options, err := in.options()
 	if err != nil {
@@ -53,8 +53,8 @@
 		return nil, failed(err)
 	}
 	readers := sources.readers
-	if bar := t.progressBar(sources.size, "trace", progressbar.OptionShowBytes(true)); bar != nil { // rate and remaining time go by the bytes read
-		defer func() { _ = bar.Clear() }() // a bar that can't be cleared stays on the terminal
+	if bar := t.progressBar(sources.size, "trace", progressbar.OptionShowBytes(true)); bar != nil { // the rate and the remaining time are computed from the bytes read
+		defer func() { _ = bar.Clear() }() // an error only leaves the bar on the terminal
 		for i := range readers {
 			readers[i] = io.TeeReader(readers[i], bar)
 		}
@@ -66,7 +66,7 @@
 	return audit, nil
 }
 
-// options reads the mapping and puts the options of the trace's reader together.
+// options reads the mapping, if there is one, and returns the options for reading the trace.
 func (in *traceInput) options() (trace.Options, error) {
 	options := trace.DefaultOptions(in.layout)
 	if in.mappingFile != "" {
@@ -86,16 +86,16 @@
 	return options, nil
 }
 
-// sources are the files of a trace, open for reading.
+// sources holds the opened files of a trace.
 type sources struct {
 	readers []io.Reader
-	files   []*os.File // to close
-	size    int64      // bytes in all; -1: not known
+	files   []*os.File // to be closed
+	size    int64      // total bytes, or unknownSize
 }
 
 const unknownSize = -1
 
-// openSources opens files, of which - is the standard input. What it returns must be closed after an error too.
+// openSources opens files, where - is standard input. The result must be closed even after an error.
 func openSources(names []string) (*sources, error) {
 	s := &sources{}
 	for _, name := range names {
@@ -123,12 +123,13 @@
 
 func (s *sources) close() {
 	for _, file := range s.files {
-		_ = file.Close() // only read
+		_ = file.Close() // an error does not matter after reading
 	}
 }
 
-// emitArrivals hands each task that is played to emit, as the arrival that it becomes: within the cut, kept by the thinning,
-// placed by the mapping.
+// emitArrivals reads the trace and calls emit with the arrival for each task that is in the replayed time range, in the
+// mapping's sample, and mapped to a request. It prints the audit of the trace. A cancelled context ends it early; that is
+// an error only if nothing was emitted.
 func (in *traceInput) emitArrivals(ctx context.Context, t *tool, files []string, seed int64, emit func(lab.Arrival) error) (played int, err error) {
 	unplaced := map[trace.Reason]int64{}
 	started, first := false, 0.0
@@ -142,9 +143,9 @@
 		if !in.inTimeRange(task.At-first) || !in.mapping.Sampled(task, seed) {
 			return nil
 		}
-		request, why := in.mapping.Place(task)
-		if why != trace.Accepted {
-			unplaced[why]++
+		request, reason := in.mapping.Place(task)
+		if reason != trace.Accepted {
+			unplaced[reason]++
 			return nil
 		}
 		played++
@@ -157,19 +158,19 @@
 	t.printAudit(audit)
 	t.printUnplaced(unplaced)
 	if played == 0 {
-		return 0, failed(fmt.Errorf("%s: nothing could be played", strings.Join(files, ", ")))
+		return 0, failed(fmt.Errorf("%s: the trace has no task that could be replayed", strings.Join(files, ", ")))
 	}
 	return played, nil
 }
 
-// inTimeRange reports whether a task is played that arrives so many seconds after the first.
+// inTimeRange reports whether a task that arrives so many seconds after the first is in the replayed time range.
 func (in *traceInput) inTimeRange(since float64) bool {
-	beforeCut := since < in.from
-	afterCut := in.length > 0 && since >= in.from+in.length
-	return !beforeCut && !afterCut
+	before := since < in.from
+	after := in.length > 0 && since >= in.from+in.length
+	return !before && !after
 }
 
-// printAudit prints what was read of a trace, and each kind of row that could not be used.
+// printAudit prints how many rows and tasks were read from a trace, and the reasons why rows could not be used.
 func (t *tool) printAudit(a *trace.Audit) {
 	printf(t.stdout, "%d rows: %d taken (%d put back in order), %d reported; %d tasks over %.1f s, %.2f a second, %g in the fullest\n", a.Rows,
 		a.Accepted, a.Reordered, a.ReportedRows(), a.Tasks, a.To-a.From, a.Rate(), a.Peak)
@@ -178,9 +179,9 @@
 	}
 }
 
-// printUnplaced prints how many tasks the mapping had no place for, by reason.
+// printUnplaced prints how many tasks the mapping maps to no request, by reason.
 func (t *tool) printUnplaced(unplaced map[trace.Reason]int64) {
-	for why, n := range unplaced {
-		printf(t.stdout, "  no place: %s: %d tasks\n", why, n)
+	for reason, n := range unplaced {
+		printf(t.stdout, "  no place: %s: %d tasks\n", reason, n)
 	}
 }
--- a/cmd/lichenroad/tracecheck.go
+++ b/cmd/lichenroad/tracecheck.go
@@ -22,10 +22,10 @@
 	Span       float64                `json:"span_s"`
 	Rate       map[string]float64     `json:"rate"`
 	Categories map[string]int64       `json:"categories"`
-	Unplaced   map[trace.Reason]int64 `json:"unplaced"` // tasks that the mapping has no place for
+	Unplaced   map[trace.Reason]int64 `json:"unplaced"` // tasks that the mapping maps to no request
 }
 
-// addAudit puts what was read of the trace into the result.
+// addAudit copies the counts of the audit into the result.
 func (r *checkResult) addAudit(a *trace.Audit) {
 	r.Rows = a.Rows
 	r.Taken = a.Accepted
@@ -37,22 +37,22 @@
 	r.Rate = map[string]float64{"mean": a.Rate(), "peak": a.Peak}
 }
 
-// countTask counts a task by the request class that the mapping gives it.
+// countTask counts a task by the request class that it is mapped to, or by the reason why it is mapped to none.
 func (r *checkResult) countTask(mapping *trace.Mapping, task *trace.Task) {
-	request, why := mapping.Place(task)
-	if why != trace.Accepted {
-		r.Unplaced[why]++
+	request, reason := mapping.Place(task)
+	if reason != trace.Accepted {
+		r.Unplaced[reason]++
 		return
 	}
 	r.Categories[mapping.Classes[request.Class]]++
 }
 
 func (t *tool) traceCheck() *cobra.Command {
-	c := &cobra.Command{Use: "check FILE...", Short: "Read a trace and tell of every row that can't be used", Args: cobra.MinimumNArgs(1),
-		Long: "Read a trace and tell of every row that can't be used. Plain or gzip; - is the standard input; several files are\nread as one. Exit code 1 where no row could be used."}
+	c := &cobra.Command{Use: "check FILE...", Short: "Read a trace and report the rows that can't be used", Args: cobra.MinimumNArgs(1),
+		Long: "Read a trace and report the rows that can't be used. Files may be plain or gzip; - is standard input; several files are\nread as one. Exit code 1 if no row could be used."}
 	var in traceInput
 	in.addFlags(c)
-	file := c.Flags().String("json", "", "a file for the result")
+	file := c.Flags().String("json", "", "file to write the result to")
 	c.RunE = func(_ *cobra.Command, args []string) error {
 		result := checkResult{Categories: map[string]int64{}, Unplaced: map[trace.Reason]int64{}}
 		audit, err := in.read(t, args, func(task *trace.Task) error {
--- a/cmd/lichenroad/tracelive.go
+++ b/cmd/lichenroad/tracelive.go
@@ -12,26 +12,26 @@
 	"lichenroad/trace"
 )
 
-// Bounds of a live replay, whose relays and planners are processes and sockets of this machine.
+// Bounds of a live replay: each relay is a process and each planner a listener on this machine.
 const (
 	maxLiveRelays     = 40
 	minLivePlanners   = 2
 	maxLivePlanners   = 200
-	maxQueuedArrivals = 4096 // read ahead of the sender
+	maxQueuedArrivals = 4096 // arrivals read ahead of the sender
 )
 
-// replayLive replays over sockets. The trace is read as it is played, a few arrivals ahead. After a signal it prints the
-// result of what was played.
+// replayLive replays a trace over sockets, and reads it a few thousand arrivals ahead of the sender. After a signal it
+// prints the result up to then, and fails.
 func (t *tool) replayLive(ctx context.Context, in *traceInput, files []string, flags *replayFlags) error {
 	options, err := flags.liveOptions(in)
 	if err != nil {
 		return failed(err)
 	}
-	reading, stopReading := context.WithCancel(ctx)
-	arrivals, readEnded := t.prefetch(reading, in, files, options.Seed)
+	readContext, stopReading := context.WithCancel(ctx)
+	arrivals, readResult := t.prefetch(readContext, in, files, options.Seed)
 	result, err := live.Run(ctx, options, arrivals)
 	stopReading()
-	if readErr := <-readEnded; readErr != nil {
+	if readErr := <-readResult; readErr != nil {
 		return readErr
 	}
 	if err != nil {
@@ -56,11 +56,11 @@
 	return replayError(&result.ReplayResult)
 }
 
-// liveOptions checks the size of a live replay, reads the mapping, and puts the options together.
+// liveOptions checks the size of a live replay, reads the mapping and returns the options of the replay.
 func (flags *replayFlags) liveOptions(in *traceInput) (live.Options, error) {
 	relays, planners := flags.options.Relays, flags.options.Endpoints
 	if relays < 1 || relays > maxLiveRelays || planners < minLivePlanners || planners > maxLivePlanners {
-		return live.Options{}, fmt.Errorf("from 1 to 40 relays and from 2 to 200 planners with --live")
+		return live.Options{}, fmt.Errorf("--live allows from 1 to 40 relays and from 2 to 200 planners")
 	}
 	self, err := os.Executable()
 	if err != nil {
@@ -75,14 +75,14 @@
 		RequestClasses: mapping.Classes, Tenants: mapping.Tenants, Bounds: flags.bounds}, nil
 }
 
-// prefetch reads the trace ahead of the sender, on a goroutine that ends at the trace's end or with the context; it then
-// closes arrivals and sends its error.
+// prefetch reads the trace ahead of the sender, on a goroutine that ends with the trace or the context. The goroutine then
+// closes the channel of arrivals and sends its error, or nil, on the other channel.
 func (t *tool) prefetch(ctx context.Context, in *traceInput, files []string, seed int64) (<-chan lab.Arrival, <-chan error) {
 	arrivals := make(chan lab.Arrival, maxQueuedArrivals)
-	ended := make(chan error, 1)
+	result := make(chan error, 1)
 	emit := func(arrival lab.Arrival) error {
 		if arrival.FaultDuration > 0 {
-			return failed(fmt.Errorf("%s: failures as hours can't be played with --live", in.mappingFile))
+			return failed(fmt.Errorf("%s: failures as hours can't be replayed with --live", in.mappingFile))
 		}
 		select {
 		case arrivals <- arrival:
@@ -94,9 +94,9 @@
 	go func() {
 		_, err := in.emitArrivals(ctx, t, files, seed, emit)
 		close(arrivals)
-		ended <- err
+		result <- err
 	}()
-	return arrivals, ended
+	return arrivals, result
 }
 
 func (t *tool) printSender(s live.Lateness) {
--- a/cmd/lichenroad/tracereplay.go
+++ b/cmd/lichenroad/tracereplay.go
@@ -14,7 +14,7 @@
 	"lichenroad/lab/live"
 )
 
-// replayFlags are the flags of `trace replay` besides those of its input.
+// replayFlags are the flags of `trace replay` other than those of its input.
 type replayFlags struct {
 	options   lab.ReplayOptions
 	fault     string
@@ -28,13 +28,13 @@
 
 func (t *tool) traceReplay() *cobra.Command {
 	c := &cobra.Command{Use: "replay FILE...", Short: "Replay a trace against planners, with the real decision module", Args: cobra.MinimumNArgs(1),
-		Long: "Replay a trace in virtual time against emulated planners, with the real decision module. The same call gives the same\nresult. With --live it goes to relays as processes, over their wire protocol on loopback, at the recorded pace: a request\nthat goes out late is timed from when it should have gone out, and a run whose sender was late too often is called invalid."}
+		Long: "Replay a trace in virtual time against emulated planners, with the real decision module. The same flags give the same\nresult. With --live the requests go to relay processes over their wire protocol on loopback, at the recorded pace. The\nlatency of a request counts from when it should have been sent, and a run whose sender was late too often is reported as\ninvalid."}
 	var in traceInput
 	flags := replayFlags{bounds: live.DefaultBounds}
 	in.addFlags(c)
 	flags.add(c)
-	c.Flags().Float64Var(&in.from, "from", 0, "s after the first arrival from which tasks are played")
-	c.Flags().Float64Var(&in.length, "for", 0, "s that are played; all where not given")
+	c.Flags().Float64Var(&in.from, "from", 0, "time in s after the first arrival at which the replay begins")
+	c.Flags().Float64Var(&in.length, "for", 0, "length of the replay in s; 0: the whole trace")
 	markRequired(c.MarkFlagRequired("mapping"))
 	c.RunE = func(_ *cobra.Command, files []string) error {
 		ctx, cancel := untilSignal()
@@ -52,34 +52,34 @@
 
 func (flags *replayFlags) add(c *cobra.Command) {
 	f := c.Flags()
-	f.Int64Var(&flags.options.Seed, "seed", 1, "of all chance, and of the thinning")
-	f.IntVar(&flags.options.Relays, "relays", 4, "relays, up to 1000")
-	f.IntVar(&flags.options.Endpoints, "planners", 10, "planners, up to 1000")
-	f.StringVar(&flags.fault, "fault", noFault, "what goes wrong with planners, virtual replay alone: "+strings.Join(lab.EndpointFaultNames(), ", "))
-	f.StringVar(&flags.json, "json", "", "a file for the result")
-	f.StringVar(&flags.report, "report", "", "a directory for the report, an HTML page")
-	f.BoolVar(&flags.live, "live", false, "over sockets on loopback, at the recorded pace")
-	f.StringVar(&flags.liveDir, "dir", "found/live", "for configurations and logs of --live")
-	f.DurationVar(&flags.lateAfter, "late", 10*time.Millisecond, "after which a request went out late, with --live")
-	f.Float64Var(&flags.bounds.MaxLateShare, "late-share", flags.bounds.MaxLateShare, "part of late requests above which a --live run is invalid, from 0 to 1")
+	f.Int64Var(&flags.options.Seed, "seed", 1, "seed of all random draws, including the sampling of the trace")
+	f.IntVar(&flags.options.Relays, "relays", 4, "number of relays, up to 1000")
+	f.IntVar(&flags.options.Endpoints, "planners", 10, "number of planners, up to 1000")
+	f.StringVar(&flags.fault, "fault", noFault, "fault of the planners, not with --live: "+strings.Join(lab.EndpointFaultNames(), ", "))
+	f.StringVar(&flags.json, "json", "", "file to write the result to")
+	f.StringVar(&flags.report, "report", "", "directory for the report, an HTML page")
+	f.BoolVar(&flags.live, "live", false, "replay over sockets on loopback, at the recorded pace")
+	f.StringVar(&flags.liveDir, "dir", "found/live", "directory for the configurations and logs of --live")
+	f.DurationVar(&flags.lateAfter, "late", 10*time.Millisecond, "delay after which --live counts a request as sent late")
+	f.Float64Var(&flags.bounds.MaxLateShare, "late-share", flags.bounds.MaxLateShare, "fraction of late requests above which a --live run is invalid, from 0 to 1")
 }
 
-// noFault is the value of --fault for a run without one.
+// noFault is the value of --fault for a replay without a fault.
 const noFault = "none"
 
-// checkBounds checks the flags of a live replay, also where they are not used.
+// checkBounds checks the flags that only a live replay uses, also for a virtual one, and sets the delay of late requests.
 func (flags *replayFlags) checkBounds() error {
 	flags.bounds.LateAfter = flags.lateAfter.Seconds()
 	if flags.bounds.LateAfter < 0 || flags.bounds.MaxLateShare < 0 || flags.bounds.MaxLateShare > 1 {
-		return fmt.Errorf("--late from 0 on, --late-share from 0 to 1")
+		return fmt.Errorf("--late must not be negative, --late-share must be from 0 to 1")
 	}
 	if flags.live && flags.fault != noFault {
-		return fmt.Errorf("--fault: not with --live")
+		return fmt.Errorf("--fault can't be used with --live")
 	}
 	return nil
 }
 
-// replayVirtual replays in virtual time. After a signal it prints the result of what was played.
+// replayVirtual replays a trace in virtual time. After a signal it prints the result up to then, and fails.
 func (t *tool) replayVirtual(ctx context.Context, in *traceInput, files []string, flags *replayFlags) error {
 	options := flags.options
 	fault, err := lab.EndpointFaultByName(flags.fault)
@@ -89,7 +89,7 @@
 	options.Fault = fault
 	var replay *lab.Replay
 	played, err := in.emitArrivals(ctx, t, files, options.Seed, func(arrival lab.Arrival) error {
-		if replay == nil { // the mapping, and with it the classes, is read with the trace
+		if replay == nil { // the mapping, with the request classes, is known only once the trace is being read
 			options.Classes, options.Tenants = in.mapping.Classes, in.mapping.Tenants
 			var err error
 			if replay, err = lab.NewReplay(options); err != nil {
@@ -116,7 +116,7 @@
 	return replayError(&result)
 }
 
-// printReplay prints what a replay showed, and writes its page where a directory is named.
+// printReplay prints a summary of a replay, and writes its report if dir is not empty.
 func (t *tool) printReplay(how string, r *lab.ReplayResult, dir string) error {
 	if dir != "" {
 		name, err := r.Report(dir, how)
@@ -132,10 +132,10 @@
 	return nil
 }
 
-// replayError is the error of a replay whose checker found something.
+// replayError returns the error of a replay whose checker found violations; nil: none.
 func replayError(r *lab.ReplayResult) error {
 	if len(r.Violations) > 0 {
-		return ruleBroken("%d times a rule was broken, first: %s", len(r.Violations), r.Violations[0].Text)
+		return ruleBroken("%d violations of rules, the first: %s", len(r.Violations), r.Violations[0].Text)
 	}
 	return nil
 }
