--- a/cmd/lichenroad/commands.go
+++ b/cmd/lichenroad/commands.go
@@ -17,7 +17,8 @@
 	return errors.Join(c.Help(), errors.New("a command is missing"))
 }
 
-// markRequired panics if cobra's MarkFlagRequired returned an error, which means that the command does not define the flag.
+// markRequired panics if cobra's MarkFlagRequired returned an error, which means that the command does not define the
+// flag.
 func markRequired(err error) {
 	if err != nil {
 		panic(err)
--- a/cmd/lichenroad/fakes_test.go
+++ b/cmd/lichenroad/fakes_test.go
@@ -23,28 +23,28 @@
 	"lichenroad/lab/fakes"
 )
 
-// testTimeout bounds the wait for what should come at once.
+// testTimeout bounds each wait for something that should happen at once.
 const testTimeout = 10 * time.Second
 
-// behaviour is what a fake endpoint does with a request.
+// behaviour is how a fake endpoint responds to a statement.
 type behaviour int
 
 const (
 	succeed    behaviour = iota
-	failing              // XX000
-	rejectFull           // 53300
+	failing              // error XX000
+	rejectFull           // error 53300
 	noResponse
-	reset            // the connection breaks after the request was received
-	garbage          // not a message of the protocol
-	twoRows          // a response of the wrong form
+	reset            // the connection is closed after the statement was received
+	garbage          // bytes that are not a message of the protocol
+	twoRows          // a malformed response with two rows
 	succeedThenClose // succeed, then close the connection
 	halfResponse     // a response that stops in the middle
-	unknownMessage   // a message of no known type, whose body is missing
-	badTag           // a response whose last message can't be parsed
+	unknownMessage   // a message of an unknown type, without its body
+	badTag           // a response with a command tag that can't be parsed
 	badLoad          // succeed, with a load report that can't be parsed
 )
 
-// fakeEndpoint is a small server that speaks the wire protocol.
+// fakeEndpoint is an endpoint that speaks the wire protocol and behaves as the test wants.
 type fakeEndpoint struct {
 	t           *testing.T
 	ln          net.Listener
@@ -52,9 +52,9 @@
 
 	mu         sync.Mutex
 	statements []string
-	usedConns  int         // connections that carried a statement; one that was opened too late carries none
-	received   chan string // each statement received
-	connEnded  chan struct{}
+	usedConns  int           // connections that carried a statement; one that the relay opened too late to use carries none
+	received   chan string   // each statement received
+	connEnded  chan struct{} // gets a value when a connection has been closed
 }
 
 func newListener(t *testing.T) net.Listener {
@@ -67,25 +67,25 @@
 	return ln
 }
 
-func newFakeEndpoint(t *testing.T, does func(string) behaviour) *fakeEndpoint {
+func newFakeEndpoint(t *testing.T, behaviourOf func(string) behaviour) *fakeEndpoint {
 	ln := newListener(t)
-	u := &fakeEndpoint{t: t, ln: ln, behaviourOf: does, received: make(chan string, 1000), connEnded: make(chan struct{}, 1000)}
+	endpoint := &fakeEndpoint{t: t, ln: ln, behaviourOf: behaviourOf, received: make(chan string, 1000), connEnded: make(chan struct{}, 1000)}
 	go func() {
 		for {
 			c, err := ln.Accept()
 			if err != nil {
 				return
 			}
-			go u.serve(c)
+			go endpoint.serve(c)
 		}
 	}()
-	return u
+	return endpoint
 }
 
-func always(d behaviour) func(string) behaviour { return func(string) behaviour { return d } }
+func always(b behaviour) func(string) behaviour { return func(string) behaviour { return b } }
 
-func (u *fakeEndpoint) serve(c net.Conn) {
-	defer func() { c.Close(); u.connEnded <- struct{}{} }()
+func (e *fakeEndpoint) serve(c net.Conn) {
+	defer func() { c.Close(); e.connEnded <- struct{}{} }()
 	r := bufio.NewReader(c)
 	if _, _, err := fakes.ReadMessage(r, true); err != nil {
 		return
@@ -97,14 +97,14 @@
 			return
 		}
 		text := strings.TrimRight(string(body), "\x00")
-		u.mu.Lock()
-		u.statements = append(u.statements, text)
+		e.mu.Lock()
+		e.statements = append(e.statements, text)
 		if first {
-			u.usedConns++
+			e.usedConns++
 		}
-		u.mu.Unlock()
-		u.received <- text
-		switch u.behaviourOf(text) {
+		e.mu.Unlock()
+		e.received <- text
+		switch e.behaviourOf(text) {
 		case succeed:
 			c.Write(pgwire.Ready(fakes.Row("value of " + text[:6])))
 		case succeedThenClose:
@@ -133,15 +133,15 @@
 	}
 }
 
-func (u *fakeEndpoint) counts() (statements, opened int) {
-	u.mu.Lock()
-	defer u.mu.Unlock()
-	return len(u.statements), u.usedConns
+func (e *fakeEndpoint) counts() (statements, usedConns int) {
+	e.mu.Lock()
+	defer e.mu.Unlock()
+	return len(e.statements), e.usedConns
 }
 
-func (u *fakeEndpoint) address() string { return u.ln.Addr().String() }
+func (e *fakeEndpoint) address() string { return e.ln.Addr().String() }
 
-// fakeDiscovery answers discovery calls with the entries that it holds.
+// fakeDiscovery is a discovery service with a list that the test can change.
 type fakeDiscovery struct {
 	mu      sync.Mutex
 	version int
@@ -151,10 +151,10 @@
 	srv     *httptest.Server
 }
 
-func newFakeDiscovery(t *testing.T, units ...*fakeEndpoint) *fakeDiscovery {
+func newFakeDiscovery(t *testing.T, endpoints ...*fakeEndpoint) *fakeDiscovery {
 	f := &fakeDiscovery{version: 1, changed: make(chan struct{})}
-	for i, u := range units {
-		f.entries = append(f.entries, map[string]any{"instanceId": fmt.Sprint("s-", i), "hostPort": u.address(),
+	for i, endpoint := range endpoints {
+		f.entries = append(f.entries, map[string]any{"instanceId": fmt.Sprint("s-", i), "hostPort": endpoint.address(),
 			"zone": "a", "machineType": "m1", "lifecycle": "SERVING", "build": 1})
 	}
 	f.srv = httptest.NewServer(f)
@@ -175,7 +175,7 @@
 	return string(raw)
 }
 
-// set changes an entry and answers the watches that wait for a change.
+// set changes the lifecycle of an entry and answers the open watches.
 func (f *fakeDiscovery) set(i int, lifecycle string) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -215,7 +215,8 @@
  "family_info":{"call_timeout":300000000,"exposure_caps":[1],"waves":[1],"uncounted":1,"span":2000000000,
   "decided_by":"first_voice","to_advance":1,"to_abort":1,"ballot_ttl":10000000000,"votes_per_s":100}}`
 
-// startRelay starts a complete relay on loopback.
+// startRelay starts a complete relay on loopback and waits until it is ready, unless discovery is down. change, if not
+// nil, changes the configuration before the start.
 func startRelay(t *testing.T, f *fakeDiscovery, change func(*config.Config)) *relayProcess {
 	t.Helper()
 	raw := fmt.Sprintf(`{"name":"n0","listen":"127.0.0.1:0","discovery":%q,"known":%s,"settings":%s}`,
@@ -242,26 +243,28 @@
 	return p
 }
 
-// waitUntilReady waits until the relay admits requests, once its list is confirmed: until then it rejects them.
+// waitUntilReady waits until the relay admits requests. Before that, while its endpoint list is not confirmed, it rejects
+// them.
 func waitUntilReady(t *testing.T, p *relayProcess) {
 	t.Helper()
-	listed := make(chan struct{})
-	p.loop.Post(pipeline.Func(func(l *pipeline.Loop) { l.OnServiceOpen(func() { close(listed) }) }))
+	opened := make(chan struct{})
+	p.loop.Post(pipeline.Func(func(l *pipeline.Loop) { l.OnServiceOpen(func() { close(opened) }) }))
 	select {
-	case <-listed:
+	case <-opened:
 	case <-time.After(testTimeout):
-		t.Fatal("not ready")
+		t.Fatalf("the relay is not ready after %v", testTimeout)
 	}
 }
 
-// client is a connection of a client.
+// client is a client's connection to a relay.
 type client struct {
 	t *testing.T
 	net.Conn
 	r *bufio.Reader
 }
 
-func dialClient(t *testing.T, p *relayProcess, first ...byte) *client {
+// dialClient connects to the relay and sends a startup, in one write with the bytes that follow it.
+func dialClient(t *testing.T, p *relayProcess, afterStartup ...byte) *client {
 	t.Helper()
 	n, err := net.Dial("tcp", p.clients.Addr().String())
 	if err != nil {
@@ -270,34 +273,36 @@
 	n.SetDeadline(time.Now().Add(testTimeout))
 	t.Cleanup(func() { n.Close() })
 	c := &client{t, n, bufio.NewReader(n)}
-	n.Write(append(pgwire.Startup("worker", "catalog"), first...))
+	n.Write(append(pgwire.Startup("worker", "catalog"), afterStartup...))
 	return c
 }
 
-// readUntil reads messages up to one of a kind.
+// readUntil reads messages up to the first of a kind and returns its body. It fails the test at any other error message.
 func (c *client) readUntil(kind byte) []byte {
 	c.t.Helper()
 	for {
 		k, body, err := fakes.ReadMessage(c.r, false)
 		if err != nil {
-			c.t.Fatalf("no %c: %v", kind, err)
+			c.t.Fatalf("no message %c: %v", kind, err)
 		}
 		if k == kind {
 			return body
 		}
 		if k == 'E' {
-			c.t.Fatalf("%q instead of %c", body, kind)
+			c.t.Fatalf("got error %q instead of a message %c", body, kind)
 		}
 	}
 }
 
+// selectStatement returns a read request of a class with a deadline in milliseconds.
 func selectStatement(class string, ms int) string {
 	return fmt.Sprintf("SELECT body FROM objects WHERE oid = '7f3a' /* id=9b1f,c=%s,t=acme,d=%d */", class, ms)
 }
 
 func (c *client) send(text string) { c.Write(pgwire.QueryMessage(text)) }
 
-// readResponse reads the response to a request: its value, or the code of an error and its detail.
+// readResponse reads the response to a request: its value, or the code of its error. The code is "closed" if the
+// connection was closed instead.
 func (c *client) readResponse() (value, code string) {
 	c.t.Helper()
 	for {
@@ -318,24 +323,24 @@
 	}
 }
 
-// closedByRelay reports whether the relay ends the connection.
+// closedByRelay waits until the relay closes the connection. It returns false if it does not, or resets it.
 func (c *client) closedByRelay() bool {
 	_, err := io.Copy(io.Discard, c.r)
 	return err == nil
 }
 
-// waitForCounter waits until a counter has a value.
+// waitForCounter waits until a counter has a value, and fails the test if it does not get it in time.
 func waitForCounter(t *testing.T, p *relayProcess, id metrics.Counter, want int64) {
 	t.Helper()
 	for until := time.Now().Add(testTimeout); p.loop.Metrics.Get(id) != want; {
 		if time.Now().After(until) {
-			t.Fatalf("%s: want %d of counter %d", p.loop.Metrics.Fields(), want, id)
+			t.Fatalf("counter %d is %d, want %d; all: %v", id, p.loop.Metrics.Get(id), want, p.loop.Metrics.Fields())
 		}
 		time.Sleep(time.Millisecond)
 	}
 }
 
-// requestsAddUp says that as many requests have ended in some way as were accepted.
+// requestsAddUp reports whether every accepted request is counted under exactly one outcome.
 func (p *relayProcess) requestsAddUp() bool {
 	counters := p.loop.Metrics
 	ended := counters.Get(metrics.Succeeded) + counters.Get(metrics.Rejected) + counters.Get(metrics.Failed) +
@@ -343,7 +348,7 @@
 	return ended == counters.Get(metrics.Accepted)
 }
 
-// attemptsAddUp says that as many attempts have ended in some way as were sent.
+// attemptsAddUp reports whether every attempt sent is counted under exactly one outcome.
 func (p *relayProcess) attemptsAddUp() bool {
 	counters := p.loop.Metrics
 	ended := int64(0)
@@ -353,37 +358,38 @@
 	return ended == counters.Get(metrics.AttemptsSent)
 }
 
-// checkCounters checks the counters: every request accepted has ended in one way, every attempt sent too, and no buffer is in use.
-// The loop changes one counter after the other, so a sum may be behind for a moment.
+// checkCounters checks that no request, attempt or buffer is left open, and that each request accepted and each attempt
+// sent is counted under one outcome. It retries, because the loop changes one counter after the other.
 func checkCounters(t *testing.T, p *relayProcess) {
 	t.Helper()
 	waitForCounter(t, p, metrics.Open, 0)
 	waitForCounter(t, p, metrics.AttemptsOpen, 0)
 	for until := time.Now().Add(testTimeout); !p.requestsAddUp() || !p.attemptsAddUp(); {
 		if time.Now().After(until) {
-			t.Fatalf("the counters do not add up: %v", p.loop.Metrics.Fields())
+			t.Fatalf("the counters of requests or attempts do not add up: %v", p.loop.Metrics.Fields())
 		}
 		time.Sleep(time.Millisecond)
 	}
 	for until := time.Now().Add(testTimeout); p.loop.Pool.Out() != 0; {
 		if time.Now().After(until) {
-			t.Fatalf("%d bytes of buffers are out", p.loop.Pool.Out()/buffer.Size)
+			t.Fatalf("%d buffers are still in use", p.loop.Pool.Out()/buffer.Size)
 		}
 		time.Sleep(time.Millisecond)
 	}
 }
 
-// fakePlatform answers each line of the platform by a function, and hands its connections to the test.
+// fakePlatform is a rollout platform that replies to each line by a function of the test and passes lines and connections
+// to the test.
 type fakePlatform struct {
 	ln    net.Listener
 	lines chan string
 	conns chan net.Conn
-	mu    sync.Mutex // held while a line is answered
+	mu    sync.Mutex // held during the call of the test's function
 }
 
 func newFakePlatform(t *testing.T, answer func(line string) string) *fakePlatform {
 	ln := newListener(t)
-	d := &fakePlatform{ln: ln, lines: make(chan string, 100), conns: make(chan net.Conn, 100)}
+	platform := &fakePlatform{ln: ln, lines: make(chan string, 100), conns: make(chan net.Conn, 100)}
 	go func() {
 		for {
 			c, err := ln.Accept()
@@ -391,35 +397,36 @@
 				return
 			}
 			t.Cleanup(func() { c.Close() })
-			d.conns <- c
+			platform.conns <- c
 			go func() {
 				for r := bufio.NewScanner(c); r.Scan(); {
-					d.lines <- r.Text()
-					d.mu.Lock()
+					platform.lines <- r.Text()
+					platform.mu.Lock()
 					s := answer(r.Text())
-					d.mu.Unlock()
+					platform.mu.Unlock()
 					fmt.Fprint(c, s)
 				}
 			}()
 		}
 	}()
-	return d
+	return platform
 }
 
-func (d *fakePlatform) nextLine(t *testing.T, begins string) string {
+// nextLine returns the next line received that begins with a prefix, and skips others.
+func (platform *fakePlatform) nextLine(t *testing.T, prefix string) string {
 	t.Helper()
 	for {
 		select {
-		case s := <-d.lines:
-			if strings.HasPrefix(s, begins) {
+		case s := <-platform.lines:
+			if strings.HasPrefix(s, prefix) {
 				return s
 			}
 		case <-time.After(testTimeout):
-			t.Fatalf("no %s", begins)
+			t.Fatalf("the platform got no line %s", prefix)
 		}
 	}
 }
 
-func withPlatform(d *fakePlatform) func(*config.Config) {
-	return func(c *config.Config) { c.Platform = d.ln.Addr().String() }
+func withPlatform(platform *fakePlatform) func(*config.Config) {
+	return func(c *config.Config) { c.Platform = platform.ln.Addr().String() }
 }
--- a/cmd/lichenroad/fit_test.go
+++ b/cmd/lichenroad/fit_test.go
@@ -33,11 +33,11 @@
 		t.Run(cmp.Or(c.args, "all sizes"), func(t *testing.T) {
 			code, out, errs := runCommand(append([]string{"lab", "fit", file}, strings.Fields(c.args)...)...)
 			if code != c.code || !strings.Contains(out+errs, c.want) || c.code != 0 && strings.Count(errs, "\n") != 1 {
-				t.Errorf("%d %q %q", code, out, errs)
+				t.Errorf("exit %d, output %q, errors %q", code, out, errs)
 			}
 		})
 	}
 	if code, _, errs := runCommand("lab", "fit", "/none"); code != 1 || strings.Count(errs, "\n") != 1 {
-		t.Errorf("%d %q", code, errs)
+		t.Errorf("a file that does not exist: exit %d, errors %q", code, errs)
 	}
 }
--- a/cmd/lichenroad/interleaving_test.go
+++ b/cmd/lichenroad/interleaving_test.go
@@ -14,86 +14,87 @@
 	"lichenroad/lab/fakes"
 )
 
-// steppedEndpoint is an endpoint that takes each step only when the test closes the channel of that step.
+// steppedEndpoint is an endpoint that waits at each step until the test closes the channel of that step.
 type steppedEndpoint struct {
 	ln         net.Listener
-	mayAccept  chan struct{} // closed: connections are accepted
-	mayBegin   chan struct{} // closed: the first half of a response is sent
-	mayFinish  chan struct{} // closed: the second half is sent
-	rejections *atomic.Int32 // statements that this endpoint, or the other one, still rejects
+	mayAccept  chan struct{} // once closed, startups are answered
+	mayBegin   chan struct{} // once closed, the first half of a response is sent
+	mayFinish  chan struct{} // once closed, the second half is sent
+	rejections *atomic.Int32 // how many statements are still to be rejected, shared by both endpoints
 
 	mu    sync.Mutex
 	conns []net.Conn
-	ran   int // statements
+	ran   int // statements that were not rejected
 }
 
-func newSteppedEndpoint(t *testing.T, turns *atomic.Int32) *steppedEndpoint {
-	g := &steppedEndpoint{ln: newListener(t), rejections: turns, mayAccept: make(chan struct{}), mayBegin: make(chan struct{}), mayFinish: make(chan struct{})}
+func newSteppedEndpoint(t *testing.T, rejections *atomic.Int32) *steppedEndpoint {
+	e := &steppedEndpoint{ln: newListener(t), rejections: rejections, mayAccept: make(chan struct{}), mayBegin: make(chan struct{}), mayFinish: make(chan struct{})}
 	t.Cleanup(func() {
-		g.mu.Lock()
-		defer g.mu.Unlock()
-		for _, c := range g.conns {
+		e.mu.Lock()
+		defer e.mu.Unlock()
+		for _, c := range e.conns {
 			c.Close()
 		}
 	})
 	go func() {
 		for {
-			c, err := g.ln.Accept()
+			c, err := e.ln.Accept()
 			if err != nil {
 				return
 			}
-			g.mu.Lock()
-			g.conns = append(g.conns, c)
-			g.mu.Unlock()
-			go g.serve(c)
+			e.mu.Lock()
+			e.conns = append(e.conns, c)
+			e.mu.Unlock()
+			go e.serve(c)
 		}
 	}()
-	return g
+	return e
 }
 
-func (g *steppedEndpoint) serve(c net.Conn) {
+func (e *steppedEndpoint) serve(c net.Conn) {
 	r := bufio.NewReader(c)
 	if _, _, err := fakes.ReadMessage(r, true); err != nil {
 		return
 	}
-	<-g.mayAccept
+	<-e.mayAccept
 	c.Write(pgwire.StartupResponse(1))
 	for {
 		if kind, _, err := fakes.ReadMessage(r, false); err != nil || kind != 'Q' {
 			return
 		}
-		g.mu.Lock()
-		away := g.rejections.Add(-1) >= 0
-		if !away {
-			g.ran++
+		e.mu.Lock()
+		reject := e.rejections.Add(-1) >= 0
+		if !reject {
+			e.ran++
 		}
-		g.mu.Unlock()
-		if away {
+		e.mu.Unlock()
+		if reject {
 			c.Write(pgwire.Ready(pgwire.ErrorResponse(pgwire.Error, pgwire.CodeFull, "full", "")))
 			continue
 		}
 		row := pgwire.Ready(fakes.Row("value"))
-		<-g.mayBegin
+		<-e.mayBegin
 		c.Write(row[:len(row)/2])
-		<-g.mayFinish
+		<-e.mayFinish
 		c.Write(row[len(row)/2:])
 	}
 }
 
-// statements is how many statements have run here.
-func (g *steppedEndpoint) statements() int {
-	g.mu.Lock()
-	defer g.mu.Unlock()
-	return g.ran
+// statements returns how many statements this endpoint has run.
+func (e *steppedEndpoint) statements() int {
+	e.mu.Lock()
+	defer e.mu.Unlock()
+	return e.ran
 }
 
-// connections is how many connections were accepted.
-func (g *steppedEndpoint) connections() int {
-	g.mu.Lock()
-	defer g.mu.Unlock()
-	return len(g.conns)
+// connections returns how many connections this endpoint has had.
+func (e *steppedEndpoint) connections() int {
+	e.mu.Lock()
+	defer e.mu.Unlock()
+	return len(e.conns)
 }
 
+// allow closes the channels of steps that are not closed yet.
 func allow(steps ...chan struct{}) {
 	for _, c := range steps {
 		select {
@@ -104,29 +105,30 @@
 	}
 }
 
-// interleaving is one request, held in one state while something else happens.
+// interleaving is a test in which an event happens while one request is held in a state.
 type interleaving struct {
 	*testing.T
 	p                *relayProcess
-	f                *fakeDiscovery
-	next             *fakeDiscovery // discovery at another address
+	f                *fakeDiscovery // discovery at the start
+	next             *fakeDiscovery // discovery at another address, for a reload
 	a, b             *steppedEndpoint
 	c                *client
 	request          []byte
-	unsent           []byte // part of the request
-	clientLeft       bool   // the client has gone
-	notifiedDraining bool   // the list has named the endpoint as draining
+	unsent           []byte // rest of the request that the client has not sent yet
+	clientLeft       bool   // the client has closed its connection
+	notifiedDraining bool   // the list has marked endpoint a as draining
 }
 
-func (x *interleaving) waitFor(what string, is func() bool) {
+func (x *interleaving) waitFor(what string, condition func() bool) {
 	x.Helper()
-	for end := time.Now().Add(testTimeout); !is(); time.Sleep(time.Millisecond) {
+	for end := time.Now().Add(testTimeout); !condition(); time.Sleep(time.Millisecond) {
 		if time.Now().After(end) {
-			x.Fatal("not in time: " + what)
+			x.Fatalf("waited over %v for %s", testTimeout, what)
 		}
 	}
 }
 
+// ran returns how many statements both endpoints have run.
 func (x *interleaving) ran() int {
 	return x.a.statements() + x.b.statements()
 }
@@ -136,7 +138,7 @@
 	name string
 	hold func(x *interleaving)
 }{
-	{"half read", func(x *interleaving) {
+	{"partly received", func(x *interleaving) {
 		x.c.Write(x.request[:30])
 		x.unsent = x.request[30:]
 	}},
@@ -145,17 +147,17 @@
 		waitForCounter(x.T, x.p, metrics.AttemptsOpen, 1)
 		x.waitFor("a connection", func() bool { return x.a.connections()+x.b.connections() > 0 })
 	}},
-	{"out", func(x *interleaving) {
+	{"sent", func(x *interleaving) {
 		allow(x.a.mayAccept, x.b.mayAccept)
 		x.c.Write(x.request)
 		x.waitFor("the statement", func() bool { return x.ran() == 1 })
 	}},
-	{"half answered", func(x *interleaving) {
+	{"partly answered", func(x *interleaving) {
 		allow(x.a.mayAccept, x.b.mayAccept, x.a.mayBegin, x.b.mayBegin)
 		x.c.Write(x.request)
 		x.waitFor("the statement", func() bool { return x.ran() == 1 })
 	}},
-	{"placed again", func(x *interleaving) {
+	{"retried", func(x *interleaving) {
 		x.a.rejections.Store(1)
 		allow(x.a.mayAccept, x.b.mayAccept)
 		x.c.Write(x.request)
@@ -164,7 +166,7 @@
 	}},
 }
 
-// concurrentEvents are what happens meanwhile.
+// concurrentEvents are the events that happen while the request is held.
 var concurrentEvents = []struct {
 	name    string
 	trigger func(x *interleaving)
@@ -178,23 +180,23 @@
 	}},
 	{"list update", func(x *interleaving) {
 		x.f.set(0, "DRAINING")
-		x.waitFor("the list update", func() bool { return x.p.loop.Metrics.Get(metrics.DiscoveryCalls) >= 3 }) // the next call follows it
+		x.waitFor("the list update", func() bool { return x.p.loop.Metrics.Get(metrics.DiscoveryCalls) >= 3 }) // the relay calls again once it has the update
 		x.notifiedDraining = true
 	}},
 	{"client close", func(x *interleaving) { x.c.Close(); x.clientLeft = true }},
-	{"unit close", func(x *interleaving) {
-		for _, g := range []*steppedEndpoint{x.a, x.b} {
-			g.mu.Lock()
-			for _, c := range g.conns {
+	{"endpoint close", func(x *interleaving) {
+		for _, e := range []*steppedEndpoint{x.a, x.b} {
+			e.mu.Lock()
+			for _, c := range e.conns {
 				c.(*net.TCPConn).SetLinger(0)
 				c.Close()
 			}
-			g.mu.Unlock()
+			e.mu.Unlock()
 		}
 	}},
 	{"time-out", func(x *interleaving) {
 		if x.unsent == nil {
-			time.Sleep(interleavingDeadline) // its deadline passes; nothing else is forced by this
+			time.Sleep(interleavingDeadline) // until the request's deadline has passed
 		}
 	}},
 	{"answer", func(x *interleaving) {
@@ -202,73 +204,74 @@
 	}},
 }
 
-const interleavingDeadline = 500 * time.Millisecond // of the request
+const interleavingDeadline = 500 * time.Millisecond // deadline of the request
 
-// TestInterleavings has each event happen in each state of a request, for an idempotent request and for one that is not,
-// and checks the rules: one final response in time, or none to a client that has disconnected; no statement twice where
-// that could do harm; none to an endpoint listed as draining, nor for a client that has disconnected; and counters add up.
+// TestInterleavings lets each event happen in each state of a request, for each request class. It checks that the
+// client gets exactly one response in time, unless it has disconnected; that an at-most-once request runs at most once;
+// that no statement is sent to an endpoint listed as draining, or for a client that has disconnected; and that the
+// counters add up.
 func TestInterleavings(t *testing.T) {
 	for _, class := range []string{"look", "order", "pay"} {
-		for _, point := range requestStates {
-			for _, what := range concurrentEvents {
-				t.Run(class+" "+point.name+", "+what.name, func(t *testing.T) {
+		for _, state := range requestStates {
+			for _, event := range concurrentEvents {
+				t.Run(class+" "+state.name+", "+event.name, func(t *testing.T) {
 					t.Parallel()
-					runInterleaving(t, class, point.hold, what.trigger)
+					runInterleaving(t, class, state.hold, event.trigger)
 				})
 			}
 		}
 	}
 }
 
-func runInterleaving(t *testing.T, class string, hold, come func(*interleaving)) {
-	turns := new(atomic.Int32)
-	x := &interleaving{T: t, a: newSteppedEndpoint(t, turns), b: newSteppedEndpoint(t, turns)}
+func runInterleaving(t *testing.T, class string, hold, trigger func(*interleaving)) {
+	rejections := new(atomic.Int32)
+	x := &interleaving{T: t, a: newSteppedEndpoint(t, rejections), b: newSteppedEndpoint(t, rejections)}
 	x.f = newFakeDiscovery(t, &fakeEndpoint{ln: x.a.ln}, &fakeEndpoint{ln: x.b.ln})
 	x.next = newFakeDiscovery(t, &fakeEndpoint{ln: x.a.ln}, &fakeEndpoint{ln: x.b.ln})
 	x.p = startRelay(t, x.f, nil)
 	x.request = pgwire.QueryMessage(strings.Replace(selectStatement(class, int(interleavingDeadline.Milliseconds())), "t=acme", "t=acme,k=5c", 1))
 	x.c = dialClient(t, x.p)
 	x.c.readUntil('Z')
-	waitForCounter(t, x.p, metrics.DiscoveryCalls, 2) // the watch waits
+	waitForCounter(t, x.p, metrics.DiscoveryCalls, 2) // the list is confirmed, and the watch is open
 	hold(x)
-	begun := time.Now()
-	come(x)
+	begin := time.Now()
+	trigger(x)
 	ranAtA := x.a.statements()
 	ranBefore := x.ran()
 	if x.unsent != nil && !x.clientLeft {
-		begun = time.Now()
+		begin = time.Now()
 		x.c.Write(x.unsent)
 	}
 	if x.clientLeft {
-		x.waitFor("the end", func() bool { return x.p.loop.Metrics.Get(metrics.ClientConnsOpen) == 0 })
+		x.waitFor("the end of the client's connection", func() bool { return x.p.loop.Metrics.Get(metrics.ClientConnsOpen) == 0 })
 		waitForCounter(t, x.p, metrics.Open, 0)
 		ranBefore = x.ran()
 	}
 	allow(x.a.mayAccept, x.b.mayAccept)
-	x.waitFor("a statement out, or an end", func() bool {
+	x.waitFor("a statement at an endpoint, or the end of the request", func() bool {
 		return x.ran() > 0 || x.p.loop.Metrics.Get(metrics.Open) == 0
 	})
 	allow(x.a.mayBegin, x.b.mayBegin, x.a.mayFinish, x.b.mayFinish)
 	if x.clientLeft {
 		waitForCounter(t, x.p, metrics.AttemptsOpen, 0)
 		if x.ran() != ranBefore {
-			t.Errorf("%d statements behind the client's end", x.ran()-ranBefore)
+			t.Errorf("%d statements sent after the client had disconnected", x.ran()-ranBefore)
 		}
 	} else {
 		value, code := x.c.readResponse()
 		if code == "closed" {
-			t.Error("closed without an answer")
+			t.Error("connection closed without a response")
 		}
-		if took := time.Since(begun); took > interleavingDeadline+300*time.Millisecond {
-			t.Errorf("%q %q after %v", value, code, took)
+		if took := time.Since(begin); took > interleavingDeadline+300*time.Millisecond {
+			t.Errorf("response %q, code %q only after %v", value, code, took)
 		}
 		x.c.send(" ")
 		if kind, body, err := fakes.ReadMessage(x.c.r, false); err == nil && kind != 'I' {
-			t.Errorf("behind the answer: %c %q", kind, body)
+			t.Errorf("unexpected message after the response: %c %q", kind, body)
 		}
 	}
 	if ran := x.ran(); class == "pay" && ran > 1 {
-		t.Errorf("ran %d times", ran)
+		t.Errorf("an at-most-once request ran %d times", ran)
 	}
 	if after := x.a.statements(); x.notifiedDraining && after != ranAtA {
 		t.Errorf("%d statements to an endpoint listed as draining", after-ranAtA)
--- a/cmd/lichenroad/logs.go
+++ b/cmd/lichenroad/logs.go
@@ -29,8 +29,8 @@
 	return log, counters, flush, nil
 }
 
-// asyncWriter is the log's writer. It never blocks, because the loop must not wait for a slow reader of the log: lines are
-// queued, and dropped and counted while the queue is full. A goroutine writes the queued lines until Close.
+// asyncWriter is the log's writer. It never blocks, because the loop must not wait for a slow reader of the log: lines
+// are queued, and dropped and counted while the queue is full. A goroutine writes the queued lines until Close.
 type asyncWriter struct {
 	queue    chan []byte
 	done     chan struct{} // closed when all queued lines are written
--- a/cmd/lichenroad/main_test.go
+++ b/cmd/lichenroad/main_test.go
@@ -37,40 +37,42 @@
 			var out, errs bytes.Buffer
 			code := run(strings.Fields(c.args), func(string) string { return "" }, &out, &errs)
 			if code != c.code || !strings.Contains(out.String(), c.out) || !strings.Contains(errs.String(), c.errs) {
-				t.Errorf("%d %q %q", code, out.String(), errs.String())
+				t.Errorf("exit %d, output %q, errors %q", code, out.String(), errs.String())
 			}
 			if code == 1 && strings.Count(errs.String(), "\n") != 1 {
-				t.Errorf("not one line: %q", errs.String())
+				t.Errorf("the error is not one line: %q", errs.String())
 			}
 		})
 	}
 }
 
-// blockedWriter is a writer that blocks until free is closed.
+// blockedWriter is a writer whose Write blocks until unblock is closed.
 type blockedWriter struct {
 	bytes.Buffer
-	free chan struct{}
+	unblock chan struct{}
 }
 
-func (s *blockedWriter) Write(b []byte) (int, error) {
-	<-s.free
-	return s.Buffer.Write(b)
+func (w *blockedWriter) Write(b []byte) (int, error) {
+	<-w.unblock
+	return w.Buffer.Write(b)
 }
 
-func TestLogHoldsNobodyUp(t *testing.T) {
+// TestLogNeverBlocks writes more lines than the queue holds while the log's reader is stuck: the surplus is dropped and
+// counted, and the rest is written at the end.
+func TestLogNeverBlocks(t *testing.T) {
 	counters := &metrics.Counters{}
-	to := &blockedWriter{free: make(chan struct{})}
-	l := newAsyncWriter(to, counters)
+	destination := &blockedWriter{unblock: make(chan struct{})}
+	writer := newAsyncWriter(destination, counters)
 	for range limits.MaxQueuedLogLines + 10 {
-		l.Write([]byte("line\n"))
+		writer.Write([]byte("line\n"))
 	}
 	dropped := int(counters.Get(metrics.LogDropped))
-	if dropped < 9 || dropped > 10 { // one may be in the write that blocks
-		t.Errorf("%d dropped", dropped)
+	if dropped < 9 || dropped > 10 { // one line may be in the blocked Write instead of the queue
+		t.Errorf("%d lines dropped, want 9 or 10", dropped)
 	}
-	close(to.free)
-	l.Close()
-	if got := strings.Count(to.String(), "line\n"); got != limits.MaxQueuedLogLines+10-dropped {
-		t.Errorf("%d written, %d dropped", got, dropped)
+	close(destination.unblock)
+	writer.Close()
+	if got := strings.Count(destination.String(), "line\n"); got != limits.MaxQueuedLogLines+10-dropped {
+		t.Errorf("%d lines written, %d dropped", got, dropped)
 	}
 }
--- a/cmd/lichenroad/peers_test.go
+++ b/cmd/lichenroad/peers_test.go
@@ -10,8 +10,10 @@
 	"lichenroad/relay"
 )
 
+// TestPeerMessages sends messages to a peer, and receives some: only those of a known peer and of at most 256 bytes are
+// accepted, all others are dropped and counted.
 func TestPeerMessages(t *testing.T) {
-	open := func() *net.UDPConn {
+	listen := func() *net.UDPConn {
 		c, err := net.ListenUDP("udp", &net.UDPAddr{IP: net.IPv4(127, 0, 0, 1)})
 		if err != nil {
 			t.Fatal(err)
@@ -20,21 +22,21 @@
 		t.Cleanup(func() { c.Close() })
 		return c
 	}
-	own, peer, all, stranger := open(), open(), open(), open()
-	listen := own.LocalAddr().String()
+	own, peer, all, stranger := listen(), listen(), listen(), listen()
+	address := own.LocalAddr().String()
 	own.Close()
 	p := startRelay(t, newFakeDiscovery(t, newFakeEndpoint(t, always(succeed))), func(c *config.Config) {
-		c.PeerListen, c.PeersAll = listen, all.LocalAddr().String()
-		c.Peers = []string{listen, peer.LocalAddr().String()}
+		c.PeerListen, c.PeersAll = address, all.LocalAddr().String()
+		c.Peers = []string{address, peer.LocalAddr().String()}
 		c.Site.Relays = 2
 	})
 	var buf [512]byte
-	if n, _, err := all.ReadFromUDP(buf[:]); err != nil || n > 256 { // the module's own decision
-		t.Error(n, err)
+	if n, _, err := all.ReadFromUDP(buf[:]); err != nil || n > 256 { // a message of the decision module
+		t.Errorf("broadcast of %d bytes: %v", n, err)
 	}
 	p.loop.Peers.SendMessage(relay.SendMessage{To: 1, Body: []byte("hello")})
 	if n, _, err := peer.ReadFromUDP(buf[:]); err != nil || string(buf[:n]) != "hello" {
-		t.Errorf("%q %v", buf[:n], err)
+		t.Errorf("the peer got %q: %v", buf[:n], err)
 	}
 	to := net.UDPAddrFromAddrPort(own.LocalAddr().(*net.UDPAddr).AddrPort())
 	for _, c := range []struct {
--- a/cmd/lichenroad/platform_test.go
+++ b/cmd/lichenroad/platform_test.go
@@ -13,9 +13,10 @@
 	"lichenroad/relay"
 )
 
+// TestVotes sends votes that the platform answers differently, and checks how each is counted.
 func TestVotes(t *testing.T) {
 	votes := 0
-	d := newFakePlatform(t, func(line string) string {
+	platform := newFakePlatform(t, func(line string) string {
 		if line == "WATCH" {
 			return "OK\r\n* news 1 0 stable 1 5000\r\n"
 		}
@@ -32,69 +33,70 @@
 		}
 		return "OK 2 0 canary 0.5 10\r\n"
 	})
-	p := startRelay(t, newFakeDiscovery(t, newFakeEndpoint(t, always(succeed))), withPlatform(d))
+	p := startRelay(t, newFakeDiscovery(t, newFakeEndpoint(t, always(succeed))), withPlatform(platform))
 	waitForCounter(t, p, metrics.RolloutStatuses, 1)
 	vote := func() { p.loop.Platform.Vote(relay.Vote{Build: 2, Verdict: relay.VotePromote}) }
 	for i, want := range []metrics.Counter{metrics.VotesCounted, metrics.VotesNotCounted, metrics.VotesMaybeCounted, metrics.VotesMaybeCounted} {
 		before := p.loop.Metrics.Get(want)
 		vote()
-		if got := d.nextLine(t, "VOTE"); got != "VOTE 2 0 approve" {
-			t.Errorf("%q", got)
+		if got := platform.nextLine(t, "VOTE"); got != "VOTE 2 0 approve" {
+			t.Errorf("vote sent as %q", got)
 		}
 		waitForCounter(t, p, want, before+1)
 		if i == 3 {
 			waitForCounter(t, p, metrics.BadInput, 1)
 		}
 	}
-	d.ln.Close()
-	vote() // the connection was closed after the last reply; no other can be opened
+	platform.ln.Close()
+	vote() // the relay closed the connection after the malformed reply, and can't open another
 	waitForCounter(t, p, metrics.VotesNotCounted, 2)
 }
 
-// TestPipelinedVotes has several votes in flight on one connection, their replies in one write, and the connection
-// broken with two more in flight.
+// TestPipelinedVotes sends three votes at once on one connection, which are answered in one write, and then two more,
+// which may or may not have been counted as the connection breaks.
 func TestPipelinedVotes(t *testing.T) {
-	seen := 0
-	d := newFakePlatform(t, func(line string) string {
+	lines := 0 // of votes
+	platform := newFakePlatform(t, func(line string) string {
 		if line == "WATCH" {
 			return "OK\r\n"
 		}
-		if seen++; seen == 3 {
+		if lines++; lines == 3 {
 			return "OK 2 0 canary 0.5 10\r\nERR ConditionFailed\r\nOK 2 1 canary 0.5 10\r\n"
 		}
 		return ""
 	})
 	p := startRelay(t, newFakeDiscovery(t, newFakeEndpoint(t, always(succeed))), func(c *config.Config) {
-		withPlatform(d)(c)
+		withPlatform(platform)(c)
 		c.Site.Rollout.CallTimeout = 10 * testTimeout.Seconds()
 	})
-	d.nextLine(t, "WATCH")
-	<-d.conns
+	platform.nextLine(t, "WATCH")
+	<-platform.conns
 	vote := func(n int) {
 		for range n {
 			p.loop.Platform.Vote(relay.Vote{Build: 2, Verdict: relay.VotePromote})
-			d.nextLine(t, "VOTE")
+			platform.nextLine(t, "VOTE")
 		}
 	}
 	vote(3)
 	waitForCounter(t, p, metrics.VotesCounted, 2)
 	waitForCounter(t, p, metrics.VotesStale, 1)
 	vote(2)
-	(<-d.conns).Close()
+	(<-platform.conns).Close()
 	waitForCounter(t, p, metrics.VotesMaybeCounted, 2)
-	if len(d.conns) != 0 {
-		t.Error("more than one connection for votes")
+	if len(platform.conns) != 0 {
+		t.Error("the votes used more than one connection")
 	}
 }
 
+// TestWatchReconnects ends the watch twice, by a close and by a line that is too long: each time a new one is opened.
 func TestWatchReconnects(t *testing.T) {
-	d := newFakePlatform(t, func(string) string { return "OK\r\n* news 1 0 stable 1 5000\r\n" })
-	p := startRelay(t, newFakeDiscovery(t, newFakeEndpoint(t, always(succeed))), withPlatform(d))
+	platform := newFakePlatform(t, func(string) string { return "OK\r\n* news 1 0 stable 1 5000\r\n" })
+	p := startRelay(t, newFakeDiscovery(t, newFakeEndpoint(t, always(succeed))), withPlatform(platform))
 	for i := int64(1); i <= 3; i++ {
 		waitForCounter(t, p, metrics.RolloutStatuses, i)
-		c := <-d.conns
+		c := <-platform.conns
 		if i == 2 {
-			fmt.Fprint(c, strings.Repeat("x", 9<<10)) // a line over the bound
+			fmt.Fprint(c, strings.Repeat("x", 9<<10)) // a line over the limit
 			continue
 		}
 		c.Close()
@@ -102,33 +104,35 @@
 	waitForCounter(t, p, metrics.BadInput, 1)
 }
 
+// TestStalledWatchIsReplaced sends no keep-alive on a watch: a new one is opened, and the stalled one closed.
 func TestStalledWatchIsReplaced(t *testing.T) {
-	d := newFakePlatform(t, func(string) string { return "OK\r\n* news 1 0 stable 1 5000\r\n" })
-	p := startRelay(t, newFakeDiscovery(t, newFakeEndpoint(t, always(succeed))), withPlatform(d))
-	old := <-d.conns
-	waitForCounter(t, p, metrics.RolloutStatuses, 2) // no keep-alive came
+	platform := newFakePlatform(t, func(string) string { return "OK\r\n* news 1 0 stable 1 5000\r\n" })
+	p := startRelay(t, newFakeDiscovery(t, newFakeEndpoint(t, always(succeed))), withPlatform(platform))
+	old := <-platform.conns
+	waitForCounter(t, p, metrics.RolloutStatuses, 2) // the second comes from the new watch
 	old.SetDeadline(time.Now().Add(testTimeout))
 	if _, err := old.Read(make([]byte, 1)); !errors.Is(err, io.EOF) {
-		t.Error("the stalled connection is kept:", err)
+		t.Error("the stalled watch was not closed:", err)
 	}
 }
 
-// TestStalledWatchStillDeliversStatus has a watch stall, and the new one beside it never answered.
+// TestStalledWatchStillDeliversStatus stalls a watch and never answers the new one: a status on the stalled watch is
+// still received.
 func TestStalledWatchStillDeliversStatus(t *testing.T) {
 	watches := 0
-	d := newFakePlatform(t, func(string) string {
+	platform := newFakePlatform(t, func(string) string {
 		if watches++; watches == 1 {
 			return "OK\r\n"
 		}
 		return ""
 	})
 	p := startRelay(t, newFakeDiscovery(t, newFakeEndpoint(t, always(succeed))), func(c *config.Config) {
-		withPlatform(d)(c)
+		withPlatform(platform)(c)
 		c.Site.Rollout.CallTimeout = 10 * testTimeout.Seconds()
 	})
-	old := <-d.conns
-	d.nextLine(t, "WATCH")
-	d.nextLine(t, "WATCH") // the new one calls, and is not answered
+	old := <-platform.conns
+	platform.nextLine(t, "WATCH")
+	platform.nextLine(t, "WATCH") // the new watch, which gets no reply
 	fmt.Fprint(old, "* news 2 0 canary 0.1 5\r\n")
 	waitForCounter(t, p, metrics.RolloutStatuses, 1)
 }
--- a/cmd/lichenroad/ready_test.go
+++ b/cmd/lichenroad/ready_test.go
@@ -10,24 +10,24 @@
 	"lichenroad/internal/pgwire"
 )
 
-// TestReadyWhateverDiscoverySays starts with each kind of cached list while discovery fails: the relay is ready in time,
-// serves from the endpoints that it knows, and rejects where it knows none.
-func TestReadyWhateverDiscoverySays(t *testing.T) {
+// TestReadyWithoutDiscovery starts a relay with different cached lists while discovery fails: it is ready in time, serves
+// from the endpoints that it knows, and rejects requests if it knows none.
+func TestReadyWithoutDiscovery(t *testing.T) {
 	for name, c := range map[string]struct {
-		known  string // empty: the present list
+		known  string // cached list; empty: the current list
 		within time.Duration
 		code   string
 	}{
-		"a good list":            {"", time.Second, ""},
-		"an empty list":          {`{"generation":1,"reset":true,"instances":[]}`, time.Second, pgwire.CodeFull},
-		"none":                   {"null", 8 * time.Second, pgwire.CodeFull},
-		"one that can't be read": {`{"generation":"x"}`, 8 * time.Second, pgwire.CodeFull},
+		"a good list":      {"", time.Second, ""},
+		"an empty list":    {`{"generation":1,"reset":true,"instances":[]}`, time.Second, pgwire.CodeFull},
+		"no list":          {"null", 8 * time.Second, pgwire.CodeFull},
+		"a malformed list": {`{"generation":"x"}`, 8 * time.Second, pgwire.CodeFull},
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
 			f := newFakeDiscovery(t, newFakeEndpoint(t, always(succeed)))
 			f.down = true
-			begun := time.Now()
+			begin := time.Now()
 			p := startRelay(t, f, func(to *config.Config) {
 				if c.known != "" {
 					to.KnownList = json.RawMessage(c.known)
@@ -37,20 +37,21 @@
 			cl.readUntil('Z')
 			cl.readUntil('I')
 			cl.readUntil('Z')
-			if took := time.Since(begun); took > c.within {
-				t.Errorf("ready after %v", took)
+			if took := time.Since(begin); took > c.within {
+				t.Errorf("ready after %v, want %v", took, c.within)
 			}
 			cl.send(selectStatement("look", 300))
 			if _, code := cl.readResponse(); code != c.code {
-				t.Errorf("%q", code)
+				t.Errorf("code %q, want %q", code, c.code)
 			}
 			checkCounters(t, p)
 		})
 	}
 }
 
-// TestSigtermBeforeReady ends a relay that has no list yet: requests that wait are rejected, and the program ends.
-func TestSigtermBeforeReady(t *testing.T) {
+// TestShutdownBeforeReady shuts down a relay that has no list yet: the waiting client gets its response, its connection
+// is closed, and the relay stops.
+func TestShutdownBeforeReady(t *testing.T) {
 	f := newFakeDiscovery(t)
 	f.down = true
 	p := startRelay(t, f, func(to *config.Config) { to.KnownList = nil })
@@ -61,11 +62,11 @@
 	cl.readUntil('I')
 	cl.readUntil('Z')
 	if !cl.closedByRelay() {
-		t.Error("the connection stays")
+		t.Error("the client's connection is not closed")
 	}
 	select {
 	case <-p.stop:
 	case <-time.After(testTimeout):
-		t.Error("the program does not end")
+		t.Error("the relay does not stop")
 	}
 }
--- a/cmd/lichenroad/reload_test.go
+++ b/cmd/lichenroad/reload_test.go
@@ -20,7 +20,7 @@
 	"lichenroad/relay"
 )
 
-// TestMain lets the test's own program run as lichenroad, for tests of signals and of processes.
+// TestMain lets the test binary run as lichenroad, for tests of signals and of processes.
 func TestMain(m *testing.M) {
 	if os.Getenv("LICHENROAD_AS_PROGRAM") != "" {
 		main()
@@ -31,15 +31,16 @@
 	os.Exit(m.Run())
 }
 
-// TestReloadBySignal has a relay read its file again while a watch is open: a good file, and a half-written one.
+// TestReloadBySignal sends SIGHUP to a relay, first with a truncated configuration, which is rejected, then with one that
+// has another discovery address: its endpoints are used, and the end of the old watch is not logged as a failure.
 func TestReloadBySignal(t *testing.T) {
-	before, after := newFakeEndpoint(t, always(succeed)), newFakeEndpoint(t, always(succeed))
-	old, fresh := newFakeDiscovery(t, before), newFakeDiscovery(t, after)
+	oldEndpoint, newEndpoint := newFakeEndpoint(t, always(succeed)), newFakeEndpoint(t, always(succeed))
+	oldDiscovery, newDiscovery := newFakeDiscovery(t, oldEndpoint), newFakeDiscovery(t, newEndpoint)
 	ln := newListener(t)
 	listen := ln.Addr().String()
 	ln.Close()
 	path := filepath.Join(t.TempDir(), "config.json")
-	file := func(f *fakeDiscovery) []byte {
+	configFor := func(f *fakeDiscovery) []byte {
 		return []byte(fmt.Sprintf(`{"name":"n0","listen":%q,"discovery":%q,"known":%s,"settings":%s}`, listen,
 			f.srv.Listener.Addr(), f.list(), testSettings))
 	}
@@ -48,9 +49,9 @@
 			t.Fatal(err)
 		}
 	}
-	write(file(old))
+	write(configFor(oldDiscovery))
 	cmd := exec.Command(os.Args[0])
-	cmd.Env = append(os.Environ(), "LICHENROAD_ARGS=serve --config "+path, "BALANCER_DISCOVERY="+old.srv.Listener.Addr().String())
+	cmd.Env = append(os.Environ(), "LICHENROAD_ARGS=serve --config "+path, "BALANCER_DISCOVERY="+oldDiscovery.srv.Listener.Addr().String())
 	out, err := cmd.StderrPipe()
 	if err != nil {
 		t.Fatal(err)
@@ -60,20 +61,20 @@
 	}
 	t.Cleanup(func() { cmd.Process.Kill() })
 	log := bufio.NewScanner(out)
-	line := func(part string) string {
+	logLine := func(part string) string {
 		t.Helper()
 		for log.Scan() {
 			if strings.Contains(log.Text(), "call failed") {
-				t.Error("a move of our own was logged as a failure:", log.Text())
+				t.Error("the change of the address was logged as a failure:", log.Text())
 			}
 			if strings.Contains(log.Text(), part) {
 				return log.Text()
 			}
 		}
-		t.Fatalf("the relay ended with no line of %q", part)
+		t.Fatalf("the relay exited without a log line with %q", part)
 		return ""
 	}
-	ask := func() string {
+	request := func() string {
 		n, err := net.Dial("tcp", listen)
 		if err != nil {
 			t.Fatal(err)
@@ -83,76 +84,76 @@
 		c := &client{t, n, bufio.NewReader(n)}
 		n.Write(pgwire.Startup("worker", "catalog"))
 		c.readUntil('Z')
-		c.send("") // answered when the relay is ready, as a load balancer waits for
+		c.send("") // an empty query is answered once the relay is ready; load balancers wait for that
 		c.readUntil('I')
 		c.readUntil('Z')
 		c.send(selectStatement("look", 1500))
 		v, _ := c.readResponse()
 		return v
 	}
-	line("serving")
-	if ask() == "" {
-		t.Error("not served before the reload")
+	logLine("serving")
+	if request() == "" {
+		t.Error("the request before the reload failed")
 	}
-	half := file(fresh)
-	write(half[:len(half)/2])
+	truncated := configFor(newDiscovery)
+	write(truncated[:len(truncated)/2])
 	cmd.Process.Signal(syscall.SIGHUP)
-	line("configuration rejected")
-	if ask() == "" {
-		t.Error("not served after a refused reload")
+	logLine("configuration rejected")
+	if request() == "" {
+		t.Error("the request after the rejected reload failed")
 	}
-	write(file(fresh))
+	write(configFor(newDiscovery))
 	cmd.Process.Signal(syscall.SIGHUP)
-	line("configuration reloaded")
-	for until := time.Now().Add(testTimeout); len(after.received) == 0; { // the new list has another endpoint
-		if ask() == "" && time.Now().After(until) {
-			t.Fatal("the list of the new discovery does not serve")
+	logLine("configuration reloaded")
+	for until := time.Now().Add(testTimeout); len(newEndpoint.received) == 0; {
+		if request() == "" && time.Now().After(until) {
+			t.Fatal("no request went to the endpoint of the new discovery")
 		}
 	}
 	cmd.Process.Signal(syscall.SIGTERM)
-	if s := line("counters"); !strings.Contains(s, "reloads=1") || !strings.Contains(s, "reloads_refused=1") {
-		t.Error(s)
+	if s := logLine("counters"); !strings.Contains(s, "reloads=1") || !strings.Contains(s, "reloads_refused=1") {
+		t.Error("unexpected counters of reloads:", s)
 	}
 	if err := cmd.Wait(); err != nil {
-		t.Error(err)
+		t.Error("the relay did not exit cleanly:", err)
 	}
 }
 
-// TestPlatformMoves reloads with a vote in flight at the old address: it is answered there; the next vote and the watch
-// go to the new one.
-func TestPlatformMoves(t *testing.T) {
-	answer := func(line string) string {
+// TestReloadPlatformAddress changes the platform's address while a vote at the old one has no reply yet: that vote
+// still gets its reply there, and is not sent again. The watch and the next vote go to the new address.
+func TestReloadPlatformAddress(t *testing.T) {
+	reply := func(line string) string {
 		if line == "WATCH" {
 			return "OK\r\n* news 1 0 stable 1 5000\r\n"
 		}
 		return ""
 	}
-	old, fresh := newFakePlatform(t, answer), newFakePlatform(t, answer)
+	oldPlatform, newPlatform := newFakePlatform(t, reply), newFakePlatform(t, reply)
 	p := startRelay(t, newFakeDiscovery(t, newFakeEndpoint(t, always(succeed))), func(c *config.Config) {
-		withPlatform(old)(c)
+		withPlatform(oldPlatform)(c)
 		c.Site.Rollout.CallTimeout = 10 * testTimeout.Seconds()
 	})
-	watch := <-old.conns
-	old.nextLine(t, "WATCH")
+	watch := <-oldPlatform.conns
+	oldPlatform.nextLine(t, "WATCH")
 	vote := func() { p.loop.Platform.Vote(relay.Vote{Build: 2, Verdict: relay.VotePromote}) }
 	vote()
-	old.nextLine(t, "VOTE")
-	votes := <-old.conns
+	oldPlatform.nextLine(t, "VOTE")
+	votes := <-oldPlatform.conns
 	next := p.config
-	next.Platform = fresh.ln.Addr().String()
+	next.Platform = newPlatform.ln.Addr().String()
 	p.reload(next, nil)
-	fresh.nextLine(t, "WATCH")
+	newPlatform.nextLine(t, "WATCH")
 	waitForCounter(t, p, metrics.RolloutStatuses, 2)
 	vote()
-	fresh.nextLine(t, "VOTE")
+	newPlatform.nextLine(t, "VOTE")
 	fmt.Fprint(votes, "OK 2 0 canary 0.5 10\r\n")
 	waitForCounter(t, p, metrics.VotesCounted, 1)
 	fmt.Fprint(watch, "*\r\n")
 	watch.SetDeadline(time.Now().Add(testTimeout))
 	if _, err := watch.Read(make([]byte, 1)); !errors.Is(err, io.EOF) {
-		t.Error("the watch at the old address is kept:", err)
+		t.Error("the watch at the old address was not closed:", err)
 	}
-	if len(old.lines) != 0 || p.loop.Metrics.Get(metrics.VotesMaybeCounted) != 0 {
-		t.Error("the open vote was cast again or given up")
+	if len(oldPlatform.lines) != 0 || p.loop.Metrics.Get(metrics.VotesMaybeCounted) != 0 {
+		t.Error("the open vote was sent again or given up")
 	}
 }
--- a/cmd/lichenroad/scale_test.go
+++ b/cmd/lichenroad/scale_test.go
@@ -18,25 +18,26 @@
 		"--shape", "skewed", "--seconds", "3", "--rate", "10", "--fault", "loss", "--fault", "reorder", "--json", file}
 	code, out, errs := runCommand(args...)
 	if code != 0 || errs != "" || !strings.Contains(out, "broken: 0") {
-		t.Fatalf("%d %q %q", code, out, errs)
+		t.Fatalf("exit %d, output %q, errors %q", code, out, errs)
 	}
 	b, err := os.ReadFile(file)
 	if err != nil {
 		t.Fatal(err)
 	}
 	if !strings.Contains(string(b), `"broken": []`) {
-		t.Errorf("%s", b)
+		t.Errorf("the result does not have an empty list of violations: %s", b)
 	}
 	var r scale.Result
 	if err := json.Unmarshal(b, &r); err != nil {
 		t.Fatal(err)
 	}
 	if r.Relays != 6 || r.Hosted != 6 || len(r.Options.Faults) != 2 || r.Faults.Datagrams.Lost+r.Faults.Datagrams.Reordered == 0 {
-		t.Errorf("%+v", r)
+		t.Errorf("unexpected result %+v", r)
 	}
 }
 
-func TestLabScaleRefusals(t *testing.T) {
+// TestLabScaleBadFlags checks that a bad flag, or a size that needs too much memory, is rejected with one line.
+func TestLabScaleBadFlags(t *testing.T) {
 	for _, c := range []struct {
 		args []string
 		code exitCode
@@ -52,7 +53,7 @@
 		t.Run(strings.Join(c.args, " "), func(t *testing.T) {
 			code, out, errs := runCommand(append([]string{"lab", "scale"}, c.args...)...)
 			if code != int(c.code) || out != "" || !strings.HasPrefix(errs, "lichenroad: "+c.want) || strings.Count(errs, "\n") != 1 {
-				t.Errorf("%d %q %q", code, out, errs)
+				t.Errorf("exit %d, output %q, errors %q", code, out, errs)
 			}
 		})
 	}
--- a/cmd/lichenroad/serve.go
+++ b/cmd/lichenroad/serve.go
@@ -36,8 +36,8 @@
 	plan    *plan.Plan
 }
 
-// relayProcess is a running relay. Its parts run on their own goroutines and post events to the loop. The loop runs on the
-// goroutine of serve until stop is closed.
+// relayProcess is a running relay. Its parts run on their own goroutines and post events to the loop. The loop runs on
+// the goroutine of serve until stop is closed.
 type relayProcess struct {
 	config    config.Config // in effect; only the loop may access it
 	releases  releasePlan
--- a/cmd/lichenroad/serve_test.go
+++ b/cmd/lichenroad/serve_test.go
@@ -15,65 +15,70 @@
 	"lichenroad/lab/fakes"
 )
 
+// TestRequestSucceeds sends a read, an empty query and a write of the largest value on one connection: each is answered,
+// only the deadline in a statement changes on the way, and one connection to the endpoint carries both.
 func TestRequestSucceeds(t *testing.T) {
-	u := newFakeEndpoint(t, always(succeed))
-	p := startRelay(t, newFakeDiscovery(t, u), nil)
-	c := dialClient(t, p, pgwire.QueryMessage(selectStatement("look", 1500))...) // the first query right behind the startup
+	endpoint := newFakeEndpoint(t, always(succeed))
+	p := startRelay(t, newFakeDiscovery(t, endpoint), nil)
+	c := dialClient(t, p, pgwire.QueryMessage(selectStatement("look", 1500))...) // the request is in the same write as the startup
 	c.readUntil('Z')
 	if v, code := c.readResponse(); v != "value of SELECT" || code != "" {
-		t.Errorf("%q %q", v, code)
+		t.Errorf("response %q, code %q", v, code)
 	}
-	got := <-u.received
+	got := <-endpoint.received
 	var d int
 	at := strings.Index(got, ",d=")
 	fmt.Sscanf(got[at:], ",d=%d */", &d)
 	if d <= 0 || d > 1500 || strings.Replace(got, fmt.Sprint("d=", d), "d=1500", 1) != selectStatement("look", 1500) {
-		t.Errorf("changed on the way: %s", got)
+		t.Errorf("the endpoint got another statement: %s", got)
 	}
 	c.send(" ; ")
 	if c.readUntil('I'); len(c.readUntil('Z')) != 1 {
-		t.Error("no answer to an empty query")
+		t.Error("malformed response to an empty query")
 	}
 	write := `INSERT INTO objects (oid, body) VALUES ('7f3a', '\x` + strings.Repeat("9f", pgwire.MaxValue) +
 		`') RETURNING body /* id=1,c=order,t=acme,d=1500,k=5c */`
 	c.send(write)
 	if v, _ := c.readResponse(); v != "value of INSERT" {
-		t.Errorf("%q", v)
+		t.Errorf("response %q to a write", v)
 	}
-	if _, opened := u.counts(); opened != 1 {
-		t.Errorf("%d connections for queries one after the other", opened)
+	if _, usedConns := endpoint.counts(); usedConns != 1 {
+		t.Errorf("%d connections to the endpoint for requests one after the other, want 1", usedConns)
 	}
 	c.Write([]byte{'X', 0, 0, 0, 4})
 	if !c.closedByRelay() {
-		t.Error("not closed after Terminate")
+		t.Error("the connection is not closed after Terminate")
 	}
 	checkCounters(t, p)
 }
 
-func TestQueriesSplitAnywhere(t *testing.T) {
+// TestRequestInTwoWrites splits a startup and a request at many positions into two writes.
+func TestRequestInTwoWrites(t *testing.T) {
 	p := startRelay(t, newFakeDiscovery(t, newFakeEndpoint(t, always(succeed))), nil)
 	stream := append(pgwire.Startup("worker", "catalog"), pgwire.QueryMessage(selectStatement("look", 1500))...)
-	for cut := 1; cut < len(stream); cut += 7 {
+	for split := 1; split < len(stream); split += 7 {
 		n, err := net.Dial("tcp", p.clients.Addr().String())
 		if err != nil {
 			t.Fatal(err)
 		}
 		n.SetDeadline(time.Now().Add(testTimeout))
-		n.Write(stream[:cut])
-		n.Write(stream[cut:])
+		n.Write(stream[:split])
+		n.Write(stream[split:])
 		c := &client{t, n, bufio.NewReader(n)}
 		c.readUntil('Z')
 		if v, code := c.readResponse(); v == "" {
-			t.Fatalf("cut at %d: %q", cut, code)
+			t.Fatalf("split at byte %d: code %q", split, code)
 		}
 		n.Close()
 	}
 	checkCounters(t, p)
 }
 
-func TestPipelinedRequestsAreAnsweredInOrder(t *testing.T) {
-	u := newFakeEndpoint(t, always(succeed))
-	p := startRelay(t, newFakeDiscovery(t, u), nil)
+// TestPipelinedRequests sends several requests at once: they are answered in order. A connection with more open
+// requests than the limit gets an error and is closed.
+func TestPipelinedRequests(t *testing.T) {
+	endpoint := newFakeEndpoint(t, always(succeed))
+	p := startRelay(t, newFakeDiscovery(t, endpoint), nil)
 	var pipelined []byte
 	for range 5 {
 		pipelined = append(pipelined, pgwire.QueryMessage(selectStatement("look", 1500))...)
@@ -92,140 +97,149 @@
 	}
 	for code := ""; code != pgwire.CodeTooLong; {
 		if _, code = c.readResponse(); code == "closed" {
-			t.Fatal("closed without a word")
+			t.Fatal("the connection was closed without an error response")
 		}
 	}
 	if !c.closedByRelay() {
-		t.Error("queries without bound are taken in")
+		t.Error("the connection is not closed after the error")
 	}
 	c.Close()
 	checkCounters(t, p)
 }
 
-// TestOutcomes sends a request of each class to endpoints with one behaviour: what the client receives, and how often
-// the request may have run.
+// TestOutcomes sends a request to endpoints that all behave in one way, and checks the client's error code and how many
+// attempts were sent.
 func TestOutcomes(t *testing.T) {
 	for _, c := range []struct {
 		name          string
-		does          behaviour
+		behaviour     behaviour // of both endpoints
 		class         string
 		code          string
-		minStatements int // at endpoints
+		minStatements int // received by both endpoints together
 		maxStatements int
-		inTime        bool // answered before the deadline
+		inTime        bool // whether the response comes before the deadline
 	}{
-		{"an error of a query that may run again", failing, "look", pgwire.CodeFull, 2, 3, true},
-		{"an error of one that may not", failing, "pay", pgwire.CodeFailed, 1, 1, true},
-		{"turned away", rejectFull, "pay", pgwire.CodeFull, 1, 3, true},
-		{"reset behind the last byte", reset, "pay", pgwire.CodeFailed, 1, 1, true},
-		{"reset of a numbered one", reset, "order", pgwire.CodeFull, 2, 3, true},
-		{"silence", noResponse, "pay", pgwire.CodeFailed, 1, 1, false},
+		{"error of a retryable request", failing, "look", pgwire.CodeFull, 2, 3, true},
+		{"error of an at-most-once request", failing, "pay", pgwire.CodeFailed, 1, 1, true},
+		{"rejected", rejectFull, "pay", pgwire.CodeFull, 1, 3, true},
+		{"reset after the request", reset, "pay", pgwire.CodeFailed, 1, 1, true},
+		{"reset after an idempotency-keyed request", reset, "order", pgwire.CodeFull, 2, 3, true},
+		{"no response", noResponse, "pay", pgwire.CodeFailed, 1, 1, false},
 		{"garbage", garbage, "pay", pgwire.CodeFailed, 1, 1, true},
 		{"two rows", twoRows, "pay", pgwire.CodeFailed, 1, 1, true},
-		{"half an answer", halfResponse, "pay", pgwire.CodeFailed, 1, 1, true},
-		{"noise of no known type", unknownMessage, "pay", pgwire.CodeFailed, 1, 1, true},
-		{"a tag that can't be read", badTag, "pay", pgwire.CodeFailed, 1, 1, true},
-		{"a load report that can't be read", badLoad, "pay", "", 1, 1, true},
+		{"half a response", halfResponse, "pay", pgwire.CodeFailed, 1, 1, true},
+		{"message of an unknown type", unknownMessage, "pay", pgwire.CodeFailed, 1, 1, true},
+		{"malformed command tag", badTag, "pay", pgwire.CodeFailed, 1, 1, true},
+		{"malformed load report", badLoad, "pay", "", 1, 1, true},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			t.Parallel()
-			a, b := newFakeEndpoint(t, always(c.does)), newFakeEndpoint(t, always(c.does))
+			a, b := newFakeEndpoint(t, always(c.behaviour)), newFakeEndpoint(t, always(c.behaviour))
 			p := startRelay(t, newFakeDiscovery(t, a, b), nil)
 			cl := dialClient(t, p)
 			cl.readUntil('Z')
-			begun := time.Now()
+			begin := time.Now()
 			cl.send(selectStatement(c.class, 1500))
 			_, code := cl.readResponse()
 			n, _ := a.counts()
 			m, _ := b.counts()
 			if code != c.code || n+m < c.minStatements || n+m > c.maxStatements {
-				t.Errorf("%q after %d statements", code, n+m)
+				t.Errorf("code %q after %d attempts", code, n+m)
 			}
-			if in := time.Since(begun) < 1490*time.Millisecond; in != c.inTime {
-				t.Errorf("after %v", time.Since(begun))
+			if in := time.Since(begin) < 1490*time.Millisecond; in != c.inTime {
+				t.Errorf("answered after %v", time.Since(begin))
 			}
 			checkCounters(t, p)
 		})
 	}
 }
 
-func TestRefusedConnectsNeverRan(t *testing.T) {
-	gone, well := newFakeEndpoint(t, always(succeed)), newFakeEndpoint(t, always(succeed))
-	gone.ln.Close()
-	f := newFakeDiscovery(t, gone, well)
+// TestRefusedConnectionIsRetried lists an endpoint that refuses connections: a refused attempt never ran, so even
+// at-most-once requests are retried at the other endpoint.
+func TestRefusedConnectionIsRetried(t *testing.T) {
+	closed, working := newFakeEndpoint(t, always(succeed)), newFakeEndpoint(t, always(succeed))
+	closed.ln.Close()
+	f := newFakeDiscovery(t, closed, working)
 	p := startRelay(t, f, nil)
 	c := dialClient(t, p)
 	c.readUntil('Z')
-	for range 20 { // at least one of them is sent first to the endpoint that is not there
+	for range 20 { // enough for at least one to be sent to the closed endpoint first
 		c.send(selectStatement("pay", 1500))
 		if v, code := c.readResponse(); v == "" {
 			t.Fatal(code)
 		}
 	}
 	if p.loop.Metrics.Get(metrics.AttemptConnectFailed) == 0 {
-		t.Error("no leg went to the unit that is not there")
+		t.Error("no attempt was sent to the closed endpoint")
 	}
 	checkCounters(t, p)
 }
 
-func TestUnitThatNeverComesUp(t *testing.T) {
-	// It accepts, and says nothing to the startup.
+// TestEndpointWithoutStartupResponse has an endpoint that accepts connections and never answers a startup: the request
+// never ran, and is rejected.
+func TestEndpointWithoutStartupResponse(t *testing.T) {
 	f := newFakeDiscovery(t, &fakeEndpoint{ln: newListener(t)})
 	p := startRelay(t, f, nil)
 	c := dialClient(t, p)
 	c.readUntil('Z')
 	c.send(selectStatement("pay", 700))
 	if _, code := c.readResponse(); code != pgwire.CodeFull {
-		t.Errorf("%q: a leg without a connection never ran", code)
+		t.Errorf("code %q for a request that never ran, want %q", code, pgwire.CodeFull)
 	}
 	if p.loop.Metrics.Get(metrics.AttemptConnectFailed) == 0 {
-		t.Error(p.loop.Metrics.Fields())
+		t.Error("no failed connection was counted:", p.loop.Metrics.Fields())
 	}
 	checkCounters(t, p)
 }
 
-func TestClientLeaves(t *testing.T) {
-	u := newFakeEndpoint(t, always(noResponse))
-	p := startRelay(t, newFakeDiscovery(t, u), nil)
+// TestClientDisconnects closes a client's connection while its request is open: the attempt is cancelled, and its
+// connection to the endpoint closed.
+func TestClientDisconnects(t *testing.T) {
+	endpoint := newFakeEndpoint(t, always(noResponse))
+	p := startRelay(t, newFakeDiscovery(t, endpoint), nil)
 	c := dialClient(t, p)
 	c.readUntil('Z')
 	c.send(selectStatement("look", 1900))
-	<-u.received
+	<-endpoint.received
 	c.Close()
 	waitForCounter(t, p, metrics.ClientLeft, 1)
-	<-u.connEnded // the attempt's connection is closed, not pooled; the attempt is counted behind that
+	<-endpoint.connEnded // the connection to the endpoint is closed, not reused; only then is the attempt counted
 	waitForCounter(t, p, metrics.AttemptCancelled, 1)
 	checkCounters(t, p)
 }
 
-func TestConnectionIsNotKeptAfterATimeout(t *testing.T) {
-	u := newFakeEndpoint(t, func(s string) behaviour {
+// TestConnectionIsClosedAfterTimeout checks that a connection whose request timed out is not reused: a late response
+// would answer the next request.
+func TestConnectionIsClosedAfterTimeout(t *testing.T) {
+	endpoint := newFakeEndpoint(t, func(s string) behaviour {
 		if strings.Contains(s, "c=pay") {
 			return noResponse
 		}
 		return succeed
 	})
-	p := startRelay(t, newFakeDiscovery(t, u), nil)
+	p := startRelay(t, newFakeDiscovery(t, endpoint), nil)
 	c := dialClient(t, p)
 	c.readUntil('Z')
 	c.send(selectStatement("pay", 200))
 	if _, code := c.readResponse(); code != pgwire.CodeFailed {
 		t.Error(code)
 	}
-	<-u.connEnded
+	<-endpoint.connEnded
 	c.send(selectStatement("look", 1500))
 	if v, code := c.readResponse(); v == "" {
 		t.Error(code)
 	}
-	if _, opened := u.counts(); opened != 2 {
-		t.Errorf("%d connections", opened)
+	if _, usedConns := endpoint.counts(); usedConns != 2 {
+		t.Errorf("%d connections to the endpoint, want 2", usedConns)
 	}
 	checkCounters(t, p)
 }
 
-func TestUnitThatClosesBetweenQueries(t *testing.T) {
-	u := newFakeEndpoint(t, always(succeedThenClose))
-	p := startRelay(t, newFakeDiscovery(t, u), nil)
+// TestEndpointClosesIdleConnections has an endpoint that closes each connection after one response: the next request
+// goes over a new connection and succeeds.
+func TestEndpointClosesIdleConnections(t *testing.T) {
+	endpoint := newFakeEndpoint(t, always(succeedThenClose))
+	p := startRelay(t, newFakeDiscovery(t, endpoint), nil)
 	c := dialClient(t, p)
 	c.readUntil('Z')
 	for range 5 {
@@ -233,12 +247,13 @@
 		if v, code := c.readResponse(); v == "" {
 			t.Fatal(code)
 		}
-		<-u.connEnded
+		<-endpoint.connEnded
 		waitForCounter(t, p, metrics.EndpointConnsOpen, 0)
 	}
 	checkCounters(t, p)
 }
 
+// TestBadInputFromClients checks that each malformed message gets its error, is counted, and has its connection closed.
 func TestBadInputFromClients(t *testing.T) {
 	p := startRelay(t, newFakeDiscovery(t, newFakeEndpoint(t, always(succeed))), nil)
 	for name, c := range map[string]struct {
@@ -258,23 +273,25 @@
 		cl.readUntil('Z')
 		cl.Write(c.bytes)
 		if _, code := cl.readResponse(); code != c.code {
-			t.Errorf("%s: %q", name, code)
+			t.Errorf("%s: code %q, want %q", name, code, c.code)
 		}
 		if !cl.closedByRelay() || p.loop.Metrics.Get(metrics.BadInput) != before+1 {
-			t.Errorf("%s: not closed or not counted", name)
+			t.Errorf("%s: the connection is not closed, or the message not counted", name)
 		}
 		cl.Close()
 	}
 	cl := dialClient(t, p, bytes.Repeat([]byte{0}, 8)...)
 	if cl.readUntil('Z'); !cl.closedByRelay() {
-		t.Error("garbage behind the startup")
+		t.Error("the connection is not closed after garbage that follows the startup")
 	}
 	cl.Close()
 	waitForCounter(t, p, metrics.ClientConnsOpen, 0)
 	checkCounters(t, p)
 }
 
-func TestComplaintWaitsForTheAnswersBeforeIt(t *testing.T) {
+// TestErrorFollowsOpenResponses sends a malformed message while a request is open: the request's response comes first,
+// then the error, and then the connection is closed.
+func TestErrorFollowsOpenResponses(t *testing.T) {
 	release := make(chan struct{})
 	p := startRelay(t, newFakeDiscovery(t, newFakeEndpoint(t, func(string) behaviour { <-release; return succeed })), nil)
 	c := dialClient(t, p)
@@ -283,15 +300,17 @@
 	waitForCounter(t, p, metrics.AttemptsOpen, 1)
 	close(release)
 	if v, code := c.readResponse(); v == "" {
-		t.Error("the open query was lost over what came behind it:", code)
+		t.Error("the open request got no response because of the message after it:", code)
 	}
 	if _, code := c.readResponse(); code != pgwire.CodeUnsupported || !c.closedByRelay() {
-		t.Errorf("%q", code)
+		t.Errorf("code %q, want %q and a closed connection", code, pgwire.CodeUnsupported)
 	}
 	c.Close()
 	checkCounters(t, p)
 }
 
+// TestTooManyClientsAreRejected opens connections that send no request, up to the limit: the next one is rejected,
+// until one of them is closed.
 func TestTooManyClientsAreRejected(t *testing.T) {
 	p := startRelay(t, newFakeDiscovery(t, newFakeEndpoint(t, always(succeed))), func(c *config.Config) { c.Sockets = 128 })
 	var kept []*client
@@ -306,7 +325,7 @@
 			continue
 		}
 		if _, code, _, _ := pgwire.ParseError(body); code != pgwire.CodeFull || !c.closedByRelay() || i != 48 {
-			t.Errorf("connection %d: %q", i, code)
+			t.Errorf("connection %d got code %q, want number 48 to get %q and be closed", i, code, pgwire.CodeFull)
 		}
 		c.Close()
 		break
@@ -320,9 +339,9 @@
 	}
 }
 
-// TestIdleClientsMakeRoom has as many clients as the limit allows send one request and keep their connections open: one
-// with a request in flight is kept, an idle one is closed in time for others to be served.
-func TestIdleClientsMakeRoom(t *testing.T) {
+// TestIdleClientIsClosedForNewOne opens as many client connections as the limit allows: to serve a new client, the
+// relay closes the connection that has been idle for longest, but none with an open request.
+func TestIdleClientIsClosedForNewOne(t *testing.T) {
 	release := make(chan struct{})
 	p := startRelay(t, newFakeDiscovery(t, newFakeEndpoint(t, func(s string) behaviour {
 		if strings.Contains(s, "c=pay") {
@@ -355,31 +374,32 @@
 		}
 		c.Close()
 		if time.Now().After(until) {
-			t.Fatal("nobody new is served")
+			t.Fatal("no new client is served")
 		}
 	}
 	if !first.closedByRelay() {
-		t.Error("the connection idle for longest is not the one closed")
+		t.Error("the connection that was idle for longest is not closed")
 	}
 	close(release)
 	if v, code := busy.readResponse(); v == "" {
-		t.Error("an open query was closed over:", code)
+		t.Error("a connection with an open request was closed:", code)
 	}
 }
 
+// TestFullBuffersReject checks that requests are rejected while all buffer memory is in use, and admitted again after.
 func TestFullBuffersReject(t *testing.T) {
 	p := startRelay(t, newFakeDiscovery(t, newFakeEndpoint(t, always(succeed))), nil)
 	c := dialClient(t, p)
 	c.readUntil('Z')
-	hog := p.loop.Pool.Chain()
+	filler := p.loop.Pool.Chain()
 	for !p.loop.Pool.Full() {
-		hog.Write(make([]byte, 1<<20))
+		filler.Write(make([]byte, 1<<20))
 	}
 	c.send(selectStatement("pay", 1500))
 	if _, code := c.readResponse(); code != pgwire.CodeFull {
 		t.Error(code)
 	}
-	hog.Free()
+	filler.Free()
 	c.send(selectStatement("pay", 1500))
 	if v, code := c.readResponse(); v == "" {
 		t.Error(code)
@@ -387,16 +407,18 @@
 	checkCounters(t, p)
 }
 
-func TestDrainedUnitGetsNothingNew(t *testing.T) {
+// TestDrainingEndpointGetsNoRequests checks that no request is sent to an endpoint once the list has marked it as
+// draining.
+func TestDrainingEndpointGetsNoRequests(t *testing.T) {
 	a, b := newFakeEndpoint(t, always(succeed)), newFakeEndpoint(t, always(succeed))
 	f := newFakeDiscovery(t, a, b)
 	p := startRelay(t, f, nil)
 	c := dialClient(t, p)
 	c.readUntil('Z')
-	waitForCounter(t, p, metrics.DiscoveryCalls, 2) // the first call has confirmed the list, and the watch waits
+	waitForCounter(t, p, metrics.DiscoveryCalls, 2) // the first call has confirmed the list, and the watch is open
 	f.set(0, "DRAINING")
-	waitForCounter(t, p, metrics.DiscoveryCalls, 3) // the answer has been read
-	c.send(selectStatement("look", 1500))           // and is applied before this
+	waitForCounter(t, p, metrics.DiscoveryCalls, 3) // the relay has read the update
+	c.send(selectStatement("look", 1500))           // and applies it before this request
 	c.readResponse()
 	before, _ := a.counts()
 	for range 20 {
@@ -406,11 +428,13 @@
 		}
 	}
 	if after, _ := a.counts(); after != before {
-		t.Errorf("%d queries to a draining unit", after-before)
+		t.Errorf("%d requests sent to a draining endpoint", after-before)
 	}
 	checkCounters(t, p)
 }
 
+// TestDiscoveryDown starts a relay while discovery fails: it serves from the cached list, and calls discovery again
+// later.
 func TestDiscoveryDown(t *testing.T) {
 	f := newFakeDiscovery(t, newFakeEndpoint(t, always(succeed)))
 	f.down = true
@@ -419,54 +443,56 @@
 	c := dialClient(t, p, pgwire.QueryMessage(selectStatement("look", 1500))...)
 	c.readUntil('Z')
 	if v, code := c.readResponse(); v == "" {
-		t.Error("the list as last held does not serve:", code)
+		t.Error("no request is served from the cached list:", code)
 	}
 	f.mu.Lock()
 	f.down = false
 	f.mu.Unlock()
-	waitForCounter(t, p, metrics.DiscoveryCalls, 3) // polled again when the module commanded it: one call at once, then the watch
+	waitForCounter(t, p, metrics.DiscoveryCalls, 3) // the decision module commands another call; after it comes the watch
 }
 
-func TestGentleEnd(t *testing.T) {
+// TestGracefulShutdown shuts a relay down with an idle and a busy client: for a short time it still serves both and a
+// new client, then it closes each connection between its requests, and stops.
+func TestGracefulShutdown(t *testing.T) {
 	release := make(chan struct{})
-	u := newFakeEndpoint(t, func(s string) behaviour {
+	endpoint := newFakeEndpoint(t, func(s string) behaviour {
 		if strings.Contains(s, "c=pay") {
 			<-release
 		}
 		return succeed
 	})
-	p := startRelay(t, newFakeDiscovery(t, u), nil)
+	p := startRelay(t, newFakeDiscovery(t, endpoint), nil)
 	busy, idle := dialClient(t, p), dialClient(t, p)
 	busy.readUntil('Z')
 	idle.readUntil('Z')
 	busy.send(selectStatement("pay", 1900))
-	<-u.received
+	<-endpoint.received
 	p.shutdownGracefully()
-	idle.send(selectStatement("look", 1500)) // goes on being served for a while
+	idle.send(selectStatement("look", 1500)) // still served
 	if v, code := idle.readResponse(); v == "" {
 		t.Error(code)
 	}
 	late := dialClient(t, p, pgwire.QueryMessage(selectStatement("look", 1500))...)
 	late.readUntil('Z')
 	if v, code := late.readResponse(); v == "" {
-		t.Error("a new connection just after the signal:", code)
+		t.Error("a client that connected just after the signal was not served:", code)
 	}
 	if !idle.closedByRelay() {
-		t.Error("the idle connection should be closed cleanly")
+		t.Error("the idle connection is not closed cleanly")
 	}
 	idle.Close()
 	close(release)
 	if v, code := busy.readResponse(); v == "" || !busy.closedByRelay() {
-		t.Error("the open query should be answered, then the connection closed:", code)
+		t.Error("the open request is not answered, or its connection not closed after that:", code)
 	}
 	busy.Close()
 	late.Close()
 	select {
 	case <-p.stop:
 	case <-time.After(testTimeout):
-		t.Error("the program does not end")
+		t.Error("the relay does not stop")
 	}
 	if _, err := net.Dial("tcp", p.clients.Addr().String()); err == nil {
-		t.Error("the listener still takes connections")
+		t.Error("the listener still accepts connections")
 	}
 }
--- a/cmd/lichenroad/size_test.go
+++ b/cmd/lichenroad/size_test.go
@@ -12,37 +12,37 @@
 	"lichenroad/internal/metrics"
 )
 
-// TestThousandRelaysAndUnits starts a relay with 1,024 peers and an indented list of 1,024 endpoints with long names, of
-// over a megabyte, within the smallest limits, and has it serve. A delta that drains half of the endpoints takes effect at
-// once: neither idle connections nor new ones carry another request there.
-func TestThousandRelaysAndUnits(t *testing.T) {
+// TestLargeFleet runs a relay at the smallest limits of memory and sockets, with 1,024 peers and a list of 1,024
+// endpoints that has over 1 MiB. A delta that drains half of the endpoints takes effect at once: they get no further
+// request, neither over idle connections nor over new ones.
+func TestLargeFleet(t *testing.T) {
 	const count, servers = 1024, 8
-	var units []*fakeEndpoint
+	var endpoints []*fakeEndpoint
 	for range servers {
-		units = append(units, newFakeEndpoint(t, always(succeed)))
+		endpoints = append(endpoints, newFakeEndpoint(t, always(succeed)))
 	}
-	list := func(generation int, whole bool, lifecycle string, from, to int) []byte {
+	list := func(generation int, full bool, lifecycle string, from, to int) []byte {
 		var entries []map[string]any
 		for i := from; i < to; i++ {
 			entries = append(entries, map[string]any{"instanceId": fmt.Sprintf("s-%d-%s", i, strings.Repeat("x", 800)),
-				"hostPort": units[i*servers/count].address(), "zone": "a", "machineType": "m1", "cell": i % 8,
+				"hostPort": endpoints[i*servers/count].address(), "zone": "a", "machineType": "m1", "cell": i % 8,
 				"lifecycle": lifecycle, "weight": 1, "startedAtMs": 0, "build": 1})
 		}
-		raw, err := json.MarshalIndent(map[string]any{"generation": generation, "reset": whole, "instances": entries}, "", "    ")
+		raw, err := json.MarshalIndent(map[string]any{"generation": generation, "reset": full, "instances": entries}, "", "    ")
 		if err != nil {
 			t.Fatal(err)
 		}
 		return raw
 	}
-	whole := list(1, true, "SERVING", 0, count)
-	if len(whole) < 1<<20 {
-		t.Fatalf("a list of %d bytes", len(whole))
+	fullList := list(1, true, "SERVING", 0, count)
+	if len(fullList) < 1<<20 {
+		t.Fatalf("the list has only %d bytes", len(fullList))
 	}
 	drain := make(chan struct{})
 	discovery := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		switch r.FormValue("after") {
 		case "":
-			w.Write(whole)
+			w.Write(fullList)
 			return
 		case "1":
 			select {
@@ -65,43 +65,43 @@
 	})
 	c := dialClient(t, p)
 	c.readUntil('Z')
-	ask := func(queries int) {
-		for range queries {
+	request := func(times int) {
+		for range times {
 			c.send(selectStatement("look", 1500))
 			if v, code := c.readResponse(); v == "" {
-				t.Fatalf("not served: %s", code)
+				t.Fatalf("a request was not served: %s", code)
 			}
 		}
 	}
-	ask(200)
+	request(200)
 	statements := func(from, to int) (n int) {
-		for _, u := range units[from:to] {
-			k, _ := u.counts()
+		for _, endpoint := range endpoints[from:to] {
+			k, _ := endpoint.counts()
 			n += k
 		}
 		return n
 	}
 	if statements(0, servers/2) == 0 || statements(servers/2, servers) == 0 {
-		t.Error("half of the fleet got nothing")
+		t.Error("half of the endpoints got no request")
 	}
 	close(drain)
-	waitForCounter(t, p, metrics.DiscoveryCalls, 3) // the next call of the watch follows the delta
-	c.send(";")                                     // and this response follows what the loop had then
+	waitForCounter(t, p, metrics.DiscoveryCalls, 3) // the relay calls again once it has the delta
+	c.send(";")                                     // these empty queries are answered after the loop has handled the delta
 	for range 2 {
 		c.readUntil('Z')
 		c.send(";")
 	}
 	c.readUntil('Z')
 	before := statements(0, servers/2)
-	ask(200)
+	request(200)
 	if after := statements(0, servers/2); after != before {
 		t.Errorf("%d requests went to endpoints listed as draining", after-before)
 	}
 	checkCounters(t, p)
 }
 
-// TestThousandPeersInTheFile reads a configuration with as many peers and known endpoints as a large fleet has.
-func TestThousandPeersInTheFile(t *testing.T) {
+// TestConfigWithManyPeers parses a configuration with 1,024 peers.
+func TestConfigWithManyPeers(t *testing.T) {
 	var peers []string
 	for i := range 1024 {
 		peers = append(peers, fmt.Sprintf("10.3.%d.%d:7946", i/256, i%256))
@@ -110,6 +110,6 @@
 	c, err := config.Parse([]byte(fmt.Sprintf(`{"listen":"127.0.0.1:1","discovery":"127.0.0.1:2","peers":%s,"settings":%s}`,
 		raw, testSettings)), func(string) string { return "" })
 	if err != nil || len(c.Peers) != 1024 {
-		t.Errorf("%d peers: %v", len(c.Peers), err)
+		t.Errorf("parsed %d peers, want 1024: %v", len(c.Peers), err)
 	}
 }
--- a/cmd/lichenroad/tools_test.go
+++ b/cmd/lichenroad/tools_test.go
@@ -17,13 +17,15 @@
 	"lichenroad/lab/live"
 )
 
-// runCommand runs a command and returns its exit code and what it printed.
+// runCommand runs a command and returns its exit code, its standard output and its standard error.
 func runCommand(args ...string) (code int, out, errs string) {
-	var o, e bytes.Buffer
-	code = run(args, func(string) string { return "" }, &o, &e)
-	return code, o.String(), e.String()
+	var stdout, stderr bytes.Buffer
+	code = run(args, func(string) string { return "" }, &stdout, &stderr)
+	return code, stdout.String(), stderr.String()
 }
 
+// TestTools runs valid and invalid commands of the tools, and checks exit codes, output and the number of lines of
+// errors.
 func TestTools(t *testing.T) {
 	dir, controllerDir := t.TempDir(), t.TempDir()
 	bad := filepath.Join(dir, "bad.xml")
@@ -38,7 +40,7 @@
 		args      string
 		code      int
 		out, errs string
-		lines     int // of errors
+		lines     int // on standard error
 	}{
 		{"plan check ../../deploy/plan.xml", 0, "ok: 3 services with 8 steps", "", 0},
 		{"plan check " + bad, 1, "", "bad.xml:", 5},
@@ -82,20 +84,22 @@
 	} {
 		t.Run(c.args, func(t *testing.T) {
 			args := strings.Fields(c.args)
-			if args[0] != "completion" && args[0] != "help" { // these two take no such flag
+			if args[0] != "completion" && args[0] != "help" { // these two do not accept the flag
 				args = append(args, "--log-level", "error")
 			}
 			code, out, errs := runCommand(args...)
 			if code != c.code || !strings.Contains(out, c.out) || !strings.Contains(errs, c.errs) || strings.Count(errs, "\n") != c.lines {
-				t.Errorf("%d %.300q %q", code, out, errs)
+				t.Errorf("exit %d, output %.300q, errors %q", code, out, errs)
 			}
 		})
 	}
 }
 
+// TestSimulate simulates a plan twice with the same result and without violations, and once without the guard, which the
+// checker has to notice.
 func TestSimulate(t *testing.T) {
 	dir := t.TempDir()
-	play := func(more ...string) (int, map[string]any) {
+	simulate := func(more ...string) (int, map[string]any) {
 		file := filepath.Join(dir, "out.json")
 		os.Remove(file)
 		code, out, errs := runCommand(append([]string{"plan", "simulate", "../../deploy/plan.xml", "--days", "0.45", "--relays", "9", "--planners", "12", "--json", file,
@@ -103,38 +107,38 @@
 		raw, err := os.ReadFile(file)
 		var got map[string]any
 		if err != nil || json.Unmarshal(raw, &got) != nil {
-			t.Fatalf("%d %s %s", code, out, errs)
+			t.Fatalf("no result: exit %d, output %s, errors %s", code, out, errs)
 		}
 		for _, name := range []string{"releases", "steps", "legs", "broken", "most_of_cap", "held", "timeline_sha256"} {
 			if _, ok := got[name]; !ok {
-				t.Errorf("no %s", name)
+				t.Errorf("the result has no %s", name)
 			}
 		}
 		return code, got
 	}
-	code, a := play()
-	_, b := play()
-	if code != 0 || len(a["broken"].([]any)) != 0 || a["timeline_sha256"] != b["timeline_sha256"] {
-		t.Errorf("%d %v %v", code, a["timeline_sha256"], b["timeline_sha256"])
+	code, first := simulate()
+	_, second := simulate()
+	if code != 0 || len(first["broken"].([]any)) != 0 || first["timeline_sha256"] != second["timeline_sha256"] {
+		t.Errorf("exit %d, %d violations, timelines %v and %v", code, len(first["broken"].([]any)), first["timeline_sha256"], second["timeline_sha256"])
 	}
-	if code, c := play("--guard", "off"); code != 3 || len(c["broken"].([]any)) == 0 {
-		t.Errorf("without the guard: %d", code)
+	if code, unguarded := simulate("--guard", "off"); code != 3 || len(unguarded["broken"].([]any)) == 0 {
+		t.Errorf("without the guard: exit %d, want 3 and violations", code)
 	}
 }
 
-// TestDemo takes two builds through a plan with real processes: emulated planners, relays with their guard, and a release
-// controller that is killed in the middle of a step. No attempt may go over its exposure limit, and no process may be left.
+// TestDemo rolls out a good and a bad build with real processes: emulated planners, relays with a guard, and a release
+// controller that is killed in the middle of a step. The exposure limit must hold, and no process may be left.
 func TestDemo(t *testing.T) {
 	if testing.Short() {
-		t.Skip("half a minute")
+		t.Skip("takes half a minute")
 	}
 	code, out, errs := runCommand("lab", "demo", "--dir", t.TempDir())
 	if code != 0 || !strings.Contains(out, "build 2 is out") || !strings.Contains(out, "build 3 went back") {
-		t.Errorf("%d %s %s", code, out, errs)
+		t.Errorf("exit %d, output %s, errors %s", code, out, errs)
 	}
 }
 
-// TestTraces checks and replays the samples: the same figures each time, byte by byte.
+// TestTraces checks and replays a sample of each trace layout: two replays give the same result, byte for byte.
 func TestTraces(t *testing.T) {
 	dir := t.TempDir()
 	byUser := filepath.Join(dir, "by-user.xml")
@@ -143,7 +147,7 @@
 		t.Fatal(err)
 	}
 	os.WriteFile(byUser, []byte(strings.Replace(string(text), `by="machine"`, `by="user"`, 1)), 0o600)
-	for layout, says := range map[string]string{"google-2011": "399 rows: 390 taken (0 put back in order), 9 reported; 107 tasks",
+	for layout, audit := range map[string]string{"google-2011": "399 rows: 390 taken (0 put back in order), 9 reported; 107 tasks",
 		"alibaba-2018": "320 rows: 316 taken (125 put back in order), 4 reported; 316 tasks", "azure-2021": "360 rows: 358 taken (170 put back in order), 2 reported; 358 tasks"} {
 		sample := "../../trace/testdata/" + layout + ".csv"
 		file := filepath.Join(dir, layout+".json")
@@ -153,15 +157,15 @@
 			Rows, Taken int64
 			Reported    map[string]int64
 		}
-		if code != 0 || !strings.Contains(out, says) || err != nil || json.Unmarshal(raw, &got) != nil || got.Rows == 0 {
-			t.Errorf("%s: %d %s %s", layout, code, out, errs)
+		if code != 0 || !strings.Contains(out, audit) || err != nil || json.Unmarshal(raw, &got) != nil || got.Rows == 0 {
+			t.Errorf("%s: exit %d, output %s, errors %s", layout, code, out, errs)
 		}
-		left := int64(0)
+		reported := int64(0)
 		for _, n := range got.Reported {
-			left += n
+			reported += n
 		}
-		if got.Taken+left != got.Rows {
-			t.Errorf("%s: %d and %d of %d rows", layout, got.Taken, left, got.Rows)
+		if got.Taken+reported != got.Rows {
+			t.Errorf("%s: %d rows taken and %d reported, of %d", layout, got.Taken, reported, got.Rows)
 		}
 		var runs []string
 		for range 2 {
@@ -169,12 +173,12 @@
 			code, out, errs = runCommand("trace", "replay", sample, "--layout", layout, "--mapping", byUser, "--json", file, "--seed", "5", "--report", dir)
 			raw, err = os.ReadFile(file)
 			if code != 0 || err != nil {
-				t.Fatalf("%s: %d %s %s", layout, code, out, errs)
+				t.Fatalf("%s: exit %d, output %s, errors %s", layout, code, out, errs)
 			}
 			runs = append(runs, string(raw))
 		}
 		if runs[0] != runs[1] {
-			t.Errorf("%s: two replays differ", layout)
+			t.Errorf("%s: two replays of the trace differ", layout)
 		}
 	}
 	if page, err := os.ReadFile(filepath.Join(dir, "replay.html")); err != nil || strings.Count(string(page), "<svg") != 3 {
@@ -199,12 +203,13 @@
 		{"trace replay ../../trace/testdata/azure-2021.csv --layout azure-2021 --mapping " + byUser + " --relays 0", 1, "relays"},
 	} {
 		if code, out, errs := runCommand(strings.Fields(c.args)...); code != c.code || !strings.Contains(errs, c.errs) || strings.Count(errs, "\n") != 1 {
-			t.Errorf("%s: %d %s %s", c.args, code, out, errs)
+			t.Errorf("%s: exit %d, output %s, errors %s", c.args, code, out, errs)
 		}
 	}
 }
 
-// TestLiveReplay plays a sample twice to relays as processes: every request is sent and ends, and the figures lie close.
+// TestLiveReplay replays a sample twice to relay processes: each request is answered or counted as unsent, and the two
+// results are close. Then it checks errors, among them that of a sender that was too late.
 func TestLiveReplay(t *testing.T) {
 	dir := t.TempDir()
 	mapping := filepath.Join(dir, "fast.xml")
@@ -213,39 +218,40 @@
 		t.Fatal(err)
 	}
 	os.WriteFile(mapping, []byte(strings.NewReplacer(`scale="1"`, `scale="60"`, `most="400ms"`, `most="100ms"`).Replace(string(text))), 0o600)
-	words := []string{"trace", "replay", "../../trace/testdata/alibaba-2018.csv", "--layout", "alibaba-2018", "--mapping", mapping, "--live", "--relays", "2",
+	args := []string{"trace", "replay", "../../trace/testdata/alibaba-2018.csv", "--layout", "alibaba-2018", "--mapping", mapping, "--live", "--relays", "2",
 		"--planners", "4", "--dir", filepath.Join(dir, "state"), "--report", dir}
 	var got [2]live.Result
 	for i := range got {
 		file := filepath.Join(dir, "live.json")
 		os.Remove(file)
-		code, out, errs := runCommand(append(words, "--json", file, "--late", "1s")...) // a busy machine is no fault of what is tested
+		code, out, errs := runCommand(append(args, "--json", file, "--late", "1s")...) // a high limit, as a busy machine delays the sender
 		raw, err := os.ReadFile(file)
 		if code != 0 || err != nil || json.Unmarshal(raw, &got[i]) != nil || !strings.Contains(out, "measured on loopback: 316 queries") {
-			t.Fatalf("%d %s %s %v", code, out, errs, err)
+			t.Fatalf("exit %d, output %s, errors %s, result file: %v", code, out, errs, err)
 		}
 		if r := got[i]; r.All.Requests != 316 || r.Sender.Sent+r.Sender.Unsent != 316 || r.Unanswered > 0 || r.Attempts < 300 || r.All.ServedFraction < 0.5 {
 			t.Errorf("%+v", r)
 		}
 	}
 	if d := got[0].All.ServedFraction - got[1].All.ServedFraction; d > 0.2 || d < -0.2 {
-		t.Errorf("two runs lie %g apart", d)
+		t.Errorf("the served fractions of two runs differ by %g", d)
 	}
 	for _, c := range []struct {
 		more string
 		code int
 		errs string
 	}{
-		{"--late 0s --late-share 0", 1, "invalid: the sender was over 0 s late"}, // any sender is: the check can fail
+		{"--late 0s --late-share 0", 1, "invalid: the sender was over 0 s late"}, // every sender is later than that, so this shows that the check works
 		{"--late-share 2", 2, "late-share"}, {"--fault slow", 2, "--fault"}, {"--relays 41", 1, "relays"}, {"--mapping /none", 1, "/none"},
 	} {
-		if code, out, errs := runCommand(append(words, strings.Fields(c.more)...)...); code != c.code || !strings.Contains(errs, c.errs) || strings.Count(errs, "\n") != 1 {
-			t.Errorf("%s: %d %s %s", c.more, code, out, errs)
+		if code, out, errs := runCommand(append(args, strings.Fields(c.more)...)...); code != c.code || !strings.Contains(errs, c.errs) || strings.Count(errs, "\n") != 1 {
+			t.Errorf("%s: exit %d, output %s, errors %s", c.more, code, out, errs)
 		}
 	}
 }
 
-// TestLiveReplayIsEndedBySignal ends a replay early: the result of what was played is printed, and no process goes on.
+// TestLiveReplayIsEndedBySignal interrupts a replay: the result up to then is printed, the command fails, and no
+// process is left.
 func TestLiveReplayIsEndedBySignal(t *testing.T) {
 	dir := t.TempDir()
 	file := filepath.Join(dir, "live.json")
@@ -262,7 +268,7 @@
 			break
 		}
 	}
-	time.Sleep(time.Second) // some requests are sent; what is checked holds for any number of them
+	time.Sleep(time.Second) // time to send some requests; the checks hold for any number
 	c.Process.Signal(os.Interrupt)
 	err := c.Wait()
 	var got live.Result
@@ -273,7 +279,7 @@
 	}
 }
 
-// TestShapes makes each kind of load, twice the same, of which every row can be used.
+// TestShapes writes a trace with each shape of load: the same seed gives the same trace, and every row of it can be used.
 func TestShapes(t *testing.T) {
 	dir := t.TempDir()
 	for _, s := range lab.Shapes {
@@ -286,23 +292,23 @@
 			raw, _ := os.ReadFile(file)
 			texts[i] = string(raw)
 			if code, out, errs := runCommand("trace", "check", file, "--layout", s.Layout); code != 0 || !strings.Contains(out, " 0 reported") {
-				t.Errorf("%s: %d %s %s", s.Name, code, out, errs)
+				t.Errorf("%s: exit %d, output %s, errors %s", s.Name, code, out, errs)
 			}
 		}
 		if n := strings.Count(texts[0], "\n"); texts[0] != texts[1] || n < 1800 || n > 12000 {
-			t.Errorf("%s: %d rows, the same: %v", s.Name, n, texts[0] == texts[1])
+			t.Errorf("%s: %d rows, two traces equal: %v", s.Name, n, texts[0] == texts[1])
 		}
 	}
 	for _, args := range [][]string{{"lab", "shape", "round", "x"}, {"lab", "shape", "tails", "x", "--rate", "0"}} {
 		if code, _, errs := runCommand(args...); code != 2 || strings.Count(errs, "\n") != 1 {
-			t.Errorf("%v: %d %s", args, code, errs)
+			t.Errorf("%v: exit %d, errors %s", args, code, errs)
 		}
 	}
 }
 
 const sampleTrace = "../../trace/testdata/alibaba-2018.csv"
 
-// sweeper calls lab sweep on the sample trace, and reads its result.
+// sweeper runs `lab sweep` on the sample trace and reads its result.
 type sweeper struct {
 	t    *testing.T
 	dir  string
@@ -318,17 +324,17 @@
 	return sweeper{t, dir, file, args}
 }
 
-// sweep varies one thing, and wants so many runs of which none breaks a rule.
+// sweep runs a sweep with further arguments. It fails the test if the result has another number of runs, or a violation.
 func (s sweeper) sweep(runs int, args ...string) (result sweepResult, out string) {
 	s.t.Helper()
 	code, out, errs := runCommand(append(slices.Clone(s.args), args...)...)
 	raw, err := os.ReadFile(s.file)
 	if code != 0 || err != nil || json.Unmarshal(raw, &result) != nil || len(result.Runs) != runs {
-		s.t.Fatalf("%v: %d %v %d runs\n%s %s", args, code, err, len(result.Runs), out, errs)
+		s.t.Fatalf("%v: exit %d, %v, %d runs, want %d\n%s %s", args, code, err, len(result.Runs), runs, out, errs)
 	}
 	for _, r := range result.Runs {
 		if r.Metrics["broken"] != 0 {
-			s.t.Errorf("%v: %+v", args, r)
+			s.t.Errorf("%v: a run with violations: %+v", args, r)
 		}
 	}
 	return result, out
@@ -341,25 +347,26 @@
 	}
 }
 
-// TestSweepOfModules: the baselines keep the rules too.
+// TestSweepOfModules compares the decision module with the baselines, which violate no rule either and still serve at
+// least half of the load.
 func TestSweepOfModules(t *testing.T) {
 	for _, m := range []string{"random", "least-in-flight"} {
 		result, _ := newSweeper(t).sweep(6, "--vary", "module=policy,"+m)
 		for _, r := range result.Runs {
 			if r.Metrics["service"] < 0.5 {
-				t.Errorf("%+v", r)
+				t.Errorf("a run with a service below 0.5: %+v", r)
 			}
 		}
 	}
 }
 
-// TestSweepOfFaults: no fault brings the module to break a rule.
+// TestSweepOfFaults checks that the decision module violates no rule under any fault of the planners.
 func TestSweepOfFaults(t *testing.T) {
 	s := newSweeper(t)
 	s.sweep(3*len(lab.EndpointFaultNames()), "--vary", "fault="+strings.Join(lab.EndpointFaultNames(), ","), "--report", s.dir)
 	page, err := os.ReadFile(filepath.Join(s.dir, "sweep.html"))
 	if err != nil || strings.Count(string(page), "<svg") != 6 {
-		t.Error("no page with six charts: ", err)
+		t.Error("no report with six charts: ", err)
 	}
 }
 
@@ -367,17 +374,18 @@
 	one := filepath.Join(t.TempDir(), "one.json")
 	runCommand("trace", "replay", sampleTrace, "--layout", "alibaba-2018", "--mapping", "../../deploy/mapping.xml", "--seed", "2", "--json", one)
 	if code, out, errs := runCommand("lab", "compare", one, one); code != 0 || !strings.Contains(out, "not told apart") {
-		t.Errorf("%d %s %s", code, out, errs)
+		t.Errorf("exit %d, output %s, errors %s", code, out, errs)
 	}
 }
 
-// TestSweepOfAttempts varies the bound on attempts; then come calls that are wrong, its result in the place of a replay's too.
+// TestSweepOfAttempts varies the limit on attempts. Then it checks the errors of invalid commands, such as a comparison
+// of a sweep with several values.
 func TestSweepOfAttempts(t *testing.T) {
 	s := newSweeper(t)
-	words, file, sample := s.args, s.file, sampleTrace
-	code, out, errs := runCommand(append(words, "--vary", "legs=3,1", "--fault", "failing")...)
+	args, file, sample := s.args, s.file, sampleTrace
+	code, out, errs := runCommand(append(args, "--vary", "legs=3,1", "--fault", "failing")...)
 	if code != 0 || !strings.Contains(out, "legs=1 against legs=3") {
-		t.Errorf("%d %s %s", code, out, errs)
+		t.Errorf("exit %d, output %s, errors %s", code, out, errs)
 	}
 	one := filepath.Join(t.TempDir(), "one.json")
 	runCommand("trace", "replay", sampleTrace, "--layout", "alibaba-2018", "--mapping", "../../deploy/mapping.xml", "--seed", "2", "--json", one)
@@ -385,13 +393,13 @@
 		args []string
 		code int
 	}{
-		{append(words, "--vary", "planners="), 2}, {append(words, "--vary", "moon=1,2"), 2}, {append(words, "--vary", "relays=a,b"), 2},
-		{append(words, "--vary", "module=policy,dice"), 2}, {append(words, "--vary", "fault=none,moon"), 2}, {append(words, "--vary", "legs=1,x"), 2},
-		{append(words, "--vary", "cancel=true,perhaps"), 2}, {append(words, "--vary", "legs=1,2", "--fault", "moon"), 2}, {[]string{"lab", "compare", file, one}, 1}, {[]string{"lab", "compare", sample, one}, 1},
+		{append(args, "--vary", "planners="), 2}, {append(args, "--vary", "moon=1,2"), 2}, {append(args, "--vary", "relays=a,b"), 2},
+		{append(args, "--vary", "module=policy,dice"), 2}, {append(args, "--vary", "fault=none,moon"), 2}, {append(args, "--vary", "legs=1,x"), 2},
+		{append(args, "--vary", "cancel=true,perhaps"), 2}, {append(args, "--vary", "legs=1,2", "--fault", "moon"), 2}, {[]string{"lab", "compare", file, one}, 1}, {[]string{"lab", "compare", sample, one}, 1},
 		{[]string{"lab", "compare", "/none", one}, 1},
 	} {
 		if code, out, errs := runCommand(c.args...); code != c.code || strings.Count(errs, "\n") != 1 {
-			t.Errorf("%v: %d %s %s", c.args, code, out, errs)
+			t.Errorf("%v: exit %d, output %s, errors %s", c.args, code, out, errs)
 		}
 	}
 }
--- a/cmd/lichenroad/tracelive.go
+++ b/cmd/lichenroad/tracelive.go
@@ -75,8 +75,8 @@
 		RequestClasses: mapping.Classes, Tenants: mapping.Tenants, Bounds: flags.bounds}, nil
 }
 
-// prefetch reads the trace ahead of the sender, on a goroutine that ends with the trace or the context. The goroutine then
-// closes the channel of arrivals and sends its error, or nil, on the other channel.
+// prefetch reads the trace ahead of the sender, on a goroutine that ends with the trace or the context. The goroutine
+// then closes the channel of arrivals and sends its error, or nil, on the other channel.
 func (t *tool) prefetch(ctx context.Context, in *traceInput, files []string, seed int64) (<-chan lab.Arrival, <-chan error) {
 	arrivals := make(chan lab.Arrival, maxQueuedArrivals)
 	result := make(chan error, 1)
