--- a/cmd/lichenroad/fit.go
+++ b/cmd/lichenroad/fit.go
@@ -21,7 +21,7 @@
 	from   float64 // smallest size that is fitted
 	to     float64 // largest size that is fitted
 	at     float64 // size to extrapolate to; 0: none
-	budget float64 // value whose size is sought; 0: none
+	budget float64 // value for which to find the size; 0: none
 }
 
 func (t *tool) labFit() *cobra.Command {
--- a/cmd/lichenroad/logs.go
+++ b/cmd/lichenroad/logs.go
@@ -10,8 +10,8 @@
 	"lichenroad/internal/metrics"
 )
 
-// logger returns a log to standard error at the level of --log-level, and counters, which count the lines that it drops.
-// Writing to the log never blocks. flush writes the queued lines and ends the log.
+// logger returns a log to standard error at the level of --log-level, and the counters in which it counts the lines that it
+// drops. Writing to the log never blocks. flush writes the queued lines and ends the log.
 func (t *tool) logger() (log *logrus.Logger, counters *metrics.Counters, flush func(), err error) {
 	level, err := logrus.ParseLevel(t.logLevel)
 	if err != nil {
--- a/cmd/lichenroad/serve.go
+++ b/cmd/lichenroad/serve.go
@@ -39,7 +39,7 @@
 // relayProcess is a running relay. Its parts run on their own goroutines and post events to the loop. The loop runs on
 // the goroutine of serve until stop is closed.
 type relayProcess struct {
-	config    config.Config // in effect; only the loop may access it
+	config    config.Config // in effect; owned by the loop once that runs
 	releases  releasePlan
 	guard     *guard.Host // nil without a plan
 	loop      *pipeline.Loop
--- a/cmd/lichenroad/sweep.go
+++ b/cmd/lichenroad/sweep.go
@@ -43,9 +43,9 @@
 
 func (t *tool) labSweep() *cobra.Command {
 	c := &cobra.Command{Use: "sweep FILE...", Short: "Replay a trace with several values of one option, on several seeds, and compare the results", Args: cobra.MinimumNArgs(1),
-		Long: "Replay a trace with several values of one option, on several seeds. --vary is the option and its values: relays=4,8, planners=8,10,12,\nmodule=" + strings.Join(lab.Baselines(), ",") +
+		Long: "Replay a trace with several values of one option, on several seeds. --vary is the option and its values: relays=4,8,\nplanners=8,10,12, module=" + strings.Join(lab.Baselines(), ",") +
 			",\nfault=" + strings.Join(lab.EndpointFaultNames(), ",") +
-			",\nlegs=1,2,3 (attempts a request), cancel=true,false or retry-after=true,false. Each value is compared with the first, seed by\nseed. With one value the runs are only written to the file, for lab compare, such as with another version of the program."}
+			",\nlegs=1,2,3 (attempts a request), cancel=true,false or retry-after=true,false. Each value is compared with the first, seed\nby seed. With one value the runs are only written to the file, for lab compare, such as with another version of the\nprogram."}
 	var in traceInput
 	var flags sweepFlags
 	in.addFlags(c)
@@ -126,11 +126,11 @@
 
 // readArrivals reads the trace of a sweep. It keeps the arrivals in memory, but not the rows of the trace.
 func (t *tool) readArrivals(in *traceInput, files []string) ([]lab.Arrival, error) {
-	const thinningSeed = 1 // a fixed seed, so that all runs have the same requests
+	const samplingSeed = 1 // a fixed seed, so that all runs have the same requests
 	var arrivals []lab.Arrival
-	_, err := in.emitArrivals(context.Background(), t, files, thinningSeed, func(arrival lab.Arrival) error {
+	_, err := in.emitArrivals(context.Background(), t, files, samplingSeed, func(arrival lab.Arrival) error {
 		if len(arrivals) >= maxSweptRequests {
-			return fmt.Errorf("the trace has over %d requests: sample it, or use a shorter one", maxSweptRequests)
+			return fmt.Errorf("the trace has over %d requests: lower the thin attribute of the mapping, or use a shorter trace", maxSweptRequests)
 		}
 		arrivals = append(arrivals, arrival)
 		return nil
--- a/cmd/lichenroad/trace.go
+++ b/cmd/lichenroad/trace.go
@@ -53,7 +53,8 @@
 		return nil, failed(err)
 	}
 	readers := sources.readers
-	if bar := t.progressBar(sources.size, "trace", progressbar.OptionShowBytes(true)); bar != nil { // the rate and the remaining time are computed from the bytes read
+	// The bar's rate and remaining time are computed from the bytes read.
+	if bar := t.progressBar(sources.size, "trace", progressbar.OptionShowBytes(true)); bar != nil {
 		defer func() { _ = bar.Clear() }() // an error only leaves the bar on the terminal
 		for i := range readers {
 			readers[i] = io.TeeReader(readers[i], bar)
