--- a/cmd/lichenroad/scale.go
+++ b/cmd/lichenroad/scale.go
@@ -39,7 +39,7 @@
 	f.Float64Var(&options.Rate, "rate", 77, "requests a second at each relay, in the mean")
 	f.StringArrayVar(&flags.faults, "fault", nil, "what goes wrong; may be given more than once")
 	f.StringArrayVar(&flags.without, "without", nil, "a defence to switch off; may be given more than once")
-	f.IntVar(&options.Measured, "measured", 0, "relays of a service that are hosted whole besides its first 8; 0: by the budget")
+	f.IntVar(&options.SampledPerService, "measured", 0, "relays of a service that are hosted whole besides its first 8; 0: by the budget")
 	f.IntVar(&options.Jobs, "jobs", runtime.GOMAXPROCS(0), "threads; they change no figure but processor time and memory")
 	f.StringVar(&flags.json, "json", "", "a file for the figures")
 	c.RunE = func(*cobra.Command, []string) error { return t.runScale(options, flags) }
--- a/lab/scale/checker_test.go
+++ b/lab/scale/checker_test.go
@@ -18,8 +18,8 @@
 // TestCheckerFindsViolationsWithoutASafeguard runs with all safeguards, and without each of them.
 func TestCheckerFindsViolationsWithoutASafeguard(t *testing.T) {
 	o := smallOptions(Wide, func(o *Options) { o.Faults, o.Seconds = []Fault{ZoneLoss}, 22 }) // so that endpoints leave
-	if r := simulate(t, o); r.ViolationCount != 0 || r.Decisions.BadRolledBack != 1 || !r.SlowStartChecked {
-		t.Errorf("with all safeguards: %+v, %+v", r.Violations, r.Decisions)
+	if r := simulate(t, o); r.ViolationCount != 0 || r.ReleaseSummary.BadRolledBack != 1 || !r.SlowStartChecked {
+		t.Errorf("with all safeguards: %+v, %+v", r.Violations, r.ReleaseSummary)
 	}
 	for safeguard, rule := range map[Safeguard]string{DrainNotices: drainRule, ExposureLimit: exposureRule, Leases: drainRule} {
 		t.Run("without "+string(safeguard), func(t *testing.T) {
--- a/lab/scale/faults.go
+++ b/lab/scale/faults.go
@@ -81,7 +81,7 @@
 	case RegionSplit:
 		p.addAt(from, func(sim *simulation, now float64) { sim.setPartition(now, true) })
 		p.addAt(to, func(sim *simulation, now float64) { sim.setPartition(now, false) })
-	case OneWay:
+	case OneWayPartition:
 		p.addAt(from, func(sim *simulation, _ float64) { sim.network.oneWay = true })
 		p.addAt(to, func(sim *simulation, _ float64) { sim.network.oneWay = false })
 	case AllAggregatorsKilled:
--- a/lab/scale/meter_test.go
+++ b/lab/scale/meter_test.go
@@ -126,7 +126,7 @@
 func checkAggregators(t *testing.T, r *Result, counts []manualCount, seconds float64) {
 	t.Helper()
 	for _, role := range r.Roles {
-		if role.Name != aggregatorRole || role.Measured != 4 {
+		if role.Name != aggregatorRole || role.Hosted != 4 {
 			continue
 		}
 		sum := int64(0)
--- a/lab/scale/options.go
+++ b/lab/scale/options.go
@@ -34,7 +34,7 @@
 	RackLoss             Fault = "rack"
 	ZoneLoss             Fault = "zone"
 	RegionSplit          Fault = "region-split"
-	OneWay               Fault = "one-way"
+	OneWayPartition      Fault = "one-way"
 	DatagramLoss         Fault = "loss"
 	Duplicates           Fault = "duplicates"
 	Reorder              Fault = "reorder"
@@ -42,7 +42,7 @@
 )
 
 // AllFaults lists the faults in the order of the documentation.
-var AllFaults = []Fault{RelayKills, RelayKillsX100, Restarts, RestartsX100, RackLoss, ZoneLoss, RegionSplit, OneWay,
+var AllFaults = []Fault{RelayKills, RelayKillsX100, Restarts, RestartsX100, RackLoss, ZoneLoss, RegionSplit, OneWayPartition,
 	DatagramLoss, Duplicates, Reorder, AllAggregatorsKilled}
 
 // Safeguard is the name of a safeguard that a run can switch off, so that the checker has something to find.
@@ -90,8 +90,8 @@
 	Rate      float64     `json:"rate"` // requests a second at each relay, in the mean
 	Faults    []Fault     `json:"faults"`
 	Without   []Safeguard `json:"without"`
-	// Measured bounds the relays of a service that are hosted besides its first ones; 0: by the budget.
-	Measured int `json:"measured"`
+	// SampledPerService bounds the relays of a service that are hosted besides its first ones; 0: by the budget.
+	SampledPerService int `json:"measured"`
 	// Jobs is how many threads advance relays. It changes no figure but processor time and memory.
 	Jobs int `json:"-"`
 	// Progress is called with the virtual time now and then; nil: never.
@@ -126,7 +126,7 @@
 		{"tenants", float64(o.Tenants), 0, maxTenants},
 		{"routes", float64(o.Routes), 0, maxRoutes},
 		{"rate", o.Rate, 0.1, maxRate},
-		{"measured", float64(o.Measured), 0, maxRelays},
+		{"measured", float64(o.SampledPerService), 0, maxRelays},
 		{"jobs", float64(o.Jobs), 1, maxJobs},
 	} {
 		inRange := r.value >= r.min && r.value <= r.max // false for NaN
@@ -153,7 +153,7 @@
 // validateNames checks the faults and the safeguards.
 func (o *Options) validateNames() error {
 	for _, fault := range o.Faults {
-		needsRegions := fault == RegionSplit || fault == OneWay
+		needsRegions := fault == RegionSplit || fault == OneWayPartition
 		if needsRegions && o.Regions < 2 {
 			return fmt.Errorf("--fault: %s needs two regions", fault)
 		}
--- a/lab/scale/result.go
+++ b/lab/scale/result.go
@@ -9,18 +9,18 @@
 	"time"
 )
 
-// Decisions sum up the releases of the simulated services.
-type Decisions struct {
-	Releases       int     `json:"releases"`
-	Bad            int     `json:"bad"`
-	BadForOne      int     `json:"bad_for_one_service"`
-	BadRolledBack  int     `json:"bad_sent_back"`
-	RollBackP50    float64 `json:"seconds_to_back_p50"`
-	RollBackP90    float64 `json:"seconds_to_back_p90"`
-	BadStayed      int     `json:"bad_stayed"` // released, or still a canary at the next release
-	GoodRolledBack int     `json:"good_sent_back"`
-	GoodReleased   int     `json:"good_released"`
-	Open           int     `json:"open_at_the_end"`
+// ReleaseSummary sum up the releases of the simulated services.
+type ReleaseSummary struct {
+	Releases         int     `json:"releases"`
+	Bad              int     `json:"bad"`
+	BadForOneService int     `json:"bad_for_one_service"`
+	BadRolledBack    int     `json:"bad_sent_back"`
+	RollBackP50      float64 `json:"seconds_to_back_p50"`
+	RollBackP90      float64 `json:"seconds_to_back_p90"`
+	BadNotRolledBack int     `json:"bad_stayed"` // released, or still a canary at the next release
+	GoodRolledBack   int     `json:"good_sent_back"`
+	GoodReleased     int     `json:"good_released"`
+	Open             int     `json:"open_at_the_end"`
 }
 
 // Faults are the effects of a run's faults.
@@ -31,25 +31,25 @@
 
 // Result is the figures of a run. docs/scale-lab.md explains each.
 type Result struct {
-	Options          Options       `json:"options"`
-	Services         int           `json:"services_played"`
-	Relays           int           `json:"relays_played"`
-	Hosted           int           `json:"instances_measured"`
-	Roles            []Role        `json:"roles"`
-	Decisions        Decisions     `json:"decisions"`
-	Releases         []Release     `json:"releases"`
-	Requests         requestCounts `json:"requests"`
-	ListsRejected    int           `json:"lists_refused"` // by the real reader, as too long
-	Unreadable       int           `json:"unreadable"`
-	UnknownEndpoints int           `json:"unknown_units"`
-	RemovedByPeers   int           `json:"units_told_by_peers"` // before discovery listed the removal
-	Faults           Faults        `json:"faults"`
-	ViolationCount   int           `json:"broken_count"`
-	Violations       []Violation   `json:"broken"`
-	SlowStartChecked bool          `json:"cold_checked"` // every relay was hosted, so that the work sent during slow start is known
-	ProcessPeakMB    float64       `json:"process_peak_mb"`
-	WallSeconds      float64       `json:"wall_s"`
-	GCSeconds        float64       `json:"gc_cpu_s"` // of the collector's own threads, up to the end of the virtual time
+	Options          Options        `json:"options"`
+	Services         int            `json:"services_played"`
+	Relays           int            `json:"relays_played"`
+	Hosted           int            `json:"instances_measured"`
+	Roles            []Role         `json:"roles"`
+	ReleaseSummary   ReleaseSummary `json:"decisions"`
+	Releases         []Release      `json:"releases"`
+	Requests         requestCounts  `json:"requests"`
+	ListsRejected    int            `json:"lists_refused"` // by the real reader, as too long
+	Unreadable       int            `json:"unreadable"`
+	UnknownEndpoints int            `json:"unknown_units"`
+	RemovedByPeers   int            `json:"units_told_by_peers"` // before discovery listed the removal
+	Faults           Faults         `json:"faults"`
+	ViolationCount   int            `json:"broken_count"`
+	Violations       []Violation    `json:"broken"`
+	SlowStartChecked bool           `json:"cold_checked"` // every relay was hosted, so that the work sent during slow start is known
+	ProcessPeakMB    float64        `json:"process_peak_mb"`
+	WallSeconds      float64        `json:"wall_s"`
+	GCSeconds        float64        `json:"gc_cpu_s"` // of the collector's own threads, up to the end of the virtual time
 }
 
 const (
@@ -141,27 +141,27 @@
 	for _, s := range services {
 		for _, release := range s.platform.releases {
 			r.Releases = append(r.Releases, release)
-			r.Decisions.add(release)
+			r.ReleaseSummary.add(release)
 			if release.Bad && release.wasRolledBack() {
 				rollBackTimes = append(rollBackTimes, release.RolledBackAfter)
 			}
 		}
 	}
 	slices.Sort(rollBackTimes)
-	r.Decisions.RollBackP50 = quantile(rollBackTimes, 0.5)
-	r.Decisions.RollBackP90 = quantile(rollBackTimes, 0.9)
+	r.ReleaseSummary.RollBackP50 = quantile(rollBackTimes, 0.5)
+	r.ReleaseSummary.RollBackP90 = quantile(rollBackTimes, 0.9)
 }
 
 func (r *Release) wasRolledBack() bool { return r.RolledBackAfter >= 0 }
 
 // add counts one release.
-func (d *Decisions) add(release Release) {
+func (d *ReleaseSummary) add(release Release) {
 	d.Releases++
 	switch {
 	case release.Bad && release.wasRolledBack():
 		d.BadRolledBack++
 	case release.Bad && release.Ended:
-		d.BadStayed++
+		d.BadNotRolledBack++
 	case !release.Bad && release.wasRolledBack():
 		d.GoodRolledBack++
 	case !release.Bad && release.ReleasedAfter >= 0:
@@ -173,7 +173,7 @@
 		d.Bad++
 	}
 	if release.Bad && release.Kind == badForOneService.String() {
-		d.BadForOne++
+		d.BadForOneService++
 	}
 }
 
--- a/lab/scale/role.go
+++ b/lab/scale/role.go
@@ -18,7 +18,7 @@
 type Role struct {
 	Name          string `json:"name"`
 	Instances     int    `json:"instances"`          // of the fleet
-	Measured      int    `json:"instances_measured"` // that were hosted
+	Hosted        int    `json:"instances_measured"` // that were hosted
 	HeapsMeasured int    `json:"heaps_measured"`
 
 	CPUShare        Distribution `json:"cpu_share"`   // of one core, without the first list
@@ -45,7 +45,7 @@
 	role := Role{
 		Name:            name,
 		Instances:       int(math.Round(population.size())),
-		Measured:        len(instances),
+		Hosted:          len(instances),
 		CPUShare:        population.rate(func(m *meter) float64 { return float64(m.processorTime) / 1e9 }),
 		StartCPUSeconds: population.distribution(func(m *meter) float64 { return float64(m.startProcessorTime) / 1e9 }),
 		Traffic:         population.traffic(policyClass, membershipClass),
--- a/lab/scale/sample.go
+++ b/lab/scale/sample.go
@@ -109,8 +109,8 @@
 
 // chooseSample returns the largest sample within the budget, or an error if there is none that fits the memory.
 func (o *Options) chooseSample() (sample, error) {
-	if o.Measured > 0 {
-		s := sample{ordinary: o.Measured, tailStride: 1}
+	if o.SampledPerService > 0 {
+		s := sample{ordinary: o.SampledPerService, tailStride: 1}
 		return s, o.checkMemory(s)
 	}
 	candidates := o.candidateSamples()
--- a/lab/scale/scale_test.go
+++ b/lab/scale/scale_test.go
@@ -60,7 +60,7 @@
 		{func(o *Options) { o.Routes = 2_000_000 }, "--routes: 2e+06 is not from 0 to 1e+06"},
 		{func(o *Options) { o.Rate = 0 }, "--rate: 0 is not from 0.1 to 1000"},
 		{func(o *Options) { o.Jobs = 0 }, "--jobs: 0 is not from 1 to 256"},
-		{func(o *Options) { o.Measured = -1 }, "--measured: -1 is not from 0 to 20000"},
+		{func(o *Options) { o.SampledPerService = -1 }, "--measured: -1 is not from 0 to 20000"},
 		{func(o *Options) { o.Shape = "round" }, `--shape: "round" is neither wide nor skewed`},
 		{func(o *Options) { o.Regions, o.Zones = 7, 6 }, "--regions: 7 of them need as many zones, not 6"},
 		{func(o *Options) { o.Services = 15 }, "--services: 15 of them need as many relays and units"},
@@ -99,7 +99,7 @@
 
 // TestRunRejectsSizesThatNeedTooMuchMemory asks for more hosted relays than fit.
 func TestRunRejectsSizesThatNeedTooMuchMemory(t *testing.T) {
-	o := smallOptions(Wide, func(o *Options) { o.Relays, o.Endpoints, o.Measured = 4300, 42000, 4300 })
+	o := smallOptions(Wide, func(o *Options) { o.Relays, o.Endpoints, o.SampledPerService = 4300, 42000, 4300 })
 	_, err := Run(context.Background(), o)
 	if err == nil || !strings.Contains(err.Error(), "MB for 4300 hosted relays, and a run may take 12288 MB") {
 		t.Errorf("%v", err)
@@ -124,7 +124,7 @@
 
 // TestSampleStandsForAll checks that the weights of hosted relays add up to the size of the fleet.
 func TestSampleStandsForAll(t *testing.T) {
-	o := Options{Relays: 430, Endpoints: 900, Services: 100, Zones: 16, Regions: 7, Shape: Skewed, Seconds: 1, Rate: 5, Jobs: 1, Measured: 3}
+	o := Options{Relays: 430, Endpoints: 900, Services: 100, Zones: 16, Regions: 7, Shape: Skewed, Seconds: 1, Rate: 5, Jobs: 1, SampledPerService: 3}
 	sim, err := newSimulation(o)
 	if err != nil {
 		t.Fatal(err)
@@ -146,8 +146,8 @@
 // TestSyntheticRelaysSendWhatHostedRelaysDo compares what relays receive from synthetic relays with what they
 // receive from hosted ones.
 func TestSyntheticRelaysSendWhatHostedRelaysDo(t *testing.T) {
-	all := simulate(t, smallOptions(Wide, func(o *Options) { o.Relays, o.Rate, o.Measured = 40, 60, 40 }))
-	part := simulate(t, smallOptions(Wide, func(o *Options) { o.Relays, o.Rate, o.Measured = 40, 60, 4 }))
+	all := simulate(t, smallOptions(Wide, func(o *Options) { o.Relays, o.Rate, o.SampledPerService = 40, 60, 40 }))
+	part := simulate(t, smallOptions(Wide, func(o *Options) { o.Relays, o.Rate, o.SampledPerService = 40, 60, 4 }))
 	if all.Hosted != 40 || part.Hosted != 12 {
 		t.Fatalf("%d and %d hosted", all.Hosted, part.Hosted)
 	}
@@ -172,8 +172,8 @@
 			}
 		}
 	}
-	if all.Decisions.BadRolledBack != 1 || part.Decisions.BadRolledBack != 1 {
-		t.Errorf("the bad build was rolled back %d and %d times", all.Decisions.BadRolledBack, part.Decisions.BadRolledBack)
+	if all.ReleaseSummary.BadRolledBack != 1 || part.ReleaseSummary.BadRolledBack != 1 {
+		t.Errorf("the bad build was rolled back %d and %d times", all.ReleaseSummary.BadRolledBack, part.ReleaseSummary.BadRolledBack)
 	}
 }
 
--- a/lab/scale/table.go
+++ b/lab/scale/table.go
@@ -32,7 +32,7 @@
 	for i := range r.Roles {
 		role := &r.Roles[i]
 		for _, row := range role.rows() {
-			fmt.Fprintf(table, "%s\t%d\t%d\t%s\t%.4g\t%.4g\t%.4g\t\n", role.Name, role.Instances, role.Measured, row.name,
+			fmt.Fprintf(table, "%s\t%d\t%d\t%s\t%.4g\t%.4g\t%.4g\t\n", role.Name, role.Instances, role.Hosted, row.name,
 				row.figure.Mean, row.figure.P99, row.figure.Max)
 		}
 	}
@@ -40,9 +40,9 @@
 }
 
 func (r *Result) formatTotals(text *bytes.Buffer) {
-	d, requests, faults := &r.Decisions, &r.Requests, &r.Faults
+	d, requests, faults := &r.ReleaseSummary, &r.Requests, &r.Faults
 	fmt.Fprintf(text, "releases: %d, %d bad (%d for one service alone): %d sent back after %.1f s (p50) and %.1f s (p90), %d stayed; ",
-		d.Releases, d.Bad, d.BadForOne, d.BadRolledBack, d.RollBackP50, d.RollBackP90, d.BadStayed)
+		d.Releases, d.Bad, d.BadForOneService, d.BadRolledBack, d.RollBackP50, d.RollBackP90, d.BadNotRolledBack)
 	fmt.Fprintf(text, "good: %d released, %d sent back; %d open at the end\n", d.GoodReleased, d.GoodRolledBack, d.Open)
 	fmt.Fprintf(text, "requests: %d taken, %d honoured, %d denied, %d written off, %d left unanswered, %d open at the end, %d attempts\n",
 		requests.Received, requests.Succeeded, requests.Rejected, requests.Failed, requests.ClientsDisconnected, requests.Open,
