--- a/lab/scale/checker.go
+++ b/lab/scale/checker.go
@@ -7,53 +7,53 @@
 	"lichenroad/relay"
 )
 
-// Violation is one breach of a rule.
+// Violation is one breach of a checked rule.
 type Violation struct {
-	Time     float64 `json:"time"` // virtual, in seconds
+	Time     float64 `json:"time"` // virtual time in seconds
 	Instance string  `json:"instance"`
 	Rule     string  `json:"rule"`
 	Detail   string  `json:"detail"`
 }
 
-// The rules that the checker knows, as results name them.
+// The checked rules, as named in results.
 const (
-	drainRule     = "drain"
-	exposureRule  = "exposure"
-	slowStartRule = "cold"
-	effectRule    = "effect-twice"
+	drainRule     = "drain"        // no attempts are sent to draining or removed endpoints after the drain grace
+	exposureRule  = "exposure"     // attempts at the build on trial stay within the exposure limit
+	slowStartRule = "cold"         // endpoints are not overloaded during slow start, counted over all relays
+	effectRule    = "effect-twice" // at-most-once requests are retried only if every earlier attempt provably never ran
 )
 
-// Terms of the rules, which are also in the settings of relays. Durations are in seconds.
+// Parameters of the rules. Most are also in the settings of relays. Durations are in seconds.
 const (
-	drainGrace            = 0.25 // from the time as of which a relay knows of a drain until no attempt may be sent
-	changeBindsAfter      = 6.0  // from a change until a relay that it did not reach counts as knowing it, if discovery is up
-	exposureWindow        = 2.0
-	exposureAllowance     = 1.0  // attempts in the window beyond the limit
-	limitGrace            = 0.25 // from a lower exposure limit until it binds
-	maxViolationsPerRelay = 10   // that are kept in detail; further ones are only counted
+	drainGrace            = 0.25 // time from a relay's notification of a drain until it may no longer send attempts to the endpoint
+	maxNotifyDelay        = 6.0  // time from a change at discovery until a relay that has not received it counts as notified of it
+	exposureWindow        = 2.0  // period over which requests and attempts at the canary are counted
+	exposureAllowance     = 1.0  // attempts in the window that are allowed in addition to the limit
+	limitGrace            = 0.25 // time from the receipt of a lower exposure limit until it applies
+	maxViolationsPerRelay = 10   // violations kept in detail; further ones are only counted
 )
 
-// exposureTolerance absorbs rounding in the sum of exposure limits.
+// exposureTolerance allows for rounding errors in the sum of exposure limits.
 const exposureTolerance = 1e-6
 
-// checker observes one relay from outside. It knows what the relay received and the state of the simulation, but nothing of
-// the decision code.
+// checker checks the rules for one relay. It uses only the relay's inputs and outputs and the state of the simulation, not
+// the state of the decision code.
 type checker struct {
 	instance           string
 	violations         []Violation
-	count              int                          // of all violations
-	drainsReceived     map[relay.EndpointID]float64 // when the relay first received that an endpoint leaves
-	status             relay.RolloutStatus          // received last
-	previousLimit      float64                      // exposure limit before a decrease, which holds up to previousLimitUntil
+	count              int                          // all violations, including those not kept
+	drainsReceived     map[relay.EndpointID]float64 // when the relay first received a drain or removal of the endpoint
+	status             relay.RolloutStatus          // the last one received
+	previousLimit      float64                      // exposure limit before a decrease; it applies up to previousLimitUntil
 	previousLimitUntil float64
 	requests           []limitedRequest // received within the exposure window
 	exposedAttempts    []float64        // when attempts at the canary were sent within the exposure window
 }
 
-// limitedRequest is a request with the exposure limit at its receipt.
+// limitedRequest is a request with the exposure limit at the time of its receipt.
 type limitedRequest struct{ receivedAt, limit float64 }
 
-// restart forgets what the relay received before its restart.
+// restart clears what the relay received before its restart.
 func (c *checker) restart() {
 	c.drainsReceived = map[relay.EndpointID]float64{}
 	c.status = relay.RolloutStatus{}
@@ -88,7 +88,8 @@
 	}
 }
 
-// exposureLimit returns the fraction of the requests that may go to the newest build, or to one not announced yet.
+// exposureLimit returns the share of the requests that may be sent to the newest build, or to a build whose rollout status has
+// not arrived yet.
 func (c *checker) exposureLimit(now float64) float64 {
 	switch {
 	case c.status.Phase == relay.PhaseReleased || c.status.Phase == relay.PhaseWithdrawn:
@@ -107,26 +108,26 @@
 	}
 }
 
-// checkAttempt checks an attempt that the relay sends. Unreachable is for how long since the endpoint's drain the relay
-// could not reach discovery.
+// checkAttempt checks an attempt that the relay sends. The argument unreachable is how long the relay could not reach
+// discovery since the drain of the endpoint was listed.
 func (c *checker) checkAttempt(now float64, r *request, e *endpoint, unreachable float64) {
 	c.checkDrain(now, e, unreachable)
 	c.checkExposure(now, e)
 	c.checkEffect(now, r, e)
 }
 
-// checkDrain checks that the endpoint was not draining for longer than the grace.
+// checkDrain checks that no more than the drain grace has passed since the relay counts as notified of a drain.
 func (c *checker) checkDrain(now float64, e *endpoint, unreachable float64) {
-	knownAt := e.drainListedAt + changeBindsAfter + unreachable
+	notifiedAt := e.drainListedAt + maxNotifyDelay + unreachable
 	if receivedAt, received := c.drainsReceived[e.id]; received {
-		knownAt = math.Min(knownAt, receivedAt)
+		notifiedAt = math.Min(notifiedAt, receivedAt)
 	}
-	if now > knownAt+drainGrace {
-		c.addViolation(now, drainRule, "%s counts as told since %.3f s", e.name, knownAt)
+	if now > notifiedAt+drainGrace {
+		c.addViolation(now, drainRule, "%s counts as told since %.3f s", e.name, notifiedAt)
 	}
 }
 
-// checkExposure checks that attempts at the canary stay within the exposure limit.
+// checkExposure checks that the number of attempts at the canary within the window is within the exposure limit.
 func (c *checker) checkExposure(now float64, e *endpoint) {
 	released := e.build == c.status.Build && c.status.Phase == relay.PhaseReleased
 	if e.build < c.status.Build || released {
@@ -147,7 +148,7 @@
 	}
 }
 
-// checkEffect checks that a request which may run at most once has no earlier attempt that may have run.
+// checkEffect checks that a request that may run at most once has no earlier attempt that is still open or may have run.
 func (c *checker) checkEffect(now float64, r *request, e *endpoint) {
 	if requestKinds[r.details.Class].idempotency != relay.AtMostOnce {
 		return
--- a/lab/scale/control.go
+++ b/lab/scale/control.go
@@ -7,10 +7,10 @@
 	"lichenroad/relay"
 )
 
-// The simulated control plane between relays on one side, discovery and the platform on the other: polls and votes, their
+// This file simulates the messages between relays and the control plane (discovery and the platform): polls, votes, their
 // answers, and rollout statuses.
 
-// controlMessage is what one relay receives from the control plane at a time: either an answer or a status line.
+// controlMessage is one message from the control plane to a relay, either an answer to a poll or a line of the platform.
 type controlMessage struct {
 	arrivesAt float64
 	to        *hollowRelay
@@ -18,10 +18,12 @@
 	status    *statusLine
 }
 
-// reachesControlPlane reports whether a relay reaches discovery and the platform, which are in the first region.
-func (sim *simulation) reachesControlPlane(r *identity) bool { return sim.network.reaches(r.region, 0) }
+// reachesControlPlane reports whether the network connects a relay to discovery and the platform. Both are in region 0.
+func (sim *simulation) reachesControlPlane(r *fleetRelay) bool {
+	return sim.network.reaches(r.region, 0)
+}
 
-// unreachableTime returns for how long since a time discovery could not be reached from a region.
+// unreachableTime returns how long discovery was unreachable from a region between since and now.
 func (sim *simulation) unreachableTime(region int, since, now float64) float64 {
 	neverPartitioned := region != sim.options.Regions-1 || region == 0
 	if neverPartitioned || math.IsInf(since, 1) || sim.partitionedFrom > now {
@@ -30,29 +32,30 @@
 	return math.Max(0, math.Min(now, sim.partitionedUntil)-math.Max(since, sim.partitionedFrom))
 }
 
-// sendStatus sends the present rollout status to all relays of a service that the platform reaches.
+// sendStatus sends the current rollout status to all relays of a service that are running and connected to the platform.
 func (sim *simulation) sendStatus(now float64, s *service) {
 	line := linewire.StatusNoticeLine(s.platform.statusAt(now))
 	for _, h := range s.hollowRelays {
-		if h.alive && sim.reachesControlPlane(h.identity) {
+		if h.alive && sim.reachesControlPlane(h.fleetRelay) {
 			sim.sendStatusLine(now+statusDelay, h, line)
 		}
 	}
 }
 
-// sendStatusLine sends a line of the platform to a relay; an empty one stands for a vote that times out.
+// sendStatusLine sends a line of the platform to a relay. An empty line represents the time-out of a vote.
 func (sim *simulation) sendStatusLine(arrivesAt float64, to *hollowRelay, line string) {
 	status := &statusLine{incarnation: to.incarnation, line: line}
 	sim.controlMessages = append(sim.controlMessages, controlMessage{arrivesAt: arrivesAt, to: to, status: status})
 }
 
-// answerHeldPolls answers the polls that discovery holds: all of them after a change, otherwise those whose wait is over.
+// answerHeldPolls answers the polls that discovery holds: all of them if the list changed, otherwise those whose wait is over.
+// Polls of relays that no longer reach discovery fail.
 func (sim *simulation) answerHeldPolls(now float64, s *service, changed bool) {
 	r := s.registry
 	held := r.heldPolls[:0]
 	for _, p := range r.heldPolls {
 		switch {
-		case !sim.reachesControlPlane(p.relay.identity):
+		case !sim.reachesControlPlane(p.relay.fleetRelay):
 			sim.sendAnswer(now+unreachableTimeout, p, nil)
 		case changed || now >= p.heldUntil:
 			sim.sendAnswer(now+answerDelay, p, r.answer(p.generation))
@@ -64,17 +67,17 @@
 	r.heldPolls = held
 }
 
-// sendAnswer sends an answer to a poll, or fails it with none.
+// sendAnswer sends the answer to a poll. The poll fails if the answer is nil.
 func (sim *simulation) sendAnswer(arrivesAt float64, p poll, answer *listAnswer) {
 	message := controlMessage{arrivesAt: arrivesAt, to: p.relay, answer: &pollAnswer{p.number, answer}}
 	sim.controlMessages = append(sim.controlMessages, message)
 }
 
-// receivePoll handles a poll of discovery.
+// receivePoll handles a poll as discovery does: it answers or fails the poll, or holds it until the list changes.
 func (sim *simulation) receivePoll(now float64, p poll) {
 	r := p.relay.service.registry
 	switch {
-	case !sim.reachesControlPlane(p.relay.identity):
+	case !sim.reachesControlPlane(p.relay.fleetRelay):
 		sim.sendAnswer(now+unreachableTimeout, p, nil)
 	case !p.continuesWatch:
 		delay, accepted := r.enqueue(now)
@@ -90,9 +93,9 @@
 	}
 }
 
-// receiveVote handles a vote and sends its reply.
+// receiveVote passes a vote to the platform and sends the reply.
 func (sim *simulation) receiveVote(now float64, h *hollowRelay, line string) {
-	if !sim.reachesControlPlane(h.identity) {
+	if !sim.reachesControlPlane(h.fleetRelay) {
 		sim.sendStatusLine(now+h.service.settings.Rollout.CallTimeout, h, "")
 		return
 	}
@@ -109,13 +112,13 @@
 	sim.sendStatusLine(now+statusDelay, h, reply)
 }
 
-// deliverControlMessages passes the messages that have arrived to their relays. Those for a relay that is down are lost.
+// deliverControlMessages passes the messages that are due to their relays. Messages to a stopped relay are lost.
 func (sim *simulation) deliverControlMessages(now float64) {
-	underWay := sim.controlMessages[:0]
+	pending := sim.controlMessages[:0]
 	for _, m := range sim.controlMessages {
 		switch {
 		case m.arrivesAt > now:
-			underWay = append(underWay, m)
+			pending = append(pending, m)
 		case !m.to.alive:
 		case m.answer != nil:
 			m.to.pollAnswers = append(m.to.pollAnswers, *m.answer)
@@ -123,6 +126,6 @@
 			m.to.statusLines = append(m.to.statusLines, *m.status)
 		}
 	}
-	clear(sim.controlMessages[len(underWay):])
-	sim.controlMessages = underWay
+	clear(sim.controlMessages[len(pending):])
+	sim.controlMessages = pending
 }
--- a/lab/scale/discovery.go
+++ b/lab/scale/discovery.go
@@ -11,40 +11,40 @@
 const (
 	epoch              = 1_700_000_000 // Unix time at the start of a run
 	publishInterval    = 0.5           // between two generations of a list
-	crashDetectionTime = 1.0           // until discovery notices that a process has ended
-	minListRate        = 50.0          // full lists a second that it can send at least
-	fullRoundTime      = 8.0           // in which it can send a full list to every relay, if that needs a higher rate
-	maxQueueTime       = 2.0           // for which a poll for a full list may be queued before it fails
-	unqueuedTime       = 1.0           // from the start, for which polls are not queued: the fleet has run for long
-	answerDelay        = 0.02          // of an answer
-	unreachableTimeout = 1.0           // after which a poll fails that can't reach discovery
-	entriesPerPart     = 8192          // of a list that the real reader rejects as a whole
-	answerHeadBytes    = 160           // of an answer's HTTP head
+	crashDetectionTime = 1.0           // time from the end of a process until discovery lists the endpoint as removed
+	minListRate        = 50.0          // lower bound of the full lists per second that discovery can send
+	fullRoundTime      = 8.0           // time in which it can send every relay a full list, if that takes more than minListRate
+	maxQueueTime       = 2.0           // maximum time that a poll for a full list is queued before it fails
+	noQueueTime        = 1.0           // time from the start of a run without queueing, because the fleet counts as started long ago
+	answerDelay        = 0.02          // latency of an answer that is not queued
+	unreachableTimeout = 1.0           // time after which a poll fails if discovery can't be reached
+	entriesPerPart     = 8192          // maximum entries in each part of a list that is too long for the real reader
+	answerHeadBytes    = 160           // size of the HTTP head of an answer
 )
 
 // poll is a relay's poll of discovery.
 type poll struct {
 	relay          *hollowRelay
-	number         int64   // counted by the relay
-	generation     int64   // that the relay has; -1: it asks for the full list
-	continuesWatch bool    // the previous poll was answered
-	heldUntil      float64 // when discovery answers although nothing changed
+	number         int64   // assigned by the relay, in ascending order
+	generation     int64   // generation of the relay's list; noGeneration requests the full list
+	continuesWatch bool    // whether the poll continues a watch: the previous poll was answered
+	heldUntil      float64 // time at which discovery answers even if nothing has changed
 }
 
 // listAnswer is discovery's answer to a poll.
 type listAnswer struct {
 	generation int64
 	body       []byte
-	parts      func() [][]byte // the same in smaller bodies, for a reader that rejects the whole one
+	parts      func() [][]byte // returns the same list in smaller bodies, for a reader that rejects body as too long
 }
 
-// change is one endpoint that changed in a generation.
+// change records that an endpoint changed in a generation.
 type change struct {
 	generation int64
 	endpoint   *endpoint
 }
 
-// pendingChange is one that is published from a time on.
+// pendingChange is a change of an endpoint that is not published before a given time.
 type pendingChange struct {
 	at       float64
 	endpoint *endpoint
@@ -58,27 +58,28 @@
 	nextPublishAt float64
 	pending       []pendingChange
 	changes       []change              // oldest first
-	answers       map[int64]*listAnswer // present ones, by the generation that a relay has
-	heldPolls     []poll
-	queueEmptyAt  float64 // when the queued polls for full lists are answered
+	answers       map[int64]*listAnswer // cached answers of the current generation, by the generation of the relay's list
+	heldPolls     []poll                // waiting for a change
+	queueEmptyAt  float64               // time at which all queued polls for full lists are answered
 }
 
 func newRegistry(relays int, endpoints []*endpoint) *registry {
 	return &registry{relays: relays, endpoints: endpoints, generation: 1, answers: map[int64]*listAnswer{}}
 }
 
-// scheduleChange has a change of an endpoint published, not before a time.
+// scheduleChange schedules the publication of an endpoint's state at the given time or later.
 func (r *registry) scheduleChange(at float64, e *endpoint) {
 	r.pending = append(r.pending, pendingChange{at, e})
 }
 
-// add lists an endpoint from the next generation on.
+// add adds an endpoint to the list. The change is published at the given time or later.
 func (r *registry) add(at float64, e *endpoint) {
 	r.endpoints = append(r.endpoints, e)
 	r.scheduleChange(at, e)
 }
 
-// publish makes the pending changes a new generation, and reports whether there is one.
+// publish publishes the pending changes that are due as a new generation, at most once per publishInterval. It reports whether
+// there is a new generation.
 func (r *registry) publish(now float64) bool {
 	if now < r.nextPublishAt {
 		return false
@@ -109,7 +110,7 @@
 	return published
 }
 
-// dropRemoved takes endpoints off the full list whose removal is published.
+// dropRemoved deletes removed endpoints from the full list.
 func (r *registry) dropRemoved() {
 	kept := r.endpoints[:0]
 	for _, e := range r.endpoints {
@@ -121,7 +122,7 @@
 	r.endpoints = kept
 }
 
-// answer returns the present answer to a relay that has a generation.
+// answer returns the current answer to a relay whose list has the given generation.
 func (r *registry) answer(generation int64) *listAnswer {
 	if known := r.answers[generation]; known != nil {
 		return known
@@ -134,7 +135,8 @@
 	return answer
 }
 
-// changedSince returns the endpoints of the full list, or those that changed after a generation, each once.
+// changedSince returns the endpoints that changed after a generation, each once. For a negative generation it returns the full
+// list.
 func (r *registry) changedSince(generation int64) []*endpoint {
 	if generation < 0 {
 		return append([]*endpoint(nil), r.endpoints...)
@@ -150,9 +152,10 @@
 	return changed
 }
 
-// enqueue queues a poll for a full list. It returns after how long the poll is answered or, if the queue is too long, fails.
+// enqueue queues a poll for a full list. It returns the time until the poll is answered or, if the queue is too long and
+// accepted is false, until it fails.
 func (r *registry) enqueue(now float64) (delay float64, accepted bool) {
-	if now < unqueuedTime {
+	if now < noQueueTime {
 		return answerDelay, true
 	}
 	listsPerSecond := max(minListRate, float64(r.relays)/fullRoundTime)
@@ -164,10 +167,11 @@
 	return start - now + answerDelay, true
 }
 
-// lifecycles are the states of endpoints in discovery's JSON.
+// lifecycles are the names of endpoint states in discovery's JSON.
 var lifecycles = [...]string{relay.Ready: "SERVING", relay.Draining: "DRAINING", relay.Removed: "DELETED"}
 
-// encodeParts encodes a list in several bodies. The first alone replaces what the reader has, if the list is full.
+// encodeParts encodes a list in several bodies. If the list is full, the first body is marked as a full list and the others as
+// changes of it.
 func encodeParts(generation int64, full bool, entries []*endpoint) [][]byte {
 	var parts [][]byte
 	for rest := entries; len(parts) == 0 || len(rest) > 0; {
@@ -178,7 +182,7 @@
 	return parts
 }
 
-// encodeList encodes a list as discovery's JSON.
+// encodeList encodes a list, full or of changes, as discovery's JSON.
 func encodeList(generation int64, full bool, endpoints []*endpoint) []byte {
 	b := make([]byte, 0, 64+200*len(endpoints))
 	b = append(b, `{"generation":`...)
@@ -195,7 +199,7 @@
 	return append(b, "]}"...)
 }
 
-// appendEntry appends the endpoint's entry of discovery's JSON.
+// appendEntry appends the endpoint's entry in discovery's JSON.
 func (e *endpoint) appendEntry(b []byte) []byte {
 	b = append(b, `{"instanceId":"`...)
 	b = append(b, e.name...)
--- a/lab/scale/endpoint.go
+++ b/lab/scale/endpoint.go
@@ -11,19 +11,19 @@
 // Properties of simulated endpoints. Durations are in seconds.
 const (
 	endpointCores    = 1.0
-	slowStartTime    = 4.0   // from an endpoint's start until it has its full capacity
-	slowStartFloor   = 0.4   // fraction of its capacity at its start
-	overloadMultiple = 3.0   // of the capacity during slow start, beyond which an endpoint is overloaded
-	overloadWindow   = 1.0   // in which that work is summed
-	drainTime        = 2.0   // from an endpoint's drain to the end of its process
-	refusalTime      = 0.001 // until a connection to a process that does not run is refused
-	nearRoundTrip    = 0.001 // to an endpoint of the same region
-	farRoundTrip     = 0.04  // to another region
-	durationSpread   = 0.2   // of an attempt's duration, either way
-	minFailureTime   = 0.2   // fraction of its duration after which an attempt fails at the earliest
+	slowStartTime    = 4.0   // time from an endpoint's start until it has full capacity
+	slowStartFloor   = 0.4   // fraction of the full capacity at an endpoint's start
+	overloadMultiple = 3.0   // multiple of the current capacity beyond which an endpoint in slow start is overloaded
+	overloadWindow   = 1.0   // time over which the work is summed for the overload check
+	drainTime        = 2.0   // time from the start of an endpoint's drain to the end of its process
+	refusalTime      = 0.001 // time until a connection to an ended process is refused
+	nearRoundTrip    = 0.001 // round trip to an endpoint in the same region
+	farRoundTrip     = 0.04  // round trip to an endpoint in another region
+	durationSpread   = 0.2   // maximum relative deviation of an attempt's duration, in either direction
+	minFailureTime   = 0.2   // fraction of an attempt's duration before which it does not fail
 )
 
-// machineKind is a kind of machine, with the time that work takes on it relative to a standard one.
+// machineKind is a kind of machine. Work takes slowdown times as long on it as on a standard machine.
 type machineKind struct {
 	name     string
 	slowdown float64
@@ -31,31 +31,31 @@
 
 var machineKinds = []machineKind{{"standard", 1}, {"small", 1.3}}
 
-// endpoint is one server of a service. Times are virtual.
+// endpoint is one server of a service. Times are virtual, in seconds.
 type endpoint struct {
 	place
 	name          string
 	id            relay.EndpointID
-	kind          int // index of machineKinds
+	kind          int // index into machineKinds
 	build         relay.Build
 	state         relay.EndpointState
-	startedAt     float64     // negative if it ran before the simulation
-	drainListedAt float64     // when it was first listed as leaving; never: it stays
-	endedAt       float64     // when its process ended; never: it runs
-	slowStartWork []timedWork // sent within the overload window
-	overloaded    bool        // it was sent too much work during slow start
+	startedAt     float64     // negative if it started before the simulation
+	drainListedAt float64     // when discovery first listed it as draining or removed, or never
+	endedAt       float64     // when its process ends or has ended, or never
+	slowStartWork []timedWork // work sent within the overload window
+	overloaded    bool        // whether it was ever sent too much work during slow start
 }
 
-// timedWork is work that was sent at a time.
+// timedWork is an amount of work with the time at which it was sent.
 type timedWork struct{ at, work float64 }
 
-// never is a time that does not come.
+// never is later than any other time.
 var never = math.Inf(1)
 
-// endpointID derives an endpoint's id from its name as the list reader does.
+// endpointID derives an endpoint's ID from its name in the same way as the list reader.
 func endpointID(name string) relay.EndpointID {
 	hash := fnv.New64a()
-	_, _ = hash.Write([]byte(name)) // a hash's Write never fails
+	_, _ = hash.Write([]byte(name)) // Write of a hash never fails
 	return relay.EndpointID(hash.Sum64())
 }
 
@@ -75,13 +75,13 @@
 
 func (e *endpoint) isRunning(now float64) bool { return now < e.endedAt }
 
-// slowStartFraction returns the fraction of its capacity that the endpoint has.
+// slowStartFraction returns the endpoint's current capacity as a fraction of its full capacity.
 func (e *endpoint) slowStartFraction(now float64) float64 {
 	return math.Min(1, slowStartFloor+(1-slowStartFloor)*math.Max(now-e.startedAt, 0)/slowStartTime)
 }
 
-// addSlowStartWork adds work sent during slow start, by any relay, and reports whether the endpoint is overloaded by it for
-// the first time.
+// addSlowStartWork adds work that a relay sent during slow start. It reports whether this overloads the endpoint for the first
+// time.
 func (e *endpoint) addSlowStartWork(now, work float64) bool {
 	recent := e.slowStartWork[:0]
 	sum := work
@@ -100,21 +100,22 @@
 	return true
 }
 
-// defect is what is wrong with a build.
+// defect is a defect of a build. noDefect is the value for a good build.
 type defect struct {
-	failureRate float64 // fraction of the attempts that fail
-	slowdown    float64 // factor on the work
+	failureRate float64 // share of the attempts that fail
+	slowdown    float64 // factor by which work takes longer
 }
 
 var noDefect = defect{slowdown: 1}
 
-// attemptResult is how and after how many seconds an attempt ends.
+// attemptResult is the outcome of an attempt and its duration in seconds.
 type attemptResult struct {
 	outcome  relay.Outcome
 	duration float64
 }
 
-// drawResult draws the result of an attempt from a place, if nothing happens to the endpoint meanwhile.
+// drawResult returns a random result for an attempt that is sent from a place now. The result assumes that the endpoint keeps
+// running meanwhile.
 func (e *endpoint) drawResult(now float64, from place, work float64, d defect, random *rand.Rand) attemptResult {
 	if !e.isRunning(now) {
 		return attemptResult{relay.ConnectFailed, refusalTime}
--- a/lab/scale/faults_test.go
+++ b/lab/scale/faults_test.go
@@ -53,7 +53,7 @@
 		h := sim.hollowRelays[2]
 		switch {
 		case now == 0:
-			sim.runLater(2, func(now float64) { sim.killRelay(now, sim.relays[2], 3) })
+			sim.scheduleFollowUp(2, func(now float64) { sim.killRelay(now, sim.relays[2], 3) })
 		case now > 2.1 && now < 4.9:
 			if h.alive || h.policy != nil || len(h.requests) > 0 {
 				t.Fatalf("at %g s the relay runs", now)
@@ -117,7 +117,7 @@
 func sendAcross(sim *simulation, from, to int) int {
 	before := sim.network.counts.Delivered
 	at := sim.network.now
-	source, target := &identity{place: place{region: from}}, &hollowRelay{identity: &identity{place: place{region: to}, alive: true}}
+	source, target := &fleetRelay{place: place{region: from}}, &hollowRelay{fleetRelay: &fleetRelay{place: place{region: to}, alive: true}}
 	sim.network.send(datagram{from: source, body: []byte{1}}, target)
 	for i := int64(1); i < slotCount; i++ {
 		sim.network.deliver(at + i)
@@ -168,8 +168,8 @@
 	count := func(fault Fault) (networkCounts, int) {
 		o := Options{Regions: 1, Faults: []Fault{fault}}
 		n := newNetwork(&o)
-		to := &hollowRelay{identity: &identity{alive: true}}
-		from := &identity{}
+		to := &hollowRelay{fleetRelay: &fleetRelay{alive: true}}
+		from := &fleetRelay{}
 		late := 0
 		for i := range int64(sent) {
 			n.deliver(i)
--- a/lab/scale/hollow_lists.go
+++ b/lab/scale/hollow_lists.go
@@ -18,34 +18,35 @@
 )
 
 const (
-	noPoll       = 0  // number of no poll; the stored list counts as its answer
-	noGeneration = -1 // of a relay without a list, which asks for the full one
+	noPoll       = 0  // poll number when no poll is pending; the stored list is received as an answer to it
+	noGeneration = -1 // generation of a relay without a list; a poll with it requests the full list
 )
 
-// discoveryClient is a relay's side of its polls.
+// discoveryClient is the state of a relay's polls.
 type discoveryClient struct {
-	storedList      *listAnswer // with which the next incarnation starts
-	generation      int64       // of the list
-	beforeFirstList bool        // the next list is the stored one
-	fetchRequested  bool        // the decision code requested the next list, and receives it even if nothing changed
-	watchContinues  bool        // the last poll was answered, and the next one continues the watch
-	pendingPoll     int64       // number of the poll without an answer, or noPoll
-	polls           int64       // started so far, over all incarnations
+	storedList      *listAnswer // list with which the next incarnation starts
+	generation      int64       // generation of the list last received
+	beforeFirstList bool        // whether the next list is the stored one
+	fetchRequested  bool        // whether the decision code requested the next list and receives it even if unchanged
+	watchContinues  bool        // whether the last poll was answered, so that the next one continues the watch
+	pendingPoll     int64       // number of the poll that is not answered yet, or noPoll
+	polls           int64       // number of polls started by all incarnations so far
 }
 
-// pollAnswer is discovery's answer to the poll of a number.
+// pollAnswer is discovery's answer to the poll with the number poll.
 type pollAnswer struct {
 	poll   int64
-	answer *listAnswer // nil: the poll failed
+	answer *listAnswer // nil if the poll failed
 }
 
-// statusLine is a line of the platform for one incarnation of a relay.
+// statusLine is a line of the platform to one incarnation of a relay.
 type statusLine struct {
 	incarnation int
-	line        string // empty: a vote timed out
+	line        string // empty if a vote timed out
 }
 
-// startPoll starts the next poll of discovery. The first one of a watch does not wait, so that its answer confirms the list.
+// startPoll starts the next poll of discovery. The first poll of a watch does not wait, so that its answer confirms the list at
+// once.
 func (h *hollowRelay) startPoll(now float64, generation int64) {
 	path, wait := listPath, 0.0
 	switch {
@@ -71,24 +72,24 @@
 	}
 }
 
-// receiveAnswer handles an answer of discovery and polls again.
+// receiveAnswer handles an answer of discovery, or the stored list, and starts the next poll after an answer.
 func (h *hollowRelay) receiveAnswer(now float64, received pollAnswer) {
 	if received.poll != h.pendingPoll {
-		return // of a poll that was replaced, or of an earlier incarnation
+		return // the answer is to a poll that was replaced, or to one of an earlier incarnation
 	}
 	h.pendingPoll = noPoll
 	if received.answer == nil {
 		h.failPoll(now)
 		return
 	}
-	if !h.beforeFirstList { // the stored list comes with the configuration
+	if !h.beforeFirstList { // the stored list is part of the configuration, not a message
 		h.meter.received(discoveryClass, len(received.answer.body)+answerHeadBytes)
 	}
 	processorTime := h.meter.processorTime
 	h.generation = received.answer.generation
 	h.readList(now, received.answer)
 	h.watchContinues = !h.beforeFirstList
-	if h.beforeFirstList { // the decision code requests the first poll by itself
+	if h.beforeFirstList { // the decision code requests the first poll
 		h.beforeFirstList = false
 		h.meter.startProcessorTime += h.meter.processorTime - processorTime
 		h.meter.processorTime = processorTime
@@ -98,7 +99,7 @@
 	h.startPoll(now, h.generation)
 }
 
-// failPoll reports a poll that failed. The decision code requests the next one.
+// failPoll reports a failed poll to the state machines. The decision code requests the next poll.
 func (h *hollowRelay) failPoll(now float64) {
 	h.watchContinues = false
 	if h.membership != nil {
@@ -107,7 +108,7 @@
 	h.step(now, relay.ListUpdate{Kind: relay.ListFetchFailed})
 }
 
-// readList reads a list with the real reader, in parts if the reader rejects it as a whole.
+// readList parses and applies a list, in parts if the real reader rejects it as a whole.
 func (h *hollowRelay) readList(now float64, answer *listAnswer) {
 	list, err := h.parseList(answer.body)
 	if err == nil {
@@ -125,7 +126,7 @@
 	}
 }
 
-// parseList reads a body with the real reader, whose processor time it counts.
+// parseList parses a body with the real reader and counts the processor time.
 func (h *hollowRelay) parseList(body []byte) (discovery.List, error) {
 	before := threadTime()
 	list, err := h.reader.Parse(body)
@@ -133,7 +134,7 @@
 	return list, err
 }
 
-// applyList passes a list, or a change of it, to the decision code and then to the membership protocol.
+// applyList passes a list, or changes of it, to the decision code and then to the membership protocol.
 func (h *hollowRelay) applyList(now float64, list discovery.List) {
 	cached := h.beforeFirstList
 	changed := list.Full || len(list.Endpoints) > 0
@@ -145,7 +146,8 @@
 	}
 }
 
-// listUpdate returns the event of a list for the decision code.
+// listUpdate converts a list into an event for the decision code, without endpoints that are unknown to the service. Without
+// DrainNotices it also omits the entries of draining and removed endpoints.
 func (h *hollowRelay) listUpdate(now float64, list discovery.List) relay.ListUpdate {
 	kind := relay.ListDelta
 	switch {
@@ -170,7 +172,7 @@
 	return event
 }
 
-// receiveStatusLine handles a line of the platform.
+// receiveStatusLine handles a line of the platform: a rollout status, a reply to a vote, or the time-out of a vote.
 func (h *hollowRelay) receiveStatusLine(now float64, received statusLine) {
 	if received.incarnation != h.incarnation {
 		return
@@ -198,8 +200,8 @@
 	h.step(now, status)
 }
 
-// parseReply reads a line with the real parser, whose processor time it counts. A line that can't be parsed is counted and
-// read as an empty reply; the error is one of the line's form.
+// parseReply parses a line with the real parser and counts the processor time. If the content of the line can't be parsed, it
+// counts the line as unreadable and returns what was parsed. The error is about the framing of the line.
 func (h *hollowRelay) parseReply(line string) (linewire.Reply, error) {
 	before := threadTime()
 	defer func() { h.meter.processorTime += threadTime() - before }()
@@ -214,7 +216,7 @@
 	return reply, err
 }
 
-// voteReply returns how the platform replied to a vote.
+// voteReply returns the platform's reply to a vote as the decision code receives it.
 func voteReply(r linewire.Reply) relay.VoteReply {
 	switch {
 	case strings.HasPrefix(r.Error, linewire.CodeStale):
--- a/lab/scale/hollow_relay.go
+++ b/lab/scale/hollow_relay.go
@@ -13,17 +13,17 @@
 	"lichenroad/relay"
 )
 
-// hollowRelay is one relay without its sockets: it hosts the real state machines. Within a tick one worker advances it;
-// what it sends waits in its send queue for the simulation, which fills its inputs between ticks.
+// hollowRelay is one relay without sockets that hosts the real state machines. Within a tick one worker advances it, and its
+// output is kept in sendQueue. Between ticks the simulation processes the output and adds the inputs of the next tick.
 type hollowRelay struct {
-	*identity
+	*fleetRelay
 	simulation  *simulation // read only
 	random      *rand.Rand
-	startedAt   float64 // when this incarnation started
-	incarnation int
+	startedAt   float64 // start of this incarnation
+	incarnation int     // number of starts so far
 
 	policy        *policy.Policy
-	membership    *membershipHost // nil: switched off
+	membership    *membershipHost // nil if Leases are switched off
 	reader        *discovery.Reader
 	lines         linewire.Splitter
 	requestSource requestSource
@@ -40,26 +40,27 @@
 
 	meter            meter
 	checker          checker
-	events           []relay.Event // buffer of receiveDatagrams
-	unknownEndpoints int           // entries of lists and attempts that name no endpoint of the service
+	events           []relay.Event // buffer reused by receiveDatagrams
+	unknownEndpoints int           // list entries and attempts whose endpoint is not one of the service
 }
 
-// sendQueue is what a relay sent in a tick. The simulation takes it in the order of relays, whatever worker ran them.
+// sendQueue is the output of a relay in one tick. The simulation processes the queues in the order of the relays, so that the
+// result does not depend on the order in which workers advance them.
 type sendQueue struct {
 	datagrams         []outgoingDatagram
 	polls             []poll
 	votes             []string
-	slowStartAttempts []slowStartAttempt // for the checker
+	slowStartAttempts []slowStartAttempt // input of the slow-start check
 }
 
-// outgoingDatagram is a datagram to one relay or, with relay.Broadcast, to all others of the service.
+// outgoingDatagram is a datagram to one relay of the service or, with relay.Broadcast, to all others.
 type outgoingDatagram struct {
 	class class
 	to    relay.ID
 	body  []byte
 }
 
-// slowStartAttempt is an attempt at an endpoint during its slow start.
+// slowStartAttempt is an attempt that was sent to an endpoint during its slow start.
 type slowStartAttempt struct {
 	endpoint     *endpoint
 	sentAt, work float64
@@ -77,14 +78,14 @@
 	q.slowStartAttempts = q.slowStartAttempts[:0]
 }
 
-func newHollowRelay(sim *simulation, id *identity) *hollowRelay {
-	h := &hollowRelay{identity: id, simulation: sim, random: newRandom(sim.options.Seed, "hollow", id.index)}
+func newHollowRelay(sim *simulation, id *fleetRelay) *hollowRelay {
+	h := &hollowRelay{fleetRelay: id, simulation: sim, random: newRandom(sim.options.Seed, "hollow", id.index)}
 	h.generation = noGeneration
 	h.checker.instance = fmt.Sprintf("service %d relay %d", id.service.index, id.number)
 	return h
 }
 
-// start starts a process: new state machines, with the list that the relay stored. It is called between ticks.
+// start starts the relay's process with new state machines and the stored list. It is called between ticks.
 func (h *hollowRelay) start(now float64) {
 	h.incarnation++
 	h.startedAt = now
@@ -111,13 +112,13 @@
 	}
 	h.discoveryClient = discoveryClient{storedList: h.storedList, generation: noGeneration, beforeFirstList: true,
 		fetchRequested: true, polls: h.polls}
-	// The configuration holds the list and the rollout status as of the start.
+	// As part of the configuration, the relay receives the stored list and the current rollout status.
 	h.pollAnswers = append(h.pollAnswers[:0], pollAnswer{noPoll, h.storedList})
 	h.statusLines = append(h.statusLines[:0], statusLine{h.incarnation, linewire.StatusNoticeLine(h.service.platform.statusAt(now))})
 	h.timers.set(timer{at: now + h.requestSource.drawGap(), kind: requestTimer})
 }
 
-// kindNames returns the names of the machine kinds in the order of their numbers.
+// kindNames returns the names of the machine kinds in the order of machineKinds.
 func kindNames() []string {
 	names := make([]string, len(machineKinds))
 	for i, kind := range machineKinds {
@@ -126,7 +127,8 @@
 	return names
 }
 
-// stop ends the process with all of its state but the list that it stores.
+// stop ends the relay's process. Only the stored list is kept for the next start, and unfinished requests count as
+// disconnected clients.
 func (h *hollowRelay) stop() {
 	for _, r := range h.requests {
 		if !r.finished {
@@ -143,7 +145,7 @@
 	h.sendQueue.clear()
 }
 
-// advance simulates one tick.
+// advance handles the inputs of a tick and all timers that are due before its end.
 func (h *hollowRelay) advance(from, to float64) {
 	if !h.alive {
 		return
@@ -183,8 +185,8 @@
 	}
 }
 
-// receiveDatagrams handles the datagrams of other relays. The decision code receives all of a tick in one step, as it does
-// on the real loop with those that wait.
+// receiveDatagrams handles the datagrams of other relays. The decision code receives all datagrams of a tick in one step, just
+// as the real event loop passes on all waiting datagrams at once.
 func (h *hollowRelay) receiveDatagrams(now float64) {
 	if len(h.inbox) == 0 {
 		return
@@ -206,18 +208,18 @@
 	}
 }
 
-// step passes events to the decision code and carries out its commands.
+// step passes events to the decision code and executes its commands.
 func (h *hollowRelay) step(now float64, events ...relay.Event) {
 	before := threadTime()
 	commands := h.policy.Step(now-h.startedAt, events)
 	h.meter.processorTime += threadTime() - before
 	for _, command := range commands {
-		h.carryOut(now, command)
+		h.execute(now, command)
 	}
 }
 
-// carryOut carries out one command. Those that concern sockets have no effect here.
-func (h *hollowRelay) carryOut(now float64, command relay.Command) {
+// execute executes one command. Commands about sockets have no effect in the simulation.
+func (h *hollowRelay) execute(now float64, command relay.Command) {
 	switch c := command.(type) {
 	case relay.SendAttempt:
 		h.sendAttempt(now, c)
@@ -243,7 +245,7 @@
 	}
 }
 
-// sendDatagram sends a datagram. A broadcast counts as one, to the address of all relays.
+// sendDatagram queues and counts a datagram. A broadcast is counted as one datagram, sent to the address of all relays.
 func (h *hollowRelay) sendDatagram(c class, to relay.ID, body []byte) {
 	h.meter.sent(c, len(body)+datagramOverhead)
 	if to == relay.Broadcast {
--- a/lab/scale/hollow_requests.go
+++ b/lab/scale/hollow_requests.go
@@ -6,28 +6,28 @@
 	"lichenroad/relay"
 )
 
-// deadlineMargin is how long before its client's deadline, in seconds, an attempt ends at the latest.
+// deadlineMargin is the minimum time, in seconds, between the end of an attempt and its client's deadline.
 const deadlineMargin = 1e-4
 
 // request is one request that a hollow relay has received.
 type request struct {
 	details      relay.Request
-	work         float64 // in seconds of a standard core
-	deadline     float64 // when its client disconnects
+	work         float64 // work in seconds of a standard core
+	deadline     float64 // time at which its client disconnects
 	attempts     []attempt
-	finished     bool // its client has a response, or none is owed
-	openAttempts int
+	finished     bool // whether its client has received a response or has disconnected
+	openAttempts int  // number of attempts that have not ended
 }
 
-// attempt is one attempt of a request at an endpoint.
+// attempt is one attempt to have a request served by an endpoint.
 type attempt struct {
-	endpoint *endpoint // nil: not known
+	endpoint *endpoint // nil if the endpoint is unknown
 	sentAt   float64
-	outcome  relay.Outcome // with which it will end, unless something happens to the endpoint
+	outcome  relay.Outcome // outcome drawn when it was sent; the end of the endpoint's process or a cancellation changes it
 	ended    bool
 }
 
-// receiveRequest passes a client's request to the decision code.
+// receiveRequest draws a client's next request and passes it to the decision code.
 func (h *hollowRelay) receiveRequest(now float64) {
 	details, work := h.requestSource.next(now - h.startedAt)
 	r := &request{details: details, work: work, deadline: details.Deadline + h.startedAt}
@@ -38,7 +38,7 @@
 	h.step(now, details)
 }
 
-// sendAttempt starts an attempt and draws how and when it will end.
+// sendAttempt starts an attempt and draws its outcome and its duration.
 func (h *hollowRelay) sendAttempt(now float64, command relay.SendAttempt) {
 	r := h.requests[command.Request]
 	if r == nil {
@@ -71,7 +71,7 @@
 	h.addAttempt(r, attempt{endpoint: e, sentAt: now, outcome: outcome}, end)
 }
 
-// addAttempt records an attempt that will end at a time.
+// addAttempt records an attempt and schedules its end.
 func (h *hollowRelay) addAttempt(r *request, a attempt, endsAt float64) {
 	index := len(r.attempts)
 	r.attempts = append(r.attempts, a)
@@ -79,7 +79,8 @@
 	h.timers.set(timer{at: endsAt, kind: attemptTimer, request: r, attempt: int32(index)})
 }
 
-// endAttempt ends an attempt, unless it has ended before. Its connection is broken if the endpoint's process ended meanwhile.
+// endAttempt ends an attempt, unless it has already ended. If the endpoint's process ended meanwhile, the outcome is a broken
+// connection.
 func (h *hollowRelay) endAttempt(now float64, r *request, index int) {
 	a := &r.attempts[index]
 	if a.ended {
@@ -106,10 +107,10 @@
 		event.Endpoint = a.endpoint.id
 	}
 	h.step(now, event)
-	h.forgetIfDone(r)
+	h.removeIfDone(r)
 }
 
-// cancelAttempt ends an attempt as cancelled, in an event of its own.
+// cancelAttempt schedules the end of an attempt as cancelled, as a separate event at the same time.
 func (h *hollowRelay) cancelAttempt(now float64, command relay.CancelAttempt) {
 	r := h.requests[command.Request]
 	if r == nil || int(command.Attempt) >= len(r.attempts) || r.attempts[command.Attempt].ended {
@@ -119,7 +120,7 @@
 	h.timers.set(timer{at: now, kind: attemptTimer, request: r, attempt: int32(command.Attempt)})
 }
 
-// finishRequest finishes a request with the relay's own response, which is counted.
+// finishRequest finishes a request with a response from the relay itself, and increments count.
 func (h *hollowRelay) finishRequest(id relay.RequestID, count *int64) {
 	r := h.requests[id]
 	if r == nil || r.finished {
@@ -127,10 +128,10 @@
 	}
 	r.finished = true
 	*count++
-	h.forgetIfDone(r)
+	h.removeIfDone(r)
 }
 
-// disconnectClient ends a request whose client has waited until its deadline.
+// disconnectClient ends a request whose client has reached its deadline without a response.
 func (h *hollowRelay) disconnectClient(now float64, r *request) {
 	if r.finished {
 		return
@@ -138,11 +139,11 @@
 	r.finished = true
 	h.meter.requests.ClientsDisconnected++
 	h.step(now, relay.ClientDisconnected{Request: r.details.ID})
-	h.forgetIfDone(r)
+	h.removeIfDone(r)
 }
 
-// forgetIfDone drops a request that is finished and has no open attempt.
-func (h *hollowRelay) forgetIfDone(r *request) {
+// removeIfDone removes a request that is finished and has no open attempts.
+func (h *hollowRelay) removeIfDone(r *request) {
 	if r.finished && r.openAttempts == 0 {
 		delete(h.requests, r.details.ID)
 	}
--- a/lab/scale/membership_host.go
+++ b/lab/scale/membership_host.go
@@ -6,20 +6,20 @@
 	"lichenroad/relay"
 )
 
-// clockResolution, in seconds, exceeds the rounding error of a time counted from a relay's start. Without it a timer that
-// fires that much too early would be set for the same moment again and again.
+// clockResolution, in seconds, exceeds the rounding error of a time relative to a relay's start. It is added to the time of
+// each step, because a timer that fires too early by the rounding error would be set for the same time again and again.
 const clockResolution = 1e-6
 
-// membershipHost hosts the membership protocol's state machine beside the decision code, as the relay does.
+// membershipHost hosts the state machine of the membership protocol and connects it to the decision code, as a relay does.
 type membershipHost struct {
 	relay          *hollowRelay
 	node           *membership.Node
-	timerAt        relay.Seconds // of the next timer; membership.Never: none
-	leaseExpiresAt relay.Seconds // as the decision code last received it
+	timerAt        relay.Seconds // time of the next timer, or membership.Never
+	leaseExpiresAt relay.Seconds // end of the lease as last passed to the decision code
 }
 
-// newMembershipHost returns the host of a relay's node. Synthetic relays send no heartbeats, so the node's fleet is the hollow
-// relays alone, which send as many as the whole service would.
+// newMembershipHost returns the host of a relay's membership node. Synthetic relays send no heartbeats, so the node is set up
+// for the hollow relays only, which then send as many heartbeats as all relays of the service would.
 func newMembershipHost(h *hollowRelay) *membershipHost {
 	settings := &h.service.settings
 	node := membership.New(membership.Settings{
@@ -32,7 +32,7 @@
 	return &membershipHost{relay: h, node: node, timerAt: membership.Never, leaseExpiresAt: -1}
 }
 
-// receiveList passes a list to the node: the stored one, or an answer of discovery.
+// receiveList passes a list to the node: the stored list if cached is set, otherwise an answer of discovery.
 func (m *membershipHost) receiveList(now float64, list discovery.List, cached bool) {
 	update := membership.List{Generation: list.Generation, Full: list.Full}
 	for _, line := range list.Endpoints {
@@ -45,7 +45,7 @@
 	m.step(now, membership.PollAnswered{List: update})
 }
 
-// step passes an event to the node and carries out its output.
+// step passes an event to the node and applies the node's output.
 func (m *membershipHost) step(now float64, event membership.Event) {
 	h := m.relay
 	before := threadTime()
@@ -68,7 +68,8 @@
 	}
 }
 
-// removeEndpoints passes endpoints that peers reported as removed to the decision code.
+// removeEndpoints passes endpoints that peers reported as removed to the decision code as draining. Without DrainNotices it
+// does nothing.
 func (m *membershipHost) removeEndpoints(now float64, removed []relay.EndpointID) {
 	if len(removed) == 0 || m.relay.simulation.options.lacks(DrainNotices) {
 		return
@@ -85,7 +86,7 @@
 	h.step(now, event)
 }
 
-// fireTimer passes a timer to the node. Timers that were replaced by earlier ones fire as well.
+// fireTimer passes a timer to the node. Timers that were replaced by earlier ones also fire.
 func (m *membershipHost) fireTimer(now float64) {
 	if now-m.relay.startedAt+clockResolution >= m.timerAt {
 		m.timerAt = membership.Never
--- a/lab/scale/meter.go
+++ b/lab/scale/meter.go
@@ -8,17 +8,17 @@
 	"golang.org/x/sys/unix"
 )
 
-// datagramOverhead is the bytes of UDP's and IP's headers.
+// datagramOverhead is the size of the UDP and IP headers in bytes.
 const datagramOverhead = 28
 
-// class is the purpose of a message.
+// class is the protocol that a message belongs to.
 type class int
 
 const (
-	policyClass     class = iota // datagrams of the decision code
+	policyClass     class = iota // datagrams between the relays' decision code
 	membershipClass              // datagrams of the membership protocol
-	discoveryClass               // polls and answers of discovery, without TCP's overhead
-	platformClass                // votes and lines of the platform, without TCP's overhead
+	discoveryClass               // polls of discovery and their answers, without TCP overhead
+	platformClass                // votes and lines of the platform, without TCP overhead
 	classCount
 )
 
@@ -26,23 +26,23 @@
 type traffic struct {
 	messagesIn, messagesOut int64
 	bytesIn, bytesOut       int64
-	broadcasts              int64 // messages out to all relays of the service
+	broadcasts              int64 // outgoing messages to all relays of the service, each counted once
 }
 
-// meter is what one relay has used and done so far, over all of its incarnations.
+// meter counts the resource use and the activity of one relay over all of its incarnations.
 type meter struct {
-	processorTime      int64 // of the real code in ns, without that of the first list of each incarnation
-	startProcessorTime int64 // of these lists in ns
+	processorTime      int64 // processor time of the real code in ns, without handling the first list of each incarnation
+	startProcessorTime int64 // processor time for handling these first lists in ns
 	aliveSeconds       float64
 	classes            [classCount]traffic
-	aggregated         bool // it has sent decisions as an aggregator
+	aggregated         bool // whether it has sent decisions as an aggregator
 	requests           requestCounts
-	listsRejected      int
+	listsRejected      int // lists that the real reader rejected as a whole
 	removedByPeers     int // endpoints that peers reported as removed
 	unreadable         int // messages, lists and lines that the real code rejected
 }
 
-// requestCounts count requests by how they ended.
+// requestCounts count requests by result, and their attempts.
 type requestCounts struct {
 	Received            int64 `json:"taken"`
 	Succeeded           int64 `json:"honoured"`
@@ -73,8 +73,8 @@
 	m.classes[c].bytesIn += int64(bytes)
 }
 
-// threadTime returns the processor time of this thread in nanoseconds; 0 if it is not known. Callers lock their goroutine to
-// the thread.
+// threadTime returns the processor time of this thread in nanoseconds, or 0 if it is unknown. The caller's goroutine must be
+// locked to its thread.
 func threadTime() int64 {
 	var t unix.Timespec
 	if unix.ClockGettime(unix.CLOCK_THREAD_CPUTIME_ID, &t) != nil {
@@ -83,7 +83,7 @@
 	return t.Nano()
 }
 
-// collectorSeconds returns the processor time of the garbage collector's own threads, which is in no instance's share.
+// collectorSeconds returns the processor time of the garbage collector's dedicated workers, which no instance's figure includes.
 func collectorSeconds() float64 {
 	sample := []metrics.Sample{{Name: "/cpu/classes/gc/mark/dedicated:cpu-seconds"}}
 	if metrics.Read(sample); sample[0].Value.Kind() != metrics.KindFloat64 {
@@ -92,7 +92,7 @@
 	return sample[0].Value.Float64()
 }
 
-// peakMemoryMB returns the most memory that the process ever held; 0 if it is not known.
+// peakMemoryMB returns the peak memory of the process in MB, or 0 if it is unknown.
 func peakMemoryMB() float64 {
 	var e unix.Rusage
 	if unix.Getrusage(unix.RUSAGE_SELF, &e) != nil {
@@ -101,17 +101,18 @@
 	return float64(e.Maxrss) / 1024
 }
 
-// observation is a figure of one instance, and how many instances it stands for.
+// observation is a figure of one instance, with the number of instances that it represents.
 type observation struct{ value, weight float64 }
 
-// Distribution is the distribution of a figure over instances.
+// Distribution summarizes the values of a figure over instances.
 type Distribution struct {
 	Mean float64 `json:"mean"`
 	P99  float64 `json:"p99"`
 	Max  float64 `json:"most"`
 }
 
-// distribute sums up observations. The 99th percentile is the least value that at least 99 in 100 do not exceed.
+// distribute returns the weighted distribution of observations. The 99th percentile is the smallest value that at least 99 % of
+// the instances do not exceed.
 func distribute(observations []observation) Distribution {
 	totalWeight, sum := 0.0, 0.0
 	for _, o := range observations {
@@ -132,9 +133,9 @@
 	}
 }
 
-// weightedQuantile returns the least value up to which the observations have a weight.
+// weightedQuantile returns the smallest value for which the observations up to that value have at least the given weight.
 func weightedQuantile(sorted []observation, weight float64) float64 {
-	const rounding = 1e-9 // of the sum of weights
+	const rounding = 1e-9 // allowance for rounding errors in the sum of weights
 	weightSoFar := 0.0
 	for _, o := range sorted {
 		weightSoFar += o.weight
--- a/lab/scale/meter_test.go
+++ b/lab/scale/meter_test.go
@@ -8,24 +8,24 @@
 	"lichenroad/relay"
 )
 
-// manualCount counts what a relay receives and sends, independently of its meter.
-type manualCount struct {
+// messageCount counts what a relay receives and sends, independently of its meter.
+type messageCount struct {
 	classes [classCount]traffic
 	votes   int
 }
 
-func (c *manualCount) in(k class, bytes int) {
+func (c *messageCount) in(k class, bytes int) {
 	c.classes[k].messagesIn++
 	c.classes[k].bytesIn += int64(bytes)
 }
 
-func (c *manualCount) out(k class, bytes int) {
+func (c *messageCount) out(k class, bytes int) {
 	c.classes[k].messagesOut++
 	c.classes[k].bytesOut += int64(bytes)
 }
 
 // countInputs counts what a relay receives in its next tick.
-func (c *manualCount) countInputs(h *hollowRelay) {
+func (c *messageCount) countInputs(h *hollowRelay) {
 	for _, d := range h.inbox {
 		c.in(d.class, len(d.body)+28)
 	}
@@ -40,7 +40,7 @@
 }
 
 // countOutputs counts what a relay sent in its last tick. The text of polls is not in the send queue.
-func (c *manualCount) countOutputs(h *hollowRelay) {
+func (c *messageCount) countOutputs(h *hollowRelay) {
 	for _, d := range h.sendQueue.datagrams {
 		c.out(d.class, len(d.body)+28)
 		if d.to == relay.Broadcast {
@@ -55,7 +55,7 @@
 }
 
 // checkMeter compares the count with a relay's meter.
-func (c *manualCount) checkMeter(t *testing.T, index int, m *meter, seconds float64) {
+func (c *messageCount) checkMeter(t *testing.T, index int, m *meter, seconds float64) {
 	t.Helper()
 	got := m.classes
 	got[discoveryClass].bytesOut = 0
@@ -71,7 +71,7 @@
 }
 
 // datagramBytesIn returns the bytes of all datagrams in.
-func (c *manualCount) datagramBytesIn() int64 {
+func (c *messageCount) datagramBytesIn() int64 {
 	return c.classes[policyClass].bytesIn + c.classes[membershipClass].bytesIn
 }
 
@@ -84,7 +84,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	counts := make([]manualCount, len(sim.hollowRelays))
+	counts := make([]messageCount, len(sim.hollowRelays))
 	for n := range int64(seconds / tick) {
 		from, to := float64(n)*tick, float64(n+1)*tick
 		sim.beginTick(n, from)
@@ -123,7 +123,7 @@
 }
 
 // checkAggregators compares the figures of the four aggregators, the first relays, with their counts.
-func checkAggregators(t *testing.T, r *Result, counts []manualCount, seconds float64) {
+func checkAggregators(t *testing.T, r *Result, counts []messageCount, seconds float64) {
 	t.Helper()
 	for _, role := range r.Roles {
 		if role.Name != aggregatorRole || role.Hosted != 4 {
--- a/lab/scale/network.go
+++ b/lab/scale/network.go
@@ -2,33 +2,33 @@
 
 import "math/rand"
 
-// Properties of the network between relays. Every delay is at least one tick, so that relays can be advanced in parallel
-// within a tick.
+// Parameters of the network between relays. Every delay is at least one tick, so that relays can be advanced in parallel within
+// a tick.
 const (
-	tick              = 0.02 // seconds
-	maxNearDelay      = 2    // ticks, between relays of one region
-	maxFarDelay       = 5    // ticks, between regions
-	lossFraction      = 0.1  // of the datagrams, for the fault DatagramLoss
-	duplicateFraction = 0.1  // of the datagrams, for the fault Duplicates
-	reorderFraction   = 0.2  // of the datagrams, for the fault Reorder
-	maxReorderDelay   = 50   // ticks beyond the usual delay
-	slotCount         = 64   // more than the longest delay in ticks
+	tick              = 0.02 // seconds by which the virtual clock advances
+	maxNearDelay      = 2    // ticks between relays in the same region
+	maxFarDelay       = 5    // ticks between relays in different regions
+	lossFraction      = 0.1  // share of the datagrams lost by the fault DatagramLoss
+	duplicateFraction = 0.1  // share of the datagrams duplicated by the fault Duplicates
+	reorderFraction   = 0.2  // share of the datagrams delayed by the fault Reorder
+	maxReorderDelay   = 50   // ticks in addition to the usual delay
+	slotCount         = 64   // slots of the timing wheel; exceeds the longest delay in ticks
 )
 
-// datagram is a message from one relay to others of its service.
+// datagram is a message from a relay to one or all others of its service.
 type datagram struct {
-	from  *identity
+	from  *fleetRelay
 	class class
 	body  []byte
 }
 
-// arrival is a datagram under way to one relay.
+// arrival is a datagram in transit to one relay.
 type arrival struct {
 	to *hollowRelay
 	datagram
 }
 
-// networkCounts are what happened to datagrams.
+// networkCounts count datagrams by what happened to them.
 type networkCounts struct {
 	Delivered   int64 `json:"delivered"`
 	Lost        int64 `json:"lost"`
@@ -38,15 +38,15 @@
 	ToStopped   int64 `json:"to_dead"`
 }
 
-// network delivers datagrams between relays by a timing wheel, and knows which regions reach which.
+// network delivers datagrams between relays with a timing wheel, and simulates partitions between regions.
 type network struct {
 	random      *rand.Rand
 	options     *Options
 	regions     int
-	partitioned bool                 // the last region reaches no other, nor is it reached
-	oneWay      bool                 // datagrams from the last region to others are lost
-	slots       [slotCount][]arrival // by tick of arrival, modulo their number
-	now         int64                // number of the present tick
+	partitioned bool                 // whether the last region is disconnected from the others
+	oneWay      bool                 // whether datagrams from the last region to others are lost
+	slots       [slotCount][]arrival // indexed by tick of arrival modulo slotCount
+	now         int64                // number of the current tick
 	counts      networkCounts
 }
 
@@ -54,20 +54,20 @@
 	return &network{random: newRandom(o.Seed, "network", 0), options: o, regions: o.Regions}
 }
 
-// reaches reports whether connections from one region to another are possible.
+// reaches reports whether connections between two regions are possible.
 func (n *network) reaches(from, to int) bool {
 	last := n.regions - 1
 	return !n.partitioned || (from == last) == (to == last)
 }
 
-// carries reports whether datagrams from one region arrive at another.
+// carries reports whether datagrams from one region arrive in another.
 func (n *network) carries(from, to int) bool {
 	last := n.regions - 1
 	lostOneWay := n.oneWay && from == last && to != last
 	return n.reaches(from, to) && !lostOneWay
 }
 
-// send sends a datagram to a relay, subject to the faults.
+// send sends a datagram to a relay. Faults may lose or duplicate it.
 func (n *network) send(d datagram, to *hollowRelay) {
 	if !n.carries(d.from.region, to.region) {
 		n.counts.Partitioned++
@@ -84,7 +84,7 @@
 	}
 }
 
-// enqueue draws a datagram's delay and puts it into the slot of its arrival.
+// enqueue adds a datagram to the slot of its arrival, after a random delay.
 func (n *network) enqueue(d datagram, to *hollowRelay) {
 	delay := 1 + n.random.Intn(maxNearDelay)
 	if d.from.region != to.region {
@@ -98,7 +98,7 @@
 	n.slots[slot] = append(n.slots[slot], arrival{to, d})
 }
 
-// deliver passes the datagrams that arrive at a tick to their relays.
+// deliver passes the datagrams that arrive in a tick to their relays. Those to a stopped relay are lost.
 func (n *network) deliver(tickNumber int64) {
 	n.now = tickNumber
 	slot := tickNumber % slotCount
--- a/lab/scale/options.go
+++ b/lab/scale/options.go
@@ -1,9 +1,10 @@
-// Package scale measures what relays cost in large fleets, in virtual time and in one process.
+// Package scale measures the resource use of relays in large fleets, in virtual time and in one process.
 //
-// It hosts hollow relays: the real state machines of a relay (policy, membership) with its real messages, list reader and
-// platform lines, but without sockets and clients. Requests, endpoints, discovery, platform and network are simulated. A
-// simulation owns all state; a worker pool advances its relays in parallel within a tick, all else runs on the goroutine of
-// Run. docs/scale-lab.md is the design note.
+// It hosts hollow relays. A hollow relay runs the real state machines of a relay (policy, membership) and uses the real
+// peer messages, endpoint list reader and platform protocol, but has no sockets and no clients. Requests, endpoints,
+// discovery, the platform and the network are simulated. One simulation owns all state. Within a tick a worker pool
+// advances the relays in parallel; everything else runs on the goroutine that called Run. docs/scale-lab.md describes the
+// design.
 package scale
 
 import (
@@ -12,20 +13,20 @@
 	"strings"
 )
 
-// Shape is how relays and endpoints are distributed over services.
+// Shape is the distribution of relays and endpoints over services.
 type Shape string
 
 const (
-	// Wide is one service with all relays and endpoints.
+	// Wide puts all relays and endpoints into one service.
 	Wide Shape = "wide"
-	// Skewed is few large services and a long tail, by Zipf's law.
+	// Skewed has a few large services and a long tail of small ones, sized by Zipf's law.
 	Skewed Shape = "skewed"
 )
 
-// Fault is the name of a kind of fault.
+// Fault names a kind of fault that is injected into a run.
 type Fault string
 
-// The faults that a run can have.
+// The kinds of faults.
 const (
 	RelayKills           Fault = "relay-kills"
 	RelayKillsX100       Fault = "relay-kills-x100"
@@ -41,27 +42,27 @@
 	AllAggregatorsKilled Fault = "fusers"
 )
 
-// AllFaults lists the faults in the order of the documentation.
+// AllFaults lists the faults in the order in which the documentation describes them.
 var AllFaults = []Fault{RelayKills, RelayKillsX100, Restarts, RestartsX100, RackLoss, ZoneLoss, RegionSplit, OneWayPartition,
 	DatagramLoss, Duplicates, Reorder, AllAggregatorsKilled}
 
-// Safeguard is the name of a safeguard that a run can switch off, so that the checker has something to find.
+// Safeguard names a protection that a run can switch off, to show that the checker detects the resulting violations.
 type Safeguard string
 
 // The safeguards that can be switched off.
 const (
-	// DrainNotices are the list entries of endpoints that leave.
+	// DrainNotices are the list entries that mark endpoints as draining or removed.
 	DrainNotices Safeguard = "drain-notices"
-	// ExposureLimit is the platform's limit on requests to the canary.
+	// ExposureLimit is the platform's limit on the share of requests that are sent to the canary.
 	ExposureLimit Safeguard = "exposure-cap"
-	// Leases are the membership protocol: without it a relay acts on its list however old it is.
+	// Leases are the membership protocol. Without it a relay uses its endpoint list regardless of the list's age.
 	Leases Safeguard = "membership"
 )
 
-// AllSafeguards lists the safeguards in the order of the documentation.
+// AllSafeguards lists the safeguards in the order in which the documentation describes them.
 var AllSafeguards = []Safeguard{DrainNotices, ExposureLimit, Leases}
 
-// Bounds of the options.
+// Upper bounds of the options.
 const (
 	maxRelays    = 20_000
 	maxEndpoints = 200_000
@@ -75,7 +76,7 @@
 	maxJobs      = 256
 )
 
-// Options are the size and the terms of a run.
+// Options are the size and the conditions of a run.
 type Options struct {
 	Relays    int         `json:"relays"`
 	Endpoints int         `json:"units"`
@@ -83,22 +84,23 @@
 	Zones     int         `json:"zones"`
 	Regions   int         `json:"regions"`
 	Shape     Shape       `json:"shape"`
-	Seconds   float64     `json:"seconds"` // of virtual time
+	Seconds   float64     `json:"seconds"` // virtual time
 	Seed      int64       `json:"seed"`
 	Tenants   int         `json:"tenants"`
 	Routes    int         `json:"routes"`
-	Rate      float64     `json:"rate"` // requests a second at each relay, in the mean
+	Rate      float64     `json:"rate"` // mean requests per second at each relay
 	Faults    []Fault     `json:"faults"`
 	Without   []Safeguard `json:"without"`
-	// SampledPerService bounds the relays of a service that are hosted besides its first ones; 0: by the budget.
+	// SampledPerService is how many relays of each service are hosted in addition to its first alwaysHosted ones, at most.
+	// With 0 the number follows from the budget for processor time and memory.
 	SampledPerService int `json:"measured"`
-	// Jobs is how many threads advance relays. It changes no figure but processor time and memory.
+	// Jobs is the number of threads that advance relays. Apart from processor time and memory, no figure depends on it.
 	Jobs int `json:"-"`
-	// Progress is called with the virtual time now and then; nil: never.
+	// Progress, if not nil, is called every progressTicks ticks with the virtual time.
 	Progress func(second float64) `json:"-"`
 }
 
-// Validate returns an error that names the first flag whose value is not valid, in one line.
+// Validate returns a one-line error that names the first flag with an invalid value, or nil.
 func (o *Options) Validate() error {
 	if err := o.validateRanges(); err != nil {
 		return err
@@ -109,7 +111,7 @@
 	return o.validateNames()
 }
 
-// optionRange is the values that a numeric flag may have.
+// optionRange is the valid range of a numeric flag.
 type optionRange struct {
 	flag            string
 	value, min, max float64
@@ -137,7 +139,7 @@
 	return nil
 }
 
-// validateShape checks the shape and the numbers that depend on one another.
+// validateShape checks the shape and the numbers whose bounds depend on other options.
 func (o *Options) validateShape() error {
 	switch {
 	case o.Shape != Wide && o.Shape != Skewed:
@@ -150,7 +152,7 @@
 	return nil
 }
 
-// validateNames checks the faults and the safeguards.
+// validateNames checks the names of the faults and of the safeguards.
 func (o *Options) validateNames() error {
 	for _, fault := range o.Faults {
 		needsRegions := fault == RegionSplit || fault == OneWayPartition
@@ -169,10 +171,10 @@
 	return nil
 }
 
-// has reports whether the run has a fault.
+// has reports whether the fault is injected into the run.
 func (o *Options) has(fault Fault) bool { return slices.Contains(o.Faults, fault) }
 
-// lacks reports whether a safeguard is switched off.
+// lacks reports whether the safeguard is switched off.
 func (o *Options) lacks(safeguard Safeguard) bool { return slices.Contains(o.Without, safeguard) }
 
 func joinNames[Name ~string](names []Name) string {
--- a/lab/scale/platform.go
+++ b/lab/scale/platform.go
@@ -7,20 +7,20 @@
 	"lichenroad/relay"
 )
 
-// platform simulates the release platform of one service: it rolls out builds, counts votes and starts endpoints.
+// platform simulates the release platform of one service. It rolls out builds, counts votes, and starts and drains endpoints.
 type platform struct {
-	service           *service
-	status            relay.RolloutStatus // of the newest build
-	stageStartedAt    float64
-	statusSentAt      float64
-	votes             []receivedVote // by relay
-	defects           map[relay.Build]defect
-	releases          []Release
-	endpointsLaunched int     // of the newest build
-	endpointsNamed    int     // of all builds
-	retireAt          float64 // when the endpoints of earlier builds leave; never: there was no release, or they have left
-	rolledBackAt      float64 // when the newest build was rolled back; never: it was not
-	placer            *placer
+	service            *service
+	status             relay.RolloutStatus // rollout status of the newest build
+	stageStartedAt     float64             // start of the current phase or stage
+	statusSentAt       float64             // when the status was last sent
+	votes              []receivedVote      // indexed by number of the relay
+	defects            map[relay.Build]defect
+	releases           []Release
+	newestLaunched     int     // number of started endpoints of the newest build
+	lastEndpointNumber int     // number in the name of the endpoint started last, counted over all builds
+	retireAt           float64 // when the endpoints of earlier builds are drained, or never if that is not planned
+	rolledBackAt       float64 // when the rollback of the newest build started, or never
+	placer             *placer
 }
 
 func newPlatform(s *service, p *placer) *platform {
@@ -37,7 +37,7 @@
 
 func (p *platform) defect(build relay.Build) defect { return p.defects[build] }
 
-// advance carries out what is due, and reports whether a status has to be sent.
+// advance applies the changes that are due, and reports whether the rollout status has to be sent.
 func (p *platform) advance(now float64) bool {
 	if now >= p.retireAt {
 		p.retireEarlierBuilds(now)
@@ -57,13 +57,13 @@
 	return true
 }
 
-// retireEarlierBuilds drains the endpoints of earlier builds. From then on the release can't be rolled back.
+// retireEarlierBuilds drains the endpoints of earlier builds. After that, the release can no longer be rolled back.
 func (p *platform) retireEarlierBuilds(now float64) {
 	p.retireAt = never
 	p.drain(now, func(e *endpoint) bool { return e.build != p.status.Build })
 }
 
-// startRelease offers the next build, after it has completed the previous release.
+// startRelease ends the previous release and starts the rollout of the next build.
 func (p *platform) startRelease(now float64) {
 	if p.retireAt != never {
 		p.retireEarlierBuilds(now)
@@ -86,14 +86,14 @@
 		RolledBackAfter: -1,
 		ReleasedAfter:   -1,
 	})
-	p.endpointsLaunched = 0
+	p.newestLaunched = 0
 	p.rolledBackAt = never
 	p.status.Build = build
 	p.setPhase(now, relay.PhaseCanary, 0, stages[0].exposureLimit)
 	p.launch(now, stages[0].share)
 }
 
-// setPhase changes the status of the newest build. Earlier votes no longer count.
+// setPhase changes the rollout status of the newest build and discards earlier votes.
 func (p *platform) setPhase(now float64, phase relay.Phase, stage relay.Stage, exposureLimit float64) {
 	p.status.Phase = phase
 	p.status.Stage = stage
@@ -102,18 +102,19 @@
 	clear(p.votes)
 }
 
-// launch starts endpoints of the newest build up to a share of the service's established number.
+// launch starts endpoints of the newest build until their number, at least two, is the given share of
+// service.endpointsBetweenReleases.
 func (p *platform) launch(now, share float64) {
-	wanted := max(2, int(math.Ceil(share*float64(p.service.established))))
-	for ; p.endpointsLaunched < wanted; p.endpointsLaunched++ {
-		p.endpointsNamed++
-		name := fmt.Sprintf("s%d-b%d-%d", p.service.index, p.status.Build, p.endpointsNamed)
-		kind := p.endpointsNamed % len(machineKinds)
+	wanted := max(2, int(math.Ceil(share*float64(p.service.endpointsBetweenReleases))))
+	for ; p.newestLaunched < wanted; p.newestLaunched++ {
+		p.lastEndpointNumber++
+		name := fmt.Sprintf("s%d-b%d-%d", p.service.index, p.status.Build, p.lastEndpointNumber)
+		kind := p.lastEndpointNumber % len(machineKinds)
 		p.service.add(now, newEndpoint(name, p.placer.place(), kind, p.status.Build, now))
 	}
 }
 
-// drain drains the ready endpoints that match.
+// drain drains the ready endpoints for which matches returns true.
 func (p *platform) drain(now float64, matches func(*endpoint) bool) {
 	for _, e := range p.service.endpoints {
 		if e.state == relay.Ready && matches(e) {
@@ -126,7 +127,7 @@
 	p.drain(now, func(e *endpoint) bool { return e.build == p.status.Build })
 }
 
-// receiveVote counts a vote, and returns the reply to it.
+// receiveVote counts a vote unless it is stale, and returns the reply to it.
 func (p *platform) receiveVote(now float64, from relay.ID, weight float64, vote relay.Vote) relay.VoteReply {
 	if p.isStale(vote) {
 		return relay.ReplyStale
@@ -136,8 +137,8 @@
 	return relay.ReplyCounted
 }
 
-// isStale reports whether a vote is on a build or stage that is past. A released build can still be rolled back until the
-// earlier builds' endpoints leave.
+// isStale reports whether a vote is about a build or a stage that is no longer current. A released build can be rolled back
+// until the endpoints of earlier builds are drained.
 func (p *platform) isStale(vote relay.Vote) bool {
 	phase := p.status.Phase
 	ended := phase == relay.PhaseRollingBack || phase == relay.PhaseWithdrawn
@@ -151,7 +152,7 @@
 	return vote.Stage != p.status.Stage || phase == relay.PhaseReleased
 }
 
-// countVotes rolls the newest build back or promotes it if enough votes say so.
+// countVotes rolls the newest build back or promotes it if the valid votes reach the required share of the relays.
 func (p *platform) countVotes(now float64) {
 	var sum [relay.VoteRollBack + 1]float64
 	for _, vote := range p.votes {
@@ -162,14 +163,14 @@
 	relays := float64(len(p.service.relays))
 	release := &p.releases[len(p.releases)-1]
 	switch {
-	case sum[relay.VoteRollBack] >= math.Max(1, rollBackShare*relays)-1e-6:
+	case sum[relay.VoteRollBack] >= math.Max(1, rollBackShare*relays)-voteTolerance:
 		p.rollBack(now, release)
-	case sum[relay.VotePromote] >= math.Max(1, promoteShare*relays)-1e-6 && sum[relay.VoteHold] == 0:
+	case sum[relay.VotePromote] >= math.Max(1, promoteShare*relays)-voteTolerance && sum[relay.VoteHold] == 0:
 		p.promote(now, release)
 	default:
 		return
 	}
-	p.statusSentAt = -statusInterval // so that it is due at once
+	p.statusSentAt = -statusInterval // the status is due at once
 }
 
 func (p *platform) rollBack(now float64, release *Release) {
@@ -181,7 +182,7 @@
 	p.drainNewestBuild(now)
 }
 
-// promote moves the newest build to the next stage, or releases it after the last one.
+// promote advances the newest build to the next stage, or releases it fully after the last one.
 func (p *platform) promote(now float64, release *Release) {
 	if next := int(p.status.Stage) + 1; next < len(stages) {
 		p.setPhase(now, relay.PhaseCanary, relay.Stage(next), stages[next].exposureLimit)
@@ -195,7 +196,7 @@
 	p.retireAt = now + retireDelay
 }
 
-// statusAt returns the status with its age.
+// statusAt returns the rollout status with its age as of now.
 func (p *platform) statusAt(now float64) relay.RolloutStatus {
 	status := p.status
 	status.Age = math.Max(now-p.stageStartedAt, 0)
--- a/lab/scale/release.go
+++ b/lab/scale/release.go
@@ -8,49 +8,52 @@
 
 // Properties of the releases. Durations are in seconds.
 const (
-	firstRelease    = 8.0  // by then the relays know the usual latency
-	releaseInterval = 40.0 // of a service; a build that is still a canary at the next release is withdrawn
-	retireDelay     = 5.0  // from a release until the earlier builds' endpoints leave: the new ones are past slow start then
-	withdrawDelay   = 3.0  // from the decision to roll a build back until it is withdrawn
-	statusInterval  = 5.0  // between repetitions of a rollout status
-	voteTTL         = 20.0 // for which a vote counts
-	promoteShare    = 0.5  // of the relays, whose votes promote a build
-	rollBackShare   = 0.4  // of the relays, whose votes roll it back
-	holdShare       = 0.1
-	statusDelay     = 0.04 // of statuses and replies to votes
+	firstRelease    = 8.0  // start of the first release; by then relays have measured the usual latency
+	releaseInterval = 40.0 // time between releases of a service; the next release drains a canary that is still undecided
+	retireDelay     = 5.0  // time from a full release until earlier builds are drained, enough for the slow start of the new ones
+	withdrawDelay   = 3.0  // time from the decision to roll a build back until it is withdrawn
+	statusInterval  = 5.0  // time between repetitions of a rollout status
+	voteTTL         = 20.0 // time for which a vote is valid
+	promoteShare    = 0.5  // share of the relays whose votes promote a build
+	rollBackShare   = 0.4  // share of the relays whose votes roll a build back
+	holdShare       = 0.1  // share of the relays whose votes hold a build
+	voteTolerance   = 1e-6 // allowance for rounding errors in the sum of vote weights
+	quorumTolerance = 1e-9 // allowance for rounding errors in a share of the relays
+	statusDelay     = 0.04 // latency of rollout statuses and of replies to votes
 )
 
 // canaryStage is one stage of a rollout.
 type canaryStage struct {
-	share         float64 // of the service's endpoints that run the canary
-	exposureLimit float64 // on its share of the requests
+	share         float64 // canary endpoints as a share of the service's endpoints between releases
+	exposureLimit float64 // maximum share of the requests that are sent to the canary
 }
 
 var stages = []canaryStage{{0.1, 0.05}, {0.4, 0.25}}
 
-// releaseKind is what is wrong with a release.
+// releaseKind is the kind of defect in a release.
 type releaseKind int
 
 const (
-	badForOneService releaseKind = iota // the same build goes to several services, and fails in one of them
-	goodRelease                         // nothing
-	failingRelease                      // it fails everywhere
-	slowRelease                         // it takes far longer everywhere
+	badForOneService releaseKind = iota // the build is rolled out to several services and fails in one of them
+	goodRelease                         // no defect
+	failingRelease                      // the build fails some attempts in every service
+	slowRelease                         // the build is slower in every service
 	releaseKindCount
 )
 
 const (
-	defectFailureRate = 0.25
-	defectSlowdown    = 2.5
+	defectFailureRate = 0.25 // share of the attempts that fail
+	defectSlowdown    = 2.5  // multiple of the usual work
 )
 
-// String returns the name that results have for the kind.
+// String returns the kind's name in results.
 func (k releaseKind) String() string {
 	return [...]string{"bad-for-one-service", "good", "failing", "slow"}[k]
 }
 
-// releaseFor returns the kind of a service's release by its number, and the defect of the build in that service. Services
-// form one cohort for each kind and rotate through the kinds, so that every kind is a canary somewhere at any time.
+// releaseFor returns the kind of a service's release with this number, and the defect that its build has in that service.
+// There are as many cohorts of services as kinds, and each cohort rotates through the kinds, so that builds of every kind are
+// rolled out at the same time. A badForOneService build is defective only in the largest service of its cohort.
 func releaseFor(service, release int) (releaseKind, defect) {
 	cohort := service % int(releaseKindCount)
 	kind := releaseKind((cohort + release) % int(releaseKindCount))
@@ -64,25 +67,26 @@
 	return kind, noDefect
 }
 
-// Release is one release of one service.
+// Release is the record of one release of one service.
 type Release struct {
 	Service   int     `json:"service"`
 	Build     int     `json:"build"`
 	Kind      string  `json:"kind"`
 	Bad       bool    `json:"bad"`
 	OfferedAt float64 `json:"offered_at"`
-	// RolledBackAfter and ReleasedAfter are seconds from the start of the release; negative: it did not come to that.
+	// RolledBackAfter and ReleasedAfter are seconds from the start of the release, or negative if the build was not rolled back
+	// or not fully released.
 	RolledBackAfter float64 `json:"back_after"`
 	ReleasedAfter   float64 `json:"released_after"`
-	Ended           bool    `json:"ended"` // by the next release or by one of the above
+	Ended           bool    `json:"ended"` // rolled back, fully released, or replaced by the next release
 }
 
-// quorum returns how many of the relays a share is, at least one.
+// quorum returns the share of the relays as a number, rounded up and at least one.
 func quorum(share float64, relays int) int {
-	return max(1, int(math.Ceil(share*float64(relays)-1e-9)))
+	return max(1, int(math.Ceil(share*float64(relays)-quorumTolerance)))
 }
 
-// receivedVote is the last vote of one relay.
+// receivedVote is the last vote received from one relay.
 type receivedVote struct {
 	relay.Vote
 	receivedAt, weight float64
--- a/lab/scale/request_source.go
+++ b/lab/scale/request_source.go
@@ -6,10 +6,10 @@
 	"lichenroad/relay"
 )
 
-// requestKind is what the requests of a class are like. Durations are in seconds.
+// requestKind describes the requests of a class. Durations are in seconds.
 type requestKind struct {
-	share            float64 // of all requests
-	minWork          float64 // on a standard core
+	share            float64 // share of all requests
+	minWork          float64 // seconds of a standard core
 	maxWork          float64
 	latencyObjective float64
 	deadline         float64
@@ -17,27 +17,27 @@
 	idempotency      relay.Idempotency
 }
 
-// requestKinds are those of the classes in the order of their numbers.
+// requestKinds are indexed by request class.
 var requestKinds = []requestKind{
 	{share: 0.7, minWork: 0.02, maxWork: 0.04, latencyObjective: 0.8, deadline: 2.5, priorityWeight: 1, idempotency: relay.Idempotent},
 	{share: 0.3, minWork: 0.02, maxWork: 0.06, latencyObjective: 1, deadline: 3, priorityWeight: 3, idempotency: relay.AtMostOnce},
 }
 
-// workHintError is how far off a client's hint of the work may be, either way.
+// workHintError is the maximum relative error of a client's hint of the work, in either direction.
 const workHintError = 0.25
 
-// requestSource draws a relay's requests: a Poisson process, with tenants and routes drawn evenly.
+// requestSource generates a relay's requests. Arrivals are a Poisson process, and tenants and routes are uniformly distributed.
 type requestSource struct {
 	random          *rand.Rand
-	rate            float64 // requests a second
+	rate            float64 // mean requests per second
 	tenants, routes int
 	lastID          relay.RequestID
 }
 
-// drawGap draws the time to the next request.
+// drawGap returns a random time until the next request.
 func (s *requestSource) drawGap() float64 { return s.random.ExpFloat64() / s.rate }
 
-// next draws a request and its work. Its times are counted as those of the decision code.
+// next returns a random request and its work. Times are in seconds since the relay's start, as in the decision code.
 func (s *requestSource) next(now float64) (request relay.Request, work float64) {
 	s.lastID++
 	class := drawClass(s.random)
@@ -59,7 +59,7 @@
 	return request, work
 }
 
-// drawClass draws a class by the kinds' shares.
+// drawClass returns a random request class, distributed by the shares of requestKinds.
 func drawClass(random *rand.Rand) int {
 	at := random.Float64()
 	for class := range requestKinds {
@@ -70,17 +70,18 @@
 	return len(requestKinds) - 1
 }
 
-// drawWork draws the work of a request.
+// drawWork returns the work of a random request of this kind.
 func (k *requestKind) drawWork(random *rand.Rand) float64 {
 	return k.minWork + (k.maxWork-k.minWork)*random.Float64()
 }
 
-// drawWorkHint draws a client's hint of the work.
+// drawWorkHint returns a random hint that a client gives of the work.
 func drawWorkHint(random *rand.Rand, work float64) float64 {
 	return work * (1 + workHintError*(2*random.Float64()-1))
 }
 
-// newRandom returns a random source for one part of the simulation, so that a part that draws more changes no other.
+// newRandom returns the random source of one part of the simulation. Every part has its own source, so that additional draws in
+// one part do not change the others.
 func newRandom(seed int64, part string, index int) *rand.Rand {
 	h := uint64(seed) * 0x9e3779b97f4a7c15
 	for _, c := range part {
--- a/lab/scale/result.go
+++ b/lab/scale/result.go
@@ -9,7 +9,8 @@
 	"time"
 )
 
-// ReleaseSummary sum up the releases of the simulated services.
+// ReleaseSummary counts the releases of the simulated services by result. RollBackP50 and RollBackP90 are quantiles, in seconds,
+// of the time from the start of a bad release until its rollback.
 type ReleaseSummary struct {
 	Releases         int     `json:"releases"`
 	Bad              int     `json:"bad"`
@@ -17,48 +18,48 @@
 	BadRolledBack    int     `json:"bad_sent_back"`
 	RollBackP50      float64 `json:"seconds_to_back_p50"`
 	RollBackP90      float64 `json:"seconds_to_back_p90"`
-	BadNotRolledBack int     `json:"bad_stayed"` // released, or still a canary at the next release
+	BadNotRolledBack int     `json:"bad_stayed"` // fully released, or still a canary at the next release
 	GoodRolledBack   int     `json:"good_sent_back"`
 	GoodReleased     int     `json:"good_released"`
 	Open             int     `json:"open_at_the_end"`
 }
 
-// Faults are the effects of a run's faults.
+// Faults counts the effects of a run's faults.
 type Faults struct {
 	faultCounts
 	Datagrams networkCounts `json:"datagrams"`
 }
 
-// Result is the figures of a run. docs/scale-lab.md explains each.
+// Result contains the figures of a run. docs/scale-lab.md explains each of them.
 type Result struct {
 	Options          Options        `json:"options"`
-	Services         int            `json:"services_played"`
-	Relays           int            `json:"relays_played"`
-	Hosted           int            `json:"instances_measured"`
+	Services         int            `json:"services_played"`    // simulated services
+	Relays           int            `json:"relays_played"`      // relays of the simulated services, hosted and synthetic
+	Hosted           int            `json:"instances_measured"` // hosted relays
 	Roles            []Role         `json:"roles"`
 	ReleaseSummary   ReleaseSummary `json:"decisions"`
 	Releases         []Release      `json:"releases"`
 	Requests         requestCounts  `json:"requests"`
-	ListsRejected    int            `json:"lists_refused"` // by the real reader, as too long
-	Unreadable       int            `json:"unreadable"`
-	UnknownEndpoints int            `json:"unknown_units"`
-	RemovedByPeers   int            `json:"units_told_by_peers"` // before discovery listed the removal
+	ListsRejected    int            `json:"lists_refused"`       // lists that the real reader rejected as too long
+	Unreadable       int            `json:"unreadable"`          // messages, lists and lines that the real code rejected
+	UnknownEndpoints int            `json:"unknown_units"`       // list entries and attempts with an unknown endpoint
+	RemovedByPeers   int            `json:"units_told_by_peers"` // endpoints that peers reported as removed before discovery did
 	Faults           Faults         `json:"faults"`
 	ViolationCount   int            `json:"broken_count"`
 	Violations       []Violation    `json:"broken"`
-	SlowStartChecked bool           `json:"cold_checked"` // every relay was hosted, so that the work sent during slow start is known
+	SlowStartChecked bool           `json:"cold_checked"` // whether all relays were hosted, as the slow-start check requires
 	ProcessPeakMB    float64        `json:"process_peak_mb"`
 	WallSeconds      float64        `json:"wall_s"`
-	GCSeconds        float64        `json:"gc_cpu_s"` // of the collector's own threads, up to the end of the virtual time
+	GCSeconds        float64        `json:"gc_cpu_s"` // processor time of the garbage collector's dedicated workers
 }
 
 const (
-	maxViolations      = 200 // in a result
-	memoryLimitPercent = 90  // of maxMemoryMB, beyond which the collector works harder
+	maxViolations      = 200 // maximum number of violations in a result
+	memoryLimitPercent = 90  // percentage of maxMemoryMB above which the garbage collector runs more often
 )
 
-// Run simulates a fleet. It returns an error if the options are not valid, if the size needs too much memory, or if the
-// context ends. It sets the memory limit of the process while it runs.
+// Run simulates a fleet. It returns an error if the options are invalid, if the fleet needs too much memory, or if the context
+// ends. While it runs, it changes the memory limit of the process.
 func Run(ctx context.Context, o Options) (*Result, error) {
 	if err := o.Validate(); err != nil {
 		return nil, err
@@ -74,7 +75,7 @@
 	if err := sim.run(ctx); err != nil {
 		return nil, err
 	}
-	collector := collectorSeconds() - collectorBefore
+	collector := collectorSeconds() - collectorBefore // without the collections that measure heaps
 	result := sim.result()
 	result.GCSeconds = collector
 	result.WallSeconds = time.Since(startedAt).Seconds()
@@ -82,7 +83,8 @@
 	return result, nil
 }
 
-// result sums up the simulation. The state machines of some relays end with it.
+// result returns the figures of the simulation. It can be called only once, because measuring the heap discards the state
+// machines of some relays.
 func (sim *simulation) result() *Result {
 	r := &Result{
 		Options:          sim.options,
@@ -118,7 +120,7 @@
 	return r
 }
 
-// addInstance adds one instance to the totals.
+// addInstance adds the counts of one hosted relay to the totals.
 func (r *Result) addInstance(h *hollowRelay) {
 	r.Hosted++
 	for _, request := range h.requests {
@@ -135,9 +137,9 @@
 	r.Violations = append(r.Violations, h.checker.violations...)
 }
 
-// addReleases adds and sums up the releases of all services.
+// addReleases adds the releases of all services and summarizes them.
 func (r *Result) addReleases(services []*service) {
-	var rollBackTimes []float64 // of bad builds
+	var rollBackTimes []float64 // time until rollback of each bad build that was rolled back
 	for _, s := range services {
 		for _, release := range s.platform.releases {
 			r.Releases = append(r.Releases, release)
@@ -155,29 +157,29 @@
 func (r *Release) wasRolledBack() bool { return r.RolledBackAfter >= 0 }
 
 // add counts one release.
-func (d *ReleaseSummary) add(release Release) {
-	d.Releases++
+func (s *ReleaseSummary) add(release Release) {
+	s.Releases++
 	switch {
 	case release.Bad && release.wasRolledBack():
-		d.BadRolledBack++
+		s.BadRolledBack++
 	case release.Bad && release.Ended:
-		d.BadNotRolledBack++
+		s.BadNotRolledBack++
 	case !release.Bad && release.wasRolledBack():
-		d.GoodRolledBack++
+		s.GoodRolledBack++
 	case !release.Bad && release.ReleasedAfter >= 0:
-		d.GoodReleased++
+		s.GoodReleased++
 	case !release.Ended:
-		d.Open++
+		s.Open++
 	}
 	if release.Bad {
-		d.Bad++
+		s.Bad++
 	}
 	if release.Bad && release.Kind == badForOneService.String() {
-		d.BadForOneService++
+		s.BadForOneService++
 	}
 }
 
-// quantile returns the least value that at least a fraction of the values does not exceed; 0 if there is no value.
+// quantile returns the smallest value that at least the given fraction of the values does not exceed, or 0 without values.
 func quantile(sorted []float64, fraction float64) float64 {
 	if len(sorted) == 0 {
 		return 0
--- a/lab/scale/role.go
+++ b/lab/scale/role.go
@@ -5,33 +5,33 @@
 	"runtime"
 )
 
-// maxHeapsPerRole is of how many instances of a role the heap is measured at most.
+// maxHeapsPerRole is the maximum number of instances of a role whose heap is measured.
 const maxHeapsPerRole = 12
 
-// The roles, as results name them.
+// The roles, as named in results.
 const (
 	relayRole      = "relay"
-	aggregatorRole = "fuser" // it sent decisions to the others at any time of the run
+	aggregatorRole = "fuser" // a relay that sent decisions to the others at any time of the run
 )
 
-// Role is what the relays of one role used. Rates are per second of an instance's life.
+// Role is the resource use of the relays of one role. Rates are per second during which an instance ran.
 type Role struct {
 	Name          string `json:"name"`
-	Instances     int    `json:"instances"`          // of the fleet
-	Hosted        int    `json:"instances_measured"` // that were hosted
-	HeapsMeasured int    `json:"heaps_measured"`
+	Instances     int    `json:"instances"`          // number of instances in the fleet
+	Hosted        int    `json:"instances_measured"` // number of hosted instances
+	HeapsMeasured int    `json:"heaps_measured"`     // number of instances whose heap was measured
 
-	CPUShare        Distribution `json:"cpu_share"`   // of one core, without the first list
-	StartCPUSeconds Distribution `json:"start_cpu_s"` // processor seconds of the first lists of all incarnations
+	CPUShare        Distribution `json:"cpu_share"`   // share of one core, without handling the first list
+	StartCPUSeconds Distribution `json:"start_cpu_s"` // processor seconds for handling the first lists of all incarnations
 	HeapMB          Distribution `json:"heap_mb"`
 	Traffic                      // datagrams between relays, with UDP and IP headers
 	BroadcastsOut   Distribution `json:"broadcasts_out_per_s"` // datagrams to all relays at once
-	Membership      Traffic      `json:"membership"`           // datagrams of the membership protocol alone
-	Lists           Traffic      `json:"lists"`                // polls and answers of discovery, without TCP's overhead
-	Platform        Traffic      `json:"news"`                 // lines to and from the platform, without TCP's overhead
+	Membership      Traffic      `json:"membership"`           // datagrams of the membership protocol only
+	Lists           Traffic      `json:"lists"`                // polls of discovery and their answers, without TCP overhead
+	Platform        Traffic      `json:"news"`                 // lines to and from the platform, without TCP overhead
 }
 
-// Traffic is the messages that instances received and sent a second.
+// Traffic is the distribution of messages and bytes per second over instances.
 type Traffic struct {
 	MessagesIn  Distribution `json:"messages_in_per_s"`
 	MessagesOut Distribution `json:"messages_out_per_s"`
@@ -39,7 +39,7 @@
 	BytesOut    Distribution `json:"bytes_out_per_s"`
 }
 
-// newRole sums up the instances of a role. It ends the state machines of some to measure their heap.
+// newRole summarizes the instances of a role. It discards the state machines of some of them to measure their heap.
 func newRole(name string, instances []*hollowRelay) Role {
 	population := rolePopulation(instances)
 	role := Role{
@@ -62,10 +62,10 @@
 	return role
 }
 
-// rolePopulation is the instances of a role, each of which stands for some of the fleet.
+// rolePopulation is the hosted instances of a role. Each of them represents a number of instances of the fleet.
 type rolePopulation []*hollowRelay
 
-// size returns how many instances of the fleet they stand for.
+// size returns the number of instances of the fleet that the population represents.
 func (p rolePopulation) size() float64 {
 	size := 0.0
 	for _, h := range p {
@@ -74,7 +74,7 @@
 	return size
 }
 
-// distribution returns the distribution of a figure over the instances.
+// distribution returns the weighted distribution of a figure over the instances.
 func (p rolePopulation) distribution(figure func(m *meter) float64) Distribution {
 	observations := make([]observation, len(p))
 	for i, h := range p {
@@ -83,12 +83,12 @@
 	return distribute(observations)
 }
 
-// rate returns the distribution of a figure per second of an instance's life.
+// rate returns the weighted distribution of a figure per second during which an instance ran.
 func (p rolePopulation) rate(figure func(m *meter) float64) Distribution {
 	return p.distribution(func(m *meter) float64 { return figure(m) / math.Max(m.aliveSeconds, tick) })
 }
 
-// traffic returns the rates of the messages of some classes together.
+// traffic returns the rates of the messages of the given classes together.
 func (p rolePopulation) traffic(classes ...class) Traffic {
 	rate := func(count func(t *traffic) int64) Distribution {
 		return p.rate(func(m *meter) float64 {
@@ -107,11 +107,12 @@
 	}
 }
 
-// represents returns how many relays of the fleet the instance stands for.
+// represents returns how many relays of the fleet the instance represents.
 func (h *hollowRelay) represents() float64 { return h.weight * h.service.weight }
 
-// measureHeaps returns the heap of some instances in MB: what a collection frees when their state machines are dropped one by
-// one. The instances are in the order of services, the largest first, so that the measured ones are spread over their sizes.
+// measureHeaps returns the heap of some instances in MB. It discards their state machines one by one and measures the memory
+// that garbage collection frees. The instances have to be sorted by size of the service, so that the measured ones are spread
+// over all sizes.
 func measureHeaps(instances []*hollowRelay) []observation {
 	var heaps []observation
 	var before, after runtime.MemStats
--- a/lab/scale/sample.go
+++ b/lab/scale/sample.go
@@ -5,50 +5,51 @@
 	"math"
 )
 
-// Which relays are hosted. At full size the relays of a wide fleet would need some hundred gigabytes and hours, so the first
-// relays of a service are always hosted (the aggregators and those that replace them), of the others a sample, and of the long
-// tail of small services some are simulated for all. The sample depends on the options alone, never on the machine.
+// Hosting every relay of a wide fleet at full size would take some hundred gigabytes of memory and hours of processor time.
+// Of each simulated service, the first relays are always hosted (the aggregators and their possible replacements), and a
+// sample of the others. Of the long tail of small services only some are simulated, each of which represents several. The
+// sample depends on the options only, never on the machine.
 const (
-	alwaysHosted            = 8         // relays of a service: the aggregators, and as many that may replace them
-	alwaysSimulatedServices = 16        // largest services
-	budgetSeconds           = 1800.0    // processor seconds that a run may take by the estimate
-	maxMemoryMB             = 12 * 1024 // that a run may take
+	alwaysHosted            = 8         // relays of each service: the aggregators, and as many possible replacements
+	alwaysSimulatedServices = 16        // the largest services
+	budgetSeconds           = 1800.0    // estimated processor time that a run may take
+	maxMemoryMB             = 12 * 1024 // memory that a run may take
 )
 
-// The estimate of memory, in MB.
+// Parameters of the memory estimate, in MB.
 const (
-	garbageFactor             = 2.0        // process memory over live heap, with the collector's default settings
-	baseMemoryMB              = 150.0      // of the program and its synthetic relays
-	heapPerInstance           = 0.3        // live heap of a hosted relay
-	heapPerEndpoint           = 0.6 / 1024 // for an endpoint on the list
-	heapPerContactedEndpoint  = 1.0 / 1024 // more, for an endpoint that the relay sent attempts to
-	heapPerAggregatedEndpoint = 1.2 / 1024 // more at an aggregator, for an endpoint in reports
-	heapPerRelay              = 0.4 / 1024 // for a peer
-	heapPerTenant             = 32.0 / (1 << 20)
+	garbageFactor             = 2.0              // ratio of process memory to live heap with the collector's default settings
+	baseMemoryMB              = 150.0            // the program and its synthetic relays
+	heapPerInstance           = 0.3              // live heap of one hosted relay
+	heapPerEndpoint           = 0.6 / 1024       // live heap for each endpoint on the list
+	heapPerContactedEndpoint  = 1.0 / 1024       // additional, for each endpoint to which the relay has sent attempts
+	heapPerAggregatedEndpoint = 1.2 / 1024       // additional at an aggregator, for each endpoint in the reports it receives
+	heapPerRelay              = 0.4 / 1024       // live heap for each peer
+	heapPerTenant             = 32.0 / (1 << 20) // live heap for each tenant
 )
 
-// The estimate of processor time, in seconds.
+// Parameters of the estimate of processor time, in seconds.
 const (
-	costPerRequest            = 3e-5   // with its share of the host
-	costPerCandidate          = 8.5e-8 // an endpoint, for each request
-	costPerAggregatedEndpoint = 9e-6   // an endpoint and second, of an aggregator's periodic work
-	costPerAggregatedAttempt  = 2e-7   // for each attempt in reports to an aggregator
-	costPerListedEndpoint     = 1.2e-5 // an endpoint, of the first list
+	costPerRequest            = 3e-5   // including the request's share of the simulation's own cost
+	costPerCandidate          = 8.5e-8 // cost of a request for each candidate endpoint
+	costPerAggregatedEndpoint = 9e-6   // cost of an aggregator's periodic work for each endpoint and second
+	costPerAggregatedAttempt  = 2e-7   // cost for each attempt in the reports that an aggregator receives
+	costPerListedEndpoint     = 1.2e-5 // cost of the first list for each endpoint
 )
 
-// sample is how much of the fleet is hosted.
+// sample is the part of the fleet that is simulated and hosted.
 type sample struct {
-	ordinary   int // relays of each simulated service besides the first ones
-	tailStride int // of the small services, one in so many is simulated
+	sampledPerService int // hosted relays of each simulated service in addition to the first alwaysHosted ones
+	tailStride        int // one in tailStride of the services beyond the largest is simulated
 }
 
-// includes reports whether a service is simulated.
+// includes reports whether the service with this index is simulated.
 func (s sample) includes(service int) bool {
 	return service < alwaysSimulatedServices || (service-alwaysSimulatedServices)%s.tailStride == 0
 }
 
-// servicesPer returns how many of the services a simulated one stands for.
-func (s sample) servicesPer(service, services int) float64 {
+// servicesRepresented returns how many of all services a simulated service represents in the figures.
+func (s sample) servicesRepresented(service, services int) float64 {
 	if service < alwaysSimulatedServices {
 		return 1
 	}
@@ -57,21 +58,21 @@
 	return float64(tail) / float64(simulated)
 }
 
-// hostedOf returns how many of a service's relays are hosted.
-func (s sample) hostedOf(relays int) int { return min(relays, alwaysHosted+s.ordinary) }
+// hostedRelays returns how many relays of a service are hosted, out of the number given.
+func (s sample) hostedRelays(relays int) int { return min(relays, alwaysHosted+s.sampledPerService) }
 
-// estimate is what a sample is expected to take.
+// estimate is the expected resource use of a run.
 type estimate struct {
 	processorSeconds, memoryMB float64
 	instances                  int
 }
 
-// fitsBudget reports whether a run with the estimate is within the budget.
+// fitsBudget reports whether the estimate is within the budget for processor time and memory.
 func (e estimate) fitsBudget() bool {
 	return e.processorSeconds <= budgetSeconds && e.memoryMB <= maxMemoryMB
 }
 
-// estimate returns what a run with a sample is expected to take.
+// estimate returns the expected resource use of a run with the sample.
 func (o *Options) estimate(s sample) estimate {
 	var total estimate
 	liveHeap := 0.0
@@ -79,7 +80,7 @@
 		if !s.includes(i) {
 			continue
 		}
-		hosted := s.hostedOf(size.relays)
+		hosted := s.hostedRelays(size.relays)
 		total.instances += hosted
 		total.processorSeconds += o.estimateProcessor(size, hosted)
 		liveHeap += o.estimateHeap(size, hosted)
@@ -88,7 +89,7 @@
 	return total
 }
 
-// estimateProcessor returns the processor seconds of a service.
+// estimateProcessor returns the processor seconds that the hosted relays of a service take.
 func (o *Options) estimateProcessor(size serviceSize, hosted int) float64 {
 	endpoints, relays := float64(size.endpoints), float64(size.relays)
 	aggregators := min(aggregatorCount, hosted)
@@ -98,7 +99,7 @@
 		float64(hosted)*costPerListedEndpoint*endpoints
 }
 
-// estimateHeap returns the live heap of a service in MB.
+// estimateHeap returns the live heap of the hosted relays of a service in MB.
 func (o *Options) estimateHeap(size serviceSize, hosted int) float64 {
 	endpoints, relays := float64(size.endpoints), float64(size.relays)
 	aggregators := min(aggregatorCount, hosted)
@@ -107,10 +108,11 @@
 		heapPerTenant*float64(size.tenants)) + float64(aggregators)*heapPerAggregatedEndpoint*endpoints
 }
 
-// chooseSample returns the largest sample within the budget, or an error if there is none that fits the memory.
+// chooseSample returns the first candidate sample within the budget. If none is, it returns the last one, with an error if
+// even that needs more memory than a run may take. Options.SampledPerService overrides the choice.
 func (o *Options) chooseSample() (sample, error) {
 	if o.SampledPerService > 0 {
-		s := sample{ordinary: o.SampledPerService, tailStride: 1}
+		s := sample{sampledPerService: o.SampledPerService, tailStride: 1}
 		return s, o.checkMemory(s)
 	}
 	candidates := o.candidateSamples()
@@ -123,9 +125,9 @@
 	return smallest, o.checkMemory(smallest)
 }
 
-// candidateSamples returns the samples to choose from, the largest first.
+// candidateSamples returns the samples to choose from in order of preference, the whole fleet first.
 func (o *Options) candidateSamples() []sample {
-	everyRelay := sample{ordinary: o.Relays, tailStride: 1}
+	everyRelay := sample{sampledPerService: o.Relays, tailStride: 1}
 	candidates := []sample{everyRelay}
 	for _, ordinary := range []int{128, 64, 32, 16} {
 		for _, stride := range []int{1, 4, 16, 64} {
@@ -135,7 +137,7 @@
 	return candidates
 }
 
-// checkMemory returns an error for a sample that needs more memory than a run may take.
+// checkMemory returns an error if a run with the sample needs more memory than a run may take.
 func (o *Options) checkMemory(s sample) error {
 	e := o.estimate(s)
 	if e.memoryMB <= maxMemoryMB {
--- a/lab/scale/service.go
+++ b/lab/scale/service.go
@@ -8,31 +8,31 @@
 )
 
 const (
-	aggregatorCount   = 4      // lowest-numbered running relays that aggregate
-	aggregatorTimeout = 3.0    // seconds without a message after which an aggregator counts as lost
-	initialUptime     = 3600.0 // seconds for which the endpoints of the first build have run at the start
+	aggregatorCount   = 4      // the running relays with the lowest numbers aggregate
+	aggregatorTimeout = 3.0    // seconds after which a stopped aggregator counts as lost
+	initialUptime     = 3600.0 // seconds that the endpoints of the first build have already run when a run starts
 )
 
-// service is one service's part of the fleet.
+// service is one service with its relays and endpoints.
 type service struct {
-	index        int
-	size         serviceSize
-	established  int     // endpoints between releases
-	weight       float64 // services that it stands for in the figures
-	settings     relay.Settings
-	relays       []*identity
-	hollowRelays []*hollowRelay // the hosted ones of relays, by number
-	endpoints    []*endpoint
-	byID         map[relay.EndpointID]*endpoint
-	registry     *registry
-	platform     *platform
+	index                    int
+	size                     serviceSize
+	endpointsBetweenReleases int     // number of endpoints while no canary runs
+	weight                   float64 // number of services that it represents in the figures
+	settings                 relay.Settings
+	relays                   []*fleetRelay
+	hollowRelays             []*hollowRelay // the hosted relays, sorted by number
+	endpoints                []*endpoint
+	byID                     map[relay.EndpointID]*endpoint
+	registry                 *registry
+	platform                 *platform
 }
 
 func newService(index int, size serviceSize, p *placer) *service {
 	s := &service{index: index, size: size, byID: map[relay.EndpointID]*endpoint{}, weight: 1}
 	canaryShare := stages[len(stages)-1].share
-	s.established = max(1, int(float64(size.endpoints)/(1+canaryShare))) // so that a canary fits beside them
-	for i := range s.established {
+	s.endpointsBetweenReleases = max(1, int(float64(size.endpoints)/(1+canaryShare))) // the canary's endpoints fit in besides
+	for i := range s.endpointsBetweenReleases {
 		name := fmt.Sprintf("s%d-u%d", index, i)
 		e := newEndpoint(name, p.place(), i%len(machineKinds), 1, -initialUptime)
 		s.endpoints = append(s.endpoints, e)
@@ -43,7 +43,7 @@
 	return s
 }
 
-// serviceSettings returns the settings of a service's relays.
+// serviceSettings returns the settings of the relays of a service of this size.
 func serviceSettings(size serviceSize) relay.Settings {
 	settings := relay.Settings{
 		Relays:        size.relays,
@@ -63,7 +63,7 @@
 			OverloadMultiple: overloadMultiple,
 			OverloadWindow:   overloadWindow,
 			AnswerSlack:      0.01,
-			PollInterval:     changeBindsAfter,
+			PollInterval:     maxNotifyDelay,
 		},
 		Rollout: relay.Rollout{
 			Control:              relay.ControlQuorum,
@@ -97,21 +97,21 @@
 	return settings
 }
 
-// add starts an endpoint.
+// add adds a started endpoint to the service and to discovery's list.
 func (s *service) add(now float64, e *endpoint) {
 	s.endpoints = append(s.endpoints, e)
 	s.byID[e.id] = e
 	s.registry.add(now, e)
 }
 
-// drain starts the drain of an endpoint, whose process ends a little later.
+// drain starts draining an endpoint. Its process ends after drainTime.
 func (s *service) drain(now float64, e *endpoint) {
 	e.state = relay.Draining
 	e.endedAt = math.Min(e.endedAt, now+drainTime)
 	s.registry.scheduleChange(now, e)
 }
 
-// removeEnded lists endpoints whose process has ended after a drain as removed, and drops all that are removed.
+// removeEnded marks draining endpoints whose process has ended as removed, and deletes removed endpoints from s.endpoints.
 func (s *service) removeEnded(now float64) {
 	kept := s.endpoints[:0]
 	for _, e := range s.endpoints {
@@ -127,17 +127,17 @@
 	s.endpoints = kept
 }
 
-// crash ends an endpoint's process, which discovery notices later.
+// crash ends an endpoint's process. Discovery detects that after crashDetectionTime.
 func (s *service) crash(now float64, e *endpoint) {
 	e.endedAt = now
 	e.state = relay.Removed
 	s.registry.scheduleChange(now+crashDetectionTime, e)
 }
 
-// aggregatorsSeenFrom returns the relays that those of a region take for the aggregators: the lowest-numbered ones whose
-// messages arrived lately.
-func (s *service) aggregatorsSeenFrom(region int, now float64, n *network) []*identity {
-	var aggregators []*identity
+// aggregatorsSeenFrom returns the relays that relays of the region treat as aggregators: those with the lowest numbers whose
+// messages reach the region and that have not been down for longer than aggregatorTimeout.
+func (s *service) aggregatorsSeenFrom(region int, now float64, n *network) []*fleetRelay {
+	var aggregators []*fleetRelay
 	for _, r := range s.relays {
 		lost := !r.alive && now-r.downSince > aggregatorTimeout
 		if lost || !n.carries(r.region, region) {
--- a/lab/scale/simulation.go
+++ b/lab/scale/simulation.go
@@ -7,42 +7,42 @@
 	"lichenroad/relay"
 )
 
-// simulation is the fleet on one virtual clock, which advances in ticks. What crosses from one relay to another takes a tick
-// at least, so the relays are advanced in parallel within a tick, and what they sent is taken in their order after it. All
-// but advance runs on the goroutine of run.
+// simulation runs the fleet on one virtual clock, which advances in ticks. A message between relays takes at least one tick,
+// so the relays can be advanced in parallel within a tick; after the tick their output is processed in the order of the
+// relays. Everything except the relays' advance method runs on the goroutine that called run.
 type simulation struct {
 	options         Options
 	network         *network
-	services        []*service     // the simulated ones
-	relays          []*identity    // of these services
-	hollowRelays    []*hollowRelay // by index of the relay; nil: it is synthetic
+	services        []*service     // only the simulated ones
+	relays          []*fleetRelay  // all relays of the simulated services
+	hollowRelays    []*hollowRelay // indexed by fleetRelay.index; nil for a synthetic relay
 	syntheticRelays []*syntheticRelay
 	zoneNames       []string
-	sampled         bool // not every relay is hosted
+	sampled         bool // whether some relays are synthetic, not hosted
 
-	plannedFaults    []faultEvent // in order of time
-	followUps        []faultEvent // of faults, in any order
+	plannedFaults    []faultEvent // sorted by time
+	followUps        []faultEvent // later effects of faults, such as the start of a replacement; unsorted
 	faultCounts      faultCounts
-	partitionedFrom  float64 // the latest partition of the last region
+	partitionedFrom  float64 // start of the latest partition that separates the last region from the others
 	partitionedUntil float64
 
-	controlMessages []controlMessage // under way
+	controlMessages []controlMessage // sent but not delivered yet
 
-	// Views of the synthetic relays, refreshed now and then.
-	readyEndpoints []readyEndpoints // by index of the service
-	aggregators    [][]*identity    // by service and region
+	// What synthetic relays see of endpoints and aggregators, refreshed every viewInterval.
+	readyEndpoints []readyEndpoints // indexed by service.index
+	aggregators    [][]*fleetRelay  // indexed by service.index*Options.Regions + region
 	nextViewAt     float64
 
 	slowStartViolations     []Violation
 	slowStartViolationCount int
 }
 
-// readyEndpoints are the endpoints of a service that take requests.
+// readyEndpoints are the ready endpoints of a service: those of the newest build and those of earlier builds.
 type readyEndpoints struct{ newest, earlier []*endpoint }
 
 const (
-	viewInterval  = 0.1 // seconds between two refreshes of the synthetic relays' views
-	progressTicks = 10  // between two calls of Options.Progress
+	viewInterval  = 0.1 // seconds between refreshes of what synthetic relays see
+	progressTicks = 10  // ticks between calls of Options.Progress
 )
 
 func newSimulation(o Options) (*simulation, error) {
@@ -62,13 +62,13 @@
 			continue
 		}
 		service := newService(i, size, endpointPlacer)
-		service.weight = sample.servicesPer(i, len(sizes))
+		service.weight = sample.servicesRepresented(i, len(sizes))
 		sim.addRelays(service, sample, relayPlacer)
 		service.platform = newPlatform(service, endpointPlacer)
 		sim.services = append(sim.services, service)
 	}
 	sim.readyEndpoints = make([]readyEndpoints, len(sizes))
-	sim.aggregators = make([][]*identity, len(sizes)*o.Regions)
+	sim.aggregators = make([][]*fleetRelay, len(sizes)*o.Regions)
 	sim.plannedFaults = planFaults(&o, len(sim.relays))
 	for _, h := range sim.hollowRelays {
 		if h != nil {
@@ -78,14 +78,15 @@
 	return sim, nil
 }
 
-// addRelays adds the relays of a service. The first ones are hosted, and a sample of the others, evenly over their numbers.
+// addRelays adds the relays of a service. The first alwaysHosted ones are hosted, and of the others a sample that is spread
+// evenly over their numbers. The rest are synthetic.
 func (sim *simulation) addRelays(s *service, sample sample, p *placer) {
 	relays := s.size.relays
 	first := min(alwaysHosted, relays)
 	others := relays - first
-	sampled := sample.hostedOf(relays) - first
+	sampled := sample.hostedRelays(relays) - first
 	for number := range relays {
-		id := &identity{index: len(sim.relays), service: s, number: relay.ID(number), place: p.place(), alive: true, weight: 1}
+		id := &fleetRelay{index: len(sim.relays), service: s, number: relay.ID(number), place: p.place(), alive: true, weight: 1}
 		s.relays = append(s.relays, id)
 		sim.relays = append(sim.relays, id)
 		if i := number - first; i >= 0 {
@@ -104,7 +105,7 @@
 	}
 }
 
-// run simulates the whole time, unless the context ends before.
+// run simulates Options.Seconds, or returns the context's error if the context ends earlier.
 func (sim *simulation) run(ctx context.Context) error {
 	workers := newWorkerPool(sim.options.Jobs)
 	defer workers.close()
@@ -125,7 +126,7 @@
 	return nil
 }
 
-// participants returns all relays, hosted and synthetic.
+// participants returns all relays, first the hosted and then the synthetic ones.
 func (sim *simulation) participants() []participant {
 	participants := make([]participant, 0, len(sim.hollowRelays))
 	for _, h := range sim.hollowRelays {
@@ -139,7 +140,7 @@
 	return participants
 }
 
-// beginTick advances everything but the relays to a tick, and delivers what arrives at them.
+// beginTick applies everything that is due at the start of a tick outside the relays, and delivers messages to the relays.
 func (sim *simulation) beginTick(n int64, now float64) {
 	sim.applyFaults(now)
 	for _, s := range sim.services {
@@ -157,7 +158,7 @@
 	sim.network.deliver(n)
 }
 
-// applyFaults applies the fault events that are due. Follow-ups that these schedule are due at the next tick at the earliest.
+// applyFaults applies the fault events that are due. Follow-ups that they schedule are applied in the next tick or later.
 func (sim *simulation) applyFaults(now float64) {
 	for len(sim.plannedFaults) > 0 && sim.plannedFaults[0].at <= now {
 		sim.plannedFaults[0].apply(sim, now)
@@ -174,19 +175,19 @@
 	}
 }
 
-// runLater schedules the follow-up of a fault.
-func (sim *simulation) runLater(at float64, apply func(now float64)) {
+// scheduleFollowUp schedules a later effect of a fault, such as the start of a replacement.
+func (sim *simulation) scheduleFollowUp(at float64, apply func(now float64)) {
 	sim.followUps = append(sim.followUps, faultEvent{at, func(_ *simulation, now float64) { apply(now) }})
 }
 
-// refreshViews refreshes what synthetic relays know of endpoints and aggregators.
+// refreshViews updates, every viewInterval, the ready endpoints and the aggregators that synthetic relays use.
 func (sim *simulation) refreshViews(now float64) {
 	if now < sim.nextViewAt || len(sim.syntheticRelays) == 0 {
 		return
 	}
 	sim.nextViewAt = now + viewInterval
 	for _, s := range sim.services {
-		if s.isHostedWhole() {
+		if s.isFullyHosted() {
 			continue
 		}
 		sim.readyEndpoints[s.index].refresh(s)
@@ -196,7 +197,7 @@
 	}
 }
 
-// refresh sorts the ready endpoints of a service by build.
+// refresh divides the ready endpoints of a service into those of the newest build and the others.
 func (r *readyEndpoints) refresh(s *service) {
 	r.newest = r.newest[:0]
 	r.earlier = r.earlier[:0]
@@ -211,42 +212,42 @@
 	}
 }
 
-// isHostedWhole reports whether all relays of the service are hosted.
-func (s *service) isHostedWhole() bool { return len(s.hollowRelays) == len(s.relays) }
+// isFullyHosted reports whether all relays of the service are hosted, that is none is synthetic.
+func (s *service) isFullyHosted() bool { return len(s.hollowRelays) == len(s.relays) }
 
-// aggregatorsOf returns the aggregators of a service as seen from a region.
-func (sim *simulation) aggregatorsOf(s *service, region int) []*identity {
+// aggregatorsOf returns the aggregators of a service as relays of the region see them.
+func (sim *simulation) aggregatorsOf(s *service, region int) []*fleetRelay {
 	return sim.aggregators[s.index*sim.options.Regions+region]
 }
 
-// collectOutput takes what relays sent in a tick, in their order.
+// collectOutput processes the messages that relays sent in a tick, in the order of the relays.
 func (sim *simulation) collectOutput(now float64) {
 	for _, h := range sim.hollowRelays {
 		if h == nil || h.sendQueue.isEmpty() {
 			continue
 		}
-		sim.sendDatagrams(h.identity, h.sendQueue.datagrams)
+		sim.sendDatagrams(h.fleetRelay, h.sendQueue.datagrams)
 		for _, p := range h.sendQueue.polls {
 			sim.receivePoll(now, p)
 		}
 		for _, line := range h.sendQueue.votes {
 			sim.receiveVote(now, h, line)
 		}
-		if h.service.isHostedWhole() {
+		if h.service.isFullyHosted() {
 			sim.checkSlowStart(h)
 		}
 		h.sendQueue.clear()
 	}
 	for _, s := range sim.syntheticRelays {
 		if s.alive {
-			sim.sendDatagrams(s.identity, s.sendQueue.datagrams)
+			sim.sendDatagrams(s.fleetRelay, s.sendQueue.datagrams)
 		}
 		s.sendQueue.clear()
 	}
 }
 
-// checkSlowStart checks the work that a relay sent to endpoints during their slow start. The rule is on the work of all
-// relays, so it is checked only if all of the service are hosted.
+// checkSlowStart checks the work that a relay sent to endpoints during their slow start. The rule limits the work of all
+// relays together, so the caller checks it only for services whose relays are all hosted.
 func (sim *simulation) checkSlowStart(h *hollowRelay) {
 	for _, attempt := range h.sendQueue.slowStartAttempts {
 		if !attempt.endpoint.addSlowStartWork(attempt.sentAt, attempt.work) {
@@ -261,19 +262,19 @@
 	}
 }
 
-// sendDatagrams gives the datagrams of a relay to the network.
-func (sim *simulation) sendDatagrams(from *identity, datagrams []outgoingDatagram) {
+// sendDatagrams sends a relay's datagrams over the simulated network.
+func (sim *simulation) sendDatagrams(from *fleetRelay, datagrams []outgoingDatagram) {
 	for _, outgoing := range datagrams {
 		sim.sendToHosted(from, outgoing)
 	}
 }
 
-// sendToHosted sends a datagram to those of its receivers that are hosted.
-func (sim *simulation) sendToHosted(from *identity, outgoing outgoingDatagram) {
+// sendToHosted sends a datagram to its receivers, except synthetic ones, which receive nothing.
+func (sim *simulation) sendToHosted(from *fleetRelay, outgoing outgoingDatagram) {
 	d := datagram{from: from, class: outgoing.class, body: outgoing.body}
 	if outgoing.to == relay.Broadcast {
 		for _, to := range from.service.hollowRelays {
-			if to.identity != from {
+			if to.fleetRelay != from {
 				sim.network.send(d, to)
 			}
 		}
--- a/lab/scale/synthetic_relay.go
+++ b/lab/scale/synthetic_relay.go
@@ -8,36 +8,36 @@
 	"lichenroad/relay"
 )
 
-// syntheticRelay is a relay that is not hosted. It decides nothing and sends no attempts, but reports attempts that it draws
-// to the aggregators, as many as a relay with its load would, in the real encoding.
+// syntheticRelay is a relay that is not hosted. It makes no decisions and sends no attempts. It only sends reports to the
+// aggregators, in the real encoding, about as many random attempts as a hosted relay with its load would make.
 type syntheticRelay struct {
-	*identity
+	*fleetRelay
 	simulation   *simulation // read only
 	random       *rand.Rand
 	nextReportAt float64
-	evidence     []classEvidence // by request class
+	evidence     []classEvidence // indexed by request class
 	sendQueue    sendQueue
-	report       peerwire.Report // buffer
+	report       peerwire.Report // reused for every report
 }
 
-// evidence counts attempts, earlier ones with exponentially decreasing weight.
+// evidence counts attempts with weights that decrease exponentially with age.
 type evidence struct{ attempts, failed float64 }
 
-// classEvidence is the evidence on one request class.
-type classEvidence struct{ newest, earlier evidence } // of the newest build and of the others
+// classEvidence is the evidence on one request class: on the newest build and on the earlier builds.
+type classEvidence struct{ newest, earlier evidence }
 
 const (
-	reportInterval     = 1.0   // seconds between a relay's reports
-	evidenceDecay      = 0.917 // of the counts after a second: a mean age of 12 s
-	minEvidence        = 20.0  // attempts of either build for a verdict
-	flagDifference     = 0.05  // of the failure rates
-	flagStandardErrors = 3.0   // of their difference
-	canaryUtilization  = 0.8   // fraction of the exposure limit that is used
+	reportInterval    = 1.0   // seconds between a relay's reports
+	evidenceDecay     = 0.917 // factor per second on the counts, for a mean age of 12 s
+	minEvidence       = 20.0  // minimum attempts in the evidence on both sides for a verdict
+	minRateDifference = 0.05  // minimum difference of the failure rates for a flag
+	minStandardErrors = 3.0   // minimum difference for a flag, in standard errors of the difference
+	canaryUtilization = 0.8   // fraction of the exposure limit that is used on average
 )
 
-func newSyntheticRelay(sim *simulation, id *identity) *syntheticRelay {
+func newSyntheticRelay(sim *simulation, id *fleetRelay) *syntheticRelay {
 	s := &syntheticRelay{
-		identity:   id,
+		fleetRelay: id,
 		simulation: sim,
 		random:     newRandom(sim.options.Seed, "standin", id.index),
 		evidence:   make([]classEvidence, len(requestKinds)),
@@ -46,7 +46,7 @@
 	return s
 }
 
-// advance simulates one tick.
+// advance sends a report if one is due before the end of the tick.
 func (s *syntheticRelay) advance(from, to float64) {
 	if !s.alive || s.nextReportAt >= to {
 		return
@@ -68,8 +68,8 @@
 	s.sendReport()
 }
 
-// drawAttemptCount draws how many attempts a relay makes between two reports: a Poisson number, by its normal approximation
-// if the mean is large.
+// drawAttemptCount returns a random number of attempts between two reports. It has a Poisson distribution, approximated by a
+// normal distribution if the mean is large.
 func (s *syntheticRelay) drawAttemptCount() int {
 	const largeMean = 30
 	mean := s.service.size.rate * reportInterval
@@ -83,7 +83,8 @@
 	return count
 }
 
-// drawPool draws whether an attempt goes to the newest build, and returns the endpoints to choose from.
+// drawPool returns the endpoints from which the endpoint of an attempt is drawn, and whether they run the newest build. During
+// a trial the choice between the newest and the earlier builds is random.
 func (s *syntheticRelay) drawPool(ready *readyEndpoints) (pool []*endpoint, newest bool) {
 	status := &s.service.platform.status
 	if status.Phase != relay.PhaseCanary {
@@ -101,7 +102,7 @@
 	return ready.earlier, false
 }
 
-// addAttempt draws an attempt and adds it to the report and the evidence.
+// addAttempt adds a random attempt at the endpoint to the report and to the evidence.
 func (s *syntheticRelay) addAttempt(now float64, e *endpoint, newest bool) {
 	class := drawClass(s.random)
 	kind := &requestKinds[class]
@@ -130,7 +131,7 @@
 	}
 }
 
-// decayEvidence ages the evidence by a report's interval.
+// decayEvidence reduces the weight of the evidence by the decay of one report interval.
 func (s *syntheticRelay) decayEvidence() {
 	for i := range s.evidence {
 		s.evidence[i].newest.decay()
@@ -143,7 +144,7 @@
 	e.failed *= evidenceDecay
 }
 
-// fillVerdicts fills in the verdicts that a relay with this evidence would report.
+// fillVerdicts adds the verdicts that a relay with this evidence would report, one for each request class.
 func (s *syntheticRelay) fillVerdicts() {
 	s.report.Verdicts = s.report.Verdicts[:0]
 	for _, e := range s.evidence {
@@ -155,15 +156,16 @@
 	}
 }
 
-// isWorseThan reports whether the failure rate is higher by a difference that matters and is significant.
+// isWorseThan reports whether the failure rate is higher by at least minRateDifference and the difference is statistically
+// significant.
 func (e evidence) isWorseThan(other evidence) bool {
 	rate, otherRate := e.failed/e.attempts, other.failed/other.attempts
 	standardError := math.Sqrt(rate*(1-rate)/e.attempts + otherRate*(1-otherRate)/other.attempts)
 	difference := rate - otherRate
-	return difference >= flagDifference && difference > flagStandardErrors*standardError
+	return difference >= minRateDifference && difference > minStandardErrors*standardError
 }
 
-// sendReport sends the report to each aggregator, in as many messages as the real code needs.
+// sendReport sends the report to each aggregator. Like the real code, it splits a report that is too long for one message.
 func (s *syntheticRelay) sendReport() {
 	all := s.report.Observations
 	for rest := all; ; {
@@ -180,7 +182,7 @@
 
 func (s *syntheticRelay) sendToAggregators(body []byte) {
 	for _, aggregator := range s.simulation.aggregatorsOf(s.service, s.region) {
-		if aggregator != s.identity {
+		if aggregator != s.fleetRelay {
 			s.sendQueue.datagrams = append(s.sendQueue.datagrams, outgoingDatagram{policyClass, aggregator.number, body})
 		}
 	}
--- a/lab/scale/table.go
+++ b/lab/scale/table.go
@@ -7,9 +7,9 @@
 	"text/tabwriter"
 )
 
-// WriteTable writes the figures as text. It returns the error of the writer.
+// WriteTable writes the figures to out as text. It returns an error if writing fails.
 func (r *Result) WriteTable(out io.Writer) error {
-	var text bytes.Buffer // whose writes never fail
+	var text bytes.Buffer // writing to it never fails
 	r.formatHead(&text)
 	if err := r.formatRoles(&text); err != nil {
 		return err
@@ -64,7 +64,7 @@
 	}
 }
 
-// tableRow is one figure of a role.
+// tableRow is the distribution of one figure of a role.
 type tableRow struct {
 	name   string
 	figure Distribution
--- a/lab/scale/timers.go
+++ b/lab/scale/timers.go
@@ -2,32 +2,32 @@
 
 import "lichenroad/relay"
 
-// timerKind is what a timer is for.
+// timerKind is the purpose of a timer.
 type timerKind uint8
 
 const (
-	requestTimer    timerKind = iota // the next request arrives
-	attemptTimer                     // an attempt ends
-	deadlineTimer                    // a request's client disconnects
-	policyTimer                      // the decision code set it
-	membershipTimer                  // the membership protocol set it
+	requestTimer    timerKind = iota // arrival of the next request
+	attemptTimer                     // end of an attempt
+	deadlineTimer                    // a request's client reaches its deadline and disconnects
+	policyTimer                      // set by the decision code
+	membershipTimer                  // set by the membership protocol
 )
 
-// timer is an event of one relay that is due at a time.
+// timer is an event of one relay that is due at the time at.
 type timer struct {
 	at            float64
-	sequence      int64 // in the order of setting
+	sequence      int64 // order in which the timers were set
 	kind          timerKind
-	attempt       int32         // of an attemptTimer
-	request       *request      // of an attemptTimer or deadlineTimer
-	policyTimerID relay.TimerID // of a policyTimer
+	attempt       int32         // only for an attemptTimer
+	request       *request      // only for an attemptTimer or deadlineTimer
+	policyTimerID relay.TimerID // only for a policyTimer
 }
 
 func (t *timer) isBefore(other *timer) bool {
 	return t.at < other.at || (t.at == other.at && t.sequence < other.sequence)
 }
 
-// timers is a binary heap of timers, the earliest on top; of those due at one time, the one set first.
+// timers is a binary heap with the earliest timer on top. Timers that are due at the same time are in the order of setting.
 type timers struct {
 	heap     []timer
 	sequence int64
@@ -48,7 +48,7 @@
 	}
 }
 
-// popBefore removes and returns the earliest timer if it is due before a time.
+// popBefore removes and returns the earliest timer if it is due before end.
 func (t *timers) popBefore(end float64) (timer, bool) {
 	if len(t.heap) == 0 || t.heap[0].at >= end {
 		return timer{}, false
--- a/lab/scale/topology.go
+++ b/lab/scale/topology.go
@@ -10,19 +10,19 @@
 
 const (
 	machinesPerRack = 40
-	zipfExponent    = 1.0 // of the sizes of services in the skewed shape
+	zipfExponent    = 1.0 // exponent of Zipf's law for the sizes of services in the Skewed shape
 )
 
-// place is where a machine is.
+// place is the location of a machine.
 type place struct {
 	zone, region, rack int
 }
 
-// placer assigns places to machines, evenly over the zones and rack by rack within each.
+// placer assigns places to machines. It spreads them evenly over the zones and fills one rack after another in each zone.
 type placer struct {
 	regions        int
 	machinesInZone []int
-	next           int // number of the next machine
+	next           int // number of machines placed so far
 }
 
 func newPlacer(zones, regions int) *placer {
@@ -38,7 +38,7 @@
 	return place{zone, zone % p.regions, rack}
 }
 
-// apportion splits a total into shares by Zipf's law, each at least one, by largest remainders.
+// apportion splits a total into count shares by Zipf's law, each at least one. It uses the largest remainder method.
 func apportion(total, count int) []int {
 	weights := make([]float64, count)
 	weightSum := 0.0
@@ -66,13 +66,13 @@
 	return shares
 }
 
-// serviceSize is how much of the fleet one service has.
+// serviceSize is the size of one service.
 type serviceSize struct {
 	relays, endpoints, tenants, routes int
-	rate                               float64 // requests a second at each of its relays
+	rate                               float64 // mean requests per second at each of its relays
 }
 
-// sizes returns the sizes of all services, the largest first.
+// sizes returns the sizes of all services in descending order.
 func (o *Options) sizes() []serviceSize {
 	if o.Shape == Wide {
 		return []serviceSize{{o.Relays, o.Endpoints, o.Tenants, o.Routes, o.Rate}}
@@ -86,25 +86,25 @@
 			endpoints: endpoints[i],
 			tenants:   proportion(o.Tenants, endpoints[i], o.Endpoints),
 			routes:    proportion(o.Routes, endpoints[i], o.Endpoints),
-			// The load is proportional to the endpoints, so that these are equally busy everywhere.
+			// The load is proportional to the endpoints, so that endpoints have the same utilization in all services.
 			rate: o.Rate * float64(o.Relays) / float64(relays[i]) * float64(endpoints[i]) / float64(o.Endpoints),
 		}
 	}
 	return sizes
 }
 
-// proportion returns the part of a total that corresponds to a part of a whole.
+// proportion returns the part of total that corresponds to part of whole, rounded.
 func proportion(total, part, whole int) int {
 	return int(math.Round(float64(total) * float64(part) / float64(whole)))
 }
 
-// identity is one relay of the fleet, hosted or synthetic.
-type identity struct {
-	index   int // in the fleet
+// fleetRelay is one relay of the fleet, hosted or synthetic.
+type fleetRelay struct {
+	index   int // index in simulation.relays
 	service *service
-	number  relay.ID // in its service
+	number  relay.ID // number within its service
 	place
 	alive     bool
-	downSince float64
-	weight    float64 // relays of its service that it stands for in the figures
+	downSince float64 // time of the last stop
+	weight    float64 // number of relays of its service that it represents in the figures
 }
--- a/lab/scale/worker_pool.go
+++ b/lab/scale/worker_pool.go
@@ -6,12 +6,12 @@
 	"sync/atomic"
 )
 
-// participant is simulated within a tick. Several are advanced in parallel, so each changes nothing but itself.
+// participant is a simulated relay. Participants are advanced in parallel, so each may change only its own state.
 type participant interface {
 	advance(from, to float64)
 }
 
-// workerPool is a fixed number of threads that advance participants. It is used by one goroutine; close ends the workers.
+// workerPool has a fixed number of threads that advance participants. Only one goroutine may use it; close stops the workers.
 type workerPool struct {
 	workers int
 	batches chan *batch
@@ -21,11 +21,11 @@
 type batch struct {
 	participants []participant
 	from, to     float64
-	next         atomic.Int64 // index of the first participant that no worker has taken
+	next         atomic.Int64 // index of the first participant that no worker has claimed; may exceed their number
 	done         sync.WaitGroup
 }
 
-// batchChunk is how many participants a worker takes at a time.
+// batchChunk is the number of participants that a worker claims at a time.
 const batchChunk = 8
 
 func newWorkerPool(workers int) *workerPool {
@@ -36,16 +36,16 @@
 	return p
 }
 
-// work runs batches until the pool is closed.
+// work processes batches until the pool is closed.
 func (p *workerPool) work() {
-	runtime.LockOSThread() // processor time is counted by thread
+	runtime.LockOSThread() // processor time is measured per thread
 	defer runtime.UnlockOSThread()
 	for b := range p.batches {
 		b.run()
 	}
 }
 
-// run advances participants until none is left.
+// run claims and advances participants until none are left.
 func (b *batch) run() {
 	defer b.done.Done()
 	for {
@@ -59,7 +59,7 @@
 	}
 }
 
-// advance advances all participants by a tick and returns when they are done.
+// advance advances all participants from one time to another and waits until they are done.
 func (p *workerPool) advance(participants []participant, from, to float64) {
 	b := &batch{participants: participants, from: from, to: to}
 	b.done.Add(p.workers)
