--- a/lab/scale/checker_test.go
+++ b/lab/scale/checker_test.go
@@ -6,20 +6,22 @@
 	"lichenroad/relay"
 )
 
-// violationsByRule counts the violations in a result.
+// violationsByRule counts the violations in a result by rule.
 func violationsByRule(r *Result) map[string]int {
 	counts := map[string]int{}
-	for _, b := range r.Violations {
-		counts[b.Rule]++
+	for _, v := range r.Violations {
+		counts[v.Rule]++
 	}
 	return counts
 }
 
-// TestCheckerFindsViolationsWithoutASafeguard runs with all safeguards, and without each of them.
+// TestCheckerFindsViolationsWithoutASafeguard simulates a fleet with all safeguards, which violates no rule, and without each of
+// them, which violates exactly the rule that the safeguard enforces.
 func TestCheckerFindsViolationsWithoutASafeguard(t *testing.T) {
-	o := smallOptions(Wide, func(o *Options) { o.Faults, o.Seconds = []Fault{ZoneLoss}, 22 }) // so that endpoints leave
+	o := smallOptions(Wide, func(o *Options) { o.Faults, o.Seconds = []Fault{ZoneLoss}, 22 }) // the lost zone makes endpoints leave
 	if r := simulate(t, o); r.ViolationCount != 0 || r.ReleaseSummary.BadRolledBack != 1 || !r.SlowStartChecked {
-		t.Errorf("with all safeguards: %+v, %+v", r.Violations, r.ReleaseSummary)
+		t.Errorf("with all safeguards: violations %+v, releases %+v, slow start checked: %v", r.Violations, r.ReleaseSummary,
+			r.SlowStartChecked)
 	}
 	for safeguard, rule := range map[Safeguard]string{DrainNotices: drainRule, ExposureLimit: exposureRule, Leases: drainRule} {
 		t.Run("without "+string(safeguard), func(t *testing.T) {
@@ -27,109 +29,110 @@
 			o.Without = []Safeguard{safeguard}
 			r := simulate(t, o)
 			if got := violationsByRule(r); got[rule] == 0 || len(got) != 1 {
-				t.Fatalf("%v", got)
+				t.Fatalf("violations by rule: got %v, want only %q", got, rule)
 			}
 			if v := r.Violations[0]; v.Time < 0.3*o.Seconds || v.Instance == "" || v.Detail == "" {
-				t.Errorf("%+v", v)
+				t.Errorf("first violation is too early or incomplete: %+v", v)
 			}
 		})
 	}
 }
 
-// newChecker returns the checker of a relay that has received nothing.
+// newChecker returns the checker of a relay that has not received anything.
 func newChecker() *checker {
 	c := &checker{instance: "x"}
 	c.restart()
 	return c
 }
 
-// TestDrainRule sends attempts just before and after a drain binds the relay.
+// TestDrainRule sends attempts just before and just after the end of the drain grace.
 func TestDrainRule(t *testing.T) {
-	const drainListedAt = 10
+	const drainListedAt = 10 // seconds
 	for name, c := range map[string]struct {
 		receivedAt, sentAt, unreachable float64
 		violations                      int
 	}{
-		"within the grace of a received drain":    {receivedAt: 12, sentAt: 12.2},
-		"after the grace of a received drain":     {receivedAt: 12, sentAt: 12.3, violations: 1},
-		"before an unreceived drain binds":        {receivedAt: never, sentAt: 16.2}, // 6 s after it was listed
-		"after an unreceived drain binds":         {receivedAt: never, sentAt: 16.3, violations: 1},
-		"unreachable, before the drain binds":     {receivedAt: never, sentAt: 16.3, unreachable: 1},
-		"unreachable, after the drain binds":      {receivedAt: never, sentAt: 17.3, unreachable: 1, violations: 1},
-		"drain received after it binds the relay": {receivedAt: 20, sentAt: 16.3, violations: 1},
+		"within the grace of a received drain":            {receivedAt: 12, sentAt: 12.2},
+		"after the grace of a received drain":             {receivedAt: 12, sentAt: 12.3, violations: 1},
+		"within the grace of a drain that did not arrive": {receivedAt: never, sentAt: 16.2}, // counts as notified 6 s after listing
+		"after the grace of a drain that did not arrive":  {receivedAt: never, sentAt: 16.3, violations: 1},
+		"discovery unreachable, within the grace":         {receivedAt: never, sentAt: 16.3, unreachable: 1},
+		"discovery unreachable, after the grace":          {receivedAt: never, sentAt: 17.3, unreachable: 1, violations: 1},
+		"drain that arrived after the grace":              {receivedAt: 20, sentAt: 16.3, violations: 1},
 	} {
 		t.Run(name, func(t *testing.T) {
-			k := newChecker()
+			checker := newChecker()
 			e := newEndpoint("u", place{}, 0, 0, 0)
 			e.drainListedAt = drainListedAt
 			if c.receivedAt != never {
-				k.receiveEntry(c.receivedAt, e, relay.Draining)
-				k.receiveEntry(c.receivedAt+1, e, relay.Removed) // the first entry counts
+				checker.receiveEntry(c.receivedAt, e, relay.Draining)
+				checker.receiveEntry(c.receivedAt+1, e, relay.Removed) // only the first entry counts
 			}
-			k.checkAttempt(c.sentAt, &request{}, e, c.unreachable)
-			if k.count != c.violations {
-				t.Errorf("%+v", k.violations)
+			checker.checkAttempt(c.sentAt, &request{}, e, c.unreachable)
+			if checker.count != c.violations {
+				t.Errorf("got %d violations, want %d: %+v", checker.count, c.violations, checker.violations)
 			}
 		})
 	}
 }
 
-// TestExposureRule sends attempts at a canary up to the limit and beyond.
+// TestExposureRule sends attempts at a canary up to the exposure limit and beyond it, and during a rollback.
 func TestExposureRule(t *testing.T) {
-	k := newChecker()
-	trial := newEndpoint("u", place{}, 0, 2, 0)
-	k.receiveStatus(0, relay.RolloutStatus{Valid: true, Build: 2, Phase: relay.PhaseCanary, ExposureLimit: 0.5})
+	checker := newChecker()
+	canary := newEndpoint("u", place{}, 0, 2, 0)
+	checker.receiveStatus(0, relay.RolloutStatus{Valid: true, Build: 2, Phase: relay.PhaseCanary, ExposureLimit: 0.5})
 	for range 4 {
-		k.receiveRequest(1)
+		checker.receiveRequest(1)
 	}
 	for i := range 4 {
-		if k.checkAttempt(1, &request{}, trial, 0); k.count > 0 != (i == 3) { // 1 + 4 x 0.5 are allowed
-			t.Fatalf("attempt %d: %+v", i, k.violations)
+		if checker.checkAttempt(1, &request{}, canary, 0); checker.count > 0 != (i == 3) { // 1 + 4 x 0.5 attempts are allowed
+			t.Fatalf("attempt %d of 4, of which 3 are allowed: violations %+v", i+1, checker.violations)
 		}
 	}
-	k.count = 0
-	k.receiveStatus(4, relay.RolloutStatus{Valid: true, Build: 2, Phase: relay.PhaseRollingBack})
-	if k.checkAttempt(4.2, &request{}, trial, 0); k.count != 0 {
-		t.Errorf("within the grace: %+v", k.violations)
+	checker.count = 0
+	checker.receiveStatus(4, relay.RolloutStatus{Valid: true, Build: 2, Phase: relay.PhaseRollingBack})
+	if checker.checkAttempt(4.2, &request{}, canary, 0); checker.count != 0 {
+		t.Errorf("violations within the grace of the lower limit: %+v", checker.violations)
 	}
-	if k.checkAttempt(4.3, &request{}, trial, 0); k.count != 1 {
-		t.Error("an attempt at a build that is rolled back was allowed")
+	if checker.checkAttempt(4.3, &request{}, canary, 0); checker.count != 1 {
+		t.Errorf("attempt at a build that is rolled back: got %d violations, want 1", checker.count)
 	}
-	if k.checkAttempt(4.3, &request{}, newEndpoint("old", place{}, 0, 1, 0), 0); k.count != 1 {
-		t.Error("an attempt at the earlier build was not allowed")
+	if checker.checkAttempt(4.3, &request{}, newEndpoint("old", place{}, 0, 1, 0), 0); checker.count != 1 {
+		t.Errorf("violations after an attempt at the earlier build: got %d, want still 1", checker.count)
 	}
 }
 
-// TestEffectTwiceRule sends a second attempt of requests, after several outcomes of the first.
+// TestEffectTwiceRule sends a second attempt of a request after different outcomes of the first attempt.
 func TestEffectTwiceRule(t *testing.T) {
 	e := newEndpoint("u", place{}, 0, 0, 0)
-	once := relay.Request{Class: 1}
+	atMostOnce := relay.Request{Class: 1}
 	for name, c := range map[string]struct {
 		request    relay.Request
 		earlier    attempt
 		violations int
 	}{
-		"at most once, never connected":   {once, attempt{ended: true, outcome: relay.ConnectFailed}, 0},
-		"at most once, may have run":      {once, attempt{ended: true, outcome: relay.Errored}, 1},
-		"at most once, has not ended yet": {once, attempt{outcome: relay.ConnectFailed}, 1},
+		"at most once, never connected":   {atMostOnce, attempt{ended: true, outcome: relay.ConnectFailed}, 0},
+		"at most once, may have run":      {atMostOnce, attempt{ended: true, outcome: relay.Errored}, 1},
+		"at most once, has not ended yet": {atMostOnce, attempt{outcome: relay.ConnectFailed}, 1},
 		"idempotent, may have run":        {relay.Request{}, attempt{ended: true, outcome: relay.Errored}, 0},
 	} {
 		t.Run(name, func(t *testing.T) {
-			k := newChecker()
-			k.checkAttempt(1, &request{details: c.request, attempts: []attempt{c.earlier}}, e, 0)
-			if k.count != c.violations {
-				t.Errorf("%+v", k.violations)
+			checker := newChecker()
+			checker.checkAttempt(1, &request{details: c.request, attempts: []attempt{c.earlier}}, e, 0)
+			if checker.count != c.violations {
+				t.Errorf("got %d violations, want %d: %+v", checker.count, c.violations, checker.violations)
 			}
 		})
 	}
 }
 
-// TestSlowStartRule sends more work than an endpoint at its start can do in a second: three times 0.4 s.
+// TestSlowStartRule sends work to an endpoint that has just started. Within one second, up to overloadMultiple (3) times its
+// capacity of 0.4 s is allowed.
 func TestSlowStartRule(t *testing.T) {
 	e := newEndpoint("u", place{}, 0, 0, 10)
 	for i := range 12 {
 		if e.addSlowStartWork(10, 0.1) {
-			t.Fatalf("attempt %d", i)
+			t.Fatalf("attempt %d: overload reported after %.1f s of work, 1.2 s are allowed", i+1, 0.1*float64(i+1))
 		}
 	}
 	if !e.addSlowStartWork(10, 0.1) {
@@ -140,12 +143,12 @@
 	}
 	e.overloaded = false
 	if e.addSlowStartWork(11.5, 0.1) {
-		t.Error("work of more than a second ago was counted")
+		t.Error("work that was sent more than a second ago was counted")
 	}
 }
 
-// TestReleasesOfCohorts checks that every kind is a canary at any time, and that one service alone has the bad build of its
-// cohort.
+// TestReleasesOfCohorts checks that every kind of release is rolled out at the same time, and that a build of the kind
+// badForOneService is defective in exactly one service.
 func TestReleasesOfCohorts(t *testing.T) {
 	for release := range 4 {
 		bad, kinds := 0, map[releaseKind]int{}
@@ -156,11 +159,11 @@
 				bad++
 			}
 			if (kind == failingRelease || kind == slowRelease) && buildDefect == noDefect || kind == goodRelease && buildDefect != noDefect {
-				t.Errorf("%v: %+v", kind, buildDefect)
+				t.Errorf("service %d, release %d: kind %v has the defect %+v", service, release, kind, buildDefect)
 			}
 		}
 		if bad != 1 || len(kinds) != int(releaseKindCount) || kinds[badForOneService] != 5 {
-			t.Errorf("release %d: %v, %d bad alone", release, kinds, bad)
+			t.Errorf("release %d: services by kind %v, %d with a badForOneService defect", release, kinds, bad)
 		}
 	}
 }
--- a/lab/scale/meter_test.go
+++ b/lab/scale/meter_test.go
@@ -8,77 +8,78 @@
 	"lichenroad/relay"
 )
 
-// messageCount counts what a relay receives and sends, independently of its meter.
+// messageCount counts the messages that a relay receives and sends, independently of its meter.
 type messageCount struct {
 	classes [classCount]traffic
 	votes   int
 }
 
-func (c *messageCount) in(k class, bytes int) {
-	c.classes[k].messagesIn++
-	c.classes[k].bytesIn += int64(bytes)
+func (c *messageCount) addReceived(class class, bytes int) {
+	c.classes[class].messagesIn++
+	c.classes[class].bytesIn += int64(bytes)
 }
 
-func (c *messageCount) out(k class, bytes int) {
-	c.classes[k].messagesOut++
-	c.classes[k].bytesOut += int64(bytes)
+func (c *messageCount) addSent(class class, bytes int) {
+	c.classes[class].messagesOut++
+	c.classes[class].bytesOut += int64(bytes)
 }
 
-// countInputs counts what a relay receives in its next tick.
+// countInputs counts the messages that a relay receives in its next tick.
 func (c *messageCount) countInputs(h *hollowRelay) {
 	for _, d := range h.inbox {
-		c.in(d.class, len(d.body)+28)
+		c.addReceived(d.class, len(d.body)+28)
 	}
 	for _, a := range h.pollAnswers {
 		if a.poll != noPoll {
-			c.in(discoveryClass, len(a.answer.body)+answerHeadBytes)
+			c.addReceived(discoveryClass, len(a.answer.body)+answerHeadBytes)
 		}
 	}
 	for _, s := range h.statusLines {
-		c.in(platformClass, len(s.line))
+		c.addReceived(platformClass, len(s.line))
 	}
 }
 
-// countOutputs counts what a relay sent in its last tick. The text of polls is not in the send queue.
+// countOutputs counts the messages that a relay sent in its last tick. For polls it counts no bytes, because the send queue does
+// not contain their text.
 func (c *messageCount) countOutputs(h *hollowRelay) {
 	for _, d := range h.sendQueue.datagrams {
-		c.out(d.class, len(d.body)+28)
+		c.addSent(d.class, len(d.body)+28)
 		if d.to == relay.Broadcast {
 			c.classes[d.class].broadcasts++
 		}
 	}
 	for _, line := range h.sendQueue.votes {
-		c.out(platformClass, len(line))
+		c.addSent(platformClass, len(line))
 		c.votes++
 	}
 	c.classes[discoveryClass].messagesOut += int64(len(h.sendQueue.polls))
 }
 
-// checkMeter compares the count with a relay's meter.
+// checkMeter compares the counts with a relay's meter. For the bytes of polls it checks only a lower bound.
 func (c *messageCount) checkMeter(t *testing.T, index int, m *meter, seconds float64) {
 	t.Helper()
 	got := m.classes
 	got[discoveryClass].bytesOut = 0
 	if got != c.classes {
-		t.Errorf("relay %d: meters %+v, by hand %+v", index, got, c.classes)
+		t.Errorf("relay %d: the meter shows %+v, counted %+v", index, got, c.classes)
 	}
 	if m.classes[discoveryClass].bytesOut < 70*got[discoveryClass].messagesOut {
-		t.Errorf("relay %d: %d bytes in %d polls", index, m.classes[discoveryClass].bytesOut, got[discoveryClass].messagesOut)
+		t.Errorf("relay %d: only %d bytes in %d polls", index, m.classes[discoveryClass].bytesOut, got[discoveryClass].messagesOut)
 	}
 	if math.Abs(m.aliveSeconds-seconds) > 1e-6 {
-		t.Errorf("relay %d ran for %g s", index, m.aliveSeconds)
+		t.Errorf("relay %d ran for %g s, want %g s", index, m.aliveSeconds, seconds)
 	}
 }
 
-// datagramBytesIn returns the bytes of all datagrams in.
+// datagramBytesIn returns the bytes of all received datagrams.
 func (c *messageCount) datagramBytesIn() int64 {
 	return c.classes[policyClass].bytesIn + c.classes[membershipClass].bytesIn
 }
 
-// TestMetersAgainstAHandCount simulates a small fleet tick by tick and counts all messages independently of the meters.
-func TestMetersAgainstAHandCount(t *testing.T) {
+// TestMetersMatchIndependentCounts simulates a small fleet tick by tick and counts all messages independently of the meters.
+func TestMetersMatchIndependentCounts(t *testing.T) {
 	const relays, rate, seconds = 6, 40.0, 24.0
-	runtime.LockOSThread() // processor time is counted by thread
+	runtime.LockOSThread() // processor time is measured per thread
 	defer runtime.UnlockOSThread()
 	sim, err := newSimulation(smallOptions(Wide, func(o *Options) { o.Relays, o.Endpoints, o.Rate, o.Seconds = relays, 12, rate, seconds }))
 	if err != nil {
@@ -104,25 +105,25 @@
 		attempts += h.meter.requests.Attempts
 	}
 	if delivered == 0 || delivered != sim.network.counts.Delivered {
-		t.Errorf("%d datagrams in meters, the network delivered %d", delivered, sim.network.counts.Delivered)
+		t.Errorf("meters show %d received datagrams, the network delivered %d", delivered, sim.network.counts.Delivered)
 	}
 	if votes == 0 {
-		t.Error("nobody voted")
+		t.Error("no relay sent a vote")
 	}
 	if mean := float64(received) / relays / seconds; math.Abs(mean-rate) > 1.5 {
-		t.Errorf("%g requests a second at each relay", mean)
+		t.Errorf("mean of %g requests per second at each relay, want about %g", mean, rate)
 	}
 	r := sim.result()
 	if r.Requests.Received != received || r.Requests.Attempts != attempts {
-		t.Errorf("%+v", r.Requests)
+		t.Errorf("requests in the result: %+v, want %d received and %d attempts", r.Requests, received, attempts)
 	}
 	if q := r.Requests; q.Succeeded+q.Rejected+q.Failed+q.ClientsDisconnected+q.Open != q.Received {
-		t.Errorf("requests without an end: %+v", q)
+		t.Errorf("results do not add up to the received requests: %+v", q)
 	}
 	checkAggregators(t, r, counts, seconds)
 }
 
-// checkAggregators compares the figures of the four aggregators, the first relays, with their counts.
+// checkAggregators compares the figures of the aggregators, the first four relays, with their counts.
 func checkAggregators(t *testing.T, r *Result, counts []messageCount, seconds float64) {
 	t.Helper()
 	for _, role := range r.Roles {
@@ -134,12 +135,12 @@
 			sum += counts[i].datagramBytesIn()
 		}
 		if want := float64(sum) / 4 / seconds; math.Abs(role.BytesIn.Mean-want) > 1e-6*want {
-			t.Errorf("aggregators receive %g bytes a second, by hand %g", role.BytesIn.Mean, want)
+			t.Errorf("aggregators receive %g bytes per second, counted %g", role.BytesIn.Mean, want)
 		}
 		if !(role.CPUShare.Mean > 0) || !(role.HeapMB.Mean > 0) || role.HeapsMeasured != 4 {
-			t.Errorf("%+v", role)
+			t.Errorf("figures of the aggregators are incomplete: %+v", role)
 		}
 		return
 	}
-	t.Errorf("no four aggregators: %+v", r.Roles)
+	t.Errorf("no role with four hosted aggregators: %+v", r.Roles)
 }
--- a/lab/scale/scale_test.go
+++ b/lab/scale/scale_test.go
@@ -9,7 +9,7 @@
 	"testing"
 )
 
-// smallOptions returns the options of a fleet that is simulated within a second.
+// smallOptions returns options for a fleet that can be simulated within a second.
 func smallOptions(shape Shape, change func(o *Options)) Options {
 	o := Options{Relays: 14, Endpoints: 60, Services: 3, Zones: 6, Regions: 3, Shape: shape, Seconds: 14, Seed: 3, Rate: 30, Jobs: 2}
 	if change != nil {
@@ -18,7 +18,7 @@
 	return o
 }
 
-// simulate runs a simulation.
+// simulate runs a simulation and fails the test on an error.
 func simulate(t *testing.T, o Options) *Result {
 	t.Helper()
 	r, err := Run(context.Background(), o)
@@ -28,7 +28,8 @@
 	return r
 }
 
-// deterministicPart returns a result without processor time and memory, as text.
+// deterministicPart returns a result as JSON, without the figures that depend on the machine (processor time, memory and run
+// time).
 func deterministicPart(t *testing.T, r *Result) string {
 	t.Helper()
 	c := *r
@@ -44,7 +45,7 @@
 	return string(b)
 }
 
-func TestValidationLines(t *testing.T) {
+func TestValidationErrors(t *testing.T) {
 	for _, c := range []struct {
 		change func(o *Options)
 		want   string
@@ -73,22 +74,22 @@
 			err := o.Validate()
 			switch {
 			case c.want == "" && err != nil:
-				t.Errorf("%+v: %v", o, err)
+				t.Errorf("options %+v: %v", o, err)
 			case c.want != "" && (err == nil || !strings.HasPrefix(err.Error(), c.want) || strings.Contains(err.Error(), "\n")):
-				t.Errorf("want %q, got %v", c.want, err)
+				t.Errorf("got error %v, want one line that starts with %q", err, c.want)
 			}
 		})
 	}
 }
 
-// TestSameSeedSameFigures simulates all faults at once, with several numbers of threads.
+// TestSameSeedSameFigures simulates all faults at once, with different numbers of threads and different seeds.
 func TestSameSeedSameFigures(t *testing.T) {
 	for _, shape := range []Shape{Wide, Skewed} {
 		o := smallOptions(shape, func(o *Options) { o.Faults = AllFaults })
 		first := deterministicPart(t, simulate(t, o))
 		o.Jobs = 5
 		if again := deterministicPart(t, simulate(t, o)); again != first {
-			t.Errorf("%s: other figures with other numbers of threads:\n%s\n%s", shape, first, again)
+			t.Errorf("%s: figures depend on the number of threads:\n%s\n%s", shape, first, again)
 		}
 		o.Seed++
 		if other := deterministicPart(t, simulate(t, o)); other == first {
@@ -97,16 +98,16 @@
 	}
 }
 
-// TestRunRejectsSizesThatNeedTooMuchMemory asks for more hosted relays than fit.
+// TestRunRejectsSizesThatNeedTooMuchMemory requests more hosted relays than fit into the memory.
 func TestRunRejectsSizesThatNeedTooMuchMemory(t *testing.T) {
 	o := smallOptions(Wide, func(o *Options) { o.Relays, o.Endpoints, o.SampledPerService = 4300, 42000, 4300 })
 	_, err := Run(context.Background(), o)
 	if err == nil || !strings.Contains(err.Error(), "MB for 4300 hosted relays, and a run may take 12288 MB") {
-		t.Errorf("%v", err)
+		t.Errorf("got error %v, want one about the memory for 4300 hosted relays", err)
 	}
 }
 
-// TestFullSizeHasASample checks the budget at the target's size in both shapes.
+// TestFullSizeHasASample checks that a fleet of the target size has a sample within the budget, in both shapes.
 func TestFullSizeHasASample(t *testing.T) {
 	for _, shape := range []Shape{Wide, Skewed} {
 		for _, seconds := range []float64{20, 120} {
@@ -116,80 +117,81 @@
 				t.Fatal(err)
 			}
 			if e := o.estimate(s); e.processorSeconds > budgetSeconds || e.memoryMB > maxMemoryMB || e.instances < aggregatorCount+16 {
-				t.Errorf("%s %g s: %+v %+v", shape, seconds, s, e)
+				t.Errorf("%s, %g s: sample %+v has the estimate %+v", shape, seconds, s, e)
 			}
 		}
 	}
 }
 
-// TestSampleStandsForAll checks that the weights of hosted relays add up to the size of the fleet.
-func TestSampleStandsForAll(t *testing.T) {
-	o := Options{Relays: 430, Endpoints: 900, Services: 100, Zones: 16, Regions: 7, Shape: Skewed, Seconds: 1, Rate: 5, Jobs: 1, SampledPerService: 3}
+// TestSampleRepresentsTheFleet checks that the weights of hosted relays add up to the size of the fleet.
+func TestSampleRepresentsTheFleet(t *testing.T) {
+	o := Options{Relays: 430, Endpoints: 900, Services: 100, Zones: 16, Regions: 7, Shape: Skewed, Seconds: 1, Rate: 5, Jobs: 1,
+		SampledPerService: 3}
 	sim, err := newSimulation(o)
 	if err != nil {
 		t.Fatal(err)
 	}
-	stands := 0.0
+	represented := 0.0
 	for _, h := range sim.hollowRelays {
 		if h != nil {
-			stands += h.represents()
+			represented += h.represents()
 		}
 	}
-	if math.Abs(stands-430) > 1e-6 {
-		t.Errorf("hosted relays stand for %g of 430", stands)
+	if math.Abs(represented-430) > 1e-6 {
+		t.Errorf("hosted relays represent %g relays, want 430", represented)
 	}
 	if len(sim.hollowRelays) != 430 || len(sim.syntheticRelays) == 0 {
-		t.Errorf("%d relays, %d synthetic", len(sim.hollowRelays), len(sim.syntheticRelays))
+		t.Errorf("%d relays, of which %d are synthetic; want 430 and some", len(sim.hollowRelays), len(sim.syntheticRelays))
 	}
 }
 
-// TestSyntheticRelaysSendWhatHostedRelaysDo compares what relays receive from synthetic relays with what they
-// receive from hosted ones.
+// TestSyntheticRelaysSendWhatHostedRelaysDo compares the traffic that relays receive in a fleet with synthetic relays with that
+// in a fleet whose relays are all hosted.
 func TestSyntheticRelaysSendWhatHostedRelaysDo(t *testing.T) {
 	all := simulate(t, smallOptions(Wide, func(o *Options) { o.Relays, o.Rate, o.SampledPerService = 40, 60, 40 }))
 	part := simulate(t, smallOptions(Wide, func(o *Options) { o.Relays, o.Rate, o.SampledPerService = 40, 60, 4 }))
 	if all.Hosted != 40 || part.Hosted != 12 {
-		t.Fatalf("%d and %d hosted", all.Hosted, part.Hosted)
+		t.Fatalf("%d and %d hosted relays, want 40 and 12", all.Hosted, part.Hosted)
 	}
 	for i, name := range []string{relayRole, aggregatorRole} {
-		near := 0.05
+		tolerance := 0.05
 		if name == relayRole {
-			near = 0.1 // decisions, four a second: one more at each change
+			tolerance = 0.1 // only about four decisions per second, and one more at each change
 		}
 		a, b := &all.Roles[i], &part.Roles[i]
 		if a.Name != name || b.Name != name || a.Instances != b.Instances {
-			t.Fatalf("%+v %+v", a, b)
+			t.Fatalf("roles differ in name or size: %+v and %+v", a, b)
 		}
 		for _, c := range []struct {
 			figure    string
 			a, b      float64
 			tolerance float64 // relative
-		}{{"messages in", a.MessagesIn.Mean - a.Membership.MessagesIn.Mean, b.MessagesIn.Mean - b.Membership.MessagesIn.Mean, near},
-			{"bytes in", a.BytesIn.Mean - a.Membership.BytesIn.Mean, b.BytesIn.Mean - b.Membership.BytesIn.Mean, near},
-			{"membership in", a.Membership.BytesIn.Mean, b.Membership.BytesIn.Mean, 0.5}} { // a few a second, by chance
+		}{{"messages in", a.MessagesIn.Mean - a.Membership.MessagesIn.Mean, b.MessagesIn.Mean - b.Membership.MessagesIn.Mean, tolerance},
+			{"bytes in", a.BytesIn.Mean - a.Membership.BytesIn.Mean, b.BytesIn.Mean - b.Membership.BytesIn.Mean, tolerance},
+			{"membership in", a.Membership.BytesIn.Mean, b.Membership.BytesIn.Mean, 0.5}} { // a few per second, at random
 			if !(math.Abs(c.a-c.b) <= c.tolerance*c.a) || c.a == 0 {
-				t.Errorf("%s, %s: %g where all are hosted, %g with synthetic relays", name, c.figure, c.a, c.b)
+				t.Errorf("%s, %s: %g if all relays are hosted, %g with synthetic relays", name, c.figure, c.a, c.b)
 			}
 		}
 	}
 	if all.ReleaseSummary.BadRolledBack != 1 || part.ReleaseSummary.BadRolledBack != 1 {
-		t.Errorf("the bad build was rolled back %d and %d times", all.ReleaseSummary.BadRolledBack, part.ReleaseSummary.BadRolledBack)
+		t.Errorf("%d and %d rollbacks of bad builds, want 1 each", all.ReleaseSummary.BadRolledBack, part.ReleaseSummary.BadRolledBack)
 	}
 }
 
 func TestDistribution(t *testing.T) {
-	var list []observation
+	var observations []observation
 	for i := 1; i <= 100; i++ {
-		list = append(list, observation{float64(i), 1})
+		observations = append(observations, observation{float64(i), 1})
 	}
-	if d := distribute(list); d != (Distribution{50.5, 99, 100}) {
-		t.Errorf("%+v", d)
+	if d := distribute(observations); d != (Distribution{50.5, 99, 100}) {
+		t.Errorf("values 1 to 100: %+v", d)
 	}
 	if d := distribute([]observation{{10, 1}, {1, 199}}); d != (Distribution{(10 + 199) / 200.0, 1, 10}) {
-		t.Errorf("weighted: %+v", d)
+		t.Errorf("weighted values: %+v", d)
 	}
 	if d := distribute(nil); d != (Distribution{}) {
-		t.Errorf("none: %+v", d)
+		t.Errorf("no values: %+v", d)
 	}
 }
 
@@ -202,7 +204,7 @@
 	for _, want := range []string{"cpu_share", "heap_mb", "messages_in_per_s", "messages_out_per_s", "bytes_in_per_s", "bytes_out_per_s",
 		"list_bytes_in_per_s", "news_bytes_out_per_s", "releases:", "process:", "broken: 0"} {
 		if !strings.Contains(b.String(), want) {
-			t.Errorf("no %q in\n%s", want, b.String())
+			t.Errorf("the table does not contain %q:\n%s", want, b.String())
 		}
 	}
 }
