--- a/cmd/lichenroad/scale.go
+++ b/cmd/lichenroad/scale.go
@@ -39,7 +39,7 @@
 	f.Float64Var(&options.Rate, "rate", 77, "mean requests a second at each relay")
 	f.StringArrayVar(&flags.faults, "fault", nil, "fault to inject; may be given more than once")
 	f.StringArrayVar(&flags.without, "without", nil, "safeguard to switch off; may be given more than once")
-	f.IntVar(&options.Measured, "measured", 0, "relays of a service that are simulated in full besides its first 8; 0: as many as the budget of processor time and memory allows")
+	f.IntVar(&options.SampledPerService, "measured", 0, "relays of a service that are simulated in full besides its first 8; 0: as many as the budget of processor time and memory allows")
 	f.IntVar(&options.Jobs, "jobs", runtime.GOMAXPROCS(0), "number of threads; it changes no figure except processor time and memory")
 	f.StringVar(&flags.json, "json", "", "file to write the figures to")
 	c.RunE = func(*cobra.Command, []string) error { return t.runScale(options, flags) }
