--- a/lab/faults.go
+++ b/lab/faults.go
@@ -9,7 +9,7 @@
 	ControllerPartitions float64 // chance a day that the controller is partitioned across a freeze's start, or in the middle of a release
 	StatusLag            float64 // times 3 s that rollout statuses are later, for parts of a release
 	ControllerRestarts   float64 // chance a day that the controller is killed and starts again
-	ForgottenEvents      float64 // times 3 events that it has forgotten then
+	LostJournalEvents    float64 // times 3 events that it has forgotten then
 	RelayRestarts        float64 // chance, for a relay and a release, that it is killed and starts again
 	DeployerStalls       float64 // chance a release that the deployer stalls for up to 20 s
 	UnannouncedBuilds    float64 // chance a release that there is an endpoint of a build not announced
@@ -46,7 +46,7 @@
 	{"silence", Faults{ControllerPartitions: 1}},
 	{"late", Faults{StatusLag: 1}},
 	{"desk", Faults{ControllerRestarts: 1}},
-	{"journal", Faults{ControllerRestarts: 1, ForgottenEvents: 1}},
+	{"journal", Faults{ControllerRestarts: 1, LostJournalEvents: 1}},
 	{"relays", Faults{RelayRestarts: 0.5}},
 	{"deployer", Faults{DeployerStalls: 1}},
 	{"early", Faults{UnannouncedBuilds: 1}},
@@ -92,7 +92,7 @@
 		ControllerPartitions: max(f.ControllerPartitions, other.ControllerPartitions),
 		StatusLag:            max(f.StatusLag, other.StatusLag),
 		ControllerRestarts:   max(f.ControllerRestarts, other.ControllerRestarts),
-		ForgottenEvents:      max(f.ForgottenEvents, other.ForgottenEvents),
+		LostJournalEvents:    max(f.LostJournalEvents, other.LostJournalEvents),
 		RelayRestarts:        max(f.RelayRestarts, other.RelayRestarts),
 		DeployerStalls:       max(f.DeployerStalls, other.DeployerStalls),
 		UnannouncedBuilds:    max(f.UnannouncedBuilds, other.UnannouncedBuilds),
--- a/lab/scenario.go
+++ b/lab/scenario.go
@@ -87,7 +87,7 @@
 		return
 	}
 	at := morning + uniform(s.random, 10, 200)
-	forgotten := int(math.Round(s.faults.ForgottenEvents * uniform(s.random, 0, maxForgotten)))
+	forgotten := int(math.Round(s.faults.LostJournalEvents * uniform(s.random, 0, maxForgotten)))
 	s.simulation.runAt(at, func() { s.simulation.controller.restart(forgotten) })
 }
 
