--- a/lab/baseline.go
+++ b/lab/baseline.go
@@ -7,32 +7,33 @@
 	"lichenroad/relay"
 )
 
-// baseline is a module that does what a plain load balancer does: it sends each request to one endpoint, again to another
-// where that is safe, and judges nothing. It keeps the rules, so that what it lacks shows as service.
+// baseline is a decision module that works as a plain load balancer: it sends each request to one endpoint, retries at
+// another where that is safe, and rates neither endpoints nor builds. It keeps the same rules as policy, so the two are
+// compared by how much of the load they serve in time.
 type baseline struct {
-	settings   relay.Settings
-	random     *rand.Rand
-	byInFlight bool // it picks the endpoint with the fewest attempts in flight; else any
-	endpoints  []relay.Endpoint
-	inFlight   map[relay.EndpointID]int
-	requests   map[relay.RequestID]*baselineRequest
-	commands   []relay.Command // of the step in progress
+	settings      relay.Settings
+	random        *rand.Rand
+	leastInFlight bool // pick the endpoint with the fewest attempts in flight; otherwise a random one
+	endpoints     []relay.Endpoint
+	inFlight      map[relay.EndpointID]int
+	requests      map[relay.RequestID]*baselineRequest
+	commands      []relay.Command // commands of the current step
 }
 
-// baselineRequest is a request that has not ended.
+// baselineRequest is a request without a final answer.
 type baselineRequest struct {
 	relay.Request
-	attempts int
-	mayRan   bool // an attempt may have run
-	tried    map[relay.EndpointID]bool
+	attempts   int
+	mayHaveRun bool // an attempt may have run
+	tried      map[relay.EndpointID]bool
 }
 
 const (
-	maxBaselineAttempts = 3    // of a request
-	deadlineSlack       = 0.03 // s before the deadline, at which an attempt times out: the request is answered in time then
+	maxBaselineAttempts = 3    // per request
+	deadlineSlack       = 0.03 // s; attempts time out this long before the deadline, so that the answer is still in time
 )
 
-// The names of the modules.
+// Names of the decision modules.
 const (
 	policyModule   = "policy"
 	randomModule   = "random"
@@ -42,7 +43,8 @@
 // Baselines lists the names that Baseline knows.
 func Baselines() []string { return []string{policyModule, randomModule, inFlightModule} }
 
-// Baseline returns the constructor of a module by its name; nil for policy, which is the real one.
+// Baseline returns the constructor of the decision module with a given name. For "policy", the real module, it is nil, which
+// Options.NewModule and ReplayOptions.NewModule take as the default.
 func Baseline(name string) (func(relay.Settings, int64) module, error) {
 	switch name {
 	case policyModule:
@@ -50,11 +52,11 @@
 	case randomModule, inFlightModule:
 		return func(settings relay.Settings, seed int64) module {
 			return &baseline{
-				settings:   settings,
-				random:     rand.New(rand.NewSource(seed)),
-				byInFlight: name == inFlightModule,
-				inFlight:   map[relay.EndpointID]int{},
-				requests:   map[relay.RequestID]*baselineRequest{},
+				settings:      settings,
+				random:        rand.New(rand.NewSource(seed)),
+				leastInFlight: name == inFlightModule,
+				inFlight:      map[relay.EndpointID]int{},
+				requests:      map[relay.RequestID]*baselineRequest{},
 			}
 		}, nil
 	}
@@ -89,7 +91,7 @@
 	case event.RequestFinished || event.Outcome == relay.Succeeded:
 		delete(b.requests, event.Request)
 	default:
-		request.mayRan = request.mayRan || !event.Outcome.NeverRan()
+		request.mayHaveRun = request.mayHaveRun || !event.Outcome.NeverRan()
 		b.route(now, request)
 	}
 }
@@ -117,9 +119,9 @@
 	b.endpoints = append(b.endpoints, endpoint)
 }
 
-// route sends a request's next attempt, or ends the request.
+// route sends the next attempt of a request. If none is safe, possible or in time, it ends the request.
 func (b *baseline) route(now relay.Seconds, request *baselineRequest) {
-	isSafe := !request.mayRan || b.settings.Classes[request.Class].Idempotency == relay.Idempotent
+	isSafe := !request.mayHaveRun || b.settings.Classes[request.Class].Idempotency == relay.Idempotent
 	timeout := request.Deadline - now - deadlineSlack
 	picked := b.pick(request)
 	if picked == nil || !isSafe || request.attempts >= maxBaselineAttempts || timeout <= 0 {
@@ -137,7 +139,7 @@
 	b.commands = append(b.commands, relay.SendAttempt{Request: request.ID, Endpoint: picked.ID, Timeout: timeout})
 }
 
-// pick picks a ready endpoint that the request has not been sent to; nil if there is none.
+// pick returns a ready endpoint to which the request has not been sent yet; nil if there is none.
 func (b *baseline) pick(request *baselineRequest) (picked *relay.Endpoint) {
 	candidates := 0
 	for i := range b.endpoints {
@@ -153,9 +155,10 @@
 	return picked
 }
 
-// prefers says whether the candidate replaces the endpoint picked so far; at random each candidate has an even chance.
+// prefers reports whether the candidate, the candidates-th so far, replaces the endpoint picked before. With random picks,
+// this is reservoir sampling: each candidate is equally likely in the end.
 func (b *baseline) prefers(candidate, picked *relay.Endpoint, candidates int) bool {
-	if b.byInFlight {
+	if b.leastInFlight {
 		return b.inFlight[candidate.ID] < b.inFlight[picked.ID]
 	}
 	return b.random.Intn(candidates) == 0
--- a/lab/buildfault.go
+++ b/lab/buildfault.go
@@ -2,26 +2,26 @@
 
 import "math/rand"
 
-// buildFault is what is wrong with a build.
+// buildFault describes how a build misbehaves. A good build fails no requests and differs only slightly in speed.
 type buildFault struct {
 	name        string
-	failureRate float64 // of its requests
-	onlyClass   int     // that fails, or allClasses
-	slowdown    float64 // times the work
-	fromAge     float64 // s of an endpoint's age from which it shows
+	failureRate float64 // fraction of the requests that fail
+	onlyClass   int     // class whose requests fail, or allClasses
+	slowdown    float64 // multiplies the processing time
+	fromAge     float64 // s since the start of an endpoint, from which on the fault shows
 }
 
-// maxGoodSlowdown is up to which a build counts as good.
+// maxGoodSlowdown is the highest slowdown of a build that counts as good.
 const maxGoodSlowdown = 1.2
 
 func (f buildFault) isGood() bool { return f.failureRate == 0 && f.slowdown <= maxGoodSlowdown }
 
-// concerns says whether requests of a class fail.
-func (f buildFault) concerns(class int) bool {
+// affects reports whether the build can fail requests of a class.
+func (f buildFault) affects(class int) bool {
 	return f.onlyClass == allClasses || f.onlyClass == class
 }
 
-// drawBuildFault draws what is wrong with a new build.
+// drawBuildFault draws the fault of a new build, which is bad with probability badFraction.
 func drawBuildFault(random *rand.Rand, badFraction float64) buildFault {
 	if random.Float64() >= badFraction {
 		return buildFault{name: "good", onlyClass: allClasses, slowdown: uniform(random, 0.92, 1.08)}
--- a/lab/checkattempt.go
+++ b/lab/checkattempt.go
@@ -6,7 +6,8 @@
 	"lichenroad/relay"
 )
 
-// checkAttempt checks an attempt that is sent against rules 2 to 5 and the plan.
+// checkAttempt checks an attempt, as it is sent, against the rules on repeated effects, draining endpoints, endpoints in
+// slow start and exposure limits, and against the plan.
 func (c *checker) checkAttempt(sent *attempt) {
 	c.checkRepeats(sent)
 	c.checkDrain(sent)
@@ -14,7 +15,9 @@
 	c.checkExposure(sent)
 }
 
-// checkRepeats checks rule 2: no effect twice.
+// checkRepeats checks that no request can have its effect twice: while an earlier attempt may have run, an attempt is
+// allowed only for idempotent requests, and for idempotency-keyed ones only where the endpoints drop duplicates. It also
+// checks that a request has at most one attempt in flight.
 func (c *checker) checkRepeats(sent *attempt) {
 	request := sent.request
 	class := &requestClasses[request.Class]
@@ -33,12 +36,14 @@
 	}
 }
 
-// isDeduplicated says whether the site drops the second of two attempts with one idempotency key.
+// isDeduplicated reports whether the site drops the second of two attempts with the same idempotency key: both went to one
+// site, within the dedup window.
 func (c *checker) isDeduplicated(first, second *attempt, dedupWindow float64) bool {
 	return first.endpoint.site == second.endpoint.site && c.simulation.now-first.sentAt < dedupWindow
 }
 
-// checkDrain checks rule 3: nothing to an endpoint whose drain the relay knows.
+// checkDrain checks that nothing is sent to an endpoint once the drain grace has passed since the relay was notified of its
+// drain or removal.
 func (c *checker) checkDrain(sent *attempt) {
 	sender, id := sent.request.relay, sent.endpoint.id
 	if since, leaving := sender.leavingSince[id]; leaving && c.simulation.now > since+drainGrace {
@@ -46,8 +51,8 @@
 	}
 }
 
-// checkSlowStart checks rule 4: no endpoint in slow start is overloaded. Each attempt counts by its own work: by that of the
-// last one, a long request among short ones would violate the rule alone.
+// checkSlowStart checks that all relays together do not overload an endpoint in slow start. Each attempt counts with its own
+// work: if all counted with the work of the last one, a single long request among short ones would be a violation.
 func (c *checker) checkSlowStart(sent *attempt) {
 	target, request := sent.endpoint, sent.request
 	if !target.inSlowStart || c.simulation.now-target.startedAt >= slowStartTime {
@@ -69,7 +74,7 @@
 	}
 }
 
-// checkExposure checks rule 5 and the plan: the exposure of canaries, by relay and by group.
+// checkExposure checks attempts at canaries, by relay and by group of tenants, against the exposure limit and the plan.
 func (c *checker) checkExposure(sent *attempt) {
 	sender, build := sent.request.relay, sent.endpoint.build
 	record := c.relays[sender]
@@ -82,7 +87,7 @@
 	group := c.groupOf(sent.request)
 	unannounced := !own.announced || build > own.build
 	if limit := c.bindingLimit(record, group); limit <= 0 || unannounced {
-		rule := c.closedRule(record, group, unannounced)
+		rule := c.closedGroupRule(record, group, unannounced)
 		c.report(sender.name, rule, limit, "build %d, step %d, group %d", build, own.step, group)
 	}
 	record.groups[group].addAttempt(c.simulation.now)
@@ -91,8 +96,8 @@
 	c.checkAllowance(sent, &record.total, "relay over its cap")
 }
 
-// closedRule names the rule that an attempt violates where its group is not open.
-func (c *checker) closedRule(record *relayRecord, group int, unannounced bool) string {
+// closedGroupRule returns the rule that is violated by an attempt at a canary for a group to which the canary is not open.
+func (c *checker) closedGroupRule(record *relayRecord, group int, unannounced bool) string {
 	switch {
 	case group == len(c.simulation.plan.Groups):
 		return "exposed without a group"
@@ -104,7 +109,8 @@
 	return "exposed where closed"
 }
 
-// checkAllowance checks how much of an allowance is used.
+// checkAllowance checks that the attempts at canaries within the exposure window stay within their allowance, and keeps the
+// highest use for the report.
 func (c *checker) checkAllowance(sent *attempt, exposure *exposureRecord, rule string) {
 	sender := sent.request.relay
 	allowance := exposure.allowance()
@@ -119,10 +125,11 @@
 	}
 }
 
-// attemptRan notes that an endpoint took an attempt in.
+// attemptRan marks an attempt that an endpoint accepted: from then on it may have had its effect.
 func (c *checker) attemptRan(sent *attempt) { sent.ran = true }
 
-// checkOutcome checks the final answer to a request against rules 1 and 2.
+// checkOutcome checks the answer to a request: it must be the only one and in time. A rejection tells the client that
+// nothing ran, so a request that is not idempotent may be rejected only if none of its attempts has run or can still run.
 func (c *checker) checkOutcome(request *simulatedRequest, outcome RequestOutcome) {
 	name := request.relay.name
 	if request.ended {
@@ -136,8 +143,8 @@
 		return
 	}
 	for _, sent := range request.attempts {
-		mayRunYet := !sent.ended && sent.endpoint != nil
-		if sent.ran || mayRunYet {
+		mayStillRun := !sent.ended && sent.endpoint != nil
+		if sent.ran || mayStillRun {
 			c.report(name, "denied what may have run", 0, "%s query %d", class.name, request.ID)
 		}
 	}
--- a/lab/checker.go
+++ b/lab/checker.go
@@ -7,53 +7,53 @@
 	"lichenroad/relay"
 )
 
-// Violation is one rule, or one line of the plan, that was not kept.
+// Violation is one breach of a rule or of the plan.
 type Violation struct {
 	Time   float64 `json:"time"` // s since the start
 	Relay  string  `json:"relay"`
 	Rule   string  `json:"rule"`
-	Figure float64 `json:"figure"` // by how much; what it counts depends on the rule
+	Figure float64 `json:"figure"` // the extent of the violation; its unit depends on the rule
 	Text   string  `json:"text"`
 }
 
-// What the rules allow, and how many violations are listed.
+// Tolerances of the rules, and the number of violations that are listed.
 const (
-	maxViolations   = 200   // that are listed; the rest is counted
-	notifyGrace     = 0.25  // s until a lowered exposure limit binds
-	exposureWindow  = 2.0   // s in which exposure is counted
-	freeAttempts    = 1.0   // attempts in it that are allowed in any case
-	drainGrace      = 0.25  // s until a drain binds
-	allowanceSlack  = 1e-9  // for rounding
-	allowancePeriod = 600.0 // s over which the report keeps the highest use
+	maxViolations   = 200   // listed in full; further ones are only counted
+	notifyGrace     = 0.25  // s after its notification, from which on a lowered exposure limit applies
+	exposureWindow  = 2.0   // s; sliding window over which exposure is counted
+	baseAllowance   = 1.0   // attempts at canaries per window that are allowed at any exposure limit
+	drainGrace      = 0.25  // s after its notification, from which on nothing may be sent to a draining endpoint
+	allowanceSlack  = 1e-9  // relative; covers rounding errors
+	allowancePeriod = 600.0 // s; the report has the highest use of an allowance in each
 )
 
-// controllerName is the subject of violations by the release controller.
+// controllerName stands for the release controller as the subject of a violation.
 const controllerName = "desk"
 
-// checker is the invariant checker: it watches from outside what relays and the release controller do. It knows the plan as
-// it is written, and shares no code with policy or rollout.
+// checker is the invariant checker: it observes the inputs and outputs of relays and of the release controller. It evaluates
+// the plan itself and shares no code with policy or rollout, so that it does not repeat their errors.
 type checker struct {
 	simulation  *simulation
 	freezeTimes [][]interval                    // by freeze
-	services    []servicePosition               // by service, by the controller's own steps
+	services    []servicePosition               // by service, as the controller's events have it
 	released    map[string]map[relay.Build]bool // by service
 	steps       []ControllerStep
 	relays      map[*simulatedRelay]*relayRecord
 
 	violations       []Violation
-	unlisted         int // violations over maxViolations
+	unlisted         int // violations beyond maxViolations
 	byRule           map[string]int
-	maxAllowanceUsed float64 // of any allowance
+	maxAllowanceUsed float64 // highest use of any allowance, as a fraction
 	allowanceUse     map[allowanceKey]float64
 }
 
-// allowanceKey is a service and a period of allowancePeriod.
+// allowanceKey names a service and a period: the index of a span of allowancePeriod since the start.
 type allowanceKey struct {
 	service plan.ServiceIndex
 	period  int
 }
 
-// interval is a time span, in seconds since the start.
+// interval is a half-open time span, in seconds since the start.
 type interval struct{ from, to float64 }
 
 func newChecker(simulation *simulation) *checker {
@@ -74,7 +74,7 @@
 	return c
 }
 
-// report notes a violation by a relay or the controller.
+// report records a violation by a relay or by the controller.
 func (c *checker) report(subject, rule string, figure float64, format string, args ...any) {
 	c.byRule[rule]++
 	if len(c.violations) >= maxViolations {
--- a/lab/checkexposure.go
+++ b/lab/checkexposure.go
@@ -7,28 +7,28 @@
 	"lichenroad/relay"
 )
 
-// relayRecord is what a relay was notified of, and did of late, by group of tenants.
+// relayRecord holds what a relay was notified of, and its recent requests and attempts at canaries by group of tenants.
 type relayRecord struct {
 	relay          *simulatedRelay
-	groups         []exposureRecord // the last one is of tenants without a group
+	groups         []exposureRecord // the last one is for tenants without a group
 	total          exposureRecord
 	services       []servicePosition // as last notified, by service
-	exposureLimit  float64           // of the platform, as last notified
-	previousLimits []float64         // by group, before they were lowered: they bind until the grace is over
+	exposureLimit  float64           // from the platform, as last notified
+	previousLimits []float64         // by group, from before limits were lowered: they apply until the grace is over
 	loweredAt      float64
-	freezeLimits   []float64 // by group, as the freeze that holds began; nil: none holds
+	freezeLimits   []float64 // by group, at the start of the freeze in force; nil: there is none
 }
 
-// exposureRecord is the requests and the attempts at canaries within the exposure window.
+// exposureRecord holds the requests and the attempts at canaries within the exposure window.
 type exposureRecord struct {
 	requests []timedLimit
 	attempts []float64 // times
 }
 
-// timedLimit is the exposure limit that held as a request came.
+// timedLimit is the exposure limit that applied when a request arrived.
 type timedLimit struct{ at, limit float64 }
 
-// dropOld forgets what is older than the window.
+// dropOld removes entries that are older than the window.
 func (r *exposureRecord) dropOld(now float64) {
 	from := now - exposureWindow
 	for len(r.requests) > 0 && r.requests[0].at < from {
@@ -49,16 +49,17 @@
 	r.attempts = append(r.attempts, now)
 }
 
-// allowance is how many attempts the window allows.
+// allowance returns the number of attempts at canaries that are allowed within the window: each request adds the limit that
+// applied when it arrived.
 func (r *exposureRecord) allowance() float64 {
-	sum := freeAttempts
+	sum := baseAllowance
 	for _, request := range r.requests {
 		sum += request.limit
 	}
 	return sum
 }
 
-// relayStarted begins a relay's record.
+// relayStarted creates a new record for a relay that starts or restarts.
 func (c *checker) relayStarted(started *simulatedRelay) {
 	groups := len(c.simulation.plan.Groups) + 1
 	c.relays[started] = &relayRecord{
@@ -69,7 +70,8 @@
 	}
 }
 
-// statusReceived notes what a relay is notified of. A lowered exposure limit binds after the grace.
+// statusReceived records a rollout status that a relay receives. Limits that it lowers stay in previousLimits, since they
+// apply until the grace is over.
 func (c *checker) statusReceived(receiver *simulatedRelay, service plan.ServiceIndex, status relay.RolloutStatus) {
 	record := c.relays[receiver]
 	if record == nil || !status.Valid || isBackward(record.services[service], status) {
@@ -96,14 +98,14 @@
 	record.loweredAt = c.simulation.now
 }
 
-// isBackward says whether a status is older than the position known: of a controller that has forgotten events.
+// isBackward reports whether a status is behind the known position, as when a controller has lost journal events.
 func isBackward(known servicePosition, status relay.RolloutStatus) bool {
 	if !known.announced || status.Build > known.build {
 		return false
 	}
-	wasBack := known.phase == relay.PhaseRollingBack || known.phase == relay.PhaseWithdrawn
-	goesOn := status.Phase == relay.PhaseCanary || status.Phase == relay.PhaseReleased
-	return status.Build < known.build || wasBack && goesOn
+	wasRolledBack := known.phase == relay.PhaseRollingBack || known.phase == relay.PhaseWithdrawn
+	movesForward := status.Phase == relay.PhaseCanary || status.Phase == relay.PhaseReleased
+	return status.Build < known.build || wasRolledBack && movesForward
 }
 
 func (c *checker) exposureLimits(record *relayRecord) []float64 {
@@ -114,8 +116,9 @@
 	return limits
 }
 
-// exposureLimit is the limit that a group has at a relay by what the relay was notified of and by the plan: that of the
-// platform's step, or of the last one before it whose dependencies were notified as met; 0 for tenants without a group.
+// exposureLimit returns the limit of a group at a relay, from the plan and the statuses that the relay was notified of. It
+// is the limit of the step that the platform notified, or of the last one before it up to which all dependencies are known
+// to be met; 0 for tenants without a group.
 func (c *checker) exposureLimit(record *relayRecord, group int) float64 {
 	service := record.relay.fleet.service
 	own := record.services[service]
@@ -135,7 +138,7 @@
 	return math.Min(limit, record.freezeLimits[group])
 }
 
-// planLimit is the limit of a group by the steps of the plan, up to the platform's step.
+// planLimit returns the limit of a group by the steps of the plan up to the one with index last.
 func (c *checker) planLimit(record *relayRecord, steps []plan.Step, last, group int) (limit float64) {
 	open := false
 	for i := range steps[:min(last+1, len(steps))] {
@@ -154,7 +157,7 @@
 	return limit
 }
 
-// bindingLimit is the limit that a group has now, with the one before where it still binds.
+// bindingLimit returns the limit of a group that applies now: within the grace, a higher previous one.
 func (c *checker) bindingLimit(record *relayRecord, group int) float64 {
 	limit := c.exposureLimit(record, group)
 	if c.simulation.now-record.loweredAt <= notifyGrace {
@@ -163,9 +166,9 @@
 	return limit
 }
 
-// freezeEdge notes the beginning and the end of freezes at each relay, by the true time. What was notified shortly before
-// a freeze began counts as notified before.
-func (c *checker) freezeEdge() {
+// freezeBoundary updates the record of each relay when a freeze begins or ends, by simulation time and not by the relays'
+// clocks. While a freeze holds, no limit may rise above its value at the start of the freeze.
+func (c *checker) freezeBoundary() {
 	for _, simulated := range c.simulation.relays {
 		record := c.relays[simulated]
 		if record == nil {
@@ -180,7 +183,7 @@
 	}
 }
 
-// groupOf is the group of a request's tenant; that behind the last one for a tenant without a group.
+// groupOf returns the index of the group of a request's tenant; the number of groups for a tenant without one.
 func (c *checker) groupOf(request *simulatedRequest) int {
 	if request.group == plan.NoGroup {
 		return len(c.simulation.plan.Groups)
@@ -188,7 +191,7 @@
 	return int(request.group)
 }
 
-// requestArrived counts a request, which adds to the allowance of its group and its relay.
+// requestArrived adds a request to the allowances of its group and its relay.
 func (c *checker) requestArrived(request *simulatedRequest) {
 	record := c.relays[request.relay]
 	group := c.groupOf(request)
--- a/lab/checkfreeze.go
+++ b/lab/checkfreeze.go
@@ -7,10 +7,10 @@
 	"lichenroad/plan"
 )
 
-// anySite stands for all sites that a step touches.
+// anySite stands for all sites at which a step or one before it opens a group.
 const anySite plan.SiteIndex = -1
 
-// freezeIntervals writes a freeze's times out, day by day, for the time of the run and two days round it.
+// freezeIntervals lists the intervals of a freeze, day by day, from two days before the run to two days after it.
 func (c *checker) freezeIntervals(freeze *plan.Freeze) (intervals []interval) {
 	start := time.Unix(int64(c.simulation.epoch), 0)
 	for _, schedule := range freeze.Schedules {
@@ -36,12 +36,13 @@
 	return intervals
 }
 
-// isFrozen says whether a freeze forbids a service's step at a time, at a site or at any that the step touches.
+// isFrozen reports whether a freeze with an effect applies to a service at a time: one that covers the site or, for anySite,
+// one that covers any site at which the step or one before it opens a group.
 func (c *checker) isFrozen(at float64, service plan.ServiceIndex, site plan.SiteIndex, effect plan.FreezeEffect, step int) bool {
 	for i := range c.simulation.plan.Freezes {
 		freeze := &c.simulation.plan.Freezes[i]
 		otherService := len(freeze.Services) > 0 && !slices.Contains(freeze.Services, service)
-		if freeze.Effect&effect == 0 || otherService || !c.concernsSite(freeze, service, site, step) {
+		if freeze.Effect&effect == 0 || otherService || !c.appliesToSite(freeze, service, site, step) {
 			continue
 		}
 		for _, frozen := range c.freezeTimes[i] {
@@ -53,19 +54,21 @@
 	return false
 }
 
-// concernsSite says whether a freeze holds at a site, or at any that the step touches.
-func (c *checker) concernsSite(freeze *plan.Freeze, service plan.ServiceIndex, site plan.SiteIndex, step int) bool {
+// appliesToSite reports whether a freeze covers a site or, for anySite, any site at which the step or one before it opens a
+// group. A freeze without sites covers all.
+func (c *checker) appliesToSite(freeze *plan.Freeze, service plan.ServiceIndex, site plan.SiteIndex, step int) bool {
 	if len(freeze.Sites) == 0 {
 		return true
 	}
 	if site != anySite {
 		return slices.Contains(freeze.Sites, site)
 	}
-	return slices.ContainsFunc(freeze.Sites, func(frozen plan.SiteIndex) bool { return c.touches(service, step, frozen) })
+	return slices.ContainsFunc(freeze.Sites, func(frozen plan.SiteIndex) bool { return c.opensGroupAt(service, step, frozen) })
 }
 
-// touches says whether a service's step, or one before it, opens a group at a site.
-func (c *checker) touches(service plan.ServiceIndex, step int, site plan.SiteIndex) bool {
+// opensGroupAt reports whether a service's step, or one before it, opens a group at a site. The release, which follows the
+// last step, does so at every site.
+func (c *checker) opensGroupAt(service plan.ServiceIndex, step int, site plan.SiteIndex) bool {
 	steps := c.simulation.plan.Services[service].Steps
 	if step >= len(steps) {
 		return true
--- a/lab/checkstep.go
+++ b/lab/checkstep.go
@@ -15,7 +15,7 @@
 	Step    int               `json:"step"`
 }
 
-// servicePosition is where the rollout of a service's newest build is.
+// servicePosition is the state of the rollout of a service's newest build.
 type servicePosition struct {
 	announced bool
 	build     relay.Build
@@ -23,7 +23,7 @@
 	phase     relay.Phase
 }
 
-// apply moves the position by an event of the controller.
+// apply updates the position with an event of the controller.
 func (p *servicePosition) apply(event rollout.Event) {
 	switch event.Kind {
 	case rollout.EventBegan:
@@ -39,7 +39,7 @@
 	}
 }
 
-// meets says whether the position is what a step of another service depends on.
+// meets reports whether the position satisfies a dependency of a step of another service.
 func (p servicePosition) meets(dependency plan.Dependency) bool {
 	if !p.announced {
 		return false
@@ -73,7 +73,7 @@
 	}
 }
 
-// checkPromotion checks that a promotion follows the step before.
+// checkPromotion checks that a promotion goes to the step right after the current one of a canary.
 func (c *checker) checkPromotion(position *servicePosition, event rollout.Event) {
 	step := int(event.Step)
 	if position.build != event.Build || position.phase != relay.PhaseCanary || step != position.step+1 {
@@ -82,7 +82,8 @@
 	}
 }
 
-// checkAdvance checks a move on to a step, or to the release behind the last one: no freeze, and all dependencies met.
+// checkAdvance checks that a move to a step, or to the release after the last step, happens outside of freezes and with all
+// dependencies met.
 func (c *checker) checkAdvance(index plan.ServiceIndex, event rollout.Event, effect plan.FreezeEffect, step int) {
 	if c.isFrozen(c.simulation.now, index, anySite, effect, step) {
 		c.report(controllerName, "moved in a freeze", float64(step), "%s build %d to step %d", event.Service, event.Build, step)
@@ -98,8 +99,8 @@
 	}
 }
 
-// restorePositions sets the positions after a restart of the controller by its journal: it may have forgotten steps, which
-// it then takes a second time.
+// restorePositions recomputes the positions from the journal of a restarted controller. The journal may lack the last steps;
+// taking those again is no violation.
 func (c *checker) restorePositions(journal []rollout.Event) {
 	clear(c.services)
 	for _, event := range journal {
@@ -109,7 +110,7 @@
 	}
 }
 
-// checkVote checks a vote that a relay casts against the plan: none to promote in a freeze.
+// checkVote checks that a relay does not vote to promote while a freeze forbids promotions.
 func (c *checker) checkVote(from *simulatedRelay, vote relay.Vote) {
 	if vote.Verdict != relay.VotePromote {
 		return
--- a/lab/classes.go
+++ b/lab/classes.go
@@ -6,16 +6,16 @@
 	"lichenroad/relay"
 )
 
-// requestClass is what requests of a class are like. Times are in seconds.
+// requestClass describes the requests of a class. Times are in seconds.
 type requestClass struct {
 	name           string
-	share          float64    // of all requests
-	work           [2]float64 // least and most, on a core of speed 1
+	share          float64    // fraction of all requests
+	work           [2]float64 // processing time on a core of speed 1: minimum and maximum
 	objective      float64
 	deadline       float64
 	priorityWeight float64
 	idempotency    relay.Idempotency
-	dedupWindow    float64 // in which a site drops a repeated request
+	dedupWindow    float64 // a site drops a repeated request for this long
 }
 
 var requestClasses = []requestClass{
@@ -28,7 +28,7 @@
 // allClasses stands for requests of every class.
 const allClasses = -1
 
-// ClassTerms are the terms of a class. Times are in seconds.
+// ClassTerms holds the service terms of a request class. Times are in seconds.
 type ClassTerms struct {
 	Name             string
 	PriorityWeight   float64
@@ -38,7 +38,7 @@
 	Idempotency      relay.Idempotency
 }
 
-// AllClassTerms lists the terms of the lab's classes, by their index.
+// AllClassTerms lists the terms of the lab's classes, ordered by class index.
 func AllClassTerms() (terms []ClassTerms) {
 	for _, class := range requestClasses {
 		terms = append(terms, ClassTerms{
@@ -53,7 +53,7 @@
 	return terms
 }
 
-// ClassNames lists the names of the lab's classes, by their index.
+// ClassNames lists the names of the lab's classes, ordered by class index.
 func ClassNames() (names []string) {
 	for _, class := range requestClasses {
 		names = append(names, class.name)
@@ -61,7 +61,7 @@
 	return names
 }
 
-// ClassIndex returns the index of a class by its name.
+// ClassIndex returns the index of the class with a given name.
 func ClassIndex(name string) (int, error) {
 	for i, class := range requestClasses {
 		if class.name == name {
--- a/lab/compare.go
+++ b/lab/compare.go
@@ -8,13 +8,13 @@
 	"gonum.org/v1/plot/plotter"
 )
 
-// Bar is one value of what a sweep varied: a metric's mean over seeds and its interval.
+// Bar is a point of a sweep's chart, for one value of the varied parameter: a metric's mean over seeds, with its interval.
 type Bar struct {
-	Name            string
+	Name            string // the value of the varied parameter
 	Mean, Low, High float64
 }
 
-// barChart is points with their intervals. It implements plotter.XYer and plotter.YErrorer.
+// barChart adapts points and their intervals to plotter.XYer and plotter.YErrorer.
 type barChart []Bar
 
 // Len implements plotter.XYer.
@@ -33,8 +33,8 @@
 {{end}}</body></html>
 `))
 
-// SweepPage writes the page of a sweep into a directory, in full or not at all, and returns its name. It has a chart for each
-// metric.
+// SweepPage writes the HTML page of a sweep, with a chart for each metric, into a directory and returns its file name. The
+// page is written in full or not at all.
 func SweepPage(dir, title string, metrics []string, barsOf map[string][]Bar) (string, error) {
 	var charts []template.HTML
 	for _, metric := range metrics {
--- a/lab/controller.go
+++ b/lab/controller.go
@@ -9,27 +9,28 @@
 	"lichenroad/rollout"
 )
 
-// Times of the controller's link, in seconds.
+// Timing of the simulated controller, in seconds.
 const (
-	statusRepeatInterval = 5.0  // between rollout statuses that say the same again
-	idleAdvanceInterval  = 60.0 // without traffic: nothing lapses that matters while nobody votes
-	voteReplyDelay       = 0.01 // of a vote that does not count
+	statusRepeatInterval = 5.0  // between repetitions of the published statuses
+	idleAdvanceInterval  = 60.0 // at least, between advances without traffic: no votes are cast then that could expire
+	voteReplyDelay       = 0.01 // until the reply to a vote that is not applied to the controller's state
 )
 
-// controllerLink is the release controller: the real state machine, with a link to relays that lags and breaks, and a journal that forgets.
+// controllerLink runs the real state machine of the release controller. Its link to the relays is simulated and can lag or
+// be partitioned, and its journal can lose the last events in a restart.
 type controllerLink struct {
 	simulation  *simulation
 	core        *rollout.Core
 	journal     []rollout.Event
 	random      *rand.Rand
 	partitioned bool
-	statusLag   float64               // s that statuses are later than usual
-	published   []relay.RolloutStatus // by service
-	advanceAt   float64               // when the next advance is due; in the past: none
+	statusLag   float64               // s; added to the usual delay of statuses
+	published   []relay.RolloutStatus // the last one, by service
+	advanceAt   float64               // time of the next scheduled advance; none is scheduled if it is not in the future
 
-	blockedBy    []rollout.BlockCode // by service, now
-	blockedSince []plan.Unix         // by service
-	blockedFor   map[rollout.BlockCode]float64
+	blockedBy    []rollout.BlockCode           // the current reason, by service
+	blockedSince []plan.Unix                   // start of the current reason, by service
+	blockedFor   map[rollout.BlockCode]float64 // s, over all services
 }
 
 func newControllerLink(s *simulation) *controllerLink {
@@ -49,7 +50,7 @@
 	return l
 }
 
-// load starts the controller's process with a journal.
+// load starts the controller's process and replays a journal.
 func (l *controllerLink) load(journal []rollout.Event) {
 	l.core = rollout.New(l.simulation.plan)
 	l.core.DisableSafeguards(l.simulation.options.Controller)
@@ -59,21 +60,22 @@
 	l.journal = append([]rollout.Event(nil), journal...)
 }
 
-// mustApply applies an event that the core itself has made.
+// mustApply applies an event that came from the core. The core never refuses those, so an error is a bug.
 func (l *controllerLink) mustApply(event rollout.Event) {
 	if err := l.core.Apply(event); err != nil {
 		panic(err)
 	}
 }
 
-// apply applies and journals an event, and does what follows.
+// apply applies and journals an event, and advances the core.
 func (l *controllerLink) apply(event rollout.Event) {
 	l.mustApply(event)
 	l.applied(event)
 	l.advance()
 }
 
-// applied journals an event, and lets the checker and the fleet see it.
+// applied journals an event that the core has applied, and passes it to the checker and to the fleet. A vote is
+// only journaled.
 func (l *controllerLink) applied(event rollout.Event) {
 	l.journal = append(l.journal, event)
 	if event.Kind == rollout.EventVoted {
@@ -86,12 +88,12 @@
 	s.checker.checkStep(event)
 	for _, fleet := range s.fleets {
 		if fleet.name == event.Service {
-			fleet.controllerStepped(event)
+			fleet.controllerEventApplied(event)
 		}
 	}
 }
 
-// advance does what the core finds due, publishes what changed and schedules the next advance.
+// advance applies the events that are due, publishes the statuses that changed and schedules the next advance.
 func (l *controllerLink) advance() {
 	for _, event := range l.core.Advance(l.simulation.unixNow()) {
 		l.applied(event)
@@ -115,7 +117,7 @@
 	l.simulation.record("%s waits: %s", l.simulation.plan.Services[service].Name, reason)
 }
 
-// publishChange publishes a service's status if more than its age has changed.
+// publishChange publishes a service's status if anything but its age has changed.
 func (l *controllerLink) publishChange(service plan.ServiceIndex) {
 	status := l.core.RolloutStatus(service, l.simulation.unixNow())
 	unchanged := l.published[service]
@@ -145,7 +147,8 @@
 	})
 }
 
-// publish sends a service's status to every relay that watches it, each a little later; nothing while partitioned.
+// publish sends a service's status to its deployer and to every relay that watches the service, each with its own delay.
+// Nothing is sent while the controller is partitioned.
 func (l *controllerLink) publish(service plan.ServiceIndex) {
 	if l.partitioned {
 		return
@@ -168,15 +171,16 @@
 	l.simulation.runAfter(lag, to.whileRunning(func() { to.statusReceived(service, status) }))
 }
 
-// publishAll publishes all statuses again, as after a break.
+// publishAll publishes the statuses of all services, changed or not.
 func (l *controllerLink) publishAll() {
 	for i := range l.published {
 		l.publish(plan.ServiceIndex(i))
 	}
 }
 
-// receiveVote takes a vote of a relay. One that comes while partitioned gets no reply, which the relay notices by its timeout.
-// A vote that the decision module did not command gets none either.
+// receiveVote delivers a vote of a relay and its reply. A vote that arrives while the controller is partitioned gets no
+// reply: the relay notices after its call timeout. Nor does the decision module get a reply to a vote that it did not
+// command, one that the guard has revised.
 func (l *controllerLink) receiveVote(from *simulatedRelay, vote relay.Vote, commanded bool) {
 	var reply relay.RolloutStatus
 	deliver := from.whileRunning(func() {
@@ -191,7 +195,7 @@
 	})
 }
 
-// countVote counts a vote, and returns the reply and when it comes.
+// countVote counts a vote, and returns the reply and its delay in seconds.
 func (l *controllerLink) countVote(from *simulatedRelay, vote relay.Vote) (reply relay.RolloutStatus, delay float64) {
 	if l.partitioned {
 		return relay.RolloutStatus{Reply: relay.ReplyMaybeCounted}, from.fleet.settings.Rollout.CallTimeout
@@ -209,11 +213,11 @@
 	return status, uniform(l.random, 0.001, 0.02)
 }
 
-// restart kills the controller's process and starts it again with its journal, of which the last events may be forgotten.
-func (l *controllerLink) restart(forgotten int) {
-	l.simulation.record("desk restarts, %d events forgotten", forgotten)
+// restart kills the controller's process and starts it again from its journal, without its last lostEvents events.
+func (l *controllerLink) restart(lostEvents int) {
+	l.simulation.record("desk restarts, %d events forgotten", lostEvents)
 	l.partitioned = true
-	kept := l.journal[:max(len(l.journal)-forgotten, 0)]
+	kept := l.journal[:max(len(l.journal)-lostEvents, 0)]
 	l.simulation.runAfter(uniform(l.random, 1, 4), func() {
 		l.partitioned = false
 		l.load(kept)
--- a/lab/deployer.go
+++ b/lab/deployer.go
@@ -8,17 +8,17 @@
 	"lichenroad/rollout"
 )
 
-// Delays of the deployer, in seconds.
+// Delays of the deployer, in seconds, and its rounding margin.
 const (
-	replaceDelay   = 6.0  // from the start of a released build's endpoints to the drain of the others
-	noticeDelay    = 45.0 // until an endpoint of a build not announced is noticed
-	roundingMargin = 1e-9
+	replaceDelay   = 6.0  // from the launch of a build's endpoints to the drain of those that they replace
+	noticeDelay    = 45.0 // until an endpoint of an unannounced build is noticed and drained
+	roundingMargin = 1e-9 // subtracted before rounding up, against rounding errors
 )
 
-// unannouncedName is the name of a build that no controller has offered.
+// unannouncedName is the fault name of a build that is deployed although the controller has not announced it.
 const unannouncedName = "unannounced"
 
-// statusReceived brings a rollout status to the deployer.
+// statusReceived delivers a rollout status to the deployer after a lag, in seconds. A stalled deployer keeps it for later.
 func (f *fleet) statusReceived(status relay.RolloutStatus, lag float64) {
 	f.simulation.runAfter(lag, func() {
 		if f.stalled {
@@ -29,7 +29,7 @@
 	})
 }
 
-// stallDeployer lets the deployer do nothing for a while.
+// stallDeployer stops the deployer for a duration, after which it acts on all statuses that came in meanwhile.
 func (f *fleet) stallDeployer(duration float64) {
 	f.stalled = true
 	f.simulation.runAfter(duration, func() {
@@ -42,8 +42,8 @@
 	})
 }
 
-// deploy brings the fleet to where the status has it: endpoints of the canary where the step is open, all of a released
-// build, none of one that is rolled back.
+// deploy makes the fleet match a status: canary endpoints at the sites that the step opens, only endpoints of the build once
+// it is released, and none of a build that is rolled back.
 func (f *fleet) deploy(status relay.RolloutStatus) {
 	if f.isOutdated(status) {
 		return
@@ -59,7 +59,7 @@
 	}
 }
 
-// isOutdated says whether a status is behind that which the deployer acts on.
+// isOutdated reports whether a status is older than the one that the deployer acts on.
 func (f *fleet) isOutdated(status relay.RolloutStatus) bool {
 	if status.Build != f.deployed.Build {
 		return status.Build < f.deployed.Build
@@ -68,7 +68,7 @@
 	return f.deployed.Phase == relay.PhaseWithdrawn || wasRollingBack && status.Phase == relay.PhaseCanary
 }
 
-// deployCanary starts the endpoints of a step: a share of the whole fleet, at the sites that are open.
+// deployCanary launches the endpoints of a step: a share of the whole fleet, spread evenly over the sites that it opens.
 func (f *fleet) deployCanary(status relay.RolloutStatus) {
 	service, step := &f.simulation.plan.Services[f.service], plan.StepIndex(status.Stage)
 	running := f.countBySite(status.Build)
@@ -88,7 +88,7 @@
 	}
 }
 
-// deployRelease starts the rest of a released build's endpoints, and drains the others.
+// deployRelease launches the remaining endpoints of a released build, and drains those of older builds.
 func (f *fleet) deployRelease(build relay.Build) {
 	for site, count := range f.countBySite(build) {
 		f.launchMore(build, plan.SiteIndex(site), f.endpointsPerSite()-count)
@@ -99,7 +99,8 @@
 	}
 }
 
-// rollBack drains the endpoints of a build. Where it was released before, those of the build before it are started first.
+// rollBack drains the endpoints of a build. If the build was released already, it first launches endpoints of the one
+// released before it.
 func (f *fleet) rollBack(build relay.Build) {
 	isRolledBack := func(candidate *endpoint) bool { return candidate.build >= build }
 	if build != f.stable {
@@ -113,7 +114,7 @@
 	f.drain(isRolledBack, replaceDelay)
 }
 
-// countBySite counts the ready endpoints of a build.
+// countBySite counts the ready endpoints of a build, by site.
 func (f *fleet) countBySite(build relay.Build) []int {
 	counts := make([]int, len(f.simulation.plan.Sites))
 	for _, counted := range f.live() {
@@ -124,7 +125,7 @@
 	return counts
 }
 
-// endpointsPerSite is the even part of the fleet at a site.
+// endpointsPerSite returns how many endpoints each site has if they are spread evenly.
 func (f *fleet) endpointsPerSite() int {
 	return int(math.Ceil(float64(f.size) / float64(len(f.simulation.plan.Sites))))
 }
@@ -135,13 +136,14 @@
 	}
 }
 
-// canaryAtOneSite says whether a build's canary gets endpoints at the first site alone; the same draw each time.
+// canaryAtOneSite reports whether a build's canary gets endpoints at the first site alone, which is a deployer fault. The
+// draw depends only on seed, service and build, so every call for a build gives the same result.
 func (f *fleet) canaryAtOneSite(build relay.Build) bool {
 	draw := f.simulation.newRandom("one-side"+f.name, int(build)).Float64()
 	return draw < f.simulation.options.Faults.OneSiteCanaries
 }
 
-// stableBefore is the latest build before another that was released.
+// stableBefore returns the latest released build before a given one.
 func (f *fleet) stableBefore(build relay.Build) relay.Build {
 	latest := relay.Build(1)
 	for candidate := range f.builds {
@@ -152,9 +154,9 @@
 	return latest
 }
 
-// controllerStepped lets the deployer err at the beginning of a release: an endpoint of a build that is not announced is
-// there already, until it is noticed.
-func (f *fleet) controllerStepped(event rollout.Event) {
+// controllerEventApplied injects a deployer fault when a release begins: by chance, an endpoint of an unannounced build
+// starts, and runs until it is noticed.
+func (f *fleet) controllerEventApplied(event rollout.Event) {
 	chance := f.simulation.options.Faults.UnannouncedBuilds
 	if event.Kind != rollout.EventBegan || chance <= 0 || f.random.Float64() >= chance {
 		return
--- a/lab/endpoint.go
+++ b/lab/endpoint.go
@@ -8,43 +8,43 @@
 	"lichenroad/relay"
 )
 
-// Facts of the simulated endpoints. Times are in seconds.
+// Parameters of the simulated endpoints. Times are in seconds.
 const (
-	CoresPerEndpoint = 3   // requests that an endpoint works on at a time
-	MaxQueue         = 60  // requests that wait at an endpoint before it rejects more
-	slowStartTime    = 4.0 // until a started endpoint has its full capacity
-	slowStartFloor   = 0.4 // fraction of its capacity at first
-	overloadMultiple = 3.0 // times its capacity at which an endpoint in slow start is overloaded for good
-	overloadWindow   = 1.0 // over which that is measured
-	drainTime        = 2.0 // from an endpoint's drain to its end
-	startTime        = 1.5 // that an endpoint takes to start
-	acceptsDraining  = 1.0 // for which a draining endpoint takes requests of a relay that knows of the drain
+	CoresPerEndpoint = 3   // attempts that an endpoint processes at a time
+	MaxQueue         = 60  // attempts that wait at an endpoint before it rejects further ones
+	slowStartTime    = 4.0 // until a newly started endpoint has its full capacity
+	slowStartFloor   = 0.4 // fraction of its capacity at the start
+	overloadMultiple = 3.0 // load, in multiples of its capacity, above which an endpoint in slow start stops answering for good
+	overloadWindow   = 1.0 // sliding window of that load
+	drainTime        = 2.0 // from an endpoint's drain to its removal
+	startTime        = 1.5 // from an endpoint's launch until it is ready
+	acceptsDraining  = 1.0 // how long a draining endpoint still accepts attempts of a relay that was notified of the drain
 )
 
-// endpoint is one server of a fleet.
+// endpoint is one simulated server of a fleet.
 type endpoint struct {
 	fleet       *fleet
 	id          relay.EndpointID
 	site        plan.SiteIndex
 	build       relay.Build
-	speed       float64 // of its cores
+	speed       float64 // speed of its cores, relative to the reference of 1
 	state       relay.EndpointState
 	startedAt   float64
-	inSlowStart bool // it was started within the run
-	listed      bool
+	inSlowStart bool // started during the run, so it has a slow start
+	listed      bool // the discovery service lists it
 	pausedUntil float64
-	overloaded  bool // it answers nothing any more
+	overloaded  bool // no longer answers
 	fault       activeFault
 	random      *rand.Rand
-	running     int        // attempts that it works on
-	waiting     []*attempt // in its queue
+	running     int        // number of attempts being processed
+	waiting     []*attempt // queue
 	recentLoad  []load     // for the checker: attempts sent to it in slow start
 }
 
-// load is an attempt's work, by when it was sent.
+// load is the work of an attempt and the time at which it was sent.
 type load struct{ at, work float64 }
 
-// slowStartFraction is the fraction of its capacity that an endpoint has.
+// slowStartFraction returns the fraction of its full capacity that an endpoint has now.
 func (e *endpoint) slowStartFraction() float64 {
 	if !e.inSlowStart {
 		return 1
@@ -52,7 +52,7 @@
 	return math.Min(1, slowStartFloor+(1-slowStartFloor)*(e.fleet.simulation.now-e.startedAt)/slowStartTime)
 }
 
-// receive takes an attempt into the queue, or ends it.
+// receive queues an attempt, or refuses it. An overloaded endpoint does neither, so the attempt times out.
 func (e *endpoint) receive(received *attempt) {
 	s := e.fleet.simulation
 	switch {
@@ -72,7 +72,7 @@
 	return e.state == relay.Draining && e.fleet.simulation.now > sender.leavingSince[e.id]+acceptsDraining
 }
 
-// startWaiting starts work on attempts that wait while cores are free.
+// startWaiting starts processing queued attempts while cores are free.
 func (e *endpoint) startWaiting() {
 	if e.pausedUntil > e.fleet.simulation.now || e.overloaded {
 		return
@@ -80,13 +80,14 @@
 	for e.running < CoresPerEndpoint && len(e.waiting) > 0 {
 		next := e.waiting[0]
 		e.waiting = e.waiting[1:]
-		if !next.ended { // it may have been given up while it waited
+		if !next.ended { // it may have timed out or been cancelled in the queue
 			e.work(next)
 		}
 	}
 }
 
-// work works on an attempt, by the faults of the build, of the endpoint and of a trace.
+// work processes an attempt: the faults of the build, of the endpoint and of a trace decide how long it takes and whether it
+// fails.
 func (e *endpoint) work(on *attempt) {
 	s, request := e.fleet.simulation, on.request
 	e.running++
@@ -94,7 +95,7 @@
 	fails := false
 	if build := e.fleet.builds[e.build]; s.now-e.startedAt >= build.fromAge {
 		duration *= build.slowdown
-		fails = build.concerns(int(request.Class)) && e.random.Float64() < build.failureRate
+		fails = build.affects(int(request.Class)) && e.random.Float64() < build.failureRate
 	}
 	if e.fault.until > s.now {
 		duration *= math.Max(e.fault.slowdown, 1)
@@ -107,7 +108,7 @@
 	s.runAfter(duration, func() { e.finish(on, fails) })
 }
 
-// finish answers an attempt.
+// finish answers a processed attempt. After a removal, its connection is broken instead.
 func (e *endpoint) finish(done *attempt, failed bool) {
 	e.running--
 	outcome := relay.Succeeded
@@ -121,13 +122,14 @@
 	e.startWaiting()
 }
 
-// pause lets the endpoint start no work for a while.
+// pause keeps the endpoint from starting any attempt for a duration.
 func (e *endpoint) pause(duration float64) {
 	e.pausedUntil = e.fleet.simulation.now + duration
 	e.fleet.simulation.runAfter(duration, e.startWaiting)
 }
 
-// die ends the endpoint with all that waits there. Relays learn of it with the list's lag; another one starts.
+// die crashes the endpoint, which breaks all its attempts, and launches another one. Relays learn of the crash with the lag
+// of the endpoint list.
 func (e *endpoint) die() {
 	e.state = relay.Removed
 	e.fleet.announce(e)
@@ -136,10 +138,10 @@
 	}
 	e.waiting = nil
 	e.fleet.launch(e.build, e.site, startTime)
-	e.fleet.simulation.runAfter(forgetDelay, e.fleet.forgetRemoved)
+	e.fleet.simulation.runAfter(dropEndpointDelay, e.fleet.dropRemoved)
 }
 
-// listEntry is the endpoint as a list has it.
+// listEntry returns the endpoint's entry in the endpoint list.
 func (e *endpoint) listEntry() relay.Endpoint {
 	return relay.Endpoint{
 		ID:         e.id,
--- a/lab/endpointfault.go
+++ b/lab/endpointfault.go
@@ -8,16 +8,16 @@
 	"lichenroad/plan"
 )
 
-// EndpointFault is what goes wrong with the endpoints of a replay, again and again, each time with one drawn by the seed.
+// EndpointFault describes a fault that is injected repeatedly during a replay, each time into an endpoint drawn at random.
 type EndpointFault struct {
-	Interval    float64 // s between two faults, on average; 0: never
+	Interval    float64 // s; mean time between two faults; 0: never
 	Duration    float64 // s
-	Slowdown    float64 // times the work
-	FailureRate float64 // of its requests
-	Pauses      bool    // it starts no work, and goes on where it was
-	Dies        bool    // it is gone with all its requests; another starts a little later
-	WholeSite   bool    // every endpoint of one site has it at once
-	MessageLoss float64 // fraction of the relays' messages that are lost, all the time
+	Slowdown    float64 // multiplies the processing time
+	FailureRate float64 // fraction of the requests that fail
+	Pauses      bool    // the endpoint starts no request for the duration, then continues
+	Dies        bool    // the endpoint crashes with all its requests; another one starts a little later
+	WholeSite   bool    // the fault hits every endpoint of a site at once
+	MessageLoss float64 // fraction of the relays' messages that are lost, during the whole replay
 }
 
 var endpointFaults = map[string]EndpointFault{
@@ -40,7 +40,7 @@
 	return names
 }
 
-// EndpointFaultByName returns a fault by its name.
+// EndpointFaultByName returns the fault with a given name.
 func EndpointFaultByName(name string) (EndpointFault, error) {
 	fault, ok := endpointFaults[name]
 	if !ok {
@@ -49,14 +49,14 @@
 	return fault, nil
 }
 
-// activeFault is a fault that an endpoint has for a while.
+// activeFault is a fault that an endpoint has until a given time.
 type activeFault struct {
 	until       float64
 	slowdown    float64
 	failureRate float64
 }
 
-// inject gives an endpoint a fault. One that has a fault already keeps the longer time and the worse of both.
+// inject adds a fault to an endpoint. Where one is active already, the later end and the worse of each effect apply.
 func (e *endpoint) inject(fault activeFault) {
 	if e.fault.until > e.fleet.simulation.now {
 		fault.until = max(fault.until, e.fault.until)
@@ -66,7 +66,7 @@
 	e.fault = fault
 }
 
-// injectFaults injects a fault again and again.
+// injectFaults injects a fault at random intervals.
 func (f *fleet) injectFaults(fault EndpointFault) {
 	f.simulation.options.Faults.MessageLoss = fault.MessageLoss
 	if fault.Interval <= 0 {
@@ -81,7 +81,7 @@
 	f.simulation.runAfter(fault.Interval*uniform(random, 0.2, 1), repeat)
 }
 
-// injectOnce injects a fault into one endpoint, or all of its site.
+// injectOnce injects a fault into one random endpoint, or into all endpoints of its site.
 func (f *fleet) injectOnce(fault EndpointFault, random *rand.Rand) {
 	live := f.live()
 	if len(live) == 0 {
@@ -105,7 +105,7 @@
 	f.simulation.record("trouble with planner %d", drawn.id)
 }
 
-// injectMachineFault lets the endpoint that stands for a machine of a trace fail for a while.
+// injectMachineFault makes the endpoint that stands for a machine of a trace fail for a duration.
 func (f *fleet) injectMachineFault(machine uint64, duration, failureRate float64) {
 	site := plan.SiteIndex(machine >> 32 % uint64(len(f.simulation.plan.Sites)))
 	var atSite []*endpoint
--- a/lab/endpointfault_test.go
+++ b/lab/endpointfault_test.go
@@ -2,7 +2,7 @@
 
 import "testing"
 
-// replayEvenStream replays an even stream of requests with some fault.
+// replayEvenStream replays requests at even intervals. change adjusts the options; each, if not nil, adjusts each arrival.
 func replayEvenStream(t *testing.T, change func(*ReplayOptions), each func(i int, arrival *Arrival)) ReplayResult {
 	t.Helper()
 	options := ReplayOptions{Seed: 3, Relays: 3, Endpoints: 8, Classes: []string{"next-turn", "full-route", "stop-done", "reassign"}, Tenants: []string{"a", "b"}}
@@ -21,53 +21,54 @@
 	return replay.Finish()
 }
 
-// TestEndpointFaults checks that each fault shows in the result, none violates a rule, and the module does better than a plain
-// load balancer where there is something to detect and to avoid.
+// TestEndpointFaults checks that each endpoint fault is reproducible, changes the result and leads to no violation, and that
+// the decision module serves more than a plain load balancer when some endpoints are slow or failing.
 func TestEndpointFaults(t *testing.T) {
-	calm := replayEvenStream(t, func(*ReplayOptions) {}, nil)
+	noFault := replayEvenStream(t, func(*ReplayOptions) {}, nil)
 	for _, name := range EndpointFaultNames() {
 		with := func(options *ReplayOptions) { options.Fault = endpointFaults[name] }
 		got, again := replayEvenStream(t, with, nil), replayEvenStream(t, with, nil)
 		if got.TimelineHash != again.TimelineHash {
-			t.Errorf("%s: not the same twice", name)
+			t.Errorf("%s: two runs with one seed differ: timelines %s and %s", name, got.TimelineHash, again.TimelineHash)
 		}
 		if len(got.Violations) > 0 {
-			t.Errorf("%s: %+v", name, got.Violations[0])
+			t.Errorf("%s: violation %+v", name, got.Violations[0])
 		}
-		if name != "none" && name != "memos" && got.TimelineHash == calm.TimelineHash {
-			t.Errorf("%s does nothing", name)
+		if name != "none" && name != "memos" && got.TimelineHash == noFault.TimelineHash {
+			t.Errorf("%s: the timeline is the same as without a fault", name)
 		}
-		plain, _ := Baseline("random")
-		less := replayEvenStream(t, func(options *ReplayOptions) { with(options); options.NewModule = plain }, nil)
-		if (name == "slow" || name == "failing") && less.All.ServedFraction >= got.All.ServedFraction {
-			t.Errorf("%s: %.4f, a plain balancer %.4f", name, got.All.ServedFraction, less.All.ServedFraction)
+		newBaseline, _ := Baseline("random")
+		withBaseline := replayEvenStream(t, func(options *ReplayOptions) { with(options); options.NewModule = newBaseline }, nil)
+		if (name == "slow" || name == "failing") && withBaseline.All.ServedFraction >= got.All.ServedFraction {
+			t.Errorf("%s: served fraction %.4f, not above %.4f of a plain load balancer", name, got.All.ServedFraction, withBaseline.All.ServedFraction)
 		}
-		t.Logf("%s: %.4f, a plain balancer %.4f", name, got.All.ServedFraction, less.All.ServedFraction)
+		t.Logf("%s: served fraction %.4f, with a plain load balancer %.4f", name, got.All.ServedFraction, withBaseline.All.ServedFraction)
 	}
 	if _, err := EndpointFaultByName("moon"); err == nil {
-		t.Error("a fault of any name")
+		t.Error("EndpointFaultByName accepts an unknown name")
 	}
 }
 
-// TestMachineFaultsOfATrace checks that a failure of the trace lets its machine's endpoint fail, for as long as the mapping
-// says.
+// TestMachineFaultsOfATrace checks that a machine failure in the trace makes the endpoint that stands for the machine fail,
+// both for short and for long durations.
 func TestMachineFaultsOfATrace(t *testing.T) {
-	calm := replayEvenStream(t, func(*ReplayOptions) {}, nil)
-	hours := func(last float64) ReplayResult {
+	noFault := replayEvenStream(t, func(*ReplayOptions) {}, nil)
+	withFaults := func(duration float64) ReplayResult {
 		return replayEvenStream(t, func(*ReplayOptions) {}, func(i int, arrival *Arrival) {
 			if i%400 == 0 {
-				arrival.Machine, arrival.FaultDuration, arrival.FailureRate = uint64(i)*0x9e3779b97f4a7c15, last, 0.9
+				arrival.Machine, arrival.FaultDuration, arrival.FailureRate = uint64(i)*0x9e3779b97f4a7c15, duration, 0.9
 			}
 		})
 	}
-	short, long := hours(0.5), hours(6)
-	if calm.Failed > 0 || short.Failed == 0 || long.Failed == 0 || long.Attempts <= calm.Attempts || len(long.Violations) > 0 {
-		t.Errorf("%d, %d, %d written off", calm.Failed, short.Failed, long.Failed)
+	short, long := withFaults(0.5), withFaults(6)
+	if noFault.Failed > 0 || short.Failed == 0 || long.Failed == 0 || long.Attempts <= noFault.Attempts || len(long.Violations) > 0 {
+		t.Errorf("failed requests: %d without faults, %d with short ones, %d with long ones; attempts: %d without, %d with long ones; %d violations",
+			noFault.Failed, short.Failed, long.Failed, noFault.Attempts, long.Attempts, len(long.Violations))
 	}
 }
 
-// TestLongRequestOverloadsNoEndpoint checks that each attempt at an endpoint in slow start counts by its own work: by that
-// of the last one, a long request among short ones would violate rule 4 alone.
+// TestLongRequestOverloadsNoEndpoint checks that each attempt at an endpoint in slow start counts with its own work. If all
+// counted with the work of the last one, a single long request among short ones would be reported as an overload.
 func TestLongRequestOverloadsNoEndpoint(t *testing.T) {
 	for seed := range 4 {
 		got := replayEvenStream(t, func(options *ReplayOptions) {
@@ -78,7 +79,7 @@
 			}
 		})
 		if len(got.Violations) > 0 {
-			t.Errorf("seed %d: %+v", seed+1, got.Violations[0])
+			t.Errorf("seed %d: violation %+v", seed+1, got.Violations[0])
 		}
 	}
 }
--- a/lab/faults.go
+++ b/lab/faults.go
@@ -2,23 +2,23 @@
 
 import "strings"
 
-// Faults say how much goes wrong. Zero is nothing; one is as much as a week has at its worst.
+// Faults holds the intensity of each kind of fault: 0 means none, 1 stands for the worst case of a week.
 type Faults struct {
 	MessageLoss          float64 // fraction of the relays' messages that are lost
-	ListLag              float64 // times up to 4 s more until relays learn of endpoints
-	ControllerPartitions float64 // chance a day that the controller is partitioned across a freeze's start, or in the middle of a release
-	StatusLag            float64 // times 3 s that rollout statuses are later, for parts of a release
-	ControllerRestarts   float64 // chance a day that the controller is killed and starts again
-	LostJournalEvents    float64 // times 3 events that it has forgotten then
-	RelayRestarts        float64 // chance, for a relay and a release, that it is killed and starts again
-	DeployerStalls       float64 // chance a release that the deployer stalls for up to 20 s
-	UnannouncedBuilds    float64 // chance a release that there is an endpoint of a build not announced
-	OneSiteCanaries      float64 // chance a release that its canary has endpoints at the first site alone
-	EndpointPauses       float64 // endpoints that pause for up to 0.5 s, a second and ten endpoints
-	ClockSkew            float64 // s that the relays' clocks differ by, both ways
+	ListLag              float64 // 1: up to 4 s more until relays learn of changed endpoints
+	ControllerPartitions float64 // probability of a partition per day in a release, and of one across a freeze's start
+	StatusLag            float64 // probability per day of late statuses; the delay is 3 s from 0.5 on, less below
+	ControllerRestarts   float64 // probability per day that the controller is killed and restarts
+	LostJournalEvents    float64 // 1: such a restart loses up to 3 of the last events
+	RelayRestarts        float64 // probability per relay and day that it is killed and restarts
+	DeployerStalls       float64 // probability per fleet and day that the deployer stalls for 5 to 20 s
+	UnannouncedBuilds    float64 // probability per release that an endpoint of an unannounced build runs
+	OneSiteCanaries      float64 // probability per release that the canary has endpoints at the first site alone
+	EndpointPauses       float64 // pauses of up to 0.5 s, per second and ten endpoints
+	ClockSkew            float64 // s; the largest offset of a relay's clock, either way
 }
 
-// OrdinaryFaults are those of a week with a little of everything.
+// OrdinaryFaults returns the faults of an ordinary week: most kinds, each at a low intensity.
 func OrdinaryFaults() Faults {
 	return Faults{
 		MessageLoss:          0.1,
@@ -34,7 +34,7 @@
 	}
 }
 
-// worstFaults are the faults of one kind alone, at their worst.
+// worstFaults lists each kind of fault alone at its worst, beside none and the ordinary ones.
 var worstFaults = []struct {
 	name   string
 	faults Faults
@@ -63,7 +63,7 @@
 	return names
 }
 
-// FaultsByName returns the faults of one kind at their worst, or of several with a + between.
+// FaultsByName returns the faults of one kind at its worst, or of several kinds whose names are joined by "+".
 func FaultsByName(name string) (faults Faults, ok bool) {
 	for _, part := range strings.Split(name, "+") {
 		one, known := faultsOfKind(part)
@@ -84,7 +84,7 @@
 	return Faults{}, false
 }
 
-// combine takes the worse of each fault.
+// combine returns the higher intensity of each fault.
 func (f Faults) combine(other Faults) Faults {
 	return Faults{
 		MessageLoss:          max(f.MessageLoss, other.MessageLoss),
--- a/lab/fleet.go
+++ b/lab/fleet.go
@@ -8,29 +8,29 @@
 )
 
 const (
-	forgetDelay  = 20.0 // s after which a removed endpoint is forgotten
-	longAgo      = -1e6 // start of the endpoints that were there before the run
-	slowFraction = 0.39 // of the endpoints, whose cores are slower
+	dropEndpointDelay = 20.0 // s from an endpoint's removal until its record is dropped
+	startedBeforeRun  = -1e6 // start time of the endpoints that are there when the run begins
+	slowFraction      = 0.39 // fraction of the endpoints whose cores are slower
 )
 
-// fleet is one service: its endpoints, its relays and its deployer.
+// fleet simulates one service: its endpoints, its relays and its deployer.
 type fleet struct {
 	simulation *simulation
 	service    plan.ServiceIndex
 	name       string
-	settings   relay.Settings // of its relays
+	settings   relay.Settings // settings of its relays
 	random     *rand.Rand
-	size       int // endpoints that it should have
+	size       int // intended number of endpoints
 	endpoints  []*endpoint
 	relays     []*simulatedRelay
-	builds     map[relay.Build]buildFault
+	builds     map[relay.Build]buildFault // all builds so far, with their faults
 	nextID     relay.EndpointID
 
 	// The deployer, in deployer.go.
-	stable          relay.Build // that endpoints run outside of releases
+	stable          relay.Build // the released build, which all endpoints run outside of rollouts
 	stalled         bool
-	pendingStatuses []relay.RolloutStatus // that a stalled deployer has not seen
-	deployed        relay.RolloutStatus   // that the deployer acts on
+	pendingStatuses []relay.RolloutStatus // received while the deployer was stalled
+	deployed        relay.RolloutStatus   // the status that the deployer acts on
 }
 
 // live lists the endpoints that are ready.
@@ -43,7 +43,7 @@
 	return ready
 }
 
-// busyFraction is the fraction of the endpoints' cores that work.
+// busyFraction returns the fraction of the endpoints' cores that are busy.
 func (f *fleet) busyFraction() float64 {
 	busy, cores := 0, 0
 	for _, counted := range f.endpoints {
@@ -53,7 +53,7 @@
 	return float64(busy) / float64(max(cores, 1))
 }
 
-// launch starts an endpoint after a delay, from which on it is listed; one without a delay was there before the run.
+// launch adds an endpoint that is started and listed after a delay. An endpoint without a delay was started before the run.
 func (f *fleet) launch(build relay.Build, site plan.SiteIndex, delay float64) {
 	f.nextID++
 	launched := &endpoint{
@@ -61,7 +61,7 @@
 		id:          f.nextID,
 		site:        site,
 		build:       build,
-		state:       relay.Ready, // it counts from now on
+		state:       relay.Ready, // even before it is listed, so that it counts as live
 		inSlowStart: delay > 0,
 		random:      f.simulation.newRandom("planner"+f.name, int(f.nextID)),
 	}
@@ -71,7 +71,7 @@
 	}
 	f.endpoints = append(f.endpoints, launched)
 	if delay <= 0 {
-		launched.startedAt, launched.listed = longAgo, true
+		launched.startedAt, launched.listed = startedBeforeRun, true
 		return
 	}
 	f.simulation.runAfter(delay, func() {
@@ -83,7 +83,7 @@
 	})
 }
 
-// drain drains the endpoints that match after a delay, and removes them a little later.
+// drain drains, after a delay, the endpoints that match then. Each is removed drainTime later.
 func (f *fleet) drain(matches func(*endpoint) bool, delay float64) {
 	f.simulation.runAfter(delay, func() {
 		for _, candidate := range f.endpoints {
@@ -100,12 +100,12 @@
 	f.simulation.runAfter(drainTime, func() {
 		drained.state = relay.Removed
 		f.announce(drained)
-		f.simulation.runAfter(forgetDelay, f.forgetRemoved)
+		f.simulation.runAfter(dropEndpointDelay, f.dropRemoved)
 	})
 }
 
-// forgetRemoved forgets endpoints that are removed and work on nothing.
-func (f *fleet) forgetRemoved() {
+// dropRemoved drops the records of removed endpoints that process no attempts any more.
+func (f *fleet) dropRemoved() {
 	kept := f.endpoints[:0]
 	for _, candidate := range f.endpoints {
 		if candidate.state != relay.Removed || candidate.running > 0 {
--- a/lab/lab_test.go
+++ b/lab/lab_test.go
@@ -20,12 +20,12 @@
 	return p
 }
 
-// shortRun is a run that CI has the time for: a day, a dozen relays.
+// shortRun returns options of a run that is short enough for CI: one day, twelve relays.
 func shortRun(t testing.TB, seed int64, faults string) Options {
 	t.Helper()
 	chosen, ok := FaultsByName(faults)
 	if !ok {
-		t.Fatal(faults)
+		t.Fatalf("unknown faults %q", faults)
 	}
 	return Options{Plan: examplePlan(t), Seed: seed, Days: 1, Relays: 12, Endpoints: 18, Faults: chosen, BadBuildFraction: 0.4}
 }
@@ -39,7 +39,8 @@
 	return result
 }
 
-// TestNoViolations simulates a day of each kind of fault at its worst.
+// TestNoViolations simulates a day with each kind of fault at its worst and expects no violation. The run must also have
+// enough attempts at canaries, exposure and releases for this to mean something.
 func TestNoViolations(t *testing.T) {
 	for i, kind := range FaultNames() {
 		t.Run(kind, func(t *testing.T) {
@@ -51,16 +52,17 @@
 				}
 			}
 			if result.CanaryAttempts < 100 || result.MaxAllowanceUsed <= 0.3 || len(result.Releases) < 6 {
-				t.Errorf("hardly anything was tried: %d canary attempts, %.2f of an allowance, %d releases", result.CanaryAttempts, result.MaxAllowanceUsed, len(result.Releases))
+				t.Errorf("too little happened in the run: %d canary attempts, at most %.2f of an allowance used, %d releases", result.CanaryAttempts, result.MaxAllowanceUsed, len(result.Releases))
 			}
 		})
 	}
 }
 
-// TestCheckerDetectsDisabledSafeguards disables one safeguard after another: the checker finds what it is there for.
+// TestCheckerDetectsDisabledSafeguards disables one safeguard after another: each time the checker must find a violation
+// that the safeguard prevents.
 func TestCheckerDetectsDisabledSafeguards(t *testing.T) {
 	for _, test := range []struct {
-		without string // names, set apart by spaces
+		without string // names, separated by spaces
 		faults  string
 		finds   string // part of the rule's name
 	}{
@@ -76,11 +78,11 @@
 	} {
 		t.Run(test.without, func(t *testing.T) {
 			t.Parallel()
-			for seed := int64(1); seed <= 4; seed++ { // a fault must meet it: not on every day
+			for seed := int64(1); seed <= 4; seed++ { // not every day has a fault at the right time
 				options := shortRun(t, seed, test.faults)
 				for _, name := range strings.Fields(test.without) {
 					if !options.DisableSafeguard(name) {
-						t.Fatal(name)
+						t.Fatalf("unknown safeguard %q", name)
 					}
 				}
 				result := mustRun(t, options)
@@ -89,9 +91,9 @@
 						return
 					}
 				}
-				t.Logf("seed %d: %v", seed, result.ViolationsByRule)
+				t.Logf("seed %d: violations %v", seed, result.ViolationsByRule)
 			}
-			t.Errorf("without %s nothing was found", test.without)
+			t.Errorf("without %s, no violation of a rule with %q was found", test.without, test.finds)
 		})
 	}
 }
@@ -102,7 +104,8 @@
 	options.Days = 0.4
 	a, b := mustRun(t, options), mustRun(t, options)
 	if a.TimelineHash != b.TimelineHash || a.Requests != b.Requests || a.ServedFraction != b.ServedFraction {
-		t.Errorf("%s %s", a.TimelineHash, b.TimelineHash)
+		t.Errorf("two runs with one seed differ: timelines %s and %s, %d and %d requests, served fractions %g and %g", a.TimelineHash, b.TimelineHash,
+			a.Requests, b.Requests, a.ServedFraction, b.ServedFraction)
 	}
 	options.Seed++
 	if mustRun(t, options).TimelineHash == a.TimelineHash {
@@ -133,6 +136,6 @@
 	}
 	b, err := os.ReadFile(name)
 	if err != nil || strings.Count(string(b), "<svg") != 4 || strings.Contains(string(b), "http://") && strings.Contains(string(b), "src=") {
-		t.Errorf("%v, %d charts", err, strings.Count(string(b), "<svg"))
+		t.Errorf("report: error %v, %d charts, want 4 and no external sources", err, strings.Count(string(b), "<svg"))
 	}
 }
--- a/lab/options.go
+++ b/lab/options.go
@@ -8,29 +8,29 @@
 	"lichenroad/rollout"
 )
 
-// Options are the parameters of a run. The zero value of a field means none, where nothing else is said.
+// Options are the parameters of a run. Unless a field says otherwise, its zero value means none.
 type Options struct {
 	Plan             *plan.Plan
 	Seed             int64
 	Days             float64
-	Start            plan.Unix // 00:00 UTC of the first day; 0: a fixed Monday
-	Relays           int       // of all services together
-	Endpoints        int       // of all services together
+	Start            plan.Unix // 00:00 UTC on the first day; 0: a fixed Monday
+	Relays           int       // number of relays, over all services
+	Endpoints        int       // number of endpoints, over all services
 	Faults           Faults
-	BadBuildFraction float64 // of the builds that are bad
-	LoadFactor       float64 // times the load of an ordinary day; 0: once
+	BadBuildFraction float64 // fraction of the builds that are bad
+	LoadFactor       float64 // multiplies the request rate of an ordinary day; 0 means 1
 
-	Guard          rollout.GuardSafeguards // that are disabled
-	Controller     rollout.Safeguards      // that are disabled
-	IgnoreVotes    bool                    // votes are dropped, as in the baseline whose steps are timed
-	NewModule      func(relay.Settings, int64) module
-	ChangeSettings func(*relay.Settings) // of the relays
-	KeepTimeline   bool                  // the result has the lines of the timeline
+	Guard          rollout.GuardSafeguards            // disabled safeguards of the guards
+	Controller     rollout.Safeguards                 // disabled safeguards of the controller
+	IgnoreVotes    bool                               // votes are dropped, as in the baseline with timed steps
+	NewModule      func(relay.Settings, int64) module // from settings and seed; nil: the real module
+	ChangeSettings func(*relay.Settings)              // adjusts the settings of the relays; nil: unchanged
+	KeepTimeline   bool                               // the result contains the lines of the timeline
 
-	Progress func(day float64)
+	Progress func(day float64) // called now and then with the simulated time in days; nil: never
 }
 
-// DisableSafeguard disables one safeguard by its name, and says whether there is one of that name.
+// DisableSafeguard disables the safeguard with a given name, and reports whether it exists.
 func (o *Options) DisableSafeguard(name string) bool {
 	disabled, ok := map[string]*bool{
 		"guard":          &o.Guard.All,
@@ -54,7 +54,8 @@
 	return ok
 }
 
-// UseClockBaseline makes the run a baseline in which time alone moves steps, and nobody's vote counts.
+// UseClockBaseline turns the run into a baseline in which builds are promoted by time alone and votes are ignored. Each step
+// of a service lasts as long as the longest minimum time of its steps.
 func (o *Options) UseClockBaseline() {
 	timed := *o.Plan
 	timed.Services = append([]plan.Service(nil), timed.Services...)
--- a/lab/relay.go
+++ b/lab/relay.go
@@ -11,36 +11,36 @@
 )
 
 const (
-	aliveInterval     = 1.0  // s between signs of life of the controllers that a relay watches
-	idleGuardInterval = 30.0 // s, at least, between evaluations of the guard without traffic
+	keepAliveInterval = 1.0  // s between keep-alives of the controllers that a relay watches
+	idleGuardInterval = 30.0 // s; minimum between evaluations of the guard without traffic
 )
 
-// simulatedRelay is one relay: the real decision module, and its guard. What it was notified of outlives no restart.
+// simulatedRelay is one relay: a decision module and its guard. A restart loses all that the relay was notified of.
 type simulatedRelay struct {
 	fleet       *fleet
 	id          relay.ID
 	name        string
 	site        plan.SiteIndex
-	clockOffset float64 // s
-	weight      float64 // of its part of the requests
-	watches     []bool  // by service: whose controller it watches beside its own
+	clockOffset float64 // s; offset of its clock from the true time
+	weight      float64 // relative share of the requests that it receives
+	watches     []bool  // by service: whether it watches that service's controller, beside its own
 	random      *rand.Rand
 
 	alive        bool
-	incarnation  int // counts starts and ends
+	incarnation  int // number of starts and kills so far
 	startedAt    float64
 	module       module
 	guard        *rollout.Guard // nil: none
-	guardTimerAt float64        // in the past: no timer is set
-	guardEvents  []relay.Event  // space for them
+	guardTimerAt float64        // no timer is set if it is not in the future
+	guardEvents  []relay.Event  // buffer, reused
 	requests     map[relay.RequestID]*simulatedRequest
 	lastID       relay.RequestID
-	leavingSince map[relay.EndpointID]float64 // when it was notified that an endpoint leaves
+	leavingSince map[relay.EndpointID]float64 // when it was notified of an endpoint's drain or removal
 }
 
 func relayName(index int) string { return fmt.Sprintf("n%d", index) }
 
-// whileRunning returns a function that runs something if the relay has not ended or restarted meanwhile.
+// whileRunning wraps a function, so that it does nothing once the relay has been killed or restarted.
 func (r *simulatedRelay) whileRunning(run func()) func() {
 	incarnation := r.incarnation
 	return func() {
@@ -50,13 +50,14 @@
 	}
 }
 
-// clock is the relay's own idea of the time of day.
+// clock returns the time by the relay's own, possibly skewed clock.
 func (r *simulatedRelay) clock() plan.Unix { return r.fleet.simulation.unixNow() + r.clockOffset }
 
-// time is the module's.
+// time returns the time that the decision module sees: seconds since the relay's start.
 func (r *simulatedRelay) time() relay.Seconds { return r.fleet.simulation.now - r.startedAt }
 
-// start begins the relay's process: a fresh module, notified of the list as it is and of what its own controller says.
+// start starts the relay's process with a new decision module. The module gets the current endpoint list and the rollout
+// status of its own service at once; the statuses of other services that it watches arrive with the usual delay.
 func (r *simulatedRelay) start() {
 	s := r.fleet.simulation
 	r.incarnation++
@@ -69,7 +70,8 @@
 	r.startGuard()
 	s.checker.relayStarted(r)
 	r.listUpdated(relay.ListUpdate{Kind: relay.ListCached, Endpoints: r.fleet.listedEndpoints()})
-	if status := s.controller.core.RolloutStatus(r.fleet.service, s.unixNow()); status.Valid { // its configuration has it
+	// The relay knows the status of its own service from its configuration.
+	if status := s.controller.core.RolloutStatus(r.fleet.service, s.unixNow()); status.Valid {
 		r.statusReceived(r.fleet.service, status)
 	}
 	for i, watched := range r.watches {
@@ -77,7 +79,7 @@
 			s.controller.sendStatus(r, service, s.controller.core.RolloutStatus(service, s.unixNow()))
 		}
 	}
-	r.watchAlive()
+	r.repeatKeepAlives()
 }
 
 func (r *simulatedRelay) startGuard() {
@@ -94,7 +96,7 @@
 	r.guard.DisableSafeguards(s.options.Guard)
 }
 
-// listedEndpoints is the list as the discovery service has it.
+// listedEndpoints returns the endpoint list of the discovery service.
 func (f *fleet) listedEndpoints() (list []relay.Endpoint) {
 	for _, candidate := range f.endpoints {
 		if candidate.listed && candidate.state != relay.Removed {
@@ -104,7 +106,7 @@
 	return list
 }
 
-// kill ends the relay's process with all its requests.
+// kill kills the relay's process; its open requests are lost.
 func (r *simulatedRelay) kill() {
 	r.alive = false
 	r.incarnation++
@@ -113,10 +115,11 @@
 	}
 }
 
-// watchAlive has the controllers of other services show that they are alive, as long as there is traffic.
-func (r *simulatedRelay) watchAlive() {
+// repeatKeepAlives delivers keep-alives of the watched controllers of other services, as long as there is traffic. Without
+// traffic, the relay is parked until the next window.
+func (r *simulatedRelay) repeatKeepAlives() {
 	s := r.fleet.simulation
-	s.runAfter(aliveInterval, r.whileRunning(func() {
+	s.runAfter(keepAliveInterval, r.whileRunning(func() {
 		if !s.hasTraffic {
 			s.parkedRelays = append(s.parkedRelays, r)
 			return
@@ -129,11 +132,11 @@
 			}
 			r.evaluateGuard()
 		}
-		r.watchAlive()
+		r.repeatKeepAlives()
 	}))
 }
 
-// statusReceived takes the rollout status of a service, its own or one that it depends on.
+// statusReceived handles the rollout status of the relay's own service or of one that it depends on.
 func (r *simulatedRelay) statusReceived(service plan.ServiceIndex, status relay.RolloutStatus) {
 	r.fleet.simulation.checker.statusReceived(r, service, status)
 	isOwn := service == r.fleet.service
@@ -151,7 +154,7 @@
 	r.evaluateGuard()
 }
 
-// voteReplied takes the reply to a vote.
+// voteReplied handles the reply to a vote.
 func (r *simulatedRelay) voteReplied(reply relay.RolloutStatus) {
 	if r.guard == nil {
 		r.step(reply)
@@ -163,7 +166,7 @@
 	r.step(relay.RolloutStatus{Reply: reply.Reply})
 }
 
-// evaluateGuard evaluates the guard: its events go to the module, a vote that must change goes to the controller.
+// evaluateGuard evaluates the guard, passes its events to the module and sends a revised vote to the controller.
 func (r *simulatedRelay) evaluateGuard() {
 	if r.guard == nil || !r.alive {
 		return
@@ -198,18 +201,18 @@
 	}))
 }
 
-// listUpdated takes an update of the endpoint list.
+// listUpdated handles an update of the endpoint list.
 func (r *simulatedRelay) listUpdated(update relay.ListUpdate) {
 	endpoints := append([]relay.Endpoint(nil), update.Endpoints...)
 	for i := range endpoints {
 		r.markLeaving(endpoints[i])
-		endpoints[i].StartedAt -= r.startedAt // the module's time begins with the relay
+		endpoints[i].StartedAt -= r.startedAt // the module's time starts with the relay
 	}
 	update.Endpoints = endpoints
 	r.step(update)
 }
 
-// markLeaving notes since when the relay knows that an endpoint leaves.
+// markLeaving records when the relay was first notified of an endpoint's drain or removal.
 func (r *simulatedRelay) markLeaving(listed relay.Endpoint) {
 	if listed.State == relay.Ready {
 		delete(r.leavingSince, listed.ID)
@@ -220,7 +223,7 @@
 	}
 }
 
-// step has the module see events, and carries out its commands.
+// step passes events to the module and executes its commands.
 func (r *simulatedRelay) step(events ...relay.Event) {
 	s := r.fleet.simulation
 	for _, command := range r.module.Step(r.time(), events) {
@@ -255,7 +258,8 @@
 	r.fleet.simulation.controller.receiveVote(r, vote, true)
 }
 
-// timerFired fires a timer of the module, at the start of the next window where the relay sleeps.
+// timerFired fires a timer of the module. Once the relay is idle between two traffic windows, the timer is deferred to the
+// start of the next window.
 func (r *simulatedRelay) timerFired(id relay.TimerID) {
 	s := r.fleet.simulation
 	if !s.hasTraffic && s.now > s.idleFrom {
@@ -265,7 +269,8 @@
 	r.step(relay.TimerFired{ID: id})
 }
 
-// sendMessage sends a message to other relays, which may be late or lost.
+// sendMessage sends a message to the relays of the same service that it is addressed to. Messages are delayed and may be
+// lost.
 func (r *simulatedRelay) sendMessage(message relay.SendMessage) {
 	s := r.fleet.simulation
 	received := relay.MessageReceived{From: r.id, Body: append([]byte(nil), message.Body...)}
--- a/lab/replay.go
+++ b/lab/replay.go
@@ -15,15 +15,15 @@
 
 // Arrival is one request of a replay.
 type Arrival struct {
-	At             float64 // s; never earlier than the one before
+	At             float64 // s; not earlier than that of the previous arrival
 	Class          int     // index of ReplayOptions.Classes
 	Tenant         int     // index of ReplayOptions.Tenants
-	Work           float64 // s on a core of speed 1
-	Relay          uint64  // that it comes to, by the rest of its division by the number of relays
-	FailedAttempts int     // attempts that fail before one may succeed
-	Machine        uint64  // whose endpoint has a fault from now on
-	FaultDuration  float64 // s of that fault; 0: none
-	FailureRate    float64 // of requests during it
+	Work           float64 // s of processing on a core of speed 1
+	Relay          uint64  // receiver: this modulo the number of relays is its index
+	FailedAttempts int     // number of attempts that fail before one can succeed
+	Machine        uint64  // machine of the trace whose endpoint gets a fault now, if FaultDuration is positive
+	FaultDuration  float64 // s; 0: no fault
+	FailureRate    float64 // fraction of the requests that fail during the fault
 }
 
 // ReplayOptions are the parameters of a replay.
@@ -31,34 +31,34 @@
 	Seed           int64
 	Relays         int
 	Endpoints      int
-	Classes        []string // by name, of the lab's classes
+	Classes        []string // names of classes of the lab
 	Tenants        []string
-	NewModule      func(relay.Settings, int64) module // nil: the real one
+	NewModule      func(relay.Settings, int64) module // from settings and seed; nil: the real module
 	Fault          EndpointFault
-	ChangeSettings func(*relay.Settings) // of the relays; nil: none
+	ChangeSettings func(*relay.Settings) // adjusts the settings of the relays; nil: unchanged
 }
 
-// Bounds of a replay.
+// Bounds and timing of a replay.
 const (
 	maxReplayRelays    = 1000
 	maxReplayEndpoints = 1000
-	drainAfterLast     = 10.0 // s that a replay goes on after the last arrival: longer than any deadline
-	relayStartup       = 1.0  // s before the first arrival, for the relays to start
+	drainAfterLast     = 10.0 // s; how long a replay continues after the last arrival: longer than any deadline
+	relayStartup       = 1.0  // s; how long the relays run before the first arrival
 )
 
-var errReplaySize = errors.New("from 1 to 1000 relays and from 2 to 1000 planners")
+var errReplaySize = errors.New("a replay takes from 1 to 1000 relays and from 2 to 1000 planners")
 
-// Replay is a replay in progress: Arrive is called for one request after the other, then Finish.
+// Replay is a replay in progress. The caller calls Arrive for each request in order of time, then Finish.
 type Replay struct {
 	simulation   *simulation
 	options      ReplayOptions
-	classIndexes []int // of the lab's classes, by index of the options'
+	classIndexes []int // index of the lab's class, by index of ReplayOptions.Classes
 	started      bool
-	startedAt    float64 // by the arrivals' clock
-	lastAt       float64 // of the last arrival, by the simulation's clock
+	startedAt    float64 // s, on the time scale of the arrivals
+	lastAt       float64 // s; the last arrival, in simulation time
 }
 
-// NewReplay begins a replay.
+// NewReplay returns a replay that is ready for the first arrival.
 func NewReplay(options ReplayOptions) (*Replay, error) {
 	tooSmall := options.Relays < 1 || options.Endpoints < 2
 	if tooSmall || options.Relays > maxReplayRelays || options.Endpoints > maxReplayEndpoints {
@@ -77,7 +77,7 @@
 	return r, nil
 }
 
-// newReplaySimulation makes a simulation of one service at two sites that is released already, with traffic all the time.
+// newReplaySimulation returns a simulation of one service at two sites, without rollouts and with traffic all the time.
 func newReplaySimulation(options ReplayOptions) *simulation {
 	everywhere := []plan.Scope{{Site: 0, Group: 0}, {Site: 1, Group: 0}}
 	released := &plan.Plan{
@@ -115,7 +115,8 @@
 	return s
 }
 
-// Arrive runs the simulation up to an arrival and brings the request. Arrivals at one instant come one after another in it.
+// Arrive runs the simulation up to an arrival and delivers the request. Arrivals at the same time are delivered in the order
+// of the calls.
 func (r *Replay) Arrive(arrival Arrival) {
 	if !r.started {
 		r.started, r.startedAt = true, arrival.At-relayStartup
--- a/lab/replay_test.go
+++ b/lab/replay_test.go
@@ -5,7 +5,8 @@
 	"testing"
 )
 
-// TestSeriesIsBounded keeps a replay of a thousand hours: its points add up and stay few.
+// TestSeriesIsBounded records a thousand hours in a series: the number of points stays bounded, and no count is lost in
+// merges.
 func TestSeriesIsBounded(t *testing.T) {
 	s := series{width: 1}
 	n := 0
@@ -23,12 +24,12 @@
 		}
 	}
 	if len(s.points) > maxPoints || sum != n || values != int64(n) {
-		t.Errorf("%d points, %d and %d of %d", len(s.points), sum, values, n)
+		t.Errorf("%d points; %d arrivals and %d latencies recorded, want %d each", len(s.points), sum, values, n)
 	}
 }
 
-// TestTraceFailuresAreFailedAttempts has requests whose first attempt fails: those that are safe to repeat are retried, the
-// others fail.
+// TestTraceFailuresAreFailedAttempts replays requests of which every second pair has a failing first attempt: idempotent
+// ones are retried, at-most-once ones fail.
 func TestTraceFailuresAreFailedAttempts(t *testing.T) {
 	replay, err := NewReplay(ReplayOptions{Seed: 1, Relays: 2, Endpoints: 4, Classes: []string{"next-turn", "reassign"}, Tenants: []string{"a"}})
 	if err != nil {
@@ -42,10 +43,10 @@
 		t.Errorf("%+v", got)
 	}
 	if s := got.Classes["reassign"].ServedFraction; s < 0.45 || s > 0.55 {
-		t.Error("half of the reassigns fail: ", s)
+		t.Errorf("served fraction of reassign is %g, want about 0.5: half of the first attempts fail", s)
 	}
 	if s := got.Classes["next-turn"].ServedFraction; s < 0.99 {
-		t.Error("a turn may be asked for again: ", s)
+		t.Errorf("served fraction of next-turn is %g, want 0.99 at least: it may be retried", s)
 	}
 }
 
--- a/lab/report.go
+++ b/lab/report.go
@@ -34,7 +34,7 @@
 	orange      = color.RGBA{R: 220, G: 130, B: 0, A: 255}
 )
 
-// chart begins a chart over the run's time, with its freezes shaded up to a height.
+// chart returns an empty chart over the time of the run, with its freezes shaded up to a height.
 func (r *Result) chart(title, yLabel string, height float64) (*plot.Plot, error) {
 	chart := plot.New()
 	chart.Title.Text, chart.X.Label.Text, chart.Y.Label.Text = title, "hours since the start", yLabel
@@ -57,7 +57,7 @@
 	return chart, nil
 }
 
-// SVG draws a chart that can stand in a page.
+// SVG renders a chart as an SVG element to be embedded in an HTML page.
 func SVG(chart *plot.Plot) (template.HTML, error) {
 	writer, err := chart.WriterTo(chartWidth, chartHeight, "svg")
 	if err != nil {
@@ -69,7 +69,7 @@
 	}
 	text := drawn.String()
 	if i := strings.Index(text, "<svg"); i > 0 {
-		text = text[i:] // without the head of a file
+		text = text[i:] // without the XML declaration
 	}
 	return template.HTML(text), nil
 }
@@ -89,7 +89,7 @@
 	return nil
 }
 
-// timelineChart draws one service's rollouts: the step that is open, releases and rollbacks.
+// timelineChart draws the rollouts of a service: the current step, offers, releases and rollbacks.
 func (r *Result) timelineChart(service *plan.Service) (template.HTML, error) {
 	top := float64(len(service.Steps)) + 1
 	chart, err := r.chart(service.Name+": step on trial, releases and ways back; freezes are shaded", "step", top+0.5)
@@ -133,7 +133,7 @@
 	return SVG(chart)
 }
 
-// exposureChart draws the highest part of any allowance that was used, by service and ten minutes.
+// exposureChart draws the highest used fraction of any allowance, by service and period of ten minutes.
 func (r *Result) exposureChart(services []plan.Service) (template.HTML, error) {
 	const height = 1.2
 	title := "Exposure: the highest part of an allowance (cap times queries, and a leg) that a group of a relay used"
@@ -199,13 +199,13 @@
 </body></html>
 `))
 
-// blockedTime is for how many seconds a reason blocked releases.
+// blockedTime is the time in seconds for which a reason blocked releases.
 type blockedTime struct {
 	Code string
 	For  float64
 }
 
-// Report writes the page of a run into a directory, in full or not at all, and returns its name.
+// Report writes the HTML page of a run into a directory, in full or not at all, and returns its file name.
 func (r *Result) Report(planned *plan.Plan, dir string) (string, error) {
 	data := struct {
 		R      *Result
@@ -231,7 +231,7 @@
 	return writePage(dir, "plan.html", page, data)
 }
 
-// WriteFile writes a file in full or not at all: under another name first.
+// WriteFile writes a file in full or not at all: it writes to NAME.part first, then renames that.
 func WriteFile(name string, content []byte) error {
 	if err := os.WriteFile(name+".part", content, 0o644); err != nil {
 		return err
@@ -239,14 +239,14 @@
 	return os.Rename(name+".part", name)
 }
 
-// writePage writes a page into a directory, in full or not at all, and returns its name.
+// writePage writes a page into a directory, in full or not at all, and returns its file name.
 func writePage(dir, name string, page *template.Template, data any) (string, error) {
 	var content bytes.Buffer
 	if err := page.Execute(&content, data); err != nil {
 		return "", err
 	}
 	if err := os.MkdirAll(dir, 0o755); err != nil {
-		return "", fmt.Errorf("report: %w", err)
+		return "", fmt.Errorf("create report directory: %w", err)
 	}
 	name = filepath.Join(dir, name)
 	return name, WriteFile(name, content.Bytes())
--- a/lab/request.go
+++ b/lab/request.go
@@ -7,25 +7,25 @@
 	"lichenroad/relay"
 )
 
-// Facts of the simulated requests. Times are in seconds.
+// Parameters of the simulated requests. Times are in seconds.
 const (
-	requestsPerEndpoint = 8.0    // a second, for each endpoint of a fleet, on an ordinary day
+	requestsPerEndpoint = 8.0    // per second and endpoint of a fleet, on an ordinary day
 	crossSiteDelay      = 0.001  // one way between sites
 	sameSiteDelay       = 0.0003 // one way within a site
-	timeoutMargin       = 1e-4   // before the deadline, at which an attempt times out
-	forgetRequestDelay  = 1.0    // commands about a request may still come in the step in progress
+	timeoutMargin       = 1e-4   // before the deadline, at which an attempt times out at the latest
+	dropRequestDelay    = 1.0    // from a request's end until its record is dropped: commands may still refer to it
 )
 
-// simulatedRequest is one request of a client, as its relay has it.
+// simulatedRequest is a relay's record of one client request.
 type simulatedRequest struct {
 	relay.Request
 	relay        *simulatedRelay
-	group        plan.GroupIndex // of its tenant
-	work         float64         // s on a core of speed 1
+	group        plan.GroupIndex // the group of its tenant
+	work         float64         // s of processing on a core of speed 1
 	arrivedAt    float64
-	objectiveAt  float64 // when its latency objective ends
+	objectiveAt  float64 // latest answer that meets its latency objective
 	deadlineAt   float64
-	failuresLeft int // attempts that fail, as a trace has it
+	failuresLeft int // number of attempts that are still to fail, as given by a trace
 	attempts     []*attempt
 	ended        bool
 }
@@ -34,14 +34,14 @@
 type attempt struct {
 	request  *simulatedRequest
 	number   relay.AttemptNumber
-	endpoint *endpoint // nil: it is not there any more
+	endpoint *endpoint // nil: its record was dropped before the attempt was sent
 	sentAt   float64
-	delay    float64 // one way
+	delay    float64 // s, one way between relay and endpoint
 	ended    bool
-	ran      bool // the endpoint took it in
+	ran      bool // the endpoint accepted it, so it may have had its effect
 }
 
-// arrive brings a client's request, of a class by the classes' shares.
+// arrive starts a random client request, whose class is drawn by the classes' shares.
 func (r *simulatedRelay) arrive() {
 	index, draw := 0, r.random.Float64()
 	for index < len(requestClasses)-1 && draw > requestClasses[index].share {
@@ -53,7 +53,7 @@
 	r.startRequest(index, tenant, uniform(r.random, class.work[0], class.work[1]), 0)
 }
 
-// startRequest takes a request in; some of its first attempts fail where a trace has it so.
+// startRequest starts a request, of which the first attempts fail, as many as failures says.
 func (r *simulatedRelay) startRequest(classIndex, tenant int, work float64, failures int) {
 	s, class := r.fleet.simulation, &requestClasses[classIndex]
 	r.lastID++
@@ -85,7 +85,7 @@
 	r.step(request.Request)
 }
 
-// deadlinePassed ends a request that got no answer: its client goes.
+// deadlinePassed ends a request without an answer: its client disconnects.
 func (r *simulatedRelay) deadlinePassed(request *simulatedRequest) {
 	if request.ended {
 		return
@@ -102,12 +102,12 @@
 
 func (q *simulatedRequest) weight() float64 { return requestClasses[q.Class].priorityWeight * q.work }
 
-// counted is the request as a tally counts it.
+// counted returns the request in the form that a tally counts.
 func (q *simulatedRequest) counted() CountedRequest {
 	return CountedRequest{At: q.arrivedAt, Class: int(q.Class), Tenant: int(q.Tenant), Work: q.work}
 }
 
-// sendAttempt sends an attempt by the module's command.
+// sendAttempt executes the module's command to send an attempt.
 func (r *simulatedRelay) sendAttempt(command relay.SendAttempt) {
 	s, request := r.fleet.simulation, r.requests[command.Request]
 	if request == nil {
@@ -161,7 +161,7 @@
 	r.fleet.simulation.runAfter(0, func() { cancelled.end(relay.Cancelled) })
 }
 
-// end ends an attempt; only the first end counts.
+// end ends an attempt and reports its outcome to the module. Only the first call for an attempt has an effect.
 func (a *attempt) end(outcome relay.Outcome) {
 	if a.ended {
 		return
@@ -186,10 +186,10 @@
 		Duration:        s.now - a.sentAt,
 		RequestFinished: request.ended,
 	})
-	sender.forget(request)
+	sender.dropIfDone(request)
 }
 
-// lostToBadBuild says whether a bad build may have cost the request its answer in time.
+// lostToBadBuild reports whether a bad build may be why the attempt did not succeed within the latency objective.
 func (a *attempt) lostToBadBuild(outcome relay.Outcome) bool {
 	if a.endpoint == nil || a.endpoint.fleet.builds[a.endpoint.build].isGood() {
 		return false
@@ -207,15 +207,15 @@
 	return a.endpoint.id
 }
 
-// endRequest ends a request by the module's command.
+// endRequest executes the module's command to end a request.
 func (r *simulatedRelay) endRequest(id relay.RequestID, outcome RequestOutcome) {
 	if request := r.requests[id]; request != nil {
 		r.requestEnded(request, outcome)
-		r.forget(request)
+		r.dropIfDone(request)
 	}
 }
 
-// requestEnded counts the answer to a request; only the first one counts.
+// requestEnded checks and counts the answer to a request. Only the first answer is counted.
 func (r *simulatedRelay) requestEnded(request *simulatedRequest, outcome RequestOutcome) {
 	s := r.fleet.simulation
 	s.checker.checkOutcome(request, outcome)
@@ -239,8 +239,8 @@
 	}
 }
 
-// forget drops the record of a request that has ended, with all its attempts.
-func (r *simulatedRelay) forget(request *simulatedRequest) {
+// dropIfDone drops, a little later, the record of a request that has ended together with all its attempts.
+func (r *simulatedRelay) dropIfDone(request *simulatedRequest) {
 	if !request.ended {
 		return
 	}
@@ -249,7 +249,7 @@
 			return
 		}
 	}
-	r.fleet.simulation.runAfter(forgetRequestDelay, func() {
+	r.fleet.simulation.runAfter(dropRequestDelay, func() {
 		if r.requests[request.ID] == request {
 			delete(r.requests, request.ID)
 		}
--- a/lab/result.go
+++ b/lab/result.go
@@ -10,20 +10,20 @@
 	"lichenroad/rollout"
 )
 
-// Release is what became of one build.
+// Release summarizes the rollout of one build.
 type Release struct {
 	Service      string      `json:"service"`
 	Build        relay.Build `json:"build"`
 	BuildFault   string      `json:"fault"`
 	Bad          bool        `json:"bad"`
-	OfferedAt    float64     `json:"offered"` // s since the start; -1: never
+	OfferedAt    float64     `json:"offered"` // s since the start, like the other times; -1: never
 	BeganAt      float64     `json:"began"`
 	ReleasedAt   float64     `json:"released"`
 	RolledBackAt float64     `json:"back"`
-	Promotions   int         `json:"steps"` // steps that it went on
+	Promotions   int         `json:"steps"` // number of promotions, the release included
 }
 
-// Result is what a run showed.
+// Result holds the figures of a run.
 type Result struct {
 	Seed                  int64              `json:"seed"`
 	Days                  float64            `json:"days"`
@@ -37,40 +37,40 @@
 	Succeeded             int                `json:"honoured"`
 	Rejected              int                `json:"denied"`
 	Failed                int                `json:"written_off"`
-	ServedFraction        float64            `json:"service"` // priority weight answered in time over that of all requests
+	ServedFraction        float64            `json:"service"` // priority weight answered in time, as a fraction
 	WeightLostToBadBuilds float64            `json:"bad_builds_worth_lost"`
 	Violations            []Violation        `json:"broken"`
 	UnlistedViolations    int                `json:"broken_not_listed"`
 	ViolationsByRule      map[string]int     `json:"broken_by_rule"`
 	MaxAllowanceUsed      float64            `json:"most_of_cap"`
 	BlockedFor            map[string]float64 `json:"held"`
-	TrafficTime           float64            `json:"played_s"` // of the time with traffic
+	TrafficTime           float64            `json:"played_s"` // s with traffic
 	TimelineHash          string             `json:"timeline_sha256"`
-	GoodReleased          float64            `json:"good_released"` // part of the good builds that were released
-	GoodReleaseTime       float64            `json:"good_took_s"`   // mean of those, from the offer on
-	BadReleased           float64            `json:"bad_released"`  // part of the bad ones
+	GoodReleased          float64            `json:"good_released"` // fraction of the good builds that stayed released
+	GoodReleaseTime       float64            `json:"good_took_s"`   // s; mean over those, from offer to release
+	BadReleased           float64            `json:"bad_released"`  // fraction of the bad builds that stayed released
 
 	Steps        []ControllerStep `json:"-"`
 	AllowanceUse []AllowanceUse   `json:"-"`
 	Timeline     []string         `json:"-"`
-	FreezeTimes  [][]float64      `json:"-"` // of each freeze: from, to, ...
+	FreezeTimes  [][]float64      `json:"-"` // by freeze: start and end of each interval
 	FreezeNames  []string         `json:"-"`
 }
 
-// AllowanceUse is the highest part of an allowance that was used within ten minutes, for the report.
+// AllowanceUse is the highest used fraction of an allowance within a period of ten minutes, for the report.
 type AllowanceUse struct {
-	Hour    float64
+	Hour    float64 // start of the period, in hours since the start of the run
 	Service string
 	Max     float64
 }
 
-// neverHappened is the time of what did not happen.
+// neverHappened stands for the time of an event that did not happen.
 const neverHappened = -1
 
-// unblockedName is what the result calls the time in which nothing blocks a release.
+// unblockedName is the key in Result.BlockedFor of the time in which nothing blocked a release.
 const unblockedName = "free"
 
-// result collects what the run showed, up to now.
+// result returns the figures of the run up to now.
 func (s *simulation) result() Result {
 	c, counters := s.checker, &s.counters
 	result := Result{
@@ -113,7 +113,7 @@
 	return result
 }
 
-// blockedTimes is for how long each reason blocked releases, in whole seconds over all services.
+// blockedTimes returns for how long each reason blocked releases, in whole seconds over all services.
 func (l *controllerLink) blockedTimes() map[string]float64 {
 	now := l.simulation.unixNow()
 	for i := range l.blockedSince {
@@ -130,7 +130,7 @@
 	return times
 }
 
-// usedAllowances lists the highest use of allowances, by time and service.
+// usedAllowances lists the highest use of allowances, ordered by time and service.
 func (c *checker) usedAllowances() (uses []AllowanceUse) {
 	const periodsPerHour = hour / allowancePeriod
 	for key, highest := range c.allowanceUse {
@@ -143,13 +143,13 @@
 	return uses
 }
 
-// releaseKey is a build of a service.
+// releaseKey identifies a build of a service.
 type releaseKey struct {
 	service string
 	build   relay.Build
 }
 
-// addReleases folds the controller's steps into what became of each build.
+// addReleases builds the history of each build from the controller's steps, in order of first appearance.
 func (r *Result) addReleases(s *simulation) {
 	releases := map[releaseKey]*Release{}
 	var order []releaseKey
@@ -200,10 +200,11 @@
 	}
 }
 
-// staysReleased says whether the build was released, and not rolled back since.
+// staysReleased reports whether the build was released and never rolled back.
 func (r *Release) staysReleased() bool { return r.ReleasedAt >= 0 && r.RolledBackAt < 0 }
 
-// summarizeReleases counts the builds that began, by whether they are good and whether they stay released.
+// summarizeReleases sets the fractions of the good and of the bad builds that stayed released, among those whose rollout
+// began.
 func (r *Result) summarizeReleases() {
 	var good, bad, goodReleased, badReleased, goodTime float64
 	for i := range r.Releases {
--- a/lab/run.go
+++ b/lab/run.go
@@ -13,14 +13,15 @@
 )
 
 const (
-	progressInterval = 600.0 // s of virtual time between reports of progress and looks at the context
-	busyRelayEvery   = 5     // of this many relays one carries far more than the others
-	busyRelayWeight  = 4
+	progressInterval = 600.0 // s of virtual time between progress reports, and between checks of the context
+	busyRelayEvery   = 5     // one of this many relays receives more requests than the others
+	busyRelayWeight  = 4     // times the requests of another relay
 )
 
-var errTooSmall = errors.New("at least a relay and two planners a service, and some time")
+var errTooSmall = errors.New("a simulation needs at least one relay and two planners for each service, and more than 0 days")
 
-// Run simulates a plan for some days. Where the context ends it, the result is of the time up to then, beside its error.
+// Run simulates a plan for some days. If the context is done earlier, it returns the result up to then and the context's
+// error.
 func Run(ctx context.Context, options Options) (Result, error) {
 	services := len(options.Plan.Services)
 	if options.Relays < services || options.Endpoints < 2*services || options.Days <= 0 {
@@ -39,7 +40,7 @@
 	return s.result(), ctx.Err()
 }
 
-// newSimulation makes a simulation that has not begun.
+// newSimulation returns a simulation at time 0, with its first events scheduled.
 func newSimulation(options Options) *simulation {
 	s := &simulation{
 		options:      options,
@@ -60,7 +61,7 @@
 	return s
 }
 
-// addFleets adds the fleets with their endpoints, starts all relays and schedules the edges of freezes.
+// addFleets adds the fleets with their endpoints, starts all relays and schedules the boundaries of freezes.
 func (s *simulation) addFleets() {
 	for i := range s.plan.Services {
 		s.addFleet(plan.ServiceIndex(i))
@@ -70,16 +71,16 @@
 	}
 	for _, freeze := range s.checker.freezeTimes {
 		for _, frozen := range freeze {
-			s.scheduleFreezeEdge(frozen.from)
-			s.scheduleFreezeEdge(frozen.to)
+			s.scheduleFreezeBoundary(frozen.from)
+			s.scheduleFreezeBoundary(frozen.to)
 		}
 	}
 }
 
-func (s *simulation) scheduleFreezeEdge(at float64) {
+func (s *simulation) scheduleFreezeBoundary(at float64) {
 	if at > 0 {
-		s.runAt(at, s.checker.freezeEdge)
-		s.traffic.wantedTimes = append(s.traffic.wantedTimes, at)
+		s.runAt(at, s.checker.freezeBoundary)
+		s.traffic.requiredTimes = append(s.traffic.requiredTimes, at)
 	}
 }
 
--- a/lab/scenario.go
+++ b/lab/scenario.go
@@ -9,24 +9,27 @@
 	"lichenroad/relay"
 )
 
-// Times of a scenario, in seconds.
+// Parameters of a scenario. Times are in seconds.
 const (
-	secondsPerDay    = 86400.0
-	noon             = 12 * hour
-	maxStatusLag     = 3.0
-	maxForgotten     = 3.0 // events
-	simultaneousPart = 0.25
+	secondsPerDay      = 86400.0
+	noon               = 12 * hour
+	maxStatusLag       = 3.0
+	maxLostEvents      = 3.0  // journal events per restart
+	simultaneousChance = 0.25 // probability that all services get a build in the same second
+
+	restartInFreezeChance = 0.3 // probability that a killed relay is killed around the start of a freeze
+	nightPartitionFrom    = 0.5 // intensity of ControllerPartitions from which on each night has a partition
 )
 
-// scenario draws the days of a run and schedules what happens in them.
+// scenario draws the releases and faults of the days of a run, and schedules them.
 type scenario struct {
 	simulation *simulation
 	random     *rand.Rand
 	faults     Faults
 }
 
-// schedule draws a day after the other: a release of each service a day and a second where there is time, one that meets a
-// freeze's start, a controller that is partitioned across one, restarts, lag.
+// schedule schedules the days of a run. Each day has two builds of each service and, by chance, faults of each kind; every
+// second day has a late build too, whose release is interrupted by the start of a freeze.
 func (s *scenario) schedule(days float64) {
 	for day := 0.0; day < days; day++ {
 		midnight := day * secondsPerDay
@@ -41,15 +44,17 @@
 		s.restartRelays(day, midnight, morning)
 		s.stallDeployers(morning)
 	}
-	sort.Float64s(s.simulation.traffic.wantedTimes)
+	sort.Float64s(s.simulation.traffic.requiredTimes)
 }
 
+// happens draws whether something of a given probability happens.
 func (s *scenario) happens(chance float64) bool { return s.random.Float64() < chance }
 
-// offerBuilds offers two builds of each service, in the morning and some hours later, sometimes all in the same second.
+// offerBuilds offers two builds of each service: one in the morning, with the services one after another or, by chance, all
+// in the same second, and one some hours later.
 func (s *scenario) offerBuilds(midnight, morning float64) {
 	apart := uniform(s.random, 40, 200)
-	if s.happens(simultaneousPart) {
+	if s.happens(simultaneousChance) {
 		apart = 0
 	}
 	for service := range s.simulation.fleets {
@@ -59,7 +64,8 @@
 	}
 }
 
-// releaseIntoFreeze offers a late build, which the first freeze after noon catches in the middle of a step.
+// releaseIntoFreeze offers a late build of each service, so that the first freeze after noon begins in the middle of a step.
+// By chance or always, the controller is partitioned at that time.
 func (s *scenario) releaseIntoFreeze(midnight float64, alwaysPartitioned bool) {
 	start := s.simulation.firstFreeze(midnight + noon)
 	for service := range s.simulation.fleets {
@@ -70,28 +76,28 @@
 	}
 }
 
-// partitionController partitions the controller in the middle of a release, and at its worst for a whole night: across a freeze
-// that begins and ends within it.
+// partitionController partitions the controller in the middle of a release by chance. At a high intensity it also does so
+// for a whole night, in which a freeze begins and ends.
 func (s *scenario) partitionController(midnight, morning float64) {
 	if s.happens(s.faults.ControllerPartitions) {
 		s.simulation.partitionController(morning+uniform(s.random, 10, 120), uniform(s.random, 5, 30))
 	}
-	if s.faults.ControllerPartitions >= 0.5 {
+	if s.faults.ControllerPartitions >= nightPartitionFrom {
 		s.simulation.partitionController(s.simulation.firstFreeze(midnight+noon)-5, 9*hour)
 	}
 }
 
-// restartController restarts the controller, on the second day in any case.
+// restartController restarts the controller: by chance, and always on the second day.
 func (s *scenario) restartController(day, morning float64) {
 	if day != 1 && !s.happens(s.faults.ControllerRestarts) {
 		return
 	}
 	at := morning + uniform(s.random, 10, 200)
-	forgotten := int(math.Round(s.faults.LostJournalEvents * uniform(s.random, 0, maxForgotten)))
-	s.simulation.runAt(at, func() { s.simulation.controller.restart(forgotten) })
+	lostEvents := int(math.Round(s.faults.LostJournalEvents * uniform(s.random, 0, maxLostEvents)))
+	s.simulation.runAt(at, func() { s.simulation.controller.restart(lostEvents) })
 }
 
-// delayStatuses delays rollout statuses for a part of a release, and round the start of a freeze.
+// delayStatuses delays rollout statuses during a part of a release, and around the start of a freeze.
 func (s *scenario) delayStatuses(midnight, morning float64) {
 	if !s.happens(s.faults.StatusLag) && s.faults.StatusLag < 1 {
 		return
@@ -109,8 +115,8 @@
 	s.simulation.runAt(to, func() { controller.statusLag = 0 })
 }
 
-// restartRelays kills relays, some of which start again during a freeze; on the third day the second one of each service in
-// any case.
+// restartRelays kills relays by chance, and always the second one of each service on the third day. Each starts again a few
+// seconds later, some of them in a freeze.
 func (s *scenario) restartRelays(day, midnight, morning float64) {
 	const secondRelay relay.ID = 1
 	for _, killed := range s.simulation.relays {
@@ -118,7 +124,7 @@
 			continue
 		}
 		at := morning + uniform(s.random, 5, 200)
-		if s.happens(0.3) {
+		if s.happens(restartInFreezeChance) {
 			at = s.simulation.firstFreeze(midnight+noon) + uniform(s.random, -5, 10)
 		}
 		s.simulation.runAt(at, func() {
@@ -129,7 +135,7 @@
 	}
 }
 
-// stallDeployers stalls deployers in the middle of a release.
+// stallDeployers stalls deployers in the middle of a release by chance.
 func (s *scenario) stallDeployers(morning float64) {
 	for _, stalled := range s.simulation.fleets {
 		if !s.happens(s.faults.DeployerStalls) {
@@ -143,9 +149,9 @@
 	}
 }
 
-// offerBuild offers a new build of a service at a time.
+// offerBuild schedules the offer of a new build of a service.
 func (s *simulation) offerBuild(service int, at float64) {
-	s.traffic.wantedTimes = append(s.traffic.wantedTimes, at)
+	s.traffic.requiredTimes = append(s.traffic.requiredTimes, at)
 	s.runAt(at, func() {
 		offered := s.fleets[service]
 		build := relay.Build(2)
@@ -154,15 +160,15 @@
 		}
 		offered.builds[build] = drawBuildFault(s.random, s.options.BadBuildFraction)
 		event, err := s.controller.core.Offer(offered.service, build, "lab", offered.builds[build].name, s.unixNow())
-		if err == nil { // else the service takes no build now
+		if err == nil { // otherwise the service accepts no build now
 			s.controller.apply(event)
 		}
 	})
 }
 
-// partitionController cuts the controller off from all relays for a while.
+// partitionController schedules a partition between the controller and all relays.
 func (s *simulation) partitionController(at, duration float64) {
-	s.traffic.wantedTimes = append(s.traffic.wantedTimes, at, at+duration)
+	s.traffic.requiredTimes = append(s.traffic.requiredTimes, at, at+duration)
 	s.runAt(at, func() {
 		s.record("desk silent")
 		s.controller.partitioned = true
@@ -174,7 +180,7 @@
 	})
 }
 
-// firstFreeze is the first start of a freeze after a time; six hours later where there is none before.
+// firstFreeze returns the first start of a freeze within the six hours after a time, or the end of those hours.
 func (s *simulation) firstFreeze(after float64) float64 {
 	first := after + 6*hour
 	for _, freeze := range s.checker.freezeTimes {
@@ -187,7 +193,8 @@
 	return first
 }
 
-// withRelays returns a copy of a plan in which each service has its part of the relays.
+// withRelays returns a copy of a plan in which the given number of relays is spread evenly over services, and within a
+// service over sites.
 func withRelays(original *plan.Plan, relays int) *plan.Plan {
 	changed := *original
 	changed.Services = append([]plan.Service(nil), original.Services...)
--- a/lab/series.go
+++ b/lab/series.go
@@ -10,21 +10,22 @@
 	"gonum.org/v1/plot/plotter"
 )
 
-// maxPoints bounds a series: where a replay is longer, two neighbours become one and the width doubles.
+// maxPoints bounds the length of a series: in longer replays, every two neighbouring points are merged and the width
+// doubles.
 const maxPoints = 240
 
-// point is what happened to the requests that came within one width.
+// point holds the outcomes of the requests that arrived within one width of the series.
 type point struct {
 	arrived  int
 	inTime   int
 	late     int
 	rejected int
 	failed   int
-	busy     float64 // sum over arrivals of the fraction of the endpoints' cores that worked
-	latency  *hdrhistogram.Histogram
+	busy     float64                 // sum over arrivals of the fraction of the endpoints' cores that were busy
+	latency  *hdrhistogram.Histogram // microseconds, requests that succeeded; nil: none yet
 }
 
-// add adds the counts of another point.
+// add merges another point into this one.
 func (p *point) add(other *point) {
 	p.arrived += other.arrived
 	p.inTime += other.inTime
@@ -37,7 +38,7 @@
 	}
 }
 
-// histogram returns the latencies, in microseconds.
+// histogram returns the histogram of latencies, in microseconds; creating it if needed.
 func (p *point) histogram() *hdrhistogram.Histogram {
 	if p.latency == nil {
 		p.latency = hdrhistogram.New(1, maxLatencyMicros, 2)
@@ -45,13 +46,13 @@
 	return p.latency
 }
 
-// series keeps a replay over time, in bounded memory whatever its length.
+// series records the course of a replay in bounded memory, whatever its length.
 type series struct {
-	width  float64 // s
+	width  float64 // s; time that a point covers
 	points []point
 }
 
-// pointAt returns the point of a time.
+// pointAt returns the point that covers a time.
 func (s *series) pointAt(at float64) *point {
 	for int(at/s.width) >= maxPoints {
 		s.halve()
@@ -63,7 +64,7 @@
 	return &s.points[index]
 }
 
-// halve doubles the width: two neighbours become one point.
+// halve doubles the width: it merges every two neighbouring points.
 func (s *series) halve() {
 	half := make([]point, 0, maxPoints)
 	for i := 0; i < len(s.points); i += 2 {
@@ -76,11 +77,11 @@
 	s.points, s.width = half, 2*s.width
 }
 
-// curve is one line of a chart.
+// curve is a line of a chart.
 type curve struct {
 	name  string
 	color color.Color
-	value func(*point) (value float64, ok bool) // not ok: the point has none
+	value func(*point) (value float64, ok bool) // not ok: the point has no value
 }
 
 func (s *series) chart(title, yLabel string, curves []curve) (template.HTML, error) {
@@ -104,7 +105,7 @@
 	return SVG(chart)
 }
 
-// values are the points of a curve, each in the middle of its width.
+// values returns the values of a curve, each placed in the middle of its point's width.
 func (s *series) values(curve curve) (values plotter.XYs) {
 	for i := range s.points {
 		if value, ok := curve.value(&s.points[i]); ok {
@@ -114,12 +115,12 @@
 	return values
 }
 
-// perSecond is the rate of a count.
+// perSecond turns a count into a rate per second.
 func (s *series) perSecond(count func(*point) int) func(*point) (float64, bool) {
 	return func(p *point) (float64, bool) { return float64(count(p)) / s.width, true }
 }
 
-// latencyQuantile is a quantile of the latencies, in seconds.
+// latencyQuantile returns a curve's value: a quantile, in percent, of the latencies in seconds.
 func latencyQuantile(quantile float64) func(*point) (float64, bool) {
 	return func(p *point) (float64, bool) {
 		if p.latency == nil || p.latency.TotalCount() == 0 {
@@ -129,7 +130,7 @@
 	}
 }
 
-// busyCores is the mean fraction of the endpoints' cores that worked.
+// busyCores returns the mean fraction of the endpoints' cores that were busy.
 func busyCores(p *point) (float64, bool) { return p.busy / float64(max(p.arrived, 1)), p.arrived > 0 }
 
 func (s *series) charts() (charts []template.HTML, err error) {
@@ -175,8 +176,8 @@
 {{end}}<p>Timeline {{.R.TimelineHash}}</p></body></html>
 `))
 
-// Report writes the page of a replay into a directory, in full or not at all, and returns its name. How the replay was made
-// is its first sentence.
+// Report writes the HTML page of a replay into a directory, in full or not at all, and returns its file name. The page
+// begins with the text of how, which says how the replay was made and must not be empty.
 func (r *ReplayResult) Report(dir, how string) (string, error) {
 	charts, err := r.series.charts()
 	if err != nil {
--- a/lab/settings.go
+++ b/lab/settings.go
@@ -8,10 +8,10 @@
 	"lichenroad/relay"
 )
 
-// tenantWithoutGroup is a tenant that no group of the plan names.
+// tenantWithoutGroup is a tenant that belongs to no group of the plan.
 const tenantWithoutGroup = "nobody-in-a-group"
 
-// relaySettings are the settings of a service's relays.
+// relaySettings returns the settings of the relays of a service.
 func (s *simulation) relaySettings(index plan.ServiceIndex, relays int) relay.Settings {
 	service := &s.plan.Services[index]
 	settings := relay.Settings{
@@ -35,7 +35,7 @@
 		},
 		Rollout: relay.Rollout{
 			Control:              relay.ControlQuorum,
-			ExposureAllowance:    freeAttempts,
+			ExposureAllowance:    baseAllowance,
 			ExposureWindow:       exposureWindow,
 			IdempotentOnlyStages: 1,
 			PromoteQuorum:        quorum(service.Votes.PromoteShare, relays),
@@ -68,12 +68,12 @@
 	return settings
 }
 
-// quorum is how many of the relays a share of them is, at least one.
+// quorum returns the number of relays that a share of them amounts to, rounded up; at least one.
 func quorum(share float64, relays int) int {
-	return max(1, int(math.Ceil(share*float64(relays)-1e-9)))
+	return max(1, int(math.Ceil(share*float64(relays)-roundingMargin)))
 }
 
-// tenants are all of the plan's, and one without a group.
+// tenants returns the names of all tenants of the plan, and of one without a group.
 func (s *simulation) tenants() (names []string) {
 	for _, group := range s.plan.Groups {
 		names = append(names, group.Tenants...)
@@ -81,7 +81,7 @@
 	return append(names, tenantWithoutGroup)
 }
 
-// newModule makes a relay's decision module, the real one where the options name no other.
+// newModule returns a new decision module for a relay: the real one, unless the options set another.
 func (o *Options) newModule(settings relay.Settings, seed int64) module {
 	if o.NewModule != nil {
 		return o.NewModule(settings, seed)
--- a/lab/shapes.go
+++ b/lab/shapes.go
@@ -12,20 +12,21 @@
 	"strings"
 )
 
-// Shape writes a trace of one kind of load, in a public layout, by rate and seed. None is taken from any recorded trace.
+// Shape is a kind of synthetic load, written as a trace in the layout of a public data set. All values are drawn by a rate
+// and a seed; none is taken from a recorded trace.
 type Shape struct {
 	Name, Layout string
 	generate     func(s *shapeWriter)
 }
 
-// Shapes are the kinds of load that can be written.
+// Shapes lists the kinds of load that WriteShape can write.
 var Shapes = []Shape{
 	{"bursty", "azure-2021", (*shapeWriter).writeBursty},
 	{"tails", "google-2011", (*shapeWriter).writeTails},
 	{"failing", "google-2011", (*shapeWriter).writeBulkFailures},
 }
 
-// WriteShape writes a trace of so many seconds at a mean rate.
+// WriteShape writes a trace of the named shape, over a span in seconds and at a mean rate in arrivals per second.
 func WriteShape(w io.Writer, name string, span, rate float64, seed int64) error {
 	var names []string
 	for _, shape := range Shapes {
@@ -33,7 +34,7 @@
 		if shape.Name == name {
 			buffered := bufio.NewWriter(w)
 			shape.generate(&shapeWriter{buffered, span, rate, rand.New(rand.NewSource(seed))})
-			return buffered.Flush() // it reports any earlier error too
+			return buffered.Flush() // also returns the error of any earlier write
 		}
 	}
 	return fmt.Errorf("shape %q is none of %s", name, strings.Join(names, ", "))
@@ -43,39 +44,40 @@
 type shapeWriter struct {
 	out    *bufio.Writer
 	span   float64 // s
-	rate   float64 // mean arrivals a second
+	rate   float64 // mean arrivals per second
 	random *rand.Rand
 }
 
-// poissonArrivals draws a Poisson stream of a rate over a span, and calls arrive for each time.
+// poissonArrivals draws the times of a Poisson process of a rate over a span, and calls arrive for each.
 func (s *shapeWriter) poissonArrivals(span, rate float64, arrive func(at float64)) {
 	for at := s.random.ExpFloat64() / rate; at < span; at += s.random.ExpFloat64() / rate {
-		// A draw for thinning, which lets all pass at a constant rate: traces of one seed stay as they are.
+		// This draw would thin out a varying rate; at a constant one it lets every arrival pass. Without it, a seed would no
+		// longer give the same trace.
 		if s.random.Float64()*rate < rate {
 			arrive(at)
 		}
 	}
 }
 
-// call is a call of an app's function.
+// call is one call of a function of an app.
 type call struct {
 	app           int
 	end, duration float64 // s
-	function      float64 // drawn, from 0 to 1
+	function      float64 // which one, as a fraction of the functions
 }
 
-// Facts of bursty traces. Times are in seconds.
+// Parameters of bursty traces. Times are in seconds.
 const (
-	apps             = 40
-	functions        = 200
-	burstLength      = 1.5
-	burstRate        = 10.0 // times the mean rate
-	meanBurstGap     = 20.0
-	steadyPartOfRate = 4 // a quarter comes outside of bursts
+	apps              = 40
+	functions         = 200
+	burstLength       = 1.5
+	burstRate         = 10.0 // times the mean rate
+	meanBurstGap      = 20.0
+	steadyRateDivisor = 4 // a quarter of the mean rate arrives outside of bursts
 )
 
-// writeBursty has three quarters of its arrivals in bursts of 1.5 s at ten times the rate, one in 20 s; each burst is one
-// app's calls, as when a schedule fires.
+// writeBursty writes a trace with three quarters of its arrivals in bursts of 1.5 s at ten times the mean rate, one burst in
+// 20 s. The calls of a burst belong to one app, as when a scheduled job fires.
 func (s *shapeWriter) writeBursty() {
 	var bursts []float64
 	for at := s.random.Float64() * meanBurstGap; at < s.span; at += meanBurstGap/2 + meanBurstGap*s.random.Float64() {
@@ -86,7 +88,7 @@
 		duration := 2 + 16*s.random.Float64()
 		calls = append(calls, call{app, at + duration, duration, s.random.Float64()})
 	}
-	s.poissonArrivals(s.span, s.rate/steadyPartOfRate, func(at float64) { add(s.random.Intn(apps), at) })
+	s.poissonArrivals(s.span, s.rate/steadyRateDivisor, func(at float64) { add(s.random.Intn(apps), at) })
 	for _, start := range bursts {
 		app := s.random.Intn(apps)
 		s.poissonArrivals(burstLength, burstRate*s.rate, func(at float64) { add(app, start+at) })
@@ -98,7 +100,7 @@
 	}
 }
 
-// The kinds of a task's events.
+// The kinds of task events, as numbered by the layout.
 const (
 	taskSubmitted = 0
 	taskScheduled = 1
@@ -106,24 +108,25 @@
 	taskFinished  = 4
 )
 
-// Facts of traces of tasks. Times are in seconds.
+// Parameters of traces of tasks. Times are in seconds.
 const (
-	tasksPerJob   = 50
+	tasksPerJob   = 50 // bound of a task's index in its job
 	machines      = 200
 	users         = 60
 	priorities    = 12
-	scheduleDelay = 0.01  // from a task's submission until it is scheduled
-	traceOffset   = 600.0 // at which a trace begins
+	schedClasses  = 4
+	scheduleDelay = 0.01  // from the submission of a task until it is scheduled
+	traceOffset   = 600.0 // time stamp at which a trace begins
 )
 
-// taskEvent is one event of a task, in the layout of events.
+// taskEvent is one event of a task.
 type taskEvent struct {
 	time                               float64 // s
 	job, task, machine, user, priority int
 	kind                               int
 }
 
-// newTask draws a task of a job of its own.
+// newTask draws the task of a new job.
 func (s *shapeWriter) newTask(job int) taskEvent {
 	task := taskEvent{job: job}
 	task.task = s.random.Intn(tasksPerJob)
@@ -133,7 +136,7 @@
 	return task
 }
 
-// at returns an event of the task.
+// at returns an event of the task, of a kind and at a time.
 func (e taskEvent) at(time float64, kind int) taskEvent {
 	e.time, e.kind = time, kind
 	return e
@@ -154,13 +157,13 @@
 		if e.kind != taskSubmitted {
 			machine = strconv.Itoa(e.machine)
 		}
-		fmt.Fprintf(s.out, "%d,,%d,%d,%s,%d,u%02d,%d,%d,0.1,0.1,0.1,0\n", int64((e.time+traceOffset)*1e6), e.job, e.task, machine,
-			e.kind, e.user, e.job%4, e.priority)
+		fmt.Fprintf(s.out, "%d,,%d,%d,%s,%d,u%02d,%d,%d,0.1,0.1,0.1,0\n", int64((e.time+traceOffset)*microsPerSecond), e.job, e.task, machine,
+			e.kind, e.user, e.job%schedClasses, e.priority)
 	}
 }
 
-// writeTails is steady, with durations whose tail is Pareto's of 1.3: most are short, and one in some hundred is a hundred
-// times as long.
+// writeTails writes a trace with a constant rate and Pareto-distributed durations, of index 1.3: most are short, and about
+// one in a hundred has the maximum, which is 40 times the minimum.
 func (s *shapeWriter) writeTails() {
 	const (
 		minDuration = 3.0
@@ -179,7 +182,7 @@
 	s.writeTaskEvents(events)
 }
 
-// machineFailure is a time in which an eighth of the machines fails.
+// machineFailure is a time span in which one eighth of the machines fails.
 type machineFailure struct {
 	from, to     float64 // s
 	firstMachine float64 // as a fraction of the machines
@@ -193,8 +196,8 @@
 	return at >= f.from && at < f.to && position >= f.firstMachine && position < f.firstMachine+failingFraction
 }
 
-// writeBulkFailures is steady; every 40 s or so all that runs on one machine in eight fails, for 8 s, comes again a second
-// later, and finishes elsewhere.
+// writeBulkFailures writes a trace with a constant rate, in which about every 40 s one machine in eight fails for 8 s. Tasks
+// that arrive there fail, are resubmitted a second later and finish on another machine.
 func (s *shapeWriter) writeBulkFailures() {
 	const (
 		meanGap        = 40.0
--- a/lab/simulation.go
+++ b/lab/simulation.go
@@ -1,9 +1,10 @@
-// Package lab simulates sites in virtual time: endpoints, endpoint lists, deployers, messages and clients are simulated, while
-// the decision modules, their guards and the release controller are the real ones. One clock and one seed: the same call
-// gives the same result. An invariant checker watches from outside and shares no code with policy or rollout.
+// Package lab simulates sites in virtual time: endpoints, endpoint lists, deployers, messages and clients are simulated,
+// while the decision modules, their guards and the release controller are the real ones. A simulation has one clock and one
+// seed, so the same call gives the same result. An invariant checker observes it from outside and shares no code with policy
+// or rollout.
 //
-// Run simulates the releases of a plan, Replay the requests of a trace. A simulation belongs to one goroutine and does no
-// I/O; the reports of a result are pages on disk. The package imports plan, policy, relay and rollout.
+// Run simulates the releases of a plan, Replay the requests of a trace. A simulation is not safe for concurrent use and does
+// no I/O; only the reports of a result are written to disk, as HTML pages.
 package lab
 
 import (
@@ -17,32 +18,33 @@
 	"lichenroad/relay"
 )
 
-// simulation is all that is simulated, on one clock, which counts seconds since a start at a Unix time of its own.
+// simulation holds all simulated parts. They share one clock, now, which counts seconds since the start; epoch is the
+// simulated Unix time of the start.
 type simulation struct {
 	options  Options
 	plan     *plan.Plan
 	epoch    plan.Unix
 	now      float64
-	sequence int64 // of the last event
+	sequence int64 // sequence number of the event scheduled last
 	events   eventHeap
 	random   *rand.Rand
 
 	controller   *controllerLink
 	fleets       []*fleet          // by service
-	relays       []*simulatedRelay // of all fleets
+	relays       []*simulatedRelay // relays of all fleets
 	checker      *checker
 	counters     counters
 	timelineHash hash.Hash
-	timeline     []string // where it is kept
+	timeline     []string // kept if Options.KeepTimeline is set
 
 	traffic      trafficWindow
 	hasTraffic   bool
-	idleFrom     float64           // when relays sleep after a window: their last requests have ended by then
-	parkedRelays []*simulatedRelay // that wait for the next window
-	tally        *Tally            // of a replay; nil: none
+	idleFrom     float64           // from when on relays are idle after a traffic window; their last requests have ended by then
+	parkedRelays []*simulatedRelay // relays whose keep-alives wait for the next traffic window
+	tally        *Tally            // set in a replay; otherwise nil
 }
 
-// counters count what a result shows.
+// counters holds the sums for the result.
 type counters struct {
 	requests, succeeded, rejected, failed, disconnected int
 	attempts, crossSiteAttempts, canaryAttempts         int
@@ -50,23 +52,23 @@
 	trafficTime                                         float64 // s
 
 	weightOffered         float64
-	weightServed          float64 // within the latency objective
-	weightLostToBadBuilds float64 // of attempts that failed or were late there
+	weightServed          float64 // answered within the latency objective
+	weightLostToBadBuilds float64 // weight of attempts at bad builds that failed or were late
 }
 
-// module is a decision module; the real one, or a baseline.
+// module is a decision module: the real one, or a baseline.
 type module interface {
 	Step(now relay.Seconds, events []relay.Event) []relay.Command
 }
 
-// event is something that happens at a time.
+// event is a function to run at a time.
 type event struct {
 	at       float64
-	sequence int64 // the order of events at one time
+	sequence int64 // orders events of the same time
 	run      func()
 }
 
-// eventHeap is a heap.Interface by time.
+// eventHeap implements heap.Interface; its first element is the next event.
 type eventHeap []event
 
 // Len implements heap.Interface.
@@ -87,12 +89,12 @@
 func (h *eventHeap) Pop() any {
 	old := *h
 	last := old[len(old)-1]
-	old[len(old)-1] = event{} // lets go of what the function holds
+	old[len(old)-1] = event{} // release the memory that the function refers to
 	*h = old[:len(old)-1]
 	return last
 }
 
-// runAt runs something at a time, or at once where that is past.
+// runAt schedules a function for a time, or for now if the time is past.
 func (s *simulation) runAt(at float64, run func()) {
 	s.sequence++
 	heap.Push(&s.events, event{math.Max(at, s.now), s.sequence, run})
@@ -112,7 +114,8 @@
 
 func (s *simulation) unixNow() plan.Unix { return s.epoch + s.now }
 
-// newRandom returns a source of its own for each part, so that one that draws more does not change the others.
+// newRandom returns the random source of one part of the simulation. Each part has its own, so additional draws in one do
+// not change the others.
 func (s *simulation) newRandom(kind string, number int) *rand.Rand {
 	const (
 		seedFactor = 0x9e3779b97f4a7c15
@@ -126,10 +129,10 @@
 	return rand.New(rand.NewSource(int64(mixed >> 1)))
 }
 
-// uniform draws evenly between two values.
+// uniform draws from the uniform distribution between two values.
 func uniform(random *rand.Rand, from, to float64) float64 { return from + (to-from)*random.Float64() }
 
-// record adds a line to the timeline.
+// record adds a line to the timeline, and to its hash.
 func (s *simulation) record(format string, args ...any) {
 	line := fmt.Sprintf("%.3f ", s.now) + fmt.Sprintf(format, args...)
 	_, _ = s.timelineHash.Write([]byte(line + "\n")) // a hash never fails
--- a/lab/tail.go
+++ b/lab/tail.go
@@ -1,15 +1,16 @@
 package lab
 
-// The tail: by class and cell of time, the weight served counts in full while at most maxMissFraction of the requests that
-// were not rejected in time to go elsewhere miss their latency objective, and not at all at zeroMissMultiple times that.
+// The tail metric counts served weight by class and by cell of time: in full while at most maxMissFraction of the cell's
+// requests miss their latency objective, linearly less above that, and not at all from zeroMissMultiple times that fraction
+// on. Requests that were rejected within the objective are left out of the fraction: their clients can still go elsewhere.
 const (
 	tailCellWidth    = 5.0 // s
 	maxMissFraction  = 0.03
 	zeroMissMultiple = 5.0
-	openTailCells    = 4 // cells that are open: a response comes within the deadline, which is under 15 s
+	openTailCells    = 4 // cells per class that still count: every answer comes within the deadline, which is under 15 s
 )
 
-// Weights of the parts of a replay's score.
+// Weights of the parts of a replay's score: served fractions, and the tail metric.
 const (
 	allWeight          = 0.3 // all requests
 	worstStretchWeight = 0.2 // the worst stretch
@@ -18,9 +19,9 @@
 	tailWeight         = 0.2 // the tail
 )
 
-// tailCell is the requests of a class that came within one cell of time.
+// tailCell counts the requests of a class that arrived within one cell of time.
 type tailCell struct {
-	index          int64
+	index          int64   // number of the cell since the start
 	offered        float64 // weight
 	served         float64 // weight, in time
 	requests       int
@@ -28,7 +29,7 @@
 	inTime         int
 }
 
-// countedWeight is the part of the weight served that counts.
+// countedWeight returns the part of the served weight that counts.
 func (c *tailCell) countedWeight() float64 {
 	expected := c.requests - c.rejectedInTime
 	if expected <= 0 {
@@ -38,13 +39,13 @@
 	return c.served * min(max((zeroMissMultiple-miss/maxMissFraction)/(zeroMissMultiple-1), 0), 1)
 }
 
-// tail keeps the cells that are open, in a ring for each class, and the sums of the others.
+// tail holds the open cells, in a ring for each class, and the sums of the closed ones.
 type tail struct {
 	cells            [][openTailCells]tailCell // by class
 	offered, counted float64                   // weight
 }
 
-// cellOf returns the cell of a request; nil if it is too old for the ring.
+// cellOf returns the cell of a request that arrived at a time; nil if the cell is closed already.
 func (t *tail) cellOf(class int, at float64) *tailCell {
 	index := int64(at / tailCellWidth)
 	cell := &t.cells[class][index%openTailCells]
@@ -65,7 +66,7 @@
 	*cell = tailCell{index: cell.index}
 }
 
-// fraction closes all cells and returns the part of the weight that counted.
+// fraction closes all cells and returns the fraction of the offered weight that counted.
 func (t *tail) fraction() float64 {
 	for class := range t.cells {
 		for i := range t.cells[class] {
@@ -78,7 +79,7 @@
 	return t.counted / t.offered
 }
 
-// score is the replay's score, before any deductions.
+// score returns the replay's score, before any deductions.
 func (r *ReplayResult) score() float64 {
 	worstClass, worstTenant := 1.0, 1.0
 	for _, share := range r.Classes {
--- a/lab/tail_test.go
+++ b/lab/tail_test.go
@@ -5,7 +5,8 @@
 	"testing"
 )
 
-// TestTail counts in full up to 3 misses in 100, nothing from 15 on; a rejection in time is no miss.
+// TestTail checks that served weight counts in full up to 3 misses in 100 requests and not at all from 15 on, that a
+// rejection in time is no miss, and that each cell is counted once over more than an hour.
 func TestTail(t *testing.T) {
 	for _, test := range []struct {
 		missed, rejected int
@@ -25,11 +26,11 @@
 			}
 		}
 		if got := tally.Result().Tail; math.Abs(got-test.want) > 1e-9 {
-			t.Errorf("%+v: %g", test, got)
+			t.Errorf("%+v: the tail is %g", test, got)
 		}
 	}
 	tally := NewTally([]string{"a"})
-	for i := range 10000 { // an hour and more: cells are counted once, and the ring stays
+	for i := range 10000 { // more than an hour, so each place in the ring is used again many times
 		request := CountedRequest{At: float64(i) * 0.5, Work: 1}
 		tally.RequestArrived(request, 0)
 		tally.RequestEnded(request, request.At+0.1, RequestSucceeded)
--- a/lab/tally.go
+++ b/lab/tally.go
@@ -6,7 +6,7 @@
 	"github.com/HdrHistogram/hdrhistogram-go"
 )
 
-// Share is the priority weight of requests, and how much of it was answered in time.
+// Share sums up a set of requests: their number, their priority weight, and how much of that weight was answered in time.
 type Share struct {
 	Requests       int     `json:"queries"`
 	WeightOffered  float64 `json:"value_asked"`
@@ -19,7 +19,7 @@
 	s.WeightServed += served
 }
 
-// withFraction returns the share with its fraction set.
+// withFraction sets the fraction and returns a copy of the share.
 func (s *Share) withFraction() Share {
 	if s.WeightOffered > 0 {
 		s.ServedFraction = s.WeightServed / s.WeightOffered
@@ -27,7 +27,7 @@
 	return *s
 }
 
-// ReplayResult is what a replay showed. Times are in seconds.
+// ReplayResult holds the figures of a replay. Times are in seconds.
 type ReplayResult struct {
 	Seed               int64              `json:"seed"`
 	Relays             int                `json:"relays"`
@@ -36,70 +36,70 @@
 	All                Share              `json:"all"`
 	Classes            map[string]Share   `json:"categories"`
 	Tenants            map[string]Share   `json:"customers"`
-	Worst10            float64            `json:"worst_10s"`
-	Tail               float64            `json:"tail"`
-	Score              float64            `json:"figure"`    // the brief's, before its deductions
+	Worst10            float64            `json:"worst_10s"` // lowest served fraction of any stretch of 10 s
+	Tail               float64            `json:"tail"`      // fraction of the weight that the tail metric counts
+	Score              float64            `json:"figure"`    // weighted sum of the served fractions, before any deductions
 	CrossSiteAttempts  int                `json:"crossings"` // attempts to the other site
 	Rejected           int                `json:"denied"`
 	Failed             int                `json:"written_off"`
 	Unanswered         int                `json:"unanswered"`
 	Attempts           int                `json:"legs"`
 	AttemptsPerRequest float64            `json:"legs_a_query"`
-	Latency            map[string]float64 `json:"latency_s"` // of requests that succeeded, from their intended start
+	Latency            map[string]float64 `json:"latency_s"` // quantiles over requests that succeeded, from their intended start
 	Violations         []Violation        `json:"broken"`
 	TimelineHash       string             `json:"timeline_sha256,omitempty"`
 
 	series *series
 }
 
-// The worst stretch, and the resolution of latencies.
+// Parameters of the worst stretch, and the unit of latencies.
 const (
 	worstStretch       = 10.0 // s
-	minStretchRequests = 20   // in a stretch, for it to count
+	minStretchRequests = 20   // a stretch with fewer requests does not count
 	microsPerSecond    = 1e6  // latencies are kept in microseconds
-	maxLatencyMicros   = 60e6
+	maxLatencyMicros   = 60e6 // highest latency that is recorded
 )
 
-// latencyQuantiles are the quantiles of the result, by name.
+// latencyQuantiles are the quantiles in a result, in percent, by name.
 var latencyQuantiles = map[string]float64{"p50": 50, "p90": 90, "p99": 99, "p99.9": 99.9, "max": 100}
 
-// RequestOutcome is how a request ended for its client.
+// RequestOutcome is the outcome of a request for its client.
 type RequestOutcome int
 
-// The outcomes.
+// The outcomes of a request.
 const (
 	RequestSucceeded RequestOutcome = iota
 	RequestRejected
 	RequestFailed
-	RequestUnanswered // no answer came
+	RequestUnanswered // no answer came by the deadline
 )
 
-// CountedRequest is a request as a tally counts it.
+// CountedRequest is a request in the form that a Tally counts.
 type CountedRequest struct {
-	At     float64 // s; when it was to be sent
+	At     float64 // s; the time at which it was to be sent
 	Class  int     // index of the lab's classes
-	Tenant int
-	Work   float64
+	Tenant int     // index of the tally's tenants; their number for a tenant without a group
+	Work   float64 // s on a core of speed 1
 }
 
 func (r *CountedRequest) class() *requestClass { return &requestClasses[r.Class] }
 
-// weight is the priority weight of the request.
+// weight returns the priority weight of the request.
 func (r *CountedRequest) weight() float64 { return r.class().priorityWeight * r.Work }
 
-// stretch is the index of the stretch in which the request was to be sent.
+// stretch returns the index of the stretch in which the request was to be sent.
 func (r *CountedRequest) stretch() int64 { return int64(r.At / worstStretch) }
 
-// Tally counts the requests of a replay, in virtual time or over sockets. Priority weight is offered when a request comes;
-// it is served when the request succeeds within its latency objective, from the time at which it was to be sent.
+// Tally counts the requests of a replay, in virtual time or over sockets. Priority weight is offered when a request arrives;
+// it is served if the request succeeds within its latency objective, from the time at which it was to be sent.
 type Tally struct {
 	all          Share
 	classes      []Share
 	tenants      []Share
 	tenantNames  []string
-	stretch      Share // the present one
+	stretch      Share // the current one
 	stretchIndex int64
-	worst        float64 // fraction served in a stretch
+	worst        float64 // lowest fraction served in a stretch
 	latency      *hdrhistogram.Histogram
 	tail         tail
 	series       series
@@ -108,7 +108,7 @@
 	unanswered   int
 }
 
-// NewTally returns an empty tally of requests by these tenants, and one more.
+// NewTally returns an empty tally of requests by the given tenants, and by one without a group.
 func NewTally(tenants []string) *Tally {
 	return &Tally{
 		classes:     make([]Share, len(requestClasses)),
@@ -121,7 +121,7 @@
 	}
 }
 
-// RequestArrived counts a request; busy is the fraction of the endpoints' cores that work.
+// RequestArrived counts a request that arrives; busy is the current fraction of the endpoints' cores that are busy.
 func (t *Tally) RequestArrived(request CountedRequest, busy float64) {
 	weight := request.weight()
 	point := t.series.pointAt(request.At)
@@ -141,7 +141,7 @@
 	}
 }
 
-// endStretch ends the present stretch.
+// endStretch ends the current stretch.
 func (t *Tally) endStretch() {
 	if t.stretch.Requests >= minStretchRequests {
 		t.worst = math.Min(t.worst, t.stretch.WeightServed/t.stretch.WeightOffered)
@@ -179,15 +179,15 @@
 	}
 }
 
-// recordLatency records the latency of a request that succeeded. Values over the histograms' bound are left out.
+// recordLatency records the latency of a request that succeeded. Latencies above maxLatencyMicros are left out.
 func (t *Tally) recordLatency(point *point, latency float64) {
 	micros := int64(latency * microsPerSecond)
-	_ = point.histogram().RecordValue(micros) // an error says that the value is over the bound
+	_ = point.histogram().RecordValue(micros) // the error means that the value is above the bound
 	_ = t.latency.RecordValue(micros)         // likewise
 }
 
-// servedInTime counts the weight of a request that succeeded in time. One that ends after its stretch counts in the other
-// figures alone.
+// servedInTime counts the weight of a request that succeeded in time. If its stretch is over by then, its weight is not
+// counted there.
 func (t *Tally) servedInTime(request CountedRequest, cell *tailCell) {
 	weight := request.weight()
 	if cell != nil {
@@ -202,7 +202,7 @@
 	}
 }
 
-// Result returns what the tally knows of a replay. Nothing is counted after it.
+// Result ends the tally and returns its part of the result. No request may be counted after that.
 func (t *Tally) Result() ReplayResult {
 	t.endStretch()
 	result := ReplayResult{
--- a/lab/traffic.go
+++ b/lab/traffic.go
@@ -9,32 +9,33 @@
 
 // Times of the traffic windows, in seconds.
 const (
-	leadTime        = 6.0    // of traffic before a time that matters
-	minWindow       = 14.0   // of a window
-	maxIdleWindow   = 100.0  // without a step, after which a window ends although a release is under way
-	restTime        = 3600.0 // until the next window then
-	sampleInterval  = 7200.0 // between windows where nothing happens
-	endCheckPeriod  = 1.0
-	idleDelay       = 5.0  // after a window until relays sleep: their last requests have ended by then
-	freezeLookahead = 30.0 // in which the end of a freeze lets a release go on
+	leadTime              = 6.0    // traffic starts this long before a required time
+	minWindow             = 14.0   // shortest traffic window
+	maxIdleWindow         = 100.0  // a window ends after this time without a controller step, even during a release
+	releaseSampleInterval = 3600.0 // longest gap between windows during a release
+	sampleInterval        = 7200.0 // longest gap between windows
+	endCheckPeriod        = 1.0    // between checks whether a window is over
+	minWindowDelay        = 0.5    // shortest gap before a window
+	idleDelay             = 5.0    // from the end of a window until relays are idle; their last requests have ended by then
+	freezeLookahead       = 30.0   // a release counts as under way if the freeze that blocks it ends within this time
 )
 
-// trafficWindow decides when there is traffic. A whole week of it would take hours; what matters happens round releases,
-// freezes and faults, so there is traffic then, and a sample of it now and then. In between no requests come, the relays
-// sleep, and the clock leaps.
+// trafficWindow decides when there is traffic. Simulating a week of traffic without a break would take hours, so there is
+// traffic only around releases, freezes and faults, and in short samples every two hours. Between these windows no requests
+// arrive, relays are idle, and the simulation jumps to the next event.
 type trafficWindow struct {
-	simulation  *simulation
-	from        float64 // of the present or the next window
-	until       float64
-	wantedTimes []float64 // times that matter, in order
-	startedAt   float64
-	lastStepAt  float64 // of the controller
+	simulation    *simulation
+	from          float64   // start of the current or the next window
+	until         float64   // earliest end of that window
+	requiredTimes []float64 // times at which there must be traffic, in ascending order
+	startedAt     float64   // start of the current or the last window
+	lastStepAt    float64   // the last step of the controller
 }
 
-// nextStart is when the next window begins, for whoever sleeps.
+// nextStart returns the start of the next window, which is always in the future.
 func (t *trafficWindow) nextStart() float64 { return math.Max(t.from, t.simulation.now+1e-3) }
 
-// releaseUnderWay says whether a release is under way that may go on within half a minute.
+// releaseUnderWay reports whether any service's release can proceed now, by votes or time, or after a freeze that ends soon.
 func (t *trafficWindow) releaseUnderWay() bool {
 	now := t.simulation.unixNow()
 	for i := range t.simulation.fleets {
@@ -52,33 +53,33 @@
 	return false
 }
 
-// scheduleNext finds the next window after now.
+// scheduleNext sets the time of the next window.
 func (t *trafficWindow) scheduleNext() {
 	next := t.simulation.now + sampleInterval
-	for _, wanted := range t.wantedTimes {
-		if wanted > t.simulation.now {
-			next = math.Min(next, wanted-leadTime)
+	for _, required := range t.requiredTimes {
+		if required > t.simulation.now {
+			next = math.Min(next, required-leadTime)
 			break
 		}
 	}
 	if t.releaseUnderWay() {
-		next = math.Min(next, t.simulation.now+restTime)
+		next = math.Min(next, t.simulation.now+releaseSampleInterval)
 	}
-	t.from = math.Max(next, t.simulation.now+0.5)
+	t.from = math.Max(next, t.simulation.now+minWindowDelay)
 	t.until = t.from + minWindow
 }
 
-// bringForward brings the next window forward, as the controller has taken a step without traffic.
+// bringForward records a step of the controller. If there is no traffic, the next window is brought forward.
 func (t *trafficWindow) bringForward() {
 	t.lastStepAt = t.simulation.now
 	if !t.simulation.hasTraffic && t.from > t.simulation.now+1 {
-		t.from = t.simulation.now + 0.5
+		t.from = t.simulation.now + minWindowDelay
 		t.until = t.from + minWindow
 		t.simulation.runAt(t.from, t.start)
 	}
 }
 
-// start begins a window, unless it was brought forward, or is over already.
+// start starts the window, unless there is traffic already or the window has been scheduled for later.
 func (t *trafficWindow) start() {
 	s := t.simulation
 	if s.hasTraffic || s.now < t.from-1e-6 {
@@ -90,7 +91,7 @@
 	s.parkedRelays = nil
 	for _, woken := range parked {
 		if woken.alive {
-			woken.watchAlive()
+			woken.repeatKeepAlives()
 			woken.evaluateGuard()
 		}
 	}
@@ -112,10 +113,10 @@
 	})
 }
 
-// watchForEnd ends a window when it is over and nothing is under way.
+// watchForEnd ends the window once mustContinue allows it.
 func (t *trafficWindow) watchForEnd() {
 	t.simulation.runAfter(endCheckPeriod, func() {
-		if t.goesOn() {
+		if t.mustContinue() {
 			t.watchForEnd()
 			return
 		}
@@ -123,13 +124,15 @@
 	})
 }
 
-func (t *trafficWindow) goesOn() bool {
+// mustContinue reports whether the window has not reached its earliest end, a required time is near, or a release is under
+// way in which the controller has taken a step recently.
+func (t *trafficWindow) mustContinue() bool {
 	now := t.simulation.now
 	if now < t.until {
 		return true
 	}
-	for _, wanted := range t.wantedTimes {
-		if wanted > now-3 && wanted < now+leadTime+2 {
+	for _, required := range t.requiredTimes {
+		if required > now-3 && required < now+leadTime+2 {
 			return true
 		}
 	}
@@ -145,7 +148,7 @@
 	s.runAt(t.from, t.start)
 }
 
-// startTraffic has requests arrive at a fleet's relays while there is traffic, and its endpoints pause.
+// startTraffic lets requests arrive at the fleet's relays while there is traffic, and injects pauses of its endpoints.
 func (f *fleet) startTraffic() {
 	rate := requestsPerEndpoint * float64(f.size)
 	if factor := f.simulation.options.LoadFactor; factor != 0 {
@@ -157,7 +160,7 @@
 	}
 }
 
-// repeatWithTraffic runs something at a mean rate while there is traffic, as a Poisson process.
+// repeatWithTraffic calls a function at the times of a Poisson process while there is traffic; rate is in calls per second.
 func (f *fleet) repeatWithTraffic(rate float64, run func()) {
 	f.simulation.runAfter(f.random.ExpFloat64()/rate, func() {
 		if !f.simulation.hasTraffic {
@@ -168,7 +171,8 @@
 	})
 }
 
-// arriveAnywhere brings a request to a relay, by the relays' weights.
+// arriveAnywhere starts a request at a relay drawn by the relays' weights. If that relay is not running, the request is
+// lost.
 func (f *fleet) arriveAnywhere() {
 	total := 0.0
 	for _, candidate := range f.relays {
@@ -185,7 +189,7 @@
 	}
 }
 
-// pauseAny pauses an endpoint for a moment.
+// pauseAny pauses a random endpoint for up to half a second.
 func (f *fleet) pauseAny() {
 	if live := f.live(); len(live) > 0 {
 		live[f.random.Intn(len(live))].pause(uniform(f.random, 0.1, 0.5))
