--- a/cmd/lichenroad/lab.go
+++ b/cmd/lichenroad/lab.go
@@ -41,7 +41,7 @@
 		}
 		ctx, cancel := untilSignal()
 		defer cancel()
-		r, err := demo.Run(ctx, demo.Options{Self: self, Dir: *dir, Out: t.out, Limit: demoLimit})
+		r, err := demo.Run(ctx, demo.Options{Executable: self, Dir: *dir, Out: t.out, Timeout: demoLimit})
 		if err != nil {
 			return failed(err)
 		}
--- a/cmd/lichenroad/tracelive.go
+++ b/cmd/lichenroad/tracelive.go
@@ -71,7 +71,7 @@
 		return live.Options{}, err
 	}
 	in.mapping = mapping
-	return live.Options{Self: self, Dir: flags.liveDir, Relays: relays, Planners: planners, Seed: flags.options.Seed,
+	return live.Options{Executable: self, Dir: flags.liveDir, Relays: relays, Planners: planners, Seed: flags.options.Seed,
 		RequestClasses: mapping.Classes, Tenants: mapping.Tenants, Bounds: flags.bounds}, nil
 }
 
--- a/lab/demo/demo.go
+++ b/lab/demo/demo.go
@@ -37,10 +37,10 @@
 
 // Options are the parameters of a demonstration.
 type Options struct {
-	Self  string        // path of the program, which is run for each process
-	Dir   string        // for configurations, logs, journal and report
-	Out   io.Writer     // progress, one line a step
-	Limit time.Duration // after which the demonstration fails
+	Executable string        // path of the program, which is run for each process
+	Dir        string        // for configurations, logs, journal and report
+	Out        io.Writer     // progress, one line a step
+	Timeout    time.Duration // after which the demonstration fails
 }
 
 // Result is what a demonstration measured.
@@ -108,7 +108,7 @@
 // Run plays the demonstration and writes its report. It ends every process that it started. It fails where a process does,
 // or where the scenario isn't over within the limit; the result then has what was measured until there.
 func Run(ctx context.Context, options Options) (Result, error) {
-	ctx, cancel := context.WithTimeout(ctx, options.Limit)
+	ctx, cancel := context.WithTimeout(ctx, options.Timeout)
 	defer cancel()
 	d := &demonstration{options: options, started: time.Now(), planners: map[string]fakes.Endpoint{}, releasedBuild: firstBuild}
 	var result Result
--- a/lab/demo/processes.go
+++ b/lab/demo/processes.go
@@ -24,7 +24,7 @@
 
 // startProcess runs the program with arguments; each line of its standard output is passed to onLine, where that is given.
 func (d *demonstration) startProcess(onLine func(string), arguments ...string) (*fakes.Process, error) {
-	process, err := fakes.StartProcess(d.options.Self, d.options.Dir, onLine, arguments...)
+	process, err := fakes.StartProcess(d.options.Executable, d.options.Dir, onLine, arguments...)
 	if err != nil {
 		return nil, err
 	}
--- a/lab/live/live.go
+++ b/lab/live/live.go
@@ -25,7 +25,7 @@
 
 // Options are the parameters of a live replay.
 type Options struct {
-	Self           string // path of the program, which is run for each relay
+	Executable     string // path of the program, which is run for each relay
 	Dir            string // for configurations and logs
 	Relays         int
 	Planners       int
@@ -202,7 +202,7 @@
 func (s *session) finish(f finishedRequest) {
 	inFlight := s.inFlight[f.request.Number]
 	delete(s.inFlight, f.request.Number)
-	s.sender.Sent(f.request, f.sentAt)
+	s.sender.RecordSent(f.request, f.sentAt)
 	s.tally.RequestEnded(inFlight.counted, f.endedAt, f.outcome)
 	if f.endedAt > f.request.Due+inFlight.terms.Deadline+lateMargin {
 		s.late++
--- a/lab/live/processes.go
+++ b/lab/live/processes.go
@@ -85,7 +85,7 @@
 	if err := s.relayConfiguration(number, discovery).Write(file); err != nil {
 		return err
 	}
-	process, err := fakes.StartProcess(s.options.Self, s.options.Dir, nil, "serve", "--config", file, "--log-level", relayProcessLogging)
+	process, err := fakes.StartProcess(s.options.Executable, s.options.Dir, nil, "serve", "--config", file, "--log-level", relayProcessLogging)
 	if err != nil {
 		return err
 	}
--- a/lab/live/sender.go
+++ b/lab/live/sender.go
@@ -114,8 +114,8 @@
 	return Decision{Action: Wait, Request: request}
 }
 
-// Sent records when a request was sent.
-func (s *Sender) Sent(request Request, now float64) {
+// RecordSent records when a request was sent.
+func (s *Sender) RecordSent(request Request, now float64) {
 	s.sent++
 	delay := math.Max(now-request.Due, 0)
 	_ = s.lateness.RecordValue(int64(delay * 1e6)) // a delay over ten minutes is left out of the quantiles alone
--- a/lab/live/sender_test.go
+++ b/lab/live/sender_test.go
@@ -128,7 +128,7 @@
 				if i < c.count {
 					now += c.delay
 				}
-				s.Sent(request, now)
+				s.RecordSent(request, now)
 			}
 			if l := s.Lateness(); (l.Invalid == "") != c.valid || l.Sent != 100 {
 				t.Errorf("%+v", l)
