--- a/lab/fakes/client.go
+++ b/lab/fakes/client.go
@@ -13,22 +13,22 @@
 const (
 	dialTimeout    = 2 * time.Second
 	startupTimeout = 5 * time.Second
-	responseMargin = 2 * time.Second // that a response may take beyond its request's deadline
+	responseMargin = 2 * time.Second // how long a client waits for a response after the request's deadline
 )
 
-// Response is what a client got.
+// Response is the response to one query.
 type Response struct {
-	Value string // of the row: the server's name, from a Server
-	Code  string // of an error; empty where there was none
+	Value string // value of the row that was returned last; a Server returns its name
+	Code  string // SQLSTATE code of the error; empty if there was none
 }
 
-// Client is one connection to a relay, for one goroutine. Dial opens it; its owner closes it.
+// Client is a client's connection to a relay. It is not safe for concurrent use. The caller of Dial closes it.
 type Client struct {
 	net.Conn
 	reader *bufio.Reader
 }
 
-// Dial connects to a relay and sends the startup. It returns when the relay is ready for queries.
+// Dial connects to a relay, sends the startup message and waits until the relay is ready for queries.
 func Dial(address string) (*Client, error) {
 	conn, err := net.DialTimeout("tcp", address, dialTimeout)
 	if err != nil {
@@ -52,7 +52,7 @@
 	return err
 }
 
-// readResponse reads up to ReadyForQuery.
+// readResponse reads messages up to and including ReadyForQuery. Rows that can't be parsed are skipped.
 func (c *Client) readResponse() (Response, error) {
 	var response Response
 	for {
@@ -66,7 +66,7 @@
 				response.Value = string(value)
 			}
 		case 'E':
-			// An error that can't be parsed has no code; the response ends all the same.
+			// An error response that can't be parsed leaves Code empty; ReadyForQuery follows it all the same.
 			_, response.Code, _, _ = pgwire.ParseError(body)
 		case 'Z':
 			return response, nil
@@ -74,14 +74,15 @@
 	}
 }
 
-// ReadObject sends a read of the given class for a tenant, and waits for its one response.
+// ReadObject sends a query that reads an object, with the given request class, tenant and deadline, and waits for its
+// response.
 func (c *Client) ReadObject(id uint64, class, tenant string, deadline time.Duration) (Response, error) {
 	statement := fmt.Sprintf("SELECT body FROM objects WHERE oid = '%016x' /* id=%016x,c=%s,t=%s,d=%d */",
 		id, id, class, tenant, deadline.Milliseconds())
 	return c.Query(statement, deadline)
 }
 
-// Query sends a statement, and waits for its one response until 2 s behind its deadline.
+// Query sends a statement and waits for its response, at most until responseMargin after the deadline.
 func (c *Client) Query(statement string, deadline time.Duration) (Response, error) {
 	if err := c.SetDeadline(time.Now().Add(deadline + responseMargin)); err != nil {
 		return Response{}, err
--- a/lab/fakes/discovery.go
+++ b/lab/fakes/discovery.go
@@ -15,7 +15,7 @@
 	maxWatchMillis    = 60000
 )
 
-// Endpoint is an entry of discovery's list.
+// Endpoint is an entry of the endpoint list, in the discovery service's JSON format.
 type Endpoint struct {
 	ID            string  `json:"instanceId"`
 	HostPort      string  `json:"hostPort"`
@@ -28,26 +28,26 @@
 	Build         int     `json:"build"`
 }
 
-// endpointList is the whole list in discovery's format.
+// endpointList is the complete list, in the discovery service's JSON format.
 type endpointList struct {
 	Generation int        `json:"generation"`
 	Instances  []Endpoint `json:"instances"`
 	Reset      bool       `json:"reset"`
 }
 
-// Discovery serves an endpoint list over HTTP on loopback. Its methods are safe for any goroutine. NewDiscovery starts
-// the goroutine that serves, Close ends it.
+// Discovery is a discovery service that serves an endpoint list over HTTP on loopback. Its methods are safe for concurrent
+// use.
 type Discovery struct {
 	listener net.Listener
 	server   *http.Server
 
-	mu         sync.Mutex // guards what follows
+	mu         sync.Mutex // guards the fields below
 	endpoints  []Endpoint
 	generation int
-	changed    chan struct{} // closed when the list changes, and replaced by another
+	changed    chan struct{} // closed and replaced by a new channel when the list changes
 }
 
-// NewDiscovery starts to serve an empty list.
+// NewDiscovery starts to serve an empty list, on a goroutine that ends with Close.
 func NewDiscovery() (*Discovery, error) {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -57,43 +57,43 @@
 	mux := http.NewServeMux()
 	mux.HandleFunc("GET /api/targets", d.targets)
 	d.server = &http.Server{Handler: mux, ReadHeaderTimeout: readHeaderTimeout}
-	go func() { _ = d.server.Serve(listener) }() // it ends by Close, with an error that says so
+	go func() { _ = d.server.Serve(listener) }() // always returns an error; after Close it is http.ErrServerClosed
 	return d, nil
 }
 
-// Addr is the address on which it listens.
+// Addr returns the address that the service listens on.
 func (d *Discovery) Addr() string { return d.listener.Addr().String() }
 
-// Close stops serving, and cuts off calls that wait.
+// Close stops the service and closes the connections of watches that still wait.
 func (d *Discovery) Close() {
-	_ = d.server.Close() // a listener that fails to close changes nothing for those who called
+	_ = d.server.Close() // connections are closed even if closing the listener fails
 }
 
-// Set replaces the list.
+// Set replaces the list and answers the watches that wait for a newer one.
 func (d *Discovery) Set(endpoints []Endpoint) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	d.endpoints = append([]Endpoint(nil), endpoints...) // an empty list is null in JSON, not []
+	d.endpoints = append([]Endpoint(nil), endpoints...) // nil if empty, which is null in JSON and not []
 	d.generation++
 	close(d.changed)
 	d.changed = make(chan struct{})
 }
 
-// List is the list as JSON, as a relay's configuration holds it.
+// List returns the list as JSON, as discovery sends it and as a relay's configuration contains it.
 func (d *Discovery) List() json.RawMessage {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	// Only a weight that is no number could fail to be encoded.
+	// Encoding fails only for a weight that is NaN or infinite, which JSON can't represent.
 	list, _ := json.Marshal(endpointList{Generation: d.generation, Instances: d.endpoints, Reset: true})
 	return list
 }
 
-// targets answers a call with the whole list: at once, or for a watch (after=GENERATION&wait_ms=N) when there is a newer
-// one or its time is over.
+// targets responds to a request with the complete list. A poll is answered at once; a watch (after=GENERATION&wait_ms=N) is
+// answered when the list is newer than the generation, or after N milliseconds.
 func (d *Discovery) targets(w http.ResponseWriter, r *http.Request) {
 	query := r.URL.Query()
 	if after, err := strconv.Atoi(query.Get("after")); err == nil {
-		millis, _ := strconv.Atoi(query.Get("wait_ms")) // 0 where there is none
+		millis, _ := strconv.Atoi(query.Get("wait_ms")) // 0 if it is missing
 		wait := time.Duration(min(max(millis, 0), maxWatchMillis)) * time.Millisecond
 		if err := d.waitNewer(r.Context(), after, wait); err != nil {
 			return
@@ -102,10 +102,11 @@
 	list := d.List()
 	w.Header().Set("Content-Type", "application/json")
 	w.Header().Set("Content-Length", strconv.Itoa(len(list)))
-	_, _ = w.Write(list) // a relay that went away calls again
+	_, _ = w.Write(list) // a relay whose connection broke polls again
 }
 
-// waitNewer returns when the list is newer than a generation or the time is over, or with the context's error.
+// waitNewer returns nil when the list is newer than the generation after or when wait has passed, and the context's error
+// when the context ends.
 func (d *Discovery) waitNewer(ctx context.Context, after int, wait time.Duration) error {
 	timeout := time.After(wait)
 	for {
--- a/lab/fakes/doc.go
+++ b/lab/fakes/doc.go
@@ -1,5 +1,6 @@
-// Package fakes has stand-ins for what surrounds a relay, on loopback sockets, for tests and the demonstration: Server and
-// Client speak the published part of PostgreSQL's wire protocol, Discovery serves an endpoint list, and Process runs the
-// program itself once more. Each owns its listener, connections and goroutines, which end with its Close, its listener or
-// its process. The package imports internal/pgwire for the messages.
+// Package fakes provides the counterparts of a relay on loopback sockets, for tests, the demonstration and live replays:
+// Server is an endpoint and Client a client, which speak the published part of PostgreSQL's wire protocol; Discovery serves
+// an endpoint list; Process runs a program, such as a relay, as a child process. Goroutines of a Server end when its listener
+// or their connection is closed, those of Discovery with Close, and that of a Process when the process ends. The messages of
+// the wire protocol are encoded and parsed by internal/pgwire.
 package fakes
--- a/lab/fakes/fakes_test.go
+++ b/lab/fakes/fakes_test.go
@@ -37,30 +37,30 @@
 	return client
 }
 
-// TestServer has a client get the response that each kind of server gives.
+// TestServer checks the response that a client gets from servers with different settings.
 func TestServer(t *testing.T) {
 	for name, c := range map[string]struct {
 		server *Server
 		want   Response
 	}{
-		"succeeds":               {&Server{Name: "u1"}, Response{Value: "u1"}},
-		"fails at its rate":      {&Server{Name: "u1", FailureRate: 1}, Response{Code: "XX000"}},
-		"does not fail yet":      {&Server{Name: "u1", FailureRate: 1, FailAfter: time.Hour}, Response{Value: "u1"}},
-		"fails by its function":  {&Server{Handle: func(string) (time.Duration, bool) { return 0, true }}, Response{Code: "XX000"}},
-		"succeeds by a function": {&Server{Name: "u2", Handle: func(string) (time.Duration, bool) { return 0, false }}, Response{Value: "u2"}},
+		"succeeds":           {&Server{Name: "u1"}, Response{Value: "u1"}},
+		"fails at its rate":  {&Server{Name: "u1", FailureRate: 1}, Response{Code: "XX000"}},
+		"does not fail yet":  {&Server{Name: "u1", FailureRate: 1, FailAfter: time.Hour}, Response{Value: "u1"}},
+		"fails by Handle":    {&Server{Handle: func(string) (time.Duration, bool) { return 0, true }}, Response{Code: "XX000"}},
+		"succeeds by Handle": {&Server{Name: "u2", Handle: func(string) (time.Duration, bool) { return 0, false }}, Response{Value: "u2"}},
 	} {
 		t.Run(name, func(t *testing.T) {
 			listener := listen(t)
 			go c.server.Serve(listener)
 			got, err := dial(t, listener.Addr().String()).ReadObject(1, "look", "t1", testDeadline)
 			if err != nil || got != c.want {
-				t.Errorf("%+v, %v instead of %+v", got, err, c.want)
+				t.Errorf("got response %+v and error %v, want %+v", got, err, c.want)
 			}
 		})
 	}
 }
 
-// TestServerRejectsBeyondItsLimit has a second query come while the first is processed.
+// TestServerRejectsBeyondItsLimit sends a second query while the first is processed, to a server that takes one at a time.
 func TestServerRejectsBeyondItsLimit(t *testing.T) {
 	processing, finish := make(chan struct{}), make(chan struct{})
 	server := &Server{Name: "u1", MaxInFlight: 1, Handle: func(string) (time.Duration, bool) {
@@ -78,15 +78,15 @@
 	}()
 	<-processing
 	if got, err := second.Query("SELECT 1", testDeadline); err != nil || got.Code != pgwire.CodeTooManyConnections {
-		t.Errorf("the second query: %+v, %v", got, err)
+		t.Errorf("second query: got response %+v and error %v, want code %s", got, err, pgwire.CodeTooManyConnections)
 	}
 	close(finish)
 	if got := <-responses; got.Value != "u1" {
-		t.Errorf("the first query: %+v", got)
+		t.Errorf("first query: got response %+v, want the value u1", got)
 	}
 }
 
-// TestQueryLog holds the line of a query to its form, which programs read.
+// TestQueryLog checks the format of the line that is logged for a query, which the demonstration parses.
 func TestQueryLog(t *testing.T) {
 	var log bytes.Buffer
 	server := &Server{QueryLog: &log}
@@ -96,7 +96,7 @@
 	for i, want := range []string{"000000000000000a t1", "- -"} {
 		words := strings.SplitN(lines[i], " ", 3)
 		if len(words) != 3 || words[0] != "leg" || words[2] != want {
-			t.Errorf("%q instead of leg, a time and %q", lines[i], want)
+			t.Errorf("line %q, want leg, a time and %q", lines[i], want)
 		}
 	}
 }
@@ -109,24 +109,24 @@
 		body    string
 		err     error
 	}{
-		"a message":         {"Q\x00\x00\x00\x06ab", false, 'Q', "ab", nil},
-		"an empty one":      {"S\x00\x00\x00\x04", false, 'S', "", nil},
-		"a startup":         {"\x00\x00\x00\x06ab", true, 0, "ab", nil},
-		"a length below 4":  {"Q\x00\x00\x00\x03", false, 0, "", ErrMessageLength},
-		"a length too long": {"Q\x7f\x00\x00\x00", false, 0, "", ErrMessageLength},
-		"a cut body":        {"Q\x00\x00\x00\x06a", false, 'Q', "a\x00", io.ErrUnexpectedEOF},
-		"nothing":           {"", false, 0, "", io.EOF},
+		"message":                {"Q\x00\x00\x00\x06ab", false, 'Q', "ab", nil},
+		"empty message":          {"S\x00\x00\x00\x04", false, 'S', "", nil},
+		"startup message":        {"\x00\x00\x00\x06ab", true, 0, "ab", nil},
+		"length below 4":         {"Q\x00\x00\x00\x03", false, 0, "", ErrMessageLength},
+		"length above the limit": {"Q\x7f\x00\x00\x00", false, 0, "", ErrMessageLength},
+		"truncated body":         {"Q\x00\x00\x00\x06a", false, 'Q', "a\x00", io.ErrUnexpectedEOF},
+		"end of input":           {"", false, 0, "", io.EOF},
 	} {
 		t.Run(name, func(t *testing.T) {
 			kind, body, err := ReadMessage(strings.NewReader(c.input), c.startup)
 			if kind != c.kind || string(body) != c.body || !errors.Is(err, c.err) {
-				t.Errorf("%q %q %v", kind, body, err)
+				t.Errorf("got kind %q, body %q and error %v, want %q, %q and %v", kind, body, err, c.kind, c.body, c.err)
 			}
 		})
 	}
 }
 
-// TestDiscovery polls a list and watches it change.
+// TestDiscovery checks what polls and watches return before and after the list changes.
 func TestDiscovery(t *testing.T) {
 	d, err := NewDiscovery()
 	if err != nil {
@@ -151,18 +151,18 @@
 
 	const empty = `{"generation":1,"instances":null,"reset":true}`
 	for name, query := range map[string]string{
-		"a poll":                      "",
-		"a watch whose time is over":  "?after=1&wait_ms=1",
-		"a watch of an earlier state": "?after=0&wait_ms=60000",
+		"poll":                         "",
+		"watch that times out":         "?after=1&wait_ms=1",
+		"watch of an older generation": "?after=0&wait_ms=60000",
 	} {
 		t.Run(name, func(t *testing.T) {
 			if got, err := get(ctx, query); err != nil || got != empty {
-				t.Errorf("%s, %v instead of %s", got, err, empty)
+				t.Errorf("got list %s and error %v, want %s", got, err, empty)
 			}
 		})
 	}
 
-	t.Run("a watch that waits for a change", func(t *testing.T) {
+	t.Run("watch answered when the list changes", func(t *testing.T) {
 		lists := make(chan string)
 		go func() {
 			list, err := get(ctx, "?after=1&wait_ms=60000")
@@ -174,20 +174,21 @@
 		d.Set([]Endpoint{{ID: "u1", HostPort: "127.0.0.1:1", Build: 7}})
 		var got endpointList
 		if list := <-lists; json.Unmarshal([]byte(list), &got) != nil || got.Generation != 2 || len(got.Instances) != 1 || got.Instances[0].ID != "u1" {
-			t.Errorf("%s", list)
+			t.Errorf("got list %s, want generation 2 with the endpoint u1 alone", list)
 		}
 	})
 
-	t.Run("a watch that is given up", func(t *testing.T) {
-		gone, leave := context.WithCancel(ctx)
-		leave()
-		if err := d.waitNewer(gone, 1000, time.Hour); !errors.Is(err, context.Canceled) {
-			t.Error(err)
+	t.Run("watch whose client disconnects", func(t *testing.T) {
+		canceled, cancelWatch := context.WithCancel(ctx)
+		cancelWatch()
+		if err := d.waitNewer(canceled, 1000, time.Hour); !errors.Is(err, context.Canceled) {
+			t.Errorf("got error %v, want %v", err, context.Canceled)
 		}
 	})
 }
 
-// TestProcessThatEnds runs a program that ends by itself: its lines are passed on, and nobody waits for it to listen.
+// TestProcessThatEnds runs a program that ends by itself. Its lines of output must be passed on, and WaitListening must fail
+// at once instead of waiting for its timeout.
 func TestProcessThatEnds(t *testing.T) {
 	var lines []string
 	p, err := StartProcess("/bin/sh", t.TempDir(), func(line string) { lines = append(lines, line) }, "-c", "echo one; echo two")
@@ -196,30 +197,30 @@
 	}
 	<-p.Done
 	if got := strings.Join(lines, " "); got != "one two" {
-		t.Errorf("%q", got)
+		t.Errorf("lines of output %q, want %q", got, "one two")
 	}
 	ports, err := FreePorts(1)
 	if err != nil {
 		t.Fatal(err)
 	}
 	if err := WaitListening(ports[0], p); !errors.Is(err, ErrProcessEnded) {
-		t.Error(err)
+		t.Errorf("got error %v, want %v", err, ErrProcessEnded)
 	}
 }
 
-// TestFreePortsAreNotTakenByOthers: a process that was given a port binds it later, and meanwhile sockets come and go whose
-// ports the kernel chooses.
+// TestFreePortsAreNotTakenByOthers guards against a port of FreePorts that the kernel gives to another socket before the
+// process that it is meant for has bound it, and against a port that FreePorts returns twice.
 func TestFreePortsAreNotTakenByOthers(t *testing.T) {
 	const calls, portsPerCall = 200, 10
 	given := map[string]bool{}
 	for range calls {
 		addresses, err := FreePorts(portsPerCall)
 		if err != nil || len(addresses) != portsPerCall {
-			t.Fatal(addresses, err)
+			t.Fatalf("got addresses %v and error %v, want %d addresses", addresses, err, portsPerCall)
 		}
 		for _, address := range addresses {
 			if given[address] {
-				t.Fatalf("%s is given twice", address)
+				t.Fatalf("FreePorts returned %s twice", address)
 			}
 			given[address] = true
 		}
@@ -230,7 +231,7 @@
 			t.Fatal(err)
 		}
 		if address := listener.Addr().String(); given[address] {
-			t.Errorf("the kernel chose %s, which was given to a process", address)
+			t.Errorf("the kernel chose %s, which FreePorts had returned", address)
 		}
 		if err := listener.Close(); err != nil {
 			t.Fatal(err)
--- a/lab/fakes/process.go
+++ b/lab/fakes/process.go
@@ -23,19 +23,19 @@
 
 // Errors of WaitListening.
 var (
-	ErrProcessEnded = errors.New("it ended at once")
-	ErrNotListening = errors.New("it does not answer")
+	ErrProcessEnded = errors.New("the process ended before it accepted connections")
+	ErrNotListening = errors.New("the process did not accept connections in time")
 )
 
-// Process is a program that was started; it is killed when the one that started it ends.
+// Process is a child process. The kernel kills it when this process ends.
 type Process struct {
-	Done    chan struct{} // closed when it has ended and its output is read
+	Done    chan struct{} // closed when the process has ended and its standard output has been read
 	command *exec.Cmd
 }
 
-// StartProcess runs a program with arguments, the first of which is a verb. Its standard error goes to a file VERB-TIME.log
-// in a directory. Each line of its standard output is passed to onLine, where that is given, on a goroutine that ends with
-// the process.
+// StartProcess starts a program. The first argument, a subcommand, names the file COMMAND-TIME.log in dir that the standard
+// error is written to. Each line of the standard output is passed to onLine, unless that is nil, on a goroutine that ends
+// with the process.
 func StartProcess(program, dir string, onLine func(string), arguments ...string) (*Process, error) {
 	p := &Process{command: exec.Command(program, arguments...), Done: make(chan struct{})}
 	p.command.Env = append(os.Environ(), "LICHENROAD_AS_PROGRAM=1")
@@ -56,7 +56,7 @@
 	return p, nil
 }
 
-// follow reads the output until the process ends.
+// follow passes each line of the standard output to onLine until the process ends, then closes Done.
 func (p *Process) follow(output io.Reader, onLine func(string), log *os.File) {
 	defer close(p.Done)
 	for lines := bufio.NewScanner(output); lines.Scan(); {
@@ -64,32 +64,33 @@
 			onLine(lines.Text())
 		}
 	}
-	_ = p.command.Wait() // most are killed; how one ended is in its log
-	_ = log.Close()      // the process wrote it, by a descriptor of its own
+	_ = p.command.Wait() // most processes are killed; why another one failed is in its log file
+	_ = log.Close()      // nothing was written through this descriptor: the process has its own
 }
 
-// Signal sends a signal to the process.
+// Signal sends a signal to the process, unless it has ended.
 func (p *Process) Signal(signal syscall.Signal) {
-	_ = p.command.Process.Signal(signal) // it fails where the process has ended, which Done says
+	_ = p.command.Process.Signal(signal) // fails if the process has already ended, which Done reports
 }
 
-// The ports that FreePorts gives: below those that the kernel chooses for sockets without a port of their own, so that none
-// of these takes one before the process it is meant for has bound it.
+// The range of ports from which FreePorts chooses; maxFreePort is not part of it. It lies below the kernel's range of
+// ephemeral ports: otherwise the kernel could give a chosen port to another socket before the process that it is meant for
+// has bound it.
 const (
 	minFreePort = 20000
 	maxFreePort = 32000
 )
 
-// lastFreePort is the last port that was given by this process. It starts at random, as other processes choose ports too.
+// lastFreePort, modulo the size of the range, is the offset of the port that was tried last. It starts at random, because
+// other processes choose ports from the same range at the same time.
 var lastFreePort atomic.Int64
 
 func init() { lastFreePort.Store(int64(rand.IntN(maxFreePort - minFreePort))) }
 
-// errNoFreePort is the error where every port is in use.
-var errNoFreePort = errors.New("no free port on loopback")
+var errNoFreePort = errors.New("not enough free ports on loopback")
 
-// FreePorts gives n addresses on loopback whose ports were free a moment ago. No port is given twice by one process until
-// all have been.
+// FreePorts returns n addresses on loopback whose ports are not in use. Calls within one process return a port again only
+// after all other ports of the range were tried.
 func FreePorts(n int) ([]string, error) {
 	var addresses []string
 	for range maxFreePort - minFreePort {
@@ -110,12 +111,12 @@
 	return nil, errNoFreePort
 }
 
-// WaitListening returns when a process accepts connections on an address. It fails with ErrProcessEnded, or after 5 s with
-// ErrNotListening.
+// WaitListening waits until a process accepts connections on an address. It fails with ErrProcessEnded if the process ends
+// first, and with ErrNotListening after listenTimeout.
 func WaitListening(address string, p *Process) error {
 	for until := time.Now().Add(listenTimeout); time.Now().Before(until); {
 		if conn, err := net.Dial("tcp", address); err == nil {
-			_ = conn.Close() // nothing was sent
+			_ = conn.Close() // nothing was sent on it
 			return nil
 		}
 		select {
--- a/lab/fakes/server.go
+++ b/lab/fakes/server.go
@@ -14,22 +14,23 @@
 	"lichenroad/internal/pgwire"
 )
 
-// Server answers queries with its name. Its exported fields are set before Serve and not changed then.
+// Server is an endpoint that answers each query with a row that holds its name, or with an error. The exported fields are
+// set before Serve is called and don't change afterwards.
 type Server struct {
 	Name        string
-	Workers     int           // queries processed at a time; more wait
-	ServiceTime time.Duration // for each query
-	FailureRate float64       // fraction of the queries that are answered with an error, from 0 to 1
-	FailAfter   time.Duration // from the start of Serve until queries fail
-	Seed        int64         // of the draws by FailureRate
-	MaxInFlight int           // queries waiting or processed beyond which more are rejected; 0 means no limit
+	Workers     int           // queries processed at a time, 1 if unset; further ones wait
+	ServiceTime time.Duration // processing time of each query
+	FailureRate float64       // probability that a query is answered with an error
+	FailAfter   time.Duration // time after the first call of Serve from which FailureRate applies
+	Seed        int64         // of the random numbers that decide which queries fail
+	MaxInFlight int           // queries that may wait or be processed at a time; more are rejected; 0 means no limit
 
-	// Handle, where it is set, replaces ServiceTime and FailureRate: it gives both for one statement. Any goroutine
-	// calls it.
+	// Handle, if not nil, replaces ServiceTime, FailureRate and FailAfter: it returns how long a statement takes and
+	// whether it fails. It is called concurrently.
 	Handle func(statement string) (serviceTime time.Duration, fails bool)
 
-	InProgress *atomic.Int64 // where it is set: the queries being processed
-	QueryLog   io.Writer     // where it is set: gets a line for each query: leg, Unix nanoseconds, id, tenant
+	InProgress *atomic.Int64 // if not nil: counts the queries being processed, also those of other servers that share it
+	QueryLog   io.Writer     // if not nil: a line is written for each query: the word leg, Unix nanoseconds, request ID, tenant
 
 	once      sync.Once
 	workers   chan struct{} // holds a token for each query being processed
@@ -40,8 +41,8 @@
 	random *rand.Rand
 }
 
-// Serve accepts connections until the listener is closed, and returns the listener's error. It starts a goroutine for
-// each connection, which ends with the connection.
+// Serve accepts connections until the listener is closed, and returns the listener's error. Each connection is served on a
+// goroutine that ends with the connection.
 func (s *Server) Serve(listener net.Listener) error {
 	s.once.Do(func() {
 		s.workers = make(chan struct{}, max(s.Workers, 1))
@@ -58,7 +59,7 @@
 }
 
 func (s *Server) serve(conn net.Conn) {
-	defer func() { _ = conn.Close() }() // nothing is left to be sent
+	defer func() { _ = conn.Close() }() // every response has been written, or writing failed
 	reader := bufio.NewReader(conn)
 	if _, _, err := ReadMessage(reader, true); err != nil {
 		return
@@ -78,7 +79,7 @@
 	}
 }
 
-// respond gives the response to a statement, after its service time.
+// respond processes a statement, which takes its service time, and returns the response.
 func (s *Server) respond(statement string) []byte {
 	if statement == "" {
 		return pgwire.EmptyQueryResponse()
@@ -103,7 +104,7 @@
 	fmt.Fprintf(s.QueryLog, "leg %d %s %s\n", time.Now().UnixNano(), commentField(statement, "id="), commentField(statement, "t="))
 }
 
-// process takes the service time of a query once a worker is free, and says whether the query fails.
+// process waits for a free worker, sleeps for the statement's service time, and reports whether the statement fails.
 func (s *Server) process(statement string) (fails bool) {
 	s.workers <- struct{}{}
 	defer func() { <-s.workers }()
@@ -126,7 +127,8 @@
 	return time.Since(s.startedAt) >= s.FailAfter && s.random.Float64() < s.FailureRate
 }
 
-// commentField gives the value behind a name in a statement's comment, such as "id="; "-" where there is none.
+// commentField returns the value of a field in a statement's comment, "-" if there is none. The name ends with an equals
+// sign, such as "id=".
 func commentField(statement, name string) string {
 	_, rest, more := strings.Cut(statement, "/* ")
 	for more {
--- a/lab/fakes/wire.go
+++ b/lab/fakes/wire.go
@@ -7,16 +7,18 @@
 )
 
 const (
-	maxMessageBytes    = 1 << 20
-	startupHeaderBytes = 4 // a startup has a length alone, every other message a type before it
+	maxMessageBytes    = 1 << 20 // of a message's body
+	startupHeaderBytes = 4       // a startup message begins with its length, all others with a type byte and their length
 	headerBytes        = 5
-	lengthBytes        = 4 // of the length, which counts itself
+	lengthBytes        = 4 // size of the length field, which is included in the length
 )
 
-// ErrMessageLength says that a message's length is below or above what a message may have.
-var ErrMessageLength = errors.New("a message of no length that is taken")
+// ErrMessageLength is the error of ReadMessage for a length that is too small to include its own field, or for a body
+// above maxMessageBytes.
+var ErrMessageLength = errors.New("message length out of range")
 
-// ReadMessage reads one message of PostgreSQL's protocol. A startup has no type; its kind means nothing.
+// ReadMessage reads one message of PostgreSQL's protocol. A startup message has no type byte; the kind that is returned for
+// it has no meaning.
 func ReadMessage(r io.Reader, startup bool) (kind byte, body []byte, err error) {
 	header := make([]byte, headerBytes)
 	if startup {
@@ -34,15 +36,16 @@
 	return header[0], body, err
 }
 
-// Row is a response of one row with one binary column. pgwire.AppendReadyForQuery adds the ReadyForQuery that ends it.
+// Row returns the messages of a response with one row of one binary column: RowDescription, DataRow and CommandComplete.
+// The caller adds ReadyForQuery with pgwire.AppendReadyForQuery.
 func Row(value string) []byte {
 	const (
-		binaryFormat   = 1
-		byteaType      = 17
-		dataRowBytes   = 10 // of a DataRow of one column, besides its value: length, number of columns, length of the value
-		completeLength = 13 // of CommandComplete with the tag below
+		binaryFormat   = 1  // format code
+		byteaType      = 17 // object ID of the type bytea
+		dataRowBytes   = 10 // bytes of a DataRow besides its value: length, number of columns, length of the value
+		completeLength = 13 // length of CommandComplete with the tag SELECT 1
 	)
-	b := []byte{'T', 0, 0, 0, 0, 0, 1} // RowDescription of one column; its length is written below
+	b := []byte{'T', 0, 0, 0, 0, 0, 1} // RowDescription of one column; its length is filled in below
 	b = append(append(b, "body"...), 0)
 	b = append(b, 0, 0, 0, 0, 0, 0, 0, 0, 0, byteaType, 255, 255, 255, 255, 255, 255, 0, binaryFormat)
 	binary.BigEndian.PutUint32(b[1:], uint32(len(b)-1))
