--- a/cmd/lichenroad/tools_test.go
+++ b/cmd/lichenroad/tools_test.go
@@ -129,7 +129,7 @@
 		t.Skip("half a minute")
 	}
 	code, out, errs := call("lab", "demo", "--dir", t.TempDir())
-	if code != 0 || !strings.Contains(out, "build 2 is out") || !strings.Contains(out, "build 3 went back") {
+	if code != 0 || !strings.Contains(out, "build 2 is released") || !strings.Contains(out, "build 3 was rolled back") {
 		t.Errorf("%d %s %s", code, out, errs)
 	}
 }
--- a/lab/demo/audit.go
+++ b/lab/demo/audit.go
@@ -9,19 +9,28 @@
 	"lichenroad/relay"
 )
 
-// The exposure limit as it is audited. Seconds are those of the observer, who reads times from several processes.
+// Parameters of the audit of exposure limits. Tolerances are needed as the audit compares times that were taken in different
+// processes: the planners' times of attempts, and this process's times of requests and statuses.
 const (
-	exposureWindow    = 2.0     // seconds in which attempts are counted
-	freeAttempts      = 1.0 + 2 // in a window: one by the settings, two that the platform's specification allows over sockets
-	limitTolerance    = 1.04    // factor of the same specification
-	lowerLimitDelay   = 0.5     // seconds after which a lower limit binds: its way to the relay, the grace, attempts under way
-	statusDelay       = 0.2     // seconds by which a relay may know a status earlier than the observer
-	requestClockSlack = 0.05    // seconds by which a request counts although it is older than the window
-	maxViolations     = 50
+	exposureWindow = 2.0 // seconds; attempts and requests are counted in a sliding window of this length
+
+	// Attempts in each window that don't count against the limit: one by the relays' settings, and two that the platform's
+	// specification allows over sockets.
+	freeAttempts = 1.0 + 2
+
+	limitTolerance = 1.04 // factor on the exposure limit, allowed by the platform's specification too
+
+	// Seconds for which a limit remains valid after a lower one was published. They cover its transmission to the relay, the
+	// grace period before a lower limit is binding, and attempts in flight.
+	lowerLimitDelay = 0.5
+
+	statusDelay       = 0.2  // seconds by which a relay may receive a status before this process does
+	requestClockSlack = 0.05 // seconds before the window in which requests still count
+	maxViolations     = 50   // at most listed in a result
 )
 
-// audit holds every attempt at an unreleased build against the exposure limit in force for its relay and tenant. A line of
-// a planner that can't be read is a violation too, as the attempt behind it can't be held against anything.
+// audit checks every attempt at an unreleased build against the exposure limit in force for its relay and tenant. A line of a
+// planner's output that can't be parsed is a violation too, because the attempt that it reports can't be checked.
 func (d *demonstration) audit(result *Result) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -55,7 +64,8 @@
 	}
 }
 
-// attemptsInWindow counts the attempts like one of the list, up to it and with it, in the window that it ends.
+// attemptsInWindow counts the attempts with the same relay, tenant and build as attempt number last, in the window that ends
+// with this attempt. It is counted too.
 func (d *demonstration) attemptsInWindow(last int) (count float64) {
 	end := d.attempts[last]
 	for i := last; i >= 0 && d.attempts[i].at > end.at-exposureWindow; i-- {
@@ -67,7 +77,7 @@
 	return count
 }
 
-// requestsInWindow counts the requests of an attempt's tenant to its relay in the window that the attempt ends.
+// requestsInWindow counts the requests of an attempt's tenant to its relay, in the window that ends with the attempt.
 func (d *demonstration) requestsInWindow(end attempt) (count float64) {
 	for _, request := range d.requests {
 		inWindow := request.at <= end.at && request.at > end.at-exposureWindow-requestClockSlack
@@ -78,7 +88,7 @@
 	return count
 }
 
-// isCanary reports whether the attempt's build was not released yet. The caller holds mu.
+// isCanary reports whether the attempt's build was not yet released. The caller holds mu.
 func (d *demonstration) isCanary(a attempt) bool {
 	if a.build == firstBuild {
 		return false
@@ -92,8 +102,8 @@
 	return true
 }
 
-// exposureLimitFor is the highest limit that was in force for an attempt's relay and tenant when it was sent; 0 where the
-// build was closed to them. The caller holds mu.
+// exposureLimitFor returns the highest exposure limit that was in force for an attempt's relay and tenant when the attempt
+// was sent, 0 if the build was not open to them. The caller holds mu.
 func (d *demonstration) exposureLimitFor(a attempt) (limit float64) {
 	for i, observed := range d.statuses {
 		until := math.Inf(1)
@@ -112,8 +122,8 @@
 	return limit
 }
 
-// isOpen reports whether the plan opens a step to an attempt's relay and tenant: the first step to the first tenant at the
-// first site, the second one to all tenants that are in a group.
+// isOpen reports whether the plan opens a step to an attempt's relay and tenant. The first step is open to the first tenant
+// at the first site, the second step to all tenants of a group at both sites.
 func isOpen(step relay.Stage, a attempt) bool {
 	switch slices.Index(tenants, a.tenant) {
 	case 0:
--- a/lab/demo/clients.go
+++ b/lab/demo/clients.go
@@ -9,23 +9,23 @@
 )
 
 const (
-	clientsPerRelay = 6 // each on a connection of its own
+	clientsPerRelay = 6 // each has its own connection
 	requestClass    = "look"
 )
 
-// startClients starts the clients of one relay, which end with the context.
+// startClients starts the clients of one relay, each on a goroutine that ends with the context.
 func (d *demonstration) startClients(ctx context.Context, relayNumber int, address string) {
 	for number := range clientsPerRelay {
 		d.background.Go(func() { d.runClient(ctx, relayNumber, number, address) })
 	}
 }
 
-// runClient sends requests to a relay at an even pace, and connects again after a failure.
+// runClient sends requests to a relay at a constant rate until the context ends, and reconnects after a failure.
 func (d *demonstration) runClient(ctx context.Context, relayNumber, number int, address string) {
 	var client *fakes.Client
 	defer func() {
 		if client != nil {
-			_ = client.Close() // every response was read
+			_ = client.Close() // no request is in flight
 		}
 	}()
 	ticker := time.NewTicker(time.Duration(float64(time.Second) * clientsPerRelay / requestsPerSecond))
@@ -44,13 +44,14 @@
 			}
 		}
 		if err := d.sendRequest(client, relayNumber, sequence); err != nil {
-			_ = client.Close() // it has failed already
+			_ = client.Close() // the connection has failed already
 			client = nil
 		}
 	}
 }
 
-// sendRequest sends one request, waits for the response and counts the outcome. It fails where the connection does.
+// sendRequest sends one request, waits for the response and counts the outcome. Its error is an error of the connection;
+// an error response is counted only.
 func (d *demonstration) sendRequest(client *fakes.Client, relayNumber int, sequence uint64) error {
 	tenant := tenants[sequence/clientsPerRelay%uint64(len(tenants))]
 	d.mu.Lock()
--- a/lab/demo/configuration.go
+++ b/lab/demo/configuration.go
@@ -9,21 +9,22 @@
 	"lichenroad/lab/relayconfig"
 )
 
-// addresses are the free addresses that the processes listen on.
+// addresses are the loopback addresses that the processes listen on.
 type addresses struct {
-	mapDataWatch, plannerWatch string   // where the release controller publishes each service's rollout
-	votes                      []string // where it takes each relay's votes
-	relays                     []string // where each relay takes requests
+	mapDataWatch, plannerWatch string   // where the release controller publishes the rollout of each service
+	votes                      []string // where the release controller receives each relay's votes
+	relays                     []string // where each relay accepts requests
 }
 
 const addressCount = 2 + 2*relayCount
 
-// splitAddresses gives each of addressCount free addresses its use.
+// splitAddresses assigns addressCount free addresses to their uses.
 func splitAddresses(free []string) addresses {
 	return addresses{mapDataWatch: free[0], plannerWatch: free[1], votes: free[2 : 2+relayCount], relays: free[2+relayCount:]}
 }
 
-// planText is the release plan: map-data is promoted by the clock, planner by the relays' votes once map-data is released.
+// planText returns the release plan. The service map-data is promoted by the clock, and the service planner by the relays'
+// votes once map-data has been released.
 func planText(a addresses) string {
 	var text strings.Builder
 	text.WriteString(`<plan version="1" clock-skew="1s" news-life="10s">
@@ -51,9 +52,9 @@
 
 func relaySite(number int) string { return sites[number%len(sites)] }
 
-// relayConfiguration is the configuration of one relay, with the endpoints that discovery lists now.
+// relayConfiguration returns the configuration of one relay, with the present endpoint list of discovery.
 func (d *demonstration) relayConfiguration(number int, a addresses) relayconfig.File {
-	const firstSeed = 11
+	const firstSeed = 11 // of relay 0; each further relay adds one
 	return relayconfig.File{
 		Name:      relayName(number),
 		Listen:    a.relays[number],
--- a/lab/demo/deployer.go
+++ b/lab/demo/deployer.go
@@ -12,10 +12,10 @@
 	"lichenroad/relay"
 )
 
-const redialInterval = 100 * time.Millisecond
+const redialInterval = 100 * time.Millisecond // while the release controller doesn't accept connections
 
-// runDeployer watches the planners' rollout, also after the release controller restarted, and deploys what each status
-// wants. It returns when the context ends.
+// runDeployer watches the rollout of the service planner and starts or drains planners as each status requires. It reconnects
+// after the release controller was restarted, and returns when the context ends.
 func (d *demonstration) runDeployer(ctx context.Context) {
 	for ctx.Err() == nil {
 		conn, err := net.Dial("tcp", d.watchAddress)
@@ -27,13 +27,13 @@
 	}
 }
 
-// watchRollout deploys each status that comes on a connection, up to the connection's or the context's end.
+// watchRollout deploys each new status that it reads from a connection, until the connection or the context ends.
 func (d *demonstration) watchRollout(ctx context.Context, conn net.Conn) {
-	defer func() { _ = conn.Close() }() // it was read to its end, or the context ended
+	defer func() { _ = conn.Close() }() // all statuses were read, or the context ended
 	stop := context.AfterFunc(ctx, func() { _ = conn.Close() })
 	defer stop()
 	if _, err := fmt.Fprint(conn, linewire.WatchLine); err != nil {
-		return // the deployer connects again
+		return // runDeployer reconnects
 	}
 	var last relay.RolloutStatus
 	for lines := bufio.NewScanner(conn); lines.Scan(); {
@@ -50,13 +50,13 @@
 	}
 }
 
-// sameButAge reports whether two statuses differ at most in their age, which grows by itself.
+// sameButAge reports whether two statuses are equal except for their age, which grows with time.
 func sameButAge(a, b relay.RolloutStatus) bool {
 	a.Age = b.Age
 	return a == b
 }
 
-// applyStatus records a status and deploys what it wants.
+// applyStatus records a status and starts or drains planners as it requires.
 func (d *demonstration) applyStatus(status relay.RolloutStatus) {
 	d.mu.Lock()
 	d.statuses = append(d.statuses, observedStatus{at: d.now(), status: status})
--- a/lab/demo/planners.go
+++ b/lab/demo/planners.go
@@ -16,14 +16,14 @@
 	machineType      = "m"
 	stateServing     = "SERVING"
 	stateDraining    = "DRAINING"
-	drainTime        = 1500 * time.Millisecond // from draining until a planner is off the list
-	relayNumberShift = 48                      // a request's ID has its relay's number above these bits
+	drainTime        = 1500 * time.Millisecond // a planner is removed from the list this long after it was listed as draining
+	relayNumberShift = 48                      // a request's ID holds the number of its relay in the bits from this one on
 
-	attemptLineWord   = "leg" // begins the line that a planner prints for a request
+	attemptLineWord   = "leg" // first word of the line that a planner prints for each attempt
 	attemptLineFields = 4
 )
 
-// startPlanner starts a planner and lists it once it listens.
+// startPlanner starts a planner and adds it to discovery's list once it accepts connections.
 func (d *demonstration) startPlanner(build int, site string) error {
 	free, err := fakes.FreePorts(1)
 	if err != nil {
@@ -51,7 +51,7 @@
 	return nil
 }
 
-// recordAttempt records the attempt that a planner printed a line for. Lines of another kind are left out.
+// recordAttempt records the attempt that a line of a planner's output reports. Lines of other kinds are ignored.
 func (d *demonstration) recordAttempt(line string, build int) {
 	fields := strings.Fields(line)
 	if len(fields) != attemptLineFields || fields[0] != attemptLineWord {
@@ -67,8 +67,8 @@
 	d.attempts = append(d.attempts, a)
 }
 
-// parseAttempt reads the fields of such a line: a word, the time in Unix nanoseconds, the request's ID in hexadecimal, and
-// the tenant.
+// parseAttempt parses the fields of a line that reports an attempt: attemptLineWord, the time in Unix nanoseconds, the
+// request's ID in hexadecimal, and the tenant.
 func (d *demonstration) parseAttempt(fields []string, build int) (attempt, error) {
 	at, err := strconv.ParseInt(fields[1], 10, 64)
 	if err != nil {
@@ -82,7 +82,7 @@
 	return attempt{at: sinceStart, relay: int(id >> relayNumberShift), tenant: fields[3], build: build}, nil
 }
 
-// publishPlanners gives discovery the present planners, in the order of their names.
+// publishPlanners passes the planners to discovery, sorted by name.
 func (d *demonstration) publishPlanners() {
 	d.mu.Lock()
 	var list []fakes.Endpoint
@@ -93,7 +93,7 @@
 	d.discovery.Set(list)
 }
 
-// drainPlanners lists some serving planners as draining, and takes them off the list after drainTime.
+// drainPlanners lists the selected planners that are serving as draining, and removes them from the list after drainTime.
 func (d *demonstration) drainPlanners(selected func(fakes.Endpoint) bool) {
 	d.mu.Lock()
 	var names []string
@@ -106,7 +106,7 @@
 	}
 	d.mu.Unlock()
 	d.publishPlanners()
-	time.AfterFunc(drainTime, func() { // where the demonstration has ended, nobody reads the list any more
+	time.AfterFunc(drainTime, func() { // harmless if the demonstration has ended, as no relay reads the list then
 		d.mu.Lock()
 		for _, name := range names {
 			delete(d.planners, name)
@@ -116,7 +116,7 @@
 	})
 }
 
-// deploy starts or drains planners until the fleet is as a rollout status wants it.
+// deploy starts the planners that a rollout status requires, and drains those that it no longer permits.
 func (d *demonstration) deploy(status relay.RolloutStatus) error {
 	build := int(status.Build)
 	switch status.Phase {
@@ -147,7 +147,7 @@
 	return nil
 }
 
-// servingPlanners counts the serving planners of a build by site.
+// servingPlanners returns the number of serving planners of a build by site.
 func (d *demonstration) servingPlanners(build int) map[string]int {
 	serving := map[string]int{}
 	d.mu.Lock()
@@ -160,7 +160,8 @@
 	return serving
 }
 
-// wantedPlanners is how many planners of the newest build a site has: in the first step, one at the first site.
+// wantedPlanners returns how many planners of the build in rollout a site must have. In the first step it is one planner, at
+// the first site.
 func wantedPlanners(status relay.RolloutStatus, site int) int {
 	switch {
 	case status.Stage >= 1 || status.Phase == relay.PhaseReleased:
--- a/lab/demo/processes.go
+++ b/lab/demo/processes.go
@@ -20,9 +20,9 @@
 	controllerPollInterval = 20 * time.Millisecond
 )
 
-var errControllerEnded = errors.New("the release controller ended at once")
+var errControllerEnded = errors.New("the release controller ended before it answered")
 
-// startProcess runs the program with arguments; each line of its standard output is passed to onLine, where that is given.
+// startProcess starts the lichenroad executable. Each line of its standard output is passed to onLine, unless that is nil.
 func (d *demonstration) startProcess(onLine func(string), arguments ...string) (*fakes.Process, error) {
 	process, err := fakes.StartProcess(d.options.Executable, d.options.Dir, onLine, arguments...)
 	if err != nil {
@@ -34,7 +34,7 @@
 	return process, nil
 }
 
-// stopProcesses kills what was started and waits for its end.
+// stopProcesses kills all processes, waits until they have ended, and closes discovery.
 func (d *demonstration) stopProcesses() {
 	d.mu.Lock()
 	processes := d.processes
@@ -50,7 +50,8 @@
 	}
 }
 
-// startAll writes the plan and starts discovery, the planners of the first build, the release controller and the relays.
+// startAll writes the plan and starts discovery, the planners of the first build, the release controller and the relays, in
+// this order.
 func (d *demonstration) startAll() (addresses, error) {
 	if err := os.MkdirAll(d.options.Dir, dirPermissions); err != nil {
 		return addresses{}, err
@@ -76,7 +77,7 @@
 	return listen, d.startRelays(listen)
 }
 
-// writePlan writes the plan, and reads it again as the processes will.
+// writePlan writes the plan to a file, and loads it to fail early if the processes could not.
 func (d *demonstration) writePlan(listen addresses) error {
 	d.watchAddress = listen.plannerWatch
 	d.stateDir = filepath.Join(d.options.Dir, "desk")
@@ -116,7 +117,7 @@
 	return nil
 }
 
-// startController starts the release controller on its state directory and returns when it takes requests.
+// startController starts the release controller with the demonstration's state directory and waits until it answers requests.
 func (d *demonstration) startController() error {
 	process, err := d.startProcess(nil, "controller", "run", "--plan", d.planFile, "--state", d.stateDir)
 	if err != nil {
@@ -124,9 +125,9 @@
 	}
 	d.controller = process
 	if err := fakes.WaitListening(d.watchAddress, process); err != nil {
-		return fmt.Errorf("the release controller: %w", err)
+		return fmt.Errorf("release controller: %w", err)
 	}
-	for { // it writes the file that Call reads after it has begun to listen
+	for { // Call needs the control file, which the release controller writes only after it has begun to listen
 		_, err := releasecontroller.Call(context.Background(), d.stateDir, releasecontroller.Request{Verb: releasecontroller.VerbStatus})
 		if err == nil {
 			return nil
--- a/lab/demo/progress_test.go
+++ b/lab/demo/progress_test.go
@@ -8,7 +8,8 @@
 	"time"
 )
 
-// TestProgressIsPrintedByLine has several goroutines print, as the scenario and the deployer do: no line is lost or torn.
+// TestProgressIsPrintedByLine prints from several goroutines, as Run and the deployer do, and guards against lines that are
+// lost or interleaved.
 func TestProgressIsPrintedByLine(t *testing.T) {
 	const goroutines, linesEach = 8, 500
 	var out bytes.Buffer
@@ -24,11 +25,11 @@
 	printing.Wait()
 	lines := strings.Split(strings.TrimSuffix(out.String(), "\n"), "\n")
 	if len(lines) != goroutines*linesEach {
-		t.Errorf("%d lines, not %d", len(lines), goroutines*linesEach)
+		t.Errorf("got %d lines, want %d", len(lines), goroutines*linesEach)
 	}
 	for _, line := range lines {
 		if !strings.HasSuffix(line, " s  planner build 2: released") {
-			t.Fatalf("%q", line)
+			t.Fatalf("line %q is not one that was printed", line)
 		}
 	}
 }
--- a/lab/demo/report.go
+++ b/lab/demo/report.go
@@ -24,7 +24,8 @@
 	attemptColor = color.RGBA{R: 190, G: 30, B: 30, A: 255}
 )
 
-// writeReport writes an HTML page with the result, the statuses of the rollout and a chart for each tenant, and gives its path.
+// writeReport writes an HTML page with the result, the statuses of the rollout and a chart for each tenant, and returns the
+// file's path.
 func (d *demonstration) writeReport(result *Result) (path string, err error) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -42,7 +43,7 @@
 	return path, lab.WriteFile(path, []byte(page))
 }
 
-// summaryHTML is the page above the charts. The caller holds mu.
+// summaryHTML returns the part of the page above the charts. The caller holds mu.
 func (d *demonstration) summaryHTML(result *Result) string {
 	var text strings.Builder
 	fmt.Fprintf(&text, "<p>Real processes on loopback against stand-ins: %d queries, %d honoured, %d denied, %d failed; %d legs at builds on trial, at most %.2f of any allowance.</p>\n<ul>",
@@ -58,7 +59,8 @@
 	return text.String()
 }
 
-// tenantChart draws a tenant's requests and its attempts at unreleased builds in each second, as SVG. The caller holds mu.
+// tenantChart returns a chart of a tenant's requests and its attempts at unreleased builds per second, as SVG. The caller
+// holds mu.
 func (d *demonstration) tenantChart(tenant string, seconds int) (string, error) {
 	chart := plot.New()
 	chart.Title.Text = "customer " + tenant
@@ -74,7 +76,7 @@
 	return string(svg), err
 }
 
-// addSteps draws a line that holds each second's value for that second.
+// addSteps adds a line to a chart that holds each second's value until the next second.
 func addSteps(chart *plot.Plot, name string, lineColor color.Color, values []float64) error {
 	points := make(plotter.XYs, len(values))
 	for second, value := range values {
@@ -110,7 +112,7 @@
 	return counts
 }
 
-// countAt adds one to the count of a time's second, where the time is within the counts.
+// countAt increments the count of the second in which a time lies, unless it lies outside the counts.
 func countAt(counts []float64, at float64) {
 	if at >= 0 && int(at) < len(counts) {
 		counts[int(at)]++
--- a/lab/demo/scenario.go
+++ b/lab/demo/scenario.go
@@ -14,10 +14,11 @@
 const (
 	controllerDowntime = 2 * time.Second
 	statusPollInterval = 100 * time.Millisecond
-	plannerService     = 1 // index in the plan
+	plannerService     = 1 // index of the service planner in the plan
 )
 
-// play starts everything, then takes the good build to its release and the bad build back.
+// play starts all processes and goroutines, offers the good build and waits until it is released, then offers the bad build
+// and waits until it is withdrawn. The result records which of these happened.
 func (d *demonstration) play(ctx context.Context, result *Result) error {
 	listen, err := d.startAll()
 	if err != nil {
@@ -43,18 +44,18 @@
 	return nil
 }
 
-// releaseGoodBuild offers the good build, which waits for a build of map-data, and restarts the release controller in the
-// middle of a step.
+// releaseGoodBuild offers the good build of the service planner, and a build of map-data once planner waits for that service.
+// It restarts the release controller during the second step of planner, and waits until the build is released.
 func (d *demonstration) releaseGoodBuild(ctx context.Context) error {
-	d.printProgress("offering build %d of the planners, which is good; it needs map-data to be released", goodBuild)
+	d.printProgress("offering build %d of planner, which is good and requires that map-data is released", goodBuild)
 	if err := d.offer(ctx, "planner", goodBuild); err != nil {
 		return err
 	}
 	blocked := func(s rollout.Status) bool { return s.BlockCode == rollout.BlockedByDependency }
-	if err := d.waitStatus(ctx, "planner waits", blocked); err != nil {
+	if err := d.waitStatus(ctx, "the wait for map-data", blocked); err != nil {
 		return err
 	}
-	d.printProgress("planner waits: map-data released is needed; offering it")
+	d.printProgress("planner waits until map-data is released; offering map-data")
 	if err := d.offer(ctx, "map-data", goodBuild); err != nil {
 		return err
 	}
@@ -66,12 +67,12 @@
 		return err
 	}
 	released := func(s rollout.Status) bool { return s.Build == goodBuild && s.Phase == "released" }
-	return d.waitStatus(ctx, "the release", released)
+	return d.waitStatus(ctx, "the release of the good build", released)
 }
 
-// restartController kills the release controller and starts it again some time later.
+// restartController kills the release controller and starts it again after controllerDowntime.
 func (d *demonstration) restartController(ctx context.Context) error {
-	d.printProgress("killing the release controller in the middle of the step, and starting it again %.0f s later", controllerDowntime.Seconds())
+	d.printProgress("killing the release controller during the step and restarting it %.0f s later", controllerDowntime.Seconds())
 	d.controller.Signal(syscall.SIGKILL)
 	<-d.controller.Done
 	select {
@@ -82,28 +83,29 @@
 	return d.startController()
 }
 
-// rollBackBadBuild offers the bad build and waits until the relays' votes withdrew it.
+// rollBackBadBuild offers the bad build and waits until the relays' votes have rolled it back and it is withdrawn.
 func (d *demonstration) rollBackBadBuild(ctx context.Context) error {
-	d.printProgress("build %d is out; offering build %d, which fails half of its queries", goodBuild, badBuild)
+	d.printProgress("build %d is released; offering build %d, which fails half of its requests", goodBuild, badBuild)
 	if err := d.offer(ctx, "planner", badBuild); err != nil {
 		return err
 	}
 	withdrawn := func(s rollout.Status) bool { return s.Build == badBuild && s.Phase == "withdrawn" }
-	if err := d.waitStatus(ctx, "the way back", withdrawn); err != nil {
+	if err := d.waitStatus(ctx, "the withdrawal of the bad build", withdrawn); err != nil {
 		return err
 	}
-	d.printProgress("build %d went back by the relays' votes", badBuild)
+	d.printProgress("build %d was rolled back by the relays' votes", badBuild)
 	return nil
 }
 
-// offer offers a build of a service to the release controller.
+// offer asks the release controller to roll out a build of a service.
 func (d *demonstration) offer(ctx context.Context, service string, build relay.Build) error {
 	_, err := releasecontroller.Call(ctx, d.stateDir, releasecontroller.Request{Verb: releasecontroller.VerbOffer, Service: service, Build: build,
 		Actor: "demo", Reason: "a demonstration"})
 	return err
 }
 
-// waitStatus polls the release controller, also while it restarts, until the planners' status is as wanted.
+// waitStatus polls the release controller until the status of the service planner is as wanted. Errors are ignored, as the
+// release controller may be restarting.
 func (d *demonstration) waitStatus(ctx context.Context, what string, wanted func(rollout.Status) bool) error {
 	for {
 		reply, err := releasecontroller.Call(ctx, d.stateDir, releasecontroller.Request{Verb: releasecontroller.VerbStatus})
@@ -112,7 +114,7 @@
 		}
 		select {
 		case <-ctx.Done():
-			return fmt.Errorf("%s did not come: %w", what, ctx.Err())
+			return fmt.Errorf("waiting for %s: %w", what, ctx.Err())
 		case <-time.After(statusPollInterval):
 		}
 	}
