--- a/lab/live/exchange.go
+++ b/lab/live/exchange.go
@@ -11,30 +11,34 @@
 )
 
 const (
-	relayShift     = 48    // a request's ID has its relay's number above these bits
-	minTimeToSpend = 0.001 // seconds left until the deadline below which a request isn't sent
+	relayShift  = 48    // a request's ID holds the number of its relay in the bits from this one on
+	minTimeLeft = 0.001 // seconds; a request with no more time than this until its deadline isn't sent
+
+	millisPerSecond = 1e3
+	microsPerSecond = 1e6
+	nanosPerSecond  = 1e9
 )
 
-// exchange is one request on one connection. While it runs, its goroutine alone uses the client.
+// exchange is one request on one connection. While it runs, only its goroutine uses the client.
 type exchange struct {
 	request    Request
 	connection Connection
 	inFlight   inFlightRequest
-	client     *fakes.Client // not connected if the connection is new
+	client     *fakes.Client // Conn is nil if the connection is new
 }
 
-// finishedRequest is the end of an exchange. Times are seconds since the start.
+// finishedRequest is the result of an exchange. Times are in seconds since the start.
 type finishedRequest struct {
 	request    Request
 	connection Connection
-	reusable   bool // the connection can take another request
+	reusable   bool // whether the connection can be used for another request
 	sentAt     float64
 	endedAt    float64
 	outcome    lab.RequestOutcome
 }
 
-// run connects where need be, sends the request and waits for its response, at most up to the request's deadline. The
-// sender's own delay is part of what the client waits.
+// run opens the connection if it is new, sends the request and waits for the response. The deadline counts from when the
+// request was due, so that a delay of the sender shortens the time that is left for the response.
 func (s *session) run(e exchange) (f finishedRequest) {
 	f = finishedRequest{request: e.request, connection: e.connection, outcome: lab.RequestUnanswered}
 	defer func() { f.endedAt = s.now() }()
@@ -48,13 +52,13 @@
 	}
 	f.sentAt = s.now()
 	timeLeft := e.request.Due + e.inFlight.terms.Deadline - f.sentAt
-	if timeLeft <= minTimeToSpend {
+	if timeLeft <= minTimeLeft {
 		f.reusable = true
 		return f
 	}
-	response, err := e.client.Query(s.statementOf(e, timeLeft), time.Duration(timeLeft*1e9))
+	response, err := e.client.Query(s.statementOf(e, timeLeft), time.Duration(timeLeft*nanosPerSecond))
 	if err != nil {
-		return f // counted as unanswered, and the connection as broken
+		return f // the request is counted as unanswered, the connection as broken
 	}
 	f.reusable = true
 	f.outcome = outcomeOf(response)
@@ -84,20 +88,20 @@
 	}.String()
 }
 
-// statement is a request in the form that relays and planners read. The object's name says how many of the request's
-// attempts fail.
+// statement is a request as relays and planners parse it. The name of the object that it reads or writes tells the planners
+// how many attempts at the request fail.
 type statement struct {
 	id       uint64
 	terms    *lab.ClassTerms
 	tenant   string
 	timeLeft float64 // seconds until the deadline
-	work     float64 // seconds
-	failures int
+	work     float64 // seconds of service time
+	failures int     // number of attempts that fail, the first ones
 }
 
-// String is the statement's text.
+// String returns the statement as SQL text. The comment holds the request's terms.
 func (s statement) String() string {
-	comment := fmt.Sprintf("/* id=%016x,c=%s,t=%s,d=%d,h=%d", s.id, s.terms.Name, s.tenant, int(s.timeLeft*1000), int(s.work*1e6))
+	comment := fmt.Sprintf("/* id=%016x,c=%s,t=%s,d=%d,h=%d", s.id, s.terms.Name, s.tenant, int(s.timeLeft*millisPerSecond), int(s.work*microsPerSecond))
 	object := fmt.Sprintf("f%d-%x", s.failures, s.id)
 	switch s.terms.Idempotency {
 	case relay.Idempotent:
--- a/lab/live/live.go
+++ b/lab/live/live.go
@@ -1,8 +1,10 @@
-// Package live replays arrivals against relays that run as processes, over their wire protocol on loopback, on the recorded
-// schedule. The loop is open: a request is sent when it is due, whether or not earlier ones were answered, and what a late
-// sender adds counts into the latency. One goroutine, that of Run, owns the session; each request in flight has a goroutine
-// for its connection, and the emulated planners share a request log. The Sender decides without clock, socket or goroutine.
-// The package imports the laboratory's figures and fakes, and the wire protocol's reader.
+// Package live replays the requests of a trace at their recorded times against relays that run as processes, over the wire
+// protocol on loopback. The load is open-loop: a request is sent when it is due, whether or not earlier ones were answered,
+// and its latency counts from when it was due, so that it includes the delay of a late sender.
+//
+// The goroutine of Run owns the session. Each request in flight has a goroutine, and the emulated planners share a request
+// log. The Sender, which decides on which connection a request is sent, uses no clock, socket or goroutine. Requests are
+// counted by package lab; planners, discovery, client connections and processes are those of lab/fakes.
 package live
 
 import (
@@ -16,22 +18,22 @@
 )
 
 const (
-	lateMargin    = 0.1  // seconds after the deadline from which a response came too late
-	startupTime   = 0.5  // seconds from the start to the first arrival, for the relays to come up
-	finishedQueue = 1024 // finished requests that wait for the loop
+	lateMargin    = 0.1  // seconds; a request that ends more than this after its deadline is counted as late
+	startupTime   = 0.5  // seconds from the start to the first arrival, in which the relays finish starting up
+	finishedQueue = 1024 // finished requests that may wait for the session's loop
 )
 
 var sites = []string{"bole", "kality"}
 
 // Options are the parameters of a live replay.
 type Options struct {
-	Executable     string // path of the program, which is run for each relay
-	Dir            string // for configurations and logs
+	Executable     string // path of the lichenroad executable, which is started for each relay
+	Dir            string // directory for configurations and logs; created if missing
 	Relays         int
 	Planners       int
 	Seed           int64
-	RequestClasses []string // names, by an arrival's category
-	Tenants        []string // names, by an arrival's customer
+	RequestClasses []string // names, indexed by an arrival's class
+	Tenants        []string // names, indexed by an arrival's tenant
 	Bounds         Bounds
 }
 
@@ -39,47 +41,47 @@
 type Result struct {
 	lab.ReplayResult
 	Sender        Lateness `json:"sender"`
-	LateResponses int      `json:"answers_after_patience"` // that came after the deadline
-	EndedEarly    bool     `json:"ended_early"`            // by the context
+	LateResponses int      `json:"answers_after_patience"` // requests that ended more than lateMargin after their deadline
+	EndedEarly    bool     `json:"ended_early"`            // whether the context ended the replay
 }
 
-// inFlightRequest is a request that was sent or waits for a connection.
+// inFlightRequest is a request that was sent and has not ended, or that waits for a connection.
 type inFlightRequest struct {
 	arrival lab.Arrival
-	counted lab.CountedRequest // as the tally counts it
+	counted lab.CountedRequest // the same request for the tally
 	terms   *lab.ClassTerms
 }
 
-// connectionKey names one connection of the session.
+// connectionKey identifies a connection of the session.
 type connectionKey struct {
 	relay      int
 	connection Connection
 }
 
-// session is a live replay that runs. The loop in play owns all of it but inProgress and requestLog, which the planners'
-// goroutines share, and finished, into which the goroutines of exchanges send.
+// session is the state of a running live replay. Fields that change while it runs are used by the loop in play only, except
+// for inProgress and requestLog, which the planners' goroutines share. The goroutines of exchanges send to finished.
 type session struct {
 	options     Options
 	terms       []lab.ClassTerms
-	termIndexes []int // into terms, by an arrival's category
-	relays      []string
+	termIndexes []int    // index into terms by an arrival's class
+	relays      []string // addresses
 	started     time.Time
 	sender      *Sender
 	tally       *lab.Tally
 	connections map[connectionKey]*fakes.Client
-	inFlight    map[int]inFlightRequest // by the request's number
-	sent        int
-	late        int      // responses
-	cleanups    []func() // run in reverse order
+	inFlight    map[int]inFlightRequest // by request number
+	arrived     int                     // requests that were due so far, which is the number of the next one
+	late        int                     // requests counted as late
+	cleanups    []func()                // called by close in reverse order
 
-	inProgress atomic.Int64 // requests that planners process now
+	inProgress atomic.Int64 // requests that planners are processing
 	requestLog *requestLog
 	finished   chan finishedRequest
 }
 
-// Run plays arrivals, which come in their order, until there are no more or the context ends. Requests that are in flight at
-// an early end are still waited for, up to their deadlines. Run ends every process that it started. It fails where the
-// processes can't be started.
+// Run replays arrivals, which must be in order of time, until the channel is closed or the context ends. When the context
+// ends, requests that wait for a connection are dropped, and those that were sent are still waited for, a limited time beyond
+// their deadlines. Run fails if the processes can't be started, and ends every process that it started.
 func Run(ctx context.Context, options Options, arrivals <-chan lab.Arrival) (Result, error) {
 	s, err := newSession(options)
 	if err != nil {
@@ -114,10 +116,10 @@
 	return s, nil
 }
 
-// close ends connections, then what start started, the latest first.
+// close closes the connections, then ends what start started, in reverse order.
 func (s *session) close() {
 	for _, client := range s.connections {
-		_ = client.Close() // nothing is in flight on it
+		_ = client.Close() // no request is in flight on it
 	}
 	for i := len(s.cleanups) - 1; i >= 0; i-- {
 		s.cleanups[i]()
@@ -132,10 +134,11 @@
 	return r
 }
 
-// now is the time since the start in seconds.
+// now returns the time since the start in seconds.
 func (s *session) now() float64 { return time.Since(s.started).Seconds() }
 
-// play is the session's loop: it sends what is due and takes in what has finished. span is when the last request was due.
+// play is the session's loop: it sends requests that are due and counts those that have finished. It returns when the last
+// request was due, and whether the context ended the replay early.
 func (s *session) play(ctx context.Context, arrivals <-chan lab.Arrival) (span float64, early bool) {
 	s.started = time.Now()
 	schedule := newSchedule(s.started, arrivals)
@@ -163,17 +166,17 @@
 	return span, early
 }
 
-// endUnsent counts a request that is not sent.
+// endUnsent counts a request that is never sent as unanswered.
 func (s *session) endUnsent(request Request) {
 	s.tally.RequestEnded(s.inFlight[request.Number].counted, s.now(), lab.RequestUnanswered)
 	delete(s.inFlight, request.Number)
 }
 
-// send counts a request that is due, and sends it or lets it wait as the sender decides.
+// send counts a request that is due, and sends it, lets it wait or drops it as the sender decides.
 func (s *session) send(arrival lab.Arrival) {
 	counted := lab.CountedRequest{At: arrival.At, Class: s.termIndexes[arrival.Class], Tenant: arrival.Tenant, Work: arrival.Work}
-	request := Request{Number: s.sent, Due: arrival.At, Relay: int(arrival.Relay % uint64(len(s.relays)))}
-	s.sent++
+	request := Request{Number: s.arrived, Due: arrival.At, Relay: int(arrival.Relay % uint64(len(s.relays)))}
+	s.arrived++
 	s.inFlight[request.Number] = inFlightRequest{arrival: arrival, counted: counted, terms: &s.terms[counted.Class]}
 	cores := lab.CoresPerEndpoint * s.options.Planners
 	s.tally.RequestArrived(counted, float64(s.inProgress.Load())/float64(cores))
@@ -198,7 +201,8 @@
 	}
 }
 
-// finish counts a request that has finished, and gives its connection to the request that waited longest for one.
+// finish counts a request that has finished, and sends the request that has waited longest for a connection to the same
+// relay.
 func (s *session) finish(f finishedRequest) {
 	inFlight := s.inFlight[f.request.Number]
 	delete(s.inFlight, f.request.Number)
@@ -210,7 +214,7 @@
 	if !f.reusable {
 		key := connectionKey{f.request.Relay, f.connection}
 		if client := s.connections[key]; client.Conn != nil {
-			_ = client.Close() // it has failed already
+			_ = client.Close() // the connection has failed already
 		}
 		delete(s.connections, key)
 	}
--- a/lab/live/planners.go
+++ b/lab/live/planners.go
@@ -11,36 +11,36 @@
 	"lichenroad/relay"
 )
 
-// requestLifetime is how long the log keeps a request: longer than any deadline and dedup window.
+// requestLifetime is how long the log keeps a request. It is longer than any deadline and dedup window of package lab.
 const requestLifetime = 15 * time.Second
 
-// requestLog is what all emulated planners together know of requests: how many attempts of each still have to fail, and
-// which were executed. It shows from outside whether a request that may be executed at most once was executed again. mu
-// guards all fields below it; the planners' goroutines share it.
+// requestLog records the attempts that all emulated planners received: how many attempts at each request still have to fail,
+// and which requests were executed. It shows, independently of the relays, whether an at-most-once request was executed again.
+// It is shared by the planners' goroutines.
 type requestLog struct {
 	terms []lab.ClassTerms
 
-	mu         sync.Mutex
+	mu         sync.Mutex                // guards the fields below
 	requests   map[string]*loggedRequest // by ID
-	byAge      []*loggedRequest          // in the order in which they came
+	byAge      []*loggedRequest          // in the order of their first attempts
 	attempts   int
-	crossSite  int      // attempts from a relay of the other site
-	duplicates []string // IDs of requests executed again that may be executed at most once, one for each further attempt
+	crossSite  int      // attempts by a relay of the other site
+	duplicates []string // IDs of at-most-once requests, one for each execution after the first
 }
 
 type loggedRequest struct {
 	id         string
 	firstAt    time.Time
 	failures   int // attempts that still have to fail
-	executions int // attempts that began; each may have had its effect, also where it failed
+	executions int // attempts that were begun; a failed one may have had its effect too
 }
 
 func newRequestLog() *requestLog {
 	return &requestLog{terms: lab.AllClassTerms(), requests: map[string]*loggedRequest{}}
 }
 
-// beginAttempt records a statement that a planner of a site begins, and says how long it takes and whether it fails. A
-// statement that can't be read fails at once.
+// beginAttempt records an attempt that a planner at a site begins to process, and returns how long it takes and whether it
+// fails. A statement that can't be parsed fails at once.
 func (l *requestLog) beginAttempt(text string, site int, now time.Time) (serviceTime time.Duration, fails bool) {
 	query, err := pgwire.ParseQuery([]byte(text))
 	if err != nil || !query.HasWork {
@@ -63,7 +63,7 @@
 	return time.Duration(query.WorkMicros) * time.Microsecond, fails
 }
 
-// removeExpired forgets requests whose lifetime is over. The caller holds mu.
+// removeExpired removes requests whose first attempt is older than requestLifetime. The caller holds mu.
 func (l *requestLog) removeExpired(now time.Time) {
 	for len(l.byAge) > 0 && now.Sub(l.byAge[0].firstAt) > requestLifetime {
 		delete(l.requests, l.byAge[0].id)
@@ -71,19 +71,19 @@
 	}
 }
 
-// requestOf gives the log's entry of a query, which is new at its first attempt. The caller holds mu.
+// requestOf returns the log's entry for a query, and adds it at the request's first attempt. The caller holds mu.
 func (l *requestLog) requestOf(query *pgwire.Query, now time.Time) *loggedRequest {
 	if request := l.requests[query.ID]; request != nil {
 		return request
 	}
 	request := &loggedRequest{id: query.ID, firstAt: now}
-	_, _ = fmt.Sscanf(query.Object, "f%d-", &request.failures) // an object of another form has no failures
+	_, _ = fmt.Sscanf(query.Object, "f%d-", &request.failures) // no attempts fail if the object's name has another format
 	l.requests[request.id] = request
 	l.byAge = append(l.byAge, request)
 	return request
 }
 
-// idempotencyOf is the idempotency of a request class; an unknown class is taken as idempotent.
+// idempotencyOf returns the idempotency of a request class, Idempotent for an unknown class.
 func (l *requestLog) idempotencyOf(class string) relay.Idempotency {
 	for _, term := range l.terms {
 		if term.Name == class {
@@ -93,7 +93,7 @@
 	return relay.Idempotent
 }
 
-// addTo adds what the log counted to a result.
+// addTo sets the result's counts of attempts and adds a violation for each duplicate execution.
 func (l *requestLog) addTo(result *lab.ReplayResult) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
--- a/lab/live/processes.go
+++ b/lab/live/processes.go
@@ -18,15 +18,15 @@
 const (
 	dirPermissions      = 0o755
 	machineType         = "m"
-	plannerAge          = time.Hour // as discovery lists it: no planner is warming up
-	seedsPerReplay      = 1000      // relays of replays with neighbouring seeds draw from seeds of their own
+	plannerAge          = time.Hour // in the endpoint list, so that no planner is warming
+	seedsPerReplay      = 1000      // relay seeds for each replay seed, so that replays with neighbouring seeds share none
 	relayMemoryMB       = 192
 	relaySockets        = 1024
-	tenantQuotaPerSec   = 100000 // more than any replay asks for
+	tenantQuotaPerSec   = 100000 // requests; more than any replay sends
 	relayProcessLogging = "warn"
 )
 
-// start starts the planners and discovery in this process, and the relays as processes of their own.
+// start starts the planners and discovery in this process, then the relays as child processes.
 func (s *session) start() error {
 	if err := os.MkdirAll(s.options.Dir, dirPermissions); err != nil {
 		return err
@@ -56,13 +56,13 @@
 	return nil
 }
 
-// startPlanner starts an emulated planner, whose goroutine ends when its listener is closed.
+// startPlanner starts an emulated planner on a goroutine that ends when its listener is closed.
 func (s *session) startPlanner(number int) (fakes.Endpoint, error) {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		return fakes.Endpoint{}, err
 	}
-	s.cleanups = append(s.cleanups, func() { _ = listener.Close() }) // nobody uses it any more
+	s.cleanups = append(s.cleanups, func() { _ = listener.Close() }) // the replay is over
 	name := fmt.Sprintf("p%d", number)
 	site := number % len(sites)
 	server := &fakes.Server{
@@ -75,7 +75,7 @@
 		},
 		InProgress: &s.inProgress,
 	}
-	go func() { _ = server.Serve(listener) }() // it fails when the listener is closed
+	go func() { _ = server.Serve(listener) }() // always returns an error; closing the listener ends it
 	return fakes.Endpoint{ID: name, HostPort: listener.Addr().String(), Zone: sites[site], MachineType: machineType, Lifecycle: "SERVING",
 		Weight: 1, StartedMs: time.Now().Add(-plannerAge).UnixMilli(), Build: 1}, nil
 }
@@ -99,7 +99,7 @@
 	return nil
 }
 
-// relayConfiguration is the configuration of one relay, with the endpoints that discovery lists now.
+// relayConfiguration returns the configuration of one relay, with the present endpoint list of discovery.
 func (s *session) relayConfiguration(number int, discovery *fakes.Discovery) relayconfig.File {
 	return relayconfig.File{
 		Name:      fmt.Sprintf("n%d", number),
@@ -129,21 +129,22 @@
 	}
 }
 
-// requestClasses gives the laboratory's terms in the configuration's form.
+// requestClasses converts the terms of request classes to the form of a relay's configuration.
 func requestClasses(terms []lab.ClassTerms) []relayconfig.RequestClass {
 	var classes []relayconfig.RequestClass
 	for _, term := range terms {
 		class := relayconfig.RequestClass{Name: term.Name, Idempotency: idempotencyName(term.Idempotency),
-			LatencyObjective: time.Duration(term.LatencyObjective * 1e9), Deadline: time.Duration(term.Deadline * 1e9), PriorityWeight: term.PriorityWeight}
+			LatencyObjective: time.Duration(term.LatencyObjective * nanosPerSecond),
+			Deadline:         time.Duration(term.Deadline * nanosPerSecond), PriorityWeight: term.PriorityWeight}
 		if term.Idempotency == relay.IdempotencyKeyed {
-			class.DedupScope, class.DedupWindow = "zone", time.Duration(term.DedupWindow*1e9)
+			class.DedupScope, class.DedupWindow = "zone", time.Duration(term.DedupWindow*nanosPerSecond)
 		}
 		classes = append(classes, class)
 	}
 	return classes
 }
 
-// idempotencyName is the configuration's name of a request class's idempotency.
+// idempotencyName returns the name of an idempotency in a relay's configuration, empty for an unknown one.
 func idempotencyName(idempotency relay.Idempotency) string {
 	switch idempotency {
 	case relay.Idempotent:
@@ -157,7 +158,7 @@
 	}
 }
 
-// equalTenants gives each tenant the same share.
+// equalTenants returns the settings of tenants that all have the same share.
 func equalTenants(names []string) []relayconfig.Tenant {
 	var tenants []relayconfig.Tenant
 	for _, name := range names {
--- a/lab/live/schedule.go
+++ b/lab/live/schedule.go
@@ -6,15 +6,15 @@
 	"lichenroad/lab"
 )
 
-// schedule holds the next arrival until it is due. It reads one arrival ahead. The session's loop owns it.
+// schedule holds the next arrival until it is due; it reads only one arrival ahead. Only the session's loop uses it.
 type schedule struct {
 	started time.Time
-	source  <-chan lab.Arrival // nil: there are no more
+	source  <-chan lab.Arrival // nil after the last arrival
 	timer   *time.Timer        // fires when next may be due
 	next    lab.Arrival
 	hasNext bool
-	begun   bool    // there was a first arrival
-	offset  float64 // seconds of the recording at which the replay starts
+	begun   bool    // whether the first arrival has been read, which sets offset
+	offset  float64 // time in the recording at which the replay starts, in seconds
 }
 
 func newSchedule(started time.Time, source <-chan lab.Arrival) *schedule {
@@ -23,7 +23,7 @@
 
 func (s *schedule) hasMore() bool { return s.source != nil || s.hasNext }
 
-// readable is the channel to read the next arrival from; nil while one is held.
+// readable returns the channel to read the next arrival from, nil while an arrival is held.
 func (s *schedule) readable() <-chan lab.Arrival {
 	if s.hasNext {
 		return nil
@@ -31,7 +31,8 @@
 	return s.source
 }
 
-// add takes what was read; ok is false at the end of the source. The first arrival comes startupTime after the start.
+// add takes what was read from the channel; ok is false at the end of the source. Times are shifted so that the first arrival
+// is due startupTime after the start.
 func (s *schedule) add(arrival lab.Arrival, ok bool) {
 	if !ok {
 		s.source = nil
@@ -45,7 +46,7 @@
 	s.setTimer()
 }
 
-// takeDue gives the held arrival if it is due. Otherwise the timer fires again.
+// takeDue returns the held arrival if it is due. If one is held but not yet due, it sets the timer again.
 func (s *schedule) takeDue(now float64) (arrival lab.Arrival, due bool) {
 	if !s.hasNext {
 		return lab.Arrival{}, false
@@ -59,9 +60,9 @@
 }
 
 func (s *schedule) setTimer() {
-	due := s.started.Add(time.Duration(s.next.At * 1e9))
+	due := s.started.Add(time.Duration(s.next.At * nanosPerSecond))
 	s.timer.Reset(time.Until(due))
 }
 
-// stop drops the held arrival and all that would follow.
+// stop drops the held arrival and all that follow.
 func (s *schedule) stop() { s.source, s.hasNext = nil, false }
--- a/lab/live/sender.go
+++ b/lab/live/sender.go
@@ -7,80 +7,81 @@
 	"github.com/HdrHistogram/hdrhistogram-go"
 )
 
-// Connection numbers a connection to a relay, from 1 on.
+// Connection is the number of a connection to a relay, from 1 on.
 type Connection int
 
-// Request is an arrival that is to be sent.
+// Request is a request that is to be sent.
 type Request struct {
-	Number int     // of the arrival, from 0 on
+	Number int     // of the arrival in the replay, from 0 on
 	Due    float64 // seconds since the start
-	Relay  int
+	Relay  int     // number of the relay that it is sent to
 }
 
-// Action is what the sender's host does.
+// Action is what a Decision tells the caller to do.
 type Action int
 
 // The actions.
 const (
-	Wait   Action = iota // nothing: every connection is in use, or no request waits
+	Wait   Action = iota // nothing: the request waits for a connection, or none is waiting
 	Reuse                // send the request on an open connection
 	Open                 // send the request on a new connection
-	Reject               // drop the request: too many wait already
+	Reject               // drop the request, because too many wait already
 )
 
-// Decision is an action with the request that it is for, and its connection if it is sent.
+// Decision is an action, the request that it applies to, and the connection for a request that is sent.
 type Decision struct {
 	Action     Action
 	Request    Request
 	Connection Connection
 }
 
-// Bounds limit a sender, and say when its own delays make a run invalid.
+// Bounds limit a sender's connections and queues, and define when its own delays make a run invalid.
 type Bounds struct {
-	Connections  int     // to each relay
-	Waiting      int     // requests that wait for a connection to each relay
-	LateAfter    float64 // seconds after which a request was sent late
-	MaxLateShare float64 // share of late or unsent requests above which a run is invalid
+	Connections  int     // maximum number of open connections to each relay
+	Waiting      int     // maximum number of requests that wait for a connection to each relay
+	LateAfter    float64 // seconds; a request that is sent more than this after it was due is late
+	MaxLateShare float64 // fraction of late or unsent requests above which a run is invalid
 }
 
-// DefaultBounds are half of a relay's descriptors as connections; the other half is for the relay's own connections.
+// DefaultBounds keep the connections to a relay below half of its descriptors (relaySockets), because it needs the other half
+// for its own connections.
 var DefaultBounds = Bounds{Connections: 300, Waiting: 5000, LateAfter: 0.01, MaxLateShare: 0.01}
 
-// Latencies are recorded in microseconds, with three significant digits.
+// Range and precision of the histogram of delays.
 const (
-	minLatency        = 1
-	maxLatency        = 600e6
+	minLatency        = 1     // microsecond
+	maxLatency        = 600e6 // microseconds
 	significantDigits = 3
 )
 
-// Sender decides which request is sent on which connection, which one waits, and how late requests were sent. It holds the
-// state of all connections without clock, socket or goroutine, and is not safe for concurrent use.
+// Sender decides on which connection a request is sent or whether it waits, and records how late requests were sent. It tracks
+// the state of all connections but uses no clock, socket or goroutine. It is not safe for concurrent use.
 type Sender struct {
 	bounds   Bounds
 	relays   []relayConnections
-	lateness *hdrhistogram.Histogram // microseconds from due to sent
+	lateness *hdrhistogram.Histogram // delay from when a request was due to when it was sent, in microseconds
 	sent     int
-	late     int // sent later than LateAfter
-	unsent   int // rejected
-	broken   int // connections that broke or did not open
+	late     int // requests sent more than LateAfter after they were due
+	unsent   int // rejected requests
+	broken   int // connections that broke or could not be opened
 }
 
 // relayConnections are the connections to one relay.
 type relayConnections struct {
-	idle    []Connection // the one used last is at the end and reused first, so that few stay in use
+	idle    []Connection // by time of last use; the last is reused first, so that few connections stay in use
 	open    int
-	last    Connection // that was opened
+	last    Connection // the one opened last
 	waiting []Request
-	maxOpen int // at a time
+	maxOpen int // largest number open at a time
 }
 
-// NewSender returns a sender without connections.
+// NewSender returns a sender for a number of relays, without any connections.
 func NewSender(relays int, bounds Bounds) *Sender {
 	return &Sender{bounds: bounds, relays: make([]relayConnections, relays),
 		lateness: hdrhistogram.New(minLatency, maxLatency, significantDigits)}
 }
 
-// Send decides about a request that is due. Requests to a relay are sent in the order in which they were due.
+// Send decides how a request that is due is handled. Requests to a relay are sent in the order in which they became due.
 func (s *Sender) Send(request Request) Decision {
 	relay := &s.relays[request.Relay]
 	if len(relay.waiting) > 0 {
@@ -104,7 +105,7 @@
 	return r.last
 }
 
-// queue lets a request wait, or rejects it where too many wait.
+// queue lets a request wait for a connection, or rejects it if the maximum number wait already.
 func (s *Sender) queue(relay *relayConnections, request Request) Decision {
 	if len(relay.waiting) >= s.bounds.Waiting {
 		s.unsent++
@@ -118,14 +119,14 @@
 func (s *Sender) RecordSent(request Request, now float64) {
 	s.sent++
 	delay := math.Max(now-request.Due, 0)
-	_ = s.lateness.RecordValue(int64(delay * 1e6)) // a delay over ten minutes is left out of the quantiles alone
+	_ = s.lateness.RecordValue(int64(delay * microsPerSecond)) // a delay above maxLatency is missing from the quantiles only
 	if delay > s.bounds.LateAfter {
 		s.late++
 	}
 }
 
-// Release takes back a connection whose request has finished; reusable is false where it broke. The request that waited
-// longest is sent, on it or on a new one.
+// Release takes back a connection whose request has finished; reusable is false if the connection broke. If requests wait for
+// the relay, the decision sends the one that has waited longest, on this connection or on a new one that replaces it.
 func (s *Sender) Release(relayNumber int, connection Connection, reusable bool) Decision {
 	relay := &s.relays[relayNumber]
 	if !reusable {
@@ -146,7 +147,7 @@
 	return Decision{Action: Open, Request: request, Connection: relay.openNew()}
 }
 
-// DropWaiting removes and returns the requests that wait, as when a run is ended.
+// DropWaiting removes and returns all requests that wait for a connection. It is used when a run ends early.
 func (s *Sender) DropWaiting() []Request {
 	var dropped []Request
 	for i := range s.relays {
@@ -156,7 +157,7 @@
 	return dropped
 }
 
-// Lateness says how late the sender itself was. Times are seconds.
+// Lateness reports how late the sender itself was. Times are in seconds.
 type Lateness struct {
 	Sent              int                `json:"sent"`
 	Unsent            int                `json:"unsent"`
@@ -164,10 +165,10 @@
 	LateAfter         float64            `json:"late_after_s"`
 	LateShare         float64            `json:"late_share"`
 	MaxLateShare      float64            `json:"late_share_allowed"`
-	Quantiles         map[string]float64 `json:"late_s"` // by p50, p99 and max
+	Quantiles         map[string]float64 `json:"late_s"` // by name: p50, p99 and max
 	MaxConnections    int                `json:"connections_most"`
 	BrokenConnections int                `json:"connections_broken"`
-	Invalid           string             `json:"invalid,omitempty"` // why the run is invalid; empty: it is valid
+	Invalid           string             `json:"invalid,omitempty"` // why the run is invalid; empty if it is valid
 }
 
 // Lateness returns the sender's own delays so far.
@@ -178,7 +179,7 @@
 		lateness.MaxConnections = max(lateness.MaxConnections, s.relays[i].maxOpen)
 	}
 	for name, quantile := range map[string]float64{"p50": 50, "p99": 99, "max": 100} {
-		lateness.Quantiles[name] = float64(s.lateness.ValueAtQuantile(quantile)) / 1e6
+		lateness.Quantiles[name] = float64(s.lateness.ValueAtQuantile(quantile)) / microsPerSecond
 	}
 	if total := s.sent + s.unsent; total > 0 {
 		lateness.LateShare = float64(s.late+s.unsent) / float64(total)
--- a/lab/live/sender_test.go
+++ b/lab/live/sender_test.go
@@ -8,30 +8,31 @@
 
 const testRelays = 2
 
-// senderModel drives a sender, and knows what it must keep to.
+// senderModel calls a sender and tracks the connections and requests, to check its decisions.
 type senderModel struct {
 	t        *rapid.T
 	bounds   Bounds
 	sender   *Sender
-	inUse    map[connectionKey]int // number of the request on the connection
+	inUse    map[connectionKey]int // number of the request in flight on the connection
 	open     map[connectionKey]bool
-	lastSent [testRelays]int // number of the request that was sent last to a relay
-	due      int
+	lastSent [testRelays]int // number of the last request sent to each relay
+	due      int             // requests that were due so far, which is the number of the next one
 	sent     int
 	rejected int
 }
 
-// sendOn checks and records that a request is sent: on a connection that is free, and after those due before it.
+// sendOn records that a request is sent. It checks that the connection is free, that it is open or new as the action says,
+// and that no request that was due later has been sent to the same relay before.
 func (m *senderModel) sendOn(d Decision) {
 	key := connectionKey{d.Request.Relay, d.Connection}
 	if _, taken := m.inUse[key]; taken {
-		m.t.Fatalf("connection %v carries two requests", key)
+		m.t.Fatalf("two requests in flight on connection %v", key)
 	}
 	if d.Action == Reuse && !m.open[key] || d.Action == Open && m.open[key] {
 		m.t.Fatalf("action %v for connection %v", d.Action, key)
 	}
 	if d.Request.Number <= m.lastSent[d.Request.Relay] {
-		m.t.Fatalf("request %d overtaken by %d", d.Request.Number, m.lastSent[d.Request.Relay])
+		m.t.Fatalf("request %d is sent after request %d", d.Request.Number, m.lastSent[d.Request.Relay])
 	}
 	m.lastSent[d.Request.Relay] = d.Request.Number
 	m.open[key], m.inUse[key] = true, d.Request.Number
@@ -50,7 +51,8 @@
 	}
 }
 
-// finishLowest ends the request on the lowest connection in use; the order of a map is no test's.
+// finishLowest ends the request on the lowest connection in use. The lowest is chosen because a random order, such as that of
+// a map, would make a failure impossible to reproduce.
 func (m *senderModel) finishLowest() {
 	var lowest connectionKey
 	for key := range m.inUse {
@@ -59,7 +61,7 @@
 		}
 	}
 	delete(m.inUse, lowest)
-	reusable := rapid.Bool().Draw(m.t, "kept")
+	reusable := rapid.Bool().Draw(m.t, "reusable")
 	if !reusable {
 		delete(m.open, lowest)
 	}
@@ -78,19 +80,20 @@
 		}
 		waiting := len(m.sender.relays[relay].waiting)
 		if open > m.bounds.Connections || waiting > m.bounds.Waiting {
-			m.t.Fatalf("%d connections, %d requests wait", open, waiting)
+			m.t.Fatalf("relay %d has %d open connections and %d waiting requests, more than %+v allows", relay, open, waiting, m.bounds)
 		}
 		if waiting > 0 && len(m.inUse) == 0 {
-			m.t.Fatal("a request waits and none is in flight")
+			m.t.Fatal("a request waits although none is in flight")
 		}
 	}
 }
 
-// TestSenderKeepsOrderAndBounds drives a sender with any mix of arrivals, responses and broken connections: no connection
-// carries two requests at once, none overtakes at a relay, the bounds hold, and every request is sent once or rejected.
+// TestSenderKeepsOrderAndBounds checks a sender with random sequences of arrivals, responses and broken connections: a
+// connection has at most one request in flight, requests to a relay are sent in order, the bounds hold, and every request is
+// sent once, rejected or still waiting at the end.
 func TestSenderKeepsOrderAndBounds(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		bounds := Bounds{Connections: rapid.IntRange(1, 4).Draw(t, "lanes"), Waiting: rapid.IntRange(0, 5).Draw(t, "waiting"), LateAfter: 1, MaxLateShare: 0.5}
+		bounds := Bounds{Connections: rapid.IntRange(1, 4).Draw(t, "connections"), Waiting: rapid.IntRange(0, 5).Draw(t, "waiting"), LateAfter: 1, MaxLateShare: 0.5}
 		m := &senderModel{t: t, bounds: bounds, sender: NewSender(testRelays, bounds), inUse: map[connectionKey]int{},
 			open: map[connectionKey]bool{}, lastSent: [testRelays]int{-1, -1}}
 		for range rapid.IntRange(1, 60).Draw(t, "steps") {
@@ -102,23 +105,23 @@
 			m.checkBounds()
 		}
 		if waiting := len(m.sender.DropWaiting()); m.sent+m.rejected+waiting != m.due {
-			t.Fatalf("%d sent, %d rejected, %d waited of %d", m.sent, m.rejected, waiting, m.due)
+			t.Fatalf("%d requests sent, %d rejected and %d waiting, of %d", m.sent, m.rejected, waiting, m.due)
 		}
 	})
 }
 
-// TestLatenessMakesARunInvalid: what a slow sender did must not be reported as the relays' doing.
+// TestLatenessMakesARunInvalid guards against a run in which the delays of a slow sender are reported as delays of the relays.
 func TestLatenessMakesARunInvalid(t *testing.T) {
 	for _, c := range []struct {
 		name  string
 		delay float64 // seconds
-		count int     // of 100 requests that are sent with it
-		valid bool
+		count int     // requests of 100 that are sent with this delay
+		valid bool    // expected
 	}{
-		{"all within the bound", 0.005, 100, true},
+		{"all within LateAfter", 0.005, 100, true},
 		{"as many late as are allowed", 0.02, 1, true},
-		{"one too many late", 0.02, 2, false},
-		{"all late by far", 5, 100, false},
+		{"one more late than allowed", 0.02, 2, false},
+		{"all very late", 5, 100, false},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			s := NewSender(1, Bounds{Connections: 1, Waiting: 1, LateAfter: 0.01, MaxLateShare: 0.01})
@@ -131,14 +134,14 @@
 				s.RecordSent(request, now)
 			}
 			if l := s.Lateness(); (l.Invalid == "") != c.valid || l.Sent != 100 {
-				t.Errorf("%+v", l)
+				t.Errorf("got %+v, want valid %t and 100 sent", l, c.valid)
 			}
 		})
 	}
 	t.Run("a rejected request", func(t *testing.T) {
 		s := NewSender(1, Bounds{Connections: 0, Waiting: 0, LateAfter: 1, MaxLateShare: 0})
 		if d := s.Send(Request{}); d.Action != Reject || s.Lateness().Invalid == "" {
-			t.Error("the run is valid")
+			t.Error("the request was not rejected, or the run is valid although it was")
 		}
 	})
 }
--- a/lab/live/statement_test.go
+++ b/lab/live/statement_test.go
@@ -9,7 +9,7 @@
 	"lichenroad/relay"
 )
 
-// TestStatementsAreRead holds what the sender writes to the relay's own reader and to the planners' request log.
+// TestStatementsAreRead checks that the relays' parser and the planners' request log understand the statements that are sent.
 func TestStatementsAreRead(t *testing.T) {
 	terms := lab.AllClassTerms()
 	for i := range terms {
@@ -21,7 +21,7 @@
 	}
 }
 
-// checkQuery reads a statement as a relay does.
+// checkQuery checks the terms that a relay parses from a statement.
 func checkQuery(t *testing.T, text string, term lab.ClassTerms) {
 	t.Helper()
 	query, err := pgwire.ParseQuery([]byte(text))
@@ -29,34 +29,35 @@
 		t.Fatal(err)
 	}
 	if query.Class != term.Name || query.Tenant != "dairy" || query.DeadlineMillis != 1500 {
-		t.Errorf("class, tenant or deadline: %+v", query)
+		t.Errorf("wrong class, tenant or deadline: %+v", query)
 	}
 	if !query.HasWork || query.WorkMicros != 125000 {
-		t.Errorf("work: %+v", query)
+		t.Errorf("wrong work: %+v", query)
 	}
 	if query.Write != (term.Idempotency != relay.Idempotent) || (query.IdempotencyKey != "") != (term.Idempotency == relay.IdempotencyKeyed) {
-		t.Errorf("idempotency: %+v", query)
+		t.Errorf("wrong idempotency: %+v", query)
 	}
 }
 
-// checkRequestLog has planners begin a statement three times, two of which fail, and another one much later.
+// checkRequestLog begins three attempts at a statement, the first two of which must fail, and an attempt at another statement
+// after the first one has expired.
 func checkRequestLog(t *testing.T, text string, term *lab.ClassTerms) {
 	t.Helper()
 	log := newRequestLog()
 	for attempt, want := range []bool{true, true, false} {
 		if serviceTime, fails := log.beginAttempt(text, 0, time.Unix(0, 0)); serviceTime != 125*time.Millisecond || fails != want {
-			t.Errorf("attempt %d: %v %v", attempt, serviceTime, fails)
+			t.Errorf("attempt %d: got service time %v and failure %t, want 125ms and %t", attempt, serviceTime, fails, want)
 		}
 	}
 	if duplicate := len(log.duplicates) > 0; duplicate != (term.Idempotency == relay.AtMostOnce) {
-		t.Errorf("executed three times: %v", log.duplicates)
+		t.Errorf("after three executions: got the duplicates %v", log.duplicates)
 	}
 	later := statement{id: 78, terms: term, tenant: "dairy", timeLeft: 1, work: 0.1}.String()
 	log.beginAttempt(later, 1, time.Unix(0, 0).Add(2*requestLifetime))
 	if log.crossSite != 1 {
-		t.Errorf("%d attempts from the other site", log.crossSite)
+		t.Errorf("got %d attempts from the other site, want 1", log.crossSite)
 	}
 	if len(log.requests) != 1 || len(log.byAge) != 1 {
-		t.Error("expired requests are kept")
+		t.Errorf("the log holds %d and %d requests, want only the one that has not expired", len(log.requests), len(log.byAge))
 	}
 }
