--- a/cmd/lichenroad/trace.go
+++ b/cmd/lichenroad/trace.go
@@ -142,14 +142,14 @@
 		if !in.inCut(task.At-first) || !in.mapping.Sampled(task, seed) {
 			return nil
 		}
-		request, why := in.mapping.Place(task)
+		request, why := in.mapping.RequestFor(task)
 		if why != trace.Accepted {
 			unplaced[why]++
 			return nil
 		}
 		played++
 		return emit(lab.Arrival{At: request.At, Class: request.Class, Tenant: request.Tenant, Work: request.Work,
-			Relay: request.Relay, FailedAttempts: request.FailedAttempts, Machine: request.Machine, FaultDuration: request.FaultTime, FailureRate: request.FaultShare})
+			Relay: request.RelayHash, FailedAttempts: request.FailedAttempts, Machine: request.MachineHash, FaultDuration: request.FaultDuration, FailureRate: request.FailureRate})
 	})
 	if err != nil && ctx.Err() == nil {
 		return played, err
@@ -172,7 +172,7 @@
 // printAudit prints what was read of a trace, and each kind of row that could not be used.
 func (t *tool) printAudit(a *trace.Audit) {
 	printf(t.out, "%d rows: %d taken (%d put back in order), %d reported; %d tasks over %.1f s, %.2f a second, %g in the fullest\n", a.Rows,
-		a.Accepted, a.Reordered, a.ReportedRows(), a.Tasks, a.To-a.From, a.Rate(), a.Peak)
+		a.Accepted, a.Reordered, a.ReportedRows(), a.Tasks, a.LastArrival-a.FirstArrival, a.MeanRate(), a.PeakRate)
 	for _, line := range a.Lines() {
 		printf(t.out, "  %s\n", line)
 	}
--- a/cmd/lichenroad/tracecheck.go
+++ b/cmd/lichenroad/tracecheck.go
@@ -33,13 +33,13 @@
 	r.Reported = a.Reported
 	r.First = a.FirstLine
 	r.Tasks = a.Tasks
-	r.Span = a.To - a.From
-	r.Rate = map[string]float64{"mean": a.Rate(), "peak": a.Peak}
+	r.Span = a.LastArrival - a.FirstArrival
+	r.Rate = map[string]float64{"mean": a.MeanRate(), "peak": a.PeakRate}
 }
 
 // place counts a task by the request class that the mapping gives it.
 func (r *checkResult) place(mapping *trace.Mapping, task *trace.Task) {
-	request, why := mapping.Place(task)
+	request, why := mapping.RequestFor(task)
 	if why != trace.Accepted {
 		r.Unplaced[why]++
 		return
--- a/lab/demo/configuration.go
+++ b/lab/demo/configuration.go
@@ -55,13 +55,13 @@
 func (d *demonstration) relayConfiguration(number int, a addresses) relayconfig.File {
 	const firstSeed = 11
 	return relayconfig.File{
-		Name:      relayName(number),
-		Listen:    a.relays[number],
-		Discovery: d.discovery.Addr(),
-		Seed:      strconv.Itoa(firstSeed + number),
-		Platform:  &relayconfig.Platform{Address: a.votes[number]},
-		Known:     d.discovery.List(),
-		Settings:  relaySettings(number),
+		Name:             relayName(number),
+		Listen:           a.relays[number],
+		Discovery:        d.discovery.Addr(),
+		Seed:             strconv.Itoa(firstSeed + number),
+		Platform:         &relayconfig.Platform{Address: a.votes[number]},
+		InitialEndpoints: d.discovery.List(),
+		Settings:         relaySettings(number),
 	}
 }
 
@@ -85,7 +85,7 @@
 		LoadReport: relayconfig.LoadReport{Via: "off"},
 		Rules:      relayconfig.Rules{DrainGrace: 250 * time.Millisecond, PollInterval: 10 * time.Second},
 		Rollout: relayconfig.Rollout{CallTimeout: 500 * time.Millisecond, ExposureLimits: []float64{0.25, 0.6}, FleetShares: []float64{0.17, 1},
-			UncountedAttempts: 1, Window: 2 * time.Second, DecidedBy: "by_count", VotesToPromote: 2, VotesToRollBack: 1,
+			UncountedAttempts: 1, ExposureWindow: 2 * time.Second, DecidedBy: "by_count", VotesToPromote: 2, VotesToRollBack: 1,
 			VoteLifetime: 10 * time.Second, VotesPerSecond: 100, MinStepDuration: 2 * time.Second},
 	}
 }
--- a/lab/live/processes.go
+++ b/lab/live/processes.go
@@ -102,12 +102,12 @@
 // relayConfiguration is the configuration of one relay, with the endpoints that discovery lists now.
 func (s *session) relayConfiguration(number int, discovery *fakes.Discovery) relayconfig.File {
 	return relayconfig.File{
-		Name:      fmt.Sprintf("n%d", number),
-		Listen:    s.relays[number],
-		Discovery: discovery.Addr(),
-		Seed:      strconv.FormatInt(s.options.Seed*seedsPerReplay+int64(number), 10),
-		Limits:    &relayconfig.Limits{Sockets: relaySockets, MemoryMB: relayMemoryMB},
-		Known:     discovery.List(),
+		Name:             fmt.Sprintf("n%d", number),
+		Listen:           s.relays[number],
+		Discovery:        discovery.Addr(),
+		Seed:             strconv.FormatInt(s.options.Seed*seedsPerReplay+int64(number), 10),
+		Limits:           &relayconfig.Limits{Sockets: relaySockets, MemoryMB: relayMemoryMB},
+		InitialEndpoints: discovery.List(),
 		Settings: relayconfig.Settings{
 			Zones:          sites,
 			MachineTypes:   []string{machineType},
@@ -123,7 +123,7 @@
 			Rules: relayconfig.Rules{DrainGrace: 250 * time.Millisecond, PollInterval: 30 * time.Second,
 				ResponseMargin: 10 * time.Millisecond},
 			Rollout: relayconfig.Rollout{CallTimeout: time.Second, ExposureLimits: []float64{1}, FleetShares: []float64{1}, UncountedAttempts: 1,
-				Window: 2 * time.Second, DecidedBy: "by_count", VotesToPromote: s.options.Relays, VotesToRollBack: s.options.Relays,
+				ExposureWindow: 2 * time.Second, DecidedBy: "by_count", VotesToPromote: s.options.Relays, VotesToRollBack: s.options.Relays,
 				VoteLifetime: 10 * time.Second, VotesPerSecond: 100, MinStepDuration: 2 * time.Second},
 		},
 	}
--- a/lab/relayconfig/relayconfig.go
+++ b/lab/relayconfig/relayconfig.go
@@ -14,14 +14,14 @@
 
 // File is the configuration of one relay. The fields of all types are in the order of their keys in the file.
 type File struct {
-	Discovery string          `json:"discovery"` // HOST:PORT
-	Known     json.RawMessage `json:"known"`     // endpoint list at start, in discovery's form
-	Limits    *Limits         `json:"limits,omitempty"`
-	Listen    string          `json:"listen"` // HOST:PORT
-	Name      string          `json:"name"`
-	Platform  *Platform       `json:"platform,omitempty"`
-	Seed      string          `json:"seed"` // hexadecimal
-	Settings  Settings        `json:"settings"`
+	Discovery        string          `json:"discovery"` // HOST:PORT
+	InitialEndpoints json.RawMessage `json:"known"`     // endpoint list at start, in discovery's form
+	Limits           *Limits         `json:"limits,omitempty"`
+	Listen           string          `json:"listen"` // HOST:PORT
+	Name             string          `json:"name"`
+	Platform         *Platform       `json:"platform,omitempty"`
+	Seed             string          `json:"seed"` // hexadecimal
+	Settings         Settings        `json:"settings"`
 }
 
 // Limits are the resources of a relay's process.
@@ -58,7 +58,7 @@
 	DecidedBy         string        `json:"decided_by"`
 	ExposureLimits    []float64     `json:"exposure_caps"` // by step
 	MinStepDuration   time.Duration `json:"min_dwell"`
-	Window            time.Duration `json:"span"` // in which exposure is counted
+	ExposureWindow    time.Duration `json:"span"` // in which exposure is counted
 	VotesToRollBack   int           `json:"to_abort"`
 	VotesToPromote    int           `json:"to_advance"`
 	UncountedAttempts float64       `json:"uncounted"` // in a window
--- a/lab/relayconfig/relayconfig_test.go
+++ b/lab/relayconfig/relayconfig_test.go
@@ -12,7 +12,7 @@
 
 // TestWriteIsReadByTheRelay holds a written file to the relay's own reader, with and without the optional parts.
 func TestWriteIsReadByTheRelay(t *testing.T) {
-	minimal := relayconfig.File{Name: "n1", Listen: "127.0.0.1:5433", Discovery: "127.0.0.1:8500", Seed: "12", Known: json.RawMessage(`null`),
+	minimal := relayconfig.File{Name: "n1", Listen: "127.0.0.1:5433", Discovery: "127.0.0.1:8500", Seed: "12", InitialEndpoints: json.RawMessage(`null`),
 		Settings: relayconfig.Settings{Number: 1, Relays: 3, RequestClasses: []relayconfig.RequestClass{{Name: "look", Idempotency: "retryable"}}}}
 	complete := minimal
 	complete.Limits = &relayconfig.Limits{MemoryMB: 192, Sockets: 1024}
@@ -50,10 +50,10 @@
 // TestWriteFails gives a folder as the file.
 func TestWriteFails(t *testing.T) {
 	dir := t.TempDir()
-	if err := (relayconfig.File{Known: json.RawMessage(`null`)}).Write(dir); err == nil {
+	if err := (relayconfig.File{InitialEndpoints: json.RawMessage(`null`)}).Write(dir); err == nil {
 		t.Error("a folder was written to")
 	}
-	if err := (relayconfig.File{Known: json.RawMessage(`{`)}).Write(filepath.Join(dir, "file")); err == nil {
+	if err := (relayconfig.File{InitialEndpoints: json.RawMessage(`{`)}).Write(filepath.Join(dir, "file")); err == nil {
 		t.Error("a list that is no JSON was written")
 	}
 	if entries, err := os.ReadDir(dir); err != nil || len(entries) > 0 {
--- a/trace/alibaba.go
+++ b/trace/alibaba.go
@@ -15,7 +15,7 @@
 var alibabaRequired = [...]column{{0, "instance"}, {1, "task"}, {alibabaJob, "job"}, {alibabaType, "type"},
 	{alibabaStatus, "status"}, {alibabaStart, "start"}}
 
-var alibabaEnds = map[string]End{"Terminated": Finished, "Failed": Failed, "Cancelled": Killed, "Interrupted": Evicted}
+var alibabaEnds = map[string]Outcome{"Terminated": Finished, "Failed": Failed, "Cancelled": Killed, "Interrupted": Evicted}
 
 // alibabaOpen are the statuses of an instance that has not ended.
 var alibabaOpen = map[string]bool{"Running": true, "Ready": true, "Waiting": true}
@@ -30,7 +30,7 @@
 	case !ended && alibabaOpen[string(fields[alibabaStatus])]:
 		return NeverEnded
 	case !ended:
-		return UnknownWord
+		return UnknownStatus
 	case len(fields[alibabaEnd]) == 0:
 		return missing("end")
 	}
@@ -40,12 +40,12 @@
 	case !fromOK || !toOK:
 		return NotANumber
 	case from <= 0:
-		return Outside
+		return OutsideTrace
 	case to < from:
 		return EndBeforeStart
 	}
 	task.At, task.Duration = from, to-from
-	task.End, task.Runs = end, 1
+	task.Outcome, task.Runs = end, 1
 	task.Job = words.intern(fields[alibabaJob])
 	task.Kind = words.intern(fields[alibabaType])
 	task.Machine = words.intern(fields[alibabaMachine])
--- a/trace/audit.go
+++ b/trace/audit.go
@@ -27,16 +27,16 @@
 	NotANumber       Reason = "not_a_number"
 	NegativeDuration Reason = "negative_duration"
 	EndBeforeStart   Reason = "end_before_start"
-	UnknownWord      Reason = "unknown_status"
+	UnknownStatus    Reason = "unknown_status"
 	Duplicate        Reason = "duplicate" // the same event of the same task, or a task that stands twice
-	ColumnCount      Reason = "wrong_column_count"
+	WrongColumnCount Reason = "wrong_column_count"
 	LongLine         Reason = "line_too_long"
 	InvalidUTF8      Reason = "bad_utf8"
 	StrayQuote       Reason = "stray_quote"
 	Truncated        Reason = "truncated"   // the stream ends or breaks within the row
 	NeverEnded       Reason = "never_ended" // its task has no end in the file, or none for longer than is waited
 	NoSubmission     Reason = "no_submit"   // an event of a task whose submission was not seen
-	Outside          Reason = "outside"     // before the trace's start mark or after its end
+	OutsideTrace     Reason = "outside"     // before the trace's start mark or after its end
 )
 
 // missing is the reason for a field that a row or a task lacks.
@@ -51,9 +51,9 @@
 	FirstLine map[Reason]int64 // line of the first row of each reason
 	Tasks     int64            // handed on
 
-	From Seconds // first arrival handed on
-	To   Seconds // last arrival handed on
-	Peak float64 // arrivals in the fullest second
+	FirstArrival Seconds // first arrival handed on
+	LastArrival  Seconds // last arrival handed on
+	PeakRate     float64 // arrivals in the fullest second
 
 	second         int64   // of the last arrival
 	secondArrivals float64 // in that second so far
@@ -80,22 +80,22 @@
 	a.Tasks++
 	first := a.Tasks == 1
 	if first {
-		a.From = task.At
+		a.FirstArrival = task.At
 	}
-	a.To = task.At
+	a.LastArrival = task.At
 	if second := int64(task.At); first || second != a.second {
 		a.second, a.secondArrivals = second, 0
 	}
 	a.secondArrivals++
-	a.Peak = max(a.Peak, a.secondArrivals)
+	a.PeakRate = max(a.PeakRate, a.secondArrivals)
 }
 
-// Rate is the mean number of arrivals a second.
-func (a *Audit) Rate() float64 {
-	if a.To <= a.From {
+// MeanRate is the mean number of arrivals a second.
+func (a *Audit) MeanRate() float64 {
+	if a.LastArrival <= a.FirstArrival {
 		return 0
 	}
-	return float64(a.Tasks) / (a.To - a.From)
+	return float64(a.Tasks) / (a.LastArrival - a.FirstArrival)
 }
 
 // ReportedRows is how many rows were left out.
--- a/trace/azure.go
+++ b/trace/azure.go
@@ -26,10 +26,10 @@
 	case duration < 0:
 		return NegativeDuration
 	case end-duration < 0:
-		return Outside
+		return OutsideTrace
 	}
 	task.At, task.Duration = end-duration, duration
-	task.End, task.Runs = Finished, 1
+	task.Outcome, task.Runs = Finished, 1
 	task.User = words.intern(fields[azureApp])
 	task.Job = words.intern(fields[azureFunction])
 	return Accepted
--- a/trace/google.go
+++ b/trace/google.go
@@ -50,10 +50,10 @@
 		return NotANumber
 	}
 	if at <= googleBeforeStart || at == googleAfterEnd {
-		return Outside
+		return OutsideTrace
 	}
 	if eventType < 0 || eventType >= int64(len(googleEvents)) {
-		return UnknownWord
+		return UnknownStatus
 	}
 	e.at, e.kind, e.job, e.index = float64(at)/microsecondsPerSecond, googleEvents[eventType], job, index
 	switch e.kind {
--- a/trace/join.go
+++ b/trace/join.go
@@ -17,7 +17,7 @@
 )
 
 // endOf gives the end that an event brings.
-var endOf = [...]End{evict: Evicted, fail: Failed, finish: Finished, kill: Killed, lose: Lost}
+var endOf = [...]Outcome{evict: Evicted, fail: Failed, finish: Finished, kill: Killed, lose: Lost}
 
 // event is a row of a layout whose rows are events of tasks.
 type event struct {
@@ -199,7 +199,7 @@
 		open.task.Duration = e.at - open.started
 	}
 	open.running = false
-	open.task.End = endOf[e.kind]
+	open.task.Outcome = endOf[e.kind]
 	open.task.rows++
 	if e.kind == fail || e.kind == evict {
 		open.retryable, open.endedAt = true, e.at
--- a/trace/mapping.go
+++ b/trace/mapping.go
@@ -19,11 +19,11 @@
 	Class          int     // place in Mapping.Classes
 	Tenant         int     // place in Mapping.Tenants
 	Work           Seconds // on a core of speed 1
-	Relay          uint64  // a hash: the same for what should go through the same relay
+	RelayHash      uint64  // a hash: the same for what should go through the same relay
 	FailedAttempts int     // attempts of it that fail before one may succeed
-	Machine        uint64  // a hash of the machine whose endpoint becomes faulty as the request arrives,
-	FaultTime      Seconds // for so long; 0 where none does,
-	FaultShare     float64 // with so large a share of its requests
+	MachineHash    uint64  // a hash of the machine whose endpoint becomes faulty as the request arrives,
+	FaultDuration  Seconds // for so long; 0 where none does,
+	FailureRate    float64 // with so large a share of its requests
 }
 
 // Failures says what the failures of a trace become.
@@ -58,8 +58,8 @@
 	faultShare  float64 // of FailuresAsFaults
 }
 
-// Place gives the request that a task becomes, or the reason why it becomes none.
-func (m *Mapping) Place(task *Task) (Request, Reason) {
+// RequestFor gives the request that a task becomes, or the reason why it becomes none.
+func (m *Mapping) RequestFor(task *Task) (Request, Reason) {
 	var request Request
 	var reason Reason
 	if request.Class, reason = firstMatch(m.classRules, task, NoClass); reason != Accepted {
@@ -72,7 +72,7 @@
 	if !ok {
 		return request, missing(m.relayField.String())
 	}
-	request.Relay = xxhash.Sum64String(relay)
+	request.RelayHash = xxhash.Sum64String(relay)
 	request.At = task.At / m.Scale
 	request.Work = math.Min(math.Max(task.Duration*m.workScale, m.minWork), m.maxWork)
 	return request, m.placeFailures(&request, task)
@@ -81,7 +81,7 @@
 // placeFailures fills in what becomes of a task's failures.
 func (m *Mapping) placeFailures(request *Request, task *Task) Reason {
 	failed := task.FailedRuns
-	if task.End == Failed || task.End == Evicted {
+	if task.Outcome == Failed || task.Outcome == Evicted {
 		failed++
 	}
 	switch {
@@ -91,8 +91,8 @@
 		if task.Machine == "" {
 			return missing(fieldMachine.String())
 		}
-		request.Machine = xxhash.Sum64String(task.Machine)
-		request.FaultTime, request.FaultShare = m.faultTime, m.faultShare
+		request.MachineHash = xxhash.Sum64String(task.Machine)
+		request.FaultDuration, request.FailureRate = m.faultTime, m.faultShare
 	}
 	return Accepted
 }
--- a/trace/mapping_test.go
+++ b/trace/mapping_test.go
@@ -109,7 +109,7 @@
 // placed is a task that the last rules of goodMapping don't reach: its job is not in the share of "low".
 func placed(t *testing.T, change func(*Task)) *Task {
 	t.Helper()
-	task := Task{At: 120, Duration: 5, End: Finished, User: "u", Job: jobWithHash(t, false), Machine: "m1", Priority: 1, HasPriority: true}
+	task := Task{At: 120, Duration: 5, Outcome: Finished, User: "u", Job: jobWithHash(t, false), Machine: "m1", Priority: 1, HasPriority: true}
 	change(&task)
 	return &task
 }
@@ -144,7 +144,7 @@
 		reason Reason
 	}{
 		{"priority", func(task *Task) { task.Priority = 9 }, 0, Accepted},
-		{"status", func(task *Task) { task.End = Killed }, 1, Accepted},
+		{"status", func(task *Task) { task.Outcome = Killed }, 1, Accepted},
 		{"hash", func(task *Task) { task.Job = jobWithHash(t, true) }, 2, Accepted},
 		{"none", func(task *Task) {}, 0, NoClass},
 		{"no priority in the layout", func(task *Task) { task.HasPriority = false }, 0, "missing_priority"},
@@ -153,17 +153,17 @@
 		{"no user", func(task *Task) { task.Priority, task.User = 10, "" }, 0, Accepted},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			request, reason := m.Place(placed(t, c.change))
+			request, reason := m.RequestFor(placed(t, c.change))
 			if reason != c.reason || reason == Accepted && request.Class != c.class {
 				t.Errorf("%+v %q", request, reason)
 			}
 		})
 	}
-	request, _ := m.Place(placed(t, func(task *Task) { task.End, task.FailedRuns, task.Duration = Failed, 2, 100 }))
+	request, _ := m.RequestFor(placed(t, func(task *Task) { task.Outcome, task.FailedRuns, task.Duration = Failed, 2, 100 }))
 	if request.At != 2 || request.Work != 1 || request.FailedAttempts != 3 {
 		t.Errorf("a long task that failed: %+v", request)
 	}
-	request, _ = m.Place(placed(t, func(task *Task) { task.Priority, task.Duration = 9, 0 }))
+	request, _ = m.RequestFor(placed(t, func(task *Task) { task.Priority, task.Duration = 9, 0 }))
 	if request.Work != 0.02 || request.FailedAttempts != 0 {
 		t.Errorf("a short task: %+v", request)
 	}
@@ -172,16 +172,16 @@
 func TestFailuresAsFaults(t *testing.T) {
 	asFaults := strings.NewReplacer(`as="legs"`, `as="hours" for="5s" part="0.8"`)
 	m := parseMapping(t, asFaults.Replace(goodMapping))
-	request, reason := m.Place(placed(t, func(task *Task) { task.End = Failed }))
-	if reason != Accepted || request.FailedAttempts != 0 || request.FaultTime != 5 || request.FaultShare != 0.8 || request.Machine == 0 {
+	request, reason := m.RequestFor(placed(t, func(task *Task) { task.Outcome = Failed }))
+	if reason != Accepted || request.FailedAttempts != 0 || request.FaultDuration != 5 || request.FailureRate != 0.8 || request.MachineHash == 0 {
 		t.Errorf("%+v %q", request, reason)
 	}
-	if request, _ := m.Place(placed(t, func(task *Task) { task.Priority = 9 })); request.FaultTime != 0 {
+	if request, _ := m.RequestFor(placed(t, func(task *Task) { task.Priority = 9 })); request.FaultDuration != 0 {
 		t.Errorf("a good run begins a fault: %+v", request)
 	}
 	byJob := strings.NewReplacer(`as="legs"`, `as="hours" for="5s" part="0.8"`, `by="machine"`, `by="job"`)
 	m = parseMapping(t, byJob.Replace(goodMapping))
-	if _, reason := m.Place(placed(t, func(task *Task) { task.End, task.Machine = Failed, "" })); reason != "missing_machine" {
+	if _, reason := m.RequestFor(placed(t, func(task *Task) { task.Outcome, task.Machine = Failed, "" })); reason != "missing_machine" {
 		t.Errorf("whose fault it is was guessed: %q", reason)
 	}
 }
--- a/trace/read.go
+++ b/trace/read.go
@@ -127,7 +127,7 @@
 func (r *reader) readRow(rows *rowReader, fields [][]byte, reason Reason) error {
 	r.audit.Rows++
 	if reason == Accepted && len(fields) != r.layout.columns {
-		reason = ColumnCount
+		reason = WrongColumnCount
 		if rows.unterminated {
 			reason = Truncated
 		}
--- a/trace/rules.go
+++ b/trace/rules.go
@@ -44,7 +44,7 @@
 	case fieldKind:
 		return t.Kind, t.Kind != ""
 	case fieldStatus:
-		return t.End.String(), true
+		return t.Outcome.String(), true
 	case fieldUser:
 		return t.User, t.User != ""
 	case fieldJob:
--- a/trace/task.go
+++ b/trace/task.go
@@ -1,11 +1,11 @@
 package trace
 
-// End is how a task ended.
-type End int
+// Outcome is how a task ended.
+type Outcome int
 
 // The ends.
 const (
-	Finished End = iota
+	Finished Outcome = iota
 	Failed
 	Killed // by its user or by what it depended on
 	Lost   // the trace lost sight of it
@@ -15,7 +15,7 @@
 var endNames = [...]string{"finished", "failed", "killed", "lost", "evicted"}
 
 // String gives the word that a mapping uses for the end.
-func (e End) String() string { return endNames[e] }
+func (o Outcome) String() string { return endNames[o] }
 
 // Task is one task of a trace: it arrived, ran once or more, and ended.
 //
@@ -25,7 +25,7 @@
 	Line        int64   // of its first row
 	At          Seconds // arrival
 	Duration    Seconds // of its last run
-	End         End     // of its last run
+	Outcome     Outcome // of its last run
 	Runs        int
 	FailedRuns  int // runs that failed or were evicted, the last one not counted
 	User        string
--- a/trace/trace_test.go
+++ b/trace/trace_test.go
@@ -121,7 +121,7 @@
 			got, a := readTexts(t, o, c.text)
 			tasks := ""
 			for _, task := range got {
-				tasks += fmt.Sprintf("%g %g %s %d %d;", task.At, task.Duration, task.End, task.Runs, task.FailedRuns)
+				tasks += fmt.Sprintf("%g %g %s %d %d;", task.At, task.Duration, task.Outcome, task.Runs, task.FailedRuns)
 			}
 			if tasks != c.tasks || reasons(a) != c.reported {
 				t.Errorf("%q %q", tasks, reasons(a))
