--- a/trace/alibaba.go
+++ b/trace/alibaba.go
@@ -1,54 +1,57 @@
 package trace
 
-// Columns of batch_instance of the 2018 cluster data that are used. Others are instance (0), task (1), the sequence's number
-// and total (8, 9) and four of usage (10 to 13).
+// Columns of the table batch_instance of the Alibaba cluster trace of 2018. The others are not used: sequence number and
+// total (8 and 9) and four columns of resource usage (10 to 13).
 const (
-	alibabaJob     = 2
-	alibabaType    = 3
-	alibabaStatus  = 4
-	alibabaStart   = 5 // seconds
-	alibabaEnd     = 6 // seconds
-	alibabaMachine = 7
+	alibabaInstance = 0
+	alibabaTask     = 1
+	alibabaJob      = 2
+	alibabaType     = 3
+	alibabaStatus   = 4
+	alibabaStart    = 5 // seconds
+	alibabaEnd      = 6 // seconds
+	alibabaMachine  = 7
 )
 
-// alibabaRequired are the columns whose fields a row must have, whatever its status.
-var alibabaRequired = [...]column{{0, "instance"}, {1, "task"}, {alibabaJob, "job"}, {alibabaType, "type"},
+// alibabaRequired lists the columns that must not be empty, whatever the status of the row.
+var alibabaRequired = [...]column{{alibabaInstance, "instance"}, {alibabaTask, "task"}, {alibabaJob, "job"}, {alibabaType, "type"},
 	{alibabaStatus, "status"}, {alibabaStart, "start"}}
 
-var alibabaEnds = map[string]Outcome{"Terminated": Finished, "Failed": Failed, "Cancelled": Killed, "Interrupted": Evicted}
+// alibabaOutcomes holds the outcome for each status of an instance that has ended.
+var alibabaOutcomes = map[string]Outcome{"Terminated": Finished, "Failed": Failed, "Cancelled": Killed, "Interrupted": Evicted}
 
-// alibabaOpen are the statuses of an instance that has not ended.
-var alibabaOpen = map[string]bool{"Running": true, "Ready": true, "Waiting": true}
+// alibabaUnfinished holds the statuses of an instance that has not ended yet.
+var alibabaUnfinished = map[string]bool{"Running": true, "Ready": true, "Waiting": true}
 
-// alibaba2018 reads a row of batch_instance of the 2018 cluster data.
-func alibaba2018(fields [][]byte, task *Task, words interner) Reason {
+// alibaba2018 parses a row of batch_instance.
+func alibaba2018(fields [][]byte, task *Task, strs interner) Reason {
 	if reason := checkPresent(fields, alibabaRequired[:]); reason != Accepted {
 		return reason
 	}
-	end, ended := alibabaEnds[string(fields[alibabaStatus])]
+	outcome, ended := alibabaOutcomes[string(fields[alibabaStatus])]
 	switch {
-	case !ended && alibabaOpen[string(fields[alibabaStatus])]:
+	case !ended && alibabaUnfinished[string(fields[alibabaStatus])]:
 		return NeverEnded
 	case !ended:
 		return UnknownStatus
 	case len(fields[alibabaEnd]) == 0:
 		return missing("end")
 	}
-	from, fromOK := parseFloat(fields[alibabaStart])
-	to, toOK := parseFloat(fields[alibabaEnd])
+	start, startOK := parseFloat(fields[alibabaStart])
+	end, endOK := parseFloat(fields[alibabaEnd])
 	switch {
-	case !fromOK || !toOK:
+	case !startOK || !endOK:
 		return NotANumber
-	case from <= 0:
+	case start <= 0:
 		return OutsideTrace
-	case to < from:
+	case end < start:
 		return EndBeforeStart
 	}
-	task.At, task.Duration = from, to-from
-	task.Outcome, task.Runs = end, 1
-	task.Job = words.intern(fields[alibabaJob])
-	task.Kind = words.intern(fields[alibabaType])
-	task.Machine = words.intern(fields[alibabaMachine])
-	task.User = task.Job // the layout has no users
+	task.At, task.Duration = start, end-start
+	task.Outcome, task.Runs = outcome, 1
+	task.Job = strs.intern(fields[alibabaJob])
+	task.Kind = strs.intern(fields[alibabaType])
+	task.Machine = strs.intern(fields[alibabaMachine])
+	task.User = task.Job // this layout has no user column
 	return Accepted
 }
--- a/trace/audit.go
+++ b/trace/audit.go
@@ -1,9 +1,10 @@
-// Package trace reads public cluster traces in CSV as load. Layouts, found by name, say what a row means; a join makes tasks
-// of rows that are events; a window sorts tasks by their arrival; a Mapping says which request each becomes. An Audit counts
-// every row as accepted or reports it under one reason: what is missing is never guessed.
+// Package trace reads public cluster traces in CSV and turns their tasks into requests to replay. A layout, selected by
+// name, says what the columns of a row mean. Where rows are events, a join combines them into tasks. A reorder buffer sorts
+// tasks by arrival, and a Mapping says which request each task becomes. An Audit counts every row, either as accepted or
+// under the one reason why it was left out; missing values are never guessed.
 //
-// Read streams, in bounded memory whatever a file's size, on its caller's goroutine; all its state ends with the call. The
-// package imports internal/xmlconfig, for mappings.
+// Read streams its input in bounded memory, whatever the size of a file. It runs on the caller's goroutine and keeps no
+// state between calls. Mappings are parsed with internal/xmlconfig.
 package trace
 
 import (
@@ -12,58 +13,58 @@
 	"slices"
 )
 
-// Seconds are of the trace's own clock.
+// Seconds is a time or a duration on the clock of the trace.
 type Seconds = float64
 
-// Reason says why a row was left out, or why a task has no place in a mapping. The list is fixed; the reason for a missing
-// field has the field's name behind it.
+// Reason says why a row was left out, or why a mapping makes no request of a task. The list of reasons is fixed. The reason
+// for a missing field ends in the name of the field.
 type Reason string
 
 // The reasons for rows.
 const (
-	Accepted         Reason = ""             // none: the row was not left out
-	OutOfOrder       Reason = "out_of_order" // older than what was handed on already, beyond the window
+	Accepted         Reason = ""             // the row was not left out
+	OutOfOrder       Reason = "out_of_order" // too late to be sorted: a later task was emitted already
 	MissingField     Reason = "missing"      // missing_NAME
 	NotANumber       Reason = "not_a_number"
 	NegativeDuration Reason = "negative_duration"
 	EndBeforeStart   Reason = "end_before_start"
 	UnknownStatus    Reason = "unknown_status"
-	Duplicate        Reason = "duplicate" // the same event of the same task, or a task that stands twice
+	Duplicate        Reason = "duplicate" // repeats an event of its task, or follows the end of the task
 	WrongColumnCount Reason = "wrong_column_count"
 	LongLine         Reason = "line_too_long"
 	InvalidUTF8      Reason = "bad_utf8"
 	StrayQuote       Reason = "stray_quote"
-	Truncated        Reason = "truncated"   // the stream ends or breaks within the row
-	NeverEnded       Reason = "never_ended" // its task has no end in the file, or none for longer than is waited
-	NoSubmission     Reason = "no_submit"   // an event of a task whose submission was not seen
-	OutsideTrace     Reason = "outside"     // before the trace's start mark or after its end
+	Truncated        Reason = "truncated"   // the stream ends or fails within the row
+	NeverEnded       Reason = "never_ended" // no end of the task was read, by the end of the trace or within the limits of Options
+	NoSubmission     Reason = "no_submit"   // an event of a task whose submission was not read
+	OutsideTrace     Reason = "outside"     // before the start of the trace or after its end
 )
 
-// missing is the reason for a field that a row or a task lacks.
+// missing returns the reason for a field that a row or a task lacks.
 func missing(field string) Reason { return MissingField + Reason("_"+field) }
 
-// Audit counts what became of rows. Once the reading is over, Rows is Accepted plus all that is reported.
+// Audit counts the rows of a trace. When the whole trace was read, Rows is the sum of Accepted and all counts of Reported.
 type Audit struct {
 	Rows      int64
 	Accepted  int64
-	Reordered int64 // of the accepted ones, those that came out of order
-	Reported  map[Reason]int64
-	FirstLine map[Reason]int64 // line of the first row of each reason
-	Tasks     int64            // handed on
+	Reordered int64            // accepted rows of tasks that had a row out of order
+	Reported  map[Reason]int64 // rows that were left out
+	FirstLine map[Reason]int64 // line number of the first row that was left out
+	Tasks     int64            // tasks that were emitted
 
-	FirstArrival Seconds // first arrival handed on
-	LastArrival  Seconds // last arrival handed on
-	PeakRate     float64 // arrivals in the fullest second
+	FirstArrival Seconds // of the tasks that were emitted
+	LastArrival  Seconds // of the tasks that were emitted
+	PeakRate     float64 // most arrivals within one second
 
-	second         int64   // of the last arrival
-	secondArrivals float64 // in that second so far
+	second         int64   // the second of the last arrival
+	secondArrivals float64 // arrivals in that second so far
 }
 
 func newAudit() *Audit {
 	return &Audit{Reported: map[Reason]int64{}, FirstLine: map[Reason]int64{}}
 }
 
-// report leaves out some rows of which the first stands on a line.
+// report counts rows that are left out; line is the line number of the first of them.
 func (a *Audit) report(reason Reason, line, rows int64) {
 	a.Reported[reason] += rows
 	if first, ok := a.FirstLine[reason]; !ok || line < first {
@@ -71,7 +72,7 @@
 	}
 }
 
-// countTask counts a task that is handed on.
+// countTask counts a task that is emitted, and its rows.
 func (a *Audit) countTask(task *Task) {
 	a.Accepted += task.rows
 	if task.reordered {
@@ -90,7 +91,7 @@
 	a.PeakRate = max(a.PeakRate, a.secondArrivals)
 }
 
-// MeanRate is the mean number of arrivals a second.
+// MeanRate returns the mean number of arrivals per second.
 func (a *Audit) MeanRate() float64 {
 	if a.LastArrival <= a.FirstArrival {
 		return 0
@@ -98,7 +99,7 @@
 	return float64(a.Tasks) / (a.LastArrival - a.FirstArrival)
 }
 
-// ReportedRows is how many rows were left out.
+// ReportedRows returns the number of rows that were left out.
 func (a *Audit) ReportedRows() int64 {
 	var rows int64
 	for _, n := range a.Reported {
@@ -107,7 +108,7 @@
 	return rows
 }
 
-// Lines describes the rows that were left out, a line for each reason, the most frequent one first.
+// Lines describes the rows that were left out: one line of text for each reason, the most frequent reason first.
 func (a *Audit) Lines() []string {
 	var reasons []Reason
 	for reason := range a.Reported {
--- a/trace/azure.go
+++ b/trace/azure.go
@@ -1,6 +1,6 @@
 package trace
 
-// Columns of the function invocations of 2021.
+// Columns of the Azure Functions invocation trace of 2021.
 const (
 	azureApp      = 0
 	azureFunction = 1
@@ -10,9 +10,9 @@
 
 var azureColumns = [...]string{azureApp: "app", azureFunction: "func", azureEnd: "end_timestamp", azureDuration: "duration"}
 
-// azure2021 reads a row of the function invocations of 2021. An invocation arrived at its end less its duration; the layout
-// knows no failures.
-func azure2021(fields [][]byte, task *Task, words interner) Reason {
+// azure2021 parses one function invocation. A row has no start time, so the arrival is the end time minus the duration.
+// This layout records no failures.
+func azure2021(fields [][]byte, task *Task, strs interner) Reason {
 	for i, name := range azureColumns {
 		if len(fields[i]) == 0 {
 			return missing(name)
@@ -30,7 +30,7 @@
 	}
 	task.At, task.Duration = end-duration, duration
 	task.Outcome, task.Runs = Finished, 1
-	task.User = words.intern(fields[azureApp])
-	task.Job = words.intern(fields[azureFunction])
+	task.User = strs.intern(fields[azureApp])
+	task.Job = strs.intern(fields[azureFunction])
 	return Accepted
 }
--- a/trace/google.go
+++ b/trace/google.go
@@ -2,7 +2,8 @@
 
 import "math"
 
-// Columns of task_events of the 2011 cluster data that are used. Others are missing_info (1) and four requests (9 to 12).
+// Columns of the table task_events of the Google cluster trace of 2011. The others are not used: missing_info (1) and
+// four columns of requested resources (9 to 12).
 const (
 	googleTime      = 0 // microseconds
 	googleJob       = 2
@@ -14,31 +15,32 @@
 	googlePriority  = 8
 )
 
-// Times that are marks.
+// Special values in the time column.
 const (
-	googleBeforeStart = 0             // of what was there before the trace began
-	googleAfterEnd    = math.MaxInt64 // of what came after its end
+	googleBeforeStart = 0             // the event took place before the trace began
+	googleAfterEnd    = math.MaxInt64 // the event took place after the trace ended
 )
 
 const microsecondsPerSecond = 1e6
 
-// column is a column whose field a row must have, and its name in reasons.
+// column is a required column and the name it has in a Reason.
 type column struct {
-	place int
+	index int
 	name  string
 }
 
+// Required columns: of every event, and of a submission besides.
 var (
 	googleRequired = [...]column{{googleTime, "time"}, {googleJob, "job"}, {googleTaskIndex, "task_index"},
 		{googleEventType, "event_type"}}
 	googleSubmitRequired = [...]column{{googleUser, "user"}, {googleClass, "class"}, {googlePriority, "priority"}}
 )
 
-// googleEvents gives the kind of event for each event type. The last two are updates of a task that waits and one that runs.
+// googleEvents holds the kind of event by event type. The last two types are updates of a pending and of a running task.
 var googleEvents = [...]eventKind{submit, schedule, evict, fail, finish, kill, lose, update, update}
 
-// google2011 reads a row of task_events of the 2011 cluster data.
-func google2011(fields [][]byte, e *event, words interner) Reason {
+// google2011 parses a row of task_events.
+func google2011(fields [][]byte, e *event, strs interner) Reason {
 	if reason := checkPresent(fields, googleRequired[:]); reason != Accepted {
 		return reason
 	}
@@ -58,18 +60,18 @@
 	e.at, e.kind, e.job, e.index = float64(at)/microsecondsPerSecond, googleEvents[eventType], job, index
 	switch e.kind {
 	case submit:
-		return googleSubmit(fields, e, words)
+		return googleSubmit(fields, e, strs)
 	case schedule:
 		if len(fields[googleMachine]) == 0 {
 			return missing("machine")
 		}
-		e.machine = words.intern(fields[googleMachine])
+		e.machine = strs.intern(fields[googleMachine])
 	}
 	return Accepted
 }
 
-// googleSubmit reads what only a submission has.
-func googleSubmit(fields [][]byte, e *event, words interner) Reason {
+// googleSubmit parses the columns that only a submission needs.
+func googleSubmit(fields [][]byte, e *event, strs interner) Reason {
 	if reason := checkPresent(fields, googleSubmitRequired[:]); reason != Accepted {
 		return reason
 	}
@@ -78,15 +80,15 @@
 	if !classOK || !priorityOK {
 		return NotANumber
 	}
-	e.name, e.user = words.intern(fields[googleJob]), words.intern(fields[googleUser])
+	e.name, e.user = strs.intern(fields[googleJob]), strs.intern(fields[googleUser])
 	e.class, e.priority = int(class), int(priority)
 	return Accepted
 }
 
-// checkPresent gives the reason for the first of the columns that is empty.
+// checkPresent returns the reason for the first required column that is empty, or Accepted if there is none.
 func checkPresent(fields [][]byte, required []column) Reason {
 	for _, c := range required {
-		if len(fields[c.place]) == 0 {
+		if len(fields[c.index]) == 0 {
 			return missing(c.name)
 		}
 	}
--- a/trace/join.go
+++ b/trace/join.go
@@ -13,44 +13,45 @@
 	finish
 	kill
 	lose
-	update // of what the task asks for, not of when it comes or ends
+	update // changes what the task requests, not when it starts or ends
 )
 
-// endOf gives the end that an event brings.
-var endOf = [...]Outcome{evict: Evicted, fail: Failed, finish: Finished, kill: Killed, lose: Lost}
+// outcomeOf holds the outcome of a run by the kind of event that ends it.
+var outcomeOf = [...]Outcome{evict: Evicted, fail: Failed, finish: Finished, kill: Killed, lose: Lost}
 
-// event is a row of a layout whose rows are events of tasks.
+// event is a row of a layout whose rows are events.
 type event struct {
 	line     int64
 	at       Seconds
 	job      int64
 	index    int64
 	kind     eventKind
-	name     string // the job's
+	name     string // of the job
 	user     string
 	machine  string
 	class    int
 	priority int
 }
 
-// taskKey names a task within a trace.
+// taskKey identifies a task within a trace.
 type taskKey struct{ job, index int64 }
 
-// openTask is a task that was submitted and has not ended for good.
+// openTask is a task that was submitted and is either not ended or may still be retried.
 type openTask struct {
-	key       taskKey
-	task      Task
-	running   bool
-	started   Seconds // of its present run
-	retryable bool    // its last run failed or was evicted, and it may come again
-	endedAt   Seconds // of that run
-	inByAge   *list.Element
-	inRetries *list.Element // nil where it is not retryable
+	key          taskKey
+	task         Task
+	running      bool
+	started      Seconds       // start of the current run
+	retryable    bool          // the last run failed or was evicted, and the task may be submitted again
+	endedAt      Seconds       // end of that run
+	ageElement   *list.Element // in eventJoin.byAge
+	retryElement *list.Element // in eventJoin.retries; nil if the task is not retryable
 }
 
-// eventJoin makes tasks of events. It keeps a task from its submission to its end, and for the retry window after a run
-// that failed or was evicted, since it may come again. Tasks that never end must not fill the memory: one that is open for
-// longer than maxOpenTime, or the oldest one where maxTasks are open, is forgotten and reported.
+// eventJoin combines events into tasks. It keeps a task from its submission to its end. After a run that failed or was
+// evicted it keeps the task for the retry window, because the task may be submitted again. Tasks without an end must not use
+// up the memory: a task that is open for longer than maxOpenTime, or the oldest one when maxTasks are open, is dropped and
+// its rows are reported.
 type eventJoin struct {
 	audit       *Audit
 	buffer      *reorderBuffer
@@ -58,34 +59,34 @@
 	retryWindow Seconds
 	maxTasks    int
 
-	open    map[taskKey]*openTask
-	byAge   *list.List  // of *openTask, in the order of their submissions
-	retries *list.List  // of *openTask that are retryable, in the order of their ends
-	ended   *recentKeys // for telling a second end from one without a submission
-	free    []*openTask // that can be used again
-	any     bool        // an event was added,
-	now     Seconds     // and that is the latest time of any
+	open          map[taskKey]*openTask
+	byAge         *list.List  // *openTask in the order of their submissions
+	retries       *list.List  // retryable *openTask in the order in which their runs ended
+	recentlyEnded *recentKeys // distinguishes an event after the end of a task from one without a submission
+	free          []*openTask // for reuse
+	hasEvents     bool        // at least one event was added
+	now           Seconds     // latest time of all events so far; valid if hasEvents
 }
 
 func newEventJoin(audit *Audit, buffer *reorderBuffer, o Options) *eventJoin {
 	return &eventJoin{
-		audit:       audit,
-		buffer:      buffer,
-		maxOpenTime: o.MaxOpenTime,
-		retryWindow: o.RetryWindow,
-		maxTasks:    o.MaxTasks,
-		open:        map[taskKey]*openTask{},
-		byAge:       list.New(),
-		retries:     list.New(),
-		ended:       newRecentKeys(o.MaxTasks),
+		audit:         audit,
+		buffer:        buffer,
+		maxOpenTime:   o.MaxOpenTime,
+		retryWindow:   o.RetryWindow,
+		maxTasks:      o.MaxTasks,
+		open:          map[taskKey]*openTask{},
+		byAge:         list.New(),
+		retries:       list.New(),
+		recentlyEnded: newRecentKeys(o.MaxTasks),
 	}
 }
 
-// add takes the next event of the trace.
+// add processes the next event of the trace.
 func (j *eventJoin) add(e event) error {
-	reordered := j.any && e.at < j.now
+	reordered := j.hasEvents && e.at < j.now
 	if !reordered {
-		j.any, j.now = true, e.at
+		j.hasEvents, j.now = true, e.at
 	}
 	key := taskKey{e.job, e.index}
 	open := j.open[key]
@@ -107,15 +108,16 @@
 	return j.release()
 }
 
-// orphanReason is the reason for an event of a task that is not open.
+// orphanReason returns the reason for an event of a task that is not open.
 func (j *eventJoin) orphanReason(key taskKey) Reason {
-	if j.ended.has(key) {
+	if j.recentlyEnded.has(key) {
 		return Duplicate
 	}
 	return NoSubmission
 }
 
-// apply changes a task by an event, or says why the event can't be. The task is nil only where it is not open yet.
+// apply updates a task with an event, or returns the reason why the event is invalid. The task is nil if it is not open; the
+// event is then a submission.
 func (j *eventJoin) apply(e event, open *openTask) (Reason, error) {
 	switch e.kind {
 	case submit:
@@ -129,14 +131,14 @@
 	return j.endRun(e, open)
 }
 
-// submit opens a task, or begins another attempt of one whose last run failed or was evicted.
+// submit opens a task, or prepares the next run of a task whose last run failed or was evicted.
 func (j *eventJoin) submit(e event, open *openTask) (Reason, error) {
 	if open != nil && !open.retryable {
 		return Duplicate, nil
 	}
 	if open == nil {
 		if len(j.open) >= j.maxTasks {
-			if err := j.forget(first(j.byAge)); err != nil {
+			if err := j.expire(first(j.byAge)); err != nil {
 				return Accepted, err
 			}
 		}
@@ -148,7 +150,7 @@
 	return Accepted, nil
 }
 
-// openTask begins to keep a task that an event submits.
+// openTask adds the task that a submission describes.
 func (j *eventJoin) openTask(e event) *openTask {
 	open := j.newOpenTask()
 	open.key = taskKey{e.job, e.index}
@@ -161,13 +163,13 @@
 		Priority:    e.priority,
 		HasPriority: true,
 	}
-	open.inByAge = j.byAge.PushBack(open)
+	open.ageElement = j.byAge.PushBack(open)
 	j.open[open.key] = open
-	j.ended.remove(open.key)
+	j.recentlyEnded.remove(open.key)
 	return open
 }
 
-// schedule begins a run.
+// schedule starts a run.
 func (o *openTask) schedule(e event) Reason {
 	if o.running || o.retryable {
 		return Duplicate
@@ -182,7 +184,7 @@
 	return Accepted
 }
 
-// endRun ends a run, or a task that never ran.
+// endRun ends the current run, or a task that never ran.
 func (j *eventJoin) endRun(e event, open *openTask) (Reason, error) {
 	if open.retryable {
 		return Duplicate, nil
@@ -199,40 +201,40 @@
 		open.task.Duration = e.at - open.started
 	}
 	open.running = false
-	open.task.Outcome = endOf[e.kind]
+	open.task.Outcome = outcomeOf[e.kind]
 	open.task.rows++
 	if e.kind == fail || e.kind == evict {
 		open.retryable, open.endedAt = true, e.at
-		open.inRetries = j.retries.PushBack(open)
+		open.retryElement = j.retries.PushBack(open)
 		open.task.FailedRuns++
 		return Accepted, nil
 	}
 	return Accepted, j.complete(open)
 }
 
-// endRetry makes a task no longer retryable.
+// endRetry marks a task as no longer retryable.
 func (j *eventJoin) endRetry(open *openTask) {
-	if open.inRetries != nil {
-		j.retries.Remove(open.inRetries)
+	if open.retryElement != nil {
+		j.retries.Remove(open.retryElement)
 	}
-	open.inRetries, open.retryable = nil, false
+	open.retryElement, open.retryable = nil, false
 }
 
-// complete hands on a task that has ended for good.
+// complete passes a task that has ended, and will not be retried, to the reorder buffer.
 func (j *eventJoin) complete(open *openTask) error {
-	if open.retryable { // it did not come again: the run that failed is its last, which FailedRuns leaves out
+	if open.retryable { // it was not submitted again: the failed run is the last one, which FailedRuns does not count
 		open.task.FailedRuns--
 	}
 	j.remove(open)
-	j.ended.add(open.key)
+	j.recentlyEnded.add(open.key)
 	task := j.buffer.newTask()
 	*task = open.task
 	j.free = append(j.free, open)
 	return j.buffer.add(task)
 }
 
-// forget reports a task that has no end. One that only waits for a retry has its end.
-func (j *eventJoin) forget(open *openTask) error {
+// expire drops a task that has no end and reports its rows. A task that only waits for a retry has ended and is completed.
+func (j *eventJoin) expire(open *openTask) error {
 	if open.retryable {
 		return j.complete(open)
 	}
@@ -243,11 +245,11 @@
 
 func (j *eventJoin) remove(open *openTask) {
 	j.endRetry(open)
-	j.byAge.Remove(open.inByAge)
+	j.byAge.Remove(open.ageElement)
 	delete(j.open, open.key)
 }
 
-// newOpenTask gives an empty one, used before where there is any.
+// newOpenTask returns an empty openTask, from the free list if there is one.
 func (j *eventJoin) newOpenTask() *openTask {
 	n := len(j.free)
 	if n == 0 {
@@ -259,7 +261,8 @@
 	return open
 }
 
-// release ends what was kept for long enough, and lets go of the tasks that no open one can come before.
+// release completes the tasks whose retry window is over and drops those that have been open for too long. It then
+// releases from the reorder buffer the tasks that no open task can precede any more.
 func (j *eventJoin) release() error {
 	for open := first(j.retries); open != nil && j.now-open.endedAt > j.retryWindow; open = first(j.retries) {
 		if err := j.complete(open); err != nil {
@@ -267,7 +270,7 @@
 		}
 	}
 	for open := first(j.byAge); open != nil && j.now-open.task.At > j.maxOpenTime; open = first(j.byAge) {
-		if err := j.forget(open); err != nil {
+		if err := j.expire(open); err != nil {
 			return err
 		}
 	}
@@ -277,17 +280,17 @@
 	return j.buffer.releaseUntil(j.now)
 }
 
-// end is the end of the trace.
+// end is called at the end of the trace: no open task can end any more, and all others are emitted.
 func (j *eventJoin) end() error {
 	for open := first(j.byAge); open != nil; open = first(j.byAge) {
-		if err := j.forget(open); err != nil {
+		if err := j.expire(open); err != nil {
 			return err
 		}
 	}
 	return j.buffer.releaseAll()
 }
 
-// first gives the first task of a list; nil where it is empty.
+// first returns the first task of a list, or nil if the list is empty.
 func first(tasks *list.List) *openTask {
 	element := tasks.Front()
 	if element == nil {
@@ -296,27 +299,27 @@
 	return element.Value.(*openTask)
 }
 
-// recentKeys remembers the last keys that were added, a bounded number.
+// recentKeys is a set of the most recently added keys, of bounded size.
 type recentKeys struct {
-	places map[taskKey]int // in ring, counted from 1
-	ring   []taskKey
-	next   int
+	positions map[taskKey]int // position in ring, from 1 on
+	ring      []taskKey
+	next      int
 }
 
 func newRecentKeys(size int) *recentKeys {
-	return &recentKeys{places: map[taskKey]int{}, ring: make([]taskKey, max(size, 1))}
+	return &recentKeys{positions: map[taskKey]int{}, ring: make([]taskKey, max(size, 1))}
 }
 
 func (r *recentKeys) add(key taskKey) {
-	place := r.next + 1
-	// A key that was removed or added again since has another place, or none.
-	if oldest := r.ring[r.next]; r.places[oldest] == place {
-		delete(r.places, oldest)
+	position := r.next + 1
+	// A key that was removed or added again in the meantime has another position or none.
+	if oldest := r.ring[r.next]; r.positions[oldest] == position {
+		delete(r.positions, oldest)
 	}
 	r.ring[r.next] = key
-	r.places[key] = place
+	r.positions[key] = position
 	r.next = (r.next + 1) % len(r.ring)
 }
 
-func (r *recentKeys) has(key taskKey) bool { return r.places[key] > 0 }
-func (r *recentKeys) remove(key taskKey)   { delete(r.places, key) }
+func (r *recentKeys) has(key taskKey) bool { return r.positions[key] > 0 }
+func (r *recentKeys) remove(key taskKey)   { delete(r.positions, key) }
--- a/trace/layouts.go
+++ b/trace/layouts.go
@@ -7,14 +7,14 @@
 	"unsafe"
 )
 
-// layout is one public form of trace. A new one takes an entry in layouts and a function of its own.
+// layout describes one public trace format. A new format needs an entry in layouts and a parse function.
 type layout struct {
 	columns int
-	header  []string // the first line, where the layout has one
-	// One of the two is set: a row is a task, or an event of one. They get as many fields as there are columns, fill in
-	// what a row says, and give the reason where it can't be used.
-	task  func(fields [][]byte, task *Task, words interner) Reason
-	event func(fields [][]byte, e *event, words interner) Reason
+	header  []string // names in the first line; nil if the layout has no header
+	// Exactly one of the two is set: a row is either a whole task or an event of a task. The function gets as many fields as
+	// there are columns. It fills in the task or event, or returns the reason why the row can't be used.
+	task  func(fields [][]byte, task *Task, strs interner) Reason
+	event func(fields [][]byte, e *event, strs interner) Reason
 }
 
 var layouts = map[string]layout{
@@ -23,7 +23,7 @@
 	"azure-2021":   {columns: 4, header: azureColumns[:], task: azure2021},
 }
 
-// Layouts lists the names of the layouts.
+// Layouts returns the names of all layouts, sorted.
 func Layouts() []string {
 	var names []string
 	for name := range layouts {
@@ -33,25 +33,26 @@
 	return names
 }
 
-// interner keeps strings that come again and again, so that each is allocated once.
+// interner holds strings that occur in many rows, so that each is allocated only once.
 type interner map[string]string
 
-// maxWords bounds an interner; when it is full, it begins anew.
-const maxWords = 1 << 15
+// maxInterned limits the number of strings in an interner, which is cleared when it is full.
+const maxInterned = 1 << 15
 
-func (w interner) intern(field []byte) string {
-	if s, ok := w[string(field)]; ok {
+func (in interner) intern(field []byte) string {
+	if s, ok := in[string(field)]; ok {
 		return s
 	}
-	if len(w) >= maxWords {
-		clear(w)
+	if len(in) >= maxInterned {
+		clear(in)
 	}
 	s := string(field)
-	w[s] = s
+	in[s] = s
 	return s
 }
 
-// stringOf gives a field as a string without a copy, for calls that don't keep it: numbers are parsed for each row.
+// stringOf returns a field as a string without copying it, because numbers are parsed in every row. The string must not be
+// kept: the field is overwritten by the next row.
 func stringOf(field []byte) string { return unsafe.String(unsafe.SliceData(field), len(field)) }
 
 func parseInt(field []byte) (int64, bool) {
@@ -59,7 +60,7 @@
 	return n, err == nil && field[0] != '+'
 }
 
-// maxNumber bounds numbers: no trace holds one past it.
+// maxNumber limits the absolute value of a number; no trace contains a larger one.
 const maxNumber = 1e12
 
 func parseFloat(field []byte) (float64, bool) {
--- a/trace/mapping.go
+++ b/trace/mapping.go
@@ -7,58 +7,58 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// Reasons why a task has no place in a mapping, beside those of missing fields.
+// Reasons why a mapping makes no request of a task, besides missing fields.
 const (
 	NoClass  Reason = "no_category"
 	NoTenant Reason = "no_customer"
 )
 
-// Request is what a task becomes.
+// Request is the request that a task becomes in the replay.
 type Request struct {
-	At             Seconds // of the replay
-	Class          int     // place in Mapping.Classes
-	Tenant         int     // place in Mapping.Tenants
-	Work           Seconds // on a core of speed 1
-	RelayHash      uint64  // a hash: the same for what should go through the same relay
-	FailedAttempts int     // attempts of it that fail before one may succeed
-	MachineHash    uint64  // a hash of the machine whose endpoint becomes faulty as the request arrives,
-	FaultDuration  Seconds // for so long; 0 where none does,
-	FailureRate    float64 // with so large a share of its requests
+	At             Seconds // arrival on the clock of the replay
+	Class          int     // index in Mapping.Classes
+	Tenant         int     // index in Mapping.Tenants
+	Work           Seconds // duration on a core of speed 1
+	RelayHash      uint64  // requests with the same hash go through the same relay
+	FailedAttempts int     // attempts that fail before one may succeed
+	MachineHash    uint64  // of the machine whose endpoint becomes faulty when the request arrives
+	FaultDuration  Seconds // how long the endpoint is faulty; 0: no fault
+	FailureRate    float64 // share of requests that fail during the fault
 }
 
-// Failures says what the failures of a trace become.
+// Failures says what the failures in a trace become in the replay.
 type Failures int
 
 const (
-	// FailuresIgnored leaves them out.
+	// FailuresIgnored ignores failures.
 	FailuresIgnored Failures = iota
-	// FailuresAsAttempts makes each run that failed or was evicted an attempt that fails.
+	// FailuresAsAttempts turns each run that failed or was evicted into an attempt that fails.
 	FailuresAsAttempts
-	// FailuresAsFaults makes a task with such a run begin a fault of the endpoint that stands for its machine.
+	// FailuresAsFaults starts a fault of the endpoint that represents the machine of a task with such a run.
 	FailuresAsFaults
 )
 
-// Mapping says which tasks become which requests. Nothing is guessed: a task that no rule places is reported. Nobody changes
-// a Mapping once it was read.
+// Mapping says which tasks become which requests. Nothing is guessed: a task that no rule matches is reported. A Mapping is
+// immutable.
 type Mapping struct {
 	Classes     []string
 	Tenants     []string
-	Window      Seconds // for Options.Window
-	Scale       float64 // seconds of the trace to one of the replay
-	SampleShare float64 // of the tasks that is played
+	Window      Seconds // value for Options.Window
+	Scale       float64 // seconds of the trace per second of the replay
+	SampleShare float64 // share of the tasks that is replayed
 
-	classRules  []rule // by place in Classes
-	tenantRules []rule // by place in Tenants
-	workScale   float64
-	minWork     Seconds
-	maxWork     Seconds
-	relayField  field // whose value chooses the relay
-	failures    Failures
-	faultTime   Seconds // of FailuresAsFaults
-	faultShare  float64 // of FailuresAsFaults
+	classRules    []rule  // one for each of Classes
+	tenantRules   []rule  // one for each of Tenants
+	workScale     float64 // seconds of work per second of a task's duration
+	minWork       Seconds
+	maxWork       Seconds
+	relayField    field // its value determines the relay
+	failures      Failures
+	faultDuration Seconds // for FailuresAsFaults
+	failureRate   float64 // for FailuresAsFaults: share of requests that fail during the fault
 }
 
-// RequestFor gives the request that a task becomes, or the reason why it becomes none.
+// RequestFor returns the request that a task becomes, or the reason why it becomes none.
 func (m *Mapping) RequestFor(task *Task) (Request, Reason) {
 	var request Request
 	var reason Reason
@@ -68,18 +68,18 @@
 	if request.Tenant, reason = firstMatch(m.tenantRules, task, NoTenant); reason != Accepted {
 		return request, reason
 	}
-	relay, ok := task.word(m.relayField)
+	relay, ok := task.stringValue(m.relayField)
 	if !ok {
 		return request, missing(m.relayField.String())
 	}
 	request.RelayHash = xxhash.Sum64String(relay)
 	request.At = task.At / m.Scale
 	request.Work = math.Min(math.Max(task.Duration*m.workScale, m.minWork), m.maxWork)
-	return request, m.placeFailures(&request, task)
+	return request, m.mapFailures(&request, task)
 }
 
-// placeFailures fills in what becomes of a task's failures.
-func (m *Mapping) placeFailures(request *Request, task *Task) Reason {
+// mapFailures sets the fields of a request that follow from the failures of its task.
+func (m *Mapping) mapFailures(request *Request, task *Task) Reason {
 	failed := task.FailedRuns
 	if task.Outcome == Failed || task.Outcome == Evicted {
 		failed++
@@ -92,15 +92,15 @@
 			return missing(fieldMachine.String())
 		}
 		request.MachineHash = xxhash.Sum64String(task.Machine)
-		request.FaultDuration, request.FailureRate = m.faultTime, m.faultShare
+		request.FaultDuration, request.FailureRate = m.faultDuration, m.failureRate
 	}
 	return Accepted
 }
 
-// Sampled says whether a task is among those that are played. It depends on the seed and the task, not on earlier tasks.
+// Sampled reports whether a task is replayed. The answer depends only on the seed and the task, not on earlier tasks.
 func (m *Mapping) Sampled(task *Task, seed int64) bool {
 	if m.SampleShare >= 1 {
 		return true
 	}
-	return hashShare(fmt.Sprintf("%d %s %d %g", seed, task.Job, task.Line, task.At)) < m.SampleShare
+	return hashFraction(fmt.Sprintf("%d %s %d %g", seed, task.Job, task.Line, task.At)) < m.SampleShare
 }
--- a/trace/mappingxml.go
+++ b/trace/mappingxml.go
@@ -7,8 +7,8 @@
 	"lichenroad/internal/xmlconfig"
 )
 
-// mappingSchema says which attributes and children each element of a mapping may have. deploy/mapping.xsd says the same; a
-// test holds the two together.
+// mappingSchema defines which attributes and children each element of a mapping may have. deploy/mapping.xsd defines the
+// same; a test checks both with the same cases.
 var mappingSchema = map[string]xmlconfig.ElementSchema{
 	"mapping": {Required: []string{"version"}, Optional: []string{"scale", "thin", "window"},
 		Children: []string{"category", "customer", "work", "relay", "failures"}},
@@ -21,17 +21,20 @@
 	"failures": {Required: []string{"as"}, Optional: []string{"for", "part"}},
 }
 
+// Limits of numbers in a mapping.
 const (
-	minScale  = 1e-6
-	maxScale  = 1e6
-	maxBound  = 1e12 // of a range
-	hashBegin = 0
-	hashEnd   = 1
+	minScale = 1e-6
+	maxScale = 1e6
+	maxBound = 1e12 // of the ends of a range, absolute
+	minHash  = 0
+	maxHash  = 1
 )
 
-var relayWords = map[string]field{"machine": fieldMachine, "user": fieldUser, "job": fieldJob}
+// relayFields holds the fields that may determine the relay, by their names in a mapping.
+var relayFields = map[string]field{"machine": fieldMachine, "user": fieldUser, "job": fieldJob}
 
-var failureWords = map[string]Failures{"none": FailuresIgnored, "legs": FailuresAsAttempts, "hours": FailuresAsFaults}
+// failureModes holds the values of the attribute as of <failures>.
+var failureModes = map[string]Failures{"none": FailuresIgnored, "legs": FailuresAsAttempts, "hours": FailuresAsFaults}
 
 var fieldsByName = func() map[string]field {
 	byName := map[string]field{}
@@ -41,7 +44,7 @@
 	return byName
 }()
 
-// LoadMapping reads a mapping from a file. Its error is an *xmlconfig.Error where the file could be read but is no mapping.
+// LoadMapping reads a mapping from a file. If the file was read but is not a valid mapping, the error is an *xmlconfig.Error.
 func LoadMapping(path string) (*Mapping, error) {
 	raw, err := xmlconfig.ReadFile(path)
 	if err != nil {
@@ -50,7 +53,7 @@
 	return ParseMapping(path, raw)
 }
 
-// ParseMapping reads a mapping. Its error is an *xmlconfig.Error with all faults, under the name of the file.
+// ParseMapping parses a mapping. The error is an *xmlconfig.Error that names the file and lists all faults.
 func ParseMapping(file string, raw []byte) (*Mapping, error) {
 	r := mappingReader{Reader: xmlconfig.Reader{Root: "mapping", Schema: mappingSchema}}
 	if root := r.Parse(raw); root != nil {
@@ -62,7 +65,7 @@
 	return &r.mapping, nil
 }
 
-// mappingReader fills a mapping and gathers the faults.
+// mappingReader fills in a mapping and collects the faults.
 type mappingReader struct {
 	xmlconfig.Reader
 	mapping Mapping
@@ -82,18 +85,18 @@
 		r.readWork(node)
 	}
 	if node := r.onlyChild(root, "relay"); node != nil {
-		m.relayField = xmlconfig.Enum(&r.Reader, node, "by", fieldJob, relayWords)
+		m.relayField = xmlconfig.Enum(&r.Reader, node, "by", fieldJob, relayFields)
 	}
 	if node := r.onlyChild(root, "failures"); node != nil {
 		r.readFailures(node)
 	}
 }
 
-// onlyChild gives the one child of a name; nil, and a fault, where there isn't exactly one.
+// onlyChild returns the only child of a name. If there isn't exactly one, it adds a fault and returns nil.
 func (r *mappingReader) onlyChild(root *xmlconfig.Node, name string) *xmlconfig.Node {
 	children := root.ChildrenNamed(name)
 	if len(children) != 1 {
-		r.AddFault(root, "one <%s> is needed, %d are there", name, len(children))
+		r.AddFault(root, "exactly one <%s> is required, got %d", name, len(children))
 		return nil
 	}
 	return children[0]
@@ -110,16 +113,16 @@
 
 func (r *mappingReader) readFailures(node *xmlconfig.Node) {
 	m := &r.mapping
-	m.failures = xmlconfig.Enum(&r.Reader, node, "as", FailuresIgnored, failureWords)
-	m.faultTime, m.faultShare = r.Seconds(node, "for", 0), r.Number(node, "part", 0, 0, 1)
+	m.failures = xmlconfig.Enum(&r.Reader, node, "as", FailuresIgnored, failureModes)
+	m.faultDuration, m.failureRate = r.Seconds(node, "for", 0), r.Number(node, "part", 0, 0, 1)
 	_, hasTime := node.Attrs["for"]
 	_, hasShare := node.Attrs["part"]
 	if asFaults := m.failures == FailuresAsFaults; asFaults != hasTime || asFaults != hasShare {
-		r.AddFault(node, "for and part: needed where failures are hours, and only there")
+		r.AddFault(node, `for and part: required if as is "hours", not allowed otherwise`)
 	}
 }
 
-// readRules reads the names and rules of the elements of one name.
+// readRules reads all children of a name: the values of their name attributes and their rules, in the same order.
 func (r *mappingReader) readRules(root *xmlconfig.Node, element string) ([]string, []rule) {
 	var names []string
 	var rules []rule
@@ -145,7 +148,7 @@
 	return r.readWhen(node)
 }
 
-// readBounds reads a range whose ends may be left out.
+// readBounds reads a range. An end that is left out is infinite.
 func (r *mappingReader) readBounds(node *xmlconfig.Node) (from, to float64) {
 	from = r.Number(node, "from", math.Inf(-1), -maxBound, maxBound)
 	to = r.Number(node, "to", math.Inf(1), -maxBound, maxBound)
@@ -154,40 +157,40 @@
 
 func (r *mappingReader) checkBounds(node *xmlconfig.Node, from, to float64) {
 	if from > to {
-		r.AddFault(node, "from: above to")
+		r.AddFault(node, "from: greater than to")
 	}
 }
 
 func (r *mappingReader) readHash(node *xmlconfig.Node) condition {
-	of := xmlconfig.Enum(&r.Reader, node, "of", fieldJob, fieldsByName)
+	hashed := xmlconfig.Enum(&r.Reader, node, "of", fieldJob, fieldsByName)
 	from, to := r.readBounds(node)
-	if from < hashBegin || to > hashEnd {
-		r.AddFault(node, "from and to: a hash lies from 0 to 1")
+	if from < minHash || to > maxHash {
+		r.AddFault(node, "from and to: must lie between 0 and 1")
 	}
 	r.checkBounds(node, from, to)
-	return hashCondition{of, from, to}
+	return hashCondition{hashed, from, to}
 }
 
-// readWhen reads a condition on words or on a range of numbers.
+// readWhen reads a condition on a field: either a list of values or a range of numbers.
 func (r *mappingReader) readWhen(node *xmlconfig.Node) condition {
-	of := xmlconfig.Enum(&r.Reader, node, "field", fieldJob, fieldsByName)
+	tested := xmlconfig.Enum(&r.Reader, node, "field", fieldJob, fieldsByName)
 	from, to := r.readBounds(node)
-	is, hasWords := node.Attrs["is"]
-	words := strings.Fields(is)
+	list, hasValues := node.Attrs["is"]
+	values := strings.Fields(list)
 	_, hasFrom := node.Attrs["from"]
 	_, hasTo := node.Attrs["to"]
 	hasRange := hasFrom || hasTo
 	switch {
-	case hasWords == hasRange:
-		r.AddFault(node, "either is, or from and to")
-	case hasWords && len(words) == 0:
-		r.AddFault(node, "is: no words")
-	case hasRange && !of.isNumber():
-		r.AddFault(node, "%s is a word: it needs is", of)
+	case hasValues == hasRange:
+		r.AddFault(node, "either is or a range (from, to) is required, not both")
+	case hasValues && len(values) == 0:
+		r.AddFault(node, "is: no values")
+	case hasRange && !tested.isNumeric():
+		r.AddFault(node, "%s is not a number: it requires is, not from and to", tested)
 	}
 	r.checkBounds(node, from, to)
-	if hasWords {
-		return wordCondition{of, words}
+	if hasValues {
+		return oneOfCondition{tested, values}
 	}
-	return rangeCondition{of, from, to}
+	return rangeCondition{tested, from, to}
 }
--- a/trace/read.go
+++ b/trace/read.go
@@ -8,49 +8,49 @@
 	"strings"
 )
 
-// Options say how a trace is read.
+// Options are the parameters of Read.
 type Options struct {
 	Layout      string  // one of Layouts
-	Window      Seconds // within which rows of a layout of tasks are put back in order
-	MaxOpenTime Seconds // that a task of a layout of events may stay without an end
-	RetryWindow Seconds // in which one that failed or was evicted may come again
-	MaxTasks    int     // that are held at a time
+	Window      Seconds // layouts of tasks: how far rows may be out of order and still be sorted
+	MaxOpenTime Seconds // layouts of events: how long after its submission a task is kept without an end
+	RetryWindow Seconds // layouts of events: how long after a run that failed or was evicted its task may be submitted again
+	MaxTasks    int     // tasks held in memory: open ones, and ones waiting to be emitted
 }
 
-// DefaultOptions are the options for a layout where nothing else is said.
+// DefaultOptions returns the options that apply unless the caller changes them.
 func DefaultOptions(layout string) Options {
 	return Options{Layout: layout, Window: 60, MaxOpenTime: 86400, RetryWindow: 300, MaxTasks: 50000}
 }
 
-var errOptions = errors.New("window, patience and bounds must be positive")
+var errOptions = errors.New("window and retry window must not be negative, open time and number of tasks must be positive")
 
 func (o Options) valid() bool {
 	return o.Window >= 0 && o.MaxOpenTime > 0 && o.RetryWindow >= 0 && o.MaxTasks >= 1
 }
 
-// Read reads streams one behind another as one trace, and hands on its tasks by their arrival. A task is good until emit
-// returns.
+// Read reads the streams one after another as one trace and emits its tasks in the order of their arrivals. A task is valid
+// until emit returns.
 //
-// Errors are a wrong layout or option, a stream that begins as gzip and isn't, another header than the layout's, and what emit
-// returns. What is wrong with rows is in the audit, as is a stream that breaks: its last row is Truncated. The audit is
-// returned beside an error too.
+// Read fails if the layout is unknown, if an option is invalid, if a stream has an invalid gzip header or the header line of
+// another layout, or if emit fails. Invalid rows are counted in the audit. So is a read error within a stream: the row at
+// which it occurs is Truncated. The audit is also returned together with an error.
 func Read(o Options, emit func(*Task) error, streams ...io.Reader) (*Audit, error) {
 	audit := newAudit()
 	layout, ok := layouts[o.Layout]
 	if !ok {
-		return audit, fmt.Errorf("layout %q is none of %s", o.Layout, strings.Join(Layouts(), ", "))
+		return audit, fmt.Errorf("unknown layout %q: must be one of %s", o.Layout, strings.Join(Layouts(), ", "))
 	}
 	if !o.valid() {
 		return audit, errOptions
 	}
 	buffer := &reorderBuffer{audit: audit, maxTasks: o.MaxTasks, emit: emit}
 	r := &reader{window: o.Window, layout: layout, audit: audit, buffer: buffer, join: newEventJoin(audit, buffer, o),
-		words: interner{}}
+		strs: interner{}}
 	var lines int64
 	for _, stream := range streams {
 		rows, err := newRowReader(stream, lines)
 		if err != nil {
-			return audit, fmt.Errorf("line 1: %w", err)
+			return audit, fmt.Errorf("gzip header: %w", err)
 		}
 		if err := r.readStream(rows); err != nil {
 			return audit, err
@@ -63,16 +63,16 @@
 	return audit, buffer.releaseAll()
 }
 
-// reader reads one trace.
+// reader holds the state of one call of Read.
 type reader struct {
-	window Seconds
-	layout layout
-	audit  *Audit
-	buffer *reorderBuffer
-	join   *eventJoin // of a layout of events
-	words  interner
-	any    bool // a task of a layout of tasks was read,
-	latest Seconds
+	window   Seconds
+	layout   layout
+	audit    *Audit
+	buffer   *reorderBuffer
+	join     *eventJoin // for layouts of events
+	strs     interner
+	hasTasks bool    // layouts of tasks: at least one task was read
+	latest   Seconds // latest arrival of these tasks; valid if hasTasks
 }
 
 // readStream reads a stream to its end.
@@ -111,8 +111,8 @@
 	return true
 }
 
-// checkNoHeader checks that a first row in place of the header is a row, whose last column is a number, and not the header
-// of another layout.
+// checkNoHeader checks a first row that is not the header of the layout. It accepts a data row, whose last column is a
+// number, and fails for the header of another layout.
 func (r *reader) checkNoHeader(fields [][]byte, line int64) error {
 	if len(fields) != r.layout.columns {
 		return nil
@@ -120,10 +120,10 @@
 	if _, ok := parseFloat(fields[len(fields)-1]); ok {
 		return nil
 	}
-	return fmt.Errorf("line %d: not the layout's header, which is %s", line, strings.Join(r.layout.header, ","))
+	return fmt.Errorf("line %d: neither a data row nor the header of the layout, which is %s", line, strings.Join(r.layout.header, ","))
 }
 
-// readRow counts a row, and reports it or hands it on.
+// readRow counts a row. It parses the row, or reports it if it is invalid.
 func (r *reader) readRow(rows *rowReader, fields [][]byte, reason Reason) error {
 	r.audit.Rows++
 	if reason == Accepted && len(fields) != r.layout.columns {
@@ -142,10 +142,10 @@
 	return r.readTask(fields, rows.line)
 }
 
-// readEvent reads a row of a layout of events.
+// readEvent parses a row that is an event.
 func (r *reader) readEvent(fields [][]byte, line int64) error {
 	var e event
-	if reason := r.layout.event(fields, &e, r.words); reason != Accepted {
+	if reason := r.layout.event(fields, &e, r.strs); reason != Accepted {
 		r.audit.report(reason, line, 1)
 		return nil
 	}
@@ -153,18 +153,18 @@
 	return r.join.add(e)
 }
 
-// readTask reads a row of a layout of tasks.
+// readTask parses a row that is a task.
 func (r *reader) readTask(fields [][]byte, line int64) error {
 	task := r.buffer.newTask()
 	task.Line, task.rows = line, 1
-	if reason := r.layout.task(fields, task, r.words); reason != Accepted {
+	if reason := r.layout.task(fields, task, r.strs); reason != Accepted {
 		r.buffer.recycle(task)
 		r.audit.report(reason, line, 1)
 		return nil
 	}
-	task.reordered = r.any && task.At < r.latest
-	if !r.any || task.At > r.latest {
-		r.any, r.latest = true, task.At
+	task.reordered = r.hasTasks && task.At < r.latest
+	if !r.hasTasks || task.At > r.latest {
+		r.hasTasks, r.latest = true, task.At
 	}
 	if err := r.buffer.add(task); err != nil {
 		return err
--- a/trace/reorder.go
+++ b/trace/reorder.go
@@ -2,22 +2,23 @@
 
 import "container/heap"
 
-// reorderBuffer holds tasks until no earlier one can come, and hands them on by arrival. A task that comes too late for that
-// is reported. The buffer is bounded: when it is full, the earliest task goes on as if the window were shorter.
+// reorderBuffer holds tasks until no earlier one is expected, and emits them in the order of their arrivals. A task that is
+// added after a later one was emitted is reported. The buffer is bounded: when it is full, it emits the earliest task, as if
+// the window were shorter.
 //
-// Tasks that were handed on are used again, so a task is good only until emit returns.
+// Emitted tasks are reused, so a task is valid only until emit returns.
 type reorderBuffer struct {
-	audit      *Audit
-	emit       func(*Task) error
-	maxTasks   int
-	heap       taskHeap
-	handedOn   bool    // a task was handed on,
-	lastHanded Seconds // and that was its arrival: nothing earlier can be handed on any more
-	sequence   int64   // of the last task that was added
-	free       []*Task
+	audit       *Audit
+	emit        func(*Task) error
+	maxTasks    int
+	heap        taskHeap
+	anyEmitted  bool    // at least one task was emitted
+	lastEmitted Seconds // arrival of the last one; no earlier task can be emitted any more. Valid if anyEmitted
+	sequence    int64   // of the last task that was added
+	free        []*Task // for reuse
 }
 
-// newTask gives an empty task to fill in.
+// newTask returns an empty task, from the free list if there is one.
 func (b *reorderBuffer) newTask() *Task {
 	n := len(b.free)
 	if n == 0 {
@@ -29,88 +30,88 @@
 	return task
 }
 
-// recycle takes back a task that nobody uses any more.
+// recycle puts a task that is no longer used on the free list.
 func (b *reorderBuffer) recycle(task *Task) { b.free = append(b.free, task) }
 
-// add takes a task.
+// add adds a task and takes ownership of it.
 func (b *reorderBuffer) add(task *Task) error {
-	if b.handedOn && task.At < b.lastHanded {
+	if b.anyEmitted && task.At < b.lastEmitted {
 		b.audit.report(OutOfOrder, task.Line, task.rows)
 		b.recycle(task)
 		return nil
 	}
 	b.sequence++
-	b.heap.add(heldTask{task.At, b.sequence, task})
+	b.heap.add(heapItem{task.At, b.sequence, task})
 	if len(b.heap) > b.maxTasks {
-		return b.handOn()
+		return b.emitEarliest()
 	}
 	return nil
 }
 
-// releaseUntil hands on the tasks that arrived up to a time.
+// releaseUntil emits the tasks that arrived at or before a time.
 func (b *reorderBuffer) releaseUntil(at Seconds) error {
 	for len(b.heap) > 0 && b.heap[0].at <= at {
-		if err := b.handOn(); err != nil {
+		if err := b.emitEarliest(); err != nil {
 			return err
 		}
 	}
 	return nil
 }
 
-// releaseAll hands on what is left.
+// releaseAll emits the remaining tasks.
 func (b *reorderBuffer) releaseAll() error {
 	for len(b.heap) > 0 {
-		if err := b.handOn(); err != nil {
+		if err := b.emitEarliest(); err != nil {
 			return err
 		}
 	}
 	return nil
 }
 
-// handOn hands on the earliest task.
-func (b *reorderBuffer) handOn() error {
+// emitEarliest emits the earliest task.
+func (b *reorderBuffer) emitEarliest() error {
 	task := b.heap.removeFirst().task
-	b.handedOn, b.lastHanded = true, task.At
+	b.anyEmitted, b.lastEmitted = true, task.At
 	b.audit.countTask(task)
 	err := b.emit(task)
 	b.recycle(task)
 	return err
 }
 
-// heldTask is a task beside what it is sorted by: following the pointer at each comparison took a third of all reading.
-type heldTask struct {
+// heapItem is a task with a copy of its sort keys: following the pointer in each comparison took a third of the time of Read.
+type heapItem struct {
 	at       Seconds
-	sequence int64 // by which tasks of the same arrival keep their order
+	sequence int64 // keeps tasks with the same arrival in the order in which they were added
 	task     *Task
 }
 
-// taskHeap is a heap with the earliest task first. It is filled by add and removeFirst, as heap.Push and heap.Pop would
-// allocate for each task; they are there for heap.Interface alone.
-type taskHeap []heldTask
+// taskHeap is a heap with the earliest task first. Use add and removeFirst: heap.Push and heap.Pop would allocate memory for
+// each task, and the methods Push and Pop exist only to implement heap.Interface.
+type taskHeap []heapItem
 
-// Len is of heap.Interface.
+// Len implements heap.Interface.
 func (h taskHeap) Len() int { return len(h) }
 
-// Less is of heap.Interface.
+// Less implements heap.Interface.
 func (h taskHeap) Less(i, j int) bool {
 	return h[i].at < h[j].at || h[i].at == h[j].at && h[i].sequence < h[j].sequence
 }
 
-// Swap is of heap.Interface.
+// Swap implements heap.Interface.
 func (h taskHeap) Swap(i, j int) { h[i], h[j] = h[j], h[i] }
 
-// Push is of heap.Interface.
-func (h *taskHeap) Push(x any) { *h = append(*h, x.(heldTask)) }
+// Push implements heap.Interface.
+func (h *taskHeap) Push(x any) { *h = append(*h, x.(heapItem)) }
 
-// Pop is of heap.Interface.
+// Pop implements heap.Interface.
 func (h *taskHeap) Pop() any { return h.removeLast() }
 
-func (h *taskHeap) add(held heldTask) {
-	*h = append(*h, held)
+func (h *taskHeap) add(item heapItem) {
+	*h = append(*h, item)
 	heap.Fix(h, len(*h)-1)
 }
 
-func (h *taskHeap) removeFirst() heldTask {
+func (h *taskHeap) removeFirst() heapItem {
 	h.Swap(0, len(*h)-1)
 	first := h.removeLast()
 	if len(*h) > 0 {
@@ -119,10 +120,10 @@
 	return first
 }
 
-func (h *taskHeap) removeLast() heldTask {
+func (h *taskHeap) removeLast() heapItem {
 	last := len(*h) - 1
-	held := (*h)[last]
-	(*h)[last] = heldTask{} // no longer keeps the task alive
+	item := (*h)[last]
+	(*h)[last] = heapItem{} // drop the reference to the task
 	*h = (*h)[:last]
-	return held
+	return item
 }
--- a/trace/rows.go
+++ b/trace/rows.go
@@ -9,10 +9,10 @@
 	"unicode/utf8"
 )
 
-// Bounds of the text.
+// Limits of the input.
 const (
-	MaxLineBytes = 16 << 10 // the longest line of a public layout takes a tenth
-	maxFields    = 64       // of a line, about; the widest layout has fourteen
+	MaxLineBytes = 16 << 10 // the longest line of a public trace has a tenth of that
+	maxFields    = 64       // approximate limit for the fields of a line; the widest layout has 14
 	bufferSize   = 256 << 10
 )
 
@@ -21,21 +21,21 @@
 	byteOrderMark = []byte("\xef\xbb\xbf")
 )
 
-// rowReader cuts a stream into rows and rows into fields. It keeps none of them: fields are good until the next row.
+// rowReader splits a stream into rows and rows into fields. Fields are valid until the next row is read.
 type rowReader struct {
 	in           *bufio.Reader
-	line         int64    // of the present row
-	fields       [][]byte // of the present row
-	unquoted     []byte   // space for its fields that stand in quotes
-	unterminated bool     // its line has no end: the stream ends in it
-	begun        bool     // a line was read
-	broken       bool     // the stream can't be read any further
+	line         int64    // number of the current row's line
+	fields       [][]byte // of the current row
+	unquoted     []byte   // text of the current row's quoted fields
+	unterminated bool     // the stream ends within the current row's line
+	started      bool     // at least one line was read
+	failed       bool     // reading the stream failed
 }
 
-// newRowReader returns a reader of a stream, which may be compressed with gzip. It counts lines from linesBefore on.
+// newRowReader returns a reader for a stream, which may be compressed with gzip. Its first line has the number linesBefore + 1.
 func newRowReader(stream io.Reader, linesBefore int64) (*rowReader, error) {
 	in := bufio.NewReaderSize(stream, bufferSize)
-	// A stream that is shorter or can't be read is no gzip; the first read of a line finds out.
+	// If Peek fails, the stream is not gzip. If it can't be read at all, reading the first line fails too.
 	if head, _ := in.Peek(len(gzipMagic)); bytes.Equal(head, gzipMagic) {
 		decompressed, err := gzip.NewReader(in)
 		if err != nil {
@@ -46,22 +46,22 @@
 	return &rowReader{in: in, line: linesBefore}, nil
 }
 
-// next gives the fields of the next row, or the reason why it has none. There is no more at the end of the stream. Empty
-// lines are passed over. A stream that breaks, such as damaged gzip, ends with a row that is Truncated.
+// next returns the fields of the next row, or the reason why it can't be split into fields. It returns false at the end of
+// the stream. Empty lines are skipped. If reading fails, for example because gzip data is damaged, the last row is Truncated.
 func (r *rowReader) next() (fields [][]byte, reason Reason, more bool) {
-	for !r.broken {
+	for !r.failed {
 		text, state := r.readLine()
 		switch state {
-		case lineAbsent:
+		case noLine:
 			return nil, Accepted, false
-		case lineBroken:
-			r.broken = true
+		case lineReadError:
+			r.failed = true
 			return nil, Truncated, true
 		case lineTooLong:
 			return nil, LongLine, true
 		}
-		if !r.begun {
-			r.begun = true
+		if !r.started {
+			r.started = true
 			text = bytes.TrimPrefix(text, byteOrderMark)
 		}
 		r.unterminated = state == lineUnterminated
@@ -81,21 +81,22 @@
 	return nil, Accepted, false
 }
 
+// lineState is the result of reading a line.
 type lineState int
 
 const (
 	lineComplete     lineState = iota
-	lineUnterminated           // the stream ends in it
-	lineTooLong                // over MaxLineBytes; it was read to its end
-	lineBroken                 // the stream breaks in it
-	lineAbsent                 // the stream has ended before it
+	lineUnterminated           // the stream ends within the line
+	lineTooLong                // longer than MaxLineBytes; the whole line was skipped
+	lineReadError              // reading the stream failed within the line
+	noLine                     // end of the stream
 )
 
-// readLine reads a line, with its end. What a stream breaks with is not kept: the audit has no place for it but a count.
+// readLine reads a line, including its line end. The error of a stream is dropped, as the audit only counts rows by reason.
 func (r *rowReader) readLine() ([]byte, lineState) {
 	text, err := r.in.ReadSlice('\n')
 	if len(text) == 0 && errors.Is(err, io.EOF) {
-		return nil, lineAbsent
+		return nil, noLine
 	}
 	r.line++
 	const lineEnd = len("\r\n")
@@ -105,7 +106,7 @@
 	}
 	switch {
 	case err != nil && !errors.Is(err, io.EOF):
-		return nil, lineBroken
+		return nil, lineReadError
 	case tooLong:
 		return nil, lineTooLong
 	case err != nil:
@@ -114,7 +115,7 @@
 	return text, lineComplete
 }
 
-// split cuts a line at its commas. A field may stand in quotes; a quote in it stands twice.
+// split splits a line at its commas. A field may be quoted; a quote within a quoted field is doubled.
 func (r *rowReader) split(text []byte) ([][]byte, Reason) {
 	r.fields, r.unquoted = r.fields[:0], r.unquoted[:0]
 	if bytes.IndexByte(text, '"') < 0 {
@@ -127,7 +128,7 @@
 	return r.fields, Accepted
 }
 
-// splitPlain splits a line that has no quotes.
+// splitPlain splits a line without quotes.
 func (r *rowReader) splitPlain(text []byte) {
 	for {
 		comma := bytes.IndexByte(text, ',')
@@ -140,7 +141,7 @@
 	}
 }
 
-// splitQuoted splits a line that has quotes. It fails where one stands in a field without being round it.
+// splitQuoted splits a line with quotes. It returns false if a field that is not quoted as a whole contains a quote.
 func (r *rowReader) splitQuoted(text []byte) bool {
 	for {
 		if len(text) > 0 && text[0] == '"' {
@@ -170,8 +171,8 @@
 	}
 }
 
-// unquote takes a field in quotes off the beginning of a text. It fails where the quotes are not closed: no public layout has
-// an end of line in a field.
+// unquote removes a quoted field from the start of a text. It returns false if the closing quote is missing: a field can't
+// continue on the next line, since no public layout has a line end within a field.
 func (r *rowReader) unquote(text []byte) (field, rest []byte, ok bool) {
 	from := len(r.unquoted)
 	for i := 1; i < len(text); i++ {
--- a/trace/rules.go
+++ b/trace/rules.go
@@ -7,7 +7,7 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// field is a field of a task that a mapping may look at.
+// field is a field of a task that the conditions of a mapping may test.
 type field int
 
 const (
@@ -32,14 +32,14 @@
 	fieldDuration: "duration",
 }
 
-// String gives the name that mappings and reasons use.
+// String returns the name of the field in mappings and reasons.
 func (f field) String() string { return fieldNames[f] }
 
-// isNumber says whether the field is a number; others are words.
-func (f field) isNumber() bool { return f == fieldClass || f == fieldPriority || f == fieldDuration }
+// isNumeric reports whether the field is a number. All other fields are strings.
+func (f field) isNumeric() bool { return f == fieldClass || f == fieldPriority || f == fieldDuration }
 
-// word gives a field as a word, and whether the task has it.
-func (t *Task) word(f field) (string, bool) {
+// stringValue returns a field as a string, and whether the task has it.
+func (t *Task) stringValue(f field) (string, bool) {
 	switch f {
 	case fieldKind:
 		return t.Kind, t.Kind != ""
@@ -52,12 +52,12 @@
 	case fieldMachine:
 		return t.Machine, t.Machine != ""
 	}
-	n, ok := t.number(f)
+	n, ok := t.numericValue(f)
 	return strconv.FormatFloat(n, 'g', -1, 64), ok
 }
 
-// number gives a field as a number, and whether the task has it. Words are no numbers.
-func (t *Task) number(f field) (float64, bool) {
+// numericValue returns a numeric field, and whether the task has it. It returns false for fields that are strings.
+func (t *Task) numericValue(f field) (float64, bool) {
 	switch f {
 	case fieldClass:
 		return float64(t.Class), t.HasPriority
@@ -69,66 +69,67 @@
 	return 0, false
 }
 
-// condition is part of a rule.
+// condition is a test of one field of a task.
 type condition interface {
-	// holds says whether the condition holds for a task. Where the task lacks the field, it does not, and the reason says so.
+	// holds reports whether the condition holds for a task. If the task lacks the field, it does not hold, and the reason is
+	// that of the missing field.
 	holds(task *Task) (bool, Reason)
 }
 
-// wordCondition holds where a field is one of some words.
-type wordCondition struct {
-	field field
-	words []string
+// oneOfCondition holds if a field has one of the values.
+type oneOfCondition struct {
+	field  field
+	values []string
 }
 
-func (c wordCondition) holds(task *Task) (bool, Reason) {
-	word, ok := task.word(c.field)
+func (c oneOfCondition) holds(task *Task) (bool, Reason) {
+	value, ok := task.stringValue(c.field)
 	if !ok {
 		return false, missing(c.field.String())
 	}
-	return slices.Contains(c.words, word), Accepted
+	return slices.Contains(c.values, value), Accepted
 }
 
-// rangeCondition holds where a field is a number within bounds, both included.
+// rangeCondition holds if a numeric field is in the range, both ends included.
 type rangeCondition struct {
 	field    field
 	from, to float64
 }
 
 func (c rangeCondition) holds(task *Task) (bool, Reason) {
-	number, ok := task.number(c.field)
+	number, ok := task.numericValue(c.field)
 	if !ok {
 		return false, missing(c.field.String())
 	}
 	return number >= c.from && number <= c.to, Accepted
 }
 
-// hashCondition holds for a share of all values of a field: those whose hashes lie from one place, included, to another, as
-// hashShare gives it.
+// hashCondition selects a share of all values of a field. It holds if the hashFraction of the value is at least from and less
+// than to.
 type hashCondition struct {
 	field    field
 	from, to float64
 }
 
 func (c hashCondition) holds(task *Task) (bool, Reason) {
-	word, ok := task.word(c.field)
+	value, ok := task.stringValue(c.field)
 	if !ok {
 		return false, missing(c.field.String())
 	}
-	place := hashShare(word)
-	return place >= c.from && place < c.to, Accepted
+	fraction := hashFraction(value)
+	return fraction >= c.from && fraction < c.to, Accepted
 }
 
-// hashShare gives the place of a word's hash among all, from 0 to 1.
-func hashShare(word string) float64 {
-	const precision = 53 // bits of a float64
-	return float64(xxhash.Sum64String(word)>>(64-precision)) / (1 << precision)
+// hashFraction maps the hash of a string to a number of at least 0 and less than 1.
+func hashFraction(text string) float64 {
+	const precision = 53 // bits in the significand of a float64
+	return float64(xxhash.Sum64String(text)>>(64-precision)) / (1 << precision)
 }
 
-// rule matches a task where all of its conditions hold.
+// rule matches a task if all of its conditions hold for it. A rule without conditions matches every task.
 type rule struct{ conditions []condition }
 
-// matches says whether the rule matches a task, and gives the reason of the condition that failed where there is one.
+// matches reports whether the rule matches a task. If a condition fails because the task lacks a field, the reason says so.
 func (r rule) matches(task *Task) (bool, Reason) {
 	for _, c := range r.conditions {
 		if holds, reason := c.holds(task); !holds {
@@ -138,17 +139,17 @@
 	return true, Accepted
 }
 
-// firstMatch gives the place of the first rule that matches a task. Where none does it gives -1 and the reason: the first
-// field that the task lacked, or else noMatch.
+// firstMatch returns the index of the first rule that matches a task. If none does, it returns -1 and a reason: the first
+// field that a rule tested and the task lacks, or noMatch if the task lacks none.
 func firstMatch(rules []rule, task *Task, noMatch Reason) (int, Reason) {
 	reason := noMatch
 	for i := range rules {
-		matches, lacks := rules[i].matches(task)
+		matches, mismatch := rules[i].matches(task)
 		if matches {
 			return i, Accepted
 		}
-		if lacks != Accepted && reason == noMatch {
-			reason = lacks
+		if mismatch != Accepted && reason == noMatch {
+			reason = mismatch
 		}
 	}
 	return -1, reason
