--- a/experiment/experiment.go
+++ b/experiment/experiment.go
@@ -1,6 +1,6 @@
-// Package experiment compares runs that differ in one setting: paired by seed, with a confidence interval and a verdict
-// for each metric. It owns no state, does no I/O and draws no random numbers; its functions may be called from any
-// goroutine.
+// Package experiment compares two sets of runs that differ in one setting. Runs are paired by seed, and each metric gets a
+// confidence interval of the difference and a verdict. The package has no state, does no I/O and draws no random numbers; its
+// functions are safe for concurrent use.
 package experiment
 
 import (
@@ -14,14 +14,14 @@
 	"gonum.org/v1/gonum/stat"
 )
 
-// Run is the result of one run.
+// Run holds the results of one run.
 type Run struct {
-	Value   string             `json:"value"` // of the setting that was varied
+	Value   string             `json:"value"` // value of the setting that is varied
 	Seed    int64              `json:"seed"`
 	Metrics map[string]float64 `json:"figures"`
 }
 
-// Direction says which way a metric gets better.
+// Direction says whether a metric is better when it is higher or when it is lower.
 type Direction int
 
 // The directions.
@@ -30,7 +30,7 @@
 	LowerIsBetter  Direction = -1
 )
 
-// Directions holds the metrics that are compared, and which way each gets better.
+// Directions holds the metrics that are compared and the direction of each. Compare ignores other metrics.
 var Directions = map[string]Direction{
 	"service":          HigherIsBetter,
 	"worst_10s":        HigherIsBetter,
@@ -43,43 +43,45 @@
 	"p99_s":            LowerIsBetter,
 }
 
-// Comparison is one metric of the runs B against the runs A.
+// Comparison is the result of comparing one metric of the runs B with that of the runs A.
 type Comparison struct {
 	Metric      string  `json:"figure"`
 	Pairs       int     `json:"pairs"`
-	A           float64 `json:"a"` // mean over the pairs
-	B           float64 `json:"b"`
-	Difference  float64 `json:"diff"` // mean of B - A, by seed
-	Low         float64 `json:"low"`  // of the confidence interval of Difference
-	High        float64 `json:"high"`
+	A           float64 `json:"a"`    // mean over the pairs
+	B           float64 `json:"b"`    // mean over the pairs
+	Difference  float64 `json:"diff"` // mean over the pairs of B - A
+	Low         float64 `json:"low"`  // lower end of the confidence interval of Difference
+	High        float64 `json:"high"` // upper end
 	Verdict     Verdict `json:"verdict"`
-	HasInterval bool    `json:"informed"` // there were pairs enough for an interval
+	HasInterval bool    `json:"informed"` // there are at least two pairs, which an interval requires
 }
 
-// Options of a comparison.
+// Options are the parameters of a comparison.
 type Options struct {
-	Confidence float64 // of each metric's interval, such as 0.95
-	Margin     float64 // a difference that does not matter, as a part of A's mean; 0: none
+	Confidence float64 // of the interval of each metric, such as 0.95
+	Margin     float64 // largest difference that is treated as equal, as a fraction of the mean of A; 0: none
 }
 
-// ErrNoCommonSeed says that no seed is in both sets of runs.
-var ErrNoCommonSeed = errors.New("no seed stands in both")
+// ErrNoCommonSeed is returned if no seed occurs in both sets of runs.
+var ErrNoCommonSeed = errors.New("the two sets of runs have no seed in common")
 
-var errConfidenceRange = errors.New("from 0 to 1")
+var errConfidenceRange = errors.New("must be greater than 0 and less than 1")
 
-// DuplicateSeedError reports a seed that one set of runs has twice.
+// DuplicateSeedError is returned if two runs of one set have the same seed.
 type DuplicateSeedError struct {
 	Seed int64
 }
 
-// Error returns which seed it is.
-func (e *DuplicateSeedError) Error() string { return fmt.Sprintf("seed %d stands twice", e.Seed) }
+// Error implements error.
+func (e *DuplicateSeedError) Error() string {
+	return fmt.Sprintf("seed %d occurs twice in one set of runs", e.Seed)
+}
 
-// Compare compares the runs B with the runs A, metric by metric, by the seeds that both have. Other seeds are left out:
-// they would add the difference between seeds. Metrics that no pair has are left out too. The error is a
-// *DuplicateSeedError, ErrNoCommonSeed, or about the confidence.
+// Compare compares the runs b with the runs a and returns a comparison for each metric, sorted by name. Only seeds that occur
+// in both sets count, because unpaired runs would add the variation between seeds to the difference. Metrics that no pair has
+// are left out. Compare fails with a *DuplicateSeedError, with ErrNoCommonSeed, or if the confidence is not between 0 and 1.
 func Compare(a, b []Run, o Options) ([]Comparison, error) {
-	if !(o.Confidence > 0 && o.Confidence < 1) { // also refuses NaN
+	if !(o.Confidence > 0 && o.Confidence < 1) { // written so that NaN fails too
 		return nil, fmt.Errorf("confidence %g: %w", o.Confidence, errConfidenceRange)
 	}
 	pairs, err := pairBySeed(a, b)
@@ -95,10 +97,10 @@
 	return out, nil
 }
 
-// pair holds the runs of one seed.
+// pair holds the two runs of one seed.
 type pair struct{ a, b Run }
 
-// pairBySeed returns the pairs in the order of their seeds.
+// pairBySeed returns the pairs sorted by seed.
 func pairBySeed(a, b []Run) ([]pair, error) {
 	runsA, err := indexBySeed(a)
 	if err != nil {
@@ -131,10 +133,10 @@
 	return bySeed, nil
 }
 
-// samples are the values of one metric, pair by pair.
+// samples holds the values of one metric, with one element of each slice per pair.
 type samples struct{ a, b, differences []float64 }
 
-// samplesOf leaves out the pairs of which a run has no number for the metric.
+// samplesOf returns the samples of a metric. Pairs in which a run lacks the metric are left out.
 func samplesOf(metric string, pairs []pair) samples {
 	var s samples
 	for _, p := range pairs {
@@ -149,7 +151,7 @@
 	return s
 }
 
-// value returns a metric, if the run has a number for it.
+// value returns a metric, and false if the run lacks it or has NaN for it.
 func (r Run) value(metric string) (float64, bool) {
 	x, ok := r.Metrics[metric]
 	return x, ok && !math.IsNaN(x)
@@ -169,7 +171,7 @@
 	return c
 }
 
-// GroupByValue groups runs by their value; values has them in the order in which they first appear.
+// GroupByValue groups runs by Run.Value. The returned values are in the order of their first occurrence.
 func GroupByValue(runs []Run) (values []string, byValue map[string][]Run) {
 	byValue = map[string][]Run{}
 	for _, run := range runs {
--- a/experiment/experiment_test.go
+++ b/experiment/experiment_test.go
@@ -7,7 +7,7 @@
 	"testing"
 )
 
-// drawRuns returns runs whose metrics differ by seed far more than by what was varied.
+// drawRuns returns two sets of n runs whose metrics differ between seeds far more than between the sets.
 func drawRuns(n int, shift, noise float64, seed int64) (a, b []Run) {
 	r := rand.New(rand.NewSource(seed))
 	for s := range int64(n) {
@@ -19,7 +19,7 @@
 	return a, b
 }
 
-// compare returns the comparisons by metric.
+// compare calls Compare and returns the comparisons by metric.
 func compare(t *testing.T, a, b []Run, o Options) map[string]Comparison {
 	t.Helper()
 	list, err := Compare(a, b, o)
@@ -35,7 +35,7 @@
 
 func TestVerdicts(t *testing.T) {
 	a, shifted := drawRuns(10, 0.02, 0.005, 1)
-	c, nearly := drawRuns(10, 0, 0.001, 2)
+	c, similar := drawRuns(10, 0, 0.001, 2)
 	for _, tc := range []struct {
 		name    string
 		a, b    []Run
@@ -47,9 +47,9 @@
 		{"better", a, shifted, 0, Better, Better, 10},
 		{"worse", shifted, a, 0, Worse, Worse, 10},
 		{"identical", a, a, 0, Identical, Identical, 10},
-		{"within the margin", c, nearly, 0.01, Equivalent, Equivalent, 10},
-		{"one pair shows nothing, whatever the difference", c[:1], nearly[:1], 0, Inconclusive, Inconclusive, 1},
-		{"seeds of one side are left out", c[:6], nearly[3:], 0, Inconclusive, Inconclusive, 3},
+		{"within the margin", c, similar, 0.01, Equivalent, Equivalent, 10},
+		{"one pair has no interval", c[:1], similar[:1], 0, Inconclusive, Inconclusive, 1},
+		{"unpaired seeds are left out", c[:6], similar[3:], 0, Inconclusive, Inconclusive, 3},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
 			got := compare(t, tc.a, tc.b, Options{Confidence: 0.95, Margin: tc.margin})
@@ -78,11 +78,11 @@
 		is         func(error) bool
 		want       string
 	}{
-		{"no common seed", a[:3], b[5:], 0.95, func(err error) bool { return errors.Is(err, ErrNoCommonSeed) }, "no seed stands in both"},
-		{"a seed twice in A", twice, b, 0.95, isDuplicate, "seed 0 stands twice"},
-		{"a seed twice in B", b, twice, 0.95, isDuplicate, "seed 0 stands twice"},
-		{"certainty", a, b, 1, func(err error) bool { return errors.Is(err, errConfidenceRange) }, "confidence 1: from 0 to 1"},
-		{"no number", a, b, math.NaN(), func(err error) bool { return errors.Is(err, errConfidenceRange) }, "confidence NaN: from 0 to 1"},
+		{"no common seed", a[:3], b[5:], 0.95, func(err error) bool { return errors.Is(err, ErrNoCommonSeed) }, "the two sets of runs have no seed in common"},
+		{"a seed twice in A", twice, b, 0.95, isDuplicate, "seed 0 occurs twice in one set of runs"},
+		{"a seed twice in B", b, twice, 0.95, isDuplicate, "seed 0 occurs twice in one set of runs"},
+		{"confidence of 1", a, b, 1, func(err error) bool { return errors.Is(err, errConfidenceRange) }, "confidence 1: must be greater than 0 and less than 1"},
+		{"confidence NaN", a, b, math.NaN(), func(err error) bool { return errors.Is(err, errConfidenceRange) }, "confidence NaN: must be greater than 0 and less than 1"},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			_, err := Compare(c.a, c.b, Options{Confidence: c.confidence})
@@ -93,12 +93,12 @@
 	}
 }
 
-// TestFalseVerdicts compares runs that differ by noise alone many times: the share of verdicts is what the confidence
-// says, and a shift is found.
+// TestFalseVerdicts compares runs many times. Where they differ by noise only, the share of false verdicts must match the
+// confidence. A real difference must be found.
 func TestFalseVerdicts(t *testing.T) {
-	const times = 2000
+	const comparisons = 2000
 	falseVerdicts, found := 0.0, 0.0
-	for i := range int64(times) {
+	for i := range int64(comparisons) {
 		a, b := drawRuns(8, 0, 0.01, i)
 		if compare(t, a, b, Options{Confidence: 0.95})["service"].Verdict != Inconclusive {
 			falseVerdicts++
@@ -108,10 +108,10 @@
 			found++
 		}
 	}
-	if share := falseVerdicts / times; math.Abs(share-0.05) > 0.015 {
-		t.Errorf("%.3f false verdicts at a confidence of 0.95", share)
+	if share := falseVerdicts / comparisons; math.Abs(share-0.05) > 0.015 {
+		t.Errorf("share of false verdicts is %.3f at a confidence of 0.95", share)
 	}
-	if found/times < 0.95 {
-		t.Errorf("a shift of two deviations is found in %.3f", found/times)
+	if found/comparisons < 0.95 {
+		t.Errorf("a difference of two standard deviations was found in only %.3f of the comparisons", found/comparisons)
 	}
 }
--- a/experiment/interval.go
+++ b/experiment/interval.go
@@ -12,7 +12,8 @@
 	Mean, Low, High float64
 }
 
-// Mean returns the mean of a metric over runs; zero where no run has it. With one run the interval is the mean itself.
+// Mean returns the mean of a metric over the runs that have it, or zero if none has. With one such run, both ends of the
+// interval equal the mean.
 func Mean(runs []Run, metric string, confidence float64) Estimate {
 	var values []float64
 	for _, run := range runs {
@@ -27,12 +28,13 @@
 	return Estimate{Mean: stat.Mean(values, nil), Low: interval.low, High: interval.high}
 }
 
+// interval is a confidence interval.
 type interval struct {
 	low, high float64
-	known     bool // false: one value has no interval, and both ends are that value
+	known     bool // false: there is only one value, to which both ends are set
 }
 
-// confidenceInterval returns the interval of the mean by Student's t distribution.
+// confidenceInterval returns the confidence interval of the mean, by Student's t distribution.
 func confidenceInterval(values []float64, confidence float64) interval {
 	mean, deviation := stat.MeanStdDev(values, nil)
 	n := float64(len(values))
--- a/experiment/verdict.go
+++ b/experiment/verdict.go
@@ -1,9 +1,9 @@
 package experiment
 
-// Verdict says what a comparison shows.
+// Verdict is the conclusion of a comparison.
 type Verdict string
 
-// The verdicts. Results hold the values.
+// The verdicts. The strings are part of the JSON results.
 const (
 	Better       Verdict = "better"
 	Worse        Verdict = "worse"
@@ -12,8 +12,8 @@
 	Identical    Verdict = "the same"
 )
 
-// judge returns Equivalent where the whole interval of the difference lies within the margin, and Better or Worse where
-// it lies on one side of zero.
+// judge returns Equivalent if the whole interval of the difference lies within the margin, and otherwise Better or Worse if
+// the whole interval lies on one side of zero.
 func judge(c Comparison, direction Direction, margin float64) Verdict {
 	higher, lower := c.Low > 0, c.High < 0
 	switch {
--- a/lab/logsummary/line.go
+++ b/lab/logsummary/line.go
@@ -8,22 +8,23 @@
 	"time"
 )
 
-// maxStamp is the largest time stamp in seconds that is taken as one, about 30 years.
-const maxStamp = 1e9
+// maxTimestamp limits timestamps in seconds to about 30 years; a larger number is not a timestamp.
+const maxTimestamp = 1e9
 
+// Patterns of a field, name=value with the value quoted if necessary, and of a number in a message.
 var (
 	fieldPattern  = regexp.MustCompile(`([a-z_]+)=("(?:[^"\\]|\\.)*"|\S+)`)
 	numberPattern = regexp.MustCompile(`-?[0-9][0-9.]*`)
 )
 
-// parseLine reads one line: its time in seconds and its kind. ok is false for a line that no relay wrote.
+// parseLine parses a line and returns its time in seconds and its kind. ok is false if the line was not written by a relay.
 func (s *Summary) parseLine(text string) (at float64, kind string, ok bool) {
-	at, body, stamped := cutStamp(text)
+	at, body, hasTimestamp := cutTimestamp(text)
 	fields := parseFields(body)
 	if fields["msg"] == "" || fields["level"] == "" {
 		return 0, "", false
 	}
-	if !stamped {
+	if !hasTimestamp {
 		if at, ok = s.sinceFirstDate(fields["time"]); !ok {
 			return 0, "", false
 		}
@@ -31,29 +32,30 @@
 	return at, kindOf(fields), true
 }
 
-// cutStamp takes off the time in seconds that a recorder put before a line. Without one it gives the line as it is.
-func cutStamp(text string) (at float64, body string, stamped bool) {
-	stamp, body, _ := strings.Cut(text, " ")
-	at, err := strconv.ParseFloat(stamp, 64)
-	if err != nil || math.IsNaN(at) || math.Abs(at) >= maxStamp {
+// cutTimestamp splits off the time in seconds that a recorder may have put before a line. A line without one is returned
+// unchanged.
+func cutTimestamp(text string) (at float64, body string, found bool) {
+	timestamp, body, _ := strings.Cut(text, " ")
+	at, err := strconv.ParseFloat(timestamp, 64)
+	if err != nil || math.IsNaN(at) || math.Abs(at) >= maxTimestamp {
 		return 0, text, false
 	}
 	return at, body, true
 }
 
-// sinceFirstDate is the time of a dated line in seconds since the first such line of the fleet.
+// sinceFirstDate returns the time in seconds from the date of the first line without a timestamp, over all logs, to a date.
 func (s *Summary) sinceFirstDate(date string) (at float64, ok bool) {
 	when, err := time.Parse(time.RFC3339, date)
 	if err != nil {
 		return 0, false
 	}
-	if s.dated.IsZero() {
-		s.dated = when
+	if s.firstDate.IsZero() {
+		s.firstDate = when
 	}
-	return when.Sub(s.dated).Seconds(), true
+	return when.Sub(s.firstDate).Seconds(), true
 }
 
-// parseFields reads the fields of a line, name=value with the value quoted where need be. The first of a name counts.
+// parseFields parses the fields of a line. If a name occurs more than once, the first field counts.
 func parseFields(body string) map[string]string {
 	fields := map[string]string{}
 	for _, match := range fieldPattern.FindAllStringSubmatch(body, -1) {
@@ -70,17 +72,17 @@
 	return fields
 }
 
-// kindOf is the message up to a colon, with # for its numbers, then peer and reason where the line has them; in the
-// present words, whichever the line was written in.
+// kindOf returns the kind of a line: the message up to a colon, with # in place of numbers, and the peer and the reason if the
+// line has them. Terms of older logs are replaced by the current ones.
 func kindOf(fields map[string]string) string {
 	message, _, _ := strings.Cut(fields["msg"], ": ")
 	message = numberPattern.ReplaceAllString(message, "#")
-	kind := present(renamedMessages, message)
+	kind := currentTerm(renamedMessages, message)
 	if peer := fields["peer"]; peer != "" {
-		kind += ", peer " + present(renamedPeers, peer)
+		kind += ", peer " + currentTerm(renamedPeers, peer)
 	}
 	if reason := fields["reason"]; reason != "" {
-		kind += ", reason " + present(renamedReasons, reason)
+		kind += ", reason " + currentTerm(renamedReasons, reason)
 	}
 	return kind
 }
--- a/lab/logsummary/summary.go
+++ b/lab/logsummary/summary.go
@@ -1,8 +1,10 @@
-// Package logsummary summarizes the logs of a fleet of relays: for each kind of line, how many there were, at how many
-// relays, from when to when, and the second with the most. It shows what is harmless at one relay and adds up to a fault
-// over the fleet. A Summary holds all counts in memory and reads one log at a time; it starts no goroutine and is not safe
-// for concurrent use. Lines written before the log's words changed are counted by the present words. The package imports
-// nothing of the program.
+// Package logsummary summarizes the logs of a fleet of relays. For each kind of line it gives the number of lines and relays,
+// the times of the first and the last line, and the second with the most lines. The summary shows events that are harmless at
+// one relay but add up to a fault over the fleet. Lines of older logs that use earlier terms are counted under the current
+// terms.
+//
+// A Summary holds all counts in memory and reads one log at a time. It starts no goroutine and is not safe for concurrent
+// use. The package imports no other package of lichenroad.
 package logsummary
 
 import (
@@ -16,24 +18,24 @@
 )
 
 const (
-	maxLineBytes  = 64 << 10 // a relay's own lines are under 1 KB
-	readBytes     = 4 << 10  // of the reader's first buffer
-	maxKinds      = 512      // kinds counted apart
-	overflowKinds = "other kinds"
+	maxLineBytes  = 64 << 10      // lines that a relay writes are under 1 KB
+	readBytes     = 4 << 10       // initial size of the line buffer
+	maxKinds      = 512           // kinds that are counted separately
+	overflowKinds = "other kinds" // all kinds beyond maxKinds
 )
 
 // Row is the summary of one kind of line over the fleet.
 type Row struct {
 	Kind       string
 	Lines      int
-	Relays     int     // that logged it
-	First      float64 // seconds, of the first line
-	Last       float64 // seconds, of the last line
-	PeakSecond float64 // the second with the most lines, the earliest of several
+	Relays     int     // relays that logged it
+	First      float64 // time of the first line in seconds
+	Last       float64 // time of the last line in seconds
+	PeakSecond float64 // second with the most lines; the earliest if there are several
 	PeakLines  int     // lines in that second
 }
 
-// kindCounts is what is known of one kind of line so far.
+// kindCounts holds the counts of one kind of line.
 type kindCounts struct {
 	lines         int
 	relays        map[string]bool
@@ -41,24 +43,24 @@
 	linesBySecond map[int]int
 }
 
-// Summary adds up the logs of a fleet. New returns an empty one.
+// Summary is the summary of the logs of a fleet. Use New to create one.
 type Summary struct {
-	From     float64 // seconds: earlier lines are left out
-	To       float64 // seconds: lines from then on are left out; 0 means no end
-	Unparsed int     // lines that no relay wrote, or that are cut off
-	relays   int
-	dated    time.Time // date of the first line without a time stamp in seconds; such lines count from there
-	kinds    map[string]*kindCounts
+	From      float64 // seconds; earlier lines are left out
+	To        float64 // seconds; lines at or after this time are left out; 0: no limit
+	Unparsed  int     // lines that were not written by a relay, or that are incomplete
+	relays    int
+	firstDate time.Time // date of the first line without a timestamp in seconds; the times of such lines count from it
+	kinds     map[string]*kindCounts
 }
 
 // New returns an empty summary.
 func New() *Summary { return &Summary{kinds: map[string]*kindCounts{}} }
 
-// Relays is the number of logs read.
+// Relays returns the number of logs that were read.
 func (s *Summary) Relays() int { return s.relays }
 
-// Read adds the log of one relay. It fails where the log can't be read or has a line over 64 KiB; what came before
-// the failure is counted.
+// Read adds the log of one relay. It fails if the log can't be read or has a line longer than 64 KiB. Lines before the
+// failure are counted.
 func (s *Summary) Read(relay string, log io.Reader) error {
 	s.relays++
 	lines := bufio.NewScanner(log)
@@ -74,7 +76,7 @@
 		}
 	}
 	if err := lines.Err(); err != nil {
-		return fmt.Errorf("%s: %w", relay, err)
+		return fmt.Errorf("reading log %s: %w", relay, err)
 	}
 	return nil
 }
@@ -91,7 +93,8 @@
 	counts.linesBySecond[int(math.Floor(at))]++
 }
 
-// countsOf gives the counts of a kind, which are new where at is its first line. Kinds beyond maxKinds share one.
+// countsOf returns the counts of a kind. It creates them if this is the first line of the kind, logged at the time at. All
+// kinds beyond maxKinds share the counts of overflowKinds.
 func (s *Summary) countsOf(kind string, at float64) *kindCounts {
 	if counts := s.kinds[kind]; counts != nil {
 		return counts
@@ -107,7 +110,7 @@
 	return counts
 }
 
-// Rows gives one row for each kind, the most frequent first.
+// Rows returns one row for each kind, the most frequent kind first.
 func (s *Summary) Rows() []Row {
 	var rows []Row
 	for kind, counts := range s.kinds {
--- a/lab/logsummary/summary_test.go
+++ b/lab/logsummary/summary_test.go
@@ -6,13 +6,13 @@
 	"testing"
 )
 
-// Lines as relays log them, without time stamp.
+// Lines as relays log them, without timestamps.
 const (
 	stalledCall  = `level=warning msg="call failed" error="connection read timeout 127.0.0.1:8500" peer=discovery reason=response_timeout`
 	failedCall   = `level=warning msg="call failed" error="status 503" peer=discovery reason=error_status`
 	rolloutStage = `level=info msg="build 861 stage %d phase 0" source=policy`
 
-	// The same as they were logged before the log's words changed.
+	// The same lines with the terms of earlier versions.
 	earlierStalledCall = `level=warning msg="call failed" error="connection read timeout 127.0.0.1:8500" peer=roster reason=answer_late`
 	earlierFailedCall  = `level=warning msg="call failed" error="status 503" peer=roster reason=error_status`
 	earlierStage       = `level=info msg="build 861 stage %d phase 0" from=module`
@@ -25,12 +25,12 @@
 	}
 }
 
-// TestSumOverTheFleet counts calls that stall at three relays in one second, and the failures behind them.
-func TestSumOverTheFleet(t *testing.T) {
+// TestSummaryOfFleet summarizes the logs of three relays whose discovery calls stall in the same second and then fail.
+func TestSummaryOfFleet(t *testing.T) {
 	for name, lines := range map[string]struct{ stage, stalled, failed string }{
-		"present words": {rolloutStage, stalledCall, failedCall},
-		"earlier words": {earlierStage, earlierStalledCall, earlierFailedCall},
-		"both":          {rolloutStage, earlierStalledCall, failedCall},
+		"current terms": {rolloutStage, stalledCall, failedCall},
+		"earlier terms": {earlierStage, earlierStalledCall, earlierFailedCall},
+		"mixed":         {rolloutStage, earlierStalledCall, failedCall},
 	} {
 		t.Run(name, func(t *testing.T) {
 			s := New()
@@ -49,19 +49,19 @@
 				{Kind: "call failed, peer discovery, reason response_timeout", Lines: 3, Relays: 3, First: 26.90, Last: 26.92, PeakSecond: 26, PeakLines: 3},
 			}
 			if len(rows) != len(want) || s.Unparsed != 3 || s.Relays() != 3 {
-				t.Fatalf("%+v, %d unparsed", rows, s.Unparsed)
+				t.Fatalf("got %d rows of %d relays, %d lines unparsed: %+v", len(rows), s.Relays(), s.Unparsed, rows)
 			}
 			for i := range want {
 				if rows[i] != want[i] {
-					t.Errorf("%+v instead of %+v", rows[i], want[i])
+					t.Errorf("row %d: got %+v, want %+v", i, rows[i], want[i])
 				}
 			}
 		})
 	}
 }
 
-// TestLinesOfBeforeAndAfter has each kind of line come out the same, in whichever words it was logged.
-func TestLinesOfBeforeAndAfter(t *testing.T) {
+// TestRenamedTerms checks that a line with earlier terms and the same line with current terms are of the same kind.
+func TestRenamedTerms(t *testing.T) {
 	closed := func(peer, reason string) string {
 		return `level=info msg="connection ended" age=0.2 name=u1 peer=` + peer + ` reason=` + reason
 	}
@@ -73,9 +73,9 @@
 			"unreadable endpoint list entries, peer discovery"},
 		"reason alone": {closed("client", "bound"), closed("client", "limit_reached"),
 			"connection ended, peer client, reason limit_reached"},
-		"neither changed": {closed("platform", "replaced"), closed("platform", "replaced"),
+		"neither renamed": {closed("platform", "replaced"), closed("platform", "replaced"),
 			"connection ended, peer platform, reason replaced"},
-		"message with the text of a fault": {`level=error msg="a unit did not understand a query: no 'T' at 12" unit=u1`,
+		"message with an error text": {`level=error msg="a unit did not understand a query: no 'T' at 12" unit=u1`,
 			`level=error msg="endpoint reported a protocol error: no 'T' at 12" endpoint=u1`,
 			"endpoint reported a protocol error"},
 		"message that ends in an explanation": {
@@ -84,34 +84,34 @@
 			"plan names no watch address for a dependency"},
 		"message of one word": {`level=info msg=ending signal=terminated`, `level=info msg="shutting down" signal=terminated`,
 			"shutting down"},
-		"message that stays": {`level=info msg=serving name=n0`, `level=info msg=serving name=n0`, "serving"},
+		"message that was not renamed": {`level=info msg=serving name=n0`, `level=info msg=serving name=n0`, "serving"},
 	} {
 		t.Run(name, func(t *testing.T) {
 			s := New()
 			readLog(t, s, "n0", "1 "+c.before+"\n2 "+c.after+"\n")
 			rows := s.Rows()
 			if len(rows) != 1 || rows[0].Kind != c.want || rows[0].Lines != 2 {
-				t.Errorf("%+v instead of 2 lines %q", rows, c.want)
+				t.Errorf("got %+v, want 2 lines of kind %q", rows, c.want)
 			}
 		})
 	}
 }
 
-// TestNoPresentWordIsRenamed holds the tables to one step: a present word must not be taken for an earlier one.
-func TestNoPresentWordIsRenamed(t *testing.T) {
+// TestNoCurrentTermIsRenamed checks that no current term is also an earlier term: it would be replaced again.
+func TestNoCurrentTermIsRenamed(t *testing.T) {
 	for name, renamed := range map[string]map[string]string{
 		"messages": renamedMessages, "peers": renamedPeers, "reasons": renamedReasons,
 	} {
-		for before, now := range renamed {
-			if again, is := renamed[now]; is {
-				t.Errorf("%s: %q becomes %q, which becomes %q", name, before, now, again)
+		for earlier, current := range renamed {
+			if next, found := renamed[current]; found {
+				t.Errorf("%s: %q is replaced by %q, which is replaced by %q", name, earlier, current, next)
 			}
 		}
 	}
 }
 
-// TestDatesAndBounds reads logs that no recorder stamped, within a span of time, and keeps to its limits.
-func TestDatesAndBounds(t *testing.T) {
+// TestDatesAndLimits reads lines that have only a date, and checks the limits of time, line length and number of kinds.
+func TestDatesAndLimits(t *testing.T) {
 	s := New()
 	s.From, s.To = 1, 3
 	var log strings.Builder
@@ -121,17 +121,17 @@
 	log.WriteString("time=yesterday " + stalledCall + "\n1e300 " + stalledCall + "\nNaN " + stalledCall + "\n")
 	readLog(t, s, "n0", log.String())
 	if rows := s.Rows(); len(rows) != 1 || rows[0].Lines != 2 || rows[0].First != 1 || rows[0].Last != 2 || s.Unparsed != 3 {
-		t.Errorf("%+v, %d unparsed", rows, s.Unparsed)
+		t.Errorf("got %+v, %d lines unparsed", rows, s.Unparsed)
 	}
 	if err := s.Read("n1", strings.NewReader(strings.Repeat("x", maxLineBytes+1))); err == nil || !strings.Contains(err.Error(), "n1") {
-		t.Errorf("a line without end: %v", err)
+		t.Errorf("a line that is too long: %v", err)
 	}
 	s = New()
 	for i := range 2 * maxKinds {
 		readLog(t, s, "n0", "1 level=info msg=\""+strings.Repeat("y", i+1)+"\"\n")
 	}
 	if rows := s.Rows(); len(rows) != maxKinds+1 || rows[0].Kind != overflowKinds || rows[0].Lines != maxKinds {
-		t.Errorf("%d kinds, first %+v", len(rows), rows[0])
+		t.Errorf("got %d kinds, first %+v", len(rows), rows[0])
 	}
 }
 
@@ -142,7 +142,7 @@
 	f.Add(`msg="\`)
 	f.Fuzz(func(t *testing.T, text string) {
 		if at, kind, ok := New().parseLine(text); ok && (kind == "" && !strings.Contains(text, "msg") || at != at) {
-			t.Errorf("%v %q", at, kind)
+			t.Errorf("time %v, kind %q", at, kind)
 		}
 	})
 }
--- a/lab/logsummary/words.go
+++ b/lab/logsummary/words.go
@@ -1,10 +1,10 @@
 package logsummary
 
-// The words of logs written before the log took the field's terms, with the present ones. No earlier word has another
-// meaning today, so a line is understood without its date. CHANGELOG.md has the whole table, with the names of counters
-// and fields, which are no part of a kind.
+// Current terms by the terms that earlier versions logged, so that logs of all versions can be summarized together. No earlier
+// term has another meaning today, so a line can be interpreted without knowing its date. CHANGELOG.md has the complete table,
+// including counters and fields, which are not part of a kind.
 var (
-	// renamedMessages has messages up to their first colon.
+	// renamedMessages holds messages up to their first colon.
 	renamedMessages = map[string]string{
 		"a unit did not understand a query":          "endpoint reported a protocol error",
 		"entries that can't be read":                 "unreadable endpoint list entries",
@@ -42,10 +42,10 @@
 	}
 )
 
-// present gives the present word for one of a log, which is the word itself where it did not change.
-func present(renamed map[string]string, word string) string {
-	if now, ok := renamed[word]; ok {
-		return now
+// currentTerm returns the current term for a term of a log, which is the term itself if it was not renamed.
+func currentTerm(renamed map[string]string, term string) string {
+	if current, ok := renamed[term]; ok {
+		return current
 	}
-	return word
+	return term
 }
--- a/lab/relayconfig/relayconfig.go
+++ b/lab/relayconfig/relayconfig.go
@@ -1,6 +1,6 @@
-// Package relayconfig writes the configuration files of relays that the laboratory runs as processes. Its types are the
-// part of the configuration format that the laboratory uses; package internal/config reads the files. It owns no state,
-// starts no goroutine and imports nothing of the program.
+// Package relayconfig writes the configuration files of relays that the laboratory runs as processes. Its types cover the part
+// of the configuration format that the laboratory uses; package internal/config reads the files. The package has no state,
+// starts no goroutine and imports no other package of lichenroad.
 package relayconfig
 
 import (
@@ -15,7 +15,7 @@
 // File is the configuration of one relay. The fields of all types are in the order of their keys in the file.
 type File struct {
 	Discovery        string          `json:"discovery"` // HOST:PORT
-	InitialEndpoints json.RawMessage `json:"known"`     // endpoint list at start, in discovery's form
+	InitialEndpoints json.RawMessage `json:"known"`     // endpoint list at start, in the format of discovery
 	Limits           *Limits         `json:"limits,omitempty"`
 	Listen           string          `json:"listen"` // HOST:PORT
 	Name             string          `json:"name"`
@@ -24,18 +24,18 @@
 	Settings         Settings        `json:"settings"`
 }
 
-// Limits are the resources of a relay's process.
+// Limits are the resource limits of a relay process.
 type Limits struct {
 	MemoryMB int `json:"memory_mb"`
 	Sockets  int `json:"sockets"`
 }
 
-// Platform says where a relay votes.
+// Platform says where a relay sends its votes.
 type Platform struct {
 	Address string `json:"address"` // HOST:PORT
 }
 
-// Settings are what a relay's decisions depend on. Durations are written in nanoseconds.
+// Settings are the parameters of a relay's decisions. Durations are written in nanoseconds.
 type Settings struct {
 	Zones          []string       `json:"areas"`
 	Zone           int            `json:"az"` // index in Zones
@@ -43,7 +43,7 @@
 	Rollout        Rollout        `json:"family_info"`
 	RequestClasses []RequestClass `json:"grades"`
 	MachineTypes   []string       `json:"kinds"`
-	Number         int            `json:"my_number"` // of this relay, from 0 on
+	Number         int            `json:"my_number"` // of this relay, starting at 0
 	Limits         PolicyLimits   `json:"policy_limits"`
 	Relays         int            `json:"replicas_of_me"`
 	LoadReport     LoadReport     `json:"report"`
@@ -51,22 +51,22 @@
 	Tenants        []Tenant       `json:"tenants"`
 }
 
-// Rollout are the settings of canary releases.
+// Rollout holds the settings of canary releases.
 type Rollout struct {
 	VoteLifetime      time.Duration `json:"ballot_ttl"`
 	CallTimeout       time.Duration `json:"call_timeout"`
 	DecidedBy         string        `json:"decided_by"`
 	ExposureLimits    []float64     `json:"exposure_caps"` // by step
 	MinStepDuration   time.Duration `json:"min_dwell"`
-	ExposureWindow    time.Duration `json:"span"` // in which exposure is counted
+	ExposureWindow    time.Duration `json:"span"` // over which exposure is counted
 	VotesToRollBack   int           `json:"to_abort"`
 	VotesToPromote    int           `json:"to_advance"`
-	UncountedAttempts float64       `json:"uncounted"` // in a window
+	UncountedAttempts float64       `json:"uncounted"` // per ExposureWindow, not counted against the exposure limit
 	VotesPerSecond    float64       `json:"votes_per_s"`
-	FleetShares       []float64     `json:"waves"` // of the new build, by step
+	FleetShares       []float64     `json:"waves"` // share of the fleet that runs the new build, by step
 }
 
-// RequestClass are the terms of one class of requests.
+// RequestClass holds the settings of one class of requests.
 type RequestClass struct {
 	Deadline         time.Duration `json:"deadline"`
 	DedupScope       string        `json:"group,omitempty"`
@@ -77,7 +77,7 @@
 	PriorityWeight   float64       `json:"worth"`
 }
 
-// PolicyLimits bound what a relay may do for a request.
+// PolicyLimits restrict what a relay may do for a request.
 type PolicyLimits struct {
 	Cancel            bool          `json:"cancel"`
 	IdleTimeout       time.Duration `json:"conn_idle"`
@@ -92,21 +92,21 @@
 	Via string `json:"via"`
 }
 
-// Rules are further intervals and margins.
+// Rules holds further intervals and margins.
 type Rules struct {
 	ResponseMargin time.Duration `json:"answer_slack,omitempty"`
 	PollInterval   time.Duration `json:"ask_every"`
 	DrainGrace     time.Duration `json:"drain_grace"`
 }
 
-// Tenant is one tenant's part of the capacity.
+// Tenant is a tenant and its part of the capacity.
 type Tenant struct {
 	Name           string  `json:"name"`
 	QuotaPerSecond float64 `json:"quota_per_s"`
 	Share          float64 `json:"share"`
 }
 
-// Write writes the configuration to a file, indented.
+// Write writes the configuration to a file as indented JSON.
 func (f File) Write(path string) error {
 	text, err := json.MarshalIndent(f, "", " ")
 	if err != nil {
--- a/lab/relayconfig/relayconfig_test.go
+++ b/lab/relayconfig/relayconfig_test.go
@@ -10,7 +10,7 @@
 	"lichenroad/lab/relayconfig"
 )
 
-// TestWriteIsReadByTheRelay holds a written file to the relay's own reader, with and without the optional parts.
+// TestWriteIsReadByTheRelay reads a written file with package internal/config, with and without the optional parts.
 func TestWriteIsReadByTheRelay(t *testing.T) {
 	minimal := relayconfig.File{Name: "n1", Listen: "127.0.0.1:5433", Discovery: "127.0.0.1:8500", Seed: "12", InitialEndpoints: json.RawMessage(`null`),
 		Settings: relayconfig.Settings{Number: 1, Relays: 3, RequestClasses: []relayconfig.RequestClass{{Name: "look", Idempotency: "retryable"}}}}
@@ -47,16 +47,16 @@
 	}
 }
 
-// TestWriteFails gives a folder as the file.
+// TestWriteFails writes to a path that is a folder, and writes an endpoint list that is not valid JSON. No file must be left.
 func TestWriteFails(t *testing.T) {
 	dir := t.TempDir()
 	if err := (relayconfig.File{InitialEndpoints: json.RawMessage(`null`)}).Write(dir); err == nil {
-		t.Error("a folder was written to")
+		t.Error("writing to a folder did not fail")
 	}
 	if err := (relayconfig.File{InitialEndpoints: json.RawMessage(`{`)}).Write(filepath.Join(dir, "file")); err == nil {
-		t.Error("a list that is no JSON was written")
+		t.Error("writing an endpoint list that is not JSON did not fail")
 	}
 	if entries, err := os.ReadDir(dir); err != nil || len(entries) > 0 {
-		t.Errorf("left behind: %v, %v", entries, err)
+		t.Errorf("files left in the folder: %v, %v", entries, err)
 	}
 }
--- a/lab/slope/fit.go
+++ b/lab/slope/fit.go
@@ -1,6 +1,6 @@
-// Package slope fits curves to what Go benchmarks measured at several sizes, and tells the value at a size that was not
-// run. Read takes series out of the output of go test -bench, FitSamples puts a line or a power law through one. It holds
-// no state and starts no goroutine. It imports nothing of the program.
+// Package slope fits curves to Go benchmark results measured at several sizes, and extrapolates to sizes that were not
+// measured. Read extracts series from the output of go test -bench, and FitSamples fits a line or a power law to one of them.
+// The package holds no state, starts no goroutine and imports no other package of lichenroad.
 package slope
 
 import (
@@ -13,17 +13,17 @@
 	"gonum.org/v1/gonum/stat"
 )
 
-// MinSizes is the number of sizes that a fit needs: with fewer, any curve goes through them.
+// MinSizes is the number of different sizes that a fit requires. With fewer, any curve fits.
 const MinSizes = 4
 
-// tiny takes the place of a median of 0 where one is divided by.
+// tiny is the smallest divisor used, so that a median of 0 causes no division by zero.
 const tiny = math.SmallestNonzeroFloat32
 
 // Errors of FitSamples.
 var (
 	ErrTooFewSizes = fmt.Errorf("fewer than %d sizes", MinSizes)
 	ErrUnknownForm = errors.New("unknown form")
-	ErrNotPositive = errors.New("a power law needs sizes and figures above 0")
+	ErrNotPositive = errors.New("a power law requires sizes and values greater than 0")
 )
 
 // Form is the kind of curve that is fitted.
@@ -39,14 +39,14 @@
 type Fit struct {
 	Form     Form
 	A, B     float64
-	Sizes    int     // the number of different sizes
-	MinSize  float64 // the smallest that was measured
-	MaxSize  float64 // the largest that was measured
-	Residual float64 // the largest difference between a size's median and the curve, as a fraction of that median
+	Sizes    int     // number of different sizes
+	MinSize  float64 // smallest size that was measured
+	MaxSize  float64 // largest size that was measured
+	Residual float64 // largest difference between the curve and the median at a size, as a fraction of that median
 }
 
-// FitSamples fits a curve to samples by least squares of relative differences: sizes span decades, and the smallest must
-// count as much as the largest. It fails with ErrTooFewSizes, ErrUnknownForm or, for a power law, ErrNotPositive.
+// FitSamples fits a curve to samples by least squares of the relative differences: sizes span orders of magnitude, and small
+// ones must count as much as large ones. It fails with ErrTooFewSizes, ErrUnknownForm or, for a power law, ErrNotPositive.
 func FitSamples(form Form, samples []Sample) (Fit, error) {
 	sizes, medians := mediansBySize(samples)
 	if len(sizes) < MinSizes {
@@ -71,6 +71,7 @@
 	return fit, nil
 }
 
+// fitLine weights each value by the inverse of its square, so that relative differences count.
 func fitLine(sizes, values []float64) (a, b float64) {
 	weights := make([]float64, len(values))
 	for i, value := range values {
@@ -79,12 +80,14 @@
 	return stat.LinearRegression(sizes, values, weights, false)
 }
 
+// fitPower fits a line to the logarithms, whose differences are relative ones.
 func fitPower(sizes, values []float64) (a, b float64) {
 	logA, b := stat.LinearRegression(logarithms(sizes), logarithms(values), nil, false)
 	return math.Exp(logA), b
 }
 
-// mediansBySize returns the sizes in order and the median of the samples at each, as a shared machine has outliers.
+// mediansBySize returns the sizes in ascending order and the median of the samples at each. Medians are used because runs on
+// a shared machine have outliers.
 func mediansBySize(samples []Sample) (sizes, medians []float64) {
 	bySize := map[float64][]float64{}
 	for _, sample := range samples {
@@ -117,7 +120,7 @@
 	return logs
 }
 
-// ValueAt is the curve's value at a size.
+// ValueAt returns the value of the curve at a size.
 func (f Fit) ValueAt(size float64) float64 {
 	if f.Form == Power {
 		return f.A * math.Pow(size, f.B)
@@ -125,7 +128,7 @@
 	return f.A + f.B*size
 }
 
-// SizeAt is the size at which the curve reaches a value: 0 where it is there from the start, +Inf where it never is.
+// SizeAt returns the size at which the curve reaches a value: 0 if it has reached it from the start, +Inf if it never does.
 func (f Fit) SizeAt(value float64) float64 {
 	if f.B <= 0 {
 		if f.ValueAt(1) >= value {
@@ -139,13 +142,13 @@
 	return math.Max((value-f.A)/f.B, 0)
 }
 
-// ExtrapolationFactor is how many times the largest measured size a size is; 1 where it lies within.
+// ExtrapolationFactor returns the ratio of a size to the largest measured size, or 1 if the size is not larger.
 func (f Fit) ExtrapolationFactor(size float64) float64 { return math.Max(size/f.MaxSize, 1) }
 
-// Formula writes the curve with its coefficients, for a size of the given name.
-func (f Fit) Formula(size string) string {
+// Formula returns the curve as text, with its coefficients and the given name for the size.
+func (f Fit) Formula(sizeName string) string {
 	if f.Form == Power {
-		return fmt.Sprintf("%.4g %s^%.3f", f.A, size, f.B)
+		return fmt.Sprintf("%.4g %s^%.3f", f.A, sizeName, f.B)
 	}
-	return fmt.Sprintf("%.4g %+.4g %s", f.A, f.B, size)
+	return fmt.Sprintf("%.4g %+.4g %s", f.A, f.B, sizeName)
 }
--- a/lab/slope/read.go
+++ b/lab/slope/read.go
@@ -7,25 +7,26 @@
 	"strings"
 )
 
+// Format of a benchmark line.
 const (
 	benchmarkPrefix  = "Benchmark"
 	minBenchmarkCols = 4 // name, iterations, value, unit
-	firstUnitCol     = 3 // of the first value; further units follow in every second column
+	firstUnitCol     = 3 // index of the first unit; further units follow in every second column
 )
 
-// Sample is one value of one benchmark at one size.
+// Sample is one value that a benchmark measured at one size.
 type Sample struct {
 	Size  float64
 	Value float64
 }
 
-// Series is what one benchmark measured at several sizes. Whatever else its name holds is the same for all of them.
+// Series holds what one benchmark measured at several sizes.
 type Series struct {
-	Name    string
+	Name    string // full name of the benchmark without its size
 	Samples []Sample
 }
 
-// Within returns the samples whose sizes lie between two, these included.
+// Within returns the samples whose sizes lie in the closed interval [from, to].
 func (s Series) Within(from, to float64) []Sample {
 	var samples []Sample
 	for _, sample := range s.Samples {
@@ -36,15 +37,15 @@
 	return samples
 }
 
-// Read returns the series in the output of go test -bench: of the value with the given unit, as go test prints it, by
-// the size of the given name, as in units=1024. Series come in the order of their first lines. Other lines, and
-// benchmarks without that size or unit, are skipped; the error is the reader's.
-func Read(r io.Reader, size, unit string) ([]Series, error) {
+// Read returns the series in the output of go test -bench. The unit selects the values, such as ns/op. The size name selects
+// the part of a benchmark's name that holds the size, such as units for units=1024. Series are in the order of their first
+// lines. Other lines, and benchmarks without that size or unit, are skipped. Read fails if r does or if a line is too long.
+func Read(r io.Reader, sizeName, unit string) ([]Series, error) {
 	byName := map[string]*Series{}
 	var names []string
 	lines := bufio.NewScanner(r)
 	for lines.Scan() {
-		name, sample, ok := readLine(lines.Text(), size, unit)
+		name, sample, ok := readLine(lines.Text(), sizeName, unit)
 		if !ok {
 			continue
 		}
@@ -61,13 +62,13 @@
 	return all, lines.Err()
 }
 
-// readLine reads a line such as "BenchmarkTick/units=1024-8   100   5120 ns/op   17 B/op".
-func readLine(line, size, unit string) (name string, sample Sample, ok bool) {
+// readLine parses a line such as "BenchmarkTick/units=1024-8   100   5120 ns/op   17 B/op".
+func readLine(line, sizeName, unit string) (name string, sample Sample, ok bool) {
 	columns := strings.Fields(line)
 	if len(columns) < minBenchmarkCols || !strings.HasPrefix(columns[0], benchmarkPrefix) {
 		return "", Sample{}, false
 	}
-	name, sample.Size, ok = cutSize(strings.TrimPrefix(columns[0], benchmarkPrefix), size)
+	name, sample.Size, ok = cutSize(strings.TrimPrefix(columns[0], benchmarkPrefix), sizeName)
 	if !ok {
 		return "", Sample{}, false
 	}
@@ -78,7 +79,7 @@
 	return name, sample, true
 }
 
-// cutSize takes the size of the given name out of a benchmark's name, and the number of processors from its end.
+// cutSize splits the full name of a benchmark into its size and the rest, and removes the number of processors at the end.
 func cutSize(fullName, sizeName string) (name string, size float64, ok bool) {
 	parts := strings.Split(fullName, "/")
 	last := len(parts) - 1
@@ -96,7 +97,7 @@
 	return strings.Join(others, "/"), size, ok
 }
 
-// valueOf returns the value before the given unit.
+// valueOf returns the value in the column before the given unit.
 func valueOf(columns []string, unit string) (value float64, ok bool) {
 	for i := firstUnitCol; i < len(columns); i += 2 {
 		if columns[i] == unit {
@@ -107,7 +108,7 @@
 	return 0, false
 }
 
-// withoutProcessors cuts off the number of processors, which go test adds to a name where it is not 1.
+// withoutProcessors removes the suffix with the number of processors, which go test appends to a name if it is not 1.
 func withoutProcessors(part string) string {
 	dash := strings.LastIndexByte(part, '-')
 	if dash < 0 {
--- a/lab/slope/slope_test.go
+++ b/lab/slope/slope_test.go
@@ -7,6 +7,7 @@
 	"testing"
 )
 
+// output is the output of go test -bench.
 const output = `goos: linux
 pkg: lichenroad/policy
 BenchmarkTick/units=100/relays=4-8         	  100	   1200 ns/op	  16 B/op	  2 allocs/op
@@ -49,7 +50,7 @@
 		t.Fatalf("%+v %v", f, err)
 	}
 	if !near(f.ValueAt(1600), 16200) || !near(f.SizeAt(5200), 500) || f.SizeAt(100) != 0 || f.ExtrapolationFactor(1600) != 2 || f.ExtrapolationFactor(50) != 1 {
-		t.Errorf("at 1600 %v, reaches %v and %v", f.ValueAt(1600), f.SizeAt(5200), f.SizeAt(100))
+		t.Errorf("value at 1600 is %v, size at 5200 is %v, size at 100 is %v", f.ValueAt(1600), f.SizeAt(5200), f.SizeAt(100))
 	}
 	if got := all[0].Within(200, 400); len(got) != 5 || got[0] != (Sample{200, 2100}) {
 		t.Errorf("%v", got)
@@ -59,7 +60,7 @@
 	}
 }
 
-// TestResidual gives one size that lies a tenth off the line of the others: the residual tells so.
+// TestResidual has one size whose value lies 10 % off the line through the others.
 func TestResidual(t *testing.T) {
 	f, err := FitSamples(Line, []Sample{{10, 100}, {20, 200}, {40, 400}, {80, 800}, {160, 1760}})
 	if err != nil || f.Residual < 0.02 || f.Residual > 0.1 {
@@ -80,18 +81,18 @@
 		t.Error(f.Formula("n"))
 	}
 	if line, _ := FitSamples(Line, samples); line.Residual < 0.2 {
-		t.Errorf("a square passes for a line: %+v", line)
+		t.Errorf("a line fits a square too well: %+v", line)
 	}
 }
 
-func TestFlatNeverReaches(t *testing.T) {
+func TestConstantNeverReachesLargerValue(t *testing.T) {
 	f, err := FitSamples(Line, []Sample{{1, 5}, {2, 5}, {3, 5}, {4, 5}})
 	if err != nil || !math.IsInf(f.SizeAt(6), 1) || f.SizeAt(4) != 0 {
 		t.Errorf("%+v %v", f, err)
 	}
 }
 
-func TestWhatCannotBeFitted(t *testing.T) {
+func TestFitErrors(t *testing.T) {
 	fourSizes := []Sample{{0, 1}, {1, 2}, {2, 2}, {3, 3}}
 	for name, c := range map[string]struct {
 		form    Form
@@ -100,11 +101,11 @@
 	}{
 		"four samples of three sizes": {Line, []Sample{{1, 1}, {1, 2}, {2, 2}, {3, 3}}, ErrTooFewSizes},
 		"a power law from size 0":     {Power, fourSizes, ErrNotPositive},
-		"a form that is none":         {"cubic", fourSizes, ErrUnknownForm},
+		"an unknown form":             {"cubic", fourSizes, ErrUnknownForm},
 	} {
 		t.Run(name, func(t *testing.T) {
 			if _, err := FitSamples(c.form, c.samples); !errors.Is(err, c.want) {
-				t.Errorf("%v instead of %v", err, c.want)
+				t.Errorf("got %v, want %v", err, c.want)
 			}
 		})
 	}
