--- a/trace/join.go
+++ b/trace/join.go
@@ -280,7 +280,7 @@
 	return j.buffer.releaseUntil(j.now)
 }
 
-// end is called at the end of the trace: no open task can end any more, and all others are emitted.
+// end processes the end of the trace: it drops the tasks that are still open and emits all others.
 func (j *eventJoin) end() error {
 	for open := first(j.byAge); open != nil; open = first(j.byAge) {
 		if err := j.expire(open); err != nil {
--- a/trace/mapping.go
+++ b/trace/mapping.go
@@ -38,8 +38,8 @@
 	FailuresAsFaults
 )
 
-// Mapping says which tasks become which requests. Nothing is guessed: a task that no rule matches is reported. A Mapping is
-// immutable.
+// Mapping says which tasks become which requests. Nothing is guessed: a task that no rule matches is reported. A Mapping
+// must not be modified once it was parsed.
 type Mapping struct {
 	Classes     []string
 	Tenants     []string
--- a/trace/read.go
+++ b/trace/read.go
@@ -14,7 +14,7 @@
 	Window      Seconds // layouts of tasks: how far rows may be out of order and still be sorted
 	MaxOpenTime Seconds // layouts of events: how long after its submission a task is kept without an end
 	RetryWindow Seconds // layouts of events: how long after a run that failed or was evicted its task may be submitted again
-	MaxTasks    int     // tasks held in memory: open ones, and ones waiting to be emitted
+	MaxTasks    int     // limit of open tasks, and separately of tasks waiting to be emitted
 }
 
 // DefaultOptions returns the options that apply unless the caller changes them.
@@ -112,7 +112,7 @@
 }
 
 // checkNoHeader checks a first row that is not the header of the layout. It accepts a data row, whose last column is a
-// number, and fails for the header of another layout.
+// number, and fails for the header of another layout. A row with a wrong number of columns is left to readRow.
 func (r *reader) checkNoHeader(fields [][]byte, line int64) error {
 	if len(fields) != r.layout.columns {
 		return nil
