--- a/internal/discovery/fleet_test.go
+++ b/internal/discovery/fleet_test.go
@@ -2,8 +2,8 @@
 
 import "testing"
 
-// Bounds for the recovery of a fleet. Each is about one and a half times the largest value over the seeds 1 to 20, three of
-// which the tests run.
+// Bounds for the recovery of a fleet. Each is about one and a half times the largest value that the simulation gives with
+// the seeds 1 to 20. The tests run with three of these seeds.
 const (
 	// maxLeaseDelay limits the time from a relay's restart to its first lease, in seconds. It guards against relays that
 	// have to wait for discovery instead of getting their lease through peers. The largest value is 0.45.
--- a/internal/discovery/schedule.go
+++ b/internal/discovery/schedule.go
@@ -67,7 +67,7 @@
 	settings    pollSettings
 	random      *rand.Rand
 	generation  int64         // generation of the current list, or noGeneration
-	backoff     time.Duration // maximum of the last delay before a retry; 0: no failure since the last answer
+	backoff     time.Duration // upper bound of the last random retry delay; 0: no failure since the last answer
 	established bool          // the last poll of the watch was answered, so the next one continues the watch
 }
 
--- a/internal/pipeline/request.go
+++ b/internal/pipeline/request.go
@@ -10,15 +10,15 @@
 type RequestStatus int
 
 const (
-	// StatusOpen: the request has no final response yet.
+	// StatusOpen means that the request has no final response yet.
 	StatusOpen RequestStatus = iota
-	// StatusSucceeded: the client got the response of an endpoint.
+	// StatusSucceeded means that the client got the response of an endpoint.
 	StatusSucceeded
-	// StatusRejected: the client got an error that says that the request had no effect.
+	// StatusRejected means that the client got an error that says that the request had no effect.
 	StatusRejected
-	// StatusFailed: the client got an error that leaves open whether the request had an effect.
+	// StatusFailed means that the client got an error that leaves open whether the request had an effect.
 	StatusFailed
-	// StatusClientLeft: the client disconnected before it got a response.
+	// StatusClientLeft means that the client disconnected before it got a response.
 	StatusClientLeft
 )
 
--- a/internal/releasecontroller/compact.go
+++ b/internal/releasecontroller/compact.go
@@ -30,7 +30,7 @@
 		err = j.replaceJournalWith(nextJournalName)
 	}
 	if err != nil {
-		_ = next.Close() // err is the one to report
+		_ = next.Close() // its error is dropped: err, the cause of the failure, is returned
 		return err
 	}
 	_ = j.file.Close() // every write to it was flushed
--- a/policy/aggregator.go
+++ b/policy/aggregator.go
@@ -9,6 +9,7 @@
 	"lichenroad/relay"
 )
 
+// aggregatorCount is set by the design (docs/design.md).
 const (
 	aggregatorCount = 4 // number of relays that aggregate: those with the lowest numbers
 	// seconds without a decision after which an aggregator counts as lost: three decisions
--- a/policy/comparison.go
+++ b/policy/comparison.go
@@ -8,6 +8,8 @@
 	"lichenroad/relay"
 )
 
+// minOutcomes, flagStandardErrors, flagMinFailures and flagMinDifference are set by the design
+// (docs/design.md).
 const (
 	// buckets that are also tested alone: a build that turns bad late has many good outcomes in the whole
 	// window
--- a/policy/exposure.go
+++ b/policy/exposure.go
@@ -6,6 +6,7 @@
 	"lichenroad/relay"
 )
 
+// exposureTargetFraction is set by the design (docs/design.md).
 const (
 	exposureTargetFraction = 0.8      // fraction of the exposure limit that routing aims for
 	oneAttempt             = 1 - 1e-9 // budget for one attempt, less rounding errors
--- a/policy/fusion.go
+++ b/policy/fusion.go
@@ -7,13 +7,16 @@
 	"lichenroad/relay"
 )
 
+// verdictTTL, minFlaggingRelays, halfDetectionOutcomes, falseAlarmProbability, priorBad and falseAlarmCost
+// are set by the design (docs/design.md).
 const (
 	verdictTTL            = 6.0  // seconds for which a reported verdict counts
 	minFlaggingRelays     = 2    // relays that must flag the build
 	halfDetectionOutcomes = 20.0 // outcomes at which a bad build is flagged half the time
 	falseAlarmProbability = 0.01 // for one relay over all classes
 	priorBad              = 0.35 // prior probability that a build is bad
-	// cost of rolling a good build back, relative to that of letting a bad one through: the same
+	// cost of rolling a good build back, relative to that of letting a bad one through: the design sets both
+	// equal
 	falseAlarmCost     = 1.0
 	pooledFlagDuration = 1.0 // seconds that a pooled flag must last: a verdict from every relay
 	// multiple of the fleet's attempt duration before the trial from which no build is promoted
--- a/policy/slowstart.go
+++ b/policy/slowstart.go
@@ -6,8 +6,10 @@
 	"lichenroad/relay"
 )
 
+// youngEndpointAge is set by the design (docs/design.md).
 const (
-	// seconds; slow answers of younger endpoints are not evidence against their build, but errors are
+	// seconds; slow answers of younger endpoints are not evidence against their build, but errors are (in the
+	// design, no outcome of theirs is)
 	youngEndpointAge = 5.0
 	// fraction that all relays together use of the load at which a warming endpoint collapses: slow machines
 	// can take that much less
--- a/policy/verdicts.go
+++ b/policy/verdicts.go
@@ -8,6 +8,7 @@
 	"lichenroad/relay"
 )
 
+// verdictInterval is set by the design (docs/design.md).
 const (
 	evaluationInterval = 0.25 // seconds between evaluations of the evidence: a few outcomes
 	verdictInterval    = 1.0  // seconds between reports while no verdict changes
--- a/policy/votes.go
+++ b/policy/votes.go
@@ -7,6 +7,7 @@
 	"lichenroad/relay"
 )
 
+// extraOutcomeWait is set by the design (docs/design.md).
 const (
 	// seconds past the minimum or maximum stage time that an aggregator waits for outcomes
 	extraOutcomeWait = 3.0
--- a/relay/settings.go
+++ b/relay/settings.go
@@ -128,7 +128,8 @@
 //   - Waste times the work of endpoints that produced no answer (health checks and handshakes included), as a fraction of the
 //     work offered
 //   - HealthCheck for a health check
-//   - Message for a message to another relay, for each receiver
+//   - Message for a full message of 256 bytes to another relay, for each receiver; a shorter message costs less in
+//     proportion
 //   - LateFailure times the fraction of requests, weighted by priority, that end without a successful answer after their
 //     latency objective
 type Costs struct {
