--- a/compat/address_test.go
+++ b/compat/address_test.go
@@ -8,20 +8,26 @@
 	"testing"
 )
 
-var addressesGiven atomic.Uint32
+// addressCount is the number of addresses that were tried.
+var addressCount atomic.Uint32
 
-// freeAddress returns an address on loopback that nothing listens on. Its IP address is used by no other test or process, and
-// its port is outside the system's ephemeral range, so it stays free until the program under test listens on it.
+// freeAddress returns a loopback address that is not in use. Its IP address differs from those of other tests and test
+// processes, and its port is outside the system's ephemeral range, so it stays free until the program under test listens on
+// it.
 func freeAddress(t *testing.T) string {
 	t.Helper()
-	for range 100 {
-		n := addressesGiven.Add(1)
-		address := fmt.Sprintf("127.%d.%d.%d:%d", 64+os.Getpid()%128, os.Getpid()/128%256, n%250+2, 12000+n)
+	const (
+		maxTries  = 100
+		firstPort = 12000
+	)
+	for range maxTries {
+		n := addressCount.Add(1)
+		address := fmt.Sprintf("127.%d.%d.%d:%d", 64+os.Getpid()%128, os.Getpid()/128%256, n%250+2, firstPort+n)
 		if ln, err := net.Listen("tcp", address); err == nil {
 			ln.Close()
 			return address
 		}
 	}
-	t.Fatal("no address on loopback is free")
+	t.Fatal("found no free loopback address")
 	return ""
 }
--- a/compat/calls_test.go
+++ b/compat/calls_test.go
@@ -7,17 +7,17 @@
 	"testing"
 )
 
-// TestExitCodes runs valid and invalid commands: each ends with its exit code, an invalid one with one line on standard
-// error, or with one for each fault of a plan.
+// TestExitCodes runs valid and invalid commands and checks their exit codes. An invalid command prints one line on standard
+// error, or one for each error in a plan.
 func TestExitCodes(t *testing.T) {
 	input, err := filepath.Abs(filepath.Join("testdata", "input"))
 	if err != nil {
 		t.Fatal(err)
 	}
 	for _, c := range []struct {
-		args  string
-		code  int
-		lines int // on standard error
+		args        string
+		code        int
+		stderrLines int
 	}{
 		{"", 0, 0},
 		{"--help", 0, 0},
@@ -82,18 +82,19 @@
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
 			args := strings.ReplaceAll(c.args, "FILE", filepath.Join(t.TempDir(), "file"))
-			r := callIn(t, input, strings.Fields(args)...)
-			if r.code != c.code || len(r.errorLines()) != c.lines {
-				t.Errorf("exit %d with %d lines of fault, want %d with %d:\n%s", r.code, len(r.errorLines()), c.code, c.lines, r.errs)
+			r := runToolIn(t, input, strings.Fields(args)...)
+			if r.code != c.code || len(r.errorLines()) != c.stderrLines {
+				t.Errorf("exit code %d with %d lines on standard error, want %d with %d:\n%s", r.code, len(r.errorLines()), c.code, c.stderrLines, r.stderr)
 			}
-			if r.code == 0 && r.out == "" {
+			if r.code == 0 && r.stdout == "" {
 				t.Error("nothing on standard output")
 			}
 		})
 	}
 }
 
-// TestPlanFaults compares what `plan check` prints for plans with faults, which is its result.
+// TestPlanFaults compares what `plan check` prints for invalid plans. Its error lines are part of its result, so they are
+// compared too.
 func TestPlanFaults(t *testing.T) {
 	input, err := filepath.Abs(filepath.Join("testdata", "input"))
 	if err != nil {
@@ -134,16 +135,16 @@
 				changed = plan
 			}
 			if (changed == plan) != (c.old == "") {
-				t.Fatal("the plan was not changed")
+				t.Fatalf("the plan does not contain %q", c.old)
 			}
 			if err := os.WriteFile(path, []byte(changed), 0o600); err != nil {
 				t.Fatal(err)
 			}
-			r := callIn(t, dir, "plan", "check", "plan.xml")
+			r := runToolIn(t, dir, "plan", "check", "plan.xml")
 			if want := min(len(r.errorLines()), 1); r.code != want || (want == 0) != (c.old == "") {
-				t.Errorf("exit %d with %d lines of fault", r.code, len(r.errorLines()))
+				t.Errorf("exit code %d with %d lines on standard error", r.code, len(r.errorLines()))
 			}
-			checkGolden(t, "plan-faults/"+strings.ReplaceAll(c.name, " ", "-"), append([]string{r.out}, r.errorLines()...))
+			checkGolden(t, "plan-faults/"+strings.ReplaceAll(c.name, " ", "-"), append([]string{r.stdout}, r.errorLines()...))
 		})
 	}
 }
--- a/compat/config_test.go
+++ b/compat/config_test.go
@@ -12,13 +12,13 @@
  "platform":{"address":"127.0.0.1:6400","news":{"image":42,"ring":"1","progress":"canary","ceiling":0.28,"lag_ms":310}},
  "known":{"generation":41,"reset":true,"instances":[]},"settings":{"grades":[{"name":"basket","repeat":"retryable"}]}}`
 
-// TestConfigurations reads valid configurations, and some with one fault each: `check` prints ok, or `check` and `serve` exit
-// with 1 and one line that names the field.
+// TestConfigurations reads valid and invalid configurations. For a valid one, `check` prints ok. For an invalid one, both
+// `check` and `serve` exit with 1 and print one line that names the field.
 func TestConfigurations(t *testing.T) {
 	for _, c := range []struct {
-		name     string
-		old, new string
-		names    string // what the line must contain besides the file's path; empty: no fault
+		name      string
+		old, new  string
+		wantError string // text in the error line, apart from the file's path; empty: the configuration is valid
 	}{
 		{"as it stands", "", "", ""},
 		{"unknown keys", `{"name"`, `{"more":{"x":1},"name"`, ""},
@@ -56,37 +56,37 @@
 			if c.old != "" {
 				text = strings.Replace(validConfig, c.old, c.new, 1)
 				if text == validConfig {
-					t.Fatal("the configuration was not changed")
+					t.Fatalf("the configuration does not contain %q", c.old)
 				}
 			}
 			if err := os.WriteFile(path, []byte(text), 0o600); err != nil {
 				t.Fatal(err)
 			}
-			r := call(t, "check", "--config", path)
-			if c.names == "" {
-				if want := "ok: n3 listens on 127.0.0.1:5433\n"; r.code != 0 || r.out != want || r.errs != "" {
-					t.Errorf("exit %d, %q, %q", r.code, r.out, r.errs)
+			r := runTool(t, "check", "--config", path)
+			if c.wantError == "" {
+				if want := "ok: n3 listens on 127.0.0.1:5433\n"; r.code != 0 || r.stdout != want || r.stderr != "" {
+					t.Errorf("exit code %d, standard output %q, standard error %q; want ok", r.code, r.stdout, r.stderr)
 				}
 				return
 			}
-			for _, r := range []result{r, call(t, "serve", "--config", path)} {
-				file, fault, named := strings.Cut(r.errs, path) // the path contains the case's name
-				if lines := r.errorLines(); r.code != 1 || len(lines) != 1 || !named || !strings.Contains(file+fault, c.names) || r.out != "" {
-					t.Errorf("exit %d, %q, %q; want one line that names %s", r.code, r.out, r.errs, c.names)
+			for _, r := range []result{r, runTool(t, "serve", "--config", path)} {
+				before, after, found := strings.Cut(r.stderr, path) // left out of the search, because it contains the case's name
+				if lines := r.errorLines(); r.code != 1 || len(lines) != 1 || !found || !strings.Contains(before+after, c.wantError) || r.stdout != "" {
+					t.Errorf("exit code %d, standard output %q, standard error %q; want one line that names %s", r.code, r.stdout, r.stderr, c.wantError)
 				}
 			}
 		})
 	}
 }
 
-// TestConfigurationTooLarge reads a file over the size limit, which is rejected unread.
+// TestConfigurationTooLarge checks that a file over the size limit is rejected without being read.
 func TestConfigurationTooLarge(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "config.json")
 	if err := os.WriteFile(path, []byte(validConfig+strings.Repeat(" ", 64<<20)), 0o600); err != nil {
 		t.Fatal(err)
 	}
-	r := call(t, "check", "--config", path)
+	r := runTool(t, "check", "--config", path)
 	if lines := r.errorLines(); r.code != 1 || len(lines) != 1 || !strings.Contains(lines[0], path) {
-		t.Errorf("exit %d, %q", r.code, r.errs)
+		t.Errorf("exit code %d, standard error %q", r.code, r.stderr)
 	}
 }
--- a/compat/controller_start_test.go
+++ b/compat/controller_start_test.go
@@ -9,14 +9,14 @@
 	"testing"
 )
 
-// TestControllerReadsKeptJournals runs a release controller on journals that an earlier one wrote, and on ones that a crash or
-// a disk error damaged.
-func TestControllerReadsKeptJournals(t *testing.T) {
+// TestControllerReadsRecordedJournals starts a release controller on journals that an earlier version wrote, unchanged and
+// with the damage that a crash or a disk error causes at the end.
+func TestControllerReadsRecordedJournals(t *testing.T) {
 	for _, c := range []struct {
-		name   string
-		kept   string
-		change func(journal []byte) []byte
-		cut    int // bytes of a torn end that are truncated; -1: the last record is
+		name      string
+		recorded  string
+		change    func(journal []byte) []byte
+		truncated int // bytes of a torn record that the controller cuts off the end; -1: all that remains of the last recorded one
 	}{
 		{"whole", "kept-session", nil, 0},
 		{"with a snapshot and archives", "kept-compaction", nil, 0},
@@ -29,8 +29,8 @@
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			t.Parallel()
-			state := restoreJournals(t, c.kept)
-			path := filepath.Join(state, "journal")
+			stateDir := restoreJournals(t, c.recorded)
+			path := filepath.Join(stateDir, "journal")
 			journal := readFile(t, path)
 			if c.change != nil {
 				journal = c.change(bytes.Clone(journal))
@@ -38,12 +38,12 @@
 					t.Fatal(err)
 				}
 			}
-			// Votes of the kept journals have expired, whenever this runs. The masked span is short, as a kept journal holds
-			// a time some hours after its own.
+			// With this TTL, all votes in the recorded journals have expired. The masked span is short, because a recorded
+			// journal also contains the end of a freeze, some hours after the recording, which must not be masked.
 			masked := spanFromNow(2 * testTimeout)
-			controller := startController(t, state, "1s", masked)
+			controller := startController(t, stateDir, "1s", masked)
 			var lines []string
-			for _, s := range []step{
+			for _, s := range []sessionStep{
 				{tool: []string{"status", "--json"}},
 				{tool: []string{"status"}},
 				{tool: []string{"history", "--votes", "--json", "--last", "10000"}},
@@ -57,33 +57,33 @@
 			}
 			controller.process.stop()
 			checkGolden(t, "desk/read-"+strings.ReplaceAll(c.name, " ", "-"), lines)
-			if complete := bytes.HasPrefix(journal, []byte(journalHead)); complete && c.cut >= 0 {
-				checkContinued(t, path, journal[:len(journal)-c.cut], masked)
+			if hasHeader := bytes.HasPrefix(journal, []byte(journalHeader)); hasHeader && c.truncated >= 0 {
+				checkAppended(t, path, journal[:len(journal)-c.truncated], masked)
 			} else {
-				journalLines(t, path, masked) // every record is complete again
+				journalLines(t, path, masked) // checks that the journal ends with a complete record
 			}
 		})
 	}
 }
 
-// checkContinued checks that a release controller kept a journal as it was and only appended its own start.
-func checkContinued(t *testing.T, path string, before []byte, masked timeSpan) {
+// checkAppended checks that a release controller did not change a journal, except for appending the record of its own start.
+func checkAppended(t *testing.T, path string, before []byte, masked timeSpan) {
 	t.Helper()
 	after := readFile(t, path)
 	if !bytes.HasPrefix(after, before) {
-		t.Fatalf("the journal of %d bytes was changed, not gone on with", len(before))
+		t.Fatalf("the first %d bytes of the journal have changed", len(before))
 	}
 	tail := filepath.Join(t.TempDir(), "tail")
-	if err := os.WriteFile(tail, append([]byte(journalHead), after[len(before):]...), 0o600); err != nil {
+	if err := os.WriteFile(tail, append([]byte(journalHeader), after[len(before):]...), 0o600); err != nil {
 		t.Fatal(err)
 	}
 	if lines := journalLines(t, tail, masked); len(lines) != 1 || lines[0] != `[{"at":TIME,"kind":"started"}]` {
-		t.Errorf("written behind it: %q", lines)
+		t.Errorf("appended records %q, want only that of the start", lines)
 	}
 }
 
-// TestControllerRejectsJournals starts a release controller on files that aren't a journal of it: it exits with one line and changes
-// nothing.
+// TestControllerRejectsJournals starts a release controller on files that are not valid journals. It must exit with one line
+// that names the file, and leave the file unchanged.
 func TestControllerRejectsJournals(t *testing.T) {
 	for _, c := range []struct {
 		name   string
@@ -92,34 +92,34 @@
 		{"another version", func(j []byte) []byte { return bytes.Replace(j, []byte("journal 1"), []byte("journal 2"), 1) }},
 		{"no journal", func([]byte) []byte { return []byte(strings.Repeat("something else\n", 10)) }},
 		{"damage in the middle", func(j []byte) []byte { j[len(j)/2] ^= 1; return j }},
-		{"an event that does not follow", func(j []byte) []byte { return append(j, j[len(journalHead):]...) }},
+		{"an event that does not follow", func(j []byte) []byte { return append(j, j[len(journalHeader):]...) }},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			t.Parallel()
-			state := restoreJournals(t, "kept-session")
-			path := filepath.Join(state, "journal")
+			stateDir := restoreJournals(t, "kept-session")
+			path := filepath.Join(stateDir, "journal")
 			journal := c.change(readFile(t, path))
 			if err := os.WriteFile(path, journal, 0o600); err != nil {
 				t.Fatal(err)
 			}
-			plan, _ := planFor(t, "1s")
-			r := call(t, "desk", "run", "--plan", plan, "--state", state)
+			planPath, _ := writePlan(t, "1s")
+			r := runTool(t, "desk", "run", "--plan", planPath, "--state", stateDir)
 			if lines := r.errorLines(); r.code != 1 || len(lines) != 1 || !strings.Contains(lines[0], path) {
-				t.Errorf("exit %d, %q", r.code, lines)
+				t.Errorf("exit code %d, standard error %q; want 1 and one line that names %s", r.code, lines, path)
 			}
 			if !bytes.Equal(readFile(t, path), journal) {
-				t.Error("the file was changed")
+				t.Error("the rejected journal has changed")
 			}
-			if r := call(t, "desk", "history", "--state", state); c.name != "an event that does not follow" && (r.code != 1 || len(r.errorLines()) != 1) {
-				t.Errorf("history: exit %d, %q", r.code, r.errorLines())
+			if r := runTool(t, "desk", "history", "--state", stateDir); c.name != "an event that does not follow" && (r.code != 1 || len(r.errorLines()) != 1) {
+				t.Errorf("history: exit code %d, standard error %q; want 1 and one line", r.code, r.errorLines())
 			}
 		})
 	}
 }
 
-// TestControllerCalls runs invalid desk commands.
-func TestControllerCalls(t *testing.T) {
-	state := t.TempDir()
+// TestControllerExitCodes runs desk commands that fail, and the help.
+func TestControllerExitCodes(t *testing.T) {
+	stateDir := t.TempDir()
 	for _, c := range []struct {
 		args string
 		code int
@@ -128,7 +128,7 @@
 		{"desk status", 2},
 		{"desk fly --state STATE", 2},
 		{"desk status --state STATE", 1},
-		{"desk history --state STATE", 1}, // as there is no journal yet
+		{"desk history --state STATE", 1}, // there is no journal yet
 		{"desk offer a --state STATE --why w", 2},
 		{"desk offer a 1 --state STATE --why w", 1},
 		{"desk offer a 70000 --state STATE --why w", 2},
@@ -139,14 +139,14 @@
 		{"desk --help", 0},
 	} {
 		t.Run(c.args, func(t *testing.T) {
-			plan, _ := planFor(t, "1s")
-			args := strings.NewReplacer("STATE", state, "PLAN", plan).Replace(c.args)
-			r := call(t, strings.Fields(args)...)
+			planPath, _ := writePlan(t, "1s")
+			args := strings.NewReplacer("STATE", stateDir, "PLAN", planPath).Replace(c.args)
+			r := runTool(t, strings.Fields(args)...)
 			if r.code != c.code {
-				t.Errorf("exit %d, want %d: %s", r.code, c.code, r.errs)
+				t.Errorf("exit code %d, want %d: %s", r.code, c.code, r.stderr)
 			}
 			if want := min(c.code, 1); c.code != 0 && len(r.errorLines()) < want {
-				t.Error(fmt.Sprint("no line of fault: ", r.errs))
+				t.Error(fmt.Sprint("no line on standard error: ", r.stderr))
 			}
 		})
 	}
--- a/compat/deployment_discovery_test.go
+++ b/compat/deployment_discovery_test.go
@@ -2,7 +2,7 @@
 
 import "slices"
 
-// Forms of an endpoint list, as on the wire.
+// Kinds of endpoint list updates, as on the wire.
 const (
 	listFailed = iota + 1
 	listCached
@@ -10,22 +10,23 @@
 	listFull
 )
 
-// addList adds an endpoint list for an instance, of a form: listFailed and so on.
-func (d *deployment) addList(instance *hostedInstance, form byte, endpoints []*listedEndpoint) {
-	number := d.nextList % 16
-	if form != listFailed {
-		d.nextList++
-		list := event(eventInventory).u32(number).u32(uint32(len(endpoints)))
+// addList adds a list update for an instance; kind is one of listFailed to listFull. Except for a failed call, it first adds
+// the numbered list that the update refers to.
+func (d *deployment) addList(instance *hostedInstance, kind byte, endpoints []*listedEndpoint) {
+	number := d.nextListNumber % 16
+	if kind != listFailed {
+		d.nextListNumber++
+		list := event(eventList).u32(number).u32(uint32(len(endpoints)))
 		for _, endpoint := range endpoints {
-			list = list.u16(endpoint.zone).u16(endpoint.kind).u16(endpoint.cell).f32(float32(endpoint.build)).f32(endpoint.weight).u8(endpoint.state).u64(endpoint.startedAt).address(endpoint.address)
+			list = list.u16(endpoint.zone).u16(endpoint.machineType).u16(endpoint.failureDomain).f32(float32(endpoint.build)).f32(endpoint.weight).u8(endpoint.state).u64(endpoint.startedAt).address(endpoint.address)
 		}
 		d.addEvent(list)
 	}
-	d.revision++
-	d.addEvent(eventFor(eventAnnounce, instance.onPipe()).u32(d.revision).u32(number).u8(form))
+	d.listVersion++
+	d.addEvent(instanceEvent(eventListUpdate, instance.pipeNumber()).u32(d.listVersion).u32(number).u8(kind))
 }
 
-// addListToAll schedules a list of changes for every instance.
+// addListToAll schedules a delta with the changed endpoints for every instance.
 func (d *deployment) addListToAll(changed []*listedEndpoint) {
 	for i, instance := range d.instances {
 		d.after(uint64(i)*13*millisecond, func() {
@@ -36,43 +37,45 @@
 	}
 }
 
-// find returns the endpoint of an address.
-func (d *deployment) find(a address) *listedEndpoint {
+// findEndpoint returns the listed endpoint with an address.
+func (d *deployment) findEndpoint(a address) *listedEndpoint {
 	for _, endpoint := range d.endpoints {
 		if endpoint.address == a {
 			return endpoint
 		}
 	}
-	d.t.Fatalf("no endpoint %x was listed", a)
+	d.t.Fatalf("no listed endpoint has address %x", a)
 	return nil
 }
 
-// answerSubscription answers a call to discovery: by turns it fails, brings the complete list, or the changes.
-func (d *deployment) answerSubscription(instance *hostedInstance) {
-	d.listCalls++
-	form := []byte{listFailed, listFull, listDelta}[d.listCalls%3]
+// answerWatch answers an instance's call to discovery after a delay: in turn, with a full list, with a delta, or with a
+// failure.
+func (d *deployment) answerWatch(instance *hostedInstance) {
+	d.discoveryCalls++
+	kind := []byte{listFailed, listFull, listDelta}[d.discoveryCalls%3]
 	incarnation := instance.incarnation
 	d.after(40*millisecond, func() {
-		if instance.isIn(incarnation) {
-			d.addList(instance, form, d.endpoints)
+		if instance.isRunning(incarnation) {
+			d.addList(instance, kind, d.endpoints)
 		}
 	})
 }
 
-// addUnusualEvents adds events that change little or nothing, and lists of each form.
+// addUnusualEvents adds events that change little or nothing, and list updates, for a random instance. It repeats until the
+// end of the session.
 func (d *deployment) addUnusualEvents() {
 	instance := d.instances[d.random.IntN(len(d.instances))]
 	if instance.running {
 		endpoint := d.endpoints[d.random.IntN(len(d.endpoints))]
-		d.addEvent(eventFor(eventHealth, instance.onPipe()).address(endpoint.address).u64(3 * millisecond).u8([]byte{outcomeOK, outcomeError, outcomeTimeout, outcomeConnectFailed}[d.random.IntN(4)]).report([]float32{14.5, 7}))
-		d.addEvent(eventFor(eventDigest, instance.onPipe()).u16(d.build).u16(classRetryable).u32(180).u32(4).u64(21 * millisecond).u64(second))
-		d.addEvent(eventFor(eventReturned, instance.onPipe()).u16(classFragile).address(endpoint.address).u64(second))
-		d.addEvent(eventFor(eventElapsed, instance.onPipe()).u64(d.random.Uint64())) // a timer that was never set
-		d.addEvent(eventFor(eventDropped, instance.onPipe()).u32(1))                 // a request that never came
-		d.addEvent(eventFor(eventFinished, instance.onPipe()).u32(2).u8(0).address(endpoint.address).u8(0).u64(1).u8(1).u8(0))
+		d.addEvent(instanceEvent(eventHealthCheckEnded, instance.pipeNumber()).address(endpoint.address).u64(3 * millisecond).u8([]byte{outcomeSucceeded, outcomeError, outcomeTimedOut, outcomeConnectFailed}[d.random.IntN(4)]).report([]float32{14.5, 7}))
+		d.addEvent(instanceEvent(eventReportedCounts, instance.pipeNumber()).u16(d.build).u16(classRetryable).u32(180).u32(4).u64(21 * millisecond).u64(second))
+		d.addEvent(instanceEvent(eventMisreportedOutcome, instance.pipeNumber()).u16(classFragile).address(endpoint.address).u64(second))
+		d.addEvent(instanceEvent(eventTimerFired, instance.pipeNumber()).u64(d.random.Uint64())) // a timer that was never set
+		d.addEvent(instanceEvent(eventClientDisconnected, instance.pipeNumber()).u32(1))         // a request that was never sent
+		d.addEvent(instanceEvent(eventAttemptEnded, instance.pipeNumber()).u32(2).u8(0).address(endpoint.address).u8(0).u64(1).u8(1).u8(0))
 		switch d.random.IntN(6) {
 		case 0:
-			d.addList(instance, listFull, d.endpoints) // with those that are gone
+			d.addList(instance, listFull, d.endpoints) // includes removed endpoints
 		case 1:
 			d.addList(instance, listDelta, nil)
 		case 2:
@@ -82,7 +85,6 @@
 	d.after(777*millisecond, func() { d.addUnusualEvents() })
 }
 
-// readyEndpoints are the endpoints that serve.
 func (d *deployment) readyEndpoints() []*listedEndpoint {
 	return slices.DeleteFunc(slices.Clone(d.endpoints), func(endpoint *listedEndpoint) bool { return endpoint.state != stateReady })
 }
--- a/compat/deployment_peers_test.go
+++ b/compat/deployment_peers_test.go
@@ -1,9 +1,9 @@
 package compat_test
 
-// broadcast is the address of a datagram to all relays.
+// broadcast is the recipient of a datagram to all relays.
 const broadcast = 1<<32 - 1
 
-// sendAsPeer sends, from a relay that is not hosted, what such a relay sends.
+// sendAsPeer sends every instance the datagrams of a peer that is not hosted, and repeats this until the end of the session.
 func (d *deployment) sendAsPeer(peer uint32, turn int) {
 	hash := [3]byte{byte(turn), byte(peer), 7}
 	flagged := d.scenario.badBuild && d.phase == phaseCanary && turn > 4
@@ -19,29 +19,30 @@
 			d.addDatagram(instance, peer, body)
 		}
 	}
-	if d.scenario.malformedDatagrams && turn%9 == 0 { // a sender that does not exist
+	if d.scenario.malformedDatagrams && turn%9 == 0 { // from a sender that does not exist
 		d.addDatagram(d.instances[0], 1000+peer, datagrams[0])
 	}
 	d.after(900*millisecond, func() { d.sendAsPeer(peer, turn+1) })
 }
 
-// addDatagram adds a datagram for an instance that runs.
+// addDatagram adds a datagram for an instance, if that is running.
 func (d *deployment) addDatagram(instance *hostedInstance, from uint32, body []byte) {
 	if !instance.running {
 		return
 	}
-	if len(body) >= 2 && body[0] == datagramMark {
-		d.receivedForms[body[1]]++
+	if len(body) >= 2 && body[0] == messageMagic {
+		d.receivedTypes[body[1]]++
 	}
-	d.addEvent(append(eventFor(eventDatagram, instance.onPipe()).u32(from).u16(uint16(len(body))), body...))
+	d.addEvent(append(instanceEvent(eventMessage, instance.pipeNumber()).u32(from).u16(uint16(len(body))), body...))
 }
 
-// carryDatagram delivers a datagram to other instances, some of them late; one in twenty is lost.
-func (d *deployment) carryDatagram(instance *hostedInstance, to uint32, body []byte) {
-	if len(body) < 2 || len(body) > maxDatagramBytes || body[0] != datagramMark {
-		d.t.Fatalf("instance %d sent a datagram that begins with neither mark nor form, or is too long: %x", instance.onPipe(), body)
+// deliverDatagram delivers a datagram to its recipients among the hosted instances after a random delay. One in twenty is
+// lost.
+func (d *deployment) deliverDatagram(instance *hostedInstance, to uint32, body []byte) {
+	if len(body) < 2 || len(body) > maxDatagramBytes || body[0] != messageMagic {
+		d.t.Fatalf("instance %d sent a datagram that lacks the magic byte or the type, or is too long: %x", instance.pipeNumber(), body)
 	}
-	d.sentForms[body[1]]++
+	d.sentTypes[body[1]]++
 	for _, other := range d.instances {
 		if other == instance || to != broadcast && to != uint32(other.number) || d.random.IntN(20) == 0 {
 			continue
--- a/compat/deployment_rollout_test.go
+++ b/compat/deployment_rollout_test.go
@@ -2,7 +2,7 @@
 
 const (
 	lastStage  = 2
-	maxRetired = 5 // endpoints of the old build that are drained at its release
+	maxRetired = 5 // endpoints of the old build that are drained when the new build is released
 )
 
 // Phases of a rollout, as on the wire.
@@ -19,17 +19,18 @@
 	voteRollBack = 3
 )
 
-// addRolloutStatus adds the status of the newest build for an instance.
-func (d *deployment) addRolloutStatus(instance *hostedInstance, code, verdict byte) {
+// addRolloutStatus adds the rollout status of the newest build for an instance. If the status is the reply to a vote, voteReply
+// is 1 and result is the result of the vote.
+func (d *deployment) addRolloutStatus(instance *hostedInstance, voteReply, result byte) {
 	limits := []float32{0.15, 0.5, 1}
 	limit := limits[min(int(d.stage), len(limits)-1)]
 	if d.isAborted() {
 		limit = 0
 	}
-	d.addEvent(eventFor(eventRolloutStatus, instance.onPipe()).f32(limit).u8(d.phase).u8(code).u16(d.build).u8(d.stage).u64(d.now - d.since).u8(verdict))
+	d.addEvent(instanceEvent(eventRolloutStatus, instance.pipeNumber()).f32(limit).u8(d.phase).u8(voteReply).u16(d.build).u8(d.stage).u64(d.now - d.stageSince).u8(result))
 }
 
-// addRolloutStatusToAll schedules a status for every instance.
+// addRolloutStatusToAll schedules a rollout status for every instance.
 func (d *deployment) addRolloutStatusToAll() {
 	for i, instance := range d.instances {
 		d.after(20*millisecond+uint64(i)*17*millisecond, func() {
@@ -40,9 +41,10 @@
 	}
 }
 
-// setRollout puts the newest build at a stage and phase, and forgets the votes on it.
+// setRollout moves the newest build to a stage and phase, clears the votes on it and notifies all instances. In the canary
+// phase, it also deploys the build to more endpoints.
 func (d *deployment) setRollout(stage, phase byte) {
-	d.stage, d.phase, d.since = stage, phase, d.now
+	d.stage, d.phase, d.stageSince = stage, phase, d.now
 	clear(d.rollbackVotes)
 	clear(d.promoteVotes)
 	d.addRolloutStatusToAll()
@@ -51,12 +53,12 @@
 	}
 }
 
-// isAborted reports whether the newest build is on its way back or withdrawn.
+// isAborted reports whether the newest build is being rolled back or has been withdrawn.
 func (d *deployment) isAborted() bool {
 	return d.phase == phaseRollingBack || d.phase == phaseWithdrawn
 }
 
-// offer begins the canary of a new build.
+// offer starts the rollout of the new build, as a canary.
 func (d *deployment) offer() {
 	d.build = newBuild
 	d.setRollout(0, phaseCanary)
@@ -65,11 +67,11 @@
 	}
 }
 
-// deployNewBuild deploys the new build to three endpoints: beside the old ones, or in their place at the same address.
+// deployNewBuild deploys the new build to three endpoints: to additional ones, or in place, at the addresses of old ones.
 func (d *deployment) deployNewBuild() {
 	var changed []*listedEndpoint
 	for i := range 3 {
-		if d.scenario.swap == "replace" {
+		if d.scenario.replacement == "replace" {
 			endpoint := d.endpoints[(3*int(d.stage)+i)%len(d.endpoints)]
 			endpoint.state = stateDraining
 			changed = append(changed, endpoint)
@@ -87,7 +89,8 @@
 	d.addListToAll(changed)
 }
 
-// advance promotes the canary from a stage, unless it has left that stage.
+// advance promotes the canary to the stage after the given one, or releases it after the last. It does nothing if the canary is
+// no longer at the given stage.
 func (d *deployment) advance(from byte) {
 	if d.phase != phaseCanary || d.stage != from {
 		return
@@ -103,7 +106,7 @@
 	}
 }
 
-// retire drains some of a build's endpoints, and removes them a second later.
+// retire drains up to maxRetired endpoints of a build, and removes them a second later.
 func (d *deployment) retire(build uint16) {
 	var leaving []*listedEndpoint
 	for _, endpoint := range d.endpoints {
@@ -121,18 +124,18 @@
 	})
 }
 
-// countVote counts a vote and answers it. Every fifth is not counted, for each of the reasons in turn.
+// countVote counts a vote and replies to it. Every fifth vote is not counted; its result is each of four errors in turn.
 func (d *deployment) countVote(instance *hostedInstance, build uint16, stage, vote byte) {
 	d.votes++
-	verdict, incarnation := byte(outcomeOK), instance.incarnation
+	result, incarnation := byte(outcomeSucceeded), instance.incarnation
 	if d.votes%5 == 0 {
-		verdict = []byte{outcomeNotSent, outcomeFull, outcomeError, outcomeTimeout}[d.votes/5%4]
+		result = []byte{outcomeNotSent, outcomeRejected, outcomeError, outcomeTimedOut}[d.votes/5%4]
 	}
 	stale := stage != d.stage || d.phase != phaseCanary
 	if build != d.build || vote != voteRollBack && stale {
-		verdict = outcomeNotSent
+		result = outcomeNotSent
 	}
-	if verdict == outcomeOK {
+	if result == outcomeSucceeded {
 		delete(d.promoteVotes, instance.number)
 		delete(d.rollbackVotes, instance.number)
 		switch vote {
@@ -143,16 +146,16 @@
 		}
 	}
 	d.after(30*millisecond, func() {
-		if instance.isIn(incarnation) {
-			d.addRolloutStatus(instance, 1, verdict)
+		if instance.isRunning(incarnation) {
+			d.addRolloutStatus(instance, 1, result)
 		}
 	})
-	enough := min(2, len(d.instances))
+	quorum := min(2, len(d.instances))
 	switch {
-	case len(d.rollbackVotes) >= enough && !d.isAborted():
+	case len(d.rollbackVotes) >= quorum && !d.isAborted():
 		d.setRollout(d.stage, phaseRollingBack)
 		d.after(1500*millisecond, func() { d.setRollout(d.stage, phaseWithdrawn) })
-	case len(d.promoteVotes) >= enough && d.scenario.control != "automatic":
+	case len(d.promoteVotes) >= quorum && d.scenario.control != "automatic":
 		from := d.stage
 		d.after(300*millisecond, func() { d.advance(from) })
 	}
--- a/compat/golden_test.go
+++ b/compat/golden_test.go
@@ -12,10 +12,10 @@
 	"testing"
 )
 
-// maxDifferences is how many differing lines a failed comparison prints: the first one mostly shows the cause.
+// maxDifferences is the number of differing lines that a failed comparison prints; the first one usually shows the cause.
 const maxDifferences = 5
 
-// checkGolden compares lines with those kept under testdata/NAME.gz, of which testdata/NAME.sha256 holds the digest.
+// checkGolden compares lines with the golden file testdata/NAME.gz, and their digest with testdata/NAME.sha256.
 func checkGolden(t *testing.T, name string, got []string) {
 	t.Helper()
 	text := strings.Join(got, "\n") + "\n"
@@ -24,7 +24,7 @@
 		return
 	}
 	want := readGolden(t, name)
-	if differences := compareLines(strings.Split(strings.TrimSuffix(want, "\n"), "\n"), strings.Split(strings.TrimSuffix(text, "\n"), "\n")); differences != "" {
+	if differences := diffLines(strings.Split(strings.TrimSuffix(want, "\n"), "\n"), strings.Split(strings.TrimSuffix(text, "\n"), "\n")); differences != "" {
 		t.Fatalf("%s differs from its golden file:\n%s", name, differences)
 	}
 	digest, err := os.ReadFile(goldenPath(name, ".sha256"))
@@ -32,40 +32,40 @@
 		t.Fatal(err)
 	}
 	if want, got := strings.TrimSpace(string(digest)), digestOf(text); got != want {
-		t.Fatalf("%s: sha256 %s, kept is %s", name, got, want)
+		t.Fatalf("%s: sha256 is %s, want %s", name, got, want)
 	}
 }
 
-// compareLines describes the first lines that differ; it returns an empty text if none do.
-func compareLines(want, got []string) string {
+// diffLines describes the first lines that differ. The result is empty if all lines are equal.
+func diffLines(want, got []string) string {
 	var b strings.Builder
 	differing := 0
 	for i := range max(len(want), len(got)) {
-		before, now := "(no line)", "(no line)"
+		wantLine, gotLine := "(no line)", "(no line)"
 		if i < len(want) {
-			before = want[i]
+			wantLine = want[i]
 		}
 		if i < len(got) {
-			now = got[i]
+			gotLine = got[i]
 		}
-		if before == now {
+		if wantLine == gotLine {
 			continue
 		}
 		if differing++; differing <= maxDifferences {
 			if differing == 1 && i > 0 && i <= len(want) {
-				fmt.Fprintf(&b, "line %d (same): %s\n", i, excerpt(want[i-1], 0))
+				fmt.Fprintf(&b, "line %d (unchanged): %s\n", i, excerpt(want[i-1], 0))
 			}
-			at := firstDifference(before, now)
-			fmt.Fprintf(&b, "line %d, from byte %d:\n  want %s\n  got  %s\n", i+1, at+1, excerpt(before, at), excerpt(now, at))
+			at := firstDifference(wantLine, gotLine)
+			fmt.Fprintf(&b, "line %d, from byte %d:\n  want %s\n  got  %s\n", i+1, at+1, excerpt(wantLine, at), excerpt(gotLine, at))
 		}
 	}
 	if differing > 0 {
-		fmt.Fprintf(&b, "%d lines differ; %d are kept, %d came\n", differing, len(want), len(got))
+		fmt.Fprintf(&b, "%d lines differ; want %d lines, got %d\n", differing, len(want), len(got))
 	}
 	return b.String()
 }
 
-// firstDifference is the index of the first byte that differs.
+// firstDifference returns the index of the first byte that differs.
 func firstDifference(a, b string) int {
 	at := 0
 	for at < min(len(a), len(b)) && a[at] == b[at] {
@@ -74,10 +74,10 @@
 	return at
 }
 
-// excerpt is the part of a line around an index.
+// excerpt returns the part of a line around an index.
 func excerpt(line string, at int) string {
-	const before, after = 80, 160
-	from, to := max(0, at-before), min(len(line), at+after)
+	const bytesBefore, bytesAfter = 80, 160
+	from, to := max(0, at-bytesBefore), min(len(line), at+bytesAfter)
 	text := line[from:to]
 	if from > 0 {
 		text = "..." + text
@@ -88,7 +88,7 @@
 	return text
 }
 
-func goldenPath(name, ending string) string { return filepath.Join("testdata", name+ending) }
+func goldenPath(name, extension string) string { return filepath.Join("testdata", name+extension) }
 
 func digestOf(text string) string { return fmt.Sprintf("%x", sha256.Sum256([]byte(text))) }
 
@@ -99,11 +99,11 @@
 		t.Fatal(err)
 	}
 	defer file.Close()
-	unzipped, err := gzip.NewReader(file)
+	decompressed, err := gzip.NewReader(file)
 	if err != nil {
 		t.Fatal(err)
 	}
-	text, err := io.ReadAll(unzipped)
+	text, err := io.ReadAll(decompressed)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -112,8 +112,8 @@
 
 func writeGolden(t *testing.T, name, text string) {
 	t.Helper()
-	var zipped bytes.Buffer
-	w, err := gzip.NewWriterLevel(&zipped, gzip.BestCompression)
+	var compressed bytes.Buffer
+	w, err := gzip.NewWriterLevel(&compressed, gzip.BestCompression)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -124,7 +124,7 @@
 		t.Fatal(err)
 	}
 	for path, content := range map[string][]byte{
-		goldenPath(name, ".gz"):     zipped.Bytes(),
+		goldenPath(name, ".gz"):     compressed.Bytes(),
 		goldenPath(name, ".sha256"): []byte(digestOf(text) + "\n"),
 	} {
 		if err := os.MkdirAll(filepath.Dir(path), 0o755); err != nil {
@@ -134,5 +134,5 @@
 			t.Fatal(err)
 		}
 	}
-	t.Logf("wrote %s, %d bytes", goldenPath(name, ".gz"), zipped.Len())
+	t.Logf("wrote %s, %d bytes", goldenPath(name, ".gz"), compressed.Len())
 }
--- a/compat/journal_test.go
+++ b/compat/journal_test.go
@@ -10,27 +10,28 @@
 	"testing"
 )
 
-// A release controller's journal is a first line, then records of a length and a CRC-32C, each four bytes in little endian,
-// and a payload in JSON.
-const journalHead = "lichenroad desk journal 1\n"
+// journalHeader is the first line of a release controller's journal. Records follow it: the length and the CRC-32C of the
+// payload, each four bytes in little-endian order, and the payload in JSON.
+const journalHeader = "lichenroad desk journal 1\n"
 
 var castagnoli = crc32.MakeTable(crc32.Castagnoli)
 
-// journalLines reads a whole journal and returns its payloads, with the times of the running test masked.
+// journalLines reads a journal and returns the payloads of its records, with the times in a span masked. It fails on an invalid
+// record.
 func journalLines(t *testing.T, path string, masked timeSpan) (lines []string) {
 	t.Helper()
 	raw := readFile(t, path)
-	rest, complete := bytes.CutPrefix(raw, []byte(journalHead))
-	if !complete {
-		t.Fatalf("%s begins with %.40q", path, raw)
+	rest, hasHeader := bytes.CutPrefix(raw, []byte(journalHeader))
+	if !hasHeader {
+		t.Fatalf("%s begins with %.40q, want the header of a journal", path, raw)
 	}
 	for len(rest) > 0 {
 		if len(rest) < 8 || len(rest)-8 < int(binary.LittleEndian.Uint32(rest)) {
-			t.Fatalf("%s: %d bytes at its end are no record", path, len(rest))
+			t.Fatalf("%s: the last %d bytes are not a complete record", path, len(rest))
 		}
 		payload := rest[8 : 8+binary.LittleEndian.Uint32(rest)]
 		if sum := binary.LittleEndian.Uint32(rest[4:]); crc32.Checksum(payload, castagnoli) != sum {
-			t.Fatalf("%s: the sum of %.80q is not %08x", path, payload, sum)
+			t.Fatalf("%s: the CRC-32C of %.80q is not %08x", path, payload, sum)
 		}
 		lines = append(lines, maskTimes(string(payload), masked))
 		rest = rest[8+len(payload):]
@@ -47,13 +48,13 @@
 	return raw
 }
 
-// keepJournals copies the journals of a state directory to testdata, if both flags for that are given.
-func keepJournals(t *testing.T, state, name string) {
+// recordJournals copies the journals of a state directory to testdata, if both -update and -keep-journals are set.
+func recordJournals(t *testing.T, stateDir, name string) {
 	t.Helper()
-	if !*update || !*keep {
+	if !*update || !*updateJournals {
 		return
 	}
-	files, err := filepath.Glob(filepath.Join(state, "journal*"))
+	files, err := filepath.Glob(filepath.Join(stateDir, "journal*"))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -62,20 +63,20 @@
 	}
 }
 
-// restoreJournals copies kept journals to a new state directory.
-func restoreJournals(t *testing.T, name string) (state string) {
+// restoreJournals copies recorded journals to a new state directory.
+func restoreJournals(t *testing.T, name string) (stateDir string) {
 	t.Helper()
-	state = t.TempDir()
+	stateDir = t.TempDir()
 	files, err := filepath.Glob(goldenPath(filepath.Join("desk", name, "journal*"), ".gz"))
 	if err != nil || len(files) == 0 {
-		t.Fatalf("no journals are kept as %s (%v)", name, err)
+		t.Fatalf("no journals are recorded as %s (error %v)", name, err)
 	}
 	for _, file := range files {
 		base := strings.TrimSuffix(filepath.Base(file), ".gz")
 		content := readGolden(t, filepath.Join("desk", name, base))
-		if err := os.WriteFile(filepath.Join(state, base), []byte(content), 0o600); err != nil {
+		if err := os.WriteFile(filepath.Join(stateDir, base), []byte(content), 0o600); err != nil {
 			t.Fatal(err)
 		}
 	}
-	return state
+	return stateDir
 }
--- a/compat/main_test.go
+++ b/compat/main_test.go
@@ -10,12 +10,12 @@
 )
 
 var (
-	update = flag.Bool("update", false, "rewrite the golden files from what the binaries do now")
-	keep   = flag.Bool("keep-journals", false, "keep the journals that the release controller writes now, for later binaries to read; needs -update")
+	update         = flag.Bool("update", false, "rewrite the golden files with the results of the current binaries")
+	updateJournals = flag.Bool("keep-journals", false, "rewrite the recorded journals too, which later binaries must be able to read; needs -update")
 )
 
-// binaries is the folder that holds the binaries under test.
-var binaries string
+// binaryDir is the directory of the binaries under test.
+var binaryDir string
 
 func TestMain(m *testing.M) {
 	flag.Parse()
@@ -30,14 +30,14 @@
 	}
 	defer os.RemoveAll(dir)
 	build := exec.Command("go", "build", "-o", dir, "./cmd/lichenroad", "./cmd/simhost")
-	build.Dir = ".." // the module's root: tests run in their package's folder
+	build.Dir = ".." // the module's root; tests run in the directory of their package
 	if out, err := build.CombinedOutput(); err != nil {
 		fmt.Fprintf(os.Stderr, "go build: %v\n%s", err, out)
 		return 1
 	}
-	binaries = dir
+	binaryDir = dir
 	return m.Run()
 }
 
-// program is the path of one of the binaries under test.
-func program(name string) string { return filepath.Join(binaries, name) }
+// binaryPath returns the path of a binary under test.
+func binaryPath(name string) string { return filepath.Join(binaryDir, name) }
--- a/compat/pipe_test.go
+++ b/compat/pipe_test.go
@@ -11,51 +11,57 @@
 	"testing"
 )
 
-// Codes of events on the simulator's pipe, as its specification has them.
+// Codes of events on the simulator's pipe, as specified.
 const (
-	eventDatagram      = 1
-	eventRolloutStatus = 2
-	eventDigest        = 3
-	eventBorn          = 4
-	eventShutdown      = 5
-	eventFinished      = 6
-	eventIngress       = 7
-	eventHealth        = 8
-	eventAnnounce      = 9
-	eventElapsed       = 10
-	eventReturned      = 11
-	eventDropped       = 12
-	eventInventory     = 13
-	eventStreaming     = 14
+	eventMessage            = 1
+	eventRolloutStatus      = 2
+	eventReportedCounts     = 3
+	eventStart              = 4
+	eventStop               = 5
+	eventAttemptEnded       = 6
+	eventRequest            = 7
+	eventHealthCheckEnded   = 8
+	eventListUpdate         = 9
+	eventTimerFired         = 10
+	eventMisreportedOutcome = 11
+	eventClientDisconnected = 12
+	eventList               = 13
+	eventStreamStarted      = 14
 )
 
-// Codes of actions.
+// Codes of commands, as specified.
 const (
-	actionRemark       = 65
-	actionCrash        = 66
-	actionCancel       = 67
-	actionOpinion      = 68
-	actionRelay        = 70
-	actionSleep        = 73
-	actionSendDatagram = 74
-	actionInformed     = 75
-	actionDecline      = 76
-	actionGiveUp       = 77
+	commandLog           = 65
+	commandFault         = 66
+	commandCancelAttempt = 67
+	commandVote          = 68
+	commandHealthCheck   = 69
+	commandSendAttempt   = 70
+	commandCloseIdle     = 71
+	commandFetchList     = 72
+	commandSetTimer      = 73
+	commandSendMessage   = 74
+	commandWatch         = 75
+	commandReject        = 76
+	commandFail          = 77
 )
 
-var actionNames = map[byte]string{actionRemark: "REMARK", actionCrash: "CRASH", actionCancel: "CANCEL", actionOpinion: "OPINION",
-	69: "CHECK", actionRelay: "RELAY", 71: "CLOSE_IDLE", 72: "REFRESH", actionSleep: "SLEEP", actionSendDatagram: "MEMO_TO",
-	actionInformed: "KEEP_INFORMED", actionDecline: "DECLINE", actionGiveUp: "GIVE_UP"}
+// commandNames are the names of commands in golden files.
+var commandNames = map[byte]string{commandLog: "REMARK", commandFault: "CRASH", commandCancelAttempt: "CANCEL", commandVote: "OPINION",
+	commandHealthCheck: "CHECK", commandSendAttempt: "RELAY", commandCloseIdle: "CLOSE_IDLE", commandFetchList: "REFRESH", commandSetTimer: "SLEEP", commandSendMessage: "MEMO_TO",
+	commandWatch: "KEEP_INFORMED", commandReject: "DECLINE", commandFail: "GIVE_UP"}
 
 // address is an endpoint's IPv4 address and port, as on the wire.
 type address [6]byte
 
-// record is the bytes of one event, appended field by field.
+// record is an encoded event, to which fields are appended.
 type record []byte
 
+// event begins an event that concerns no single instance.
 func event(code byte) record { return record{code} }
 
-func eventFor(code byte, instance uint16) record { return record{code}.u16(instance) }
+// instanceEvent begins an event for an instance.
+func instanceEvent(code byte, instance uint16) record { return record{code}.u16(instance) }
 
 func (r record) u8(v byte) record         { return append(r, v) }
 func (r record) u16(v uint16) record      { return binary.LittleEndian.AppendUint16(r, v) }
@@ -71,118 +77,119 @@
 	return r
 }
 
-// frame is a batch of records with its header.
+// frame encodes a batch of events: a header and the records.
 func frame(clock uint64, body []byte) []byte {
 	b := binary.LittleEndian.AppendUint32(nil, uint32(len(body)))
 	return append(binary.LittleEndian.AppendUint64(b, clock), body...)
 }
 
-// action is one record of a reply; rest are the bytes after its code and instance.
-type action struct {
+// command is a record of a reply; rest holds the bytes after its code and instance.
+type command struct {
 	code     byte
 	instance uint16
 	rest     []byte
 }
 
-func (a action) u16(at int) uint16 { return binary.LittleEndian.Uint16(a.rest[at:]) }
-func (a action) u32() uint32       { return binary.LittleEndian.Uint32(a.rest) } // the first field
-func (a action) u64(at int) uint64 { return binary.LittleEndian.Uint64(a.rest[at:]) }
+func (c command) u16(at int) uint16 { return binary.LittleEndian.Uint16(c.rest[at:]) }
+func (c command) u32() uint32       { return binary.LittleEndian.Uint32(c.rest) } // the first field
+func (c command) u64(at int) uint64 { return binary.LittleEndian.Uint64(c.rest[at:]) }
 
-// line is an action's line of a golden file. The text of a REMARK is left out, with its length, as log lines are.
-func (a action) line() string {
-	rest := hex.EncodeToString(a.rest)
-	if a.code == actionRemark {
+// line returns a command's line of a golden file. The text of a log command and its length are left out, because the text of
+// log lines may change.
+func (c command) line() string {
+	rest := hex.EncodeToString(c.rest)
+	if c.code == commandLog {
 		rest = "(text)"
 	}
-	return fmt.Sprintf("  %s %d %s", actionNames[a.code], a.instance, rest)
+	return fmt.Sprintf("  %s %d %s", commandNames[c.code], c.instance, rest)
 }
 
-// fixedLengths are the numbers of bytes after code and instance, of the actions that have a fixed length.
-var fixedLengths = map[byte]int{actionCancel: 5, actionOpinion: 4, 69: 6, actionRelay: 18, 71: 6, 72: 0, actionSleep: 16,
-	actionInformed: 1, actionDecline: 12, actionGiveUp: 4}
+// fixedLengths holds the number of bytes after code and instance, for the commands of fixed length.
+var fixedLengths = map[byte]int{commandCancelAttempt: 5, commandVote: 4, commandHealthCheck: 6, commandSendAttempt: 18, commandCloseIdle: 6, commandFetchList: 0, commandSetTimer: 16,
+	commandWatch: 1, commandReject: 12, commandFail: 4}
 
-// splitReply splits the body of a reply into its actions.
-func splitReply(body []byte) (actions []action, err error) {
+// splitReply splits the body of a reply into its commands.
+func splitReply(body []byte) (commands []command, err error) {
 	for at := 0; at < len(body); {
 		if len(body)-at < 3 {
-			return nil, fmt.Errorf("%d bytes are left over", len(body)-at)
+			return nil, fmt.Errorf("%d bytes follow the last command", len(body)-at)
 		}
-		a := action{code: body[at], instance: binary.LittleEndian.Uint16(body[at+1:])}
+		c := command{code: body[at], instance: binary.LittleEndian.Uint16(body[at+1:])}
 		at += 3
-		size, fixed := fixedLengths[a.code]
-		textAt := map[byte]int{actionRemark: 0, actionCrash: 0, actionSendDatagram: 4}
-		if from, hasText := textAt[a.code]; hasText && at+from+2 <= len(body) {
-			size, fixed = from+2+int(binary.LittleEndian.Uint16(body[at+from:])), true
+		size, fixed := fixedLengths[c.code]
+		textOffsets := map[byte]int{commandLog: 0, commandFault: 0, commandSendMessage: 4}
+		if textOffset, hasText := textOffsets[c.code]; hasText && at+textOffset+2 <= len(body) {
+			size, fixed = textOffset+2+int(binary.LittleEndian.Uint16(body[at+textOffset:])), true
 		}
 		if !fixed || at+size > len(body) {
-			return nil, fmt.Errorf("action %d at byte %d is not known or runs past the end", a.code, at-3)
+			return nil, fmt.Errorf("command %d at byte %d is unknown or exceeds the body", c.code, at-3)
 		}
-		a.rest = body[at : at+size]
+		c.rest = body[at : at+size]
 		at += size
-		actions = append(actions, a)
+		commands = append(commands, c)
 	}
-	return actions, nil
+	return commands, nil
 }
 
-// pipe is a decision process that runs, with its standard input and output.
+// pipe is a running simhost process, with its standard input and output.
 type pipe struct {
-	t       *testing.T
-	command *exec.Cmd
-	in      io.WriteCloser
-	out     *bufio.Reader
+	t   *testing.T
+	cmd *exec.Cmd
+	in  io.WriteCloser
+	out *bufio.Reader
 }
 
-func openPipe(t *testing.T) *pipe {
+func startSimhost(t *testing.T) *pipe {
 	t.Helper()
-	command := exec.Command(program("simhost"))
-	in, err := command.StdinPipe()
+	cmd := exec.Command(binaryPath("simhost"))
+	in, err := cmd.StdinPipe()
 	if err != nil {
 		t.Fatal(err)
 	}
-	out, err := command.StdoutPipe()
+	out, err := cmd.StdoutPipe()
 	if err != nil {
 		t.Fatal(err)
 	}
-	if err := command.Start(); err != nil {
+	if err := cmd.Start(); err != nil {
 		t.Fatal(err)
 	}
-	t.Cleanup(func() { command.Process.Kill(); command.Wait() })
-	return &pipe{t, command, in, bufio.NewReader(out)}
+	t.Cleanup(func() { cmd.Process.Kill(); cmd.Wait() })
+	return &pipe{t, cmd, in, bufio.NewReader(out)}
 }
 
-// exchange writes a batch and reads its reply.
-func (p *pipe) exchange(batch []byte) []action {
+// exchange writes a batch and reads the reply.
+func (p *pipe) exchange(batch []byte) []command {
 	p.t.Helper()
 	if _, err := p.in.Write(batch); err != nil {
 		p.t.Fatal(err)
 	}
-	var head [8]byte
-	if _, err := io.ReadFull(p.out, head[:]); err != nil {
+	var header [8]byte
+	if _, err := io.ReadFull(p.out, header[:]); err != nil {
 		p.t.Fatalf("no reply: %v", err)
 	}
-	body := make([]byte, binary.LittleEndian.Uint32(head[4:]))
+	body := make([]byte, binary.LittleEndian.Uint32(header[4:]))
 	if _, err := io.ReadFull(p.out, body); err != nil {
-		p.t.Fatalf("half a reply: %v", err)
+		p.t.Fatalf("incomplete reply: %v", err)
 	}
-	actions, err := splitReply(body)
+	commands, err := splitReply(body)
 	if err != nil {
 		p.t.Fatal(err)
 	}
-	if count := int(binary.LittleEndian.Uint32(head[:])); count != len(actions) {
-		p.t.Fatalf("the header counts %d actions, the body holds %d", count, len(actions))
+	if count := int(binary.LittleEndian.Uint32(header[:])); count != len(commands) {
+		p.t.Fatalf("the header announces %d commands, the body contains %d", count, len(commands))
 	}
-	return actions
+	return commands
 }
 
-// end closes the input; the process must then exit with 0 and write nothing more.
+// end closes the input. The process must then exit with 0 without further output.
 func (p *pipe) end() {
 	p.t.Helper()
 	p.in.Close()
 	rest, err := io.ReadAll(p.out)
 	if err != nil || len(rest) > 0 {
-		p.t.Errorf("%d bytes behind the last reply, %v", len(rest), err)
+		p.t.Errorf("%d bytes after the last reply, read error %v", len(rest), err)
 	}
-	if err := p.command.Wait(); err != nil {
-		p.t.Errorf("at the end of input: %v", err)
+	if err := p.cmd.Wait(); err != nil {
+		p.t.Errorf("exit at the end of the input: %v", err)
 	}
 }
--- a/compat/process_test.go
+++ b/compat/process_test.go
@@ -12,56 +12,57 @@
 	"time"
 )
 
-// testTimeout is how long a test waits for what should come at once; a test that reaches it fails.
+// testTimeout is the time after which a test fails that waits for something that should happen at once.
 const testTimeout = 30 * time.Second
 
 // result is the output and exit code of a command.
 type result struct {
-	out, errs string
-	code      int
+	stdout, stderr string
+	code           int
 }
 
-// call runs the tool to its end, in an environment without its variables.
-func call(t *testing.T, args ...string) result {
+// runTool runs lichenroad to its end, without the environment variables that it reads.
+func runTool(t *testing.T, args ...string) result {
 	t.Helper()
-	return callIn(t, "", args...)
+	return runToolIn(t, "", args...)
 }
 
-// callIn is call in a directory.
-func callIn(t *testing.T, dir string, args ...string) result {
+// runToolIn is runTool in a working directory.
+func runToolIn(t *testing.T, dir string, args ...string) result {
 	t.Helper()
 	ctx, cancel := context.WithTimeout(context.Background(), 2*testTimeout)
 	defer cancel()
-	command := exec.CommandContext(ctx, program("lichenroad"), args...)
-	command.Dir, command.Env = dir, []string{"TZ=UTC"}
-	var out, errs bytes.Buffer
-	command.Stdout, command.Stderr = &out, &errs
-	err := command.Run()
+	cmd := exec.CommandContext(ctx, binaryPath("lichenroad"), args...)
+	cmd.Dir, cmd.Env = dir, []string{"TZ=UTC"}
+	var stdout, stderr bytes.Buffer
+	cmd.Stdout, cmd.Stderr = &stdout, &stderr
+	err := cmd.Run()
 	if exit := (*exec.ExitError)(nil); err != nil && !errors.As(err, &exit) {
 		t.Fatal(err)
 	}
 	if ctx.Err() != nil {
-		t.Fatalf("%s: still runs", strings.Join(args, " "))
+		t.Fatalf("%s: did not end in time", strings.Join(args, " "))
 	}
-	return result{out.String(), errs.String(), command.ProcessState.ExitCode()}
+	return result{stdout.String(), stderr.String(), cmd.ProcessState.ExitCode()}
 }
 
-// errorLines are the lines on standard error.
+// errorLines returns the lines on standard error.
 func (r result) errorLines() []string {
-	text := strings.TrimRight(r.errs, "\n")
+	text := strings.TrimRight(r.stderr, "\n")
 	if text == "" {
 		return nil
 	}
 	return strings.Split(text, "\n")
 }
 
-// process is a run of the tool in the background. A goroutine of run waits for its end, sets code and closes ended.
+// process is lichenroad running in the background. A goroutine that startTool starts waits for its end, sets code and closes
+// ended.
 type process struct {
-	t       *testing.T
-	command *exec.Cmd
-	logged  *lockedBuffer
-	ended   chan struct{}
-	code    int
+	t      *testing.T
+	cmd    *exec.Cmd
+	output *lockedBuffer
+	ended  chan struct{}
+	code   int
 }
 
 // lockedBuffer collects what a process writes while it runs.
@@ -82,31 +83,30 @@
 	return b.text.String()
 }
 
-// run starts the tool. It is killed at the end of the test if it still runs.
-func run(t *testing.T, args ...string) *process {
+// startTool starts lichenroad. The process is killed at the end of the test if it is still running.
+func startTool(t *testing.T, args ...string) *process {
 	t.Helper()
-	p := &process{t: t, command: exec.Command(program("lichenroad"), args...), logged: &lockedBuffer{}, ended: make(chan struct{})}
-	p.command.Env = []string{"TZ=UTC"}
-	p.command.Stdout, p.command.Stderr = p.logged, p.logged
-	if err := p.command.Start(); err != nil {
+	p := &process{t: t, cmd: exec.Command(binaryPath("lichenroad"), args...), output: &lockedBuffer{}, ended: make(chan struct{})}
+	p.cmd.Env = []string{"TZ=UTC"}
+	p.cmd.Stdout, p.cmd.Stderr = p.output, p.output
+	if err := p.cmd.Start(); err != nil {
 		t.Fatal(err)
 	}
 	go func() {
-		p.command.Wait()
-		p.code = p.command.ProcessState.ExitCode()
+		p.cmd.Wait()
+		p.code = p.cmd.ProcessState.ExitCode()
 		close(p.ended)
 	}()
 	t.Cleanup(func() {
-		p.command.Process.Kill()
+		p.cmd.Process.Kill()
 		<-p.ended
 		if t.Failed() {
-			t.Logf("%s said:\n%s", strings.Join(args, " "), p.logged)
+			t.Logf("output of %s:\n%s", strings.Join(args, " "), p.output)
 		}
 	})
 	return p
 }
 
-// hasEnded reports whether the process has ended.
 func (p *process) hasEnded() bool {
 	select {
 	case <-p.ended:
@@ -116,10 +116,10 @@
 	}
 }
 
-// stop sends SIGTERM; the process must exit with 0.
+// stop sends SIGTERM. The process must exit with 0.
 func (p *process) stop() {
 	p.t.Helper()
-	p.command.Process.Signal(syscall.SIGTERM)
+	p.cmd.Process.Signal(syscall.SIGTERM)
 	p.wait(0)
 }
 
@@ -129,19 +129,19 @@
 	select {
 	case <-p.ended:
 	case <-time.After(testTimeout):
-		p.t.Fatal("the process does not end")
+		p.t.Fatal("the process did not end in time")
 	}
 	if p.code != code {
 		p.t.Fatalf("exit code %d, want %d", p.code, code)
 	}
 }
 
-// eventually polls a condition until it holds.
-func eventually(t *testing.T, what string, holds func() bool) {
+// eventually polls a condition until it holds, and fails after testTimeout.
+func eventually(t *testing.T, condition string, holds func() bool) {
 	t.Helper()
 	for until := time.Now().Add(testTimeout); !holds(); time.Sleep(2 * time.Millisecond) {
 		if time.Now().After(until) {
-			t.Fatalf("never: %s", what)
+			t.Fatalf("timed out waiting until %s", condition)
 		}
 	}
 }
--- a/compat/scenarios_test.go
+++ b/compat/scenarios_test.go
@@ -5,26 +5,26 @@
 	"strings"
 )
 
-// scenario is what differs between the recorded sessions: the settings, and how the emulated deployment behaves.
+// scenario holds what differs between the simulated sessions: the settings, and the behaviour of the emulated deployment.
 type scenario struct {
-	name     string
-	seed     uint64
-	replicas int      // instances of the fleet; those that are not hosted are emulated
-	hosted   []uint16 // their my_number; the number on the pipe differs, by 3
+	name   string
+	seed   uint64
+	relays int      // relays of the fleet; those that are not hosted are emulated
+	hosted []uint16 // my_number of the hosted instances
 
 	discovery          string // subscribe or automatic
 	reports            string // inline, on_probe or off
 	control            string // first_voice, by_count or automatic
 	countedBy          string // all or each_class
-	swap               string // parallel or replace
-	cancel             bool
+	replacement        string // parallel or replace
+	cancelAttempts     bool
 	peerMessages       bool
-	parallelAttempts   bool
+	hedgedRequests     bool
 	retryAfter         bool
-	noReturn           bool
+	stickyKeys         bool
 	tenants            bool
-	objectiveStretch   float64
-	failures           float64 // share of attempts that fail, in any way
+	objectivePerWork   float64
+	failureRate        float64 // share of attempts that fail, with any of failedOutcomes
 	badBuild           bool    // the new build fails half of its attempts
 	overload           bool    // endpoints respond late and reject requests
 	restarts           bool    // an instance is stopped and started again
@@ -33,16 +33,16 @@
 }
 
 var scenarios = []scenario{
-	{name: "good-build", seed: 1, replicas: 8, hosted: []uint16{0, 1, 5}, discovery: "subscribe", reports: "on_probe", control: "by_count",
-		countedBy: "all", swap: "parallel", cancel: true, peerMessages: true, parallelAttempts: true, retryAfter: true, tenants: true, failures: 0.04,
+	{name: "good-build", seed: 1, relays: 8, hosted: []uint16{0, 1, 5}, discovery: "subscribe", reports: "on_probe", control: "by_count",
+		countedBy: "all", replacement: "parallel", cancelAttempts: true, peerMessages: true, hedgedRequests: true, retryAfter: true, tenants: true, failureRate: 0.04,
 		restarts: true, malformedDatagrams: true},
-	{name: "bad-build", seed: 2, replicas: 6, hosted: []uint16{0, 2, 4}, discovery: "automatic", reports: "inline", control: "first_voice",
-		countedBy: "each_class", swap: "replace", cancel: true, peerMessages: true, retryAfter: true, noReturn: true, tenants: true, failures: 0.02,
+	{name: "bad-build", seed: 2, relays: 6, hosted: []uint16{0, 2, 4}, discovery: "automatic", reports: "inline", control: "first_voice",
+		countedBy: "each_class", replacement: "replace", cancelAttempts: true, peerMessages: true, retryAfter: true, stickyKeys: true, tenants: true, failureRate: 0.02,
 		badBuild: true},
-	{name: "clock-and-overload", seed: 3, replicas: 4, hosted: []uint16{0, 3}, discovery: "subscribe", reports: "off", control: "automatic",
-		countedBy: "all", swap: "parallel", peerMessages: true, parallelAttempts: true, objectiveStretch: 1.5, failures: 0.1, overload: true, malformedDatagrams: true},
-	{name: "alone-and-silent", seed: 4, replicas: 1, hosted: []uint16{0}, discovery: "automatic", reports: "inline", control: "first_voice",
-		countedBy: "all", swap: "parallel", failures: 0.05, minimalSettings: true},
+	{name: "clock-and-overload", seed: 3, relays: 4, hosted: []uint16{0, 3}, discovery: "subscribe", reports: "off", control: "automatic",
+		countedBy: "all", replacement: "parallel", peerMessages: true, hedgedRequests: true, objectivePerWork: 1.5, failureRate: 0.1, overload: true, malformedDatagrams: true},
+	{name: "alone-and-silent", seed: 4, relays: 1, hosted: []uint16{0}, discovery: "automatic", reports: "inline", control: "first_voice",
+		countedBy: "all", replacement: "parallel", failureRate: 0.05, minimalSettings: true},
 }
 
 // Request classes, in the order of the settings.
@@ -56,13 +56,13 @@
 	classCount
 )
 
-// deadlines by class, in nanoseconds.
+// deadlines are those of requests by class, in nanoseconds.
 var deadlines = [classCount]uint64{2_500_000_000, 4_000_000_000, 3_000_000_000, 2_000_000_000, 2_500_000_000, 2_500_000_000}
 
-// settings is the settings object of one instance, in JSON.
+// settings returns the settings object of an instance, in JSON.
 func (s scenario) settings(number uint16) string {
 	if s.minimalSettings {
-		return fmt.Sprintf(`{"my_number":%d,"replicas_of_me":%d,"grades":[%s]}`, number, s.replicas, s.grades())
+		return fmt.Sprintf(`{"my_number":%d,"replicas_of_me":%d,"grades":[%s]}`, number, s.relays, s.classes())
 	}
 	tenants := ""
 	if s.tenants {
@@ -80,12 +80,12 @@
 "replicas_of_me":%d,"report":{"fields":["recent_ms","outstanding"],"via":%q},
 "rules":{"answer_slack":20000000,"ask_every":10000000000,"cold_from":0.35,"drain_grace":250000000,"fall":3000000000,"fall_multiple":2.5,
 "warm_up":4600000000},"stage":0,"tenants":[%s],"tick":5000000,"weight_source":"nominal","worth_by":"work","a_key_not_known":[1]}`,
-		number%2, s.discovery, s.countedBy, s.control, s.noReturn, s.swap, s.grades(), number, s.cancel, s.peerMessages, s.parallelAttempts, s.retryAfter,
-		s.replicas, s.reports, tenants)
+		number%2, s.discovery, s.countedBy, s.control, s.stickyKeys, s.replacement, s.classes(), number, s.cancelAttempts, s.peerMessages, s.hedgedRequests, s.retryAfter,
+		s.relays, s.reports, tenants)
 }
 
-func (s scenario) grades() string {
-	forms := [classCount]string{
+func (s scenario) classes() string {
+	classFields := [classCount]string{
 		classRetryable: `"repeat":"retryable","group":"all","streamed":false,"target":800000000,"worth":2.0`,
 		classStreamed:  `"repeat":"retryable","group":"all","streamed":true,"target":1500000000,"worth":1.0`,
 		classKeyedZone: `"repeat":"dedup","group":"zone","streamed":false,"target":1000000000,"worth":3.0`,
@@ -94,9 +94,9 @@
 		classKeyedCell: `"repeat":"dedup","group":"cell","streamed":false,"target":0,"worth":1.0`,
 	}
 	var all []string
-	for class, form := range forms {
+	for class, fields := range classFields {
 		all = append(all, fmt.Sprintf(`{"name":"class-%d",%s,"deadline":%d,"repeat_window":1500000000,"late_worth":0.2,"aim_stretch":%g}`,
-			class, form, deadlines[class], s.objectiveStretch))
+			class, fields, deadlines[class], s.objectivePerWork))
 	}
 	return strings.Join(all, ",")
 }
--- a/compat/serve_test.go
+++ b/compat/serve_test.go
@@ -24,7 +24,7 @@
  "family_info":{"call_timeout":300000000,"exposure_caps":[1],"waves":[1],"uncounted":1,"span":2000000000,
   "decided_by":"first_voice","to_advance":1,"to_abort":1,"ballot_ttl":10000000000,"votes_per_s":100,"min_dwell":0}}`
 
-// listJSON is discovery's response: endpoints by name, all at one address.
+// listJSON returns a response of discovery: endpoints with the given names, all at one address.
 func listJSON(generation int, endpoint string, names ...string) string {
 	var entries []string
 	for _, name := range names {
@@ -33,47 +33,47 @@
 	return fmt.Sprintf(`{"generation":%d,"reset":true,"instances":[%s]}`, generation, strings.Join(entries, ","))
 }
 
-// peer emulates the other relay of the fleet. It records each datagram's form and fields, without times.
-type peer struct {
-	conn *net.UDPConn
-	seen observationLog
-	mu   sync.Mutex
-	view []byte // generation and digest of the endpoint list in the first heartbeat
+// emulatedPeer emulates the other relay of the fleet. It records the type and fields of membership datagrams, without times.
+type emulatedPeer struct {
+	conn        *net.UDPConn
+	seen        observationLog
+	mu          sync.Mutex
+	listVersion []byte // generation and digest of the endpoint list, from the first membership datagram
 }
 
-func startPeer(t *testing.T) *peer {
+func startPeer(t *testing.T) *emulatedPeer {
 	t.Helper()
 	conn, err := net.ListenUDP("udp", &net.UDPAddr{IP: net.IPv4(127, 0, 0, 1)})
 	if err != nil {
 		t.Fatal(err)
 	}
 	t.Cleanup(func() { conn.Close() })
-	p := &peer{conn: conn}
+	p := &emulatedPeer{conn: conn}
 	go func() {
 		for b := make([]byte, 1024); ; {
 			n, err := conn.Read(b)
 			if err != nil {
 				return
 			}
-			p.record(b[:n])
+			p.observe(b[:n])
 		}
 	}()
 	return p
 }
 
-// record records a membership datagram without its two times, which are uvarints of Unix milliseconds: when discovery last
-// responded, and when a call to it last failed; 0 means never. Any other time must be one of the running test.
-func (p *peer) record(b []byte) {
-	if !isForm(b, formHeartbeat) && !isForm(b, formDelta) {
-		return // reports and votes: their content depends on how long responses took
+// observe records a membership datagram without its two times, which are uvarints of Unix milliseconds: when discovery last
+// responded, and when a call to it last failed; 0 means never. Any other time must be within the running test.
+func (p *emulatedPeer) observe(b []byte) {
+	if !isMessageType(b, heartbeatType) && !isMessageType(b, deltaType) {
+		return // reports and decisions, whose content depends on response times
 	}
 	_, n := binary.Uvarint(b[2:])
 	if n <= 0 || len(b) < 2+n+8 {
 		p.seen.add(fmt.Sprintf("cut short: %x", b))
 		return
 	}
-	view, rest := b[2:2+n+8], b[2+n+8:]
-	line := fmt.Sprintf("form %d, view %x", b[1], view)
+	version, rest := b[2:2+n+8], b[2+n+8:]
+	line := fmt.Sprintf("form %d, view %x", b[1], version)
 	for range 2 {
 		at, n := binary.Uvarint(rest)
 		if age := time.Since(time.UnixMilli(int64(at))); n <= 0 || at != 0 && (age < -time.Second || age > 2*testTimeout) {
@@ -84,8 +84,8 @@
 	p.seen.add(line + fmt.Sprintf(", then %x", rest))
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if p.view == nil {
-		p.view = append([]byte(nil), view...)
+	if p.listVersion == nil {
+		p.listVersion = append([]byte(nil), version...)
 	}
 }
 
@@ -96,22 +96,22 @@
 	reader *bufio.Reader
 }
 
-func dialRelay(t *testing.T, address, first string) *client {
+func dialRelay(t *testing.T, address, firstBytes string) *client {
 	t.Helper()
-	var c net.Conn
-	eventually(t, "the relay listens", func() (up bool) {
+	var conn net.Conn
+	eventually(t, "the relay listens", func() (listens bool) {
 		var err error
-		c, err = net.Dial("tcp", address)
+		conn, err = net.Dial("tcp", address)
 		return err == nil
 	})
-	c.SetDeadline(time.Now().Add(testTimeout))
-	t.Cleanup(func() { c.Close() })
-	fmt.Fprint(c, first)
-	return &client{t, c, bufio.NewReader(c)}
+	conn.SetDeadline(time.Now().Add(testTimeout))
+	t.Cleanup(func() { conn.Close() })
+	fmt.Fprint(conn, firstBytes)
+	return &client{t, conn, bufio.NewReader(conn)}
 }
 
 // readResponse reads messages up to and including ReadyForQuery, or to the end of the connection. The cancellation key is
-// masked, as it differs in each session.
+// masked, because it differs in each session.
 func (c *client) readResponse() (lines []string) {
 	for {
 		raw, err := readMessage(c.reader, false)
@@ -130,56 +130,57 @@
 
 const startupParameters = "user\x00worker\x00database\x00catalog\x00\x00"
 
-// TestServe runs a relay with emulated endpoints, discovery, platform, peer and clients, and compares what each sees of it.
+// TestServe runs a relay with emulated endpoints, discovery, platform, peer and clients, and compares what each of them
+// receives from it.
 func TestServe(t *testing.T) {
 	t.Parallel()
 	endpoint, endpointSeen := startEndpoint(t)
 	platform, platformSeen := startPlatform(t)
-	disc := startDiscovery(t, listJSON(1, endpoint, "s-0", "s-1"))
-	other := startPeer(t)
+	discovery := startDiscovery(t, listJSON(1, endpoint, "s-0", "s-1"))
+	peer := startPeer(t)
 	listen, peerListen := freeAddress(t), freeAddress(t)
-	config := filepath.Join(t.TempDir(), "config.json")
-	text := fmt.Sprintf(`{"name":"n0","listen":%q,"discovery":%q,"seed":"8c1f30d27a5be964","peer_listen":%q,"peers":[%q,%q],"peers_all":%q,
+	configPath := filepath.Join(t.TempDir(), "config.json")
+	configJSON := fmt.Sprintf(`{"name":"n0","listen":%q,"discovery":%q,"seed":"8c1f30d27a5be964","peer_listen":%q,"peers":[%q,%q],"peers_all":%q,
 "platform":{"address":%q,"news":{"image":1,"ring":0,"progress":"stable","ceiling":1,"lag_ms":5000}},"known":%s,"settings":%s}`,
-		listen, disc.address, peerListen, peerListen, other.conn.LocalAddr(), other.conn.LocalAddr(), platform,
+		listen, discovery.address, peerListen, peerListen, peer.conn.LocalAddr(), peer.conn.LocalAddr(), platform,
 		listJSON(1, endpoint, "s-0", "s-1"), serveSettings)
-	if err := os.WriteFile(config, []byte(text), 0o600); err != nil {
+	if err := os.WriteFile(configPath, []byte(configJSON), 0o600); err != nil {
 		t.Fatal(err)
 	}
-	relay := run(t, "serve", "--config", config)
+	relay := startTool(t, "serve", "--config", configPath)
 	lines := clientSession(t, listen)
 
-	eventually(t, "a heartbeat came", func() bool { return other.seen.has("form 5") })
-	disc.replace(2, listJSON(2, endpoint, "s-0"))
-	eventually(t, "a heartbeat of the next list came", func() bool { return other.seen.has("form 5, view 02") })
-	other.mu.Lock()
-	old := append([]byte{datagramMark, formHeartbeat}, other.view...)
-	other.mu.Unlock()
-	to, err := net.ResolveUDPAddr("udp", peerListen)
+	eventually(t, "a heartbeat arrives", func() bool { return peer.seen.has("form 5") })
+	discovery.replace(2, listJSON(2, endpoint, "s-0"))
+	eventually(t, "a heartbeat with the next list arrives", func() bool { return peer.seen.has("form 5, view 02") })
+	peer.mu.Lock()
+	oldHeartbeat := append([]byte{messageMagic, heartbeatType}, peer.listVersion...)
+	peer.mu.Unlock()
+	relayAddress, err := net.ResolveUDPAddr("udp", peerListen)
 	if err != nil {
 		t.Fatal(err)
 	}
-	eventually(t, "a relay with the older list was told what left", func() bool {
-		other.conn.WriteToUDP(append(append([]byte(nil), old...), 0, 0), to)
-		return other.seen.has("form 6")
+	eventually(t, "a relay with the older list receives the removed endpoints", func() bool {
+		peer.conn.WriteToUDP(append(append([]byte(nil), oldHeartbeat...), 0, 0), relayAddress)
+		return peer.seen.has("form 6")
 	})
-	eventually(t, "the platform was watched", func() bool { return platformSeen.has("WATCH") })
-	eventually(t, "discovery is watched anew", func() bool { return disc.seen.has("after=2&") })
+	eventually(t, "the relay watches the platform", func() bool { return platformSeen.has("WATCH") })
+	eventually(t, "the relay watches discovery for changes of the next list", func() bool { return discovery.seen.has("after=2&") })
 	relay.stop()
 
 	lines = append(lines, "units saw:")
 	lines = append(lines, endpointSeen.all()...)
 	lines = append(lines, "discovery saw:")
-	lines = append(lines, disc.seen.all()...)
+	lines = append(lines, discovery.seen.all()...)
 	lines = append(lines, "the platform saw:", platformSeen.all()[0], "the peer saw:")
-	lines = append(lines, other.seen.all()...)
+	lines = append(lines, peer.seen.all()...)
 	checkGolden(t, "serve/session", lines)
 }
 
-// clientSession plays what clients send to a relay, and returns it with the responses.
+// clientSession sends a relay the requests of clients, and returns these with the responses.
 func clientSession(t *testing.T, listen string) (lines []string) {
 	t.Helper()
-	ready := dialRelay(t, listen, startup()+query("")) // held until the relay is ready
+	ready := dialRelay(t, listen, startupMessage()+queryMessage("")) // answered once the relay is ready
 	lines = append(lines, "startup with an empty query")
 	lines = append(lines, ready.readResponse()...)
 	lines = append(lines, ready.readResponse()...)
@@ -195,19 +196,19 @@
 		"SET x = 1",
 		"",
 	} {
-		client := dialRelay(t, listen, startup()+query(text))
-		client.readResponse() // to the startup
+		client := dialRelay(t, listen, startupMessage()+queryMessage(text))
+		client.readResponse() // to the startup message
 		lines = append(lines, fmt.Sprintf("%q", text))
 		lines = append(lines, client.readResponse()...)
-		fmt.Fprint(client, query("")) // answered if the connection is still usable
+		fmt.Fprint(client, queryMessage("")) // answered if the connection is still usable
 		lines = append(lines, client.readResponse()...)
 	}
 	for _, c := range []struct{ name, bytes string }{
-		{"a message of the extended protocol", startup() + message('P', "\x00SELECT 1\x00\x00\x00")},
+		{"a message of the extended protocol", startupMessage() + message('P', "\x00SELECT 1\x00\x00\x00")},
 		{"another protocol", "GET / HTTP/1.1\r\nHost: x\r\n\r\n"},
 		{"version 2", "\x00\x00\x00\x08\x00\x02\x00\x00"},
 		{"a cancel request", "\x00\x00\x00\x10\x04\xd2\x16\x2e\x00\x00\x00\x01\x00\x00\x00\x00"},
-		{"an end at once", startup() + message('X', "")},
+		{"an end at once", startupMessage() + message('X', "")},
 	} {
 		lines = append(lines, c.name)
 		client := dialRelay(t, listen, c.bytes)
@@ -216,6 +217,6 @@
 		}
 	}
 	encrypted := dialRelay(t, listen, "\x00\x00\x00\x08\x04\xd2\x16\x2f") // SSLRequest
-	answer, err := encrypted.reader.ReadByte()
-	return append(lines, fmt.Sprintf("a request for TLS: %q %v", answer, err))
+	reply, err := encrypted.reader.ReadByte()
+	return append(lines, fmt.Sprintf("a request for TLS: %q %v", reply, err))
 }
--- a/imports_test.go
+++ b/imports_test.go
@@ -13,8 +13,8 @@
 
 const modulePath = "lichenroad/"
 
-// layers are the packages of the module, from the lowest layer up: a package imports those of lower layers alone
-// (docs/ARCHITECTURE.md). Test files may import more.
+// layers lists the module's packages from the lowest layer to the highest. A package may import only packages of lower
+// layers; test files are exempt. docs/ARCHITECTURE.md describes the layers.
 var layers = [][]string{
 	{"relay", "plan", "simwire", "experiment", "policy/window", "internal/buffer", "internal/httpwire", "internal/limits",
 		"internal/metrics", "internal/sockets", "internal/xmlconfig", "lab/logsummary", "lab/relayconfig", "lab/slope", "compat"},
@@ -46,9 +46,9 @@
 			return nil
 		}
 		from := path.Dir(filepath.ToSlash(file))
-		layer, known := layerOf[from]
-		if !known {
-			t.Errorf("%s: package %s is in no layer", file, from)
+		layer, listed := layerOf[from]
+		if !listed {
+			t.Errorf("%s: package %s is not in the list of layers", file, from)
 		}
 		for _, imported := range importsOf(t, file) {
 			if layerOf[imported] >= layer {
@@ -62,7 +62,7 @@
 	}
 }
 
-// importsOf lists the module's packages that a file imports, by their folders.
+// importsOf returns the folders of the module's packages that a file imports.
 func importsOf(t *testing.T, file string) (packages []string) {
 	t.Helper()
 	parsed, err := parser.ParseFile(token.NewFileSet(), file, nil, parser.ImportsOnly)
@@ -74,7 +74,7 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		if folder, ours := strings.CutPrefix(imported, modulePath); ours {
+		if folder, inModule := strings.CutPrefix(imported, modulePath); inModule {
 			packages = append(packages, folder)
 		}
 	}
