--- a/compat/controller_start_test.go
+++ b/compat/controller_start_test.go
@@ -16,7 +16,7 @@
 		name      string
 		recorded  string
 		change    func(journal []byte) []byte
-		truncated int // bytes of a torn record that the controller cuts off the end; -1: all that remains of the last recorded one
+		truncated int // length of the torn record that the controller cuts off the end; -1: it is the last recorded one
 	}{
 		{"whole", "kept-session", nil, 0},
 		{"with a snapshot and archives", "kept-compaction", nil, 0},
--- a/compat/deployment_rollout_test.go
+++ b/compat/deployment_rollout_test.go
@@ -124,7 +124,8 @@
 	})
 }
 
-// countVote counts a vote and replies to it. Every fifth vote is not counted; its result is each of four errors in turn.
+// countVote counts a vote and replies to it. Every fifth vote is not counted; the reply then has one of four other results,
+// in turn.
 func (d *deployment) countVote(instance *hostedInstance, build uint16, stage, vote byte) {
 	d.votes++
 	result, incarnation := byte(outcomeSucceeded), instance.incarnation
--- a/compat/process_test.go
+++ b/compat/process_test.go
@@ -12,7 +12,7 @@
 	"time"
 )
 
-// testTimeout is the time after which a test fails that waits for something that should happen at once.
+// testTimeout limits the wait for something that should happen at once. A test that reaches it fails.
 const testTimeout = 30 * time.Second
 
 // result is the output and exit code of a command.
--- a/compat/results_test.go
+++ b/compat/results_test.go
@@ -12,11 +12,11 @@
 // resultCase is a command whose results are compared: its exit code, its standard output, and the file that it writes. In
 // its arguments, FILE stands for that file and DIR for a temporary directory of the case. It runs in testdata/input.
 type resultCase struct {
-	name         string
-	args         string
-	setup        []string          // commands that create its input
-	measurements bool              // the results contain measurements of time and memory, which are not compared
-	goldenTerms  *strings.Replacer // replaces current terms by those in the golden file, for text that only people read; nil: none
+	name            string
+	args            string
+	setup           []string          // commands that create its input
+	hasMeasurements bool              // the results contain measurements of time and memory, which are not compared
+	goldenTerms     *strings.Replacer // replaces current terms by those in the golden file, for text that only people read; nil: none
 }
 
 const (
@@ -64,8 +64,8 @@
 	{name: "lab-ledger-span", args: "lab ledger logs --from 1 --to 28"},
 	{name: "lab-fit", args: "lab fit bench.txt --at 1600 --budget 5200"},
 	{name: "lab-fit-power", args: "lab fit bench.txt --form power --from 100 --at 1600"},
-	{name: "lab-scale-wide", args: scaleCommand + " --relays 60 --units 300 --shape wide --seconds 8 --fault restarts-x100 --fault duplicates", measurements: true},
-	{name: "lab-scale-skewed", args: scaleCommand + " --relays 60 --units 300 --services 12 --shape skewed --seconds 8 --tenants 30 --routes 100 --fault relay-kills-x100 --fault loss --fault reorder --fault rack", measurements: true},
+	{name: "lab-scale-wide", args: scaleCommand + " --relays 60 --units 300 --shape wide --seconds 8 --fault restarts-x100 --fault duplicates", hasMeasurements: true},
+	{name: "lab-scale-skewed", args: scaleCommand + " --relays 60 --units 300 --services 12 --shape skewed --seconds 8 --tenants 30 --routes 100 --fault relay-kills-x100 --fault loss --fault reorder --fault rack", hasMeasurements: true},
 }
 
 // TestResults compares the output and the files of commands.
@@ -96,14 +96,14 @@
 			if c.goldenTerms != nil {
 				out = c.goldenTerms.Replace(out)
 			}
-			lines = append(lines, resultLines(out, c.measurements)...)
+			lines = append(lines, resultLines(out, c.hasMeasurements)...)
 			if strings.Contains(c.args, "FILE") {
 				written, err := os.ReadFile(file)
 				if err != nil {
 					t.Fatal(err)
 				}
 				lines = append(lines, "file:")
-				lines = append(lines, withoutMeasurements(strings.Split(strings.ReplaceAll(string(written), dir, "DIR"), "\n"), c.measurements)...)
+				lines = append(lines, withoutMeasurements(strings.Split(strings.ReplaceAll(string(written), dir, "DIR"), "\n"), c.hasMeasurements)...)
 			}
 			checkGolden(t, "results/"+c.name, lines)
 		})
@@ -118,12 +118,12 @@
 
 // resultLines returns the lines of an output. If it contains measurements of time and memory, their lines are left out, and
 // runs of spaces are reduced to one, because measurements can change the width of columns.
-func resultLines(text string, measurements bool) (lines []string) {
+func resultLines(text string, hasMeasurements bool) (lines []string) {
 	for _, line := range strings.Split(text, "\n") {
-		if measurements && (measuredWords.MatchString(line) || strings.HasPrefix(line, "process:")) {
+		if hasMeasurements && (measuredWords.MatchString(line) || strings.HasPrefix(line, "process:")) {
 			continue
 		}
-		if measurements {
+		if hasMeasurements {
 			line = spaces.ReplaceAllString(line, " ")
 		}
 		lines = append(lines, line)
@@ -132,8 +132,8 @@
 }
 
 // withoutMeasurements removes the keys with measurements of time and memory from an indented JSON text.
-func withoutMeasurements(lines []string, measurements bool) (kept []string) {
-	if !measurements {
+func withoutMeasurements(lines []string, hasMeasurements bool) (kept []string) {
+	if !hasMeasurements {
 		return lines
 	}
 	for i := 0; i < len(lines); i++ {
