--- a/compat/config_test.go
+++ b/compat/config_test.go
@@ -20,10 +20,10 @@
 		old, new  string
 		wantError string // text in the error line, apart from the file's path; empty: the configuration is valid
 	}{
-		{"as it stands", "", "", ""},
+		{"valid", "", "", ""},
 		{"unknown keys", `{"name"`, `{"more":{"x":1},"name"`, ""},
-		{"no list as last held", `{"generation":41,"reset":true,"instances":[]}`, `null`, ""},
-		{"a list that can't be read", `"generation":41`, `"generation":"x"`, ""},
+		{"no endpoint list", `{"generation":41,"reset":true,"instances":[]}`, `null`, ""},
+		{"an unreadable endpoint list", `"generation":41`, `"generation":"x"`, ""},
 		{"no limits", `"limits":{"cores":1.0,"memory_mb":192,"sockets":1024},`, ``, ""},
 		{"no platform", `"platform":{"address":"127.0.0.1:6400","news":{"image":42,"ring":"1","progress":"canary","ceiling":0.28,"lag_ms":310}},`, ``, ""},
 		{"no peers", `"peers":["127.0.0.1:7946"],`, ``, ""},
@@ -38,10 +38,10 @@
 		{"seed", `8c1f30d27a5be964`, `xyz`, "seed"},
 		{"memory", `"memory_mb":192`, `"memory_mb":8`, "limits"},
 		{"sockets", `"sockets":1024`, `"sockets":8`, "limits"},
-		{"news of no phase", `"canary"`, `"flying"`, "platform.news"},
-		{"news of no build", `"image":42`, `"image":"x"`, "platform.news"},
-		{"news with a cap over 1", `0.28`, `1.28`, "platform.news"},
-		{"no categories", `[{"name":"basket","repeat":"retryable"}]`, `[]`, "settings"},
+		{"a rollout status with an unknown phase", `"canary"`, `"flying"`, "platform.news"},
+		{"a rollout status with an invalid build", `"image":42`, `"image":"x"`, "platform.news"},
+		{"a rollout status with an exposure limit above 1", `0.28`, `1.28`, "platform.news"},
+		{"no request classes", `[{"name":"basket","repeat":"retryable"}]`, `[]`, "settings"},
 		{"no settings", `"settings":{`, `"other":{`, "settings"},
 		{"settings of a wrong type", `"repeat":"retryable"`, `"repeat":7`, "settings"},
 		{"a field of a wrong type", `"name":"n3"`, `"name":3`, "name"},
--- a/compat/pipe_test.go
+++ b/compat/pipe_test.go
@@ -57,10 +57,10 @@
 // record is an encoded event, to which fields are appended.
 type record []byte
 
-// event begins an event that concerns no single instance.
+// event returns the start of an event that is not for one particular instance.
 func event(code byte) record { return record{code} }
 
-// instanceEvent begins an event for an instance.
+// instanceEvent returns the start of an event for an instance.
 func instanceEvent(code byte, instance uint16) record { return record{code}.u16(instance) }
 
 func (r record) u8(v byte) record         { return append(r, v) }
@@ -94,8 +94,8 @@
 func (c command) u32() uint32       { return binary.LittleEndian.Uint32(c.rest) } // the first field
 func (c command) u64(at int) uint64 { return binary.LittleEndian.Uint64(c.rest[at:]) }
 
-// line returns a command's line of a golden file. The text of a log command and its length are left out, because the text of
-// log lines may change.
+// line returns the line for a command in a golden file. The text of a log command and its length are left out, because the
+// text of log lines may change.
 func (c command) line() string {
 	rest := hex.EncodeToString(c.rest)
 	if c.code == commandLog {
--- a/compat/scenarios_test.go
+++ b/compat/scenarios_test.go
@@ -56,7 +56,7 @@
 	classCount
 )
 
-// deadlines are those of requests by class, in nanoseconds.
+// deadlines holds the time from a request to its deadline, by class, in nanoseconds.
 var deadlines = [classCount]uint64{2_500_000_000, 4_000_000_000, 3_000_000_000, 2_000_000_000, 2_500_000_000, 2_500_000_000}
 
 // settings returns the settings object of an instance, in JSON.
--- a/compat/simhost_test.go
+++ b/compat/simhost_test.go
@@ -85,11 +85,11 @@
 		{"an unknown code", frame(clockStart, []byte{99, 0, 0}), 1, ""},
 		{"a record past the end", frame(clockStart, instanceEvent(eventTimerFired, 3).u32(1)), 1, ""},
 		{"a list past the end", frame(clockStart, event(eventList).u32(1).u32(2)), 1, ""},
-		{"a list of too high a number", frame(clockStart, event(eventList).u32(1<<20).u32(0)), 1, ""},
-		{"settings that are no object", frame(clockStart, start(`[`)), 1, ""},
+		{"a list number that is too high", frame(clockStart, event(eventList).u32(1<<20).u32(0)), 1, ""},
+		{"settings that are not an object", frame(clockStart, start(`[`)), 1, ""},
 		{"settings of a wrong type", frame(clockStart, start(`{"my_number":"x"}`)), 1, ""},
 		{"a body that is too long", []byte{0, 0, 0, 0x60, 0, 0, 0, 0, 0, 0, 0, 0}, 1, ""},
-		{"an event for nobody", frame(clockStart, instanceEvent(eventTimerFired, 9).u64(1)), 0, "0000000000000000"},
+		{"an event for an instance that is not running", frame(clockStart, instanceEvent(eventTimerFired, 9).u64(1)), 0, "0000000000000000"},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			t.Parallel()
--- a/lab/demo/audit.go
+++ b/lab/demo/audit.go
@@ -20,13 +20,13 @@
 
 	limitTolerance = 1.04 // factor on the exposure limit, allowed by the platform's specification too
 
-	// Seconds for which a limit remains valid after a lower one was published. They cover its transmission to the relay, the
-	// grace period before a lower limit is binding, and attempts in flight.
+	// Seconds for which a limit remains in force after the next status was published. They cover the transmission of a lower
+	// limit to the relay, the grace period before it is binding, and attempts in flight.
 	lowerLimitDelay = 0.5
 
 	statusDelay       = 0.2  // seconds by which a relay may receive a status before this process does
 	requestClockSlack = 0.05 // seconds before the window in which requests still count
-	maxViolations     = 50   // at most listed in a result
+	maxViolations     = 50   // maximum number that a result lists
 )
 
 // audit checks every attempt at an unreleased build against the exposure limit in force for its relay and tenant. A line of a
@@ -65,7 +65,7 @@
 }
 
 // attemptsInWindow counts the attempts with the same relay, tenant and build as attempt number last, in the window that ends
-// with this attempt. It is counted too.
+// with this attempt. This attempt is counted too.
 func (d *demonstration) attemptsInWindow(last int) (count float64) {
 	end := d.attempts[last]
 	for i := last; i >= 0 && d.attempts[i].at > end.at-exposureWindow; i-- {
@@ -103,7 +103,7 @@
 }
 
 // exposureLimitFor returns the highest exposure limit that was in force for an attempt's relay and tenant when the attempt
-// was sent, 0 if the build was not open to them. The caller holds mu.
+// was sent, or 0 if the build was not open to them. The caller holds mu.
 func (d *demonstration) exposureLimitFor(a attempt) (limit float64) {
 	for i, observed := range d.statuses {
 		until := math.Inf(1)
--- a/lab/demo/clients.go
+++ b/lab/demo/clients.go
@@ -51,7 +51,7 @@
 }
 
 // sendRequest sends one request, waits for the response and counts the outcome. Its error is an error of the connection;
-// an error response is counted only.
+// an error response is only counted.
 func (d *demonstration) sendRequest(client *fakes.Client, relayNumber int, sequence uint64) error {
 	tenant := tenants[sequence/clientsPerRelay%uint64(len(tenants))]
 	d.mu.Lock()
--- a/lab/demo/deployer.go
+++ b/lab/demo/deployer.go
@@ -27,7 +27,7 @@
 	}
 }
 
-// watchRollout deploys each new status that it reads from a connection, until the connection or the context ends.
+// watchRollout applies each new status that it reads from a connection, until the connection or the context ends.
 func (d *demonstration) watchRollout(ctx context.Context, conn net.Conn) {
 	defer func() { _ = conn.Close() }() // all statuses were read, or the context ended
 	stop := context.AfterFunc(ctx, func() { _ = conn.Close() })
@@ -42,7 +42,7 @@
 			continue
 		}
 		status := reply.Status
-		if sameButAge(status, last) {
+		if equalExceptAge(status, last) {
 			continue
 		}
 		last = status
@@ -50,8 +50,8 @@
 	}
 }
 
-// sameButAge reports whether two statuses are equal except for their age, which grows with time.
-func sameButAge(a, b relay.RolloutStatus) bool {
+// equalExceptAge reports whether two statuses are equal except for their age, which grows with time.
+func equalExceptAge(a, b relay.RolloutStatus) bool {
 	a.Age = b.Age
 	return a == b
 }
--- a/lab/demo/planners.go
+++ b/lab/demo/planners.go
@@ -160,7 +160,7 @@
 	return serving
 }
 
-// wantedPlanners returns how many planners of the build in rollout a site must have. In the first step it is one planner, at
+// wantedPlanners returns how many planners of the build in rollout a site must have. The first step requires one planner, at
 // the first site.
 func wantedPlanners(status relay.RolloutStatus, site int) int {
 	switch {
--- a/lab/demo/processes.go
+++ b/lab/demo/processes.go
@@ -77,7 +77,7 @@
 	return listen, d.startRelays(listen)
 }
 
-// writePlan writes the plan to a file, and loads it to fail early if the processes could not.
+// writePlan writes the plan to a file. It also loads the plan, so that an invalid one fails here and not in the processes.
 func (d *demonstration) writePlan(listen addresses) error {
 	d.watchAddress = listen.plannerWatch
 	d.stateDir = filepath.Join(d.options.Dir, "desk")
--- a/lab/demo/report.go
+++ b/lab/demo/report.go
@@ -76,7 +76,7 @@
 	return string(svg), err
 }
 
-// addSteps adds a line to a chart that holds each second's value until the next second.
+// addSteps adds a line of steps to a chart: it keeps the value of each second until the next second.
 func addSteps(chart *plot.Plot, name string, lineColor color.Color, values []float64) error {
 	points := make(plotter.XYs, len(values))
 	for second, value := range values {
--- a/lab/fakes/process.go
+++ b/lab/fakes/process.go
@@ -38,7 +38,7 @@
 // with the process.
 func StartProcess(program, dir string, onLine func(string), arguments ...string) (*Process, error) {
 	p := &Process{command: exec.Command(program, arguments...), Done: make(chan struct{})}
-	p.command.Env = append(os.Environ(), "LICHENROAD_AS_PROGRAM=1")
+	p.command.Env = append(os.Environ(), "LICHENROAD_AS_PROGRAM=1") // makes the test binary of cmd/lichenroad run as the program
 	p.command.SysProcAttr = &syscall.SysProcAttr{Pdeathsig: syscall.SIGKILL}
 	log, err := os.Create(filepath.Join(dir, fmt.Sprintf("%s-%d.log", arguments[0], time.Now().UnixNano())))
 	if err != nil {
--- a/lab/live/live.go
+++ b/lab/live/live.go
@@ -48,7 +48,7 @@
 // inFlightRequest is a request that was sent and has not ended, or that waits for a connection.
 type inFlightRequest struct {
 	arrival lab.Arrival
-	counted lab.CountedRequest // the same request for the tally
+	counted lab.CountedRequest // the request as the tally counts it
 	terms   *lab.ClassTerms
 }
 
@@ -137,8 +137,8 @@
 // now returns the time since the start in seconds.
 func (s *session) now() float64 { return time.Since(s.started).Seconds() }
 
-// play is the session's loop: it sends requests that are due and counts those that have finished. It returns when the last
-// request was due, and whether the context ended the replay early.
+// play is the session's loop: it sends requests that are due and counts those that have finished. It returns the time at which
+// the last request was due, and whether the context ended the replay early.
 func (s *session) play(ctx context.Context, arrivals <-chan lab.Arrival) (span float64, early bool) {
 	s.started = time.Now()
 	schedule := newSchedule(s.started, arrivals)
--- a/lab/live/processes.go
+++ b/lab/live/processes.go
@@ -16,14 +16,14 @@
 )
 
 const (
-	dirPermissions      = 0o755
-	machineType         = "m"
-	plannerAge          = time.Hour // in the endpoint list, so that no planner is warming
-	seedsPerReplay      = 1000      // relay seeds for each replay seed, so that replays with neighbouring seeds share none
-	relayMemoryMB       = 192
-	relaySockets        = 1024
-	tenantQuotaPerSec   = 100000 // requests; more than any replay sends
-	relayProcessLogging = "warn"
+	dirPermissions    = 0o755
+	machineType       = "m"
+	plannerAge        = time.Hour // in the endpoint list, so that no planner is warming
+	seedsPerReplay    = 1000      // relay seeds for each replay seed, so that replays with neighbouring seeds share none
+	relayMemoryMB     = 192
+	relaySockets      = 1024
+	tenantQuotaPerSec = 100000 // requests; more than any replay sends
+	relayLogLevel     = "warn"
 )
 
 // start starts the planners and discovery in this process, then the relays as child processes.
@@ -85,7 +85,7 @@
 	if err := s.relayConfiguration(number, discovery).Write(file); err != nil {
 		return err
 	}
-	process, err := fakes.StartProcess(s.options.Executable, s.options.Dir, nil, "serve", "--config", file, "--log-level", relayProcessLogging)
+	process, err := fakes.StartProcess(s.options.Executable, s.options.Dir, nil, "serve", "--config", file, "--log-level", relayLogLevel)
 	if err != nil {
 		return err
 	}
--- a/lab/live/sender.go
+++ b/lab/live/sender.go
@@ -22,7 +22,7 @@
 
 // The actions.
 const (
-	Wait   Action = iota // nothing: the request waits for a connection, or none is waiting
+	Wait   Action = iota // do nothing: the request waits for a connection, or no request is waiting
 	Reuse                // send the request on an open connection
 	Open                 // send the request on a new connection
 	Reject               // drop the request, because too many wait already
@@ -70,7 +70,7 @@
 type relayConnections struct {
 	idle    []Connection // by time of last use; the last is reused first, so that few connections stay in use
 	open    int
-	last    Connection // the one opened last
+	last    Connection // the connection that was opened last
 	waiting []Request
 	maxOpen int // largest number open at a time
 }
--- a/lab/slope/fit.go
+++ b/lab/slope/fit.go
@@ -16,8 +16,8 @@
 // MinSizes is the number of different sizes that a fit requires. With fewer, any curve fits.
 const MinSizes = 4
 
-// tiny is the smallest divisor used, so that a median of 0 causes no division by zero.
-const tiny = math.SmallestNonzeroFloat32
+// minDivisor is the smallest divisor used, so that a median of 0 causes no division by zero.
+const minDivisor = math.SmallestNonzeroFloat32
 
 // Errors of FitSamples.
 var (
@@ -66,16 +66,16 @@
 	}
 	for i, size := range sizes {
 		difference := math.Abs(fit.ValueAt(size) - medians[i])
-		fit.Residual = math.Max(fit.Residual, difference/math.Max(math.Abs(medians[i]), tiny))
+		fit.Residual = math.Max(fit.Residual, difference/math.Max(math.Abs(medians[i]), minDivisor))
 	}
 	return fit, nil
 }
 
-// fitLine weights each value by the inverse of its square, so that relative differences count.
+// fitLine fits a line by least squares. It weights each value by the inverse of its square, so that relative differences count.
 func fitLine(sizes, values []float64) (a, b float64) {
 	weights := make([]float64, len(values))
 	for i, value := range values {
-		weights[i] = 1 / math.Max(value*value, tiny)
+		weights[i] = 1 / math.Max(value*value, minDivisor)
 	}
 	return stat.LinearRegression(sizes, values, weights, false)
 }
@@ -128,7 +128,8 @@
 	return f.A + f.B*size
 }
 
-// SizeAt returns the size at which the curve reaches a value: 0 if it has reached it from the start, +Inf if it never does.
+// SizeAt returns the size at which the curve reaches a value: 0 if the smallest sizes have reached it already, +Inf
+// if it never does.
 func (f Fit) SizeAt(value float64) float64 {
 	if f.B <= 0 {
 		if f.ValueAt(1) >= value {
--- a/lab/slope/slope_test.go
+++ b/lab/slope/slope_test.go
@@ -60,7 +60,7 @@
 	}
 }
 
-// TestResidual has one size whose value lies 10 % off the line through the others.
+// TestResidual fits a line to samples of which one lies 10 % off the line through the others.
 func TestResidual(t *testing.T) {
 	f, err := FitSamples(Line, []Sample{{10, 100}, {20, 200}, {40, 400}, {80, 800}, {160, 1760}})
 	if err != nil || f.Residual < 0.02 || f.Residual > 0.1 {
@@ -81,7 +81,7 @@
 		t.Error(f.Formula("n"))
 	}
 	if line, _ := FitSamples(Line, samples); line.Residual < 0.2 {
-		t.Errorf("a line fits a square too well: %+v", line)
+		t.Errorf("the residual of a line through squares is too small: %+v", line)
 	}
 }
 
--- a/trace/audit.go
+++ b/trace/audit.go
@@ -34,9 +34,9 @@
 	LongLine         Reason = "line_too_long"
 	InvalidUTF8      Reason = "bad_utf8"
 	StrayQuote       Reason = "stray_quote"
-	Truncated        Reason = "truncated"   // the stream ends or fails within the row
+	Truncated        Reason = "truncated"   // the stream ends within the row, or reading it fails there
 	NeverEnded       Reason = "never_ended" // no end of the task was read, by the end of the trace or within the limits of Options
-	NoSubmission     Reason = "no_submit"   // an event of a task whose submission was not read
+	NoSubmission     Reason = "no_submit"   // an event of an unknown task: not submitted within the trace, or no longer remembered
 	OutsideTrace     Reason = "outside"     // before the start of the trace or after its end
 )
 
@@ -52,9 +52,9 @@
 	FirstLine map[Reason]int64 // line number of the first row that was left out
 	Tasks     int64            // tasks that were emitted
 
-	FirstArrival Seconds // of the tasks that were emitted
-	LastArrival  Seconds // of the tasks that were emitted
-	PeakRate     float64 // most arrivals within one second
+	FirstArrival Seconds // of the first task that was emitted
+	LastArrival  Seconds // of the last task that was emitted
+	PeakRate     float64 // most arrivals within one second of the clock of the trace
 
 	second         int64   // the second of the last arrival
 	secondArrivals float64 // arrivals in that second so far
--- a/trace/mapping_test.go
+++ b/trace/mapping_test.go
@@ -124,7 +124,7 @@
 			return job
 		}
 	}
-	t.Fatalf("no job with low %v", low)
+	t.Fatalf("found no job for which it is %v that its hash lies in the range of low", low)
 	return ""
 }
 
--- a/trace/mappingxml.go
+++ b/trace/mappingxml.go
@@ -33,7 +33,7 @@
 // relayFields holds the fields that may determine the relay, by their names in a mapping.
 var relayFields = map[string]field{"machine": fieldMachine, "user": fieldUser, "job": fieldJob}
 
-// failureModes holds the values of the attribute as of <failures>.
+// failureModes holds the modes by the value of the attribute "as" of <failures>.
 var failureModes = map[string]Failures{"none": FailuresIgnored, "legs": FailuresAsAttempts, "hours": FailuresAsFaults}
 
 var fieldsByName = func() map[string]field {
@@ -92,7 +92,7 @@
 	}
 }
 
-// onlyChild returns the only child of a name. If there isn't exactly one, it adds a fault and returns nil.
+// onlyChild returns the child element with the given name. If there isn't exactly one, it adds a fault and returns nil.
 func (r *mappingReader) onlyChild(root *xmlconfig.Node, name string) *xmlconfig.Node {
 	children := root.ChildrenNamed(name)
 	if len(children) != 1 {
@@ -118,11 +118,12 @@
 	_, hasTime := node.Attrs["for"]
 	_, hasShare := node.Attrs["part"]
 	if asFaults := m.failures == FailuresAsFaults; asFaults != hasTime || asFaults != hasShare {
-		r.AddFault(node, `for and part: required if as is "hours", not allowed otherwise`)
+		r.AddFault(node, `for and part: required with as="hours", not allowed otherwise`)
 	}
 }
 
-// readRules reads all children of a name: the values of their name attributes and their rules, in the same order.
+// readRules reads all child elements with the given name, each of which holds a rule. It returns their name attributes and the
+// rules, in the same order.
 func (r *mappingReader) readRules(root *xmlconfig.Node, element string) ([]string, []rule) {
 	var names []string
 	var rules []rule
@@ -182,11 +183,11 @@
 	hasRange := hasFrom || hasTo
 	switch {
 	case hasValues == hasRange:
-		r.AddFault(node, "either is or a range (from, to) is required, not both")
+		r.AddFault(node, `either is="..." or a range (from, to) is required, not both`)
 	case hasValues && len(values) == 0:
 		r.AddFault(node, "is: no values")
 	case hasRange && !tested.isNumeric():
-		r.AddFault(node, "%s is not a number: it requires is, not from and to", tested)
+		r.AddFault(node, `%s is not a number: it requires is="...", not from and to`, tested)
 	}
 	r.checkBounds(node, from, to)
 	if hasValues {
--- a/trace/rows.go
+++ b/trace/rows.go
@@ -11,7 +11,7 @@
 
 // Limits of the input.
 const (
-	MaxLineBytes = 16 << 10 // the longest line of a public trace has a tenth of that
+	MaxLineBytes = 16 << 10 // ten times the longest line of the public traces
 	maxFields    = 64       // approximate limit for the fields of a line; the widest layout has 14
 	bufferSize   = 256 << 10
 )
--- a/trace/trace_test.go
+++ b/trace/trace_test.go
@@ -14,7 +14,7 @@
 	"testing/iotest"
 )
 
-// readTexts reads a trace whose streams are the texts, and checks the invariants of checkSound.
+// readTexts reads a trace whose streams are the texts, and checks the result with checkInvariants.
 func readTexts(t testing.TB, o Options, texts ...string) ([]Task, *Audit) {
 	t.Helper()
 	var streams []io.Reader
@@ -25,7 +25,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	checkSound(t, a, got)
+	checkInvariants(t, a, got)
 	return got, a
 }
 
@@ -39,8 +39,8 @@
 	return got, a, err
 }
 
-// checkSound checks that each row was counted once, and that the tasks were emitted in the order of their arrivals.
-func checkSound(t testing.TB, a *Audit, got []Task) {
+// checkInvariants checks that each row was counted once, and that the tasks were emitted in the order of their arrivals.
+func checkInvariants(t testing.TB, a *Audit, got []Task) {
 	t.Helper()
 	if a.Accepted+a.ReportedRows() != a.Rows || a.Reordered > a.Accepted || a.Tasks != int64(len(got)) {
 		t.Fatalf("%d accepted and %d reported of %d rows, %d reordered, %d tasks: %+v", a.Accepted, a.ReportedRows(), a.Rows, a.Reordered, len(got), a.Reported)
@@ -154,7 +154,7 @@
 	}
 }
 
-func TestRowsOfOneTask(t *testing.T) {
+func TestLayoutsOfTasks(t *testing.T) {
 	for _, c := range []struct {
 		name     string
 		layout   string
@@ -176,7 +176,7 @@
 		{"the stream ends within a row", "azure-2021", azureHeader + azure(10, 2) + "a,f,1", 1, "truncated 1@3"},
 		{"no line end after the last row", "azure-2021", azureHeader + strings.TrimRight(azure(10, 2), "\n"), 1, ""},
 		{"an empty stream", "azure-2021", "", 0, ""},
-		{"10000 tasks with one arrival", "azure-2021", azureHeader + strings.Repeat(azure(10, 2), 10000), 10000, ""},
+		{"10000 tasks with the same arrival", "azure-2021", azureHeader + strings.Repeat(azure(10, 2), 10000), 10000, ""},
 		{"an hour without tasks", "azure-2021", azureHeader + azure(10, 2) + azure(3700, 2), 2, ""},
 	} {
 		t.Run(c.name, func(t *testing.T) {
@@ -204,10 +204,10 @@
 		t.Error("an unknown layout was accepted")
 	}
 	for name, invalidate := range map[string]func(*Options){
-		"window":     func(o *Options) { o.Window = -1 },
-		"open time":  func(o *Options) { o.MaxOpenTime = 0 },
-		"retries":    func(o *Options) { o.RetryWindow = math.NaN() },
-		"task bound": func(o *Options) { o.MaxTasks = 0 },
+		"window":          func(o *Options) { o.Window = -1 },
+		"open time":       func(o *Options) { o.MaxOpenTime = 0 },
+		"retry window":    func(o *Options) { o.RetryWindow = math.NaN() },
+		"number of tasks": func(o *Options) { o.MaxTasks = 0 },
 	} {
 		t.Run(name, func(t *testing.T) {
 			o := DefaultOptions("azure-2021")
@@ -235,7 +235,7 @@
 			if err != nil {
 				t.Fatal(err)
 			}
-			checkSound(t, a, got)
+			checkInvariants(t, a, got)
 			if reasons(a) != c.reported || len(got) != strings.Count(c.text, "app1") {
 				t.Errorf("%d tasks, reported %s; want %s", len(got), reasons(a), c.reported)
 			}
@@ -243,7 +243,7 @@
 	}
 }
 
-// TestOutOfOrder has one row that is 1 to 20 s out of order, with a window of 10 s.
+// TestOutOfOrder reads traces in which one row is 1 to 20 s out of order, with a window of 10 s.
 func TestOutOfOrder(t *testing.T) {
 	o := DefaultOptions("alibaba-2018")
 	o.Window = 10
@@ -262,7 +262,7 @@
 	}
 	o.Window = 0
 	if got, a := readTexts(t, o, alibaba(5, 6, "Failed")+alibaba(5, 7, "Failed")+alibaba(4, 7, "Failed")); len(got) != 2 || a.Reported[OutOfOrder] != 1 {
-		t.Errorf("two tasks of one arrival and an earlier one, no window: %d tasks, %s", len(got), reasons(a))
+		t.Errorf("two tasks with the same arrival and an earlier one, no window: %d tasks, %s", len(got), reasons(a))
 	}
 }
 
@@ -300,7 +300,7 @@
 		if err != nil {
 			t.Fatal(cut, err)
 		}
-		checkSound(t, a, got)
+		checkInvariants(t, a, got)
 		if a.Reported[Truncated] != 1 || len(got) > len(complete) {
 			t.Errorf("cut at byte %d: %d tasks, %s", cut, len(got), reasons(a))
 		}
@@ -327,7 +327,7 @@
 		o.MaxTasks = 4
 		got, a, err := collect(o, strings.NewReader(text))
 		if err == nil {
-			checkSound(t, a, got)
+			checkInvariants(t, a, got)
 		}
 	})
 }
