--- a/compat/config_test.go
+++ b/compat/config_test.go
@@ -79,7 +79,7 @@
 	}
 }
 
-// TestConfigurationTooLarge checks that a file over the size limit is rejected without being read.
+// TestConfigurationTooLarge checks that a file over the size limit is rejected, with one line that names the file.
 func TestConfigurationTooLarge(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "config.json")
 	if err := os.WriteFile(path, []byte(validConfig+strings.Repeat(" ", 64<<20)), 0o600); err != nil {
--- a/compat/simhost_test.go
+++ b/compat/simhost_test.go
@@ -64,7 +64,8 @@
 	}
 }
 
-// TestSimhostFaults writes malformed input. The complete batches before it are answered, then the process exits with 1.
+// TestSimhostFaults writes unusual and malformed input. Complete, valid batches are answered. At the end of valid input the
+// process exits with 0, at malformed input with 1.
 func TestSimhostFaults(t *testing.T) {
 	const good = `{"replicas_of_me":1,"my_number":0}`
 	start := func(settings string) []byte {
--- a/experiment/experiment_test.go
+++ b/experiment/experiment_test.go
@@ -94,7 +94,7 @@
 }
 
 // TestFalseVerdicts compares runs many times. Where they differ by noise only, the share of false verdicts must match the
-// confidence. A real difference must be found.
+// confidence. A difference of two standard deviations must be found in 95 % of the comparisons.
 func TestFalseVerdicts(t *testing.T) {
 	const comparisons = 2000
 	falseVerdicts, found := 0.0, 0.0
--- a/trace/mapping_test.go
+++ b/trace/mapping_test.go
@@ -124,7 +124,7 @@
 			return job
 		}
 	}
-	t.Fatalf("found no job for which it is %v that its hash lies in the range of low", low)
+	t.Fatalf("found no such job; hash in the range of low: %v", low)
 	return ""
 }
 
