--- a/cmd/lichenroad/trace.go
+++ b/cmd/lichenroad/trace.go
@@ -144,14 +144,14 @@
 		if !in.inTimeRange(task.At-first) || !in.mapping.Sampled(task, seed) {
 			return nil
 		}
-		request, reason := in.mapping.Place(task)
+		request, reason := in.mapping.RequestFor(task)
 		if reason != trace.Accepted {
 			unplaced[reason]++
 			return nil
 		}
 		played++
 		return emit(lab.Arrival{At: request.At, Class: request.Class, Tenant: request.Tenant, Work: request.Work,
-			Relay: request.Relay, FailedAttempts: request.FailedAttempts, Machine: request.Machine, FaultDuration: request.FaultTime, FailureRate: request.FaultShare})
+			Relay: request.RelayHash, FailedAttempts: request.FailedAttempts, Machine: request.MachineHash, FaultDuration: request.FaultDuration, FailureRate: request.FailureRate})
 	})
 	if err != nil && ctx.Err() == nil {
 		return played, err
@@ -174,7 +174,7 @@
 // printAudit prints how many rows and tasks were read from a trace, and the reasons why rows could not be used.
 func (t *tool) printAudit(a *trace.Audit) {
 	printf(t.stdout, "%d rows: %d taken (%d put back in order), %d reported; %d tasks over %.1f s, %.2f a second, %g in the fullest\n", a.Rows,
-		a.Accepted, a.Reordered, a.ReportedRows(), a.Tasks, a.To-a.From, a.Rate(), a.Peak)
+		a.Accepted, a.Reordered, a.ReportedRows(), a.Tasks, a.LastArrival-a.FirstArrival, a.MeanRate(), a.PeakRate)
 	for _, line := range a.Lines() {
 		printf(t.stdout, "  %s\n", line)
 	}
--- a/cmd/lichenroad/tracecheck.go
+++ b/cmd/lichenroad/tracecheck.go
@@ -33,13 +33,13 @@
 	r.Reported = a.Reported
 	r.First = a.FirstLine
 	r.Tasks = a.Tasks
-	r.Span = a.To - a.From
-	r.Rate = map[string]float64{"mean": a.Rate(), "peak": a.Peak}
+	r.Span = a.LastArrival - a.FirstArrival
+	r.Rate = map[string]float64{"mean": a.MeanRate(), "peak": a.PeakRate}
 }
 
 // countTask counts a task by the request class that it is mapped to, or by the reason why it is mapped to none.
 func (r *checkResult) countTask(mapping *trace.Mapping, task *trace.Task) {
-	request, reason := mapping.Place(task)
+	request, reason := mapping.RequestFor(task)
 	if reason != trace.Accepted {
 		r.Unplaced[reason]++
 		return
