--- a/cmd/lichenroad/controller.go
+++ b/cmd/lichenroad/controller.go
@@ -26,7 +26,7 @@
 	return t.controllerCommandNamed("controller", "Run a release controller, or operate a running one")
 }
 
-// deprecatedControllerCommand returns the same command under its former name, which scripts still use.
+// deprecatedControllerCommand returns the same command under its former name, which is kept for existing scripts.
 func (t *tool) deprecatedControllerCommand() *cobra.Command {
 	return t.controllerCommandNamed("desk", "Deprecated: use controller, which is the same")
 }
@@ -129,7 +129,7 @@
 	fill := func(request *releasecontroller.Request, args []string) error {
 		build, err := strconv.ParseUint(args[1], 10, 16)
 		if err != nil || build == 0 {
-			return fmt.Errorf("%q is no build: a number from 1 to 65535", args[1])
+			return fmt.Errorf("%q is no build number: must be from 1 to 65535", args[1])
 		}
 		request.Service, request.Build = args[0], relay.Build(build)
 		return nil
@@ -178,7 +178,7 @@
 	last := c.Flags().Int("last", 100, "number of latest events to show, at most 10000")
 	c.RunE = func(*cobra.Command, []string) error {
 		if *last < 1 || *last > maxHistoryEvents {
-			return errors.New("--last: from 1 to 10000")
+			return errors.New("--last: must be from 1 to 10000")
 		}
 		events, err := releasecontroller.History(*dir, *votes, *last)
 		if err != nil {
--- a/cmd/lichenroad/fakes_test.go
+++ b/cmd/lichenroad/fakes_test.go
@@ -44,7 +44,7 @@
 	badLoad          // succeed, with a load report that can't be parsed
 )
 
-// fakeEndpoint is an endpoint that speaks the wire protocol and behaves as the test wants.
+// fakeEndpoint is an endpoint that speaks the wire protocol. The test chooses its behaviour for each statement.
 type fakeEndpoint struct {
 	t           *testing.T
 	ln          net.Listener
@@ -378,13 +378,13 @@
 	}
 }
 
-// fakePlatform is a rollout platform that replies to each line by a function of the test and passes lines and connections
-// to the test.
+// fakePlatform is a rollout platform. It replies to each line with what a function of the test returns, and passes the lines
+// and the connections to the test.
 type fakePlatform struct {
 	ln    net.Listener
 	lines chan string
 	conns chan net.Conn
-	mu    sync.Mutex // held during the call of the test's function
+	mu    sync.Mutex // held while the test's function is called
 }
 
 func newFakePlatform(t *testing.T, answer func(line string) string) *fakePlatform {
--- a/cmd/lichenroad/fit.go
+++ b/cmd/lichenroad/fit.go
@@ -16,8 +16,8 @@
 // fitFlags are the flags of `lab fit`.
 type fitFlags struct {
 	size   string  // key of the size in the benchmarks' names
-	unit   string  // of the measured value
-	form   string  // of the fitted function: a slope.Form
+	unit   string  // unit of the measured value
+	form   string  // name of the function to fit: a slope.Form
 	from   float64 // smallest size that is fitted
 	to     float64 // largest size that is fitted
 	at     float64 // size to extrapolate to; 0: none
--- a/cmd/lichenroad/interleaving_test.go
+++ b/cmd/lichenroad/interleaving_test.go
@@ -196,7 +196,7 @@
 	}},
 	{"time-out", func(x *interleaving) {
 		if x.unsent == nil {
-			time.Sleep(interleavingDeadline) // until the request's deadline has passed
+			time.Sleep(interleavingDeadline) // the request's deadline passes meanwhile
 		}
 	}},
 	{"answer", func(x *interleaving) {
--- a/cmd/lichenroad/platform_test.go
+++ b/cmd/lichenroad/platform_test.go
@@ -52,10 +52,10 @@
 	waitForCounter(t, p, metrics.VotesNotCounted, 2)
 }
 
-// TestPipelinedVotes sends three votes at once on one connection, which are answered in one write, and then two more,
-// which may or may not have been counted as the connection breaks.
+// TestPipelinedVotes sends three votes at once on one connection, which are answered in one write. Then it sends two more
+// and closes the connection before they are answered: they count as maybe counted.
 func TestPipelinedVotes(t *testing.T) {
-	lines := 0 // of votes
+	lines := 0 // number of votes received
 	platform := newFakePlatform(t, func(line string) string {
 		if line == "WATCH" {
 			return "OK\r\n"
--- a/cmd/lichenroad/serve.go
+++ b/cmd/lichenroad/serve.go
@@ -31,7 +31,7 @@
 
 // releasePlan is the release plan that a relay follows. plan is nil if there is none.
 type releasePlan struct {
-	path    string // of the file that the plan was read from
+	path    string // file from which the plan was read
 	service string // name in the plan of the service that the relay serves
 	plan    *plan.Plan
 }
@@ -85,7 +85,7 @@
 	return nil
 }
 
-// socketShares is how many of a relay's sockets each use may take.
+// socketShares limits the number of sockets for each kind of connection.
 type socketShares struct {
 	clients   int // connections from clients
 	endpoints int // connections to endpoints
--- a/cmd/lichenroad/serve_test.go
+++ b/cmd/lichenroad/serve_test.go
@@ -112,7 +112,7 @@
 func TestOutcomes(t *testing.T) {
 	for _, c := range []struct {
 		name          string
-		behaviour     behaviour // of both endpoints
+		behaviour     behaviour // both endpoints behave this way
 		class         string
 		code          string
 		minStatements int // received by both endpoints together
--- a/cmd/lichenroad/simulate.go
+++ b/cmd/lichenroad/simulate.go
@@ -15,7 +15,7 @@
 // Bounds of `plan simulate`.
 const (
 	maxSimulatedDays     = 60
-	maxSimulatedRelays   = 1000 // also bounds the planners
+	maxSimulatedRelays   = 1000 // also the maximum number of planners
 	maxSimulatedLoad     = 10   // times the load of an ordinary day
 	maxPrintedViolations = 10
 )
@@ -65,7 +65,7 @@
 	return c
 }
 
-// apply checks the options and sets those that the flags give by name.
+// apply checks the options, and sets those that the flags name: guard, faults and safeguards.
 func (flags simulateFlags) apply(options *lab.Options) error {
 	if err := checkBounds(options); err != nil {
 		return err
@@ -95,12 +95,12 @@
 	relaysOutOfRange := options.Relays < 1 || options.Relays > maxSimulatedRelays
 	plannersOutOfRange := options.Endpoints < 1 || options.Endpoints > maxSimulatedRelays
 	if daysOutOfRange || relaysOutOfRange || plannersOutOfRange {
-		return fmt.Errorf("--days up to 60, --relays and --planners from 1 to 1000")
+		return fmt.Errorf("--days must be above 0 and up to 60, --relays and --planners from 1 to 1000")
 	}
 	badInRange := options.BadBuildFraction >= 0 && options.BadBuildFraction <= 1
 	loadInRange := options.LoadFactor > 0 && options.LoadFactor <= maxSimulatedLoad
 	if !badInRange || !loadInRange {
-		return fmt.Errorf("--bad from 0 to 1, --load above 0 and up to 10")
+		return fmt.Errorf("--bad must be from 0 to 1, --load above 0 and up to 10")
 	}
 	return nil
 }
--- a/cmd/lichenroad/trace.go
+++ b/cmd/lichenroad/trace.go
@@ -23,7 +23,7 @@
 	return c
 }
 
-// traceInput holds the flags with which commands read a trace, and the mapping.
+// traceInput holds the flags that say how to read a trace, and the mapping.
 type traceInput struct {
 	layout  string
 	mapping *trace.Mapping // content of mappingFile; nil until it is read, or if there is none
@@ -128,10 +128,10 @@
 	}
 }
 
-// emitArrivals reads the trace and calls emit with the arrival for each task that is in the replayed time range, in the
-// mapping's sample, and mapped to a request. It prints the audit of the trace. A cancelled context ends it early; that is
-// an error only if nothing was emitted.
-func (in *traceInput) emitArrivals(ctx context.Context, t *tool, files []string, seed int64, emit func(lab.Arrival) error) (played int, err error) {
+// emitArrivals reads the trace and calls emit with an arrival for each task that lies in the replayed time range, belongs to
+// the mapping's sample and is mapped to a request. It returns the number of arrivals, and prints the audit of the trace. A
+// cancelled context ends it early, which is an error only if there was no arrival yet.
+func (in *traceInput) emitArrivals(ctx context.Context, t *tool, files []string, seed int64, emit func(lab.Arrival) error) (emitted int, err error) {
 	unplaced := map[trace.Reason]int64{}
 	started, first := false, 0.0
 	audit, err := in.read(t, files, func(task *trace.Task) error {
@@ -149,19 +149,19 @@
 			unplaced[reason]++
 			return nil
 		}
-		played++
+		emitted++
 		return emit(lab.Arrival{At: request.At, Class: request.Class, Tenant: request.Tenant, Work: request.Work,
 			Relay: request.Relay, FailedAttempts: request.FailedAttempts, Machine: request.Machine, FaultDuration: request.FaultTime, FailureRate: request.FaultShare})
 	})
 	if err != nil && ctx.Err() == nil {
-		return played, err
+		return emitted, err
 	}
 	t.printAudit(audit)
 	t.printUnplaced(unplaced)
-	if played == 0 {
+	if emitted == 0 {
 		return 0, failed(fmt.Errorf("%s: the trace has no task that could be replayed", strings.Join(files, ", ")))
 	}
-	return played, nil
+	return emitted, nil
 }
 
 // inTimeRange reports whether a task that arrives so many seconds after the first is in the replayed time range.
--- a/cmd/lichenroad/tracelive.go
+++ b/cmd/lichenroad/tracelive.go
@@ -20,7 +20,7 @@
 	maxQueuedArrivals = 4096 // arrivals read ahead of the sender
 )
 
-// replayLive replays a trace over sockets, and reads it a few thousand arrivals ahead of the sender. After a signal it
+// replayLive replays a trace over sockets. It reads up to maxQueuedArrivals arrivals ahead of the sender. After a signal it
 // prints the result up to then, and fails.
 func (t *tool) replayLive(ctx context.Context, in *traceInput, files []string, flags *replayFlags) error {
 	options, err := flags.liveOptions(in)
@@ -60,7 +60,7 @@
 func (flags *replayFlags) liveOptions(in *traceInput) (live.Options, error) {
 	relays, planners := flags.options.Relays, flags.options.Endpoints
 	if relays < 1 || relays > maxLiveRelays || planners < minLivePlanners || planners > maxLivePlanners {
-		return live.Options{}, fmt.Errorf("--live allows from 1 to 40 relays and from 2 to 200 planners")
+		return live.Options{}, fmt.Errorf("--live allows 1 to 40 relays and 2 to 200 planners")
 	}
 	self, err := os.Executable()
 	if err != nil {
--- a/cmd/lichenroad/tracereplay.go
+++ b/cmd/lichenroad/tracereplay.go
@@ -67,7 +67,8 @@
 // noFault is the value of --fault for a replay without a fault.
 const noFault = "none"
 
-// checkBounds checks the flags that only a live replay uses, also for a virtual one, and sets the delay of late requests.
+// checkBounds sets the delay after which a request counts as sent late. It checks --late and --late-share, also for a replay
+// without --live, and rejects --fault together with --live.
 func (flags *replayFlags) checkBounds() error {
 	flags.bounds.LateAfter = flags.lateAfter.Seconds()
 	if flags.bounds.LateAfter < 0 || flags.bounds.MaxLateShare < 0 || flags.bounds.MaxLateShare > 1 {
@@ -88,8 +89,8 @@
 	}
 	options.Fault = fault
 	var replay *lab.Replay
-	played, err := in.emitArrivals(ctx, t, files, options.Seed, func(arrival lab.Arrival) error {
-		if replay == nil { // the mapping, with the request classes, is known only once the trace is being read
+	emitted, err := in.emitArrivals(ctx, t, files, options.Seed, func(arrival lab.Arrival) error {
+		if replay == nil { // the mapping, and with it the request classes, is read before the first arrival
 			options.Classes, options.Tenants = in.mapping.Classes, in.mapping.Tenants
 			var err error
 			if replay, err = lab.NewReplay(options); err != nil {
@@ -111,7 +112,7 @@
 	}
 	printf(t.stdout, "timeline %s\n", result.TimelineHash)
 	if ctx.Err() != nil {
-		return failed(fmt.Errorf("ended by a signal after %d queries", played))
+		return failed(fmt.Errorf("ended by a signal after %d queries", emitted))
 	}
 	return replayError(&result)
 }
