--- a/lab/baseline.go
+++ b/lab/baseline.go
@@ -8,7 +8,7 @@
 )
 
 // baseline is a decision module that works as a plain load balancer: it sends each request to one endpoint, retries at
-// another where that is safe, and rates neither endpoints nor builds. It keeps the same rules as policy, so the two are
+// another where that is safe, and rates neither endpoints nor builds. It follows the same rules as policy, so the two are
 // compared by how much of the load they serve in time.
 type baseline struct {
 	settings      relay.Settings
@@ -29,7 +29,7 @@
 }
 
 const (
-	maxBaselineAttempts = 3    // per request
+	maxBaselineAttempts = 3    // attempts per request
 	deadlineSlack       = 0.03 // s; attempts time out this long before the deadline, so that the answer is still in time
 )
 
--- a/lab/checker.go
+++ b/lab/checker.go
@@ -19,12 +19,12 @@
 // Tolerances of the rules, and the number of violations that are listed.
 const (
 	maxViolations   = 200   // listed in full; further ones are only counted
-	notifyGrace     = 0.25  // s after its notification, from which on a lowered exposure limit applies
+	notifyGrace     = 0.25  // s from when a relay is notified of a lower exposure limit until that limit applies
 	exposureWindow  = 2.0   // s; sliding window over which exposure is counted
 	baseAllowance   = 1.0   // attempts at canaries per window that are allowed at any exposure limit
-	drainGrace      = 0.25  // s after its notification, from which on nothing may be sent to a draining endpoint
+	drainGrace      = 0.25  // s from when a relay is notified of a drain until it may no longer send to the endpoint
 	allowanceSlack  = 1e-9  // relative; covers rounding errors
-	allowancePeriod = 600.0 // s; the report has the highest use of an allowance in each
+	allowancePeriod = 600.0 // s; the report shows the highest use of an allowance in each such period
 )
 
 // controllerName stands for the release controller as the subject of a violation.
@@ -47,7 +47,7 @@
 	allowanceUse     map[allowanceKey]float64
 }
 
-// allowanceKey names a service and a period: the index of a span of allowancePeriod since the start.
+// allowanceKey identifies a service and a period. Periods of length allowancePeriod are numbered from the start of the run.
 type allowanceKey struct {
 	service plan.ServiceIndex
 	period  int
--- a/lab/checkexposure.go
+++ b/lab/checkexposure.go
@@ -117,8 +117,8 @@
 }
 
 // exposureLimit returns the limit of a group at a relay, from the plan and the statuses that the relay was notified of. It
-// is the limit of the step that the platform notified, or of the last one before it up to which all dependencies are known
-// to be met; 0 for tenants without a group.
+// is the limit of the current step or, if the relay does not know that all dependencies of the steps up to it are met, that
+// of the last step before the first unmet dependency. For tenants without a group it is 0.
 func (c *checker) exposureLimit(record *relayRecord, group int) float64 {
 	service := record.relay.fleet.service
 	own := record.services[service]
@@ -157,7 +157,8 @@
 	return limit
 }
 
-// bindingLimit returns the limit of a group that applies now: within the grace, a higher previous one.
+// bindingLimit returns the limit of a group that applies now. For notifyGrace after a limit was lowered, the previous one
+// still applies.
 func (c *checker) bindingLimit(record *relayRecord, group int) float64 {
 	limit := c.exposureLimit(record, group)
 	if c.simulation.now-record.loweredAt <= notifyGrace {
--- a/lab/controller.go
+++ b/lab/controller.go
@@ -11,9 +11,9 @@
 
 // Timing of the simulated controller, in seconds.
 const (
-	statusRepeatInterval = 5.0  // between repetitions of the published statuses
-	idleAdvanceInterval  = 60.0 // at least, between advances without traffic: no votes are cast then that could expire
-	voteReplyDelay       = 0.01 // until the reply to a vote that is not applied to the controller's state
+	statusRepeatInterval = 5.0  // time between repetitions of the published statuses
+	idleAdvanceInterval  = 60.0 // minimum between advances without traffic, when there are no new votes that could expire
+	voteReplyDelay       = 0.01 // delay of the reply to a vote that is not applied to the controller's state
 )
 
 // controllerLink runs the real state machine of the release controller. Its link to the relays is simulated and can lag or
@@ -179,8 +179,8 @@
 }
 
 // receiveVote delivers a vote of a relay and its reply. A vote that arrives while the controller is partitioned gets no
-// reply: the relay notices after its call timeout. Nor does the decision module get a reply to a vote that it did not
-// command, one that the guard has revised.
+// reply, which the relay notices after its call timeout. If commanded is false, the vote was revised by the guard, and the
+// decision module gets no reply because it did not command that vote.
 func (l *controllerLink) receiveVote(from *simulatedRelay, vote relay.Vote, commanded bool) {
 	var reply relay.RolloutStatus
 	deliver := from.whileRunning(func() {
--- a/lab/deployer.go
+++ b/lab/deployer.go
@@ -11,7 +11,7 @@
 // Delays of the deployer, in seconds, and its rounding margin.
 const (
 	replaceDelay   = 6.0  // from the launch of a build's endpoints to the drain of those that they replace
-	noticeDelay    = 45.0 // until an endpoint of an unannounced build is noticed and drained
+	noticeDelay    = 45.0 // time until an endpoint of an unannounced build is noticed and drained
 	roundingMargin = 1e-9 // subtracted before rounding up, against rounding errors
 )
 
--- a/lab/endpoint.go
+++ b/lab/endpoint.go
@@ -12,7 +12,7 @@
 const (
 	CoresPerEndpoint = 3   // attempts that an endpoint processes at a time
 	MaxQueue         = 60  // attempts that wait at an endpoint before it rejects further ones
-	slowStartTime    = 4.0 // until a newly started endpoint has its full capacity
+	slowStartTime    = 4.0 // time until a newly started endpoint has its full capacity
 	slowStartFloor   = 0.4 // fraction of its capacity at the start
 	overloadMultiple = 3.0 // load, in multiples of its capacity, above which an endpoint in slow start stops answering for good
 	overloadWindow   = 1.0 // sliding window of that load
--- a/lab/endpointfault.go
+++ b/lab/endpointfault.go
@@ -66,7 +66,7 @@
 	e.fault = fault
 }
 
-// injectFaults injects a fault at random intervals.
+// injectFaults sets the fault's message loss, and injects the fault into endpoints at random intervals.
 func (f *fleet) injectFaults(fault EndpointFault) {
 	f.simulation.options.Faults.MessageLoss = fault.MessageLoss
 	if fault.Interval <= 0 {
--- a/lab/fleet.go
+++ b/lab/fleet.go
@@ -104,7 +104,7 @@
 	})
 }
 
-// dropRemoved drops the records of removed endpoints that process no attempts any more.
+// dropRemoved drops the records of removed endpoints that no longer process attempts.
 func (f *fleet) dropRemoved() {
 	kept := f.endpoints[:0]
 	for _, candidate := range f.endpoints {
--- a/lab/relay.go
+++ b/lab/relay.go
@@ -53,7 +53,7 @@
 // clock returns the time by the relay's own, possibly skewed clock.
 func (r *simulatedRelay) clock() plan.Unix { return r.fleet.simulation.unixNow() + r.clockOffset }
 
-// time returns the time that the decision module sees: seconds since the relay's start.
+// time returns the time on the decision module's clock, in seconds since the relay's start.
 func (r *simulatedRelay) time() relay.Seconds { return r.fleet.simulation.now - r.startedAt }
 
 // start starts the relay's process with a new decision module. The module gets the current endpoint list and the rollout
--- a/lab/request.go
+++ b/lab/request.go
@@ -9,10 +9,10 @@
 
 // Parameters of the simulated requests. Times are in seconds.
 const (
-	requestsPerEndpoint = 8.0    // per second and endpoint of a fleet, on an ordinary day
+	requestsPerEndpoint = 8.0    // requests per second and endpoint of a fleet, on an ordinary day
 	crossSiteDelay      = 0.001  // one way between sites
 	sameSiteDelay       = 0.0003 // one way within a site
-	timeoutMargin       = 1e-4   // before the deadline, at which an attempt times out at the latest
+	timeoutMargin       = 1e-4   // an attempt times out this long before its timeout or, if that is earlier, the deadline
 	dropRequestDelay    = 1.0    // from a request's end until its record is dropped: commands may still refer to it
 )
 
@@ -53,7 +53,7 @@
 	r.startRequest(index, tenant, uniform(r.random, class.work[0], class.work[1]), 0)
 }
 
-// startRequest starts a request, of which the first attempts fail, as many as failures says.
+// startRequest starts a request. The first attempts that endpoints process fail; failures is their number.
 func (r *simulatedRelay) startRequest(classIndex, tenant int, work float64, failures int) {
 	s, class := r.fleet.simulation, &requestClasses[classIndex]
 	r.lastID++
--- a/lab/result.go
+++ b/lab/result.go
@@ -221,7 +221,7 @@
 			good++
 			if stays {
 				goodReleased++
-				goodTime = goodTime + release.ReleasedAt - release.OfferedAt // in this order: results are compared bit by bit
+				goodTime = goodTime + release.ReleasedAt - release.OfferedAt // the order of the sum matters: results are compared bit by bit
 			}
 		}
 	}
--- a/lab/scale/checker.go
+++ b/lab/scale/checker.go
@@ -44,7 +44,7 @@
 	count              int                          // all violations, including those not kept
 	drainsReceived     map[relay.EndpointID]float64 // when the relay first received a drain or removal of the endpoint
 	status             relay.RolloutStatus          // the last one received
-	previousLimit      float64                      // exposure limit before a decrease; it applies up to previousLimitUntil
+	previousLimit      float64                      // exposure limit before a decrease; it still applies until previousLimitUntil
 	previousLimitUntil float64
 	requests           []limitedRequest // received within the exposure window
 	exposedAttempts    []float64        // when attempts at the canary were sent within the exposure window
@@ -53,7 +53,7 @@
 // limitedRequest is a request with the exposure limit at the time of its receipt.
 type limitedRequest struct{ receivedAt, limit float64 }
 
-// restart clears what the relay received before its restart.
+// restart clears what the relay received and sent before its restart, except the violations.
 func (c *checker) restart() {
 	c.drainsReceived = map[relay.EndpointID]float64{}
 	c.status = relay.RolloutStatus{}
@@ -123,7 +123,7 @@
 		notifiedAt = math.Min(notifiedAt, receivedAt)
 	}
 	if now > notifiedAt+drainGrace {
-		c.addViolation(now, drainRule, "%s counts as told since %.3f s", e.name, notifiedAt)
+		c.addViolation(now, drainRule, "attempt at %s, of whose drain the relay counts as notified since %.3f s", e.name, notifiedAt)
 	}
 }
 
--- a/lab/scale/discovery.go
+++ b/lab/scale/discovery.go
@@ -13,9 +13,9 @@
 	publishInterval    = 0.5           // between two generations of a list
 	crashDetectionTime = 1.0           // time from the end of a process until discovery lists the endpoint as removed
 	minListRate        = 50.0          // lower bound of the full lists per second that discovery can send
-	fullRoundTime      = 8.0           // time in which it can send every relay a full list, if that takes more than minListRate
+	fullRoundTime      = 8.0           // time in which every relay can get a full list, unless minListRate makes it faster
 	maxQueueTime       = 2.0           // maximum time that a poll for a full list is queued before it fails
-	noQueueTime        = 1.0           // time from the start of a run without queueing, because the fleet counts as started long ago
+	noQueueTime        = 1.0           // time at the start in which no poll is queued: the fleet counts as started long ago
 	answerDelay        = 0.02          // latency of an answer that is not queued
 	unreachableTimeout = 1.0           // time after which a poll fails if discovery can't be reached
 	entriesPerPart     = 8192          // maximum entries in each part of a list that is too long for the real reader
--- a/lab/scale/discovery_test.go
+++ b/lab/scale/discovery_test.go
@@ -81,8 +81,8 @@
 		if list.Full {
 			fullLists++
 		}
-		for _, line := range list.Endpoints {
-			seen[line.ID] = true
+		for _, entry := range list.Endpoints {
+			seen[entry.ID] = true
 		}
 	}
 	if len(seen) != len(endpoints) || fullLists != 1 {
--- a/lab/scale/hollow_lists.go
+++ b/lab/scale/hollow_lists.go
@@ -27,7 +27,7 @@
 	storedList      *listAnswer // list with which the next incarnation starts
 	generation      int64       // generation of the list last received
 	beforeFirstList bool        // whether the next list is the stored one
-	fetchRequested  bool        // whether the decision code requested the next list and receives it even if unchanged
+	fetchRequested  bool        // whether the decision code requested a list: it receives the next one even if unchanged
 	watchContinues  bool        // whether the last poll was answered, so that the next one continues the watch
 	pendingPoll     int64       // number of the poll that is not answered yet, or noPoll
 	polls           int64       // number of polls started by all incarnations so far
@@ -157,17 +157,17 @@
 		kind = relay.ListFull
 	}
 	event := relay.ListUpdate{Kind: kind, Endpoints: make([]relay.Endpoint, 0, len(list.Endpoints))}
-	for _, line := range list.Endpoints {
-		e := h.service.byID[line.ID]
+	for _, entry := range list.Endpoints {
+		e := h.service.byID[entry.ID]
 		if e == nil {
 			h.unknownEndpoints++
 			continue
 		}
-		h.checker.receiveEntry(now, e, line.State)
-		if line.State != relay.Ready && h.simulation.options.lacks(DrainNotices) {
+		h.checker.receiveEntry(now, e, entry.State)
+		if entry.State != relay.Ready && h.simulation.options.lacks(DrainNotices) {
 			continue
 		}
-		event.Endpoints = append(event.Endpoints, line.Endpoint)
+		event.Endpoints = append(event.Endpoints, entry.Endpoint)
 	}
 	return event
 }
--- a/lab/scale/hollow_relay.go
+++ b/lab/scale/hollow_relay.go
@@ -41,7 +41,7 @@
 	meter            meter
 	checker          checker
 	events           []relay.Event // buffer reused by receiveDatagrams
-	unknownEndpoints int           // list entries and attempts whose endpoint is not one of the service
+	unknownEndpoints int           // number of list entries and attempts whose endpoint does not belong to the service
 }
 
 // sendQueue is the output of a relay in one tick. The simulation processes the queues in the order of the relays, so that the
@@ -78,10 +78,10 @@
 	q.slowStartAttempts = q.slowStartAttempts[:0]
 }
 
-func newHollowRelay(sim *simulation, id *fleetRelay) *hollowRelay {
-	h := &hollowRelay{fleetRelay: id, simulation: sim, random: newRandom(sim.options.Seed, "hollow", id.index)}
+func newHollowRelay(sim *simulation, r *fleetRelay) *hollowRelay {
+	h := &hollowRelay{fleetRelay: r, simulation: sim, random: newRandom(sim.options.Seed, "hollow", r.index)}
 	h.generation = noGeneration
-	h.checker.instance = fmt.Sprintf("service %d relay %d", id.service.index, id.number)
+	h.checker.instance = fmt.Sprintf("service %d relay %d", r.service.index, r.number)
 	return h
 }
 
--- a/lab/scale/membership_host.go
+++ b/lab/scale/membership_host.go
@@ -35,8 +35,8 @@
 // receiveList passes a list to the node: the stored list if cached is set, otherwise an answer of discovery.
 func (m *membershipHost) receiveList(now float64, list discovery.List, cached bool) {
 	update := membership.List{Generation: list.Generation, Full: list.Full}
-	for _, line := range list.Endpoints {
-		update.Endpoints = append(update.Endpoints, line.Endpoint)
+	for _, entry := range list.Endpoints {
+		update.Endpoints = append(update.Endpoints, entry.Endpoint)
 	}
 	if cached {
 		m.step(now, membership.CachedList{List: update})
--- a/lab/scale/meter_test.go
+++ b/lab/scale/meter_test.go
@@ -39,8 +39,8 @@
 	}
 }
 
-// countOutputs counts the messages that a relay sent in its last tick. For polls it counts no bytes, because the send queue does
-// not contain their text.
+// countOutputs counts the messages that a relay sent in its last tick. It does not count the bytes of polls, because the send
+// queue does not contain their text.
 func (c *messageCount) countOutputs(h *hollowRelay) {
 	for _, d := range h.sendQueue.datagrams {
 		c.addSent(d.class, len(d.body)+28)
--- a/lab/scale/sample.go
+++ b/lab/scale/sample.go
@@ -6,8 +6,8 @@
 )
 
 // Hosting every relay of a wide fleet at full size would take some hundred gigabytes of memory and hours of processor time.
-// Of each simulated service, the first relays are always hosted (the aggregators and their possible replacements), and a
-// sample of the others. Of the long tail of small services only some are simulated, each of which represents several. The
+// Of each simulated service, the first relays (the aggregators and their possible replacements) and a sample of the others
+// are hosted. Of the long tail of small services only some are simulated, each of which represents several. The
 // sample depends on the options only, never on the machine.
 const (
 	alwaysHosted            = 8         // relays of each service: the aggregators, and as many possible replacements
@@ -129,9 +129,9 @@
 func (o *Options) candidateSamples() []sample {
 	everyRelay := sample{sampledPerService: o.Relays, tailStride: 1}
 	candidates := []sample{everyRelay}
-	for _, ordinary := range []int{128, 64, 32, 16} {
+	for _, sampled := range []int{128, 64, 32, 16} {
 		for _, stride := range []int{1, 4, 16, 64} {
-			candidates = append(candidates, sample{ordinary, stride})
+			candidates = append(candidates, sample{sampled, stride})
 		}
 	}
 	return candidates
--- a/lab/scale/service.go
+++ b/lab/scale/service.go
@@ -31,7 +31,7 @@
 func newService(index int, size serviceSize, p *placer) *service {
 	s := &service{index: index, size: size, byID: map[relay.EndpointID]*endpoint{}, weight: 1}
 	canaryShare := stages[len(stages)-1].share
-	s.endpointsBetweenReleases = max(1, int(float64(size.endpoints)/(1+canaryShare))) // the canary's endpoints fit in besides
+	s.endpointsBetweenReleases = max(1, int(float64(size.endpoints)/(1+canaryShare))) // leaves room for the canary's endpoints
 	for i := range s.endpointsBetweenReleases {
 		name := fmt.Sprintf("s%d-u%d", index, i)
 		e := newEndpoint(name, p.place(), i%len(machineKinds), 1, -initialUptime)
--- a/lab/scale/simulation.go
+++ b/lab/scale/simulation.go
@@ -18,7 +18,7 @@
 	hollowRelays    []*hollowRelay // indexed by fleetRelay.index; nil for a synthetic relay
 	syntheticRelays []*syntheticRelay
 	zoneNames       []string
-	sampled         bool // whether some relays are synthetic, not hosted
+	sampled         bool // whether some relays are synthetic
 
 	plannedFaults    []faultEvent // sorted by time
 	followUps        []faultEvent // later effects of faults, such as the start of a replacement; unsorted
@@ -86,20 +86,20 @@
 	others := relays - first
 	sampled := sample.hostedRelays(relays) - first
 	for number := range relays {
-		id := &fleetRelay{index: len(sim.relays), service: s, number: relay.ID(number), place: p.place(), alive: true, weight: 1}
-		s.relays = append(s.relays, id)
-		sim.relays = append(sim.relays, id)
+		added := &fleetRelay{index: len(sim.relays), service: s, number: relay.ID(number), place: p.place(), alive: true, weight: 1}
+		s.relays = append(s.relays, added)
+		sim.relays = append(sim.relays, added)
 		if i := number - first; i >= 0 {
 			inSample := (i+1)*sampled/others > i*sampled/others
 			if !inSample {
 				sim.sampled = true
 				sim.hollowRelays = append(sim.hollowRelays, nil)
-				sim.syntheticRelays = append(sim.syntheticRelays, newSyntheticRelay(sim, id))
+				sim.syntheticRelays = append(sim.syntheticRelays, newSyntheticRelay(sim, added))
 				continue
 			}
-			id.weight = float64(others) / float64(sampled)
+			added.weight = float64(others) / float64(sampled)
 		}
-		h := newHollowRelay(sim, id)
+		h := newHollowRelay(sim, added)
 		s.hollowRelays = append(s.hollowRelays, h)
 		sim.hollowRelays = append(sim.hollowRelays, h)
 	}
@@ -212,7 +212,7 @@
 	}
 }
 
-// isFullyHosted reports whether all relays of the service are hosted, that is none is synthetic.
+// isFullyHosted reports whether the service has no synthetic relays.
 func (s *service) isFullyHosted() bool { return len(s.hollowRelays) == len(s.relays) }
 
 // aggregatorsOf returns the aggregators of a service as relays of the region see them.
@@ -255,7 +255,7 @@
 		}
 		sim.slowStartViolationCount++
 		if len(sim.slowStartViolations) < maxViolationsPerRelay {
-			detail := attempt.endpoint.name + " was sent more than it can do while it is cold"
+			detail := attempt.endpoint.name + " was overloaded during its slow start"
 			violation := Violation{attempt.sentAt, h.checker.instance, slowStartRule, detail}
 			sim.slowStartViolations = append(sim.slowStartViolations, violation)
 		}
--- a/lab/scale/synthetic_relay.go
+++ b/lab/scale/synthetic_relay.go
@@ -9,7 +9,7 @@
 )
 
 // syntheticRelay is a relay that is not hosted. It makes no decisions and sends no attempts. It only sends reports to the
-// aggregators, in the real encoding, about as many random attempts as a hosted relay with its load would make.
+// aggregators, in the real encoding. They are about random attempts, as many as a hosted relay with its load would make.
 type syntheticRelay struct {
 	*fleetRelay
 	simulation   *simulation // read only
@@ -35,11 +35,11 @@
 	canaryUtilization = 0.8   // fraction of the exposure limit that is used on average
 )
 
-func newSyntheticRelay(sim *simulation, id *fleetRelay) *syntheticRelay {
+func newSyntheticRelay(sim *simulation, r *fleetRelay) *syntheticRelay {
 	s := &syntheticRelay{
-		fleetRelay: id,
+		fleetRelay: r,
 		simulation: sim,
-		random:     newRandom(sim.options.Seed, "standin", id.index),
+		random:     newRandom(sim.options.Seed, "standin", r.index),
 		evidence:   make([]classEvidence, len(requestKinds)),
 	}
 	s.nextReportAt = reportInterval * s.random.Float64()
--- a/lab/scale/table.go
+++ b/lab/scale/table.go
@@ -40,10 +40,12 @@
 }
 
 func (r *Result) formatTotals(text *bytes.Buffer) {
-	d, requests, faults := &r.ReleaseSummary, &r.Requests, &r.Faults
+	releases, requests, faults := &r.ReleaseSummary, &r.Requests, &r.Faults
 	fmt.Fprintf(text, "releases: %d, %d bad (%d for one service alone): %d sent back after %.1f s (p50) and %.1f s (p90), %d stayed; ",
-		d.Releases, d.Bad, d.BadForOneService, d.BadRolledBack, d.RollBackP50, d.RollBackP90, d.BadNotRolledBack)
-	fmt.Fprintf(text, "good: %d released, %d sent back; %d open at the end\n", d.GoodReleased, d.GoodRolledBack, d.Open)
+		releases.Releases, releases.Bad, releases.BadForOneService, releases.BadRolledBack, releases.RollBackP50,
+		releases.RollBackP90, releases.BadNotRolledBack)
+	fmt.Fprintf(text, "good: %d released, %d sent back; %d open at the end\n", releases.GoodReleased, releases.GoodRolledBack,
+		releases.Open)
 	fmt.Fprintf(text, "requests: %d taken, %d honoured, %d denied, %d written off, %d left unanswered, %d open at the end, %d attempts\n",
 		requests.Received, requests.Succeeded, requests.Rejected, requests.Failed, requests.ClientsDisconnected, requests.Open,
 		requests.Attempts)
--- a/lab/scenario.go
+++ b/lab/scenario.go
@@ -47,7 +47,7 @@
 	sort.Float64s(s.simulation.traffic.requiredTimes)
 }
 
-// happens draws whether something of a given probability happens.
+// happens draws whether an event with the given probability happens.
 func (s *scenario) happens(chance float64) bool { return s.random.Float64() < chance }
 
 // offerBuilds offers two builds of each service: one in the morning, with the services one after another or, by chance, all
@@ -97,7 +97,8 @@
 	s.simulation.runAt(at, func() { s.simulation.controller.restart(lostEvents) })
 }
 
-// delayStatuses delays rollout statuses during a part of a release, and around the start of a freeze.
+// delayStatuses delays rollout statuses during a part of a release and around the start of a freeze: by chance, and every day
+// at full intensity.
 func (s *scenario) delayStatuses(midnight, morning float64) {
 	if !s.happens(s.faults.StatusLag) && s.faults.StatusLag < 1 {
 		return
--- a/lab/series.go
+++ b/lab/series.go
@@ -38,7 +38,7 @@
 	}
 }
 
-// histogram returns the histogram of latencies, in microseconds; creating it if needed.
+// histogram returns the histogram of latencies in microseconds. The first call creates it.
 func (p *point) histogram() *hdrhistogram.Histogram {
 	if p.latency == nil {
 		p.latency = hdrhistogram.New(1, maxLatencyMicros, 2)
@@ -120,7 +120,7 @@
 	return func(p *point) (float64, bool) { return float64(count(p)) / s.width, true }
 }
 
-// latencyQuantile returns a curve's value: a quantile, in percent, of the latencies in seconds.
+// latencyQuantile returns the value function of a curve: a quantile, given in percent, of the latencies in seconds.
 func latencyQuantile(quantile float64) func(*point) (float64, bool) {
 	return func(p *point) (float64, bool) {
 		if p.latency == nil || p.latency.TotalCount() == 0 {
--- a/lab/shapes.go
+++ b/lab/shapes.go
@@ -12,8 +12,8 @@
 	"strings"
 )
 
-// Shape is a kind of synthetic load, written as a trace in the layout of a public data set. All values are drawn by a rate
-// and a seed; none is taken from a recorded trace.
+// Shape is a kind of synthetic load, written as a trace in the layout of a public data set. All values are drawn at
+// random from a rate and a seed; none is taken from a recorded trace.
 type Shape struct {
 	Name, Layout string
 	generate     func(s *shapeWriter)
@@ -63,7 +63,7 @@
 type call struct {
 	app           int
 	end, duration float64 // s
-	function      float64 // which one, as a fraction of the functions
+	function      float64 // position of the function in the list of functions, from 0 to 1
 }
 
 // Parameters of bursty traces. Times are in seconds.
@@ -73,7 +73,7 @@
 	burstLength       = 1.5
 	burstRate         = 10.0 // times the mean rate
 	meanBurstGap      = 20.0
-	steadyRateDivisor = 4 // a quarter of the mean rate arrives outside of bursts
+	steadyRateDivisor = 4 // a quarter of the arrivals are outside of bursts
 )
 
 // writeBursty writes a trace with three quarters of its arrivals in bursts of 1.5 s at ten times the mean rate, one burst in
@@ -136,7 +136,7 @@
 	return task
 }
 
-// at returns an event of the task, of a kind and at a time.
+// at returns the task's event of the given kind at the given time.
 func (e taskEvent) at(time float64, kind int) taskEvent {
 	e.time, e.kind = time, kind
 	return e
--- a/lab/tail.go
+++ b/lab/tail.go
@@ -10,7 +10,7 @@
 	openTailCells    = 4 // cells per class that still count: every answer comes within the deadline, which is under 15 s
 )
 
-// Weights of the parts of a replay's score: served fractions, and the tail metric.
+// Weights of the terms of a replay's score: served fractions, and the tail metric.
 const (
 	allWeight          = 0.3 // all requests
 	worstStretchWeight = 0.2 // the worst stretch
--- a/lab/traffic.go
+++ b/lab/traffic.go
@@ -14,7 +14,7 @@
 	maxIdleWindow         = 100.0  // a window ends after this time without a controller step, even during a release
 	releaseSampleInterval = 3600.0 // longest gap between windows during a release
 	sampleInterval        = 7200.0 // longest gap between windows
-	endCheckPeriod        = 1.0    // between checks whether a window is over
+	endCheckPeriod        = 1.0    // time between checks whether a window is over
 	minWindowDelay        = 0.5    // shortest gap before a window
 	idleDelay             = 5.0    // from the end of a window until relays are idle; their last requests have ended by then
 	freezeLookahead       = 30.0   // a release counts as under way if the freeze that blocks it ends within this time
@@ -113,7 +113,7 @@
 	})
 }
 
-// watchForEnd ends the window once mustContinue allows it.
+// watchForEnd ends the window once mustContinue returns false.
 func (t *trafficWindow) watchForEnd() {
 	t.simulation.runAfter(endCheckPeriod, func() {
 		if t.mustContinue() {
