--- a/Makefile
+++ b/Makefile
@@ -1,5 +1,5 @@
-# build: both programs into bin/; test: what CI runs; lint: format, vet, staticcheck and golangci-lint; run: one relay in the foreground,
-# with the configuration of $BALANCER_CONFIG or CONFIG=file.
+# build: builds both programs into bin/. test: runs what CI runs. lint: runs the format check, vet, staticcheck and golangci-lint.
+# run: runs a relay in the foreground, with the configuration file that $BALANCER_CONFIG or CONFIG=file names.
 CONFIG ?= $(BALANCER_CONFIG)
 
 .PHONY: build test lint race run demo clean
@@ -19,7 +19,8 @@
 race:
 	go test -race -count=1 ./...
 
-# demo: a good and a bad build through a plan, with real processes on loopback; ends by itself within a minute; then a bundled trace replayed.
+# demo: rolls out a good and a bad build under a release plan, with real processes on loopback, which takes less than a minute.
+# Then it replays a bundled trace.
 demo: build
 	bin/lichenroad lab demo --dir found/demo
 	bin/lichenroad trace replay trace/testdata/alibaba-2018.csv --layout alibaba-2018 --mapping deploy/mapping.xml --report found/demo
--- a/deploy/check.sh
+++ b/deploy/check.sh
@@ -1,6 +1,6 @@
 #!/usr/bin/env bash
-# Builds as operators do, by the deploy file's own line, and holds the program to what they need of it: linked
-# dynamically against the C library, up under a sample configuration, and out with exit 0 at SIGTERM.
+# Builds the programs with the command of the deploy file, as operators do, and checks that they are linked dynamically
+# against the C library, and that the relay starts with a sample configuration and exits with code 0 on SIGTERM.
 set -euo pipefail
 cd "$(dirname "$0")/.."
 line=$(sed -n 's/^build = "\(.*\)"$/\1/p' deploy/balancer.toml)
--- a/test.sh
+++ b/test.sh
@@ -1,6 +1,6 @@
 #!/usr/bin/env bash
-# The test command: format check, vet, staticcheck, golangci-lint, build, tests, the network half's once more with -race, and
-# the deploy file's own build started and ended. Random runs use a fixed seed and leave no fail files.
+# The test command: format check, vet, staticcheck, golangci-lint, build, all tests, the tests of internal/ and cmd/lichenroad
+# again with the race detector, and deploy/check.sh. Property tests use a fixed seed and write no fail files.
 set -euo pipefail
 cd "$(dirname "$0")"
 bad=$(gofmt -l .)
