--- a/cmd/lichenroad/exit.go
+++ b/cmd/lichenroad/exit.go
@@ -74,5 +74,5 @@
 // printf writes to the user's terminal or pipe. Errors are ignored: the reader of the output has gone then, and the exit
 // code still shows the result of the command.
 func printf(w io.Writer, format string, args ...any) {
-	_, _ = fmt.Fprintf(w, format, args...) // see above
+	_, _ = fmt.Fprintf(w, format, args...) // the reader of the output has gone
 }
--- a/cmd/lichenroad/peers_test.go
+++ b/cmd/lichenroad/peers_test.go
@@ -22,7 +22,7 @@
 		t.Cleanup(func() { c.Close() })
 		return c
 	}
-	own, peer, all, stranger := listen(), listen(), listen(), listen()
+	own, peer, all, unknown := listen(), listen(), listen(), listen()
 	address := own.LocalAddr().String()
 	own.Close()
 	p := startRelay(t, newFakeDiscovery(t, newFakeEndpoint(t, always(succeed))), func(c *config.Config) {
@@ -43,7 +43,7 @@
 		from *net.UDPConn
 		n    int
 		id   metrics.Counter
-	}{{peer, 5, metrics.PeerMessagesIn}, {stranger, 5, metrics.PeerMessagesDropped}, {peer, 257, metrics.PeerMessagesDropped}} {
+	}{{peer, 5, metrics.PeerMessagesIn}, {unknown, 5, metrics.PeerMessagesDropped}, {peer, 257, metrics.PeerMessagesDropped}} {
 		before := p.loop.Metrics.Get(c.id)
 		c.from.WriteToUDP(make([]byte, c.n), to)
 		waitForCounter(t, p, c.id, before+1)
--- a/lab/checkfreeze.go
+++ b/lab/checkfreeze.go
@@ -36,8 +36,8 @@
 	return intervals
 }
 
-// isFrozen reports whether a freeze with an effect applies to a service at a time: one that covers the site or, for anySite,
-// one that covers any site at which the step or one before it opens a group.
+// isFrozen reports whether a freeze with the given effect applies to a service at a time. The freeze must cover the site or,
+// for anySite, any site at which the step or one before it opens a group.
 func (c *checker) isFrozen(at float64, service plan.ServiceIndex, site plan.SiteIndex, effect plan.FreezeEffect, step int) bool {
 	for i := range c.simulation.plan.Freezes {
 		freeze := &c.simulation.plan.Freezes[i]
--- a/lab/endpoint.go
+++ b/lab/endpoint.go
@@ -128,9 +128,9 @@
 	e.fleet.simulation.runAfter(duration, e.startWaiting)
 }
 
-// die crashes the endpoint, which breaks all its attempts, and launches another one. Relays learn of the crash with the lag
-// of the endpoint list.
-func (e *endpoint) die() {
+// crash crashes the endpoint, which breaks all its attempts, and launches another one. The endpoint list notifies relays of
+// the crash with its usual lag.
+func (e *endpoint) crash() {
 	e.state = relay.Removed
 	e.fleet.announce(e)
 	for _, lost := range e.waiting {
--- a/lab/endpointfault.go
+++ b/lab/endpointfault.go
@@ -97,7 +97,7 @@
 		case fault.Pauses:
 			candidate.pause(fault.Duration)
 		case fault.Dies:
-			candidate.die()
+			candidate.crash()
 		default:
 			candidate.inject(activeFault{f.simulation.now + fault.Duration, fault.Slowdown, fault.FailureRate})
 		}
--- a/lab/scale/control.go
+++ b/lab/scale/control.go
@@ -112,7 +112,7 @@
 	sim.sendStatusLine(now+statusDelay, h, reply)
 }
 
-// deliverControlMessages passes the messages that are due to their relays. Messages to a stopped relay are lost.
+// deliverControlMessages delivers the messages that have arrived by now. Messages to a stopped relay are lost.
 func (sim *simulation) deliverControlMessages(now float64) {
 	pending := sim.controlMessages[:0]
 	for _, m := range sim.controlMessages {
--- a/lab/scale/simulation.go
+++ b/lab/scale/simulation.go
@@ -140,7 +140,7 @@
 	return participants
 }
 
-// beginTick applies everything that is due at the start of a tick outside the relays, and delivers messages to the relays.
+// beginTick applies all changes outside the relays that are due at the start of a tick, and delivers messages to the relays.
 func (sim *simulation) beginTick(n int64, now float64) {
 	sim.applyFaults(now)
 	for _, s := range sim.services {
--- a/lab/scale/timers.go
+++ b/lab/scale/timers.go
@@ -13,7 +13,7 @@
 	membershipTimer                  // set by the membership protocol
 )
 
-// timer is an event of one relay that is due at the time at.
+// timer is an event of one relay at a given time.
 type timer struct {
 	at            float64
 	sequence      int64 // order in which the timers were set
@@ -27,7 +27,7 @@
 	return t.at < other.at || (t.at == other.at && t.sequence < other.sequence)
 }
 
-// timers is a binary heap with the earliest timer on top. Timers that are due at the same time are in the order of setting.
+// timers is a binary heap with the earliest timer on top. Timers for the same time are in the order in which they were set.
 type timers struct {
 	heap     []timer
 	sequence int64
--- a/lab/traffic.go
+++ b/lab/traffic.go
@@ -89,10 +89,10 @@
 	s.record("traffic begins")
 	parked := s.parkedRelays
 	s.parkedRelays = nil
-	for _, woken := range parked {
-		if woken.alive {
-			woken.repeatKeepAlives()
-			woken.evaluateGuard()
+	for _, resumed := range parked {
+		if resumed.alive {
+			resumed.repeatKeepAlives()
+			resumed.evaluateGuard()
 		}
 	}
 	s.controller.advance()
