--- a/lab/checkexposure.go
+++ b/lab/checkexposure.go
@@ -158,7 +158,7 @@
 }
 
 // bindingLimit returns the limit of a group that applies now. For notifyGrace after a limit was lowered, the previous one
-// still applies.
+// still applies if it is higher.
 func (c *checker) bindingLimit(record *relayRecord, group int) float64 {
 	limit := c.exposureLimit(record, group)
 	if c.simulation.now-record.loweredAt <= notifyGrace {
--- a/lab/request.go
+++ b/lab/request.go
@@ -12,7 +12,7 @@
 	requestsPerEndpoint = 8.0    // requests per second and endpoint of a fleet, on an ordinary day
 	crossSiteDelay      = 0.001  // one way between sites
 	sameSiteDelay       = 0.0003 // one way within a site
-	timeoutMargin       = 1e-4   // an attempt times out this long before its timeout or, if that is earlier, the deadline
+	timeoutMargin       = 1e-4   // an attempt times out this long before its timeout or the deadline, whichever is earlier
 	dropRequestDelay    = 1.0    // from a request's end until its record is dropped: commands may still refer to it
 )
 
