--- a/lab/endpointfault.go
+++ b/lab/endpointfault.go
@@ -66,7 +66,7 @@
 	e.fault = fault
 }
 
-// injectFaults injects a fault at random intervals.
+// injectFaults sets the fault's message loss, and injects the fault into endpoints at random intervals.
 func (f *fleet) injectFaults(fault EndpointFault) {
 	f.simulation.options.Faults.MessageLoss = fault.MessageLoss
 	if fault.Interval <= 0 {
@@ -97,7 +97,7 @@
 		case fault.Pauses:
 			candidate.pause(fault.Duration)
 		case fault.Dies:
-			candidate.die()
+			candidate.crash()
 		default:
 			candidate.inject(activeFault{f.simulation.now + fault.Duration, fault.Slowdown, fault.FailureRate})
 		}
