--- a/internal/discovery/address.go
+++ b/internal/discovery/address.go
@@ -32,9 +32,9 @@
 	}
 }
 
-// schedulePreviousClose has the previous address closed shortly after the first list from the new one. A drain notice that
-// the previous address sent earlier may still be in transit. The relay counts as notified of it even if the new address's
-// list, which can be older, does not contain the drain.
+// schedulePreviousClose schedules the close of the previous address, shortly after the first list from the new one. A drain
+// notice that the previous address sent earlier may still be in transit. The relay counts as notified of it even if the new
+// address's list, which can be older, does not contain the drain.
 func (c *Client) schedulePreviousClose() {
 	if c.previous == nil || c.previousClosing {
 		return
--- a/internal/discovery/fleet_simulation_test.go
+++ b/internal/discovery/fleet_simulation_test.go
@@ -24,9 +24,9 @@
 	graceSlack     = 0.05 // tolerance of the check for attempts in transit
 
 	discoveryRate   = 37.5 // new polls that discovery answers per second: one from each relay in 8 s
-	discoveryWait   = 2.0  // after which a poll that is still in the queue fails
-	continuesFor    = 0.2  // after an answer, within which the next poll continues the watch
-	maxNotifyDelay  = 6.0  // after a change, until every relay counts as notified of it
+	discoveryWait   = 2.0  // time after which a poll that is still in the queue fails
+	continuesFor    = 0.2  // time after an answer within which the next poll continues the watch
+	maxNotifyDelay  = 6.0  // time from a change until every relay counts as notified of it
 	requestInterval = 0.25 // between two requests to the same relay
 	messageLossRate = 0.02 // fraction of messages that are lost
 	connectTimeout  = 0.25
--- a/internal/guard/guard.go
+++ b/internal/guard/guard.go
@@ -23,7 +23,7 @@
 const (
 	maxEvaluationInterval = 1.0   // s; a freeze may begin or end early when the machine's clock is set
 	minEvaluationInterval = 0.001 // s
-	maxPendingVotes       = 64    // votes awaiting a reply; not reached while the platform's client reports a result of each vote
+	maxPendingVotes       = 64    // votes awaiting a reply; not reached while the platform's client reports a result for each
 )
 
 var errNoSite = errors.New("the settings don't name this relay's site")
--- a/internal/pipeline/request.go
+++ b/internal/pipeline/request.go
@@ -6,7 +6,7 @@
 	"lichenroad/relay"
 )
 
-// RequestStatus says whether a request is open or how it ended.
+// RequestStatus is the status of a request: open, or how it ended.
 type RequestStatus int
 
 const (
--- a/internal/planxml/freeze.go
+++ b/internal/planxml/freeze.go
@@ -144,7 +144,7 @@
 	return time.Duration(t.Hour())*time.Hour + time.Duration(t.Minute())*time.Minute
 }
 
-// readMoment reads a date and time in a zone. It must occur exactly once there, as it would be ambiguous otherwise.
+// readMoment reads a date and time in a zone. It must occur exactly once there.
 func (r *reader) readMoment(node *xmlconfig.Node, name string, zone *time.Location) time.Time {
 	text, ok := node.Attrs[name]
 	if !ok {
--- a/internal/xmlconfig/reader.go
+++ b/internal/xmlconfig/reader.go
@@ -94,7 +94,7 @@
 // Faults after which parsing stops.
 var (
 	// A DOCTYPE could define entities whose expansion is unbounded.
-	errDeclaration = errors.New("no DOCTYPE or other declarations are allowed")
+	errDeclaration = errors.New("no DOCTYPE or other declarations are taken")
 	errSecondRoot  = errors.New("more than one root element")
 	errEmpty       = errors.New("empty: no root element")
 	errTooLarge    = fmt.Errorf("over %d elements, or nested over %d deep", MaxElements, maxDepth)
--- a/internal/xmlconfig/xmlconfig_test.go
+++ b/internal/xmlconfig/xmlconfig_test.go
@@ -44,7 +44,7 @@
 		{"no XML", "<root", []string{"f:1: no XML: unexpected EOF"}},
 		{"two roots", `<root version="1"/><root/>`, []string{"f:1: more than one root element"}},
 		{"another root", `<tree/>`, []string{"f:1: <tree>: the root must be <root>"}},
-		{"a declaration", `<!DOCTYPE root><root/>`, []string{"f:1: no DOCTYPE or other declarations are allowed"}},
+		{"a declaration", `<!DOCTYPE root><root/>`, []string{"f:1: no DOCTYPE or other declarations are taken"}},
 		{"too deep", strings.Repeat("<item>", maxDepth+1), []string{"f:1: over 20000 elements, or nested over 8 deep"}},
 		{"too many", "<root>" + strings.Repeat("<item/>", MaxElements), []string{"f:1: over 20000 elements, or nested over 8 deep"}},
 		{"too long", strings.Repeat(" ", MaxBytes+1), []string{"f:1: the file is over 1048576 bytes"}},
--- a/membership/lease.go
+++ b/membership/lease.go
@@ -16,8 +16,8 @@
 	maxNotifyDelayAfterWait = 2.0
 	// failedPollFactor times Settings.PollInterval is how long the list may be used after a failed poll.
 	failedPollFactor = 4.0
-	// leaseMargin is how long the lease ends before the relay could count as notified of a change. It allows for the
-	// milliseconds that messages and steps take.
+	// leaseMargin is the time from the end of the lease until the relay could count as notified of a change. It allows for
+	// the milliseconds that messages and steps take.
 	leaseMargin = 0.25
 	// contactTimeout is how long a message from a peer counts as contact with the fleet: about three heartbeats.
 	contactTimeout = 3.0
--- a/plan/plan.go
+++ b/plan/plan.go
@@ -45,7 +45,7 @@
 // Plan is a plan for the rollouts of all services.
 type Plan struct {
 	Skew      Seconds // largest difference between the clocks of relays and controller; extends freezes at both ends
-	StatusTTL Seconds // after which the status of a dependency is too old to grant a step
+	StatusTTL Seconds // age above which the status of a dependency is too old to grant a step
 	Sites     []string
 	Groups    []Group
 	Services  []Service
@@ -77,9 +77,9 @@
 	PromoteShare  float64
 	RollBackShare float64
 	HoldShare     float64
-	TTL           Seconds // after which a vote expires
+	TTL           Seconds // time after which a vote expires
 	PerSecond     float64 // votes accepted from all relays together
-	StepTime      Seconds // after which ControlTimed promotes
+	StepTime      Seconds // time after which ControlTimed promotes
 }
 
 // Service is a fleet of endpoints whose builds are released step by step.
@@ -87,7 +87,7 @@
 	Name         string
 	WatchAddress string  // address at which the controller serves the rollout status to dependent services; optional
 	RollbackTime Seconds // duration of a rollback
-	SettleTime   Seconds // between a release and the start of the next build
+	SettleTime   Seconds // time between a release and the start of the next build
 	Votes        Votes
 	Steps        []Step
 	Relays       []Relay
--- a/policy/admission.go
+++ b/policy/admission.go
@@ -10,7 +10,7 @@
 const (
 	// fraction of its latency objective that a request may spend open on average
 	maxObjectiveUsage = 0.5
-	// the current bucket and the one before, which show the rate of a burst
+	// number of buckets that show the rate of a burst: the current one and the one before
 	recentTrafficBuckets = 2
 	// open requests added to the limit, so that one slow answer does not make a relay with little traffic
 	// reject requests
@@ -61,14 +61,14 @@
 		return math.Inf(1) // there is no rate yet
 	}
 	rate := a.answered.Total(a.p.now, 0) / (trafficBucketTime * trafficBuckets)
-	// After a quiet period the mean rate shows the demand, not the capacity; then the rate of the last
-	// second counts.
+	// After a quiet period the mean rate shows the demand, not the capacity; then the higher rate of the
+	// recent buckets counts.
 	recentTime := trafficBucketTime*(recentTrafficBuckets-1) + math.Mod(a.p.now, trafficBucketTime)
 	recentRate := a.answered.Sum(a.p.now, 0, 0, recentTrafficBuckets) / recentTime
 	return spareRequests + maxObjectiveUsage*math.Max(rate, recentRate)
 }
 
-// rejects counts a new request and says whether to reject it.
+// rejects counts a new request and reports whether to reject it.
 func (a *admission) rejects(request *trackedRequest) bool {
 	tenants := a.p.settings.Tenants
 	allColumn, tenant := len(tenants), int(request.Tenant)
--- a/policy/canary.go
+++ b/policy/canary.go
@@ -25,8 +25,8 @@
 
 	hasScope   bool
 	scope      relay.CanaryScope
-	budgets    []*exposureBudget         // one for each build met so far
-	stickyKeys map[relay.Key]relay.Build // last answered by the newest build, or an unannounced one
+	budgets    []*exposureBudget         // one for each build seen so far
+	stickyKeys map[relay.Key]relay.Build // build that answered the key last: the newest, or an unannounced one
 
 	verdicts []peerwire.ClassVerdict // by class
 	// last sufficient outcomes of the earlier build, by class, and at the end over all classes
@@ -152,12 +152,12 @@
 	}
 }
 
-// canRollBack says whether the newest build can still be rolled back.
+// canRollBack reports whether the newest build can still be rolled back.
 func (c *canary) canRollBack() bool {
 	return c.hasStatus && (c.status.Phase == relay.PhaseCanary || c.status.Phase == relay.PhaseReleased)
 }
 
-// baselineFrozen says whether the baseline ratios stay as they were before the trial, for comparison.
+// baselineFrozen reports whether the baseline ratios stay as they were before the trial, for comparison.
 func (c *canary) baselineFrozen() bool {
 	justReleased := c.p.now-c.stageStartedAt < baselineFreezeAfterRelease
 	if c.p.now <= baselineFreezeAfterRelease/2 || !c.canRollBack() {
@@ -166,7 +166,7 @@
 	return c.status.Phase == relay.PhaseCanary || justReleased
 }
 
-// listingOverdue says whether the endpoints of the present stage have not been listed within the usual
+// listingOverdue reports whether the endpoints of the present stage have not been listed within the usual
 // time, and the watch has not been restarted for this stage yet.
 func (c *canary) listingOverdue() bool {
 	return c.hasStatus && !c.watchRestarted && c.stageListedAt == 0 && c.status.Phase == relay.PhaseCanary &&
--- a/policy/comparison.go
+++ b/policy/comparison.go
@@ -11,10 +11,10 @@
 // minOutcomes, flagStandardErrors, flagMinFailures and flagMinDifference are set by the design
 // (docs/design.md).
 const (
-	// buckets that are also tested alone: a build that turns bad late has many good outcomes in the whole
-	// window
+	// number of newest buckets that are also tested alone: a build that turns bad late has many good outcomes
+	// in the whole window
 	recentEvidenceBuckets = 6
-	// buckets that count as recent when a build is compared with its own earlier outcomes
+	// number of newest buckets that count as recent when a build is compared with its own earlier outcomes
 	earlierShareBuckets = 12
 	// outcomes needed from each build for a flag, and pooled ones for a promotion
 	minOutcomes = 20.0
@@ -163,7 +163,7 @@
 	return healthy, faulty
 }
 
-// recentlyFaulty says whether the endpoint was marked faulty within the evidence window.
+// recentlyFaulty reports whether the endpoint was marked faulty within the evidence window.
 func (e *trackedEndpoint) recentlyFaulty() bool {
 	return e.faultyAt > 0 && e.p.now-e.faultyAt < evidenceBucketTime*evidenceBuckets
 }
@@ -201,7 +201,7 @@
 	return c.failsMore() || c.flaggedAsSlow()
 }
 
-// failsMore says whether the newest build fails more often, by the outcomes of all relays.
+// failsMore reports whether the newest build fails more often, by the outcomes of all relays.
 func (c *comparison) failsMore() bool {
 	failures := c.shares(failedShare)
 	return failures.worse(pooledMinDifference, pooledMinFailures, failures.pooledStandardError())
@@ -232,11 +232,11 @@
 	earlier share
 }
 
-func (c *comparison) shares(of func(*outcomeCounts) share) sharePair {
-	return sharePair{newest: of(&c.newest), earlier: of(&c.earlier)}
+func (c *comparison) shares(shareOf func(*outcomeCounts) share) sharePair {
+	return sharePair{newest: shareOf(&c.newest), earlier: shareOf(&c.earlier)}
 }
 
-// worse says whether the newest build's share is worse by a minimum difference, by a minimum number of
+// worse reports whether the newest build's share is worse by a minimum difference, by a minimum number of
 // bad outcomes, and by flagStandardErrors standard errors.
 func (s sharePair) worse(minDifference, minBad, standardError float64) bool {
 	if s.newest.attempts < minOutcomes || s.earlier.attempts < minOutcomes {
--- a/policy/endpoint.go
+++ b/policy/endpoint.go
@@ -26,7 +26,7 @@
 	minDuration = 1e-3
 )
 
-// evidenceSource says which relays' attempts an outcome comes from.
+// evidenceSource tells which relays' attempts an outcome comes from.
 type evidenceSource int
 
 const (
@@ -118,7 +118,7 @@
 	return entry
 }
 
-// evictable says whether the endpoint was removed long ago and has no open attempts.
+// evictable reports whether the endpoint was removed long ago and has no open attempts.
 func (e *trackedEndpoint) evictable() bool {
 	removed := e.listed && e.State == relay.Removed
 	return removed && e.openAttempts == 0 && e.p.now-e.removedAt > removedRetention
--- a/policy/endpoints.go
+++ b/policy/endpoints.go
@@ -43,7 +43,7 @@
 }
 
 // start makes the first call to discovery: at once without a lease, otherwise after the first backoff
-// delay. A lease means that the list may be old, and holds the relay back from using it.
+// delay. With a lease the call can wait, since an old list is not used once the lease has expired.
 func (l *endpointList) start(leased bool) {
 	if !leased {
 		l.poll()
@@ -59,7 +59,7 @@
 	l.p.emit(relay.Watch{On: true})
 }
 
-// leaseExpired says whether the list has been unconfirmed for too long and must not be used any more.
+// leaseExpired reports whether the list has been unconfirmed for too long and must not be used any more.
 func (l *endpointList) leaseExpired() bool { return l.p.now >= l.leaseExpiresAt }
 
 // tick polls discovery when a poll is due. It also restarts a watch that seems stalled, which shows first
--- a/policy/evidence.go
+++ b/policy/evidence.go
@@ -15,9 +15,10 @@
 	// a window of 12 s: twice the time that a verdict counts, and long enough for 20 outcomes of a rare
 	// class
 	evidenceBuckets = 24
-	// 4 s of attempts show slowness: load changes faster than builds do
+	// a window of 4 s for slowness: the load changes faster than the builds do
 	slownessBuckets = 8
-	// seconds after the last attempt at a machine of the earlier build in which these show the present load
+	// seconds after the last attempt at a machine of the earlier build for which the ratios of these machines
+	// show the present load
 	earlierRatioLifetime = 0.5
 )
 
@@ -29,11 +30,11 @@
 	late     float64
 
 	measured float64     // attempts with a known baseline ratio
-	overall  logRatioSum // sum over the measured attempts of their ratio over the baseline
+	overall  logRatioSum // latency ratio over the baseline ratio, for the measured attempts
 
 	// measured attempts at the newest build while machines of the earlier build showed the present load
 	matched float64
-	// sum over the matched attempts of their ratio over that of the earlier machines at the same time
+	// latency ratio over that of the earlier machines at the same time, for the matched attempts
 	relative logRatioSum
 }
 
@@ -100,10 +101,10 @@
 	stdError float64
 }
 
-func newEstimate(samples float64, of logRatioSum) estimate {
+func newEstimate(samples float64, ratios logRatioSum) estimate {
 	n := math.Max(samples, 1)
-	mean := of.sum / n
-	return estimate{mean: mean, stdError: math.Sqrt(math.Max(of.squares/n-mean*mean, 0) / n)}
+	mean := ratios.sum / n
+	return estimate{mean: mean, stdError: math.Sqrt(math.Max(ratios.squares/n-mean*mean, 0) / n)}
 }
 
 // overallSlowness compares the measured attempts with the baseline ratios.
@@ -112,7 +113,7 @@
 // relativeSlowness compares the matched attempts with the earlier build's machines at the same times.
 func (c *outcomeCounts) relativeSlowness() estimate { return newEstimate(c.matched, c.relative) }
 
-// exceeds says whether attempts took more than times as long, beyond what chance explains.
+// exceeds reports whether attempts took more than times as long, beyond what chance explains.
 func (e estimate) exceeds(times float64) bool {
 	return e.mean > math.Log(times) && e.mean > flagStandardErrors*e.stdError
 }
--- a/policy/exposure.go
+++ b/policy/exposure.go
@@ -16,7 +16,7 @@
 // exposure limit applies to each class.
 type exposureBudget struct {
 	build          relay.Build
-	limit          float64
+	limit          float64   // fraction of the requests
 	allowed        []float64 // attempts that the exposure limit permits
 	allowedByGroup []float64 // the same by group of tenants, while a scope is set
 	target         []float64 // attempts that the routing target permits
@@ -105,7 +105,7 @@
 	}
 }
 
-// permits says whether the exposure limit, the scope and sticky keys permit an attempt at a build.
+// permits reports whether the exposure limit, the scope and sticky keys permit an attempt at a build.
 func (c *canary) permits(request *trackedRequest, build relay.Build) bool {
 	rollout := &c.p.settings.Rollout
 	if rollout.StickyKeys && request.Key != 0 && build < c.stickyKeys[request.Key] {
@@ -135,7 +135,7 @@
 	return open && budget.build <= c.scope.Build && budget.allowedByGroup[group] >= oneAttempt
 }
 
-// withinTarget says whether the routing target permits an attempt at a build, whether it is announced or
+// withinTarget reports whether the routing target permits an attempt at a build, whether it is announced or
 // not.
 func (c *canary) withinTarget(request *trackedRequest, build relay.Build) bool {
 	budget := c.budgetOf(build)
--- a/policy/exposure_test.go
+++ b/policy/exposure_test.go
@@ -92,8 +92,7 @@
 
 // TestBuildBesideTheEarlierOne adds machines of a new build beside the earlier ones. While attempts take a small fraction
 // of their latency objective, the new machines take as much load each as the earlier ones carried alone, up to the
-// exposure target. While attempts
-// take a large fraction of it, all machines take an equal share.
+// exposure target. While attempts take a large fraction of the objective, all machines take an equal share.
 func TestBuildBesideTheEarlierOne(t *testing.T) {
 	for _, c := range []struct {
 		newer                        int
--- a/policy/fusion.go
+++ b/policy/fusion.go
@@ -18,8 +18,9 @@
 	// cost of rolling a good build back, relative to that of letting a bad one through: the design sets both
 	// equal
 	falseAlarmCost     = 1.0
-	pooledFlagDuration = 1.0 // seconds that a pooled flag must last: a verdict from every relay
-	// multiple of the fleet's attempt duration before the trial from which no build is promoted
+	pooledFlagDuration = 1.0 // seconds that a pooled flag must last: by then every relay has reported again
+	// multiple of its attempt duration before the trial above which the fleet counts as slow, so that the
+	// build is not promoted
 	fleetSlowFactor = 1.4
 )
 
@@ -83,7 +84,7 @@
 	return sum >= flagThreshold() && flaggingRelays >= minFlaggingRelays
 }
 
-// reportIsCurrent says whether a relay's report is recent and about the present stage.
+// reportIsCurrent reports whether a relay's report is recent and about the present stage.
 func (a *aggregator) reportIsCurrent(peer *peerState) bool {
 	status, report := &a.p.canary.status, &peer.report
 	recent := peer.hasReported && a.p.now-peer.reportedAt <= verdictTTL
@@ -131,7 +132,7 @@
 	return fused
 }
 
-// fleetSlow says whether the whole fleet is slower than before the trial.
+// fleetSlow reports whether the whole fleet is slower than before the trial.
 func (a *aggregator) fleetSlow() bool {
 	now, before := a.p.canary.fleetCounts(), a.p.canary.preTrialCounts
 	slowness, preTrial := now.overallSlowness(), before.overallSlowness()
--- a/policy/fusion_test.go
+++ b/policy/fusion_test.go
@@ -97,8 +97,8 @@
 }
 
 // TestFleetThatABadBuildSlows releases a build that fails and gets slower too late for a rollback, and then puts the next
-// build on trial, which is good. The slower fleet must not count against the next build, whose promotion is
-// the remedy. If the fleet gets slower without failures of the released build, it counts against the build on trial.
+// build on trial, which is good. The slower fleet must not count against the next build, whose promotion is the
+// remedy. If the fleet gets slower without failures of the released build, it counts against the build on trial.
 func TestFleetThatABadBuildSlows(t *testing.T) {
 	for _, earlierFails := range []bool{true, false} {
 		n := 0
--- a/policy/peerwire/decode.go
+++ b/policy/peerwire/decode.go
@@ -23,7 +23,7 @@
 	return nil, ErrMalformed
 }
 
-// IsDecision says whether a body starts like a decision. It does not check the rest.
+// IsDecision reports whether a body starts like a decision. It does not check the rest.
 func IsDecision(body []byte) bool {
 	return len(body) >= 2 && body[0] == messageMagic && body[1] == decisionType
 }
--- a/policy/requests.go
+++ b/policy/requests.go
@@ -103,7 +103,7 @@
 	return 0
 }
 
-// clientMayRetry says whether a retry by the client has no second effect, so that the request may be
+// clientMayRetry reports whether a retry by the client has no second effect, so that the request may be
 // rejected.
 func (r *trackedRequest) clientMayRetry() bool {
 	return r.class.idempotency == relay.Idempotent || !r.mayHaveRun() ||
--- a/policy/requests_test.go
+++ b/policy/requests_test.go
@@ -58,8 +58,8 @@
 	}
 }
 
-// When eight of ten endpoints failed, the two healthy ones used to get all requests and were overloaded. The
-// results were worse than those of a plain load balancer.
+// When eight of ten endpoints failed, the two healthy ones used to get all requests and were overloaded. The results
+// were worse than those of a plain load balancer.
 func TestOutliersTakeWhatFewHealthyEndpointsCannotCarry(t *testing.T) {
 	for _, c := range []struct {
 		healthy, openAttempts int // healthy endpoints, and open attempts at each of them
--- a/policy/routing.go
+++ b/policy/routing.go
@@ -10,8 +10,8 @@
 	// below minHealthyFraction, an outlier is preferred if its cost times this factor is below that of a
 	// healthy endpoint: one success at an outlier takes about three attempts
 	outlierCostFactor = 3.0
-	// factor on the load of the earlier build's endpoint up to which the canary's is chosen: the latency
-	// ratio of a new build is not known yet
+	// a canary endpoint is chosen if its load is at most this multiple of the best earlier endpoint's: it is
+	// above 1 because the latency ratio of a new build is not known yet
 	canaryCostFactor = 1.5
 	// a window of 6 s for the failure rate of connects, in which even a relay with little traffic sends a few
 	// attempts
@@ -35,7 +35,7 @@
 	}
 }
 
-// mayRetry says whether the request may have another attempt, whatever the endpoint.
+// mayRetry reports whether the request may have another attempt, whatever the endpoint.
 func (r *router) mayRetry(request *trackedRequest) bool {
 	if len(request.attempts) >= r.p.settings.Limits.MaxAttempts {
 		return false
@@ -118,19 +118,19 @@
 	return pools
 }
 
-// connectsFailing says whether more than a small fraction of recent attempts got no connection.
+// connectsFailing reports whether more than a small fraction of recent attempts got no connection.
 func (r *router) connectsFailing() bool {
 	failed := r.connects.Total(r.p.now, connectsFailed)
 	return failed > 1 && failed > maxConnectFailureFraction*r.connects.Total(r.p.now, connectsTried)
 }
 
-// hasConnection says whether a connection to the endpoint is probably open.
+// hasConnection reports whether a connection to the endpoint is probably open.
 func (e *trackedEndpoint) hasConnection() bool {
 	idleTooLong := e.openAttempts == 0 && e.p.now-e.lastAnswerAt > idleConnectionLife
 	return e.lastAttemptConnected && !idleTooLong
 }
 
-// mayUseOutliers says whether most endpoints are outliers, so that the healthy ones can't carry the whole
+// mayUseOutliers reports whether most endpoints are outliers, so that the healthy ones can't carry the whole
 // load, and the request may be retried after an error. Outliers then take some of the load that would
 // queue at the healthy endpoints.
 func (r *router) mayUseOutliers(request *trackedRequest, pools *endpointPools) bool {
@@ -184,7 +184,7 @@
 	return !endpoint.slowStartExhausted() && r.p.canary.permits(request, endpoint.Build)
 }
 
-// retryIsSafe says whether an attempt at the endpoint has no second effect even if an earlier attempt
+// retryIsSafe reports whether an attempt at the endpoint has no second effect even if an earlier attempt
 // ran.
 func (r *router) retryIsSafe(
 	request *trackedRequest, earlier *trackedAttempt, endpoint *trackedEndpoint,
@@ -198,7 +198,7 @@
 	return true
 }
 
-// sharesDedup says whether the endpoint shares the record of idempotency keys with that of an earlier
+// sharesDedup reports whether the endpoint shares the record of idempotency keys with that of an earlier
 // attempt.
 func (c *classState) sharesDedup(attempt *trackedAttempt, endpoint *trackedEndpoint) bool {
 	switch c.dedupScope {
--- a/policy/rules_test.go
+++ b/policy/rules_test.go
@@ -9,7 +9,7 @@
 	"lichenroad/relay"
 )
 
-// TestRulesHold delivers random valid events under random settings and checks the rules after every step.
+// TestRulesHold delivers random valid events under random settings; world checks the rules after every step.
 func TestRulesHold(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		w := newWorld(t, drawSettings(t))
--- a/policy/scenario_test.go
+++ b/policy/scenario_test.go
@@ -33,8 +33,8 @@
 }
 
 // runCanary first runs eight endpoints of the released build 5 for 12 s, which is one evidence window. It then adds the
-// newer endpoints, delivers the status and runs for the span. The sent attempts of the returned world are
-// those of that span only. The ending determines how attempts end.
+// newer endpoints, delivers the status and runs for the span. The sent attempts of the returned world are those of that
+// span only. The ending determines how attempts end.
 func runCanary(t *testing.T, newer []relay.Endpoint, status relay.RolloutStatus, span relay.Seconds, ending attemptEnding) *world {
 	w := newWorld(t, testSettings())
 	w.outcomeOf = func(_ *worldRequest, attempt *worldAttempt) relay.Outcome {
--- a/policy/slowstart.go
+++ b/policy/slowstart.go
@@ -11,8 +11,8 @@
 	// seconds; slow answers of younger endpoints are not evidence against their build, but errors are (in the
 	// design, no outcome of theirs is)
 	youngEndpointAge = 5.0
-	// fraction that all relays together use of the load at which a warming endpoint collapses: slow machines
-	// can take that much less
+	// all relays together send a warming endpoint at most this fraction of the load at which it fails by the
+	// settings: slow machines can take that much less
 	slowStartFraction = 0.8
 	// largest burst of one relay, as a fraction of the attempts that its rate permits within the overload
 	// window
@@ -40,8 +40,8 @@
 
 // slowStartBudgetLeft is the number of attempts that this relay may send to a warming endpoint by now.
 // The relay's mean success rate per ready endpoint stands for its share of the endpoint's full capacity,
-// so that all relays together do not overload a warming endpoint. The rate of attempts sent would not do:
-// a lone endpoint gets more attempts than it can answer.
+// so that all relays together do not overload a warming endpoint. The rate of attempts sent would be
+// too high: a lone endpoint gets more attempts than it can answer.
 func (e *trackedEndpoint) slowStartBudgetLeft() float64 {
 	rules := &e.p.settings.Rules
 	rate := e.p.router.successRatePerEndpoint * e.capacityFraction() * rules.OverloadMultiple * slowStartFraction
@@ -49,7 +49,7 @@
 	return math.Min(maxBudget, e.slowStartBudget+rate*(e.p.now-e.slowStartBudgetAt))
 }
 
-// slowStartExhausted says whether the slow start permits no further attempt of this relay. With the
+// slowStartExhausted reports whether the slow start permits no further attempt of this relay. With the
 // budget alone, a relay with little traffic would not use the endpoint during its whole slow start.
 // Therefore, while other endpoints are usable, most relays may send one attempt ahead of the budget.
 func (e *trackedEndpoint) slowStartExhausted() bool {
--- a/policy/verdicts.go
+++ b/policy/verdicts.go
@@ -82,9 +82,9 @@
 func (c *canary) updateListing() {
 	capacity := c.measureCapacity()
 	rollout := &c.p.settings.Rollout
-	// The build gets at least its fraction of the capacity. Machines that were added beside the earlier ones
-	// can take as much as these carried alone. Without this, all relays together would leave half of the
-	// requests to the earlier build for a whole stage.
+	// The build gets at least its fraction of the capacity. Where its machines were added beside the earlier
+	// ones, it gets more while there is headroom, up to the ratio of its capacity to theirs, since they carried
+	// all requests alone. Otherwise half of the requests would go to the earlier build for a whole stage.
 	fraction := capacity.onTrial / math.Max(capacity.all, 1)
 	if !rollout.InPlace {
 		beside := math.Min(1, capacity.onTrial/math.Max(capacity.all-capacity.onTrial, 1))
--- a/policy/votes.go
+++ b/policy/votes.go
@@ -11,13 +11,14 @@
 const (
 	// seconds past the minimum or maximum stage time that an aggregator waits for outcomes
 	extraOutcomeWait = 3.0
-	// age in seconds of a build's first machines up to which it is not released: some builds turn bad at an
-	// age of 12 s
+	// age in seconds of a build's first machines up to which it is released only with enough outcomes at
+	// machines past lateFaultAge: some builds turn bad at an age of up to 12 s
 	matureAge = 15.0
 	// fraction of the time between two builds after which a build counts as mature: the next build would end
 	// its trial
 	matureCycleFraction = 0.9
-	// age in seconds of a machine by which builds that turn bad late have done so
+	// age in seconds of a machine by which builds that turn bad late have done so; the fault may take up to
+	// another second to show
 	lateFaultAge = 11.0
 	// seconds that the fleet may be slow before the build counts as the cause: most faults are over earlier
 	fleetSlowDuration = 6.0
@@ -70,7 +71,7 @@
 	}
 }
 
-// shouldHold says whether to delay the promotion of a timed stage, for a limited time: it has too few
+// shouldHold reports whether to delay the promotion of a timed stage, for a limited time: it has too few
 // outcomes, or the fleet is slow.
 func (a *aggregator) shouldHold(fused fusion) bool {
 	maxTime := a.p.settings.Rollout.MaxStageTime + extraOutcomeWait
@@ -78,7 +79,7 @@
 	return unsure && a.p.now-a.p.canary.stageStartedAt < maxTime
 }
 
-// shouldPromote says whether the stage has lasted long enough and has enough outcomes.
+// shouldPromote reports whether the stage has lasted long enough and has enough outcomes.
 func (a *aggregator) shouldPromote(fused fusion) bool {
 	canary, minTime := &a.p.canary, a.p.settings.Rollout.MinStageTime
 	if canary.stageListedAt == 0 || fused.fleetSlow || !canary.matured() {
@@ -88,14 +89,14 @@
 	return stageAge >= minTime+extraOutcomeWait || stageAge >= minTime && fused.pooledOutcomes >= minOutcomes
 }
 
-// atLastStage says whether the next promotion releases the build.
+// atLastStage reports whether the next promotion releases the build.
 func (c *canary) atLastStage() bool {
 	return int(c.status.Stage) >= len(c.p.settings.Rollout.StageShares)-1
 }
 
-// matured says whether a fault that appears only with age would have shown: all relays have enough
-// attempts at the build's first machines beyond that age, or these are older than matureAge. Only the
-// last stage waits for it, as the release leaves no earlier build to go back to.
+// matured reports whether a fault that appears only with age would have shown: the relays together have
+// enough attempts at the build's first machines past lateFaultAge, or these are older than matureAge.
+// Only the last stage waits for it, as the release leaves no earlier build to go back to.
 func (c *canary) matured() bool {
 	nextBuildDue := c.releaseInterval > 0 && c.p.now-c.buildAnnouncedAt > matureCycleFraction*c.releaseInterval
 	if !c.atLastStage() || nextBuildDue || c.oldestAge() >= matureAge {
@@ -164,7 +165,7 @@
 	a.p.emit(desired)
 }
 
-// nothingToWithdraw says whether the vote last cast has no effect any more.
+// nothingToWithdraw reports whether the vote last cast has no effect any more.
 func (a *aggregator) nothingToWithdraw() bool {
 	canary := &a.p.canary
 	if a.cast.Verdict == relay.NoVote || a.cast.Build != a.desired.Build || !canary.canRollBack() {
@@ -174,7 +175,7 @@
 	return a.cast.Verdict != relay.VoteRollBack && stagePast
 }
 
-// castVoteIsCurrent says whether the vote last cast counts and does not expire soon.
+// castVoteIsCurrent reports whether the vote last cast counts and does not expire soon.
 func (a *aggregator) castVoteIsCurrent() bool {
 	fresh := a.p.now-a.castAt < voteRenewFraction*a.p.settings.Rollout.VoteTTL
 	return a.confirmed && (a.cast.Verdict == relay.NoVote || fresh)
--- a/policy/window/mean.go
+++ b/policy/window/mean.go
@@ -6,8 +6,7 @@
 	Samples float64
 }
 
-// Add adds a sample. Weight is the least weight of a new sample, which applies once the weight in a plain
-// mean would be lower.
+// Add adds a sample. Its weight is that in a plain mean, 1/Samples, but at least the given one.
 func (m *Mean) Add(sample, weight float64) {
 	m.Samples++
 	m.Value += max(weight, 1/m.Samples) * (sample - m.Value)
--- a/policy/window/window.go
+++ b/policy/window/window.go
@@ -70,7 +70,7 @@
 // Total adds up a column over all buckets.
 func (w *Sliding) Total(now float64, column int) float64 { return w.Sum(now, column, 0, w.buckets) }
 
-// Idle says whether the window holds no values: none was added within its duration.
+// Idle reports whether the window holds no values: none was added within its duration.
 func (w *Sliding) Idle(now float64) bool {
 	return w.sums == nil || int64(now/w.bucketTime)-w.newest >= int64(w.buckets)
 }
--- a/policy/world_test.go
+++ b/policy/world_test.go
@@ -24,8 +24,9 @@
 }
 
 // world simulates everything outside the decision module of one relay: its host, clients, endpoints and
-// platform. It checks every command of the module against the rules, independently of the module's own
-// checks.
+// platform. It checks every command of the module independently of the module's own checks: each request gets
+// exactly one final answer, in time; no request has a second effect; nothing is sent to a draining or removed
+// endpoint after the drain grace; and attempts at a build on trial stay within the exposure limit.
 type world struct {
 	t              interface{ Fatalf(string, ...any) }
 	settings       relay.Settings
@@ -92,7 +93,7 @@
 	succeeded map[relay.Key]relay.Build
 }
 
-// step delivers events at the present time, executes the commands and checks the rules.
+// step delivers events at the present time, executes the commands and checks the answers.
 func (w *world) step(events ...relay.Event) {
 	batch := worldBatch{succeeded: map[relay.Key]relay.Build{}}
 	for _, event := range events {
@@ -222,7 +223,7 @@
 	w.status = &status
 }
 
-// sendAttempt checks an attempt against the rules, and draws how it ends.
+// sendAttempt checks whether an attempt is permitted, and draws how it ends.
 func (w *world) sendAttempt(command relay.SendAttempt) {
 	request, endpoint := w.requests[command.Request], w.endpoints[command.Endpoint]
 	if request == nil || endpoint == nil || request.finished {
--- a/relay/endpoints.go
+++ b/relay/endpoints.go
@@ -37,8 +37,8 @@
 	ListDelta
 	// ListFull: the full list. An endpoint that is not in it has been removed.
 	ListFull
-	// ListWatchStalled: the watch received nothing in time and was closed. The previous list stays valid, but changes that
-	// the watch missed bind the relay soon, as if they had been delivered.
+	// ListWatchStalled: the watch received nothing in time and was closed. The previous list stays valid, but the relay
+	// soon counts as notified of the changes that the watch missed.
 	ListWatchStalled
 )
 
--- a/relay/events.go
+++ b/relay/events.go
@@ -59,7 +59,7 @@
 	// ClientDisconnected reports that the client of a request has closed its connection.
 	ClientDisconnected struct{ Request RequestID }
 
-	// TimerFired reports that the time of a SetTimer has come.
+	// TimerFired reports that the time of a SetTimer has been reached.
 	TimerFired struct{ ID TimerID }
 
 	// HealthCheckEnded reports the result of a HealthCheck.
--- a/relay/rollout.go
+++ b/relay/rollout.go
@@ -33,7 +33,7 @@
 	Build         Build
 	Stage         Stage
 	Phase         Phase
-	ExposureLimit float64 // part of the requests that may be sent to the build, from 0 to 1
+	ExposureLimit float64 // fraction of the requests that may be sent to the build
 	Age           Seconds // time since the present state of the rollout began
 	Reply         VoteReply
 }
--- a/relay/settings.go
+++ b/relay/settings.go
@@ -68,7 +68,7 @@
 
 // TenantSettings holds the settings of a tenant.
 type TenantSettings struct {
-	TrafficShare float64 // part of all requests, from 0 to 1
+	TrafficShare float64 // fraction of all requests
 	QuotaPerSec  float64
 }
 
@@ -89,24 +89,24 @@
 	AnswerSlack      Seconds // time after a request's deadline within which its final answer must be given
 	DrainGrace       Seconds // time during which a draining or removed endpoint may still be sent new attempts
 	PollInterval     Seconds // time for which a relay without a watch may use its endpoint list; infinite: unlimited
-	SlowStartFloor   float64 // least part of its full capacity that an endpoint has when it starts
+	SlowStartFloor   float64 // smallest fraction of its full capacity that an endpoint may have when it starts
 	SlowStartTime    Seconds // time after which an endpoint has its full capacity at the latest
 	OverloadMultiple float64 // a warming endpoint fails at more than this multiple of its present capacity
 	OverloadWindow   Seconds // time over which the load for OverloadMultiple is counted
 }
 
-// Rollout holds the settings for the rollout of new builds. The service's score is reduced by DelayCost points times the part
-// of the priority weight served by builds older than the newest good one, and by HarmCost points times the part in wrong
-// answers and in attempts with an effect that a bad build fails.
+// Rollout holds the settings for the rollout of new builds. The service's score is reduced by DelayCost points times the
+// fraction of the priority weight served by builds older than the newest good one, and by HarmCost points times the fraction
+// in wrong answers and in attempts with an effect that a bad build fails.
 type Rollout struct {
 	Control              RolloutControl
 	InPlace              bool      // machines of the earlier build are drained while their replacements start
-	ExposureLimits       []float64 // by stage: part of the requests that may be sent to a build on trial
-	StageShares          []float64 // by stage: part of the fleet that runs the build
+	ExposureLimits       []float64 // by stage: fraction of the requests that may be sent to a build on trial
+	StageShares          []float64 // by stage: fraction of the fleet that runs the build
 	ExposureAllowance    float64   // number of attempts that do not count against the exposure limit
 	ExposureWindow       Seconds   // time over which exposure is counted
 	PerClass             bool      // exposure is counted for each request class separately
-	IdempotentOnlyStages int       // number of first stages in which a build on trial may get only idempotent requests
+	IdempotentOnlyStages int       // number of initial stages in which a build on trial may get only idempotent requests
 	StickyKeys           bool      // requests for a key that the newest build has answered are not sent to earlier builds
 	KeyLocality          bool      // endpoints are faster for keys that they have served recently
 	PromoteQuorum        int       // votes needed to promote a stage
@@ -117,7 +117,7 @@
 	VotesPerSec          float64   // rate at which the platform accepts votes from all relays together
 	MinStageTime         Seconds   // minimum duration of a stage
 	MaxStageTime         Seconds   // time after which a timed stage is promoted
-	ReportedShare        float64   // part of the wrong answers that clients report (see MisreportedOutcome)
+	ReportedShare        float64   // fraction of the wrong answers that clients report (see MisreportedOutcome)
 	DelayCost            float64   // points of the score; see above
 	HarmCost             float64   // points of the score; see above
 }
