--- a/internal/clients/clients_test.go
+++ b/internal/clients/clients_test.go
@@ -258,7 +258,7 @@
 }
 
 // TestClientLeavesInEachState has a client disconnect with a query open, queued behind another one, or partly sent. All
-// its buffers must be freed, and the module must be told of the disconnect for the open query only.
+// its buffers must be freed, and the module must be notified of the disconnect for the open query only.
 func TestClientLeavesInEachState(t *testing.T) {
 	for name, c := range map[string]struct {
 		sends     [][]byte
--- a/internal/config/config_test.go
+++ b/internal/config/config_test.go
@@ -37,27 +37,27 @@
 		t.Fatal(err)
 	}
 	if c.Name != "n3" || c.Listen != "127.0.0.2:5433" || uint64(c.Seed) != 0x8c1f30d27a5be964 || c.Sockets != 1024 {
-		t.Errorf("%+v", c)
+		t.Errorf("configuration %+v", c)
 	}
 	if status := c.RolloutStatus; status.Build != 42 || status.Stage != 1 || status.Phase != relay.PhaseCanary {
-		t.Errorf("%+v", status)
+		t.Errorf("rollout status %+v", status)
 	}
 	if class, known := c.Site.ClassByName["basket"]; !known || class != 0 {
-		t.Errorf("%+v", c.Site.ClassByName)
+		t.Errorf("request classes %+v", c.Site.ClassByName)
 	}
 }
 
 func TestDefaults(t *testing.T) {
 	c := parse(t, strings.Replace(validConfig, `{"cores":1.0,"memory_mb":192,"sockets":1024}`, `{}`, 1))
 	if c.Cores != 1 || c.MemoryMB != 192 || c.Sockets != 1024 {
-		t.Errorf("%+v", c)
+		t.Errorf("limits without settings: %+v", c)
 	}
 }
 
 func TestNullKnownListIsValid(t *testing.T) {
 	c := parse(t, strings.Replace(validConfig, `{"generation":41,"reset":true,"instances":[]}`, "null", 1))
 	if c.KnownList != nil {
-		t.Errorf("%s", c.KnownList)
+		t.Errorf("known list %s, want none", c.KnownList)
 	}
 }
 
@@ -66,7 +66,7 @@
 func TestMalformedKnownListIsPassedOn(t *testing.T) {
 	raw := strings.Replace(validConfig, `"generation":41`, `"generation":"x"`, 1)
 	if c := parse(t, raw); !strings.Contains(string(c.KnownList), `"x"`) {
-		t.Errorf("%s", c.KnownList)
+		t.Errorf("known list %s, want it unparsed", c.KnownList)
 	}
 	path := filepath.Join(t.TempDir(), "config.json")
 	if err := os.WriteFile(path, []byte(raw), 0o600); err != nil {
@@ -132,7 +132,7 @@
 		t.Fatal(err)
 	}
 	if _, err := Load(path, noEnv); err != nil {
-		t.Error(err)
+		t.Error("a valid file:", err)
 	}
 }
 
--- a/internal/discovery/drain_discovery_test.go
+++ b/internal/discovery/drain_discovery_test.go
@@ -14,7 +14,7 @@
 	stallNotice      = 6.0 // from a stall until the relay counts as notified of the missed changes
 	stallAfterWait   = 2.0 // from the end of the poll's wait until then, if that is later
 	moveNotice       = 4.0 // from a change of the service's address until the relay counts as notified of changes
-	watchGap         = 0.2 // from an answer, the time within which the next poll continues the watch
+	watchGap         = 0.2 // time after an answer within which the next poll continues the watch
 	failedPollFactor = 4   // factor on the poll interval after a failed poll
 )
 
--- a/internal/guard/guard_test.go
+++ b/internal/guard/guard_test.go
@@ -80,7 +80,7 @@
 	return relay.RolloutStatus{Valid: true, Build: 3, ExposureLimit: limit}
 }
 
-func TestStatusIsNarrowed(t *testing.T) {
+func TestStatusIsRestrictedByThePlan(t *testing.T) {
 	h := newHostHarness(t)
 	h.loop.RolloutStatusReceived(canaryStatus(0.9))
 	statuses, scopes := h.moduleEvents()
--- a/internal/linewire/linewire_test.go
+++ b/internal/linewire/linewire_test.go
@@ -66,7 +66,7 @@
 		})
 	}
 	if got := VoteLine(relay.Vote{Build: 42, Stage: 1, Verdict: relay.VoteRollBack}); got != "VOTE 42 1 reject\r\n" {
-		t.Errorf("%q", got)
+		t.Errorf("vote encoded as %q", got)
 	}
 }
 
--- a/internal/peers/peers_test.go
+++ b/internal/peers/peers_test.go
@@ -176,10 +176,10 @@
 	f.sendMessage(0, "to the first")
 	f.sendMessage(1, "to the second")
 	if got := f.receive(f.peers[0]); got != "to the first" {
-		t.Errorf("%q", got)
+		t.Errorf("the first relay received %q", got)
 	}
 	if got := f.receive(f.peers[1]); got != "to the second" { // and no other message before it
-		t.Errorf("%q", got)
+		t.Errorf("the second relay received %q", got)
 	}
 	f.waitForCounter(metrics.PeerMessagesOut, 2)
 	f.wantCounter(metrics.PeerMessagesDropped, 0)
@@ -192,10 +192,10 @@
 	f.sendMessage(relay.Broadcast, "to everyone")
 	f.sendMessage(0, "to one")
 	if got := f.receive(f.broadcast); got != "to everyone" {
-		t.Errorf("%q", got)
+		t.Errorf("the broadcast address received %q", got)
 	}
 	if got := f.receive(f.peers[0]); got != "to one" { // and no other message before it
-		t.Errorf("%q", got)
+		t.Errorf("the relay received %q", got)
 	}
 	f.waitForCounter(metrics.PeerMessagesOut, 2)
 	f.wantCounter(metrics.PeerMessagesDropped, 0)
@@ -222,7 +222,7 @@
 	f.sendMessage(relay.Broadcast, "to everyone")
 	f.sendMessage(1, "to one")
 	if got := f.receive(one); got != "to one" {
-		t.Errorf("%q", got)
+		t.Errorf("the relay received %q", got)
 	}
 	f.waitForCounter(metrics.PeerMessagesOut, 1)
 	f.wantCounter(metrics.PeerMessagesDropped, 3) // the messages before the one received
@@ -237,12 +237,12 @@
 	f.sendMessage(0, longest+"y")
 	f.sendMessage(0, longest)
 	if got := f.receive(f.peers[0]); got != longest {
-		t.Errorf("%d bytes: %q", len(got), got)
+		t.Errorf("received %d bytes, want the longest message: %q", len(got), got)
 	}
 	f.waitForCounter(metrics.PeerMessagesOut, 1)
 	f.wantCounter(metrics.PeerMessagesDropped, 1)
 	if line := f.log.LastEntry(); line == nil || line.Level != logrus.ErrorLevel || line.Data["bytes"] != MaxDatagramBytes+1 {
-		t.Errorf("%+v", line)
+		t.Errorf("last log entry %+v", line)
 	}
 }
 
--- a/internal/pgwire/pgwire_test.go
+++ b/internal/pgwire/pgwire_test.go
@@ -190,7 +190,7 @@
 
 func TestStatement(t *testing.T) {
 	if s, err := Statement([]byte("a\x00")); err != nil || string(s) != "a" || !IsEmpty([]byte(" ;\n")) || IsEmpty(s) {
-		t.Error(s, err)
+		t.Error("statement and error:", s, err)
 	}
 	for _, bad := range []string{"", "a", "a\x00b\x00", "a\x00b"} {
 		if _, err := Statement([]byte(bad)); err == nil {
@@ -231,7 +231,7 @@
 func TestRowsAndStatus(t *testing.T) {
 	row := []byte{0, 1, 0, 0, 0, 2, 'o', 'k'}
 	if v, err := ParseRow(row); string(v) != "ok" || err != nil {
-		t.Errorf("%q %v", v, err)
+		t.Errorf("row value %q, error %v", v, err)
 	}
 	for n := range row {
 		if _, err := ParseRow(row[:n]); err == nil {
@@ -244,20 +244,20 @@
 	}
 	column := append([]byte("\x00\x01body\x00"), make([]byte, 18)...)
 	if err := CheckRowDescription(column); err != nil {
-		t.Error(err)
+		t.Error("a valid RowDescription was rejected:", err)
 	}
 	if CheckRowDescription(column[:len(column)-1]) == nil || CheckRowDescription([]byte{0, 2}) == nil {
 		t.Error("an invalid RowDescription was accepted")
 	}
 	if n, v, err := ParseStatus([]byte("vitals\x00a=1\x00")); n != "vitals" || v != "a=1" || err != nil {
-		t.Error(n, v, err)
+		t.Error("name, value and error of a ParameterStatus:", n, v, err)
 	}
 	if _, _, err := ParseStatus([]byte("vitals\x00a=1")); err == nil {
 		t.Error("a truncated ParameterStatus was accepted")
 	}
 	fields := []string{"recent_ms", "outstanding"}
 	if got := ParseLoadReport("outstanding=7, recent_ms=0.5,more=1", fields); len(got) != 2 || got[0] != 0.5 || got[1] != 7 {
-		t.Error(got)
+		t.Error("load report:", got)
 	}
 	if ParseLoadReport("outstanding=7", fields) != nil || ParseLoadReport("outstanding=7,recent_ms=x", fields) != nil {
 		t.Error("a load report with a missing or malformed value was accepted")
--- a/internal/pipeline/account.go
+++ b/internal/pipeline/account.go
@@ -87,7 +87,7 @@
 }
 
 // markFinished queues the record of a request for removal if the request and all its attempts have ended. The record
-// stays until the module has been told of the end, because commands of the current step may still refer to it.
+// stays until the module has been notified of the end, because commands of the current step may still refer to it.
 func (l *Loop) markFinished(request *Request) {
 	if request.Status != StatusOpen && request.openAttempts == 0 && !request.finished {
 		request.finished = true
@@ -95,7 +95,7 @@
 	}
 }
 
-// dropFinished removes the records of the first count requests in l.finished, whose end the module has been told of.
+// dropFinished removes the records of the first count requests in l.finished, of whose end the module was notified.
 func (l *Loop) dropFinished(count int) {
 	for _, request := range l.finished[:count] {
 		if request.openAttempts == 0 && l.requests[request.ID] == request {
--- a/internal/pipeline/request.go
+++ b/internal/pipeline/request.go
@@ -23,14 +23,14 @@
 )
 
 // Request is the record of one client request. The goroutine that reads the request creates it, and it is kept until
-// the decision module has been told of the end. From BeginRequest on, only the loop goroutine uses it.
+// the decision module has been notified of the end. From BeginRequest on, only the loop goroutine uses it.
 type Request struct {
 	pgwire.Query
 	ID           relay.RequestID
 	Client       Client
 	Body         *buffer.Chain // body of the Query message; freed when the request ends
 	ReceivedAt   relay.Seconds // when its last byte was read
-	Deadline     relay.Seconds // when the client gives up
+	Deadline     relay.Seconds // when the client stops waiting
 	Class        relay.RequestClass
 	Tenant       relay.Tenant
 	Attempts     []*Attempt
--- a/internal/pipeline/route.go
+++ b/internal/pipeline/route.go
@@ -50,7 +50,7 @@
 }
 
 // openAttempt returns the attempt if it has not ended, otherwise nil. A command may refer to an attempt that has ended,
-// because the module is told of the end only in its next step.
+// because the module is notified of the end only in its next step.
 func (l *Loop) openAttempt(id relay.RequestID, number relay.AttemptNumber) *Attempt {
 	request := l.requests[id]
 	if request == nil || number < 0 || int(number) >= len(request.Attempts) || request.Attempts[number].Ended {
--- a/internal/releasecontroller/control.go
+++ b/internal/releasecontroller/control.go
@@ -39,9 +39,9 @@
 	VerbStatus   Verb = "status"  // reports all services
 	VerbHistory  Verb = "history" // returns events of the journals
 	VerbOffer    Verb = "offer"   // offers a new build to a service
-	VerbFreeze   Verb = "freeze"  // lets no build enter its next step, in one service or in all
+	VerbFreeze   Verb = "freeze"  // blocks the next step of each build, in one service or in all
 	VerbUnfreeze Verb = "thaw"    // ends a freeze set by an operator
-	VerbHalt     Verb = "halt"    // lets no build of a service enter its next step until VerbResume
+	VerbHalt     Verb = "halt"    // blocks the next step of each build of a service until VerbResume
 	VerbResume   Verb = "resume"  // ends a halt
 	VerbRollBack Verb = "back"    // rolls back the newest build of a service
 )
--- a/internal/releasecontroller/control_test.go
+++ b/internal/releasecontroller/control_test.go
@@ -24,18 +24,18 @@
 		t.Error("promoted during the freeze: ", s)
 	}
 	if out := r.must(Request{Verb: "status"}); out.Status[0].BlockCode != rollout.BlockedByOperatorFreeze || len(out.Freezes) != 1 {
-		t.Errorf("%+v", out)
+		t.Errorf("status in the freeze: %+v", out)
 	}
 	if out := r.must(Request{Verb: "thaw", FreezeName: "audit"}); out.Status[0].Step != "two" {
-		t.Errorf("%+v", out.Status[0])
+		t.Errorf("after the end of the freeze: %+v", out.Status[0])
 	}
 	if out := r.must(Request{Verb: "back", Service: "a"}); out.Status[0].Phase != "going back" {
-		t.Errorf("%+v", out.Status[0])
+		t.Errorf("after the rollback began: %+v", out.Status[0])
 	}
 	for _, bad := range []Request{{Verb: "offer", Service: "z", Build: 1}, {Verb: "offer", Service: "a", Build: 7}, {Verb: "dance"},
 		{Verb: "halt", Service: "z"}, {Verb: "thaw", FreezeName: "nights"}, {Verb: "halt", Service: "a", Actor: "x"}} {
 		if out, err := r.call(bad); err == nil {
-			t.Errorf("%+v: %+v", bad, out)
+			t.Errorf("request %+v was accepted: %+v", bad, out)
 		}
 	}
 	events, err := History(dir, false, 100)
@@ -43,11 +43,11 @@
 	for _, e := range events {
 		kinds = append(kinds, string(e.Kind))
 		if (e.Kind == rollout.EventFrozen || e.Kind == rollout.EventRollingBack) && (e.Actor != "ops" || e.Reason != "a test") {
-			t.Errorf("%+v", e)
+			t.Errorf("event without its operator or reason: %+v", e)
 		}
 	}
 	if got := strings.Join(kinds, " "); err != nil || got != "started offered began froze thawed moved sent_back" {
-		t.Error(got, err)
+		t.Error("kinds of the events and error: ", got, err)
 	}
 	if _, err := Call(context.Background(), t.TempDir(), Request{Verb: "status"}); err == nil {
 		t.Error("Call succeeded without a running release controller")
@@ -55,7 +55,7 @@
 	raw, _ := os.ReadFile(filepath.Join(dir, controlFileName))
 	os.WriteFile(filepath.Join(dir, controlFileName), []byte(strings.Fields(string(raw))[0]+" 00\n"), 0o600)
 	if _, err := r.call(Request{Verb: "status"}); err == nil || !strings.Contains(err.Error(), "word") {
-		t.Error(err)
+		t.Error("request with a wrong token: ", err)
 	}
 	if _, err := Open(dir, func(rollout.Event) error { return nil }); err == nil || !strings.Contains(err.Error(), "another release controller") {
 		t.Error("a second release controller opened the directory: ", err)
--- a/internal/releasecontroller/controller_test.go
+++ b/internal/releasecontroller/controller_test.go
@@ -142,7 +142,7 @@
 	r := start(t, t.TempDir(), 1000, nil)
 	w := dial(t, r.addresses.Watch["a"])
 	if s := w.call("WATCH"); s != "OK" {
-		t.Fatal(s)
+		t.Fatal("reply to WATCH: ", s)
 	}
 	a, b := dial(t, r.addresses.Relays["a"]["r0"]), dial(t, r.addresses.Relays["a"]["r1"])
 	if s := a.call("VOTE 7 0 approve"); s != "ERR ConditionFailed" {
@@ -150,9 +150,9 @@
 	}
 	r.must(Request{Verb: "offer", Service: "a", Build: 7})
 	w.until("* news 7 0 canary 0.1 ")
-	for line, says := range map[string]string{"VOTE 7 0": "ERR ValidationError", "FLY": "ERR ValidationError", "VOTE 7 0 maybe": "ERR ValidationError",
+	for line, want := range map[string]string{"VOTE 7 0": "ERR ValidationError", "FLY": "ERR ValidationError", "VOTE 7 0 maybe": "ERR ValidationError",
 		"VOTE -1 0 approve": "ERR ValidationError", "VOTE 8 0 approve": "ERR ConditionFailed", "VOTE 7 1 approve": "ERR ConditionFailed"} {
-		if s := a.call(line); s != says {
+		if s := a.call(line); s != want {
 			t.Errorf("%s: %s", line, s)
 		}
 	}
@@ -161,17 +161,17 @@
 	}
 	r.advance(0.31)
 	if s := a.call("VOTE 7 0 approve"); s != "OK 7 0 canary 0.1 310" {
-		t.Error(s)
+		t.Error("reply to the first vote: ", s)
 	}
 	if s := b.call("VOTE 7 0 approve"); s != "OK 7 1 canary 0.5 0" {
-		t.Error(s)
+		t.Error("reply to the vote that completes the step: ", s)
 	}
 	w.until("* news 7 1 canary 0.5 ")
 	// Pipelined calls are answered in their order.
 	fmt.Fprint(a, "VOTE 7 1 approve\r\nVOTE 9 1 approve\r\nVOTE 7 1 reject\r\n")
 	// Replies show the status after the whole batch. The calls may come in one batch or in several.
 	if s := a.line() + "|" + a.line() + "|" + a.line(); !strings.HasPrefix(s, "OK 7 1 ") || !strings.Contains(s, "|ERR ConditionFailed|OK 7 1 reverting 0 ") {
-		t.Error(s)
+		t.Error("replies to pipelined votes: ", s)
 	}
 	w.until("* news 7 1 reverting 0 ")
 	w.until("*") // a keep-alive
@@ -197,7 +197,7 @@
 		t.Error("a connection beyond the limit was answered: ", s)
 	}
 	open[0].Close()
-	for i := 0; ; i++ { // until the release controller has seen that the connection closed
+	for i := 0; ; i++ { // until the release controller has noticed that the connection closed
 		c := dial(t, address)
 		fmt.Fprint(c, "VOTE 1 0 approve\r\n")
 		if _, err := c.reader.ReadString('\n'); err == nil {
@@ -238,11 +238,11 @@
 			r = start(t, dir, 1001, nil)
 			n := r.must(Request{Verb: "status"}).Status[0]
 			if want := map[string]string{"before append": "one", "after append": "two"}[place]; n.Step != want || n.Phase != "on trial" {
-				t.Errorf("%+v", n)
+				t.Errorf("after the restart: %+v", n)
 			}
 			if place == "before append" { // the relay votes again, as it got no reply; the vote of the other relay still counts
 				if s := dial(t, r.addresses.Relays["a"]["r1"]).call("VOTE 7 0 approve"); !strings.HasPrefix(s, "OK 7 1 ") {
-					t.Error(s)
+					t.Error("reply to the repeated vote: ", s)
 				}
 			}
 			events, _ := History(dir, false, 100)
--- a/internal/releasecontroller/journal_test.go
+++ b/internal/releasecontroller/journal_test.go
@@ -185,7 +185,7 @@
 					t.Fatal(err)
 				}
 				if s := status(t, got); !reflect.DeepEqual(s, want) {
-					t.Errorf("%+v", s)
+					t.Errorf("state after the start: %+v", s)
 				}
 				j.Close()
 			}
--- a/internal/upstream/endpoints.go
+++ b/internal/upstream/endpoints.go
@@ -27,7 +27,7 @@
 	startedAt relay.Seconds // 0 if not known
 }
 
-// EndpointListed updates one endpoint from the endpoint list, before the module sees the list. An endpoint that has
+// EndpointListed updates one endpoint from the endpoint list, before the module gets the list. An endpoint that has
 // another address, has restarted or runs another build is another incarnation: connections to the previous one are
 // useless, and attempts that wait for a connection were not meant for the new one. With another build, such an attempt
 // would count against an exposure limit that was not considered when it was commanded.
@@ -54,9 +54,9 @@
 	}
 }
 
-// EndpointLeaving marks an endpoint as draining or removed, before the module is told. An attempt that still waits for
-// a connection would be written only when the connection is open, after the drain began. It ends as not sent instead,
-// so the module can choose another endpoint.
+// EndpointLeaving marks an endpoint as draining or removed, before the module is notified. An attempt that still waits
+// for a connection would be written only when the connection is open, after the drain began. It ends as not sent
+// instead, so the module can choose another endpoint.
 func (p *Pool) EndpointLeaving(id relay.EndpointID, removed bool) {
 	endpoint := p.endpoints[id]
 	if endpoint == nil {
--- a/internal/upstream/pool.go
+++ b/internal/upstream/pool.go
@@ -63,7 +63,7 @@
 // Send implements pipeline.Upstream.
 func (p *Pool) Send(attempt *pipeline.Attempt) {
 	endpoint := p.endpoints[attempt.Endpoint]
-	if endpoint == nil || endpoint.unavailable { // a health check, or a command from before the module saw the list
+	if endpoint == nil || endpoint.unavailable { // a health check, or a command from before the module got the list
 		p.loop.EndAttempt(attempt, pipeline.AttemptResult{Outcome: relay.NotSent})
 		return
 	}
--- a/policy/aggregator.go
+++ b/policy/aggregator.go
@@ -35,13 +35,13 @@
 	nextEvaluationAt relay.Seconds
 	active           bool // this relay aggregates
 
-	desired       relay.Vote    // vote that should stand, by this relay's decision or the aggregators'
+	desired       relay.Vote    // vote that this relay should have cast, by its own decision or the aggregators'
 	desiredSince  relay.Seconds // when desired last changed
 	reason        string        // reason for a rollback
 	broadcastVote relay.Vote    // last decision that this aggregator broadcast
 	broadcastAt   relay.Seconds
 
-	cast       relay.Vote // vote that was last cast; it stands or is pending
+	cast       relay.Vote // vote that was last cast
 	castAt     relay.Seconds
 	nextVoteAt relay.Seconds // earliest time of the next vote
 	pending    bool          // a vote has been sent and has no reply yet
@@ -119,7 +119,7 @@
 	}
 }
 
-// updateDesiredVote recomputes the vote that should stand: from all reports on an aggregator, otherwise
+// updateDesiredVote recomputes the desired vote: from all reports on an aggregator, otherwise
 // from the majority of the aggregators' decisions.
 func (a *aggregator) updateDesiredVote() {
 	canary := &a.p.canary
--- a/policy/comparison_test.go
+++ b/policy/comparison_test.go
@@ -40,7 +40,7 @@
 
 // When a lost zone came back, its machines broke their open attempts. That hit most machines of the newest build and
 // nearly half of the earlier ones, and the build used to be rolled back for it.
-func TestZoneLostIsNotTheBuildsDoing(t *testing.T) {
+func TestZoneLossIsNotAttributedToTheBuild(t *testing.T) {
 	votesAfterLoss := func(bothBuilds bool) []relay.Vote {
 		return canaryVotes(t, 9, func(endpoint relay.Endpoint, at relay.Seconds) (relay.Outcome, relay.Seconds) {
 			if at > 15 && at < 17 && endpoint.Zone == 0 && (bothBuilds || endpoint.Build == 6) {
--- a/policy/exposure_test.go
+++ b/policy/exposure_test.go
@@ -9,7 +9,7 @@
 
 // Relays that had no status of a build yet used to send its first endpoints as many attempts as the exposure allowance
 // permits.
-func TestTargetBindsBeforeTheStatus(t *testing.T) {
+func TestTargetAppliesBeforeTheStatus(t *testing.T) {
 	endpoints := append(entries(30, 5, 1), entries(1, 6, 40)...)
 	status := relay.RolloutStatus{Valid: true, Build: 5, Phase: relay.PhaseReleased, ExposureLimit: 1}
 	if n := attemptsAtBuild(t, 5, 6, endpoints, status); n > 40 {
--- a/policy/peerwire/peerwire.go
+++ b/policy/peerwire/peerwire.go
@@ -69,7 +69,7 @@
 	Ratio      float64 // attempt duration over expected work, rounded to an eighth of a doubling; 0: not known
 }
 
-// Decision tells every relay which vote an aggregator wants to stand.
+// Decision tells every relay which vote an aggregator wants it to cast.
 type Decision struct {
 	Build   relay.Build
 	Stage   relay.Stage
--- a/policy/votes.go
+++ b/policy/votes.go
@@ -36,7 +36,7 @@
 	callTimeoutGrace = 0.5
 )
 
-// decide returns the verdict that this aggregator wants to stand.
+// decide returns the verdict that this aggregator wants the relays to vote for.
 func (a *aggregator) decide() relay.Verdict {
 	canary, rollout := &a.p.canary, &a.p.settings.Rollout
 	if !canary.canRollBack() {
--- a/settings/settings_test.go
+++ b/settings/settings_test.go
@@ -12,7 +12,7 @@
 func TestParse(t *testing.T) {
 	s, err := Parse([]byte(`{"news":1,"az":1,"grades":[{"repeat":"dedup","group":"zone","target":5e8}]}`))
 	if err != nil || s.Zone != 1 || s.Settings.Classes[0].LatencyObjective != 0.5 || s.Settings.Classes[0].Idempotency != 1 {
-		t.Errorf("%+v %v", s, err)
+		t.Errorf("settings %+v, error %v", s, err)
 	}
 	_, err = Parse([]byte(`{`))
 	var syntaxError *json.SyntaxError
@@ -30,7 +30,7 @@
 	}
 	s := site.Settings
 	if s.Limits.MaxAttempts < 1 || s.Classes[0].LatencyObjective != 2 || s.Rollout.VoteTTL < 60 || s.Rules.PollInterval < 60 {
-		t.Errorf("%+v", s)
+		t.Errorf("absent settings were not read as unlimited: %+v", s)
 	}
 	if !math.IsInf(s.Rules.PollInterval, 1) || !math.IsInf(s.Rollout.VoteTTL, 1) {
 		t.Errorf("poll interval %v and vote TTL %v, want +Inf", s.Rules.PollInterval, s.Rollout.VoteTTL)
@@ -67,7 +67,7 @@
 		t.Run(test.name, func(t *testing.T) {
 			site, err := Parse([]byte(test.raw))
 			if err != nil || !test.ok(site) {
-				t.Errorf("%+v %v", site, err)
+				t.Errorf("settings %+v, error %v", site, err)
 			}
 		})
 	}
--- a/simwire/reader_test.go
+++ b/simwire/reader_test.go
@@ -29,7 +29,7 @@
 	r := NewReader(bytes.NewReader(frame(t, batch)))
 	clock, events, err := r.Read()
 	if err != nil || clock != 0x1f568bf90 || len(events) != 3 {
-		t.Fatal(clock, events, err)
+		t.Fatal("clock, events and error:", clock, events, err)
 	}
 	request := events[0]
 	if request.Code != EventRequest || request.Instance != 3 || request.Request != 0x5d3a91c4 || request.Work != 12000000 ||
