--- a/policy/aggregator.go
+++ b/policy/aggregator.go
@@ -41,7 +41,7 @@
 	broadcastVote relay.Vote    // last decision that this aggregator broadcast
 	broadcastAt   relay.Seconds
 
-	cast       relay.Vote // vote that was last cast
+	cast       relay.Vote // vote that was last cast; NoVote if there is nothing to withdraw
 	castAt     relay.Seconds
 	nextVoteAt relay.Seconds // earliest time of the next vote
 	pending    bool          // a vote has been sent and has no reply yet
--- a/settings/settings_test.go
+++ b/settings/settings_test.go
@@ -30,7 +30,7 @@
 	}
 	s := site.Settings
 	if s.Limits.MaxAttempts < 1 || s.Classes[0].LatencyObjective != 2 || s.Rollout.VoteTTL < 60 || s.Rules.PollInterval < 60 {
-		t.Errorf("absent settings were not read as unlimited: %+v", s)
+		t.Errorf("defaults of absent settings: %+v", s)
 	}
 	if !math.IsInf(s.Rules.PollInterval, 1) || !math.IsInf(s.Rollout.VoteTTL, 1) {
 		t.Errorf("poll interval %v and vote TTL %v, want +Inf", s.Rules.PollInterval, s.Rollout.VoteTTL)
