--- a/policy/world_rules_test.go
+++ b/policy/world_rules_test.go
@@ -5,10 +5,10 @@
 // checkRejection checks that a rejected request never ran, or that a retry by the client has no second effect.
 func (w *world) checkRejection(request *worldRequest) {
 	class := w.settings.Classes[request.Class]
-	retryHarms := class.Idempotency == relay.AtMostOnce ||
+	retryUnsafe := class.Idempotency == relay.AtMostOnce ||
 		class.Idempotency == relay.IdempotencyKeyed && class.DedupScope != relay.DedupAll
 	for _, attempt := range request.attempts {
-		if mayHaveRun := !attempt.done || !attempt.outcome.NeverRan(); mayHaveRun && retryHarms {
+		if mayHaveRun := !attempt.done || !attempt.outcome.NeverRan(); mayHaveRun && retryUnsafe {
 			w.t.Fatalf("%v: request %d was rejected, but may have run", w.now, request.ID)
 		}
 	}
@@ -115,15 +115,15 @@
 	if status == nil || !w.settings.Rollout.StickyKeys || request.Key == 0 {
 		return
 	}
-	stuck := w.keyBuilds[request.Key] == status.Build &&
+	sticky := w.keyBuilds[request.Key] == status.Build &&
 		(status.Phase == relay.PhaseCanary || status.Phase == relay.PhaseReleased)
-	if stuck && endpoint.Build < status.Build {
+	if sticky && endpoint.Build < status.Build {
 		w.t.Fatalf("%v: key %d was sent to the earlier build %d", w.now, request.Key, endpoint.Build)
 	}
 }
 
-// limitOf returns the exposure limit of a build, as the rules define it, and whether the build is on trial. A
-// lowered limit applies once the drain grace is over.
+// limitOf returns the exposure limit of a build by the settings and the last status, and whether the build is on
+// trial. A lowered limit applies once the drain grace is over.
 func (w *world) limitOf(build relay.Build) (limit worldLimit, onTrial bool) {
 	status := w.status
 	switch {
@@ -133,11 +133,11 @@
 		return worldLimit{limit: w.settings.Rollout.ExposureLimits[0], since: -1}, true
 	}
 	limit = worldLimit{limit: status.ExposureLimit, stage: status.Stage, since: -1}
-	bindsFrom := w.limitLoweredAt + w.settings.Rules.DrainGrace
-	if w.now <= bindsFrom {
+	appliesFrom := w.limitLoweredAt + w.settings.Rules.DrainGrace
+	if w.now <= appliesFrom {
 		limit.limit = w.previousLimit
 	} else if w.limitLoweredAt >= 0 {
-		limit.since = bindsFrom
+		limit.since = appliesFrom
 	}
 	return limit, true
 }
