--- a/policy/exposure_test.go
+++ b/policy/exposure_test.go
@@ -9,7 +9,7 @@
 
 // Relays that had no status of a build yet used to send its first endpoints as many attempts as the exposure allowance
 // permits.
-func TestTargetBindsBeforeTheStatus(t *testing.T) {
+func TestTargetAppliesBeforeTheStatus(t *testing.T) {
 	endpoints := append(entries(30, 5, 1), entries(1, 6, 40)...)
 	status := relay.RolloutStatus{Valid: true, Build: 5, Phase: relay.PhaseReleased, ExposureLimit: 1}
 	if n := attemptsAtBuild(t, 5, 6, endpoints, status); n > 40 {
@@ -92,8 +92,7 @@
 
 // TestBuildBesideTheEarlierOne adds machines of a new build beside the earlier ones. While attempts take a small fraction
 // of their latency objective, the new machines take as much load each as the earlier ones carried alone, up to the
-// exposure target. While attempts
-// take a large fraction of it, all machines take an equal share.
+// exposure target. While attempts take a large fraction of the objective, all machines take an equal share.
 func TestBuildBesideTheEarlierOne(t *testing.T) {
 	for _, c := range []struct {
 		newer                        int
