--- a/lab/scale/checker.go
+++ b/lab/scale/checker.go
@@ -123,7 +123,7 @@
 		notifiedAt = math.Min(notifiedAt, receivedAt)
 	}
 	if now > notifiedAt+drainGrace {
-		c.addViolation(now, drainRule, "attempt at %s, of whose drain the relay counts as notified since %.3f s", e.name, notifiedAt)
+		c.addViolation(now, drainRule, "%s counts as told since %.3f s", e.name, notifiedAt)
 	}
 }
 
--- a/lab/scale/simulation.go
+++ b/lab/scale/simulation.go
@@ -255,7 +255,7 @@
 		}
 		sim.slowStartViolationCount++
 		if len(sim.slowStartViolations) < maxViolationsPerRelay {
-			detail := attempt.endpoint.name + " was overloaded during its slow start"
+			detail := attempt.endpoint.name + " was sent more than it can do while it is cold"
 			violation := Violation{attempt.sentAt, h.checker.instance, slowStartRule, detail}
 			sim.slowStartViolations = append(sim.slowStartViolations, violation)
 		}
