--- a/experiment/experiment.go
+++ b/experiment/experiment.go
@@ -167,7 +167,7 @@
 	}
 	interval := confidenceInterval(s.differences, o.Confidence)
 	c.Low, c.High, c.HasInterval = interval.low, interval.high, interval.known
-	c.Verdict = judge(c, Directions[metric], o.Margin*math.Abs(c.A))
+	c.Verdict = verdictOf(c, Directions[metric], o.Margin*math.Abs(c.A))
 	return c
 }
 
--- a/experiment/verdict.go
+++ b/experiment/verdict.go
@@ -12,9 +12,9 @@
 	Identical    Verdict = "the same"
 )
 
-// judge returns Equivalent if the whole interval of the difference lies within the margin, and otherwise Better or Worse if
-// the whole interval lies on one side of zero.
-func judge(c Comparison, direction Direction, margin float64) Verdict {
+// verdictOf returns Equivalent if the whole interval of the difference lies within the margin, and otherwise Better or
+// Worse if the whole interval lies on one side of zero.
+func verdictOf(c Comparison, direction Direction, margin float64) Verdict {
 	higher, lower := c.Low > 0, c.High < 0
 	switch {
 	case !c.HasInterval:
--- a/membership/bench_test.go
+++ b/membership/bench_test.go
@@ -83,8 +83,8 @@
 	heap.Push(&f.queue, arrival{t, f.scheduled, to, event})
 }
 
-// change removes an endpoint. Every watch is answered within 0.2 s.
-func (f *benchFleet) change(now relay.Seconds) {
+// removeEndpoint removes an endpoint. Every watch is answered within 0.2 s.
+func (f *benchFleet) removeEndpoint(now relay.Seconds) {
 	f.generation++
 	endpoint := relay.EndpointID(uint64(f.random.Intn(f.endpoints)+1) * 0x9e3779b97f4a7c15)
 	list := List{Generation: f.generation, Endpoints: []relay.Endpoint{{ID: endpoint, Build: 41, State: relay.Draining}}}
@@ -133,7 +133,7 @@
 			now, pendingChanges := settleTime, 0.0
 			for b.Loop() {
 				for pendingChanges += changesPerDay / secondsPerDay; pendingChanges >= 1; pendingChanges-- {
-					f.change(now)
+					f.removeEndpoint(now)
 				}
 				for i := range f.nodes { // each watch is answered once per watchWait
 					if i%int(watchWait) == int(now)%int(watchWait) {
--- a/membership/gossip.go
+++ b/membership/gossip.go
@@ -82,8 +82,8 @@
 	}
 }
 
-// spend deducts bytes from the send budget and reports whether the budget was sufficient.
-func (g *gossip) spend(now relay.Seconds, bytes int) bool {
+// spendBudget deducts bytes from the send budget and reports whether the budget was sufficient.
+func (g *gossip) spendBudget(now relay.Seconds, bytes int) bool {
 	g.sendBudget = math.Min(burstBytes, g.sendBudget+bytesPerSecond*(now-g.sendBudgetAt))
 	g.sendBudgetAt = now
 	cost := float64(bytes)
@@ -155,7 +155,7 @@
 // of any message, because messages are repeated.
 func (n *Node) broadcast(m message) {
 	body := m.encode()
-	if n.gossip.spend(n.now, len(body)+datagramHeaderBytes) {
+	if n.gossip.spendBudget(n.now, len(body)+datagramHeaderBytes) {
 		n.output.Messages = append(n.output.Messages, body)
 	}
 }
--- a/membership/lease_invariant_test.go
+++ b/membership/lease_invariant_test.go
@@ -21,8 +21,8 @@
 	firstSeed    int // where the search of histories starts, shortly before the first one with a violation
 }
 
-// check verifies the invariant: it compares the lists that relays may use with the true history of discovery's list.
-func (s *simulation) check() {
+// checkInvariant verifies the invariant: it compares the lists that relays may use with the true history of discovery's list.
+func (s *simulation) checkInvariant() {
 	for _, host := range s.relays {
 		if host.stopped || host.leaseExpiresAt <= s.now {
 			continue
--- a/membership/simulated_discovery_test.go
+++ b/membership/simulated_discovery_test.go
@@ -46,8 +46,9 @@
 	return s.upBefore
 }
 
-// change removes some endpoints from the list, lets one in ten of them restart as a new process, and adds new endpoints.
-func (s *simulation) change(amount int) {
+// changeEndpoints removes some endpoints from the list, lets one in ten of them restart as a new process, and adds new
+// endpoints.
+func (s *simulation) changeEndpoints(amount int) {
 	if !s.up {
 		return
 	}
@@ -63,7 +64,7 @@
 			s.ready[endpoint] = s.processes
 		}
 	}
-	s.join(amount)
+	s.addEndpoints(amount)
 	for _, host := range s.relays {
 		if host.watchHeld {
 			s.answerPoll(host)
@@ -71,8 +72,8 @@
 	}
 }
 
-// join adds new endpoints to the list.
-func (s *simulation) join(amount int) {
+// addEndpoints adds new endpoints to the list.
+func (s *simulation) addEndpoints(amount int) {
 	for range amount {
 		s.processes++
 		endpoint := relay.EndpointID(s.processes)
--- a/membership/simulation_test.go
+++ b/membership/simulation_test.go
@@ -34,7 +34,7 @@
 		partitioned:        map[int]bool{},
 		isolated:           map[int]bool{},
 	}
-	s.join(100)
+	s.addEndpoints(100)
 	for i := range h.nodes {
 		s.relays = append(s.relays, &simulatedRelay{number: i})
 		s.startRelay(i, nil)
@@ -43,7 +43,7 @@
 		s.after(a.at, func() { s.applyAction(a) })
 	}
 	for at := 0.0; at < historySeconds; at += 0.05 {
-		s.after(at, s.check)
+		s.after(at, s.checkInvariant)
 	}
 	for len(s.events) > 0 && s.events[0].at < historySeconds && s.violation == nil {
 		event := heap.Pop(&s.events).(busEvent)
@@ -68,7 +68,7 @@
 func (s *simulation) applyAction(a simulationAction) {
 	switch a.kind {
 	case endpointsChange:
-		s.change(a.amount)
+		s.changeEndpoints(a.amount)
 	case discoveryDown:
 		s.stopDiscovery()
 	case discoveryUp:
--- a/plan/calendar.go
+++ b/plan/calendar.go
@@ -27,11 +27,11 @@
 func (f *Freeze) state(at Unix, skew Seconds) freezeState {
 	var windows []window
 	for i := range f.Schedules {
-		for _, w := range f.Schedules[i].windows(at) {
+		for _, w := range f.Schedules[i].windowsAround(at) {
 			windows = append(windows, window{w.from - skew, w.to + skew})
 		}
 	}
-	for _, w := range merge(windows) {
+	for _, w := range mergeWindows(windows) {
 		if at < w.from {
 			return freezeState{nextChange: w.from}
 		}
@@ -42,8 +42,8 @@
 	return freezeState{nextChange: math.Inf(1)}
 }
 
-// merge sorts windows and joins those that overlap or touch. It reuses the slice.
-func merge(windows []window) []window {
+// mergeWindows sorts windows and joins those that overlap or touch. It reuses the slice.
+func mergeWindows(windows []window) []window {
 	slices.SortFunc(windows, func(a, b window) int { return cmp.Compare(a.from, b.from) })
 	merged := windows[:0]
 	for _, w := range windows {
--- a/plan/check.go
+++ b/plan/check.go
@@ -19,7 +19,7 @@
 	search := cycleSearch{plan: p, states: map[Milestone]visitState{}}
 	for i := range p.Services {
 		released := Milestone{ServiceIndex(i), StepIndex(len(p.Services[i].Steps))}
-		if cycle := search.visit(released); cycle != nil {
+		if cycle := search.findCycleFrom(released); cycle != nil {
 			return cycle
 		}
 	}
@@ -40,8 +40,8 @@
 	path   []Milestone              // milestones being visited, each waiting for the next
 }
 
-// visit searches the milestones that a milestone waits for, and returns the first cycle found.
-func (c *cycleSearch) visit(at Milestone) []Milestone {
+// findCycleFrom searches the milestones that a milestone waits for, and returns the first cycle found.
+func (c *cycleSearch) findCycleFrom(at Milestone) []Milestone {
 	switch c.states[at] {
 	case visiting:
 		return c.cycleTo(at)
@@ -51,7 +51,7 @@
 	c.states[at] = visiting
 	c.path = append(c.path, at)
 	for _, prerequisite := range c.plan.prerequisites(at) {
-		if cycle := c.visit(prerequisite); cycle != nil {
+		if cycle := c.findCycleFrom(prerequisite); cycle != nil {
 			return cycle
 		}
 	}
--- a/plan/freeze.go
+++ b/plan/freeze.go
@@ -63,8 +63,8 @@
 	secondsPerDay  = 86400
 )
 
-// windows returns the intervals around a moment in which the schedule holds.
-func (s *Schedule) windows(at Unix) []window {
+// windowsAround returns the intervals around a moment in which the schedule holds.
+func (s *Schedule) windowsAround(at Unix) []window {
 	if !s.Weekly() {
 		return []window{{FromTime(s.From), FromTime(s.To)}}
 	}
--- a/policy/endpoints.go
+++ b/policy/endpoints.go
@@ -168,7 +168,7 @@
 
 // readyCounts counts ready endpoints.
 type readyCounts struct {
-	all float64
+	total float64
 	// endpoints past their slow start; those of a build on trial count by their exposure limit
 	usable float64
 }
@@ -178,7 +178,7 @@
 		if endpoint.State != relay.Ready {
 			continue
 		}
-		ready.all++
+		ready.total++
 		exposure := l.p.canary.exposureOf(endpoint.Build)
 		if endpoint.capacityFraction() >= 1 {
 			ready.usable += exposure.limit
--- a/policy/peerwire/decode.go
+++ b/policy/peerwire/decode.go
@@ -15,10 +15,10 @@
 	switch body[1] {
 	case reportType:
 		report := d.report()
-		return report, d.end()
+		return report, d.finish()
 	case decisionType:
 		decision := d.decision()
-		return decision, d.end()
+		return decision, d.finish()
 	}
 	return nil, ErrMalformed
 }
@@ -91,8 +91,8 @@
 	return EndpointHash(b[0]) | EndpointHash(b[1])<<8 | EndpointHash(b[2])<<16
 }
 
-// end returns the error of the whole message, and ErrMalformed if bytes are left.
-func (d *decoder) end() error {
+// finish returns the error of the whole message, and ErrMalformed if bytes are left.
+func (d *decoder) finish() error {
 	if len(d.rest) > 0 {
 		return ErrMalformed
 	}
--- a/policy/requests.go
+++ b/policy/requests.go
@@ -294,9 +294,9 @@
 	}
 	// Without headroom, as in an overload or before there are samples, no attempt goes ahead of the
 	// slow-start budget.
-	r.usableFraction = ready.usable / math.Max(ready.all, 1) * r.headroom
+	r.usableFraction = ready.usable / math.Max(ready.total, 1) * r.headroom
 	r.successRatePerEndpoint = r.successes.Total(r.p.now, 0) /
-		(trafficBucketTime * trafficBuckets) / math.Max(ready.all, 1)
+		(trafficBucketTime * trafficBuckets) / math.Max(ready.total, 1)
 }
 
 // markLate takes a request that missed its latency objective out of the count that admission limits, so
--- a/policy/verdicts.go
+++ b/policy/verdicts.go
@@ -52,7 +52,7 @@
 type fleetCapacity struct {
 	ready   float64 // number of ready endpoints
 	newest  float64 // number of ready endpoints on the newest build
-	all     float64 // capacity that this relay may use
+	usable  float64 // capacity that this relay may use
 	onTrial float64 // part of that capacity on builds on trial
 }
 
@@ -66,7 +66,7 @@
 			// the attempts that it can't take must not go to the build's other endpoints
 			usable = 0
 		}
-		capacity.all += usable
+		capacity.usable += usable
 		if c.exposureOf(endpoint.Build).onTrial {
 			capacity.onTrial += usable
 		}
@@ -85,9 +85,9 @@
 	// The build gets at least its fraction of the capacity. Where its machines were added beside the earlier
 	// ones, it gets more while there is headroom, up to the ratio of its capacity to theirs, since they carried
 	// all requests alone. Otherwise half of the requests would go to the earlier build for a whole stage.
-	fraction := capacity.onTrial / math.Max(capacity.all, 1)
+	fraction := capacity.onTrial / math.Max(capacity.usable, 1)
 	if !rollout.InPlace {
-		beside := math.Min(1, capacity.onTrial/math.Max(capacity.all-capacity.onTrial, 1))
+		beside := math.Min(1, capacity.onTrial/math.Max(capacity.usable-capacity.onTrial, 1))
 		fraction += c.p.router.headroom * math.Max(beside-fraction, 0)
 	}
 	// With many open attempts, a relay sees how full each endpoint is, and the cost limits what an endpoint
--- a/policy/votes.go
+++ b/policy/votes.go
@@ -82,7 +82,7 @@
 // shouldPromote reports whether the stage has lasted long enough and has enough outcomes.
 func (a *aggregator) shouldPromote(fused fusion) bool {
 	canary, minTime := &a.p.canary, a.p.settings.Rollout.MinStageTime
-	if canary.stageListedAt == 0 || fused.fleetSlow || !canary.matured() {
+	if canary.stageListedAt == 0 || fused.fleetSlow || !canary.lateFaultsWouldShow() {
 		return false
 	}
 	stageAge := math.Min(a.p.now-canary.stageStartedAt, a.p.now-canary.stageListedAt+listingDelay)
@@ -94,10 +94,10 @@
 	return int(c.status.Stage) >= len(c.p.settings.Rollout.StageShares)-1
 }
 
-// matured reports whether a fault that appears only with age would have shown: the relays together have
-// enough attempts at the build's first machines past lateFaultAge, or these are older than matureAge.
-// Only the last stage waits for it, as the release leaves no earlier build to go back to.
-func (c *canary) matured() bool {
+// lateFaultsWouldShow reports whether a fault that appears only with age would have shown: the relays
+// together have enough attempts at the build's first machines past lateFaultAge, or these are older than
+// matureAge. Only the last stage waits for it, as the release leaves no earlier build to go back to.
+func (c *canary) lateFaultsWouldShow() bool {
 	nextBuildDue := c.releaseInterval > 0 && c.p.now-c.buildAnnouncedAt > matureCycleFraction*c.releaseInterval
 	if !c.atLastStage() || nextBuildDue || c.oldestAge() >= matureAge {
 		return true
--- a/rollout/apply.go
+++ b/rollout/apply.go
@@ -130,7 +130,7 @@
 	if !s.isNewest(e.Build) || !s.inPhase(relay.PhaseCanary) || !nextStep {
 		return rejectEvent(e, "not the next step of the canary")
 	}
-	s.enter(relay.PhaseCanary, e.Step, e.At)
+	s.enterPhase(relay.PhaseCanary, e.Step, e.At)
 	return nil
 }
 
@@ -139,7 +139,7 @@
 	if !s.isNewest(e.Build) || !s.inPhase(relay.PhaseCanary) || !lastStep {
 		return rejectEvent(e, "not a canary at its last step")
 	}
-	s.enter(relay.PhaseReleased, s.newest.Step, e.At)
+	s.enterPhase(relay.PhaseReleased, s.newest.Step, e.At)
 	return nil
 }
 
@@ -147,7 +147,7 @@
 	if !s.isNewest(e.Build) || !s.canRollBack() {
 		return rejectEvent(e, "not a canary or released build")
 	}
-	s.enter(relay.PhaseRollingBack, s.newest.Step, e.At)
+	s.enterPhase(relay.PhaseRollingBack, s.newest.Step, e.At)
 	return nil
 }
 
@@ -155,7 +155,7 @@
 	if !s.isNewest(e.Build) || !s.inPhase(relay.PhaseRollingBack) {
 		return rejectEvent(e, "build is not rolling back")
 	}
-	s.enter(relay.PhaseWithdrawn, s.newest.Step, e.At)
+	s.enterPhase(relay.PhaseWithdrawn, s.newest.Step, e.At)
 	return nil
 }
 
@@ -171,7 +171,7 @@
 // isNewest reports whether a build is the one that began last.
 func (s *serviceState) isNewest(build relay.Build) bool { return s.known && s.newest.Build == build }
 
-// enter moves the newest build to a step and phase.
-func (s *serviceState) enter(phase relay.Phase, step plan.StepIndex, at plan.Unix) {
+// enterPhase moves the newest build to a step and phase.
+func (s *serviceState) enterPhase(phase relay.Phase, step plan.StepIndex, at plan.Unix) {
 	s.newest.Phase, s.newest.Step, s.newest.Since = phase, step, at
 }
--- a/rollout/guard_exposure.go
+++ b/rollout/guard_exposure.go
@@ -33,13 +33,13 @@
 	g.wasFrozen, g.lastExposure = frozen, current
 
 	status := g.status
-	g.restrict(&status, current)
+	g.applyExposure(&status, current)
 	scope := scopeKey{build: status.Build, step: current.step}
 	if !g.evaluated || scope != g.sentScope {
 		g.sentScope = scope
 		out = append(out, g.canaryScope(scope))
 	}
-	if !g.evaluated || differs(&g.sentStatus, &status) {
+	if !g.evaluated || statusesDiffer(&g.sentStatus, &status) {
 		g.sentStatus = status
 		out = append(out, status)
 	}
@@ -47,8 +47,8 @@
 	return out
 }
 
-// restrict changes the platform's status to what holds in this relay.
-func (g *Guard) restrict(status *relay.RolloutStatus, current exposure) {
+// applyExposure changes the platform's status to what holds in this relay.
+func (g *Guard) applyExposure(status *relay.RolloutStatus, current exposure) {
 	steps := plan.StepIndex(len(g.spec().Steps))
 	status.Reply = relay.ReplyNone
 	status.ExposureLimit = current.limit
@@ -58,8 +58,8 @@
 	}
 }
 
-// differs reports whether two statuses differ in build, stage, phase or exposure limit.
-func differs(a, b *relay.RolloutStatus) bool {
+// statusesDiffer reports whether two statuses differ in build, stage, phase or exposure limit.
+func statusesDiffer(a, b *relay.RolloutStatus) bool {
 	return a.Build != b.Build || a.Stage != b.Stage || a.Phase != b.Phase || a.ExposureLimit != b.ExposureLimit
 }
 
--- a/trace/alibaba.go
+++ b/trace/alibaba.go
@@ -35,7 +35,7 @@
 	case !ended:
 		return UnknownStatus
 	case len(fields[alibabaEnd]) == 0:
-		return missing("end")
+		return missingReason("end")
 	}
 	start, startOK := parseFloat(fields[alibabaStart])
 	end, endOK := parseFloat(fields[alibabaEnd])
--- a/trace/audit.go
+++ b/trace/audit.go
@@ -40,8 +40,8 @@
 	OutsideTrace     Reason = "outside"     // before the start of the trace or after its end
 )
 
-// missing returns the reason for a field that a row or a task lacks.
-func missing(field string) Reason { return MissingField + Reason("_"+field) }
+// missingReason returns the reason for a field that a row or a task lacks.
+func missingReason(field string) Reason { return MissingField + Reason("_"+field) }
 
 // Audit counts the rows of a trace. When the whole trace was read, Rows is the sum of Accepted and all counts of Reported.
 type Audit struct {
--- a/trace/azure.go
+++ b/trace/azure.go
@@ -15,7 +15,7 @@
 func azure2021(fields [][]byte, task *Task, strs interner) Reason {
 	for i, name := range azureColumns {
 		if len(fields[i]) == 0 {
-			return missing(name)
+			return missingReason(name)
 		}
 	}
 	end, endOK := parseFloat(fields[azureEnd])
--- a/trace/google.go
+++ b/trace/google.go
@@ -63,7 +63,7 @@
 		return googleSubmit(fields, e, strs)
 	case schedule:
 		if len(fields[googleMachine]) == 0 {
-			return missing("machine")
+			return missingReason("machine")
 		}
 		e.machine = strs.intern(fields[googleMachine])
 	}
@@ -89,7 +89,7 @@
 func checkPresent(fields [][]byte, required []column) Reason {
 	for _, c := range required {
 		if len(fields[c.index]) == 0 {
-			return missing(c.name)
+			return missingReason(c.name)
 		}
 	}
 	return Accepted
--- a/trace/join.go
+++ b/trace/join.go
@@ -138,7 +138,7 @@
 	}
 	if open == nil {
 		if len(j.open) >= j.maxTasks {
-			if err := j.expire(first(j.byAge)); err != nil {
+			if err := j.expire(firstTask(j.byAge)); err != nil {
 				return Accepted, err
 			}
 		}
@@ -264,17 +264,17 @@
 // release completes the tasks whose retry window is over and drops those that have been open for too long. It then
 // releases from the reorder buffer the tasks that no open task can precede any more.
 func (j *eventJoin) release() error {
-	for open := first(j.retries); open != nil && j.now-open.endedAt > j.retryWindow; open = first(j.retries) {
+	for open := firstTask(j.retries); open != nil && j.now-open.endedAt > j.retryWindow; open = firstTask(j.retries) {
 		if err := j.complete(open); err != nil {
 			return err
 		}
 	}
-	for open := first(j.byAge); open != nil && j.now-open.task.At > j.maxOpenTime; open = first(j.byAge) {
+	for open := firstTask(j.byAge); open != nil && j.now-open.task.At > j.maxOpenTime; open = firstTask(j.byAge) {
 		if err := j.expire(open); err != nil {
 			return err
 		}
 	}
-	if oldest := first(j.byAge); oldest != nil {
+	if oldest := firstTask(j.byAge); oldest != nil {
 		return j.buffer.releaseUntil(min(oldest.task.At, j.now))
 	}
 	return j.buffer.releaseUntil(j.now)
@@ -282,7 +282,7 @@
 
 // end processes the end of the trace: it drops the tasks that are still open and emits all others.
 func (j *eventJoin) end() error {
-	for open := first(j.byAge); open != nil; open = first(j.byAge) {
+	for open := firstTask(j.byAge); open != nil; open = firstTask(j.byAge) {
 		if err := j.expire(open); err != nil {
 			return err
 		}
@@ -290,8 +290,8 @@
 	return j.buffer.releaseAll()
 }
 
-// first returns the first task of a list, or nil if the list is empty.
-func first(tasks *list.List) *openTask {
+// firstTask returns the first task of a list, or nil if the list is empty.
+func firstTask(tasks *list.List) *openTask {
 	element := tasks.Front()
 	if element == nil {
 		return nil
--- a/trace/mapping.go
+++ b/trace/mapping.go
@@ -70,7 +70,7 @@
 	}
 	relay, ok := task.stringValue(m.relayField)
 	if !ok {
-		return request, missing(m.relayField.String())
+		return request, missingReason(m.relayField.String())
 	}
 	request.RelayHash = xxhash.Sum64String(relay)
 	request.At = task.At / m.Scale
@@ -89,7 +89,7 @@
 		request.FailedAttempts = failed
 	case m.failures == FailuresAsFaults && failed > 0:
 		if task.Machine == "" {
-			return missing(fieldMachine.String())
+			return missingReason(fieldMachine.String())
 		}
 		request.MachineHash = xxhash.Sum64String(task.Machine)
 		request.FaultDuration, request.FailureRate = m.faultDuration, m.failureRate
--- a/trace/rules.go
+++ b/trace/rules.go
@@ -85,7 +85,7 @@
 func (c oneOfCondition) holds(task *Task) (bool, Reason) {
 	value, ok := task.stringValue(c.field)
 	if !ok {
-		return false, missing(c.field.String())
+		return false, missingReason(c.field.String())
 	}
 	return slices.Contains(c.values, value), Accepted
 }
@@ -99,7 +99,7 @@
 func (c rangeCondition) holds(task *Task) (bool, Reason) {
 	number, ok := task.numericValue(c.field)
 	if !ok {
-		return false, missing(c.field.String())
+		return false, missingReason(c.field.String())
 	}
 	return number >= c.from && number <= c.to, Accepted
 }
@@ -114,7 +114,7 @@
 func (c hashCondition) holds(task *Task) (bool, Reason) {
 	value, ok := task.stringValue(c.field)
 	if !ok {
-		return false, missing(c.field.String())
+		return false, missingReason(c.field.String())
 	}
 	fraction := hashFraction(value)
 	return fraction >= c.from && fraction < c.to, Accepted
