--- a/cmd/simhost/commands.go
+++ b/cmd/simhost/commands.go
@@ -6,8 +6,8 @@
 	"lichenroad/relay"
 )
 
-// nanoseconds converts seconds into nanoseconds. Negative values become 0.
-func nanoseconds(seconds float64) uint64 {
+// toNanoseconds converts seconds into nanoseconds. Negative values become 0.
+func toNanoseconds(seconds float64) uint64 {
 	return uint64(math.Max(0, math.Round(seconds*nanosecondsPerSecond)))
 }
 
@@ -15,11 +15,11 @@
 func (h *host) write(in *instance, command relay.Command) {
 	switch c := command.(type) {
 	case relay.SendAttempt:
-		h.out.SendAttempt(in.number, uint32(c.Request), uint64(c.Endpoint), nanoseconds(c.Timeout))
+		h.out.SendAttempt(in.number, uint32(c.Request), uint64(c.Endpoint), toNanoseconds(c.Timeout))
 	case relay.CancelAttempt:
 		h.out.CancelAttempt(in.number, uint32(c.Request), uint8(c.Attempt))
 	case relay.Reject:
-		h.out.Reject(in.number, uint32(c.Request), nanoseconds(c.RetryAfter))
+		h.out.Reject(in.number, uint32(c.Request), toNanoseconds(c.RetryAfter))
 	case relay.Fail:
 		h.out.Fail(in.number, uint32(c.Request))
 	case relay.SetTimer:
--- a/cmd/simhost/events.go
+++ b/cmd/simhost/events.go
@@ -5,8 +5,8 @@
 	"lichenroad/simwire"
 )
 
-// duration converts nanoseconds into seconds.
-func duration(ns uint64) float64 { return float64(ns) / nanosecondsPerSecond }
+// toSeconds converts nanoseconds into seconds.
+func toSeconds(ns uint64) float64 { return float64(ns) / nanosecondsPerSecond }
 
 var outcomes = map[simwire.Outcome]relay.Outcome{
 	simwire.OutcomeSucceeded:        relay.Succeeded,
@@ -57,7 +57,7 @@
 	return relay.Request{
 		ID:       relay.RequestID(e.Request),
 		Deadline: in.seconds(e.Deadline),
-		Work:     duration(e.Work),
+		Work:     toSeconds(e.Work),
 		HasWork:  e.Flags&simwire.FlagHasWork != 0,
 		Retried:  e.Flags&simwire.FlagRetried != 0,
 		Key:      relay.Key(e.Key),
@@ -72,7 +72,7 @@
 		Attempt:         relay.AttemptNumber(e.Attempt),
 		Endpoint:        relay.EndpointID(e.Endpoint),
 		Outcome:         outcome(e.Outcome),
-		Duration:        duration(e.Duration),
+		Duration:        toSeconds(e.Duration),
 		RequestFinished: e.RequestFinished != 0,
 		LoadReport:      e.LoadReport,
 	}
@@ -83,14 +83,14 @@
 		Request:  relay.RequestID(e.Request),
 		Attempt:  relay.AttemptNumber(e.Attempt),
 		Endpoint: relay.EndpointID(e.Endpoint),
-		Duration: duration(e.Duration),
+		Duration: toSeconds(e.Duration),
 	}
 }
 
 func healthCheckEnded(e *simwire.Event) relay.HealthCheckEnded {
 	return relay.HealthCheckEnded{
 		Endpoint:   relay.EndpointID(e.Endpoint),
-		Duration:   duration(e.Duration),
+		Duration:   toSeconds(e.Duration),
 		Outcome:    outcome(e.Outcome),
 		LoadReport: e.LoadReport,
 	}
@@ -103,7 +103,7 @@
 		Stage:         relay.Stage(e.Stage),
 		Phase:         relay.Phase(e.Phase),
 		ExposureLimit: float64(e.ExposureLimit),
-		Age:           duration(e.Age),
+		Age:           toSeconds(e.Age),
 	}
 	if e.VoteReply != 1 {
 		return status
@@ -127,8 +127,8 @@
 		Class:        relay.RequestClass(e.Class),
 		Attempts:     int(e.Attempts),
 		Failures:     int(e.Failures),
-		MeanDuration: duration(e.Duration),
-		Age:          duration(e.Age),
+		MeanDuration: toSeconds(e.Duration),
+		Age:          toSeconds(e.Age),
 	}
 }
 
@@ -136,7 +136,7 @@
 	return relay.MisreportedOutcome{
 		Class:    relay.RequestClass(e.Class),
 		Endpoint: relay.EndpointID(e.Endpoint),
-		Age:      duration(e.Age),
+		Age:      toSeconds(e.Age),
 	}
 }
 
--- a/internal/buffer/buffer.go
+++ b/internal/buffer/buffer.go
@@ -93,15 +93,15 @@
 // Each calls visit with the bytes in each buffer, in order. It stops at the first error and returns it.
 func (c *Chain) Each(visit func([]byte) error) error {
 	for i := range c.buffers {
-		if err := visit(c.part(i)); err != nil {
+		if err := visit(c.bufferContent(i)); err != nil {
 			return err
 		}
 	}
 	return nil
 }
 
-// part returns the bytes in buffer i.
-func (c *Chain) part(i int) []byte { return c.buffers[i][:min(Size, c.length-i*Size)] }
+// bufferContent returns the bytes in buffer i.
+func (c *Chain) bufferContent(i int) []byte { return c.buffers[i][:min(Size, c.length-i*Size)] }
 
 // Bytes returns the whole content as one slice: the buffer itself if the chain has only one, otherwise a copy. The slice is
 // valid until the chain is freed. It is nil if the chain is empty.
@@ -110,11 +110,11 @@
 	case 0:
 		return nil
 	case 1:
-		return c.part(0)
+		return c.bufferContent(0)
 	}
 	all := make([]byte, 0, c.length)
 	for i := range c.buffers {
-		all = append(all, c.part(i)...)
+		all = append(all, c.bufferContent(i)...)
 	}
 	return all
 }
--- a/internal/config/parse.go
+++ b/internal/config/parse.go
@@ -44,9 +44,9 @@
 	if err := json.Unmarshal(raw, &w); err != nil {
 		return Config{}, err
 	}
-	override(&w.Name, getenv(envName))
-	override(&w.Listen, getenv(envListen))
-	override(&w.Discovery, getenv(envDiscovery))
+	overrideIfSet(&w.Name, getenv(envName))
+	overrideIfSet(&w.Listen, getenv(envListen))
+	overrideIfSet(&w.Discovery, getenv(envDiscovery))
 	p := parser{wire: &w}
 	p.addresses()
 	p.seed()
@@ -57,8 +57,8 @@
 	return p.config, errors.Join(p.faults...)
 }
 
-// override replaces a value of the file if the environment variable is set.
-func override(value *string, fromEnvironment string) {
+// overrideIfSet replaces a value of the file if the environment variable is set.
+func overrideIfSet(value *string, fromEnvironment string) {
 	if fromEnvironment != "" {
 		*value = fromEnvironment
 	}
@@ -71,7 +71,7 @@
 	faults []error
 }
 
-func (p *parser) fault(format string, args ...any) {
+func (p *parser) addFault(format string, args ...any) {
 	p.faults = append(p.faults, fmt.Errorf(format, args...))
 }
 
@@ -90,7 +90,7 @@
 
 func (p *parser) requiredAddress(name, address string) string {
 	if _, err := netip.ParseAddrPort(address); err != nil {
-		p.fault("%s: %q is not an IP address with a port", name, address)
+		p.addFault("%s: %q is not an IP address with a port", name, address)
 	}
 	return address
 }
@@ -108,7 +108,7 @@
 	}
 	seed, err := strconv.ParseUint(p.wire.Seed, 16, 64)
 	if err != nil {
-		p.fault("seed: %q is not a hexadecimal number of up to 64 bits", p.wire.Seed)
+		p.addFault("seed: %q is not a hexadecimal number of up to 64 bits", p.wire.Seed)
 	}
 	p.config.Seed = int64(seed)
 }
@@ -127,22 +127,22 @@
 		p.config.Sockets = limits.DefaultDescriptors
 	}
 	if p.config.MemoryMB < limits.MinMemoryMB || p.config.Sockets < limits.MinDescriptors {
-		p.fault("limits: at least %d MB of memory and %d sockets are needed", limits.MinMemoryMB, limits.MinDescriptors)
+		p.addFault("limits: at least %d MB of memory and %d sockets are needed", limits.MinMemoryMB, limits.MinDescriptors)
 	}
 }
 
 func (p *parser) site() {
 	if len(p.wire.Settings) == 0 {
-		p.fault("settings: missing")
+		p.addFault("settings: missing")
 		return
 	}
 	site, err := settings.Parse(p.wire.Settings)
 	if err != nil {
-		p.fault("%w", err)
+		p.addFault("%w", err)
 		return
 	}
 	if len(site.ClassByName) == 0 {
-		p.fault("settings: no request classes (grades)")
+		p.addFault("settings: no request classes (grades)")
 	}
 	p.config.Site = site
 }
@@ -153,7 +153,7 @@
 	}
 	status, err := parseRolloutStatus(p.wire.Platform.RolloutStatus)
 	if err != nil {
-		p.fault("platform.news: %w", err)
+		p.addFault("platform.news: %w", err)
 	}
 	p.config.RolloutStatus = status
 }
--- a/internal/platform/platform.go
+++ b/internal/platform/platform.go
@@ -83,13 +83,13 @@
 			c.loop.Metrics.Add(metrics.QueueLimitReached, 1)
 		}
 	}
-	c.report(relay.RolloutStatus{Reply: relay.ReplyNotCounted})
+	c.reportStatus(relay.RolloutStatus{Reply: relay.ReplyNotCounted})
 }
 
 func (c *Client) currentAddress() string { return c.address.Load().(string) }
 
-// report counts a status and passes it on the loop to OnStatus or the decision module.
-func (c *Client) report(status relay.RolloutStatus) {
+// reportStatus counts a status and passes it on the loop to OnStatus or the decision module.
+func (c *Client) reportStatus(status relay.RolloutStatus) {
 	c.countStatus(status.Reply)
 	c.loop.Post(pipeline.Func(func(l *pipeline.Loop) {
 		if c.OnStatus != nil {
--- a/internal/platform/vote.go
+++ b/internal/platform/vote.go
@@ -35,13 +35,13 @@
 		}
 		opened, err := c.dialCurrent(address)
 		if err != nil {
-			c.report(relay.RolloutStatus{Reply: relay.ReplyNotCounted})
+			c.reportStatus(relay.RolloutStatus{Reply: relay.ReplyNotCounted})
 			continue
 		}
 		conn = &voteConn{lineConn: opened, usedAt: time.Now()}
 		go conn.readReplies()
 		if !conn.send(vote) { // closed again before anything was written
-			c.report(relay.RolloutStatus{Reply: relay.ReplyNotCounted})
+			c.reportStatus(relay.RolloutStatus{Reply: relay.ReplyNotCounted})
 		}
 	}
 }
@@ -103,7 +103,7 @@
 	c.close(reason)
 	c.mu.Unlock()
 	for range pending {
-		c.client.report(relay.RolloutStatus{Reply: relay.ReplyMaybeCounted})
+		c.client.reportStatus(relay.RolloutStatus{Reply: relay.ReplyMaybeCounted})
 	}
 }
 
@@ -155,7 +155,7 @@
 	if reply.Error == linewire.CodeStale {
 		status.Reply = relay.ReplyStale
 	}
-	c.client.report(status)
+	c.client.reportStatus(status)
 	return nil
 }
 
--- a/internal/platform/watch.go
+++ b/internal/platform/watch.go
@@ -164,7 +164,7 @@
 		return errUnexpectedLine
 	}
 	if reply.Status.Valid || c.OnStatus != nil {
-		c.report(reply.Status)
+		c.reportStatus(reply.Status)
 	}
 	return nil
 }
--- a/internal/releasecontroller/compact.go
+++ b/internal/releasecontroller/compact.go
@@ -68,7 +68,7 @@
 	if err := j.reachCrashPoint("before archive"); err != nil {
 		return err
 	}
-	archived, err := archives(j.dir)
+	archived, err := archivePaths(j.dir)
 	if err != nil {
 		return err
 	}
@@ -90,8 +90,8 @@
 	return nil
 }
 
-// archives returns the paths of the archived journals in a directory, oldest first.
-func archives(dir string) ([]string, error) {
+// archivePaths returns the paths of the archived journals in a directory, oldest first.
+func archivePaths(dir string) ([]string, error) {
 	paths, err := filepath.Glob(filepath.Join(dir, journalName+".[0-9]*"))
 	sort.Strings(paths)
 	return paths, err
--- a/internal/releasecontroller/control.go
+++ b/internal/releasecontroller/control.go
@@ -220,7 +220,7 @@
 // eventForRequest returns the event that carries out a request, or an error if the state machine rejects it.
 func (ctl *Controller) eventForRequest(request Request) (rollout.Event, error) {
 	if request.Verb == VerbOffer {
-		return ctl.offer(request)
+		return ctl.offerEvent(request)
 	}
 	kind, known := operationEvents[request.Verb]
 	if !known {
@@ -230,8 +230,8 @@
 		Actor: request.Actor, Reason: request.Reason}, ctl.now())
 }
 
-// offer returns the event that offers the request's build to its service.
-func (ctl *Controller) offer(request Request) (rollout.Event, error) {
+// offerEvent returns the event that offers the request's build to its service.
+func (ctl *Controller) offerEvent(request Request) (rollout.Event, error) {
 	service, ok := ctl.core.Plan().Service(request.Service)
 	if !ok {
 		return rollout.Event{}, fmt.Errorf("there is no service %q", request.Service)
--- a/internal/releasecontroller/control_test.go
+++ b/internal/releasecontroller/control_test.go
@@ -16,20 +16,20 @@
 func TestOperatorCommands(t *testing.T) {
 	dir := t.TempDir()
 	r := start(t, dir, 1000, nil)
-	r.must(Request{Verb: "offer", Service: "a", Build: 7})
-	r.must(Request{Verb: "freeze", FreezeName: "audit"})
+	r.mustCall(Request{Verb: "offer", Service: "a", Build: 7})
+	r.mustCall(Request{Verb: "freeze", FreezeName: "audit"})
 	a, b := dial(t, r.addresses.Relays["a"]["r0"]), dial(t, r.addresses.Relays["a"]["r1"])
 	a.call("VOTE 7 0 approve")
 	if s := b.call("VOTE 7 0 approve"); !strings.HasPrefix(s, "OK 7 0 ") {
 		t.Error("promoted during the freeze: ", s)
 	}
-	if out := r.must(Request{Verb: "status"}); out.Status[0].BlockCode != rollout.BlockedByOperatorFreeze || len(out.Freezes) != 1 {
+	if out := r.mustCall(Request{Verb: "status"}); out.Status[0].BlockCode != rollout.BlockedByOperatorFreeze || len(out.Freezes) != 1 {
 		t.Errorf("status in the freeze: %+v", out)
 	}
-	if out := r.must(Request{Verb: "thaw", FreezeName: "audit"}); out.Status[0].Step != "two" {
+	if out := r.mustCall(Request{Verb: "thaw", FreezeName: "audit"}); out.Status[0].Step != "two" {
 		t.Errorf("after the end of the freeze: %+v", out.Status[0])
 	}
-	if out := r.must(Request{Verb: "back", Service: "a"}); out.Status[0].Phase != "going back" {
+	if out := r.mustCall(Request{Verb: "back", Service: "a"}); out.Status[0].Phase != "going back" {
 		t.Errorf("after the rollback began: %+v", out.Status[0])
 	}
 	for _, bad := range []Request{{Verb: "offer", Service: "z", Build: 1}, {Verb: "offer", Service: "a", Build: 7}, {Verb: "dance"},
--- a/internal/releasecontroller/controller_test.go
+++ b/internal/releasecontroller/controller_test.go
@@ -89,7 +89,7 @@
 	return Call(context.Background(), r.dir, q)
 }
 
-func (r *runningController) must(q Request) Reply {
+func (r *runningController) mustCall(q Request) Reply {
 	r.t.Helper()
 	out, err := r.call(q)
 	if err != nil {
@@ -131,8 +131,8 @@
 	return strings.TrimRight(s, "\r\n")
 }
 
-// until reads lines up to and including the first one with the prefix.
-func (c *lineClient) until(prefix string) {
+// readUntil reads lines up to and including the first one with the prefix.
+func (c *lineClient) readUntil(prefix string) {
 	c.t.Helper()
 	for !strings.HasPrefix(c.line(), prefix) {
 	}
@@ -148,8 +148,8 @@
 	if s := a.call("VOTE 7 0 approve"); s != "ERR ConditionFailed" {
 		t.Error("vote without a build: ", s)
 	}
-	r.must(Request{Verb: "offer", Service: "a", Build: 7})
-	w.until("* news 7 0 canary 0.1 ")
+	r.mustCall(Request{Verb: "offer", Service: "a", Build: 7})
+	w.readUntil("* news 7 0 canary 0.1 ")
 	for line, want := range map[string]string{"VOTE 7 0": "ERR ValidationError", "FLY": "ERR ValidationError", "VOTE 7 0 maybe": "ERR ValidationError",
 		"VOTE -1 0 approve": "ERR ValidationError", "VOTE 8 0 approve": "ERR ConditionFailed", "VOTE 7 1 approve": "ERR ConditionFailed"} {
 		if s := a.call(line); s != want {
@@ -166,15 +166,15 @@
 	if s := b.call("VOTE 7 0 approve"); s != "OK 7 1 canary 0.5 0" {
 		t.Error("reply to the vote that completes the step: ", s)
 	}
-	w.until("* news 7 1 canary 0.5 ")
+	w.readUntil("* news 7 1 canary 0.5 ")
 	// Pipelined calls are answered in their order.
 	fmt.Fprint(a, "VOTE 7 1 approve\r\nVOTE 9 1 approve\r\nVOTE 7 1 reject\r\n")
 	// Replies show the status after the whole batch. The calls may come in one batch or in several.
 	if s := a.line() + "|" + a.line() + "|" + a.line(); !strings.HasPrefix(s, "OK 7 1 ") || !strings.Contains(s, "|ERR ConditionFailed|OK 7 1 reverting 0 ") {
 		t.Error("replies to pipelined votes: ", s)
 	}
-	w.until("* news 7 1 reverting 0 ")
-	w.until("*") // a keep-alive
+	w.readUntil("* news 7 1 reverting 0 ")
+	w.readUntil("*") // a keep-alive
 }
 
 func TestConnectionLimits(t *testing.T) {
@@ -224,7 +224,7 @@
 				}
 				return nil
 			})
-			r.must(Request{Verb: "offer", Service: "a", Build: 7})
+			r.mustCall(Request{Verb: "offer", Service: "a", Build: 7})
 			a, b := dial(t, r.addresses.Relays["a"]["r0"]), dial(t, r.addresses.Relays["a"]["r1"])
 			a.call("VOTE 7 0 approve")
 			armed.Store(true)
@@ -236,7 +236,7 @@
 				t.Error("vote answered in spite of the crash: ", s)
 			}
 			r = start(t, dir, 1001, nil)
-			n := r.must(Request{Verb: "status"}).Status[0]
+			n := r.mustCall(Request{Verb: "status"}).Status[0]
 			if want := map[string]string{"before append": "one", "after append": "two"}[place]; n.Step != want || n.Phase != "on trial" {
 				t.Errorf("after the restart: %+v", n)
 			}
@@ -263,8 +263,8 @@
 // current step change nothing, and that a valid plan takes effect.
 func TestReplan(t *testing.T) {
 	r := start(t, t.TempDir(), 1000, nil)
-	r.must(Request{Verb: "offer", Service: "a", Build: 7})
-	step := func() float64 { return r.must(Request{Verb: "status"}).Status[0].ExposureLimit }
+	r.mustCall(Request{Verb: "offer", Service: "a", Build: 7})
+	step := func() float64 { return r.mustCall(Request{Verb: "status"}).Status[0].ExposureLimit }
 	r.controller.Replan(nil, errors.New("p.xml:3: <step>: cap: no number"))
 	less, more := testPlan(t), testPlan(t)
 	less.Services = less.Services[:1]
--- a/internal/releasecontroller/history.go
+++ b/internal/releasecontroller/history.go
@@ -11,7 +11,7 @@
 // History returns the latest events of the journal and its archives in a directory, oldest first and at most limit. Votes
 // are included only if votes is set. It may be called while a release controller uses the directory.
 func History(dir string, votes bool, limit int) ([]rollout.Event, error) {
-	paths, err := archives(dir)
+	paths, err := archivePaths(dir)
 	if err != nil {
 		return nil, err
 	}
--- a/internal/releasecontroller/relayconn.go
+++ b/internal/releasecontroller/relayconn.go
@@ -95,7 +95,7 @@
 	if err != nil {
 		return err
 	}
-	err = c.splitter.Feed(received, c.call)
+	err = c.splitter.Feed(received, c.handleLine)
 	_ = reader.Release() // returns the buffer; fails only if the connection is closed
 	if err != nil {
 		c.close(metrics.ClosedByBadInput, err)
@@ -103,9 +103,9 @@
 	return nil
 }
 
-// call handles one line. A line that can't be parsed gets an error reply and the connection stays open, as the platform's
-// protocol requires. A connection with too many calls in flight gets an error reply at once.
-func (c *relayConn) call(line string) {
+// handleLine handles one line. A line that can't be parsed gets an error reply and the connection stays open, as the
+// platform's protocol requires. A connection with too many calls in flight gets an error reply at once.
+func (c *relayConn) handleLine(line string) {
 	c.calls.Add(1)
 	c.lastCallAt.Store(time.Now().UnixNano())
 	if c.callsInFlight.Add(1) > maxCallsInFlight {
--- a/internal/sockets/sockets.go
+++ b/internal/sockets/sockets.go
@@ -28,7 +28,7 @@
 
 // HasBacklog reports whether a TCP listener has connections to accept. For other listeners it returns false.
 func HasBacklog(listener net.Listener) (waiting bool) {
-	control(listener, func(fd uintptr) { waiting = Readable(int(fd)) })
+	withDescriptor(listener, func(fd uintptr) { waiting = Readable(int(fd)) })
 	return waiting
 }
 
@@ -36,13 +36,13 @@
 // the network library's poller still has it registered. The library's own shutdown closes the descriptor twice, and the
 // second close may hit a descriptor that another part of the program has opened in between.
 func StopAccepting(listener net.Listener) {
-	control(listener, func(fd uintptr) {
+	withDescriptor(listener, func(fd uintptr) {
 		_ = unix.Shutdown(int(fd), unix.SHUT_RDWR) // fails only if the listener has already stopped accepting
 	})
 }
 
-// control calls a function with the descriptor of a listener. It does nothing if the listener is closed or not TCP.
-func control(listener net.Listener, call func(fd uintptr)) {
+// withDescriptor calls a function with the descriptor of a listener. It does nothing if the listener is closed or not TCP.
+func withDescriptor(listener net.Listener, call func(fd uintptr)) {
 	tcp, ok := listener.(*net.TCPListener)
 	if !ok {
 		return
--- a/internal/upstream/conn_test.go
+++ b/internal/upstream/conn_test.go
@@ -215,7 +215,7 @@
 			t.Fatal(err)
 		}
 		c := &conn{net: n}
-		if reason := c.unusable(); reason != "" {
+		if reason := c.unusableReason(); reason != "" {
 			t.Error("unusable though the endpoint has sent nothing:", reason)
 		}
 		want := metrics.ClosedByBadInput
@@ -223,7 +223,7 @@
 			want = metrics.ClosedByPeer
 			peer.Close()
 		}
-		for until := time.Now().Add(testTimeout); c.unusable() != want; time.Sleep(time.Millisecond) {
+		for until := time.Now().Add(testTimeout); c.unusableReason() != want; time.Sleep(time.Millisecond) {
 			if time.Now().After(until) {
 				t.Fatal("the connection still counts as usable, or as unusable for another reason")
 			}
--- a/internal/upstream/idle.go
+++ b/internal/upstream/idle.go
@@ -26,10 +26,10 @@
 	c.pool.serveWaiting(c.endpoint)
 }
 
-// unusable returns the reason why an idle connection cannot take a request, or an empty string if it can. If the
+// unusableReason returns the reason why an idle connection cannot take a request, or an empty string if it can. If the
 // connection has ended, a request sent on it might count as one that may have run; if it has unread input, that would
 // be taken for the response.
-func (c *conn) unusable() metrics.CloseReason {
+func (c *conn) unusableReason() metrics.CloseReason {
 	if !c.net.IsActive() {
 		return metrics.ClosedByPeer
 	}
--- a/internal/upstream/pool.go
+++ b/internal/upstream/pool.go
@@ -134,7 +134,7 @@
 			continue
 		}
 		c := endpoint.idle[len(endpoint.idle)-1]
-		if reason := c.unusable(); reason != "" {
+		if reason := c.unusableReason(); reason != "" {
 			c.close(reason)
 			continue
 		}
