--- a/lab/baseline.go
+++ b/lab/baseline.go
@@ -148,16 +148,16 @@
 			continue
 		}
 		candidates++
-		if picked == nil || b.prefers(candidate, picked, candidates) {
+		if picked == nil || b.replacesPicked(candidate, picked, candidates) {
 			picked = candidate
 		}
 	}
 	return picked
 }
 
-// prefers reports whether the candidate, the candidates-th so far, replaces the endpoint picked before. With random picks,
-// this is reservoir sampling: each candidate is equally likely in the end.
-func (b *baseline) prefers(candidate, picked *relay.Endpoint, candidates int) bool {
+// replacesPicked reports whether the candidate, the candidates-th so far, replaces the endpoint picked before. With random
+// picks, this is reservoir sampling: each candidate is equally likely in the end.
+func (b *baseline) replacesPicked(candidate, picked *relay.Endpoint, candidates int) bool {
 	if b.leastInFlight {
 		return b.inFlight[candidate.ID] < b.inFlight[picked.ID]
 	}
--- a/lab/checkexposure.go
+++ b/lab/checkexposure.go
@@ -143,7 +143,7 @@
 	open := false
 	for i := range steps[:min(last+1, len(steps))] {
 		for _, dependency := range steps[i].Dependencies {
-			if !record.services[dependency.Service].meets(dependency) {
+			if !record.services[dependency.Service].satisfies(dependency) {
 				return limit
 			}
 		}
--- a/lab/checkstep.go
+++ b/lab/checkstep.go
@@ -39,8 +39,8 @@
 	}
 }
 
-// meets reports whether the position satisfies a dependency of a step of another service.
-func (p servicePosition) meets(dependency plan.Dependency) bool {
+// satisfies reports whether the position satisfies a dependency of a step of another service.
+func (p servicePosition) satisfies(dependency plan.Dependency) bool {
 	if !p.announced {
 		return false
 	}
@@ -91,7 +91,7 @@
 	steps := c.simulation.plan.Services[index].Steps
 	for i := range steps[:min(step+1, len(steps))] {
 		for _, dependency := range steps[i].Dependencies {
-			if position := c.services[dependency.Service]; !position.meets(dependency) {
+			if position := c.services[dependency.Service]; !position.satisfies(dependency) {
 				c.report(controllerName, "moved without its need", float64(step), "%s build %d to step %d, %s stands at %d",
 					event.Service, event.Build, step, c.simulation.plan.Services[dependency.Service].Name, position.step)
 			}
--- a/lab/demo/demo.go
+++ b/lab/demo/demo.go
@@ -113,7 +113,7 @@
 	defer cancel()
 	d := &demonstration{options: options, started: time.Now(), planners: map[string]fakes.Endpoint{}, releasedBuild: firstBuild}
 	var result Result
-	err := d.play(ctx, &result)
+	err := d.runScenario(ctx, &result)
 	if err == nil {
 		err = ctx.Err()
 	}
--- a/lab/demo/scenario.go
+++ b/lab/demo/scenario.go
@@ -17,9 +17,9 @@
 	plannerService     = 1 // index of the service planner in the plan
 )
 
-// play starts all processes and goroutines, offers the good build and waits until it is released, then offers the bad build
-// and waits until it is withdrawn. The result records which of these happened.
-func (d *demonstration) play(ctx context.Context, result *Result) error {
+// runScenario starts all processes and goroutines, offers the good build and waits until it is released, then offers the
+// bad build and waits until it is withdrawn. The result records which of these happened.
+func (d *demonstration) runScenario(ctx context.Context, result *Result) error {
 	listen, err := d.startAll()
 	if err != nil {
 		return err
@@ -48,7 +48,7 @@
 // It restarts the release controller during the second step of planner, and waits until the build is released.
 func (d *demonstration) releaseGoodBuild(ctx context.Context) error {
 	d.printProgress("offering build %d of planner, which is good and requires that map-data is released", goodBuild)
-	if err := d.offer(ctx, "planner", goodBuild); err != nil {
+	if err := d.offerBuild(ctx, "planner", goodBuild); err != nil {
 		return err
 	}
 	blocked := func(s rollout.Status) bool { return s.BlockCode == rollout.BlockedByDependency }
@@ -56,7 +56,7 @@
 		return err
 	}
 	d.printProgress("planner waits until map-data is released; offering map-data")
-	if err := d.offer(ctx, "map-data", goodBuild); err != nil {
+	if err := d.offerBuild(ctx, "map-data", goodBuild); err != nil {
 		return err
 	}
 	inSecondStep := func(s rollout.Status) bool { return s.Step == "all" }
@@ -86,7 +86,7 @@
 // rollBackBadBuild offers the bad build and waits until the relays' votes have rolled it back and it is withdrawn.
 func (d *demonstration) rollBackBadBuild(ctx context.Context) error {
 	d.printProgress("build %d is released; offering build %d, which fails half of its requests", goodBuild, badBuild)
-	if err := d.offer(ctx, "planner", badBuild); err != nil {
+	if err := d.offerBuild(ctx, "planner", badBuild); err != nil {
 		return err
 	}
 	withdrawn := func(s rollout.Status) bool { return s.Build == badBuild && s.Phase == "withdrawn" }
@@ -97,8 +97,8 @@
 	return nil
 }
 
-// offer asks the release controller to roll out a build of a service.
-func (d *demonstration) offer(ctx context.Context, service string, build relay.Build) error {
+// offerBuild asks the release controller to roll out a build of a service.
+func (d *demonstration) offerBuild(ctx context.Context, service string, build relay.Build) error {
 	_, err := releasecontroller.Call(ctx, d.stateDir, releasecontroller.Request{Verb: releasecontroller.VerbOffer, Service: service, Build: build,
 		Actor: "demo", Reason: "a demonstration"})
 	return err
--- a/lab/deployer.go
+++ b/lab/deployer.go
@@ -117,7 +117,7 @@
 // countBySite counts the ready endpoints of a build, by site.
 func (f *fleet) countBySite(build relay.Build) []int {
 	counts := make([]int, len(f.simulation.plan.Sites))
-	for _, counted := range f.live() {
+	for _, counted := range f.readyEndpoints() {
 		if counted.build == build {
 			counts[counted.site]++
 		}
--- a/lab/endpoint.go
+++ b/lab/endpoint.go
@@ -81,14 +81,14 @@
 		next := e.waiting[0]
 		e.waiting = e.waiting[1:]
 		if !next.ended { // it may have timed out or been cancelled in the queue
-			e.work(next)
+			e.process(next)
 		}
 	}
 }
 
-// work processes an attempt: the faults of the build, of the endpoint and of a trace decide how long it takes and whether it
-// fails.
-func (e *endpoint) work(on *attempt) {
+// process processes an attempt: the faults of the build, of the endpoint and of a trace decide how long it takes and
+// whether it fails.
+func (e *endpoint) process(on *attempt) {
 	s, request := e.fleet.simulation, on.request
 	e.running++
 	duration := request.work / e.speed / e.slowStartFraction()
--- a/lab/endpointfault.go
+++ b/lab/endpointfault.go
@@ -83,7 +83,7 @@
 
 // injectOnce injects a fault into one random endpoint, or into all endpoints of its site.
 func (f *fleet) injectOnce(fault EndpointFault, random *rand.Rand) {
-	live := f.live()
+	live := f.readyEndpoints()
 	if len(live) == 0 {
 		return
 	}
@@ -109,7 +109,7 @@
 func (f *fleet) injectMachineFault(machine uint64, duration, failureRate float64) {
 	site := plan.SiteIndex(machine >> 32 % uint64(len(f.simulation.plan.Sites)))
 	var atSite []*endpoint
-	for _, candidate := range f.live() {
+	for _, candidate := range f.readyEndpoints() {
 		if candidate.site == site {
 			atSite = append(atSite, candidate)
 		}
--- a/lab/fleet.go
+++ b/lab/fleet.go
@@ -33,8 +33,8 @@
 	deployed        relay.RolloutStatus   // the status that the deployer acts on
 }
 
-// live lists the endpoints that are ready.
-func (f *fleet) live() (ready []*endpoint) {
+// readyEndpoints lists the endpoints that are ready.
+func (f *fleet) readyEndpoints() (ready []*endpoint) {
 	for _, candidate := range f.endpoints {
 		if candidate.state == relay.Ready {
 			ready = append(ready, candidate)
--- a/lab/live/live.go
+++ b/lab/live/live.go
@@ -91,7 +91,7 @@
 	if err := s.start(); err != nil {
 		return Result{}, err
 	}
-	span, early := s.play(ctx, arrivals)
+	span, early := s.runLoop(ctx, arrivals)
 	return s.result(span, early), nil
 }
 
@@ -137,16 +137,16 @@
 // now returns the time since the start in seconds.
 func (s *session) now() float64 { return time.Since(s.started).Seconds() }
 
-// play is the session's loop: it sends requests that are due and counts those that have finished. It returns the time at which
-// the last request was due, and whether the context ended the replay early.
-func (s *session) play(ctx context.Context, arrivals <-chan lab.Arrival) (span float64, early bool) {
+// runLoop sends requests that are due and counts those that have finished. It returns the time at which the last request was
+// due, and whether the context ended the replay early.
+func (s *session) runLoop(ctx context.Context, arrivals <-chan lab.Arrival) (span float64, early bool) {
 	s.started = time.Now()
 	schedule := newSchedule(s.started, arrivals)
 	defer schedule.timer.Stop()
 	done := ctx.Done()
 	for schedule.hasMore() || len(s.inFlight) > 0 {
 		select {
-		case arrival, ok := <-schedule.readable():
+		case arrival, ok := <-schedule.arrivalChannel():
 			schedule.add(arrival, ok)
 		case <-schedule.timer.C:
 			if arrival, due := schedule.takeDue(s.now()); due {
--- a/lab/live/schedule.go
+++ b/lab/live/schedule.go
@@ -23,8 +23,8 @@
 
 func (s *schedule) hasMore() bool { return s.source != nil || s.hasNext }
 
-// readable returns the channel to read the next arrival from, nil while an arrival is held.
-func (s *schedule) readable() <-chan lab.Arrival {
+// arrivalChannel returns the channel to read the next arrival from, nil while an arrival is held.
+func (s *schedule) arrivalChannel() <-chan lab.Arrival {
 	if s.hasNext {
 		return nil
 	}
--- a/lab/logsummary/summary.go
+++ b/lab/logsummary/summary.go
@@ -71,7 +71,7 @@
 			s.Unparsed++
 			continue
 		}
-		if s.within(at) {
+		if s.inTimeRange(at) {
 			s.add(relay, at, kind)
 		}
 	}
@@ -81,7 +81,7 @@
 	return nil
 }
 
-func (s *Summary) within(at float64) bool {
+func (s *Summary) inTimeRange(at float64) bool {
 	return at >= s.From && (s.To <= 0 || at < s.To)
 }
 
--- a/lab/request.go
+++ b/lab/request.go
@@ -41,8 +41,8 @@
 	ran      bool // the endpoint accepted it, so it may have had its effect
 }
 
-// arrive starts a random client request, whose class is drawn by the classes' shares.
-func (r *simulatedRelay) arrive() {
+// startRandomRequest starts a random client request, whose class is drawn by the classes' shares.
+func (r *simulatedRelay) startRandomRequest() {
 	index, draw := 0, r.random.Float64()
 	for index < len(requestClasses)-1 && draw > requestClasses[index].share {
 		draw -= requestClasses[index].share
@@ -79,7 +79,7 @@
 	s.counters.weightOffered += request.weight()
 	s.checker.requestArrived(request)
 	if s.tally != nil {
-		s.tally.RequestArrived(request.counted(), r.fleet.busyFraction())
+		s.tally.RequestArrived(request.countedRequest(), r.fleet.busyFraction())
 	}
 	s.runAt(request.deadlineAt, r.whileRunning(func() { r.deadlinePassed(request) }))
 	r.step(request.Request)
@@ -95,15 +95,15 @@
 	request.ended = true
 	s.counters.disconnected++
 	if s.tally != nil {
-		s.tally.RequestEnded(request.counted(), s.now, RequestUnanswered)
+		s.tally.RequestEnded(request.countedRequest(), s.now, RequestUnanswered)
 	}
 	r.step(relay.ClientDisconnected{Request: request.ID})
 }
 
 func (q *simulatedRequest) weight() float64 { return requestClasses[q.Class].priorityWeight * q.work }
 
-// counted returns the request in the form that a tally counts.
-func (q *simulatedRequest) counted() CountedRequest {
+// countedRequest returns the request in the form that a tally counts.
+func (q *simulatedRequest) countedRequest() CountedRequest {
 	return CountedRequest{At: q.arrivedAt, Class: int(q.Class), Tenant: int(q.Tenant), Work: q.work}
 }
 
@@ -224,7 +224,7 @@
 	}
 	request.ended = true
 	if s.tally != nil {
-		s.tally.RequestEnded(request.counted(), s.now, outcome)
+		s.tally.RequestEnded(request.countedRequest(), s.now, outcome)
 	}
 	switch outcome {
 	case RequestSucceeded:
--- a/lab/scale/control.go
+++ b/lab/scale/control.go
@@ -20,7 +20,7 @@
 
 // reachesControlPlane reports whether the network connects a relay to discovery and the platform. Both are in region 0.
 func (sim *simulation) reachesControlPlane(r *fleetRelay) bool {
-	return sim.network.reaches(r.region, 0)
+	return sim.network.connected(r.region, 0)
 }
 
 // unreachableTime returns how long discovery was unreachable from a region between since and now.
@@ -58,7 +58,7 @@
 		case !sim.reachesControlPlane(p.relay.fleetRelay):
 			sim.sendAnswer(now+unreachableTimeout, p, nil)
 		case changed || now >= p.heldUntil:
-			sim.sendAnswer(now+answerDelay, p, r.answer(p.generation))
+			sim.sendAnswer(now+answerDelay, p, r.answerFor(p.generation))
 		default:
 			held = append(held, p)
 		}
@@ -83,11 +83,11 @@
 		delay, accepted := r.enqueue(now)
 		var answer *listAnswer
 		if accepted {
-			answer = r.answer(p.generation)
+			answer = r.answerFor(p.generation)
 		}
 		sim.sendAnswer(now+delay, p, answer)
 	case p.generation < r.generation:
-		sim.sendAnswer(now+answerDelay, p, r.answer(p.generation))
+		sim.sendAnswer(now+answerDelay, p, r.answerFor(p.generation))
 	default:
 		r.heldPolls = append(r.heldPolls, p)
 	}
--- a/lab/scale/discovery.go
+++ b/lab/scale/discovery.go
@@ -122,8 +122,8 @@
 	r.endpoints = kept
 }
 
-// answer returns the current answer to a relay whose list has the given generation.
-func (r *registry) answer(generation int64) *listAnswer {
+// answerFor returns the current answer to a relay whose list has the given generation.
+func (r *registry) answerFor(generation int64) *listAnswer {
 	if known := r.answers[generation]; known != nil {
 		return known
 	}
--- a/lab/scale/discovery_test.go
+++ b/lab/scale/discovery_test.go
@@ -21,7 +21,7 @@
 func TestRealReaderReadsAFullList(t *testing.T) {
 	old := oldEndpoint()
 	r := newRegistry(5, []*endpoint{old})
-	full, err := newReader().Parse(r.answer(noGeneration).body)
+	full, err := newReader().Parse(r.answerFor(noGeneration).body)
 	if err != nil || !full.Full || full.Generation != 1 || len(full.Endpoints) != 1 || full.Unreadable != 0 {
 		t.Fatalf("full list: got %+v, error %v", full, err)
 	}
@@ -49,7 +49,7 @@
 	if r.publish(4.9); r.generation != 3 || old.drainListedAt != 4.9 {
 		t.Errorf("got generation %d and drain listed at %g s, want 3 and 4.9 s", r.generation, old.drainListedAt)
 	}
-	delta, err := newReader().Parse(r.answer(1).body)
+	delta, err := newReader().Parse(r.answerFor(1).body)
 	if err != nil || delta.Full || delta.Generation != 3 || len(delta.Endpoints) != 2 {
 		t.Fatalf("changes since generation 1: got %+v, error %v", delta, err)
 	}
@@ -73,7 +73,7 @@
 	}
 	r := newRegistry(1, endpoints)
 	seen, fullLists := map[relay.EndpointID]bool{}, 0
-	for _, part := range r.answer(-1).parts() {
+	for _, part := range r.answerFor(-1).parts() {
 		list, err := newReader().Parse(part)
 		if err != nil {
 			t.Fatal(err)
--- a/lab/scale/faults.go
+++ b/lab/scale/faults.go
@@ -24,8 +24,8 @@
 	aggregatorsKilledAt = 0.4   // part of a run after which AllAggregatorsKilled kills them
 )
 
-// outage returns the start and end of the run's outages and partitions.
-func (o *Options) outage() (from, to float64) {
+// outageInterval returns the start and end of the run's outages and partitions.
+func (o *Options) outageInterval() (from, to float64) {
 	from = outageStart * o.Seconds
 	return from, math.Min(outageEnd*o.Seconds, from+maxOutage)
 }
@@ -65,7 +65,7 @@
 
 // add plans one fault. The network applies the faults of datagrams itself.
 func (p *faultPlan) add(fault Fault) {
-	from, to := p.options.outage()
+	from, to := p.options.outageInterval()
 	switch fault {
 	case RelayKills:
 		p.addPoisson(killsPerDay, p.killRandom)
@@ -105,7 +105,7 @@
 
 // addOutage plans the loss of all machines in the matching places for the time of the outage.
 func (p *faultPlan) addOutage(lost func(place) bool) {
-	from, to := p.options.outage()
+	from, to := p.options.outageInterval()
 	p.addAt(from, func(sim *simulation, now float64) { sim.loseMachines(now, to-from, lost) })
 }
 
--- a/lab/scale/faults_test.go
+++ b/lab/scale/faults_test.go
@@ -79,7 +79,7 @@
 func TestPlacesAreLostAndReturn(t *testing.T) {
 	for _, fault := range []Fault{RackLoss, ZoneLoss} {
 		o := smallOptions(Wide, func(o *Options) { o.Zones, o.Regions, o.Endpoints, o.Faults = 2, 2, 300, []Fault{fault} })
-		from, to := o.outage()
+		from, to := o.outageInterval()
 		affected := func(p place) bool { return p.zone == 0 && (fault == ZoneLoss || p.rack == 0) }
 		lost, endpoints := 0, 0
 		sim := simulateTicks(t, o, func(sim *simulation, now float64) {
--- a/lab/scale/hollow_lists.go
+++ b/lab/scale/hollow_lists.go
@@ -164,7 +164,7 @@
 			continue
 		}
 		h.checker.receiveEntry(now, e, entry.State)
-		if entry.State != relay.Ready && h.simulation.options.lacks(DrainNotices) {
+		if entry.State != relay.Ready && h.simulation.options.disables(DrainNotices) {
 			continue
 		}
 		event.Endpoints = append(event.Endpoints, entry.Endpoint)
@@ -193,7 +193,7 @@
 	}
 	if status.Valid {
 		h.checker.receiveStatus(now, status)
-		if h.simulation.options.lacks(ExposureLimit) && status.Phase == relay.PhaseCanary {
+		if h.simulation.options.disables(ExposureLimit) && status.Phase == relay.PhaseCanary {
 			status.ExposureLimit = 1
 		}
 	}
--- a/lab/scale/hollow_relay.go
+++ b/lab/scale/hollow_relay.go
@@ -104,11 +104,11 @@
 	h.requests = map[relay.RequestID]*request{}
 	h.checker.restart()
 	h.membership = nil
-	if !h.simulation.options.lacks(Leases) {
+	if !h.simulation.options.disables(Leases) {
 		h.membership = newMembershipHost(h)
 	}
 	if h.storedList == nil {
-		h.storedList = h.service.registry.answer(noGeneration)
+		h.storedList = h.service.registry.answerFor(noGeneration)
 	}
 	h.discoveryClient = discoveryClient{storedList: h.storedList, generation: noGeneration, beforeFirstList: true,
 		fetchRequested: true, polls: h.polls}
@@ -140,7 +140,7 @@
 	h.reader = nil
 	h.requests = nil
 	h.timers = timers{}
-	h.storedList = h.service.registry.answer(noGeneration)
+	h.storedList = h.service.registry.answerFor(noGeneration)
 	h.inbox, h.pollAnswers, h.statusLines = nil, nil, nil
 	h.sendQueue.clear()
 }
--- a/lab/scale/hollow_requests.go
+++ b/lab/scale/hollow_requests.go
@@ -56,8 +56,8 @@
 		work := r.work * machineKinds[e.kind].slowdown
 		h.sendQueue.slowStartAttempts = append(h.sendQueue.slowStartAttempts, slowStartAttempt{e, now, work})
 	}
-	result := e.drawResult(now, h.place, r.work, h.service.platform.defect(e.build), h.random)
-	if !h.simulation.network.reaches(h.region, e.region) {
+	result := e.drawResult(now, h.place, r.work, h.service.platform.defectOf(e.build), h.random)
+	if !h.simulation.network.connected(h.region, e.region) {
 		result = attemptResult{relay.ConnectFailed, h.service.settings.Limits.ConnectTimeout}
 	}
 	outcome, end := result.outcome, now+result.duration
--- a/lab/scale/membership_host.go
+++ b/lab/scale/membership_host.go
@@ -71,7 +71,7 @@
 // removeEndpoints passes endpoints that peers reported as removed to the decision code as draining. Without DrainNotices it
 // does nothing.
 func (m *membershipHost) removeEndpoints(now float64, removed []relay.EndpointID) {
-	if len(removed) == 0 || m.relay.simulation.options.lacks(DrainNotices) {
+	if len(removed) == 0 || m.relay.simulation.options.disables(DrainNotices) {
 		return
 	}
 	h := m.relay
--- a/lab/scale/meter.go
+++ b/lab/scale/meter.go
@@ -111,9 +111,9 @@
 	Max  float64 `json:"most"`
 }
 
-// distribute returns the weighted distribution of observations. The 99th percentile is the smallest value that at least 99 % of
-// the instances do not exceed.
-func distribute(observations []observation) Distribution {
+// distributionOf returns the weighted distribution of observations. The 99th percentile is the smallest value that at
+// least 99 % of the instances do not exceed.
+func distributionOf(observations []observation) Distribution {
 	totalWeight, sum := 0.0, 0.0
 	for _, o := range observations {
 		totalWeight += o.weight
--- a/lab/scale/network.go
+++ b/lab/scale/network.go
@@ -54,31 +54,31 @@
 	return &network{random: newRandom(o.Seed, "network", 0), options: o, regions: o.Regions}
 }
 
-// reaches reports whether connections between two regions are possible.
-func (n *network) reaches(from, to int) bool {
+// connected reports whether connections between two regions are possible.
+func (n *network) connected(from, to int) bool {
 	last := n.regions - 1
 	return !n.partitioned || (from == last) == (to == last)
 }
 
-// carries reports whether datagrams from one region arrive in another.
-func (n *network) carries(from, to int) bool {
+// deliversDatagrams reports whether datagrams from one region arrive in another.
+func (n *network) deliversDatagrams(from, to int) bool {
 	last := n.regions - 1
 	lostOneWay := n.oneWay && from == last && to != last
-	return n.reaches(from, to) && !lostOneWay
+	return n.connected(from, to) && !lostOneWay
 }
 
 // send sends a datagram to a relay. Faults may lose or duplicate it.
 func (n *network) send(d datagram, to *hollowRelay) {
-	if !n.carries(d.from.region, to.region) {
+	if !n.deliversDatagrams(d.from.region, to.region) {
 		n.counts.Partitioned++
 		return
 	}
-	if n.options.has(DatagramLoss) && n.random.Float64() < lossFraction {
+	if n.options.injects(DatagramLoss) && n.random.Float64() < lossFraction {
 		n.counts.Lost++
 		return
 	}
 	n.enqueue(d, to)
-	if n.options.has(Duplicates) && n.random.Float64() < duplicateFraction {
+	if n.options.injects(Duplicates) && n.random.Float64() < duplicateFraction {
 		n.counts.Duplicated++
 		n.enqueue(d, to)
 	}
@@ -90,7 +90,7 @@
 	if d.from.region != to.region {
 		delay = 1 + n.random.Intn(maxFarDelay)
 	}
-	if n.options.has(Reorder) && n.random.Float64() < reorderFraction {
+	if n.options.injects(Reorder) && n.random.Float64() < reorderFraction {
 		n.counts.Reordered++
 		delay += n.random.Intn(maxReorderDelay)
 	}
--- a/lab/scale/options.go
+++ b/lab/scale/options.go
@@ -171,11 +171,11 @@
 	return nil
 }
 
-// has reports whether the fault is injected into the run.
-func (o *Options) has(fault Fault) bool { return slices.Contains(o.Faults, fault) }
+// injects reports whether the fault is injected into the run.
+func (o *Options) injects(fault Fault) bool { return slices.Contains(o.Faults, fault) }
 
-// lacks reports whether the safeguard is switched off.
-func (o *Options) lacks(safeguard Safeguard) bool { return slices.Contains(o.Without, safeguard) }
+// disables reports whether the safeguard is switched off.
+func (o *Options) disables(safeguard Safeguard) bool { return slices.Contains(o.Without, safeguard) }
 
 func joinNames[Name ~string](names []Name) string {
 	words := make([]string, len(names))
--- a/lab/scale/platform.go
+++ b/lab/scale/platform.go
@@ -35,7 +35,7 @@
 	}
 }
 
-func (p *platform) defect(build relay.Build) defect { return p.defects[build] }
+func (p *platform) defectOf(build relay.Build) defect { return p.defects[build] }
 
 // advance applies the changes that are due, and reports whether the rollout status has to be sent.
 func (p *platform) advance(now float64) bool {
@@ -110,7 +110,7 @@
 		p.lastEndpointNumber++
 		name := fmt.Sprintf("s%d-b%d-%d", p.service.index, p.status.Build, p.lastEndpointNumber)
 		kind := p.lastEndpointNumber % len(machineKinds)
-		p.service.add(now, newEndpoint(name, p.placer.place(), kind, p.status.Build, now))
+		p.service.add(now, newEndpoint(name, p.placer.nextPlace(), kind, p.status.Build, now))
 	}
 }
 
--- a/lab/scale/role.go
+++ b/lab/scale/role.go
@@ -58,7 +58,7 @@
 	}
 	heaps := measureHeaps(instances)
 	role.HeapsMeasured = len(heaps)
-	role.HeapMB = distribute(heaps)
+	role.HeapMB = distributionOf(heaps)
 	return role
 }
 
@@ -69,7 +69,7 @@
 func (p rolePopulation) size() float64 {
 	size := 0.0
 	for _, h := range p {
-		size += h.represents()
+		size += h.representedRelays()
 	}
 	return size
 }
@@ -78,9 +78,9 @@
 func (p rolePopulation) distribution(figure func(m *meter) float64) Distribution {
 	observations := make([]observation, len(p))
 	for i, h := range p {
-		observations[i] = observation{figure(&h.meter), h.represents()}
+		observations[i] = observation{figure(&h.meter), h.representedRelays()}
 	}
-	return distribute(observations)
+	return distributionOf(observations)
 }
 
 // rate returns the weighted distribution of a figure per second during which an instance ran.
@@ -107,8 +107,8 @@
 	}
 }
 
-// represents returns how many relays of the fleet the instance represents.
-func (h *hollowRelay) represents() float64 { return h.weight * h.service.weight }
+// representedRelays returns how many relays of the fleet the instance represents.
+func (h *hollowRelay) representedRelays() float64 { return h.weight * h.service.weight }
 
 // measureHeaps returns the heap of some instances in MB. It discards their state machines one by one and measures the memory
 // that garbage collection frees. The instances have to be sorted by size of the service, so that the measured ones are spread
--- a/lab/scale/scale_test.go
+++ b/lab/scale/scale_test.go
@@ -134,7 +134,7 @@
 	represented := 0.0
 	for _, h := range sim.hollowRelays {
 		if h != nil {
-			represented += h.represents()
+			represented += h.representedRelays()
 		}
 	}
 	if math.Abs(represented-430) > 1e-6 {
@@ -184,13 +184,13 @@
 	for i := 1; i <= 100; i++ {
 		observations = append(observations, observation{float64(i), 1})
 	}
-	if d := distribute(observations); d != (Distribution{50.5, 99, 100}) {
+	if d := distributionOf(observations); d != (Distribution{50.5, 99, 100}) {
 		t.Errorf("values 1 to 100: %+v", d)
 	}
-	if d := distribute([]observation{{10, 1}, {1, 199}}); d != (Distribution{(10 + 199) / 200.0, 1, 10}) {
+	if d := distributionOf([]observation{{10, 1}, {1, 199}}); d != (Distribution{(10 + 199) / 200.0, 1, 10}) {
 		t.Errorf("weighted values: %+v", d)
 	}
-	if d := distribute(nil); d != (Distribution{}) {
+	if d := distributionOf(nil); d != (Distribution{}) {
 		t.Errorf("no values: %+v", d)
 	}
 }
--- a/lab/scale/service.go
+++ b/lab/scale/service.go
@@ -34,7 +34,7 @@
 	s.endpointsBetweenReleases = max(1, int(float64(size.endpoints)/(1+canaryShare))) // leaves room for the canary's endpoints
 	for i := range s.endpointsBetweenReleases {
 		name := fmt.Sprintf("s%d-u%d", index, i)
-		e := newEndpoint(name, p.place(), i%len(machineKinds), 1, -initialUptime)
+		e := newEndpoint(name, p.nextPlace(), i%len(machineKinds), 1, -initialUptime)
 		s.endpoints = append(s.endpoints, e)
 		s.byID[e.id] = e
 	}
@@ -140,7 +140,7 @@
 	var aggregators []*fleetRelay
 	for _, r := range s.relays {
 		lost := !r.alive && now-r.downSince > aggregatorTimeout
-		if lost || !n.carries(r.region, region) {
+		if lost || !n.deliversDatagrams(r.region, region) {
 			continue
 		}
 		aggregators = append(aggregators, r)
--- a/lab/scale/simulation.go
+++ b/lab/scale/simulation.go
@@ -86,7 +86,7 @@
 	others := relays - first
 	sampled := sample.hostedRelays(relays) - first
 	for number := range relays {
-		added := &fleetRelay{index: len(sim.relays), service: s, number: relay.ID(number), place: p.place(), alive: true, weight: 1}
+		added := &fleetRelay{index: len(sim.relays), service: s, number: relay.ID(number), place: p.nextPlace(), alive: true, weight: 1}
 		s.relays = append(s.relays, added)
 		sim.relays = append(sim.relays, added)
 		if i := number - first; i >= 0 {
--- a/lab/scale/synthetic_relay.go
+++ b/lab/scale/synthetic_relay.go
@@ -107,7 +107,7 @@
 	class := drawClass(s.random)
 	kind := &requestKinds[class]
 	work := kind.drawWork(s.random)
-	result := e.drawResult(now, s.place, work, s.service.platform.defect(e.build), s.random)
+	result := e.drawResult(now, s.place, work, s.service.platform.defectOf(e.build), s.random)
 	observed := peerwire.Observation{
 		Endpoint: peerwire.HashOf(e.id),
 		Class:    relay.RequestClass(class),
--- a/lab/scale/topology.go
+++ b/lab/scale/topology.go
@@ -29,8 +29,8 @@
 	return &placer{regions: regions, machinesInZone: make([]int, zones)}
 }
 
-// place returns the place of the next machine.
-func (p *placer) place() place {
+// nextPlace returns the place of the next machine.
+func (p *placer) nextPlace() place {
 	zone := p.next % len(p.machinesInZone)
 	p.next++
 	rack := p.machinesInZone[zone] / machinesPerRack
@@ -38,8 +38,8 @@
 	return place{zone, zone % p.regions, rack}
 }
 
-// apportion splits a total into count shares by Zipf's law, each at least one. It uses the largest remainder method.
-func apportion(total, count int) []int {
+// splitByZipf splits a total into count shares by Zipf's law, each at least one. It uses the largest remainder method.
+func splitByZipf(total, count int) []int {
 	weights := make([]float64, count)
 	weightSum := 0.0
 	for i := range weights {
@@ -77,8 +77,8 @@
 	if o.Shape == Wide {
 		return []serviceSize{{o.Relays, o.Endpoints, o.Tenants, o.Routes, o.Rate}}
 	}
-	relays := apportion(o.Relays, o.Services)
-	endpoints := apportion(o.Endpoints, o.Services)
+	relays := splitByZipf(o.Relays, o.Services)
+	endpoints := splitByZipf(o.Endpoints, o.Services)
 	sizes := make([]serviceSize, o.Services)
 	for i := range sizes {
 		sizes[i] = serviceSize{
--- a/lab/scale/topology_test.go
+++ b/lab/scale/topology_test.go
@@ -7,12 +7,12 @@
 )
 
 func TestApportionByZipf(t *testing.T) {
-	if got := apportion(20, 4); !slices.Equal(got, []int{9, 5, 3, 3}) {
+	if got := splitByZipf(20, 4); !slices.Equal(got, []int{9, 5, 3, 3}) {
 		// One each, and 16 in proportion to 12/25, 6/25, 4/25 and 3/25: 7.68, 3.84, 2.56 and 1.92.
 		t.Errorf("shares of 20: got %v, want [9 5 3 3]", got)
 	}
 	for _, c := range [][2]int{{4300, 2100}, {42000, 2100}, {21, 21}} {
-		got, sum := apportion(c[0], c[1]), 0
+		got, sum := splitByZipf(c[0], c[1]), 0
 		for _, n := range got {
 			sum += n
 		}
@@ -25,7 +25,7 @@
 func TestPlacesFillZonesEvenly(t *testing.T) {
 	p, zones, racks := newPlacer(4, 2), map[int]int{}, map[place]int{}
 	for range 4 * machinesPerRack * 2 {
-		at := p.place()
+		at := p.nextPlace()
 		if at.region != at.zone%2 {
 			t.Fatalf("zone is in the wrong region: %+v", at)
 		}
--- a/lab/shapes.go
+++ b/lab/shapes.go
@@ -136,8 +136,8 @@
 	return task
 }
 
-// at returns the task's event of the given kind at the given time.
-func (e taskEvent) at(time float64, kind int) taskEvent {
+// eventAt returns the task's event of the given kind at the given time.
+func (e taskEvent) eventAt(time float64, kind int) taskEvent {
 	e.time, e.kind = time, kind
 	return e
 }
@@ -176,8 +176,8 @@
 		jobs++
 		duration := math.Min(minDuration*math.Pow(s.random.Float64(), -1/paretoIndex), maxDuration)
 		task := s.newTask(jobs)
-		events = append(events, task.at(at, taskSubmitted), task.at(at+scheduleDelay, taskScheduled),
-			task.at(at+scheduleDelay+duration, taskFinished))
+		events = append(events, task.eventAt(at, taskSubmitted), task.eventAt(at+scheduleDelay, taskScheduled),
+			task.eventAt(at+scheduleDelay+duration, taskFinished))
 	})
 	s.writeTaskEvents(events)
 }
@@ -191,7 +191,7 @@
 // failingFraction is the fraction of the machines that fail together.
 const failingFraction = 1.0 / 8
 
-func (f machineFailure) hits(task taskEvent, at float64) bool {
+func (f machineFailure) affects(task taskEvent, at float64) bool {
 	position := float64(task.machine) / machines
 	return at >= f.from && at < f.to && position >= f.firstMachine && position < f.firstMachine+failingFraction
 }
@@ -216,17 +216,17 @@
 		jobs++
 		task := s.newTask(jobs)
 		duration := 4 + 14*s.random.Float64()
-		events = append(events, task.at(at, taskSubmitted), task.at(at+scheduleDelay, taskScheduled))
+		events = append(events, task.eventAt(at, taskSubmitted), task.eventAt(at+scheduleDelay, taskScheduled))
 		for _, failure := range failures {
-			if !failure.hits(task, at) {
+			if !failure.affects(task, at) {
 				continue
 			}
-			events = append(events, task.at(at+failAfter, taskFailed))
+			events = append(events, task.eventAt(at+failAfter, taskFailed))
 			task.machine = (task.machine + machines/2) % machines
-			events = append(events, task.at(at+resubmitAfter, taskSubmitted), task.at(at+rescheduleTime, taskScheduled))
+			events = append(events, task.eventAt(at+resubmitAfter, taskSubmitted), task.eventAt(at+rescheduleTime, taskScheduled))
 			at += rescheduleTime
 		}
-		events = append(events, task.at(at+duration, taskFinished))
+		events = append(events, task.eventAt(at+duration, taskFinished))
 	})
 	s.writeTaskEvents(events)
 }
--- a/lab/slope/slope_test.go
+++ b/lab/slope/slope_test.go
@@ -41,15 +41,15 @@
 	}
 }
 
-func near(got, want float64) bool { return math.Abs(got-want) <= 1e-9*math.Abs(want) }
+func approxEqual(got, want float64) bool { return math.Abs(got-want) <= 1e-9*math.Abs(want) }
 
 func TestLine(t *testing.T) {
 	all, _ := Read(strings.NewReader(output), "units", "ns/op")
 	f, err := FitSamples(Line, all[0].Samples)
-	if err != nil || !near(f.A, 200) || !near(f.B, 10) || f.Sizes != 4 || f.MinSize != 100 || f.MaxSize != 800 || f.Residual > 1e-9 {
+	if err != nil || !approxEqual(f.A, 200) || !approxEqual(f.B, 10) || f.Sizes != 4 || f.MinSize != 100 || f.MaxSize != 800 || f.Residual > 1e-9 {
 		t.Fatalf("%+v %v", f, err)
 	}
-	if !near(f.ValueAt(1600), 16200) || !near(f.SizeAt(5200), 500) || f.SizeAt(100) != 0 || f.ExtrapolationFactor(1600) != 2 || f.ExtrapolationFactor(50) != 1 {
+	if !approxEqual(f.ValueAt(1600), 16200) || !approxEqual(f.SizeAt(5200), 500) || f.SizeAt(100) != 0 || f.ExtrapolationFactor(1600) != 2 || f.ExtrapolationFactor(50) != 1 {
 		t.Errorf("value at 1600 is %v, size at 5200 is %v, size at 100 is %v", f.ValueAt(1600), f.SizeAt(5200), f.SizeAt(100))
 	}
 	if got := all[0].Within(200, 400); len(got) != 5 || got[0] != (Sample{200, 2100}) {
@@ -74,7 +74,7 @@
 		samples = append(samples, Sample{n, 3 * n * n})
 	}
 	f, err := FitSamples(Power, samples)
-	if err != nil || !near(f.A, 3) || !near(f.B, 2) || !near(f.ValueAt(100), 30000) || !near(f.SizeAt(30000), 100) {
+	if err != nil || !approxEqual(f.A, 3) || !approxEqual(f.B, 2) || !approxEqual(f.ValueAt(100), 30000) || !approxEqual(f.SizeAt(30000), 100) {
 		t.Errorf("%+v %v", f, err)
 	}
 	if f.Formula("n") != "3 n^2.000" {
--- a/lab/tail.go
+++ b/lab/tail.go
@@ -12,11 +12,11 @@
 
 // Weights of the terms of a replay's score: served fractions, and the tail metric.
 const (
-	allWeight          = 0.3 // all requests
-	worstStretchWeight = 0.2 // the worst stretch
-	worstClassWeight   = 0.2 // the worst class
-	worstTenantWeight  = 0.1 // the worst tenant
-	tailWeight         = 0.2 // the tail
+	allWeight           = 0.3 // all requests
+	worstIntervalWeight = 0.2 // the worst interval of 10 s
+	worstClassWeight    = 0.2 // the worst class
+	worstTenantWeight   = 0.1 // the worst tenant
+	tailWeight          = 0.2 // the tail
 )
 
 // tailCell counts the requests of a class that arrived within one cell of time.
@@ -90,6 +90,6 @@
 			worstTenant = min(worstTenant, share.ServedFraction)
 		}
 	}
-	return allWeight*r.All.ServedFraction + worstStretchWeight*r.Worst10 + worstClassWeight*worstClass +
+	return allWeight*r.All.ServedFraction + worstIntervalWeight*r.Worst10 + worstClassWeight*worstClass +
 		worstTenantWeight*worstTenant + tailWeight*r.Tail
 }
--- a/lab/tally.go
+++ b/lab/tally.go
@@ -36,7 +36,7 @@
 	All                Share              `json:"all"`
 	Classes            map[string]Share   `json:"categories"`
 	Tenants            map[string]Share   `json:"customers"`
-	Worst10            float64            `json:"worst_10s"` // lowest served fraction of any stretch of 10 s
+	Worst10            float64            `json:"worst_10s"` // lowest served fraction of any interval of 10 s
 	Tail               float64            `json:"tail"`      // fraction of the weight that the tail metric counts
 	Score              float64            `json:"figure"`    // weighted sum of the served fractions, before any deductions
 	CrossSiteAttempts  int                `json:"crossings"` // attempts to the other site
@@ -52,12 +52,12 @@
 	series *series
 }
 
-// Parameters of the worst stretch, and the unit of latencies.
+// Parameters of the worst interval, and the unit of latencies.
 const (
-	worstStretch       = 10.0 // s
-	minStretchRequests = 20   // a stretch with fewer requests does not count
-	microsPerSecond    = 1e6  // latencies are kept in microseconds
-	maxLatencyMicros   = 60e6 // highest latency that is recorded
+	worstIntervalSeconds = 10.0 // length of an interval in which the served fraction is measured
+	minIntervalRequests  = 20   // an interval with fewer requests does not count
+	microsPerSecond      = 1e6  // latencies are kept in microseconds
+	maxLatencyMicros     = 60e6 // highest latency that is recorded
 )
 
 // latencyQuantiles are the quantiles in a result, in percent, by name.
@@ -87,37 +87,37 @@
 // weight returns the priority weight of the request.
 func (r *CountedRequest) weight() float64 { return r.class().priorityWeight * r.Work }
 
-// stretch returns the index of the stretch in which the request was to be sent.
-func (r *CountedRequest) stretch() int64 { return int64(r.At / worstStretch) }
+// intervalIndex returns the index of the interval in which the request was to be sent.
+func (r *CountedRequest) intervalIndex() int64 { return int64(r.At / worstIntervalSeconds) }
 
 // Tally counts the requests of a replay, in virtual time or over sockets. Priority weight is offered when a request arrives;
 // it is served if the request succeeds within its latency objective, from the time at which it was to be sent.
 type Tally struct {
-	all          Share
-	classes      []Share
-	tenants      []Share
-	tenantNames  []string
-	stretch      Share // the current one
-	stretchIndex int64
-	worst        float64 // lowest fraction served in a stretch
-	latency      *hdrhistogram.Histogram
-	tail         tail
-	series       series
-	rejected     int
-	failed       int
-	unanswered   int
+	all           Share
+	classes       []Share
+	tenants       []Share
+	tenantNames   []string
+	interval      Share // the current one
+	intervalIndex int64
+	worstFraction float64 // lowest fraction served in an interval
+	latency       *hdrhistogram.Histogram
+	tail          tail
+	series        series
+	rejected      int
+	failed        int
+	unanswered    int
 }
 
 // NewTally returns an empty tally of requests by the given tenants, and by one without a group.
 func NewTally(tenants []string) *Tally {
 	return &Tally{
-		classes:     make([]Share, len(requestClasses)),
-		tenants:     make([]Share, len(tenants)+1),
-		tenantNames: tenants,
-		worst:       1,
-		latency:     hdrhistogram.New(1, maxLatencyMicros, 3),
-		tail:        tail{cells: make([][openTailCells]tailCell, len(requestClasses))},
-		series:      series{width: 1},
+		classes:       make([]Share, len(requestClasses)),
+		tenants:       make([]Share, len(tenants)+1),
+		tenantNames:   tenants,
+		worstFraction: 1,
+		latency:       hdrhistogram.New(1, maxLatencyMicros, 3),
+		tail:          tail{cells: make([][openTailCells]tailCell, len(requestClasses))},
+		series:        series{width: 1},
 	}
 }
 
@@ -127,11 +127,11 @@
 	point := t.series.pointAt(request.At)
 	point.arrived++
 	point.busy += busy
-	if index := request.stretch(); index != t.stretchIndex {
-		t.endStretch()
-		t.stretchIndex = index
+	if index := request.intervalIndex(); index != t.intervalIndex {
+		t.endInterval()
+		t.intervalIndex = index
 	}
-	for _, share := range []*Share{&t.all, &t.classes[request.Class], &t.tenants[request.Tenant], &t.stretch} {
+	for _, share := range []*Share{&t.all, &t.classes[request.Class], &t.tenants[request.Tenant], &t.interval} {
 		share.Requests++
 		share.add(weight, 0)
 	}
@@ -141,12 +141,12 @@
 	}
 }
 
-// endStretch ends the current stretch.
-func (t *Tally) endStretch() {
-	if t.stretch.Requests >= minStretchRequests {
-		t.worst = math.Min(t.worst, t.stretch.WeightServed/t.stretch.WeightOffered)
+// endInterval ends the current interval.
+func (t *Tally) endInterval() {
+	if t.interval.Requests >= minIntervalRequests {
+		t.worstFraction = math.Min(t.worstFraction, t.interval.WeightServed/t.interval.WeightOffered)
 	}
-	t.stretch = Share{}
+	t.interval = Share{}
 }
 
 // RequestEnded counts the end of a request.
@@ -186,7 +186,7 @@
 	_ = t.latency.RecordValue(micros)         // likewise
 }
 
-// servedInTime counts the weight of a request that succeeded in time. If its stretch is over by then, its weight is not
+// servedInTime counts the weight of a request that succeeded in time. If its interval is over by then, its weight is not
 // counted there.
 func (t *Tally) servedInTime(request CountedRequest, cell *tailCell) {
 	weight := request.weight()
@@ -197,19 +197,19 @@
 	t.all.add(0, weight)
 	t.classes[request.Class].add(0, weight)
 	t.tenants[request.Tenant].add(0, weight)
-	if request.stretch() == t.stretchIndex {
-		t.stretch.add(0, weight)
+	if request.intervalIndex() == t.intervalIndex {
+		t.interval.add(0, weight)
 	}
 }
 
 // Result ends the tally and returns its part of the result. No request may be counted after that.
 func (t *Tally) Result() ReplayResult {
-	t.endStretch()
+	t.endInterval()
 	result := ReplayResult{
 		All:        t.all.withFraction(),
 		Classes:    map[string]Share{},
 		Tenants:    map[string]Share{},
-		Worst10:    t.worst,
+		Worst10:    t.worstFraction,
 		Tail:       t.tail.fraction(),
 		Rejected:   t.rejected,
 		Failed:     t.failed,
--- a/lab/traffic.go
+++ b/lab/traffic.go
@@ -182,7 +182,7 @@
 	for _, candidate := range f.relays {
 		if pick -= candidate.weight; pick < 0 {
 			if candidate.alive {
-				candidate.arrive()
+				candidate.startRandomRequest()
 			}
 			return
 		}
@@ -191,7 +191,7 @@
 
 // pauseAny pauses a random endpoint for up to half a second.
 func (f *fleet) pauseAny() {
-	if live := f.live(); len(live) > 0 {
+	if live := f.readyEndpoints(); len(live) > 0 {
 		live[f.random.Intn(len(live))].pause(uniform(f.random, 0.1, 0.5))
 	}
 }
