--- a/cmd/lichenroad/compare.go
+++ b/cmd/lichenroad/compare.go
@@ -28,11 +28,11 @@
 	c.RunE = func(_ *cobra.Command, args []string) error {
 		first, err := readRuns(args[0])
 		if err != nil {
-			return failed(err)
+			return withExitFailed(err)
 		}
 		second, err := readRuns(args[1])
 		if err != nil {
-			return failed(err)
+			return withExitFailed(err)
 		}
 		return t.printComparison(first, second, options)
 	}
@@ -43,7 +43,7 @@
 func (t *tool) printComparison(first, second []experiment.Run, options experiment.Options) error {
 	comparisons, err := experiment.Compare(first, second, options)
 	if err != nil {
-		return failed(err)
+		return withExitFailed(err)
 	}
 	table := t.newTable()
 	printf(table, "FIGURE\tSEEDS\tFIRST\tTHIS\tDIFFERENCE\t%g%% INTERVAL\tVERDICT\n", 100*options.Confidence)
--- a/cmd/lichenroad/controller.go
+++ b/cmd/lichenroad/controller.go
@@ -57,7 +57,7 @@
 	c.RunE = func(*cobra.Command, []string) error {
 		releases, err := planxml.Load(*file)
 		if err != nil {
-			return failed(err)
+			return withExitFailed(err)
 		}
 		log, _, flush, err := t.logger()
 		if err != nil {
@@ -77,14 +77,14 @@
 				}
 			}()
 		}
-		return failed(releasecontroller.Start(ctx, releasecontroller.Options{Plan: releases, Dir: *dir, ControlAddress: *address, Log: log,
+		return withExitFailed(releasecontroller.Start(ctx, releasecontroller.Options{Plan: releases, Dir: *dir, ControlAddress: *address, Log: log,
 			Ready: ready}))
 	}
 	return c
 }
 
-// operator returns the name of the user who runs the command: the default of --who.
-func operator() string {
+// operatorName returns the name of the user who runs the command: the default of --who.
+func operatorName() string {
 	if u, err := user.Current(); err == nil {
 		return u.Username
 	}
@@ -109,7 +109,7 @@
 func (t *tool) operatorCommand(dir *string, use, short string, fill fillRequest) *cobra.Command {
 	c := &cobra.Command{Use: use, Short: short, Args: cobra.ExactArgs(countArgs(use))}
 	request := releasecontroller.Request{Verb: releasecontroller.Verb(c.Name())}
-	c.Flags().StringVar(&request.Actor, "who", operator(), "the operator, for the journal")
+	c.Flags().StringVar(&request.Actor, "who", operatorName(), "the operator, for the journal")
 	c.Flags().StringVar(&request.Reason, "why", "", "the reason, for the journal")
 	markRequired(c.MarkFlagRequired("why"))
 	c.RunE = func(c *cobra.Command, args []string) error {
@@ -118,7 +118,7 @@
 		}
 		reply, err := releasecontroller.Call(c.Context(), *dir, request)
 		if err != nil {
-			return failed(err)
+			return withExitFailed(err)
 		}
 		return t.printStatus(reply)
 	}
@@ -159,12 +159,12 @@
 	c.RunE = func(c *cobra.Command, _ []string) error {
 		reply, err := releasecontroller.Call(c.Context(), *dir, releasecontroller.Request{Verb: releasecontroller.VerbStatus})
 		if err != nil {
-			return failed(err)
+			return withExitFailed(err)
 		}
 		if *asJSON {
 			encoder := json.NewEncoder(t.stdout)
 			encoder.SetIndent("", "  ")
-			return failed(encoder.Encode(reply))
+			return withExitFailed(encoder.Encode(reply))
 		}
 		return t.printStatus(reply)
 	}
@@ -182,7 +182,7 @@
 		}
 		events, err := releasecontroller.History(*dir, *votes, *last)
 		if err != nil {
-			return failed(err)
+			return withExitFailed(err)
 		}
 		for _, e := range events {
 			if !*asJSON {
@@ -190,7 +190,7 @@
 				continue
 			}
 			if err := json.NewEncoder(t.stdout).Encode(e); err != nil {
-				return failed(err)
+				return withExitFailed(err)
 			}
 		}
 		return nil
--- a/cmd/lichenroad/controllertext.go
+++ b/cmd/lichenroad/controllertext.go
@@ -28,7 +28,7 @@
 			s.PromoteVotes, s.PromoteVotesNeeded, s.RollBackVotes, s.RollBackVotesNeeded, nextBuildText(s), waitsForText(s))
 	}
 	if err := table.Flush(); err != nil {
-		return failed(err)
+		return withExitFailed(err)
 	}
 	for _, f := range reply.Freezes {
 		until := "until it is thawed"
--- a/cmd/lichenroad/exit.go
+++ b/cmd/lichenroad/exit.go
@@ -37,8 +37,9 @@
 // Unwrap returns the wrapped error.
 func (e exitError) Unwrap() error { return e.err }
 
-// failed gives an error the exit code exitFailed: the command line is valid, but carrying it out failed. nil stays nil.
-func failed(err error) error {
+// withExitFailed gives an error the exit code exitFailed: the command line is valid, but carrying it out failed. nil stays
+// nil.
+func withExitFailed(err error) error {
 	if err == nil {
 		return nil
 	}
--- a/cmd/lichenroad/fit.go
+++ b/cmd/lichenroad/fit.go
@@ -42,12 +42,12 @@
 		}
 		series, err := flags.read(args[0])
 		if err != nil {
-			return failed(err)
+			return withExitFailed(err)
 		}
 		for _, s := range series {
 			s.Samples = s.Within(flags.from, flags.to)
 			if err := t.printFit(s, &flags); err != nil {
-				return failed(fmt.Errorf("%s: %w", s.Name, err))
+				return withExitFailed(fmt.Errorf("%s: %w", s.Name, err))
 			}
 		}
 		return nil
--- a/cmd/lichenroad/interleaving_test.go
+++ b/cmd/lichenroad/interleaving_test.go
@@ -94,8 +94,8 @@
 	return len(e.conns)
 }
 
-// allow closes the channels of steps that are not closed yet.
-func allow(steps ...chan struct{}) {
+// allowSteps closes the channels of steps that are not closed yet.
+func allowSteps(steps ...chan struct{}) {
 	for _, c := range steps {
 		select {
 		case <-c:
@@ -128,8 +128,8 @@
 	}
 }
 
-// ran returns how many statements both endpoints have run.
-func (x *interleaving) ran() int {
+// statementsRun returns how many statements both endpoints have run.
+func (x *interleaving) statementsRun() int {
 	return x.a.statements() + x.b.statements()
 }
 
@@ -148,21 +148,21 @@
 		x.waitFor("a connection", func() bool { return x.a.connections()+x.b.connections() > 0 })
 	}},
 	{"sent", func(x *interleaving) {
-		allow(x.a.mayAccept, x.b.mayAccept)
+		allowSteps(x.a.mayAccept, x.b.mayAccept)
 		x.c.Write(x.request)
-		x.waitFor("the statement", func() bool { return x.ran() == 1 })
+		x.waitFor("the statement", func() bool { return x.statementsRun() == 1 })
 	}},
 	{"partly answered", func(x *interleaving) {
-		allow(x.a.mayAccept, x.b.mayAccept, x.a.mayBegin, x.b.mayBegin)
+		allowSteps(x.a.mayAccept, x.b.mayAccept, x.a.mayBegin, x.b.mayBegin)
 		x.c.Write(x.request)
-		x.waitFor("the statement", func() bool { return x.ran() == 1 })
+		x.waitFor("the statement", func() bool { return x.statementsRun() == 1 })
 	}},
 	{"retried", func(x *interleaving) {
 		x.a.rejections.Store(1)
-		allow(x.a.mayAccept, x.b.mayAccept)
+		allowSteps(x.a.mayAccept, x.b.mayAccept)
 		x.c.Write(x.request)
 		waitForCounter(x.T, x.p, metrics.AttemptRejected, 1)
-		x.waitFor("the statement", func() bool { return x.ran() == 1 })
+		x.waitFor("the statement", func() bool { return x.statementsRun() == 1 })
 	}},
 }
 
@@ -200,7 +200,7 @@
 		}
 	}},
 	{"answer", func(x *interleaving) {
-		allow(x.a.mayAccept, x.b.mayAccept, x.a.mayBegin, x.b.mayBegin, x.a.mayFinish, x.b.mayFinish)
+		allowSteps(x.a.mayAccept, x.b.mayAccept, x.a.mayBegin, x.b.mayBegin, x.a.mayFinish, x.b.mayFinish)
 	}},
 }
 
@@ -237,7 +237,7 @@
 	begin := time.Now()
 	trigger(x)
 	ranAtA := x.a.statements()
-	ranBefore := x.ran()
+	ranBefore := x.statementsRun()
 	if x.unsent != nil && !x.clientLeft {
 		begin = time.Now()
 		x.c.Write(x.unsent)
@@ -245,17 +245,17 @@
 	if x.clientLeft {
 		x.waitFor("the end of the client's connection", func() bool { return x.p.loop.Metrics.Get(metrics.ClientConnsOpen) == 0 })
 		waitForCounter(t, x.p, metrics.Open, 0)
-		ranBefore = x.ran()
+		ranBefore = x.statementsRun()
 	}
-	allow(x.a.mayAccept, x.b.mayAccept)
+	allowSteps(x.a.mayAccept, x.b.mayAccept)
 	x.waitFor("a statement at an endpoint, or the end of the request", func() bool {
-		return x.ran() > 0 || x.p.loop.Metrics.Get(metrics.Open) == 0
+		return x.statementsRun() > 0 || x.p.loop.Metrics.Get(metrics.Open) == 0
 	})
-	allow(x.a.mayBegin, x.b.mayBegin, x.a.mayFinish, x.b.mayFinish)
+	allowSteps(x.a.mayBegin, x.b.mayBegin, x.a.mayFinish, x.b.mayFinish)
 	if x.clientLeft {
 		waitForCounter(t, x.p, metrics.AttemptsOpen, 0)
-		if x.ran() != ranBefore {
-			t.Errorf("%d statements sent after the client had disconnected", x.ran()-ranBefore)
+		if x.statementsRun() != ranBefore {
+			t.Errorf("%d statements sent after the client had disconnected", x.statementsRun()-ranBefore)
 		}
 	} else {
 		value, code := x.c.readResponse()
@@ -270,7 +270,7 @@
 			t.Errorf("unexpected message after the response: %c %q", kind, body)
 		}
 	}
-	if ran := x.ran(); class == "pay" && ran > 1 {
+	if ran := x.statementsRun(); class == "pay" && ran > 1 {
 		t.Errorf("an at-most-once request ran %d times", ran)
 	}
 	if after := x.a.statements(); x.notifiedDraining && after != ranAtA {
--- a/cmd/lichenroad/lab.go
+++ b/cmd/lichenroad/lab.go
@@ -34,16 +34,16 @@
 	c.RunE = func(*cobra.Command, []string) error {
 		self, err := os.Executable()
 		if err != nil {
-			return failed(err)
+			return withExitFailed(err)
 		}
 		if err := os.RemoveAll(*dir + "/desk"); err != nil { // the release controller's state of an earlier demonstration
-			return failed(err)
+			return withExitFailed(err)
 		}
 		ctx, cancel := untilSignal()
 		defer cancel()
 		r, err := demo.Run(ctx, demo.Options{Executable: self, Dir: *dir, Out: t.stdout, Timeout: demoTimeout})
 		if err != nil {
-			return failed(err)
+			return withExitFailed(err)
 		}
 		printf(t.stdout, "%d queries: %d honoured, %d denied, %d failed; %d legs at builds on trial, at most %.2f of any allowance\n",
 			r.Requests, r.Succeeded, r.Rejected, r.Failed, r.CanaryAttempts, r.MaxExposureUse)
@@ -72,11 +72,11 @@
 	c.RunE = func(_ *cobra.Command, args []string) error {
 		names, err := filepath.Glob(filepath.Join(args[0], "*.log"))
 		if err != nil || len(names) == 0 {
-			return failed(fmt.Errorf("%s: no *.log files", args[0]))
+			return withExitFailed(fmt.Errorf("%s: no *.log files", args[0]))
 		}
 		for _, name := range names {
-			if err := summarize(summary, name); err != nil {
-				return failed(err)
+			if err := addLogFile(summary, name); err != nil {
+				return withExitFailed(err)
 			}
 		}
 		printf(t.stdout, "%d relays, %d lines that are none of a relay's\n%8s %7s %9s %9s %9s %6s  %s\n", summary.Relays(), summary.Unparsed,
@@ -89,8 +89,8 @@
 	return c
 }
 
-// summarize adds the lines of one log file to the summary.
-func summarize(summary *logsummary.Summary, name string) error {
+// addLogFile adds the lines of one log file to the summary.
+func addLogFile(summary *logsummary.Summary, name string) error {
 	file, err := os.Open(name)
 	if err != nil {
 		return err
@@ -119,7 +119,7 @@
 		if err := lab.WriteShape(&content, args[0], *span, *rate, *seed); err != nil {
 			return err
 		}
-		return failed(lab.WriteFile(args[1], content.Bytes()))
+		return withExitFailed(lab.WriteFile(args[1], content.Bytes()))
 	}
 	return c
 }
@@ -140,7 +140,7 @@
 		}
 		listener, err := net.Listen("tcp", *listen)
 		if err != nil {
-			return failed(err)
+			return withExitFailed(err)
 		}
 		ctx, cancel := untilSignal()
 		defer cancel()
@@ -150,7 +150,7 @@
 		}()
 		planner.QueryLog = t.stdout
 		if err := planner.Serve(listener); ctx.Err() == nil {
-			return failed(err)
+			return withExitFailed(err)
 		}
 		return nil
 	}
--- a/cmd/lichenroad/plan.go
+++ b/cmd/lichenroad/plan.go
@@ -22,7 +22,7 @@
 	c.RunE = func(_ *cobra.Command, args []string) error {
 		p, err := planxml.Load(args[0])
 		if err != nil {
-			return failed(err)
+			return withExitFailed(err)
 		}
 		steps := 0
 		for _, s := range p.Services {
@@ -48,13 +48,13 @@
 		}
 		p, err := planxml.Load(args[0])
 		if err != nil {
-			return failed(err)
+			return withExitFailed(err)
 		}
 		if err := t.printSteps(p); err != nil {
-			return failed(err)
+			return withExitFailed(err)
 		}
 		printf(t.stdout, "\nat %s:\n", when.UTC().Format(time.RFC3339))
-		return failed(t.printFreezes(p, when))
+		return withExitFailed(t.printFreezes(p, when))
 	}
 	return c
 }
--- a/cmd/lichenroad/progress.go
+++ b/cmd/lichenroad/progress.go
@@ -49,5 +49,5 @@
 	if err == nil {
 		err = lab.WriteFile(name, append(content, '\n'))
 	}
-	return failed(err)
+	return withExitFailed(err)
 }
--- a/cmd/lichenroad/relay.go
+++ b/cmd/lichenroad/relay.go
@@ -21,7 +21,7 @@
 	c.RunE = func(*cobra.Command, []string) error {
 		got, err := config.Load(*path, t.getenv)
 		if err != nil {
-			return failed(err)
+			return withExitFailed(err)
 		}
 		printf(t.stdout, "ok: %s listens on %s\n", got.Name, got.Listen)
 		return nil
@@ -40,11 +40,11 @@
 	c.RunE = func(*cobra.Command, []string) error {
 		got, err := config.Load(*path, t.getenv)
 		if err != nil {
-			return failed(err)
+			return withExitFailed(err)
 		}
 		if releases.path != "" {
 			if releases.plan, err = planxml.Load(releases.path); err != nil {
-				return failed(errors.New(strings.ReplaceAll(err.Error(), "\n", "; ")))
+				return withExitFailed(errors.New(strings.ReplaceAll(err.Error(), "\n", "; ")))
 			}
 		}
 		log, counters, flush, err := t.logger()
@@ -53,7 +53,7 @@
 		}
 		defer flush()
 		reload := func() (config.Config, error) { return config.Reload(*path, t.getenv) }
-		return failed(serve(got, reload, releases, log, counters))
+		return withExitFailed(serve(got, reload, releases, log, counters))
 	}
 	return c
 }
--- a/cmd/lichenroad/scale.go
+++ b/cmd/lichenroad/scale.go
@@ -62,13 +62,13 @@
 	defer cancel()
 	result, err := scale.Run(ctx, options)
 	if err != nil {
-		return failed(err)
+		return withExitFailed(err)
 	}
 	if err := t.writeJSON(flags.json, result); err != nil {
 		return err
 	}
 	if err := result.WriteTable(t.stdout); err != nil {
-		return failed(err)
+		return withExitFailed(err)
 	}
 	if result.ViolationCount > 0 {
 		return ruleBroken("%d violations of rules", result.ViolationCount)
--- a/cmd/lichenroad/simulate.go
+++ b/cmd/lichenroad/simulate.go
@@ -54,7 +54,7 @@
 		}
 		p, err := planxml.Load(args[0])
 		if err != nil {
-			return failed(err)
+			return withExitFailed(err)
 		}
 		options.Plan = p
 		if flags.byClock {
@@ -112,7 +112,7 @@
 	defer cancel()
 	result, err := lab.Run(ctx, options)
 	if err != nil && ctx.Err() == nil {
-		return failed(err)
+		return withExitFailed(err)
 	}
 	if err := t.writeJSON(flags.json, result); err != nil {
 		return err
@@ -120,13 +120,13 @@
 	if flags.report != "" {
 		name, err := result.Report(options.Plan, flags.report)
 		if err != nil {
-			return failed(err)
+			return withExitFailed(err)
 		}
 		printf(t.stdout, "report: %s\n", name)
 	}
 	t.printSummary(&result)
 	if ctx.Err() != nil {
-		return failed(fmt.Errorf("ended by a signal after %.2f days", result.Days))
+		return withExitFailed(fmt.Errorf("ended by a signal after %.2f days", result.Days))
 	}
 	if len(result.Violations) > 0 {
 		return ruleBroken("%d violations of rules or of the plan", len(result.Violations)+result.UnlistedViolations)
--- a/cmd/lichenroad/sweep.go
+++ b/cmd/lichenroad/sweep.go
@@ -101,7 +101,7 @@
 	}
 	runs, err := runReplays(arrivals, replays)
 	if err != nil {
-		return failed(err)
+		return withExitFailed(err)
 	}
 	if err := t.writeJSON(flags.json, sweepResult{files, varied.name, runs}); err != nil {
 		return err
@@ -110,7 +110,7 @@
 	if flags.report != "" {
 		page, err := writeSweepPage(flags.report, varied.name, values, byValue, flags.comparison.Confidence)
 		if err != nil {
-			return failed(err)
+			return withExitFailed(err)
 		}
 		printf(t.stdout, "report: %s\n", page)
 	}
--- a/cmd/lichenroad/trace.go
+++ b/cmd/lichenroad/trace.go
@@ -50,7 +50,7 @@
 	sources, err := openSources(files)
 	defer sources.close()
 	if err != nil {
-		return nil, failed(err)
+		return nil, withExitFailed(err)
 	}
 	readers := sources.readers
 	// The bar's rate and remaining time are computed from the bytes read.
@@ -62,7 +62,7 @@
 	}
 	audit, err := trace.Read(options, emit, readers...)
 	if err != nil {
-		return audit, failed(fmt.Errorf("%s: %w", strings.Join(files, ", "), err))
+		return audit, withExitFailed(fmt.Errorf("%s: %w", strings.Join(files, ", "), err))
 	}
 	return audit, nil
 }
@@ -73,7 +73,7 @@
 	if in.mappingFile != "" {
 		mapping, err := trace.LoadMapping(in.mappingFile)
 		if err != nil {
-			return options, failed(err)
+			return options, withExitFailed(err)
 		}
 		in.mapping = mapping
 		options.Window = mapping.Window
@@ -159,7 +159,7 @@
 	t.printAudit(audit)
 	t.printUnplaced(unplaced)
 	if emitted == 0 {
-		return 0, failed(fmt.Errorf("%s: the trace has no task that could be replayed", strings.Join(files, ", ")))
+		return 0, withExitFailed(fmt.Errorf("%s: the trace has no task that could be replayed", strings.Join(files, ", ")))
 	}
 	return emitted, nil
 }
--- a/cmd/lichenroad/tracecheck.go
+++ b/cmd/lichenroad/tracecheck.go
@@ -71,7 +71,7 @@
 		t.printAudit(audit)
 		t.printUnplaced(result.Unplaced)
 		if audit.Accepted == 0 {
-			return failed(fmt.Errorf("%s: no row could be used", strings.Join(args, ", ")))
+			return withExitFailed(fmt.Errorf("%s: no row could be used", strings.Join(args, ", ")))
 		}
 		return nil
 	}
--- a/cmd/lichenroad/tracelive.go
+++ b/cmd/lichenroad/tracelive.go
@@ -25,7 +25,7 @@
 func (t *tool) replayLive(ctx context.Context, in *traceInput, files []string, flags *replayFlags) error {
 	options, err := flags.liveOptions(in)
 	if err != nil {
-		return failed(err)
+		return withExitFailed(err)
 	}
 	readContext, stopReading := context.WithCancel(ctx)
 	arrivals, readResult := t.prefetch(readContext, in, files, options.Seed)
@@ -35,7 +35,7 @@
 		return readErr
 	}
 	if err != nil {
-		return failed(err)
+		return withExitFailed(err)
 	}
 	if err := t.writeJSON(flags.json, result); err != nil {
 		return err
@@ -49,9 +49,9 @@
 	}
 	switch {
 	case result.EndedEarly:
-		return failed(fmt.Errorf("ended by a signal after %d queries", result.All.Requests))
+		return withExitFailed(fmt.Errorf("ended by a signal after %d queries", result.All.Requests))
 	case result.Sender.Invalid != "":
-		return failed(fmt.Errorf("invalid: %s", result.Sender.Invalid))
+		return withExitFailed(fmt.Errorf("invalid: %s", result.Sender.Invalid))
 	}
 	return replayError(&result.ReplayResult)
 }
@@ -82,7 +82,7 @@
 	result := make(chan error, 1)
 	emit := func(arrival lab.Arrival) error {
 		if arrival.FaultDuration > 0 {
-			return failed(fmt.Errorf("%s: failures as hours can't be replayed with --live", in.mappingFile))
+			return withExitFailed(fmt.Errorf("%s: failures as hours can't be replayed with --live", in.mappingFile))
 		}
 		select {
 		case arrivals <- arrival:
--- a/cmd/lichenroad/tracereplay.go
+++ b/cmd/lichenroad/tracereplay.go
@@ -112,7 +112,7 @@
 	}
 	printf(t.stdout, "timeline %s\n", result.TimelineHash)
 	if ctx.Err() != nil {
-		return failed(fmt.Errorf("ended by a signal after %d queries", emitted))
+		return withExitFailed(fmt.Errorf("ended by a signal after %d queries", emitted))
 	}
 	return replayError(&result)
 }
@@ -122,7 +122,7 @@
 	if dir != "" {
 		name, err := r.Report(dir, how)
 		if err != nil {
-			return failed(err)
+			return withExitFailed(err)
 		}
 		printf(t.stdout, "report: %s\n", name)
 	}
--- a/compat/controller_session_test.go
+++ b/compat/controller_session_test.go
@@ -247,8 +247,8 @@
 	{control: `"verb":"history","votes":true,"last":10001`},
 }
 
-// do carries out a step and returns the lines for the golden file.
-func (c *controller) do(s sessionStep) (lines []string) {
+// runStep carries out a step and returns the lines for the golden file.
+func (c *controller) runStep(s sessionStep) (lines []string) {
 	c.t.Helper()
 	switch {
 	case s.raw != "":
@@ -284,7 +284,7 @@
 	controller := startFreshController(t)
 	var lines []string
 	for _, s := range controllerSession {
-		lines = append(lines, controller.do(s)...)
+		lines = append(lines, controller.runStep(s)...)
 	}
 	secondRun := runTool(t, "desk", "run", "--plan", controller.planPath, "--state", controller.stateDir)
 	lines = append(lines, fmt.Sprintf("a second desk: exit %d, %d lines", secondRun.code, len(secondRun.errorLines())))
@@ -305,7 +305,7 @@
 	controller := startFreshController(t)
 	for _, s := range controllerSession {
 		if s.tool == nil || !slices.Contains([]string{"status", "history"}, s.tool[0]) {
-			controller.do(s)
+			controller.runStep(s)
 		}
 	}
 	// JSON encodes each '<' in six bytes, so the journal reaches its compaction threshold of 4 MiB after few events.
@@ -323,7 +323,7 @@
 			return err == nil
 		})
 	}
-	controller.do(sessionStep{control: `"verb":"resume","service":"b","who":"ops","why":"after the snapshot"`})
+	controller.runStep(sessionStep{control: `"verb":"resume","service":"b","who":"ops","why":"after the snapshot"`})
 	controller.process.stop()
 	files, err := filepath.Glob(filepath.Join(controller.stateDir, "journal*"))
 	if err != nil {
--- a/compat/controller_start_test.go
+++ b/compat/controller_start_test.go
@@ -53,7 +53,7 @@
 				{control: `"verb":"status"`},
 				{control: `"verb":"offer","service":"a","build":9,"who":"ops","why":"not later"`},
 			} {
-				lines = append(lines, controller.do(s)...)
+				lines = append(lines, controller.runStep(s)...)
 			}
 			controller.process.stop()
 			checkGolden(t, "desk/read-"+strings.ReplaceAll(c.name, " ", "-"), lines)
--- a/compat/deployment_rollout_test.go
+++ b/compat/deployment_rollout_test.go
@@ -58,8 +58,8 @@
 	return d.phase == phaseRollingBack || d.phase == phaseWithdrawn
 }
 
-// offer starts the rollout of the new build, as a canary.
-func (d *deployment) offer() {
+// startRollout starts the rollout of the new build, as a canary.
+func (d *deployment) startRollout() {
 	d.build = newBuild
 	d.setRollout(0, phaseCanary)
 	if d.scenario.control == "automatic" {
--- a/compat/deployment_test.go
+++ b/compat/deployment_test.go
@@ -152,7 +152,7 @@
 		d.after(uint64(3+i)*batchInterval, func() { d.startInstance(instance) })
 		d.after(uint64(10+i)*batchInterval, func() { d.addRequests(instance) })
 	}
-	d.after(3*second, func() { d.offer() })
+	d.after(3*second, func() { d.startRollout() })
 	d.after(1*second, func() { d.addUnusualEvents() })
 	if d.scenario.restarts {
 		last := d.instances[len(d.instances)-1]
--- a/compat/fakes_test.go
+++ b/compat/fakes_test.go
@@ -27,7 +27,7 @@
 	}
 }
 
-func (l *observationLog) has(substring string) bool {
+func (l *observationLog) contains(substring string) bool {
 	return slices.ContainsFunc(l.all(), func(line string) bool { return strings.Contains(line, substring) })
 }
 
--- a/compat/pipe_test.go
+++ b/compat/pipe_test.go
@@ -181,8 +181,8 @@
 	return commands
 }
 
-// end closes the input. The process must then exit with 0 without further output.
-func (p *pipe) end() {
+// closeAndCheckExit closes the input. The process must then exit with 0 without further output.
+func (p *pipe) closeAndCheckExit() {
 	p.t.Helper()
 	p.in.Close()
 	rest, err := io.ReadAll(p.out)
--- a/compat/serve_test.go
+++ b/compat/serve_test.go
@@ -150,9 +150,9 @@
 	relay := startTool(t, "serve", "--config", configPath)
 	lines := clientSession(t, listen)
 
-	eventually(t, "a heartbeat arrives", func() bool { return peer.seen.has("form 5") })
+	eventually(t, "a heartbeat arrives", func() bool { return peer.seen.contains("form 5") })
 	discovery.replace(2, listJSON(2, endpoint, "s-0"))
-	eventually(t, "a heartbeat with the next list arrives", func() bool { return peer.seen.has("form 5, view 02") })
+	eventually(t, "a heartbeat with the next list arrives", func() bool { return peer.seen.contains("form 5, view 02") })
 	peer.mu.Lock()
 	oldHeartbeat := append([]byte{messageMagic, heartbeatType}, peer.listVersion...)
 	peer.mu.Unlock()
@@ -162,10 +162,10 @@
 	}
 	eventually(t, "a relay with the older list receives the removed endpoints", func() bool {
 		peer.conn.WriteToUDP(append(append([]byte(nil), oldHeartbeat...), 0, 0), relayAddress)
-		return peer.seen.has("form 6")
+		return peer.seen.contains("form 6")
 	})
-	eventually(t, "the relay watches the platform", func() bool { return platformSeen.has("WATCH") })
-	eventually(t, "the relay watches discovery for changes of the next list", func() bool { return discovery.seen.has("after=2&") })
+	eventually(t, "the relay watches the platform", func() bool { return platformSeen.contains("WATCH") })
+	eventually(t, "the relay watches discovery for changes of the next list", func() bool { return discovery.seen.contains("after=2&") })
 	relay.stop()
 
 	lines = append(lines, "units saw:")
--- a/compat/simhost_test.go
+++ b/compat/simhost_test.go
@@ -18,7 +18,7 @@
 			p := startSimhost(t)
 			d := newDeployment(t, s)
 			lines := d.run(p)
-			p.end()
+			p.closeAndCheckExit()
 			t.Logf("%d lines; events %v; datagrams sent %v, received %v", len(lines), d.events, d.sentTypes, d.receivedTypes)
 			checkEvents(t, d)
 			checkDatagrams(t, d)
