--- a/policy/votes.go
+++ b/policy/votes.go
@@ -12,13 +12,13 @@
 	// seconds past the minimum or maximum stage time that an aggregator waits for outcomes
 	extraOutcomeWait = 3.0
 	// age in seconds of a build's first machines up to which it is released only with enough outcomes at
-	// machines past lateFaultAge: some builds turn bad at an age of up to 12 s
+	// machines past lateFaultAge: some builds turn bad at an age of 12 s
 	matureAge = 15.0
 	// fraction of the time between two builds after which a build counts as mature: the next build would end
 	// its trial
 	matureCycleFraction = 0.9
-	// age in seconds of a machine by which builds that turn bad late have done so; the fault may take up to
-	// another second to show
+	// age in seconds of a machine from which its outcomes count for maturity: by then the last of the builds
+	// that turn bad with age have done so
 	lateFaultAge = 11.0
 	// seconds that the fleet may be slow before the build counts as the cause: most faults are over earlier
 	fleetSlowDuration = 6.0
